--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -11,9 +11,9 @@
 import os
 import sys
 
-from load_balancer.config import ConfigSource
 from load_balancer.errors import ConfigError
-from load_balancer.server import exit_on_early_signals, serve
+from load_balancer.process.config import ConfigSource
+from load_balancer.process.server import exit_on_early_signals, serve
 
 
 def main() -> int:
--- a/load_balancer/net/client_connection.py
+++ b/load_balancer/net/client/client_connection.py
@@ -15,16 +15,16 @@
 import h11
 
 from load_balancer import messages
-from load_balancer.net import client_limits as limits
-from load_balancer.net.client_connection_state import TRANSITIONS, ConnectionState
-from load_balancer.net.client_messages import ClientRequest, ClientResponse
-from load_balancer.net.client_registry import ClientRegistry
-from load_balancer.net.event_loop_driver import EventLoopDriver
-from load_balancer.net.http_request import BadRequestError, RequestHead, check_framing, read_head
-from load_balancer.net.http_response import INTERNAL_SERVER_ERROR, REQUEST_TIMEOUT, SERVICE_UNAVAILABLE
-from load_balancer.net.http_server_protocol import HttpServerProtocol, ParsedEvent
+from load_balancer.net.client import client_limits as limits
+from load_balancer.net.client.client_connection_state import TRANSITIONS, ConnectionState
+from load_balancer.net.client.client_registry import ClientRegistry
+from load_balancer.net.client.http_request import BadRequestError, RequestHead, check_framing, read_head
+from load_balancer.net.client.http_response import INTERNAL_SERVER_ERROR, REQUEST_TIMEOUT, SERVICE_UNAVAILABLE
+from load_balancer.net.client.http_server_protocol import HttpServerProtocol, ParsedEvent
+from load_balancer.net.driver.client_messages import ClientRequest, ClientResponse
+from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.socket_state import has_unread_bytes, peer_has_ended
-from load_balancer.net.upstream_messages import MAX_BODY_BYTES
+from load_balancer.net.upstream.upstream_messages import MAX_BODY_BYTES
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/net/client_registry.py
+++ b/load_balancer/net/client/client_registry.py
@@ -12,10 +12,10 @@
 from itertools import chain, islice
 from typing import Generic, Protocol, TypeVar
 
-from load_balancer.net import client_limits as limits
-from load_balancer.net.client_messages import ClientResponse
-from load_balancer.net.http_response import SERVICE_UNAVAILABLE
-from load_balancer.net.receive_buffer import BufferedTotal
+from load_balancer.net.client import client_limits as limits
+from load_balancer.net.client.http_response import SERVICE_UNAVAILABLE
+from load_balancer.net.client.receive_buffer import BufferedTotal
+from load_balancer.net.driver.client_messages import ClientResponse
 
 
 class TrackedConnection(Protocol):
--- a/load_balancer/net/http_response.py
+++ b/load_balancer/net/client/http_response.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from load_balancer.net.client_messages import ClientResponse
+from load_balancer.net.driver.client_messages import ClientResponse
 
 # Nothing of the request was forwarded, so that its client may send it again.
 SERVICE_UNAVAILABLE = ClientResponse(503, headers=((b"retry-after", b"1"),))
--- a/load_balancer/net/http_server_protocol.py
+++ b/load_balancer/net/client/http_server_protocol.py
@@ -8,9 +8,9 @@
 
 import h11
 
-from load_balancer.net import client_limits as limits
-from load_balancer.net.client_messages import ClientResponse
-from load_balancer.net.receive_buffer import BufferedTotal, ReceiveBuffer
+from load_balancer.net.client import client_limits as limits
+from load_balancer.net.client.receive_buffer import BufferedTotal, ReceiveBuffer
+from load_balancer.net.driver.client_messages import ClientResponse
 
 LINE_END_BYTES = b"\r\n"
 
--- a/load_balancer/net/receive_buffer.py
+++ b/load_balancer/net/client/receive_buffer.py
@@ -9,7 +9,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from load_balancer.net import client_limits as limits
+from load_balancer.net.client import client_limits as limits
 
 
 @dataclass(slots=True)
--- a/load_balancer/net/event_loop_driver.py
+++ b/load_balancer/net/driver/event_loop_driver.py
@@ -14,16 +14,25 @@
 from typing import NamedTuple
 
 from load_balancer import messages
-from load_balancer.net.client_messages import ClientRequest, ClientResponse
 from load_balancer.net.clock import Clock
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.endpoint_directory import EndpointDirectory
-from load_balancer.net.endpoint_list_json import EndpointListMessage
-from load_balancer.net.endpoint_watch import POLLED_LIST_TIMEOUT_S, PUSHED_LIST_TIMEOUT_S, EndpointWatch
-from load_balancer.net.load_report import read_requests_in_flight
-from load_balancer.net.start_times import StartTimes
-from load_balancer.net.upstream_attempt import UpstreamAttempt
-from load_balancer.net.upstream_messages import Address, EndpointAddress, UpstreamRequest, UpstreamResponse
+from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
+from load_balancer.net.discovery.endpoint_watch import (
+    POLLED_LIST_TIMEOUT_S,
+    PUSHED_LIST_TIMEOUT_S,
+    EndpointWatch,
+)
+from load_balancer.net.discovery.start_times import StartTimes
+from load_balancer.net.driver.client_messages import ClientRequest, ClientResponse
+from load_balancer.net.driver.endpoint_directory import EndpointDirectory
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.load_report import read_requests_in_flight
+from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
+from load_balancer.net.upstream.upstream_messages import (
+    Address,
+    EndpointAddress,
+    UpstreamRequest,
+    UpstreamResponse,
+)
 from load_balancer.policy.balancer import Balancer
 
 log = logging.getLogger(__name__)
--- a/load_balancer/net/upstream_connection.py
+++ b/load_balancer/net/upstream/upstream_connection.py
@@ -18,7 +18,7 @@
 from load_balancer.errors import LoadBalancerError
 from load_balancer.messages import Outcome
 from load_balancer.net import socket_state
-from load_balancer.net.upstream_messages import (
+from load_balancer.net.upstream.upstream_messages import (
     MAX_BODY_BYTES,
     EndpointAddress,
     Headers,
--- a/load_balancer/server.py
+++ b/load_balancer/process/server.py
@@ -15,13 +15,13 @@
 from types import FrameType
 from typing import NoReturn
 
-from load_balancer.config import Config, ConfigSource
 from load_balancer.errors import ConfigError, UnreadableConfigError
-from load_balancer.net.client_listener import ClientListener
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.descriptor_limits import divide_descriptors
-from load_balancer.net.endpoint_watch import POLLED_LIST_TIMEOUT_S
-from load_balancer.net.event_loop_driver import EventLoopDriver
+from load_balancer.net.client.client_listener import ClientListener
+from load_balancer.net.discovery.endpoint_watch import POLLED_LIST_TIMEOUT_S
+from load_balancer.net.driver.event_loop_driver import EventLoopDriver
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.process.config import Config, ConfigSource
+from load_balancer.process.descriptor_limits import divide_descriptors
 
 log = logging.getLogger("load_balancer")
 
--- a/tests/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -16,12 +16,12 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.endpoint_list_json import read_list
-from load_balancer.net.json_stream import JsonTextSplitter
+from load_balancer.net.discovery.endpoint_list_json import read_list
+from load_balancer.net.discovery.json_stream import JsonTextSplitter
 from load_balancer.policy.router import MAX_RETRY_CANDIDATES
 from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET, SUBSET_COVER, subset_size
-from tests.balancer_harness import BalancerHarness, only, settings
-from tests.loopback import entry, listing, proxy, run
+from tests.support.balancer_harness import BalancerHarness, only, settings
+from tests.support.loopback import entry, listing, proxy, run
 
 GROWTH = 1.5  # a change may cost this many times as much with sixteen times the backends
 
--- a/tests/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tests.client_helpers import Client
-from tests.loopback import SteppedClock, answer, backend, call, entry, proxy, run, until
+from tests.support.client_helpers import Client
+from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, run, until
 
 
 def test_connections_in_the_accept_queue_are_served_though_listening_ends() -> None:
--- a/tests/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from load_balancer.net.client_connection import ClientConnection
-from tests.client_helpers import Client, status
-from tests.loopback import answer, backend, call, entry, peer, proxy, read_message, run, until
+from load_balancer.net.client.client_connection import ClientConnection
+from tests.support.client_helpers import Client, status
+from tests.support.loopback import answer, backend, call, entry, peer, proxy, read_message, run, until
 
 
 def test_connections_that_sent_nothing_are_closed_before_those_of_usual_clients() -> None:
--- a/tests/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from load_balancer.net import client_limits
-from load_balancer.net.client_connection import ClientConnection
-from tests.client_helpers import (
+from load_balancer.net.client import client_limits
+from load_balancer.net.client.client_connection import ClientConnection
+from tests.support.client_helpers import (
     Client,
     attempt_connection,
     closes,
@@ -19,7 +19,7 @@
     status,
     streams,
 )
-from tests.loopback import (
+from tests.support.loopback import (
     Proxy,
     SteppedClock,
     answer,
--- a/tests/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -12,10 +12,11 @@
 
 import pytest
 
-from load_balancer.net import client_limits, repeated_fault_log
-from load_balancer.net.descriptor_limits import RESERVED_DESCRIPTORS
-from tests.client_helpers import Client, settled, silent_backend, status, streams
-from tests.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, run, until
+from load_balancer.net import repeated_fault_log
+from load_balancer.net.client import client_limits
+from load_balancer.process.descriptor_limits import RESERVED_DESCRIPTORS
+from tests.support.client_helpers import Client, settled, silent_backend, status, streams
+from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, run, until
 
 
 class Turns:
@@ -194,10 +195,12 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It is met again every 0.05 s while it lasts, and who waits for one is served afterwards."""
-    caplog.set_level(logging.INFO, logger="load_balancer.net.client_listener")
+    caplog.set_level(logging.INFO, logger="load_balancer.net.client.client_listener")
 
     def lines() -> list[str]:
-        return [r.getMessage() for r in caplog.records if r.name == "load_balancer.net.client_listener"]
+        return [
+            r.getMessage() for r in caplog.records if r.name == "load_balancer.net.client.client_listener"
+        ]
 
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
--- a/tests/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -7,11 +7,13 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net import client_connection, client_limits, idle_connections, socket_state
-from load_balancer.net.client_connection import ClientConnection
-from tests.balancer_harness import settings
-from tests.client_helpers import Client, attempt_connection, narrow, settled, silent_backend
-from tests.loopback import (
+from load_balancer.net import socket_state
+from load_balancer.net.client import client_connection, client_limits
+from load_balancer.net.client.client_connection import ClientConnection
+from load_balancer.net.upstream import idle_connections
+from tests.support.balancer_harness import settings
+from tests.support.client_helpers import Client, attempt_connection, narrow, settled, silent_backend
+from tests.support.loopback import (
     Gate,
     Proxy,
     SteppedClock,
--- a/tests/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -6,14 +6,15 @@
 
 import pytest
 
-from load_balancer.net import client_limits, idle_connections
-from load_balancer.net.connection_pool import PendingConnection
-from load_balancer.net.upstream_attempt import UpstreamAttempt
-from load_balancer.net.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream_messages import UpstreamRequest
-from tests.client_helpers import Client, attempt_connection, settled, silent_backend
-from tests.loopback import Gate, answer, call, entry, proxy, read_message, run, until
-from tests.test_departed_client_attempts import FAILURE, WAYS, limits, nothing_left
+from load_balancer.net.client import client_limits
+from load_balancer.net.upstream import idle_connections
+from load_balancer.net.upstream.connection_pool import PendingConnection
+from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from load_balancer.net.upstream.upstream_messages import UpstreamRequest
+from tests.net.client.test_departed_client_attempts import FAILURE, WAYS, limits, nothing_left
+from tests.support.client_helpers import Client, attempt_connection, settled, silent_backend
+from tests.support.loopback import Gate, answer, call, entry, proxy, read_message, run, until
 
 PATHS = ["connection comes up", "kept connection", "kept connection settles", "further attempt"]
 
--- a/tests/test_http_request.py
+++ b/tests/net/client/test_http_request.py
@@ -5,9 +5,9 @@
 import h11
 import pytest
 
-from load_balancer.net.http_request import BadRequestError, RequestHead, read_head
-from load_balancer.net.upstream_messages import MAX_BODY_BYTES
-from tests.balancer_harness import CLASSES
+from load_balancer.net.client.http_request import BadRequestError, RequestHead, read_head
+from load_balancer.net.upstream.upstream_messages import MAX_BODY_BYTES
+from tests.support.balancer_harness import CLASSES
 
 BY_NAME = {request_class.name: request_class for request_class in CLASSES}
 READ = {
--- a/tests/test_http_server_protocol.py
+++ b/tests/net/client/test_http_server_protocol.py
@@ -5,10 +5,10 @@
 import h11
 import pytest
 
-from load_balancer.net.client_messages import ClientResponse
-from load_balancer.net.http_server_protocol import HttpServerProtocol
-from load_balancer.net.receive_buffer import BufferedTotal
-from tests.loopback import call
+from load_balancer.net.client.http_server_protocol import HttpServerProtocol
+from load_balancer.net.client.receive_buffer import BufferedTotal
+from load_balancer.net.driver.client_messages import ClientResponse
+from tests.support.loopback import call
 
 
 @pytest.fixture
--- a/tests/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from load_balancer.net import client_limits
-from tests.client_helpers import Client, attempt_connection, settled, silent_backend, status, streams
-from tests.loopback import (
+from load_balancer.net.client import client_limits
+from tests.support.client_helpers import Client, attempt_connection, settled, silent_backend, status, streams
+from tests.support.loopback import (
     SteppedClock,
     answer,
     backend,
--- a/tests/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -8,11 +8,20 @@
 
 import pytest
 
-from load_balancer.net import client_limits
-from load_balancer.net.client_connection import ClientConnection
-from load_balancer.net.client_messages import ClientRequest
-from tests.client_helpers import Client, attempt_connection, closes, settled, silent_backend, status, streams
-from tests.loopback import (
+from load_balancer.net.client import client_limits
+from load_balancer.net.client.client_connection import ClientConnection
+from load_balancer.net.driver.client_messages import ClientRequest
+from tests.net.client.test_stalled_clients import STOPS
+from tests.support.client_helpers import (
+    Client,
+    attempt_connection,
+    closes,
+    settled,
+    silent_backend,
+    status,
+    streams,
+)
+from tests.support.loopback import (
     Proxy,
     SteppedClock,
     answer,
@@ -25,8 +34,7 @@
     run,
     until,
 )
-from tests.proxy_process import LIMITS, config, port_of, process, raw_settings, write
-from tests.test_stalled_clients import STOPS
+from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
 
 REASONS = {"time": 408, "room": 503, "exit": 503}
 
--- a/tests/test_receive_buffer.py
+++ b/tests/net/client/test_receive_buffer.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from load_balancer.net import client_limits
-from load_balancer.net.receive_buffer import BufferedTotal, ReceiveBuffer, ReceivedPiece
+from load_balancer.net.client import client_limits
+from load_balancer.net.client.receive_buffer import BufferedTotal, ReceiveBuffer, ReceivedPiece
 
 
 @pytest.fixture
--- a/tests/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -17,10 +17,10 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net import idle_connections
-from tests.balancer_harness import S, settings
-from tests.loopback import Proxy, SteppedClock, answer, call, entry, proxy, read_message, run
-from tests.upstream_helpers import HEAD, INVALID_RESPONSES, Bare, Handle, Message, Wire, bare, stepped
+from load_balancer.net.upstream import idle_connections
+from tests.support.balancer_harness import S, settings
+from tests.support.loopback import Proxy, SteppedClock, answer, call, entry, proxy, read_message, run
+from tests.support.upstream_helpers import HEAD, INVALID_RESPONSES, Bare, Handle, Message, Wire, bare, stepped
 
 STEP_S = 5.0
 WINDOW_S = 60.0
--- a/tests/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from load_balancer.net import client_limits
-from load_balancer.net.client_listener import ClientListener
-from tests.client_helpers import Client, settled, silent_backend, status, streams
-from tests.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, run, until
-from tests.test_malformed_requests import CHUNKED, lines
+from load_balancer.net.client import client_limits
+from load_balancer.net.client.client_listener import ClientListener
+from tests.net.client.test_malformed_requests import CHUNKED, lines
+from tests.support.client_helpers import Client, settled, silent_backend, status, streams
+from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, run, until
 
 DUE_S = 3.0  # from its connect, or from the first byte of a later request, to an error or a close
 LATE_S = 0.15  # the event loop is late by so much, as it takes a client in and whenever it checks it
--- a/tests/test_discovery_moves.py
+++ b/tests/net/discovery/test_discovery_moves.py
@@ -15,12 +15,12 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.config import ConfigSource
-from load_balancer.net.endpoint_list_json import endpoint_number
-from load_balancer.server import Reloader
-from tests.balancer_harness import S, settings
-from tests.discovery_helpers import watch_tasks
-from tests.loopback import (
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number
+from load_balancer.process.config import ConfigSource
+from load_balancer.process.server import Reloader
+from tests.support.balancer_harness import S, settings
+from tests.support.discovery_helpers import watch_tasks
+from tests.support.loopback import (
     WATCH_HEAD,
     Peer,
     Proxy,
@@ -38,7 +38,7 @@
     run,
     until,
 )
-from tests.proxy_process import config, port_of, process, write
+from tests.support.proxy_process import config, port_of, process, write
 
 MOVED_S = 4.0  # what discovery has to tell counts as told this long after SIGHUP
 TURN_S = 2.0  # a crowded discovery answers so late
--- a/tests/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -11,9 +11,9 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.endpoint_list_json import endpoint_number
-from load_balancer.net.endpoint_watch import BREAK_LOG_WINDOW_S
-from tests.discovery_helpers import (
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number
+from load_balancer.net.discovery.endpoint_watch import BREAK_LOG_WINDOW_S
+from tests.support.discovery_helpers import (
     ASKED,
     BOTH,
     LIST_DEADLINE_S,
@@ -28,7 +28,7 @@
     watch_tasks,
     watched,
 )
-from tests.loopback import (
+from tests.support.loopback import (
     WATCH_HEAD,
     Proxy,
     SteppedClock,
@@ -43,7 +43,7 @@
     read_message,
     run,
 )
-from tests.proxy_process import LIMITS, config, free_port, port_of, process, raw_settings, write
+from tests.support.proxy_process import LIMITS, config, free_port, port_of, process, raw_settings, write
 
 JUMPS = 300  # of the clock in an outage, however long
 LINES_MOST = (
--- a/tests/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -6,9 +6,9 @@
 import json
 import re
 
-from load_balancer.net.endpoint_list_json import EndpointListMessage
-from load_balancer.net.endpoint_watch import EndpointWatch
-from tests.loopback import WATCH_HEAD, peer, run, until
+from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
+from load_balancer.net.discovery.endpoint_watch import EndpointWatch
+from tests.support.loopback import WATCH_HEAD, peer, run, until
 
 USUAL, MOST = 200, 3_200
 TIMES, PLUS, PLUS_EACH = 2.0, 64_000, 500  # what the terms allow of the usual bytes, and for each backend
--- a/tests/test_endpoint_list_json.py
+++ b/tests/net/discovery/test_endpoint_list_json.py
@@ -7,8 +7,8 @@
 import pytest
 
 from load_balancer.errors import WireError
-from load_balancer.net.endpoint_list_json import endpoint_number, read_list
-from tests.loopback import (
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
+from tests.support.loopback import (
     entry,
     listing,
 )
--- a/tests/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -9,10 +9,10 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.endpoint_list_json import EndpointListMessage, join_changes, read_list
-from load_balancer.net.endpoint_watch import EndpointWatch
-from tests.balancer_harness import settings
-from tests.loopback import (
+from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, join_changes, read_list
+from load_balancer.net.discovery.endpoint_watch import EndpointWatch
+from tests.support.balancer_harness import settings
+from tests.support.loopback import (
     WATCH_HEAD,
     Handler,
     Peer,
--- a/tests/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -9,9 +9,25 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net import endpoint_watch
-from load_balancer.net.endpoint_list_json import EndpointListMessage, endpoint_number, join_changes, read_list
-from tests.loopback import WATCH_HEAD, Proxy, chunk, chunk_list, entry, listing, peer, proxy, run, until
+from load_balancer.net.discovery import endpoint_watch
+from load_balancer.net.discovery.endpoint_list_json import (
+    EndpointListMessage,
+    endpoint_number,
+    join_changes,
+    read_list,
+)
+from tests.support.loopback import (
+    WATCH_HEAD,
+    Proxy,
+    chunk,
+    chunk_list,
+    entry,
+    listing,
+    peer,
+    proxy,
+    run,
+    until,
+)
 
 STATES = ("in_service", "in_service", "terminating", "terminated")
 
--- a/tests/test_json_stream.py
+++ b/tests/net/discovery/test_json_stream.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from load_balancer.net.json_stream import JsonStreamError, JsonTextSplitter
-from tests.loopback import entry, listing
+from load_balancer.net.discovery.json_stream import JsonStreamError, JsonTextSplitter
+from tests.support.loopback import entry, listing
 
 READ = 65_536  # bytes that come at once
 
--- a/tests/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -11,9 +11,9 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.endpoint_list_json import endpoint_number, read_list
-from load_balancer.net.endpoint_watch import HEARTBEAT_TIMEOUT_S, POLLED_LIST_TIMEOUT_S
-from load_balancer.net.json_stream import MAX_TEXT_BYTES
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
+from load_balancer.net.discovery.endpoint_watch import HEARTBEAT_TIMEOUT_S, POLLED_LIST_TIMEOUT_S
+from load_balancer.net.discovery.json_stream import MAX_TEXT_BYTES
 from load_balancer.policy.subscription import (
     DISCOVERY_QUEUE_US,
     FIRST_BACKOFF_US,
@@ -21,8 +21,8 @@
     NOTIFIED_US,
     SLACK_US,
 )
-from tests.balancer_harness import S
-from tests.discovery_helpers import (
+from tests.support.balancer_harness import S
+from tests.support.discovery_helpers import (
     ASKED,
     BOTH,
     LIST_DEADLINE_S,
@@ -37,7 +37,7 @@
     watch_starts,
     watched,
 )
-from tests.loopback import (
+from tests.support.loopback import (
     WATCH_HEAD,
     SteppedClock,
     answer,
--- a/tests/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -5,13 +5,13 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.endpoint_list_json import endpoint_number
-from load_balancer.net.start_times import MAX_START_TIMES, StartTimes
-from tests.clock_helpers import HOUR, STEPS, UNIX, HandFedDriver, Times, lists
-from tests.loopback import (
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number
+from load_balancer.net.discovery.start_times import MAX_START_TIMES, StartTimes
+from tests.support.clock_helpers import HOUR, STEPS, UNIX, HandFedDriver, Times, lists
+from tests.support.loopback import (
     run,
 )
-from tests.simulated_fleet import MS, S
+from tests.support.simulated_fleet import MS, S
 
 
 def test_a_start_that_clocks_agree_on_keeps_its_age() -> None:
--- a/tests/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.balancer_harness import settings
-from tests.loopback import (
+from tests.support.balancer_harness import settings
+from tests.support.loopback import (
     WATCH_HEAD,
     Gate,
     answer,
--- a/tests/test_clock.py
+++ b/tests/net/test_clock.py
@@ -8,10 +8,10 @@
 import pytest
 
 from load_balancer.net.clock import MAX_OFFSETS
-from tests.clock_helpers import HOUR, STEPS, Times
-from tests.simulated_fleet import MS, S
+from tests.support.clock_helpers import HOUR, STEPS, Times
+from tests.support.simulated_fleet import MS, S
 
-SOURCES = Path(__file__).parent.parent / "load_balancer"
+SOURCES = Path(__file__).parent.parent.parent / "load_balancer"
 
 
 @STEPS
--- a/tests/test_log_limits.py
+++ b/tests/net/test_log_limits.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from load_balancer.net.endpoint_directory import CHANGE_LOG_WINDOW_S, MAX_LOGGED_CHANGES
-from load_balancer.net.endpoint_list_json import read_list
+from load_balancer.net.discovery.endpoint_list_json import read_list
+from load_balancer.net.driver.endpoint_directory import CHANGE_LOG_WINDOW_S, MAX_LOGGED_CHANGES
 from load_balancer.net.log_limits import WindowedLog
-from tests.loopback import SteppedClock, entry, listing, proxy, run
+from tests.support.loopback import SteppedClock, entry, listing, proxy, run
 
 
 def test_a_long_list_and_a_release_are_logged_in_few_lines(caplog: pytest.LogCaptureFixture) -> None:
--- a/tests/test_answers_without_length.py
+++ b/tests/net/upstream/test_answers_without_length.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tests.loopback import answer, call, entry, proxy, read_message, run, until
-from tests.upstream_helpers import Message, Wire, bare, read
+from tests.support.loopback import answer, call, entry, proxy, read_message, run, until
+from tests.support.upstream_helpers import Message, Wire, bare, read
 
 __all__ = ["read"]  # a fixture
 
--- a/tests/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -7,10 +7,10 @@
 import pytest
 
 from load_balancer.messages import Outcome
-from load_balancer.net import idle_connections, upstream_connection
-from load_balancer.net.connection_pool import ConnectionPool
-from tests.loopback import SteppedClock, answer, call, entry, proxy, run, until
-from tests.upstream_helpers import HEAD, OK, Message, Out, Wire, bare, read, says
+from load_balancer.net.upstream import idle_connections, upstream_connection
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from tests.support.loopback import SteppedClock, answer, call, entry, proxy, run, until
+from tests.support.upstream_helpers import HEAD, OK, Message, Out, Wire, bare, read, says
 
 __all__ = ["read"]  # a fixture
 
--- a/tests/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -8,11 +8,11 @@
 
 from load_balancer import messages
 from load_balancer.messages import Outcome
-from load_balancer.net import connection_pool
-from load_balancer.net.connection_pool import ConnectionPool
-from tests.balancer_harness import BalancerHarness, S, only, settings
-from tests.loopback import answer, backend, call, entry, proxy, run
-from tests.upstream_helpers import (
+from load_balancer.net.upstream import connection_pool
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from tests.support.balancer_harness import BalancerHarness, S, only, settings
+from tests.support.loopback import answer, backend, call, entry, proxy, run
+from tests.support.upstream_helpers import (
     IDLE_S,
     LIMIT_S,
     MOSTLY_QUICK,
--- a/tests/test_connect_latency.py
+++ b/tests/net/upstream/test_connect_latency.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from load_balancer.net.connect_latency import WINDOW_SIZE, ConnectLatency
+from load_balancer.net.upstream.connect_latency import WINDOW_SIZE, ConnectLatency
 
 
 def test_what_one_more_connection_saves_follows_from_what_they_usually_take() -> None:
@@ -46,7 +46,7 @@
         searched += 1
         return bisect_right(among, value)
 
-    monkeypatch.setattr("load_balancer.net.connect_latency.bisect_right", counted)
+    monkeypatch.setattr("load_balancer.net.upstream.connect_latency.bisect_right", counted)
     times, most = ConnectLatency(), 80
     for n in range(WINDOW_SIZE):
         times.add(0.005 if n % 3 else 0.1 + n / 100)
--- a/tests/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -8,12 +8,12 @@
 import pytest
 
 from load_balancer.messages import Outcome
-from load_balancer.net import idle_connections
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream_messages import EndpointAddress
-from tests.loopback import answer, backend, run, until
-from tests.upstream_helpers import IDLE_S, LIMIT_S, MOSTLY_QUICK, SAFE, SLOW, Calls, Connects, ids
+from load_balancer.net.upstream import idle_connections
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from load_balancer.net.upstream.upstream_messages import EndpointAddress
+from tests.support.loopback import answer, backend, run, until
+from tests.support.upstream_helpers import IDLE_S, LIMIT_S, MOSTLY_QUICK, SAFE, SLOW, Calls, Connects, ids
 
 ONCE = replace(SAFE, is_idempotent=False)
 
--- a/tests/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -7,11 +7,12 @@
 import pytest
 
 from load_balancer.messages import Outcome
-from load_balancer.net import idle_connections, socket_state
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.upstream_messages import UpstreamResponse
-from tests.loopback import SteppedClock, answer, call, entry, proxy, run, until
-from tests.upstream_helpers import KINDS, Message, Out, Wire, bare, says
+from load_balancer.net import socket_state
+from load_balancer.net.upstream import idle_connections
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_messages import UpstreamResponse
+from tests.support.loopback import SteppedClock, answer, call, entry, proxy, run, until
+from tests.support.upstream_helpers import KINDS, Message, Out, Wire, bare, says
 
 
 @pytest.mark.parametrize("what", ["answer", "end", "reset", "answer and end"])
--- a/tests/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -7,11 +7,11 @@
 import pytest
 
 from load_balancer.messages import Outcome
-from load_balancer.net import idle_connections
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.upstream_messages import EndpointAddress
-from tests.loopback import answer, backend, peer, read_message, run
-from tests.upstream_helpers import ONCE, attempt
+from load_balancer.net.upstream import idle_connections
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_messages import EndpointAddress
+from tests.support.loopback import answer, backend, peer, read_message, run
+from tests.support.upstream_helpers import ONCE, attempt
 
 
 def test_one_that_breaks_a_kept_connection_gets_new_ones_for_a_while(
--- a/tests/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -5,10 +5,10 @@
 import pytest
 
 from load_balancer.messages import Outcome
-from load_balancer.net import idle_connections
-from load_balancer.net.connection_pool import ConnectionPool
-from tests.loopback import answer, call, entry, proxy, run
-from tests.upstream_helpers import INVALID_RESPONSES, KINDS, Message, Out, Wire, bare, says
+from load_balancer.net.upstream import idle_connections
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from tests.support.loopback import answer, call, entry, proxy, run
+from tests.support.upstream_helpers import INVALID_RESPONSES, KINDS, Message, Out, Wire, bare, says
 
 CHUNKED = b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n3\r\nall\r\n0\r\n\r\n"
 
--- a/tests/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -7,11 +7,11 @@
 import pytest
 
 from load_balancer.messages import Outcome
-from load_balancer.net.connection_pool import MAX_SPARE_CONNECTS, ConnectionPool
-from load_balancer.net.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream_messages import EndpointAddress
-from tests.loopback import answer, backend, run, until
-from tests.upstream_helpers import Calls, Connects, ids
+from load_balancer.net.upstream.connection_pool import MAX_SPARE_CONNECTS, ConnectionPool
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from load_balancer.net.upstream.upstream_messages import EndpointAddress
+from tests.support.loopback import answer, backend, run, until
+from tests.support.upstream_helpers import Calls, Connects, ids
 
 OTHERS = 1 + MAX_SPARE_CONNECTS
 
--- a/tests/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -14,13 +14,13 @@
 
 from load_balancer import messages
 from load_balancer.messages import Outcome
-from load_balancer.net import idle_connections
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream_messages import UpstreamResponse
-from tests.balancer_harness import settings
-from tests.loopback import answer, call, entry, proxy, read_message, run, until
-from tests.upstream_helpers import OK, ONCE, REQUEST, Message, Out, Wire, bare, says, stepped
+from load_balancer.net.upstream import idle_connections
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from load_balancer.net.upstream.upstream_messages import UpstreamResponse
+from tests.support.balancer_harness import settings
+from tests.support.loopback import answer, call, entry, proxy, read_message, run, until
+from tests.support.upstream_helpers import OK, ONCE, REQUEST, Message, Out, Wire, bare, says, stepped
 
 
 # After the final answer
--- a/tests/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -8,11 +8,11 @@
 import pytest
 
 from load_balancer.messages import Outcome
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream_messages import UpstreamRequest
-from tests.loopback import SteppedClock, answer, call, entry, proxy, run, until
-from tests.upstream_helpers import KINDS, OK, ONCE, REQUEST, Bare, Held, Out, Wire, bare, says
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from load_balancer.net.upstream.upstream_messages import UpstreamRequest
+from tests.support.loopback import SteppedClock, answer, call, entry, proxy, run, until
+from tests.support.upstream_helpers import KINDS, OK, ONCE, REQUEST, Bare, Held, Out, Wire, bare, says
 
 
 @pytest.mark.parametrize("kind", KINDS)
--- a/tests/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -9,11 +9,11 @@
 import pytest
 
 from load_balancer.messages import Outcome
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream_messages import EndpointAddress
-from tests.loopback import answer, backend, peer, read_message, run, until
-from tests.upstream_helpers import ONCE, REQUEST, attempt
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from load_balancer.net.upstream.upstream_messages import EndpointAddress
+from tests.support.loopback import answer, backend, peer, read_message, run, until
+from tests.support.upstream_helpers import ONCE, REQUEST, attempt
 
 
 def test_a_refused_connection_could_not_connect() -> None:
--- a/tests/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -8,11 +8,11 @@
 import pytest
 
 from load_balancer.messages import Outcome
-from load_balancer.net import idle_connections, upstream_connection
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.upstream_messages import UpstreamResponse
-from tests.loopback import Gate, SteppedClock, answer, backend, peer, read_message, run, until
-from tests.upstream_helpers import ONCE, attempt
+from load_balancer.net.upstream import idle_connections, upstream_connection
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_messages import UpstreamResponse
+from tests.support.loopback import Gate, SteppedClock, answer, backend, peer, read_message, run, until
+from tests.support.upstream_helpers import ONCE, attempt
 
 
 @pytest.mark.parametrize(
--- a/tests/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -5,7 +5,7 @@
 import pytest
 
 from load_balancer import messages
-from tests.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
 def full(setup: messages.Settings | None = None, backends: int = 2) -> BalancerHarness:
--- a/tests/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from load_balancer import messages
-from tests.balancer_harness import MS, BalancerHarness, S, only
+from tests.support.balancer_harness import MS, BalancerHarness, S, only
 
 
 def test_failures_that_are_not_late_leave_the_room_alone() -> None:
--- a/tests/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -11,7 +11,7 @@
     MAX_BACKOFF_SHARE,
     MAX_BACKOFF_US,
 )
-from tests.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 ASKING = settings(must_subscribe=True)
 
--- a/tests/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -8,11 +8,11 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.load_report import read_requests_in_flight
+from load_balancer.net.upstream.load_report import read_requests_in_flight
 from load_balancer.policy import health_check
 from load_balancer.policy.request_state import HangLimit
-from tests.balancer_harness import MS, BalancerHarness, S, only, settings
-from tests.loopback import answer, call, entry, peer, proxy, read_message, run
+from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.loopback import answer, call, entry, peer, proxy, read_message, run
 
 LIMITS = messages.Limits(max_attempts=3, cancel=True, health_checks=True)
 PROBING = settings(limits=LIMITS)
--- a/tests/test_no_starvation.py
+++ b/tests/policy/test_no_starvation.py
@@ -13,8 +13,8 @@
 import pytest
 
 from load_balancer import messages
-from tests.balancer_harness import MS, SAFE, UNSAFE, S, settings
-from tests.simulated_fleet import START, Call, Client, Fleet
+from tests.support.balancer_harness import MS, SAFE, UNSAFE, S, settings
+from tests.support.simulated_fleet import START, Call, Client, Fleet
 
 SHORT = messages.RequestClass(
     "short",
--- a/tests/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -6,7 +6,7 @@
 
 from load_balancer import messages
 from load_balancer.policy.admission import INITIAL_LIMIT, INITIAL_SHARED_LIMIT, MIN_LIMIT
-from tests.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
 def test_a_dead_backend_does_not_draw_what_is_held() -> None:
--- a/tests/test_policy_modules.py
+++ b/tests/policy/test_policy_modules.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-POLICY = Path(__file__).parent.parent / "load_balancer" / "policy"
+POLICY = Path(__file__).parent.parent.parent / "load_balancer" / "policy"
 MODULES = sorted(POLICY.glob("*.py"))
 ALLOWED_IMPORTS = {
     "__future__",
--- a/tests/test_policy_rules_random.py
+++ b/tests/policy/test_policy_rules_random.py
@@ -12,7 +12,7 @@
 import pytest
 
 from load_balancer import messages
-from tests.balancer_harness import CLASSES, MS, BalancerHarness, S, settings
+from tests.support.balancer_harness import CLASSES, MS, BalancerHarness, S, settings
 
 OUTCOMES = tuple(messages.Outcome)
 PROVES_NOTHING_RAN = (
--- a/tests/test_request_deadline.py
+++ b/tests/policy/test_request_deadline.py
@@ -5,7 +5,7 @@
 import pytest
 
 from load_balancer import messages
-from tests.balancer_harness import UNSAFE, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import UNSAFE, BalancerHarness, S, only, settings
 
 
 def test_an_attempt_ends_before_its_answer_would_be_late() -> None:
--- a/tests/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -5,7 +5,7 @@
 import pytest
 
 from load_balancer import messages
-from tests.balancer_harness import MS, BalancerHarness, S, only
+from tests.support.balancer_harness import MS, BalancerHarness, S, only
 
 
 def first_send(harness: BalancerHarness, cls: str) -> messages.StartAttempt:
--- a/tests/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -6,7 +6,7 @@
 
 from load_balancer import messages
 from load_balancer.policy.retry import EARNED_PER_REQUEST, MAX_SAVED_RETRIES
-from tests.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
 def test_what_may_have_run_is_not_sent_again_where_that_is_unsafe() -> None:
--- a/tests/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -8,7 +8,7 @@
 from load_balancer.policy.request_state import Attempt
 from load_balancer.policy.selection import REMOTE_PENALTY
 from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET
-from tests.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
 def test_draws_follow_shares() -> None:
--- a/tests/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -14,8 +14,8 @@
 from load_balancer import messages
 from load_balancer.policy.endpoint_state import LastAttempt
 from load_balancer.policy.slow_start import BUDGET_SAFETY, FREE_FIRST_ATTEMPTS, KEPT_WINDOW_SHARE
-from tests.balancer_harness import MS, BalancerHarness, S, only, settings
-from tests.test_slow_start_fleet import RULES, TIGHT, cold_fleet
+from tests.policy.test_slow_start_fleet import RULES, TIGHT, cold_fleet
+from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 COLDER = replace(TIGHT, start_capacity=0.1)  # N is about a call in a window
 
--- a/tests/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -13,8 +13,8 @@
 from load_balancer import messages
 from load_balancer.policy.endpoint_state import EndpointState
 from load_balancer.policy.slow_start import FREE_FIRST_ATTEMPTS, RATE_MEMORY_US, SlowStart
-from tests.balancer_harness import CLASSES, MS, BalancerHarness, S, only, settings
-from tests.simulated_fleet import START, Client, Fleet, Machine
+from tests.support.balancer_harness import CLASSES, MS, BalancerHarness, S, only, settings
+from tests.support.simulated_fleet import START, Client, Fleet, Machine
 
 RULES = messages.Rules(
     start_capacity=0.34, slow_start_us=5 * S, overload_multiple=3.0, overload_window_us=1500 * MS
--- a/tests/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -4,7 +4,7 @@
 
 from load_balancer import messages
 from load_balancer.policy.slow_start import MAX_KEPT_ATTEMPTS
-from tests.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
 def test_where_all_are_cold_each_gets_one_call_at_a_time() -> None:
--- a/tests/test_unsent_attempts.py
+++ b/tests/policy/test_unsent_attempts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from load_balancer import messages
-from tests.balancer_harness import BalancerHarness, only
+from tests.support.balancer_harness import BalancerHarness, only
 
 
 def all_cold() -> BalancerHarness:
--- a/tests/test_config.py
+++ b/tests/process/test_config.py
@@ -9,10 +9,10 @@
 import pytest
 
 from load_balancer import Balancer
-from load_balancer.config import ConfigSource
 from load_balancer.errors import ConfigError
-from tests.config_fields import FIRST_LANE, NUMBER_FIELDS, FieldPath, config_with, field_name
-from tests.proxy_process import LIMITS, config, raw_settings, write
+from load_balancer.process.config import ConfigSource
+from tests.support.config_fields import FIRST_LANE, NUMBER_FIELDS, FieldPath, config_with, field_name
+from tests.support.proxy_process import LIMITS, config, raw_settings, write
 
 
 @pytest.mark.parametrize(
--- a/tests/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from load_balancer.net.descriptor_limits import usable_descriptors
-from tests.loopback import (
+from load_balancer.process.descriptor_limits import usable_descriptors
+from tests.support.loopback import (
     WATCH_HEAD,
     Peer,
     answer,
@@ -23,7 +23,7 @@
     read_message,
     run,
 )
-from tests.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
 
 GIVEN = 96
 CROWD = 200
--- a/tests/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from load_balancer.server import FLUSH_S, accept_time_s
-from tests.loopback import answer, call, entry, listing, peer, read_message, run
-from tests.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from load_balancer.process.server import FLUSH_S, accept_time_s
+from tests.support.loopback import answer, call, entry, listing, peer, read_message, run
+from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
 
 KILL_MORE_S = 0.7  # SIGKILL comes this long after the longest deadline, by the terms
 CLIENTS = 6
--- a/tests/test_server.py
+++ b/tests/process/test_server.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.loopback import (
+from tests.support.loopback import (
     WATCH_HEAD,
     Handler,
     answer,
@@ -23,7 +23,7 @@
     read_message,
     run,
 )
-from tests.proxy_process import (
+from tests.support.proxy_process import (
     LIMITS,
     ROOT,
     config,
--- a/tests/test_startup.py
+++ b/tests/process/test_startup.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from load_balancer.config import ConfigSource
-from load_balancer.server import serve_until_stopped
-from tests.loopback import (
+from load_balancer.process.config import ConfigSource
+from load_balancer.process.server import serve_until_stopped
+from tests.support.loopback import (
     WATCH_HEAD,
     SteppedClock,
     Streams,
@@ -31,7 +31,7 @@
     read_message,
     run,
 )
-from tests.proxy_process import LIMITS, config, free_port, process, raw_settings, write
+from tests.support.proxy_process import LIMITS, config, free_port, process, raw_settings, write
 
 READY_S = 10.0  # by the terms, for nine in ten
 STEP_S = 0.05
--- a/tests/test_deduplication_window.py
+++ b/tests/scenarios/test_deduplication_window.py
@@ -9,9 +9,9 @@
 import pytest
 
 from load_balancer import messages
-from tests.balancer_harness import S, settings
-from tests.loopback import Proxy, answer, call, entry, proxy, run, until
-from tests.upstream_helpers import (
+from tests.support.balancer_harness import S, settings
+from tests.support.loopback import Proxy, answer, call, entry, proxy, run, until
+from tests.support.upstream_helpers import (
     KINDS,
     Bare,
     Held,
--- a/tests/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -8,11 +8,11 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.endpoint_list_json import endpoint_number
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.policy.endpoint_list import MAX_DEPARTED
 from load_balancer.simulator import write_action
-from tests.balancer_harness import BalancerHarness, only, settings
-from tests.loopback import answer, backend, call, entry, proxy, run
+from tests.support.balancer_harness import BalancerHarness, only, settings
+from tests.support.loopback import answer, backend, call, entry, proxy, run
 
 
 def subset(harness: BalancerHarness) -> set[int]:
--- a/tests/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from load_balancer.net.endpoint_watch import BREAK_LOG_WINDOW_S, MAX_LOGGED_BREAKS
-from tests.loopback import (
+from load_balancer.net.discovery.endpoint_watch import BREAK_LOG_WINDOW_S, MAX_LOGGED_BREAKS
+from tests.support.loopback import (
     WATCH_HEAD,
     Peer,
     SteppedClock,
@@ -29,7 +29,7 @@
     read_message,
     run,
 )
-from tests.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
 
 DESCRIPTORS = 128
 CROWD = 300
@@ -107,7 +107,7 @@
 
 def test_a_list_that_comes_again_and_again_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
     """Only what it changes is, twenty lines in ten seconds; here the watch ends behind each whole list."""
-    caplog.set_level(logging.INFO, logger="load_balancer.net.endpoint_directory")
+    caplog.set_level(logging.INFO, logger="load_balancer.net.driver.endpoint_directory")
     many = [entry(f"s{n}", 9) for n in range(100)]
 
     def lines() -> list[str]:
@@ -143,7 +143,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It is asked ten times a second where lists are pushed."""
-    caplog.set_level(logging.INFO, logger="load_balancer.net.endpoint_watch")
+    caplog.set_level(logging.INFO, logger="load_balancer.net.discovery.endpoint_watch")
     broke, ahead = 0, 0.0
 
     async def test() -> None:
--- a/tests/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from load_balancer.net import idle_connections
-from load_balancer.net.endpoint_list_json import read_list
-from tests.loopback import Proxy, answer, backend, call, entry, listing, proxy, read_message, run
+from load_balancer.net.discovery.endpoint_list_json import read_list
+from load_balancer.net.upstream import idle_connections
+from tests.support.loopback import Proxy, answer, backend, call, entry, listing, proxy, read_message, run
 
 ROUNDS = 1500
 
--- a/tests/test_hold_ups.py
+++ b/tests/scenarios/test_hold_ups.py
@@ -10,13 +10,14 @@
 
 from load_balancer import messages
 from load_balancer.messages import Outcome
-from load_balancer.net import idle_connections, socket_state
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.endpoint_list_json import read_list
-from load_balancer.net.upstream_attempt import UpstreamAttempt
-from load_balancer.net.upstream_connection import UpstreamConnection
-from tests.balancer_harness import MS, BalancerHarness, S, only, settings
-from tests.loopback import (
+from load_balancer.net import socket_state
+from load_balancer.net.discovery.endpoint_list_json import read_list
+from load_balancer.net.upstream import idle_connections
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.loopback import (
     Gate,
     Proxy,
     SteppedClock,
@@ -29,7 +30,7 @@
     run,
     until,
 )
-from tests.upstream_helpers import Calls, Connects, ids, stepped
+from tests.support.upstream_helpers import Calls, Connects, ids, stepped
 
 HOLD_UP_S = 0.15  # by the terms
 SLACK_S = 0.15  # by the terms, of the time that a backend is told
--- a/tests/test_little_time.py
+++ b/tests/scenarios/test_little_time.py
@@ -7,8 +7,8 @@
 import pytest
 
 from load_balancer import messages
-from tests.loopback import answer, backend, call, entry, peer, proxy, run
-from tests.proxy_process import free_port
+from tests.support.loopback import answer, backend, call, entry, peer, proxy, run
+from tests.support.proxy_process import free_port
 
 SOON_S = 0.5  # by the terms an answer this long after a request's time is not lost
 
--- a/tests/test_no_files.py
+++ b/tests/scenarios/test_no_files.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.loopback import (
+from tests.support.loopback import (
     WATCH_HEAD,
     answer,
     backend,
@@ -22,8 +22,8 @@
     peer,
     read_message,
 )
-from tests.loopback import run as run_test
-from tests.proxy_process import ROOT, command, config, port_of, write
+from tests.support.loopback import run as run_test
+from tests.support.proxy_process import ROOT, command, config, port_of, write
 
 # Each way to change the file system is told before it happens, whether or not it would succeed.
 AUDITED = """
--- a/tests/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -11,11 +11,11 @@
 
 from load_balancer import messages
 from load_balancer.messages import Outcome
-from load_balancer.net import idle_connections, upstream_attempt
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.upstream_messages import UpstreamRequest
-from tests.balancer_harness import MS, BalancerHarness, S, only, settings
-from tests.discovery_helpers import (
+from load_balancer.net.upstream import idle_connections, upstream_attempt
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_messages import UpstreamRequest
+from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.discovery_helpers import (
     BOTH,
     LIST_DEADLINE_S,
     next_call,
@@ -23,7 +23,7 @@
     step,
     watched,
 )
-from tests.loopback import (
+from tests.support.loopback import (
     WATCH_HEAD,
     Proxy,
     SteppedClock,
@@ -37,7 +37,7 @@
     run,
     until,
 )
-from tests.upstream_helpers import ONCE, REQUEST, Bare, Handle, Message, Out, Wire, bare
+from tests.support.upstream_helpers import ONCE, REQUEST, Bare, Handle, Message, Out, Wire, bare
 
 KINDS = ["read", "write", "mark", "pay"]
 HOURS = 10
--- a/tests/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -24,20 +24,23 @@
 
 from load_balancer import messages
 from load_balancer.messages import Outcome
-from load_balancer.net import client_limits, socket_state
-from load_balancer.net.connect_pacing import SHORTAGE_PAUSE_S
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.endpoint_list_json import EndpointListMessage
-from load_balancer.net.endpoint_watch import EndpointWatch
-from load_balancer.net.idle_connections import SETTLE_S
-from load_balancer.net.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream_messages import EndpointAddress, UpstreamRequest
+from load_balancer.net import socket_state
+from load_balancer.net.client import client_limits
+from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
+from load_balancer.net.discovery.endpoint_watch import EndpointWatch
+from load_balancer.net.upstream.connect_pacing import SHORTAGE_PAUSE_S
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.idle_connections import SETTLE_S
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from load_balancer.net.upstream.upstream_messages import EndpointAddress, UpstreamRequest
 from load_balancer.policy.change_detector import PRIOR_SAMPLES
 from load_balancer.policy.endpoint_state import COOL_DOWN_US
 from load_balancer.policy.retry import MAX_SAVED_RETRIES
-from load_balancer.server import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
-from tests.balancer_harness import MS, BalancerHarness, S, only
-from tests.loopback import (
+from load_balancer.process.server import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
+from tests.process.test_reload import ReloadHarness
+from tests.process.test_startup import attended
+from tests.support.balancer_harness import MS, BalancerHarness, S, only
+from tests.support.loopback import (
     WATCH_HEAD,
     Peer,
     SteppedClock,
@@ -54,10 +57,8 @@
     run,
     until,
 )
-from tests.proxy_process import LIMITS, ROOT, config, free_port, port_of, process, raw_settings, write
-from tests.test_reload import ReloadHarness
-from tests.test_startup import attended
-from tests.upstream_helpers import Calls, Connects, attempt
+from tests.support.proxy_process import LIMITS, ROOT, config, free_port, port_of, process, raw_settings, write
+from tests.support.upstream_helpers import Calls, Connects, attempt
 
 Side = Callable[[socket.socket], bool]
 
@@ -342,7 +343,7 @@
 PROCESS = """
 import resource, socket, sys
 import load_balancer.__main__ as program
-from load_balancer.net.client_listener import ClientListener
+from load_balancer.net.client.client_listener import ClientListener
 
 failed, descriptors = int(sys.argv[1]), int(sys.argv[2])
 listen, stop = ClientListener.listen, ClientListener.stop_listening
--- a/tests/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -14,16 +14,16 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.config import ConfigSource
 from load_balancer.net.clock import Clock
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.endpoint_list_json import endpoint_number
-from load_balancer.net.event_loop_driver import EventLoopDriver
-from load_balancer.net.start_times import StartTimes
-from load_balancer.server import serve_until_stopped
-from tests.balancer_harness import settings
-from tests.clock_helpers import COLD, HOUR, STEPS, Times, lists
-from tests.loopback import (
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number
+from load_balancer.net.discovery.start_times import StartTimes
+from load_balancer.net.driver.event_loop_driver import EventLoopDriver
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.process.config import ConfigSource
+from load_balancer.process.server import serve_until_stopped
+from tests.support.balancer_harness import settings
+from tests.support.clock_helpers import COLD, HOUR, STEPS, Times, lists
+from tests.support.loopback import (
     WATCH_HEAD,
     Peer,
     SteppedClock,
@@ -39,8 +39,8 @@
     run,
     until,
 )
-from tests.proxy_process import LIMITS, config, free_port, raw_settings, write
-from tests.simulated_fleet import MS, Fleet, Machine, S
+from tests.support.proxy_process import LIMITS, config, free_port, raw_settings, write
+from tests.support.simulated_fleet import MS, Fleet, Machine, S
 
 
 class Wall:
--- a/tests/client_helpers.py
+++ b/tests/support/client_helpers.py
@@ -8,8 +8,8 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from load_balancer.net.upstream_connection import UpstreamConnection
-from tests.loopback import Peer, Proxy, Streams, peer, read_message
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from tests.support.loopback import Peer, Proxy, Streams, peer, read_message
 
 
 class Client:
--- a/tests/clock_helpers.py
+++ b/tests/support/clock_helpers.py
@@ -8,15 +8,15 @@
 
 from load_balancer import messages
 from load_balancer.net.clock import Clock
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.endpoint_list_json import EndpointListMessage, endpoint_number, read_list
-from load_balancer.net.event_loop_driver import EventLoopDriver
-from tests.balancer_harness import settings
-from tests.loopback import (
+from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, endpoint_number, read_list
+from load_balancer.net.driver.event_loop_driver import EventLoopDriver
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from tests.support.balancer_harness import settings
+from tests.support.loopback import (
     entry,
     listing,
 )
-from tests.simulated_fleet import S
+from tests.support.simulated_fleet import S
 
 HOUR = 3600 * S
 UNIX = 1_800_000_000 * S
--- a/tests/config_fields.py
+++ b/tests/support/config_fields.py
@@ -5,8 +5,8 @@
 import json
 from typing import Any
 
-from tests.loopback import entry, listing
-from tests.proxy_process import config
+from tests.support.loopback import entry, listing
+from tests.support.proxy_process import config
 
 FieldPath = tuple[str | int, ...]
 
--- a/tests/discovery_helpers.py
+++ b/tests/support/discovery_helpers.py
@@ -10,8 +10,8 @@
 import pytest
 
 from load_balancer import messages
-from tests.balancer_harness import S, settings
-from tests.loopback import (
+from tests.support.balancer_harness import S, settings
+from tests.support.loopback import (
     WATCH_HEAD,
     Peer,
     Proxy,
--- a/tests/loopback.py
+++ b/tests/support/loopback.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass, field
 
 from load_balancer import messages
-from load_balancer.net.client_connection import ClientConnection
-from load_balancer.net.client_listener import ClientListener
-from load_balancer.net.client_registry import ClientRegistry
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.endpoint_list_json import EndpointListMessage, read_list
-from load_balancer.net.event_loop_driver import EventLoopDriver
-from load_balancer.net.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream_messages import EndpointAddress
-from tests.balancer_harness import settings
+from load_balancer.net.client.client_connection import ClientConnection
+from load_balancer.net.client.client_listener import ClientListener
+from load_balancer.net.client.client_registry import ClientRegistry
+from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, read_list
+from load_balancer.net.driver.event_loop_driver import EventLoopDriver
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from load_balancer.net.upstream.upstream_messages import EndpointAddress
+from tests.support.balancer_harness import settings
 
 PATIENCE_S = 10.0  # no test waits longer for anything: a fault then fails it instead of hanging it
 
--- a/tests/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -17,7 +17,7 @@
 
 S = 1_000_000
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 LIMITS = {"maxAttempts": 3, "cancel": True, "connectTimeoutUs": 250_000, "connIdleUs": 30_000_000}
 
--- a/tests/upstream_helpers.py
+++ b/tests/support/upstream_helpers.py
@@ -12,12 +12,17 @@
 import pytest
 
 from load_balancer.messages import Outcome
-from load_balancer.net.connection_pool import ConnectionPool
-from load_balancer.net.upstream_attempt import UpstreamAttempt
-from load_balancer.net.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream_messages import Address, EndpointAddress, UpstreamRequest, UpstreamResponse
-from tests.balancer_harness import S
-from tests.loopback import Peer, Proxy, SteppedClock, answer, until
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from load_balancer.net.upstream.upstream_messages import (
+    Address,
+    EndpointAddress,
+    UpstreamRequest,
+    UpstreamResponse,
+)
+from tests.support.balancer_harness import S
+from tests.support.loopback import Peer, Proxy, SteppedClock, answer, until
 
 REQUEST = UpstreamRequest(
     b"POST", b"/api", [(b"host", b"x"), (b"idempotency-key", b"k"), (b"content-length", b"2")], b"hi", True
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -7,7 +7,7 @@
 import pytest
 
 from load_balancer import messages
-from tests.balancer_harness import SAFE
+from tests.support.balancer_harness import SAFE
 
 IMPOSSIBLE: dict[str, Callable[[], object]] = {
     "classes is empty": lambda: messages.Settings(()),
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -16,7 +16,7 @@
 from load_balancer.messages import Rules, Settings
 from load_balancer.settings import read_settings
 from load_balancer.simulator import EVENT_READERS, read_request, write_action
-from tests.proxy_process import ROOT, raw_settings
+from tests.support.proxy_process import ROOT, raw_settings
 
 S = 1_000_000
 
