--- a/load_balancer/net/client/client_connection.py
+++ b/load_balancer/net/client/client_connection.py
@@ -23,8 +23,8 @@
 from load_balancer.net.client.http_server_protocol import HttpServerProtocol, ParsedEvent
 from load_balancer.net.driver.client_messages import ClientRequest, ClientResponse
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
+from load_balancer.net.http_messages import MAX_BODY_BYTES
 from load_balancer.net.socket_state import has_unread_bytes, peer_has_ended
-from load_balancer.net.upstream.upstream_messages import MAX_BODY_BYTES
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/net/client/client_listener.py
+++ b/load_balancer/net/client/client_listener.py
@@ -15,13 +15,13 @@
 from collections.abc import Mapping
 
 from load_balancer import messages
+from load_balancer.net.addresses import Address
 from load_balancer.net.client import client_limits as limits
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_registry import ClientRegistry
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.repeated_fault_log import RepeatedFaultLog
 from load_balancer.net.socket_state import DESCRIPTOR_SHORTAGE
-from load_balancer.net.upstream.upstream_messages import Address
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/net/client/http_request.py
+++ b/load_balancer/net/client/http_request.py
@@ -14,7 +14,7 @@
 
 from load_balancer import messages
 from load_balancer.errors import LoadBalancerError
-from load_balancer.net.upstream.upstream_messages import MAX_BODY_BYTES, Headers
+from load_balancer.net.http_messages import MAX_BODY_BYTES, Headers
 
 # Not what float() takes besides: inf, 1_0, -1.
 DEADLINE_PATTERN = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")
--- a/load_balancer/net/discovery/endpoint_list_json.py
+++ b/load_balancer/net/discovery/endpoint_list_json.py
@@ -12,7 +12,7 @@
 
 from load_balancer import messages
 from load_balancer.errors import WireError
-from load_balancer.net.upstream.upstream_messages import Address
+from load_balancer.net.addresses import Address
 from load_balancer.settings import JsonObject, optional_field, required_field
 
 # Unix time, milliseconds, of the year 5138. A start stated in another unit would leave its endpoint in slow
--- a/load_balancer/net/discovery/endpoint_watch.py
+++ b/load_balancer/net/discovery/endpoint_watch.py
@@ -14,10 +14,10 @@
 import h11
 
 from load_balancer.errors import LoadBalancerError, WireError
+from load_balancer.net.addresses import Address
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, join_changes, read_list
 from load_balancer.net.discovery.json_stream import JsonStreamError, JsonTextSplitter
 from load_balancer.net.log_limits import WindowedLog
-from load_balancer.net.upstream.upstream_messages import Address
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/net/driver/endpoint_directory.py
+++ b/load_balancer/net/driver/endpoint_directory.py
@@ -9,10 +9,10 @@
 import logging
 
 from load_balancer import messages
+from load_balancer.net.addresses import Address, EndpointAddress
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
 from load_balancer.net.log_limits import WindowedLog
 from load_balancer.net.upstream.connection_pool import ConnectionPool
-from load_balancer.net.upstream.upstream_messages import Address, EndpointAddress
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/net/driver/event_loop_driver.py
+++ b/load_balancer/net/driver/event_loop_driver.py
@@ -14,6 +14,7 @@
 from typing import NamedTuple
 
 from load_balancer import messages
+from load_balancer.net.addresses import Address, EndpointAddress
 from load_balancer.net.clock import Clock
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
 from load_balancer.net.discovery.endpoint_watch import (
@@ -27,12 +28,7 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.load_report import read_requests_in_flight
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
-from load_balancer.net.upstream.upstream_messages import (
-    Address,
-    EndpointAddress,
-    UpstreamRequest,
-    UpstreamResponse,
-)
+from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
 from load_balancer.policy.balancer import Balancer
 
 log = logging.getLogger(__name__)
--- a/load_balancer/net/upstream/connect_pacing.py
+++ b/load_balancer/net/upstream/connect_pacing.py
@@ -10,9 +10,9 @@
 from collections.abc import Sequence
 
 from load_balancer.messages import Outcome
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.socket_state import LOCAL_SHORTAGE, NO_ROUTE
 from load_balancer.net.upstream.connect_latency import ConnectLatency
-from load_balancer.net.upstream.upstream_messages import EndpointAddress
 
 LATE_FACTOR = 2.0  # a connection is late after this many times the median
 MIN_LATE_S = 0.002  # and after this at least: an event loop is not quicker
--- a/load_balancer/net/upstream/connection_pool.py
+++ b/load_balancer/net/upstream/connection_pool.py
@@ -12,12 +12,13 @@
 import math
 
 from load_balancer.messages import Outcome
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.socket_state import never_connected
 from load_balancer.net.upstream.connect_pacing import ConnectPacing
 from load_balancer.net.upstream.idle_connections import IdleConnections
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream.upstream_messages import EndpointAddress, OnOutcome, UpstreamRequest
+from load_balancer.net.upstream.upstream_messages import OnOutcome, UpstreamRequest
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/net/upstream/idle_connections.py
+++ b/load_balancer/net/upstream/idle_connections.py
@@ -11,8 +11,8 @@
 import math
 
 from load_balancer.net import socket_state
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream.upstream_messages import EndpointAddress
 
 SETTLE_S = 0.01  # a connection rests for this long, so that surplus bytes of its last response show
 NO_REUSE_S = 10.0  # a backend that broke an idle connection under a request gets new ones for this long
--- a/load_balancer/net/upstream/upstream_attempt.py
+++ b/load_balancer/net/upstream/upstream_attempt.py
@@ -10,13 +10,9 @@
 from typing import Protocol
 
 from load_balancer.messages import Outcome
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream.upstream_messages import (
-    EndpointAddress,
-    OnOutcome,
-    UpstreamRequest,
-    UpstreamResponse,
-)
+from load_balancer.net.upstream.upstream_messages import OnOutcome, UpstreamRequest, UpstreamResponse
 
 LONG_IDLE_S = 1.0  # a connection that breaks after less idle time has hardly gone stale by it
 # Turns of the event loop from a connection's establishment to its use: three, and two to spare.
--- a/load_balancer/net/upstream/upstream_connection.py
+++ b/load_balancer/net/upstream/upstream_connection.py
@@ -18,13 +18,9 @@
 from load_balancer.errors import LoadBalancerError
 from load_balancer.messages import Outcome
 from load_balancer.net import socket_state
-from load_balancer.net.upstream.upstream_messages import (
-    MAX_BODY_BYTES,
-    EndpointAddress,
-    Headers,
-    UpstreamRequest,
-    UpstreamResponse,
-)
+from load_balancer.net.addresses import EndpointAddress
+from load_balancer.net.http_messages import MAX_BODY_BYTES, Headers
+from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
 
 log = logging.getLogger(__name__)
 
--- a/load_balancer/net/upstream/upstream_messages.py
+++ b/load_balancer/net/upstream/upstream_messages.py
@@ -1,4 +1,4 @@
-"""The typed values that pass between the driver and the connections to backends.
+"""The typed values that pass between the driver and the connections to endpoints.
 
 They hold no state and make no decision. The driver builds requests, the connections build responses.
 """
@@ -9,26 +9,7 @@
 from dataclasses import dataclass
 
 from load_balancer.messages import Outcome
-
-MAX_BODY_BYTES = 64 * 1024  # of a request or a response, by the protocol
-
-Address = tuple[str, int]  # host and port
-Headers = list[tuple[bytes, bytes]]  # names in lower case, in their order on the wire
-
-
-@dataclass(frozen=True, slots=True)
-class EndpointAddress:
-    """A backend and where it is now.
-
-    The number keeps apart two backends that had the same address one after the other.
-
-    Attributes:
-        number: The backend's id in the decision module.
-        address: Its host and port.
-    """
-
-    number: int
-    address: Address
+from load_balancer.net.http_messages import Headers
 
 
 @dataclass(frozen=True, slots=True)
--- a/load_balancer/process/config.py
+++ b/load_balancer/process/config.py
@@ -15,8 +15,8 @@
 
 from load_balancer import messages
 from load_balancer.errors import ConfigError, InvalidFieldError, UnreadableConfigError, WireError
+from load_balancer.net.addresses import Address
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, read_address, read_list
-from load_balancer.net.upstream.upstream_messages import Address
 from load_balancer.settings import JsonObject, optional_field, read_settings, required_field
 
 log = logging.getLogger("load_balancer")
--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -9,13 +9,13 @@
 import pytest
 
 from load_balancer import messages
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.client import client_limits
 from load_balancer.net.clock import Clock
 from load_balancer.net.driver.client_messages import ClientRequest
 from load_balancer.net.driver.event_loop_driver import LAG_MARGIN_US
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream.upstream_messages import EndpointAddress
 from tests.support.balancer_harness import settings
 from tests.support.client_helpers import Client, narrow, slow_reader, status
 from tests.support.loopback import (
--- a/tests/net/client/test_http_request.py
+++ b/tests/net/client/test_http_request.py
@@ -6,7 +6,7 @@
 import pytest
 
 from load_balancer.net.client.http_request import BadRequestError, RequestHead, read_head
-from load_balancer.net.upstream.upstream_messages import MAX_BODY_BYTES
+from load_balancer.net.http_messages import MAX_BODY_BYTES
 from tests.support.balancer_harness import CLASSES
 
 BY_NAME = {request_class.name: request_class for request_class in CLASSES}
--- a/tests/net/upstream/test_connect_pacing.py
+++ b/tests/net/upstream/test_connect_pacing.py
@@ -9,10 +9,10 @@
 import pytest
 
 from load_balancer.messages import Outcome
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.socket_state import LOCAL_SHORTAGE, NO_ROUTE
 from load_balancer.net.upstream.connect_latency import MIN_SAMPLES
 from load_balancer.net.upstream.connect_pacing import MIN_LATE_S, SHORTAGE_PAUSE_S, ConnectPacing
-from load_balancer.net.upstream.upstream_messages import EndpointAddress
 
 ENDPOINT = EndpointAddress(1, ("127.0.0.1", 1))
 CONNECT_TIMEOUT_S = 0.25
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -8,10 +8,10 @@
 import pytest
 
 from load_balancer.messages import Outcome
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream.upstream_messages import EndpointAddress
 from tests.support.loopback import answer, backend, run, until
 from tests.support.upstream_helpers import IDLE_S, LIMIT_S, MOSTLY_QUICK, SAFE, SLOW, Calls, Connects, ids
 
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -16,11 +16,12 @@
 import pytest
 
 from load_balancer.messages import Outcome
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream import connect_pacing, connection_pool
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream.upstream_messages import EndpointAddress, UpstreamRequest, UpstreamResponse
+from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
 from tests.support.loopback import Peer, SteppedClock, answer, peer, read_message, run
 
 SAFE = UpstreamRequest(b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True)
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -7,9 +7,9 @@
 import pytest
 
 from load_balancer.messages import Outcome
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
-from load_balancer.net.upstream.upstream_messages import EndpointAddress
 from tests.support.loopback import answer, backend, peer, read_message, run
 from tests.support.upstream_helpers import ONCE, attempt
 
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -7,9 +7,9 @@
 import pytest
 
 from load_balancer.messages import Outcome
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.connection_pool import MAX_SPARE_CONNECTS, ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream.upstream_messages import EndpointAddress
 from tests.support.loopback import answer, backend, run, until
 from tests.support.upstream_helpers import Calls, Connects, ids
 
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -8,12 +8,12 @@
 import pytest
 
 from load_balancer.messages import Outcome
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connect_latency import WINDOW_SIZE
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream.upstream_messages import EndpointAddress
 from tests.scenarios.test_deduplication_window import keyed_request
 from tests.support.loopback import SteppedClock, answer, backend, run, until
 from tests.support.upstream_helpers import Calls, Connects, ids
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -25,6 +25,7 @@
 from load_balancer import messages
 from load_balancer.messages import Outcome
 from load_balancer.net import socket_state
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.client import client_limits
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
@@ -32,7 +33,7 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.idle_connections import SETTLE_S
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream.upstream_messages import EndpointAddress, UpstreamRequest
+from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from load_balancer.policy.change_detector import PRIOR_SAMPLES
 from load_balancer.policy.endpoint_state import COOL_DOWN_US
 from load_balancer.policy.retry import MAX_SAVED_RETRIES
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass, field
 
 from load_balancer import messages
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_listener import ClientListener
 from load_balancer.net.client.client_registry import ClientRegistry
@@ -16,7 +17,6 @@
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream.upstream_messages import EndpointAddress
 from tests.support.balancer_harness import settings
 
 PATIENCE_S = 10.0  # no test waits longer for anything: a fault then fails it instead of hanging it
--- a/tests/support/upstream_helpers.py
+++ b/tests/support/upstream_helpers.py
@@ -12,15 +12,11 @@
 import pytest
 
 from load_balancer.messages import Outcome
+from load_balancer.net.addresses import Address, EndpointAddress
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from load_balancer.net.upstream.upstream_messages import (
-    Address,
-    EndpointAddress,
-    UpstreamRequest,
-    UpstreamResponse,
-)
+from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
 from tests.support.balancer_harness import S
 from tests.support.loopback import Peer, Proxy, SteppedClock, answer, until
 
