--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -33,7 +33,7 @@
 )
 
 
-def test_a_request_is_forwarded_complete_and_its_response_comes_back() -> None:
+def test_request_is_forwarded_complete_and_its_response_returned() -> None:
     async def test() -> None:
         async with backend(answer(200, b"\x00body")) as b, proxy(entry("s-1", b.port)) as p:
             sent = call("mark", "id7", "/api?sid=ab%20c", b"payload", Idempotency_Key="k1")
@@ -47,7 +47,7 @@
     run(test)
 
 
-def test_both_sides_keep_their_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_and_endpoint_connections_are_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def test() -> None:
@@ -62,7 +62,7 @@
     run(test)
 
 
-def test_ready_only_once_a_backend_is_known() -> None:
+def test_ready_only_while_an_endpoint_is_in_service() -> None:
     async def test() -> None:
         ready = call(path="/ready")
         async with proxy() as p:
@@ -98,7 +98,7 @@
         call("mark", Content_Length="0", Transfer_Encoding="chunked") + b"0\r\n\r\n",
     ],
 )
-def test_a_malformed_head_is_answered_400_and_not_forwarded(sent: bytes) -> None:
+def test_malformed_head_is_answered_400_and_not_forwarded(sent: bytes) -> None:
     async def test() -> None:
         async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
             assert status(await p.ask(sent)) == 400
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("method", [b"HEAD", b"POST", b"CONNECT", b"DELETE"])
-def test_a_method_that_does_not_fit_its_class_is_rejected(method: bytes) -> None:
+def test_method_that_does_not_match_the_request_class_is_answered_405(method: bytes) -> None:
     async def test() -> None:
         async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
             assert status(await p.ask(call().replace(b"GET", method, 1))) == 405
@@ -118,7 +118,7 @@
     run(test)
 
 
-def test_a_body_over_the_limit_is_answered_413_though_more_of_it_comes() -> None:
+def test_body_over_the_limit_is_answered_413() -> None:
     async def test() -> None:
         async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
             assert status(await p.ask(call("mark", body=b"x" * 65536))) == 200
@@ -128,7 +128,7 @@
     run(test)
 
 
-def test_the_id_of_an_open_request_is_rejected_and_the_first_one_served() -> None:
+def test_id_of_an_open_request_is_answered_409() -> None:
     async def test() -> None:
         go_on = asyncio.Event()
 
@@ -154,7 +154,7 @@
     run(test)
 
 
-def test_a_request_inside_the_body_of_another_is_not_forwarded() -> None:
+def test_request_smuggled_in_a_body_is_not_forwarded() -> None:
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
             hidden = call(request_id="hidden")
@@ -170,7 +170,7 @@
     run(test)
 
 
-def test_a_length_over_the_limit_is_rejected_by_its_head_alone() -> None:
+def test_content_length_over_the_limit_is_rejected_before_the_body() -> None:
     async def test() -> None:
         async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
             for length in ("60000000", "9" * 18, "9" * 5000):
@@ -180,7 +180,7 @@
     run(test)
 
 
-def test_one_that_claims_an_hour_does_not_make_others_look_old() -> None:
+def test_long_claimed_deadline_does_not_affect_other_requests() -> None:
     """No client waits longer than its class allows, and none tells how old another's request is."""
 
     async def test() -> None:
@@ -191,7 +191,7 @@
     run(test)
 
 
-def test_a_retry_is_told_from_a_first_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_retry_header_marks_a_request_as_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
             asked: list[bool] = []
@@ -213,7 +213,7 @@
 @pytest.mark.parametrize(
     "sent", [b"", b"GET /api HTT", call("mark", Content_Length="9") + b"half", b"POST / HTTP/1.1\r\nA: b\r\n"]
 )
-def test_a_client_that_sends_no_complete_request_is_closed(
+def test_incomplete_request_is_answered_408_and_its_connection_closed(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_limits, "REQUEST_TIMEOUT_S", 0.1)
@@ -239,7 +239,7 @@
     run(test)
 
 
-def test_a_client_that_does_not_read_its_responses_is_not_read_and_then_closed(
+def test_client_that_does_not_read_responses_is_paused_then_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_limits, "WRITE_TIMEOUT_S", 0.1)
@@ -267,7 +267,7 @@
     run(test)
 
 
-def test_the_time_of_a_request_counts_from_its_own_last_byte(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_deadline_of_a_pipelined_request_counts_from_its_last_byte(monkeypatch: pytest.MonkeyPatch) -> None:
     """However long it waited behind others, and whenever these came."""
 
     async def test() -> None:
@@ -310,7 +310,7 @@
     run(test)
 
 
-def test_a_body_in_chunks_goes_on_with_its_length() -> None:
+def test_chunked_body_is_forwarded_with_a_content_length() -> None:
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
             head = call("mark", Content_Length="0").replace(
@@ -322,7 +322,7 @@
     run(test)
 
 
-def test_an_outcome_after_the_final_answer_brings_no_second_one() -> None:
+def test_late_response_after_the_final_response_is_discarded() -> None:
     """Where attempts are not cancelled, a late answer of a backend must go nowhere."""
 
     async def test() -> None:
@@ -352,7 +352,7 @@
     run(test)
 
 
-def test_requests_sent_ahead_are_answered_in_turn() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
         async with (
             backend(answer(200, b"1"), answer(200, b"2"), answer(200, b"3")) as b,
@@ -366,7 +366,7 @@
     run(test)
 
 
-def test_a_client_that_leaves_ends_its_attempt() -> None:
+def test_attempt_is_cancelled_when_its_client_disconnects() -> None:
     async def test() -> None:
         gone = asyncio.Event()
 
@@ -385,7 +385,7 @@
     run(test)
 
 
-def test_a_request_without_an_answer_is_ended_before_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unanswered_request_is_ended_before_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read()
@@ -409,7 +409,7 @@
     run(test)
 
 
-def test_a_refusal_is_given_at_once_and_tells_when_to_come_back() -> None:
+def test_rejection_carries_retry_after() -> None:
     async def test() -> None:
         limits = messages.Limits(max_attempts=1, cancel=True, retry_after_us=2_000_000)
         async with (
@@ -425,7 +425,7 @@
     run(test)
 
 
-def test_what_may_have_run_is_not_refused() -> None:
+def test_request_that_may_have_run_is_answered_502() -> None:
     async def test() -> None:
         for said in (None, answer(500), answer(503)):
             async with backend(said) as b, proxy(entry("s-1", b.port)) as p:
@@ -435,7 +435,7 @@
     run(test)
 
 
-def test_a_fault_in_the_module_is_logged_and_its_request_answered(
+def test_policy_exception_is_logged_and_its_request_answered_502(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -453,7 +453,7 @@
     run(test)
 
 
-def test_no_delay_is_set_on_both_sides() -> None:
+def test_nagle_is_disabled_on_client_and_endpoint_connections() -> None:
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
             reader, writer = await p.connect()
@@ -471,7 +471,7 @@
     run(test)
 
 
-def test_what_a_backend_cannot_use_is_not_sent_again_nor_held_against_it() -> None:
+def test_endpoint_400_is_not_retried_nor_counted_as_a_failure() -> None:
     """A request that is no good is no good anywhere: trying it elsewhere would lower all backends."""
 
     async def test() -> None:
@@ -485,7 +485,7 @@
     run(test)
 
 
-def test_a_fault_over_a_request_still_brings_its_answer_and_spares_the_others(
+def test_policy_exception_over_an_outcome_is_answered_502(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -508,7 +508,7 @@
     run(test)
 
 
-def test_an_action_that_fails_does_not_take_the_next_ones_along(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_action_does_not_prevent_the_next_actions(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
             monkeypatch.setattr(
@@ -522,7 +522,7 @@
     run(test)
 
 
-def test_a_module_that_says_nothing_still_leaves_each_request_its_answer(
+def test_request_is_answered_502_when_the_policy_never_decides(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -536,7 +536,7 @@
 
 @pytest.mark.parametrize("kind", ["read", "pay"])
 @pytest.mark.parametrize("cancel", [True, False])
-def test_what_waits_for_a_connection_is_not_forwarded_once_its_client_has_left(
+def test_attempt_awaiting_its_connection_is_not_sent_after_client_disconnects(
     kind: str, cancel: bool
 ) -> None:
     """Settings may forbid to call an attempt off, but this one has not been sent yet."""
@@ -564,7 +564,7 @@
 
 
 @pytest.mark.parametrize("size", [20_000, 65_536])
-def test_a_request_behind_a_response_that_is_read_slowly_is_answered_in_its_turn(size: int) -> None:
+def test_pipelined_request_waits_for_a_slowly_read_response(size: int) -> None:
     async def test() -> None:
         async with backend(answer(200, b"x" * size)) as b, proxy(entry("s-1", b.port)) as p:
             narrow(p)
@@ -584,7 +584,7 @@
     run(test)
 
 
-def test_a_request_behind_a_response_is_not_forwarded_once_its_client_has_left(
+def test_pipelined_request_behind_a_response_is_not_forwarded_after_client_disconnects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The client's end has come, and what is queued for it still goes out: then the next request is read."""
@@ -612,7 +612,7 @@
 
 @pytest.mark.parametrize("paused", [False, True])
 @pytest.mark.parametrize("cancel", [True, False])
-def test_a_request_behind_another_one_is_not_forwarded_once_its_client_has_left(
+def test_pipelined_request_behind_an_open_request_is_not_forwarded_after_client_disconnects(
     paused: bool, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its end shows though it stands behind more bytes than are taken in ahead of their turn."""
@@ -650,7 +650,7 @@
     run(test)
 
 
-def test_a_request_whose_client_left_before_it_was_read_is_not_forwarded(
+def test_request_read_after_its_client_disconnected_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It waited in the system, as it does while the event loop is busy; a kept connection is at harness."""
@@ -672,7 +672,7 @@
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-def test_a_connection_is_not_closed_for_standing_still_as_its_request_comes(fresh: bool) -> None:
+def test_connection_is_not_closed_as_idle_while_its_request_arrives(fresh: bool) -> None:
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
             client = Client(p)
@@ -689,7 +689,7 @@
 
 
 @pytest.mark.parametrize(("kind", "kept"), [("pay", 0), ("mark", 1), ("read", 1)])
-def test_only_the_class_says_whether_a_request_goes_on_a_kept_connection(
+def test_only_the_request_class_decides_whether_an_idle_connection_is_reused(
     kind: str, kept: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A header does not: a client may give a key to what must not run twice."""
@@ -705,7 +705,7 @@
     run(test)
 
 
-def test_each_attempt_tells_its_backend_what_is_left_as_it_is_written(
+def test_deadline_header_holds_the_time_remaining_when_the_attempt_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The first one and a further one, though the connection of each comes up late."""
--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -8,7 +8,7 @@
 from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, run, until
 
 
-def test_connections_in_the_accept_queue_are_served_though_listening_ends() -> None:
+def test_connections_in_the_accept_queue_are_served_after_listening_ends() -> None:
     """With more of them than are taken in at once, their requests sent and none of it read."""
 
     async def test() -> None:
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-def test_a_connection_is_not_closed_at_the_shutdown_as_its_request_comes(fresh: bool) -> None:
+def test_connection_is_not_closed_at_shutdown_while_its_request_arrives(fresh: bool) -> None:
     """It is answered, and told that it was the last one; until then not all is said and done."""
 
     async def test() -> None:
@@ -49,7 +49,7 @@
     run(test)
 
 
-def test_a_connection_that_has_just_come_has_time_for_its_request_at_the_shutdown() -> None:
+def test_new_connection_is_given_time_for_a_request_at_shutdown() -> None:
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
             clock, client, silent = SteppedClock(), Client(p), Client(p)
@@ -68,7 +68,7 @@
     run(test)
 
 
-def test_an_incomplete_request_is_waited_for_at_the_shutdown() -> None:
+def test_shutdown_waits_for_an_incomplete_request() -> None:
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
             client, request = Client(p), call()
--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -11,7 +11,7 @@
 from tests.support.loopback import answer, backend, call, entry, peer, proxy, read_message, run, until
 
 
-def test_connections_that_sent_nothing_are_closed_before_those_of_usual_clients() -> None:
+def test_unused_connections_are_evicted_before_idle_ones() -> None:
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port), most=8) as p:
             usual = [await p.connect() for _ in range(4)]
@@ -30,7 +30,7 @@
     run(test)
 
 
-def test_a_connection_that_has_just_come_is_not_closed_for_the_next_one() -> None:
+def test_new_connection_is_not_evicted_by_the_next_one() -> None:
     """Connections that asked once and stay fill the room: they go first, not who is about to ask."""
 
     async def test() -> None:
@@ -51,7 +51,7 @@
     run(test)
 
 
-def test_the_longest_idle_connection_is_closed_to_make_room_and_one_over_the_limit_rejected() -> None:
+def test_longest_idle_connection_is_evicted_and_a_surplus_one_answered_503() -> None:
     async def test() -> None:
         blocked = asyncio.Event()
 
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-def test_a_connection_is_not_closed_to_make_room_as_its_request_comes(
+def test_connection_is_not_evicted_while_its_request_arrives(
     fresh: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Where all others are busy, or about to be, the newcomer is one too many."""
@@ -104,7 +104,7 @@
     run(test)
 
 
-def test_a_connection_whose_client_has_just_left_is_closed_to_make_room(
+def test_connection_is_evicted_when_its_client_has_just_disconnected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What it has left unread is nobody's request any more."""
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("behind", [1, 3])
 @pytest.mark.parametrize("read", [True, False])
-def test_requests_behind_one_that_is_open_at_the_shutdown_are_answered(behind: int, read: bool) -> None:
+def test_pipelined_requests_are_answered_before_the_close_at_shutdown(behind: int, read: bool) -> None:
     """Only the last answer ends the connection, be what follows read or still with the system."""
 
     async def test() -> None:
@@ -63,7 +63,7 @@
     run(test)
 
 
-def test_each_request_on_a_connection_over_the_limit_is_answered_503() -> None:
+def test_each_request_on_a_surplus_connection_is_answered_503() -> None:
     async def test() -> None:
         async with silent_backend() as b, proxy(entry("b", b.port), most=1) as p:
             busy, surplus = Client(p), Client(p)
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("why", ["closing", "asked", "surplus", "bad"])
-def test_nothing_that_comes_after_the_last_response_is_forwarded(why: str) -> None:
+def test_request_after_the_last_response_is_not_forwarded(why: str) -> None:
     """The connection is shut by then; it is read on only so that its end resets nothing."""
 
     async def test() -> None:
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("last", [True, False])
-def test_a_connection_that_is_writing_a_response_is_not_closed_to_make_room(last: bool) -> None:
+def test_connection_is_not_evicted_while_it_writes_a_response(last: bool) -> None:
     """Its connection counts as idle, or as about to end, from its last byte's hand-over on."""
 
     async def test() -> None:
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("last", [True, False])
-def test_a_response_is_kept_for_a_client_that_reads_it_slowly(last: bool) -> None:
+def test_slowly_read_response_is_delivered_complete(last: bool) -> None:
     """Also where it is the last one, and then the end comes behind it and not instead of its rest."""
 
     async def test() -> None:
@@ -179,9 +179,7 @@
 
 @pytest.mark.parametrize("how", ["expiry", "end", "room"])
 @pytest.mark.parametrize("later", [False, True])
-def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(
-    how: str, later: bool
-) -> None:
+def test_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(how: str, later: bool) -> None:
     """It comes after the last look at the connection: the client sends it once more on a new one."""
 
     async def test() -> None:
@@ -247,7 +245,7 @@
     ids=["a close in the middle", "noise in the middle", "a bad one in the middle", "a 100", "one id again"],
 )
 @pytest.mark.parametrize("whole", [True, False])
-def test_each_of_several_requests_at_once_gets_one_final_answer_up_to_the_last(
+def test_each_pipelined_request_up_to_the_last_gets_one_final_response(
     sent: list[bytes], statuses: list[int], on: int, whole: bool
 ) -> None:
     """Also where the rest comes only while the first one is open."""
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -60,7 +60,7 @@
     ],
     ids=["ready", "refused", "chunks"],
 )
-def test_what_comes_at_once_is_parsed_a_little_in_each_turn(
+def test_parsing_and_responses_are_bounded_in_each_turn(
     sent: bytes, answers: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -115,7 +115,7 @@
         return accepted, address
 
 
-def test_a_connection_that_has_ended_as_it_is_accepted_leaves_nothing_behind(
+def test_connection_that_ends_while_it_is_accepted_leaves_nothing_behind(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("kind", [*KINDS, "open"])
-def test_a_flood_of_connections_takes_no_more_descriptors_than_are_reserved_for_clients(
+def test_connection_flood_uses_no_more_descriptors_than_its_limit(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also on the way from the accept to a place, and from a close to its end. A client then gets in."""
@@ -191,7 +191,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_a_lack_of_descriptors_is_logged_as_it_begins_and_when_it_is_over(
+def test_descriptor_shortage_is_logged_once_when_it_begins_and_ends(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It is met again every 0.05 s while it lasts, and who waits for one is served afterwards."""
@@ -229,7 +229,7 @@
     run(test)
 
 
-def test_connections_that_are_lost_before_they_are_accepted_are_logged_once(
+def test_connections_aborted_before_accept_are_logged_once(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -253,7 +253,7 @@
     run(test)
 
 
-def test_what_many_clients_send_ahead_at_once_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bytes_buffered_for_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whatever the system has of each of them: one read each at the most goes over the limit for all."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES", 100_000)
     callers = 40
@@ -282,7 +282,7 @@
     run(test)
 
 
-def test_a_connection_whose_request_is_parsed_over_some_turns_is_not_closed_to_make_room() -> None:
+def test_connection_is_not_evicted_while_its_request_is_parsed() -> None:
     """All of it has come by then."""
 
     async def test() -> None:
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("cancel", [True, False])
-def test_no_retry_begins_though_the_close_is_not_read_yet(way: str, cancel: bool) -> None:
+def test_retry_is_not_sent_after_client_disconnects(way: str, cancel: bool) -> None:
     """The attempt fails in the very turn in which its client leaves, and is read first."""
 
     async def test() -> None:
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_a_retry_begins_for_a_client_that_stays(cancel: bool) -> None:
+def test_retry_is_sent_while_client_stays_connected(cancel: bool) -> None:
     async def test() -> None:
         async with (
             silent_backend() as a,
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("cancel", [True, False])
-def test_a_queued_request_is_not_forwarded_though_the_close_is_not_read_yet(
+def test_queued_request_is_not_forwarded_after_client_disconnects(
     way: str, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A backend comes free in the very turn in which the client of a held request leaves."""
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("where", WHERE)
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("paused", [True, False])
-def test_a_client_that_has_left_is_noticed_well_before_an_attempt_may_begin_no_more(
+def test_client_disconnect_is_noticed_before_another_attempt_can_begin(
     way: str, where: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """At once, or where it is not read with half of the time kept for an event loop that is late.
@@ -200,7 +200,7 @@
     run(test)
 
 
-def test_only_connections_that_are_not_read_are_polled(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_paused_connections_are_polled_for_a_disconnect(monkeypatch: pytest.MonkeyPatch) -> None:
     """An idle connection costs nothing, nor does one with a request open that is read."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     asked: list[asyncio.BaseTransport] = []
@@ -244,7 +244,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("paused", [True, False])
-def test_a_request_behind_an_unread_response_is_not_forwarded_once_its_client_has_left(
+def test_request_behind_an_unread_response_is_not_forwarded_after_client_disconnects(
     way: str, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("paused", [True, False])
-def test_an_attempt_is_not_written_for_a_client_that_left_since_it_was_decided(
+def test_attempt_is_not_written_when_client_disconnects_after_the_decision(
     way: str, path: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The process is held up at the last clock that is read before the write, and the client leaves there.
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_what_is_not_written_takes_no_connection_from_another_that_waits(way: str) -> None:
+def test_unwritten_attempt_leaves_its_connection_to_another_waiting_attempt(way: str) -> None:
     """Two wait for connections to one backend, and the first of them leaves as they come up."""
 
     async def test() -> None:
--- a/tests/net/client/test_http_request.py
+++ b/tests/net/client/test_http_request.py
@@ -32,7 +32,7 @@
     return {key: value for key, value in fields.items() if key != name}
 
 
-def test_a_valid_head_is_read() -> None:
+def test_valid_head_is_parsed() -> None:
     fields = {**READ, "Req-Owner": "t1", "Req-Retry": "1", "Content-Type": "a/b", "Cookie": "c"}
     assert head(fields, target="/api?x=1") == RequestHead(
         request_id=b"a1",
@@ -46,14 +46,16 @@
     )
 
 
-def test_a_head_without_a_host_gets_one() -> None:
+def test_missing_host_header_is_added() -> None:
     assert (b"host", b"localhost") in head(without(READ, "Host"), version="1.0").headers
 
 
 @pytest.mark.parametrize(
     ("deadline", "time_left_s"), [(None, 5.0), ("0", 0.0), ("1.5", 1.5), ("5", 5.0), ("3600", 5.0)]
 )
-def test_the_time_left_is_at_most_the_deadline_of_the_class(deadline: str | None, time_left_s: float) -> None:
+def test_time_remaining_is_capped_by_the_deadline_of_the_class(
+    deadline: str | None, time_left_s: float
+) -> None:
     fields = without(READ, "Req-Deadline")
     if deadline is not None:
         fields["Req-Deadline"] = deadline
@@ -61,7 +63,7 @@
 
 
 @pytest.mark.parametrize("deadline", ["-1", "inf", "nan", "1_0", "1e3", "", "1.", ".5", "1234567"])
-def test_a_deadline_that_is_not_a_plain_number_is_rejected(deadline: str) -> None:
+def test_deadline_that_is_not_a_plain_decimal_is_answered_400(deadline: str) -> None:
     with pytest.raises(BadRequestError) as raised:
         head({**READ, "Req-Deadline": deadline})
     assert raised.value.status == 400
@@ -89,24 +91,24 @@
         ({**READ, "Req-Owner": "t1", "req-owner": "t1"}, "GET", 400),
     ],
 )
-def test_a_head_that_does_not_fit_is_rejected(fields: dict[str, str], method: str, status: int) -> None:
+def test_invalid_head_is_rejected_with_its_status(fields: dict[str, str], method: str, status: int) -> None:
     with pytest.raises(BadRequestError) as raised:
         head(fields, method)
     assert raised.value.status == status
 
 
 @pytest.mark.parametrize(("target", "version", "status"), [("*", "1.1", 400), ("/api", "2.0", 505)])
-def test_a_target_or_version_that_does_not_fit_is_rejected(target: str, version: str, status: int) -> None:
+def test_unsupported_target_or_version_is_rejected(target: str, version: str, status: int) -> None:
     with pytest.raises(BadRequestError) as raised:
         head(READ, target=target, version=version)
     assert raised.value.status == status
 
 
-def test_a_body_of_the_full_size_is_accepted() -> None:
+def test_body_of_exactly_the_maximum_size_is_accepted() -> None:
     assert head({**WRITE, "Content-Length": str(MAX_BODY_BYTES)}, "POST").method == b"POST"
 
 
-def test_a_chunked_body_needs_http_1_1() -> None:
+def test_chunked_body_is_rejected_in_http_1_0() -> None:
     fields = {**WRITE, "Transfer-Encoding": "chunked"}
     assert head(fields, "POST").method == b"POST"
     with pytest.raises(BadRequestError) as raised:
--- a/tests/net/client/test_http_server_protocol.py
+++ b/tests/net/client/test_http_server_protocol.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 7, 10_000])
-def test_a_request_is_read_however_its_bytes_are_cut(protocol: HttpServerProtocol, size: int) -> None:
+def test_request_is_parsed_however_its_bytes_are_split(protocol: HttpServerProtocol, size: int) -> None:
     sent = call("mark", path="/a", body=b"hello")
     assert protocol.is_between_requests
     for start in range(0, len(sent), size):
@@ -44,7 +44,7 @@
     assert not protocol.has_unparsed_bytes
 
 
-def test_each_request_ends_with_the_time_at_which_its_last_bytes_came(protocol: HttpServerProtocol) -> None:
+def test_received_time_of_each_request_is_that_of_its_last_bytes(protocol: HttpServerProtocol) -> None:
     for at_s, path in ((1.0, "/a"), (2.0, "/b")):
         protocol.receive(at_s, call(path=path))
     assert read_request(protocol) == (b"/a", b"")
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("lines", [b"\r\n", b"\n", b"\r\n\r\n\n"])
-def test_empty_lines_between_requests_are_no_request(protocol: HttpServerProtocol, lines: bytes) -> None:
+def test_empty_lines_between_requests_are_ignored(protocol: HttpServerProtocol, lines: bytes) -> None:
     assert not protocol.receive(1.0, lines)
     assert protocol.is_between_requests
     protocol.receive(1.0, lines + call(path="/a") + lines + call(path="/b") + lines)
@@ -68,14 +68,14 @@
     assert protocol.is_between_requests
 
 
-def test_what_is_not_http_is_an_error(protocol: HttpServerProtocol) -> None:
+def test_bytes_that_are_not_http_raise_a_protocol_error(protocol: HttpServerProtocol) -> None:
     protocol.receive(1.0, b"\x16\x03\x01\x02\r\n\r\n")
     with pytest.raises(h11.RemoteProtocolError):
         read_request(protocol)
     assert protocol.can_respond
 
 
-def test_a_client_that_waits_for_an_interim_response_gets_one(protocol: HttpServerProtocol) -> None:
+def test_expect_100_continue_gets_one_interim_response(protocol: HttpServerProtocol) -> None:
     head = call("mark", Expect="100-continue", Content_Length="2")
     protocol.receive(1.0, head)
     assert read_request(protocol) is None
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("is_last", [True, False])
-def test_a_final_response_tells_its_length_and_whether_it_is_the_last(
+def test_final_response_has_its_length_and_close_if_it_is_the_last(
     protocol: HttpServerProtocol, is_last: bool
 ) -> None:
     protocol.receive(1.0, call())
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("sent", BAD.values(), ids=BAD.keys())
 @pytest.mark.parametrize("cut", [0, 1])
-def test_a_malformed_request_gets_an_error_and_a_close(
+def test_malformed_request_gets_an_error_and_a_close(
     sent: bytes, cut: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     """At once, whether it comes in one piece or byte by byte."""
@@ -114,7 +114,9 @@
 
 
 @pytest.mark.parametrize("kind", STILL)
-def test_a_request_without_an_end_is_closed_in_time(kind: str, caplog: pytest.LogCaptureFixture) -> None:
+def test_connection_of_an_endless_request_is_closed_in_time(
+    kind: str, caplog: pytest.LogCaptureFixture
+) -> None:
     """However it keeps its bytes coming; the clock is stepped, a byte or a line each 0.05 s."""
 
     async def test() -> None:
@@ -139,7 +141,7 @@
 
 
 @pytest.mark.parametrize("head", [call("mark", Content_Length="60000000"), b"", CHUNKED, call(request_id="")])
-def test_a_client_that_sends_60_mb_gets_an_error_and_a_close(
+def test_client_that_sends_60_mb_gets_an_error_and_a_close(
     head: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     """What it sends is read for a while, so that the error is not lost, and takes no memory."""
@@ -180,7 +182,7 @@
 
 @pytest.mark.parametrize("kind", FORMS)
 @pytest.mark.parametrize("cut", [1, 2, 7])
-def test_requests_come_in_all_forms_and_in_pieces_across_their_ends(kind: str, cut: int) -> None:
+def test_valid_requests_are_forwarded_in_any_form_and_split(kind: str, cut: int) -> None:
     """Two of them, one right behind the other: each gets its own answer, and is sent on as it was."""
 
     async def test() -> None:
@@ -205,7 +207,7 @@
 
 
 @pytest.mark.parametrize("ahead", [True, False])
-def test_empty_lines_behind_a_request_are_no_request(ahead: bool) -> None:
+def test_empty_lines_after_a_request_leave_the_connection_idle(ahead: bool) -> None:
     """They bring no answer, and the connection rests as if they had not come."""
 
     async def test() -> None:
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -55,9 +55,7 @@
 
 @pytest.mark.parametrize("stop", STOPS)
 @pytest.mark.parametrize("reason", REASONS)
-def test_a_request_that_has_come_in_part_gets_an_error_as_its_connection_is_ended(
-    stop: str, reason: str
-) -> None:
+def test_partial_request_gets_an_error_when_its_connection_is_closed(stop: str, reason: str) -> None:
     """Its client can read it though it goes on sending."""
 
     async def test() -> None:
@@ -93,7 +91,7 @@
     run(test)
 
 
-def test_connections_that_have_sent_nothing_are_closed_first_to_make_room() -> None:
+def test_unused_connection_is_evicted_before_one_with_a_partial_request() -> None:
     """Before those that have brought a part of a request, though these came earlier."""
 
     async def test() -> None:
@@ -116,7 +114,7 @@
 
 
 @pytest.mark.parametrize("stop", STOPS)
-def test_a_connection_with_a_later_incomplete_request_is_not_closed_to_make_room(stop: str) -> None:
+def test_connection_with_a_later_partial_request_is_not_evicted(stop: str) -> None:
     """Its connection has served its client before."""
 
     async def test() -> None:
@@ -136,7 +134,7 @@
     run(test)
 
 
-def test_a_request_that_is_open_is_not_refused_as_the_process_ends() -> None:
+def test_open_request_is_not_answered_503_at_exit() -> None:
     """It may have run. One whose client still writes is: nothing of it was sent on."""
 
     async def test() -> None:
@@ -158,7 +156,7 @@
 
 
 @pytest.mark.parametrize("where", ["read", "whole", "taken over"])
-def test_a_fault_over_a_request_brings_it_an_error_and_spares_the_others(
+def test_exception_over_a_request_is_answered_500_and_spares_other_requests(
     where: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The error promises nothing, as the fault may have come after an attempt began."""
@@ -208,7 +206,7 @@
     run(test)
 
 
-def test_a_request_that_is_complete_after_the_last_moment_is_answered_503_and_not_forwarded() -> None:
+def test_request_completed_after_the_shutdown_deadline_is_answered_503() -> None:
     """The shutdown has ended all requests by then; there is no time left for one more."""
 
     async def test() -> None:
@@ -234,7 +232,7 @@
     run(test)
 
 
-def test_not_all_of_many_incomplete_requests_are_looked_at_for_each_new_connection(
+def test_eviction_examines_a_bounded_number_of_partial_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its connections are as many as there are descriptors, and newcomers may be as many a second."""
@@ -267,9 +265,7 @@
 
 
 @pytest.mark.parametrize("stop", ["in the first line", "in the body", "between chunks"])
-def test_a_request_that_has_come_in_part_gets_an_error_as_the_real_process_ends(
-    stop: str, tmp_path: Path
-) -> None:
+def test_partial_request_gets_an_error_when_the_process_is_terminated(stop: str, tmp_path: Path) -> None:
     async def test() -> None:
         async with backend(answer(200, b"x")) as b:
             lane = {"name": "mark", "idempotency": "keyed", "onTimeUs": 200_000, "deadlineUs": 300_000}
--- a/tests/net/client/test_receive_buffer.py
+++ b/tests/net/client/test_receive_buffer.py
@@ -13,7 +13,7 @@
     return BufferedTotal()
 
 
-def test_pieces_come_out_in_order_with_the_times_at_which_they_came(total: BufferedTotal) -> None:
+def test_pieces_are_popped_in_order_with_their_received_times(total: BufferedTotal) -> None:
     buffer = ReceiveBuffer(total)
     buffer.append(1.0, b"ab")
     buffer.append(2.0, b"c")
@@ -22,7 +22,7 @@
     assert not buffer
 
 
-def test_each_byte_is_counted_once_and_until_it_is_taken_or_dropped(total: BufferedTotal) -> None:
+def test_each_byte_is_counted_until_it_is_popped_or_cleared(total: BufferedTotal) -> None:
     one, other = ReceiveBuffer(total), ReceiveBuffer(total)
     one.append(1.0, b"abc")
     one.append(1.0, b"d")
@@ -35,7 +35,7 @@
     assert not one
 
 
-def test_a_connection_over_its_own_limit_is_over_it(
+def test_buffer_is_over_limit_beyond_its_own_maximum(
     total: BufferedTotal, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 3)
@@ -46,7 +46,7 @@
     assert buffer.is_over_limit
 
 
-def test_over_the_limit_for_all_only_those_that_hold_bytes_are_over_it(
+def test_beyond_the_total_maximum_only_non_empty_buffers_are_over_limit(
     total: BufferedTotal, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """One that is empty would otherwise never be read again while others are full."""
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -268,7 +268,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_each_request_gets_one_answer_and_no_copy_that_the_rules_forbid(
+def test_each_request_gets_one_response_and_no_forbidden_retry(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", 4 * STEP_S)
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("stop", STOPS)
 @pytest.mark.parametrize("when", ["first", "after a good one", "at the end"])
-def test_a_client_that_stops_gets_an_error_or_a_close_in_time(
+def test_stalled_client_gets_an_error_or_a_close_in_time(
     stop: str, when: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Wherever it stops, with each sweep late, and also during the shutdown."""
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("kind", DRIBBLES)
 @pytest.mark.parametrize("first_sweep_s", [n * 0.05 for n in range(8)])
-def test_a_client_with_a_byte_here_at_each_check_is_closed_in_time(
+def test_client_that_sends_a_byte_at_each_check_is_closed_in_time(
     kind: str, first_sweep_s: float, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Each byte comes between the event loop's last reading and the check, forced; each check is late."""
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-def test_a_request_that_crosses_the_final_check_is_answered(fresh: bool) -> None:
+def test_request_that_crosses_the_final_check_is_forwarded(fresh: bool) -> None:
     """It is with the system as the time of its connection is over."""
 
     async def test() -> None:
--- a/tests/net/discovery/test_discovery_moves.py
+++ b/tests/net/discovery/test_discovery_moves.py
@@ -242,7 +242,7 @@
 
 @BOTH
 @pytest.mark.parametrize(("event", "whole"), EVENTS, ids=[event.__name__ for event, _ in EVENTS])
-def test_a_complete_list_is_requested_only_where_no_version_can_be_resumed(
+def test_complete_list_is_requested_only_when_no_version_can_be_resumed(
     setup: messages.Settings, event: Event, whole: int
 ) -> None:
     """At 3,200 backends it has half a megabyte."""
@@ -259,7 +259,7 @@
 
 
 @BOTH
-def test_a_cached_list_saves_the_complete_one_at_the_start(setup: messages.Settings) -> None:
+def test_watch_resumes_from_a_cached_list_at_the_start(setup: messages.Settings) -> None:
     async def test() -> None:
         async with play(setup, entry("a-1", 9)) as made:
             await made.follows(made.a)
@@ -283,9 +283,7 @@
 
 
 @BOTH
-def test_a_new_configuration_with_the_same_discovery_leaves_the_watch_alone(
-    setup: messages.Settings, tmp_path: Path
-) -> None:
+def test_reload_with_the_same_discovery_keeps_the_watch(setup: messages.Settings, tmp_path: Path) -> None:
     async def test() -> None:
         async with play(setup) as made:
             await made.follows(made.a)
@@ -343,7 +341,7 @@
 @BOTH
 @pytest.mark.parametrize("apart_s", [0.0, 0.3], ids=["at once", "0.3 s apart"])
 @pytest.mark.parametrize("mood", MOODS)
-def test_of_several_new_configurations_in_a_row_the_last_counts(
+def test_last_of_several_reloads_in_a_row_is_followed(
     setup: messages.Settings, mood: str, apart_s: float, tmp_path: Path
 ) -> None:
     """Whatever the discoveries on the way do, the last one is followed in time and they are left."""
@@ -385,7 +383,7 @@
 
 
 @BOTH
-def test_a_late_list_of_the_previous_discovery_is_not_applied(
+def test_late_list_of_the_previous_discovery_is_not_applied(
     setup: messages.Settings, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Its bytes are with the system as the move comes: they came from an address that counts no more."""
@@ -408,7 +406,7 @@
     run(test)
 
 
-def test_a_process_follows_the_last_of_three_configurations_within_a_second(tmp_path: Path) -> None:
+def test_process_follows_the_last_of_three_reloads(tmp_path: Path) -> None:
     """And back: each names another address, two of them never answer; no socket stays behind."""
 
     async def test() -> None:
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -92,7 +92,7 @@
 @BOTH
 @pytest.mark.parametrize("minutes", [2, 60])
 @pytest.mark.parametrize("mood", OUTAGES)
-def test_a_change_comes_in_time_after_a_long_outage_and_nothing_accumulates(
+def test_change_is_applied_in_time_after_a_long_outage_and_nothing_accumulates(
     setup: messages.Settings, mood: str, minutes: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Discovery is back just after a call has failed, or with a call out that it never answers."""
@@ -126,7 +126,7 @@
 
 
 @BOTH
-def test_a_change_comes_in_time_after_an_hour_of_refused_connections(setup: messages.Settings) -> None:
+def test_change_is_applied_in_time_after_an_hour_of_refused_connections(setup: messages.Settings) -> None:
     async def test() -> None:
         async with watched(setup) as (d, p, clock):
             await step(clock, lambda: len(d.calls) == 1)
@@ -144,7 +144,7 @@
     run(test)
 
 
-def test_a_crowded_discovery_is_waited_for_each_time() -> None:
+def test_each_poll_waits_for_its_turn_at_an_overloaded_discovery() -> None:
     """It tells each call after its turn of 2 s and then drops it, for minutes: no news is left out."""
 
     async def test() -> None:
@@ -170,7 +170,7 @@
 
 @pytest.mark.parametrize("beats", [False, True], ids=["silent", "beating"])
 @BOTH
-def test_a_watch_that_falls_silent_again_and_again_misses_nothing_for_long(
+def test_watch_that_falls_silent_repeatedly_is_replaced_in_time(
     setup: messages.Settings, beats: bool
 ) -> None:
     """For minutes: each watch tells one version and stops, some after a beat."""
@@ -191,7 +191,7 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
-def test_a_proxy_restarted_with_a_cached_list_applies_a_drain_among_the_first_changes(
+def test_restart_with_a_cached_list_applies_a_drain_before_the_first_request(
     tmp_path: Path, mode: str
 ) -> None:
     """Its list knows `a` alone. Discovery is slow, then tells that `a` drains and that `b` is there."""
--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -123,7 +123,7 @@
         return fleet
 
 
-def test_bytes_of_lists_stay_within_the_terms_at_sixteen_times_the_backends() -> None:
+def test_list_bytes_stay_within_the_limit_at_sixteen_times_the_endpoints() -> None:
     fleets: list[Fleet] = []
 
     async def test() -> None:
--- a/tests/net/discovery/test_endpoint_list_json.py
+++ b/tests/net/discovery/test_endpoint_list_json.py
@@ -14,22 +14,22 @@
 )
 
 
-def test_a_uid_has_the_same_number_everywhere() -> None:
+def test_endpoint_number_of_a_uid_is_stable() -> None:
     assert endpoint_number("s-5be2a07c") == endpoint_number("s-5be2a07c") != endpoint_number("s-5be2a07d")
     assert endpoint_number("s-5be2a07c") == 45325253487234402
 
 
-def test_a_start_is_read_as_microseconds_of_unix_time() -> None:
+def test_boot_time_is_read_as_unix_microseconds() -> None:
     [warm, cold] = read_list(listing(entry("a", 1), entry("b", 1, boot_ms=1_700_000_000_123))).endpoints
     assert (warm.incarnation_us, cold.incarnation_us) == (0, 1_700_000_000_123_000)
 
 
-def test_an_invalid_entry_is_named() -> None:
+def test_invalid_entry_is_named_in_the_error() -> None:
     with pytest.raises(WireError, match=r"targets\[1\]\.endpoint"):
         read_list(listing(entry("a", 1), {**entry("b", 1), "endpoint": "nowhere"}))
 
 
-def test_a_uid_with_half_a_surrogate_pair_is_read() -> None:
+def test_uid_with_a_lone_surrogate_is_accepted() -> None:
     """JSON may hold one."""
     text = json.dumps(listing(entry("\ud800", 9)))
     assert list(read_list(json.loads(text)).uids) == [endpoint_number("\ud800")]
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -46,7 +46,7 @@
         self.watch.start()
 
 
-def test_lists_come_in_order_and_the_next_watch_resumes_from_the_last_version() -> None:
+def test_lists_are_delivered_in_order_and_the_next_watch_resumes_from_the_last_version() -> None:
     asked: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -95,7 +95,7 @@
         b"nonsense\r\n\r\n",
     ],
 )
-def test_each_failure_ends_the_watch_once(said: bytes, caplog: pytest.LogCaptureFixture) -> None:
+def test_each_failure_reports_one_break(said: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await ask(reader)
         writer.write(said)
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 7, 65536])
-def test_lists_may_be_indented_and_split_anywhere(cut: int) -> None:
+def test_lists_are_parsed_however_indented_and_split(cut: int) -> None:
     """Only braces outside of strings tell where a list ends; a line's end within one tells nothing."""
     odd = {**entry("s-1", 9), "note": 'a "brace\\" } and ] in {words}, \\ and a line\n'}
     lists = [
@@ -151,7 +151,7 @@
     run(test)
 
 
-def test_a_watch_ends_without_heartbeats_and_stays_open_with_them(caplog: pytest.LogCaptureFixture) -> None:
+def test_watch_breaks_without_heartbeats_and_stays_open_with_them(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await ask(reader)
@@ -175,7 +175,7 @@
     run(test)
 
 
-def test_bytes_of_an_incomplete_list_do_not_count_as_heartbeats(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bytes_of_an_incomplete_list_are_not_heartbeats(monkeypatch: pytest.MonkeyPatch) -> None:
     read = bytearray()
     feed = asyncio.StreamReader.feed_data
 
@@ -203,7 +203,7 @@
     run(test)
 
 
-def test_a_list_that_could_not_be_applied_is_requested_again() -> None:
+def test_list_that_failed_to_apply_is_requested_again() -> None:
     asked: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -256,7 +256,7 @@
     ("must_subscribe", "silent", "in_time"),
     [(False, (2, 3), 6.0), (True, (2,), 7.5)],  # a call that may wait for 2 s gets 2 s more behind that
 )
-def test_a_silent_watch_is_replaced_in_time_though_the_next_ones_are_silent_too(
+def test_silent_watch_is_replaced_in_time_when_the_next_ones_are_silent_too(
     must_subscribe: bool, silent: tuple[int, ...], in_time: float
 ) -> None:
     """What it misses counts as told 6 s after it fell silent."""
@@ -273,7 +273,7 @@
 
 
 @pytest.mark.parametrize(("must_subscribe", "silent"), [(False, (1, 2)), (True, (1,))])
-def test_a_moved_watch_is_replaced_in_time_though_it_is_silent_at_once(
+def test_moved_watch_is_replaced_in_time_when_it_is_silent_at_once(
     must_subscribe: bool, silent: tuple[int, ...]
 ) -> None:
     """After SIGHUP whatever discovery has to tell counts as told 4 s later."""
@@ -294,7 +294,7 @@
     run(test)
 
 
-def test_where_lists_are_polled_a_call_may_wait_in_discoverys_queue() -> None:
+def test_poll_may_wait_in_the_queue_of_discovery() -> None:
     """It may wait for 2 s in discovery's queue; giving it up would only send it to the end of that."""
 
     async def test() -> None:
@@ -318,7 +318,7 @@
 
 @pytest.mark.parametrize("said", [chunk_list(listing(entry("s-2", 9), rev=2)), chunk("nonsense\n"), b""])
 @pytest.mark.parametrize("then", ["move", "close"])
-def test_a_watch_that_breaks_as_it_is_moved_or_closed_ends_once(
+def test_watch_that_breaks_while_moved_or_closed_ends_once(
     said: bytes, then: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The old one's last bytes, or its end, have woken its task, which has not run yet."""
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -72,7 +72,7 @@
     return result[0]
 
 
-def test_changes_of_one_read_reach_the_policy_as_one_message() -> None:
+def test_changes_of_one_read_reach_the_policy_as_one_event() -> None:
     said = chunk_list(listing(entry("a", 9), entry("b", 9), rev=1))
     for n in range(50):
         said += chunk_list(change(entry(f"s-{n}", 9), rev=2 + n)) + chunk("\n")
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("spoilt", [chunk('{"rev":'), chunk('{"rev":4}\n'), b"zz\r\n", b"0\r\n\r\n"])
-def test_lists_before_an_invalid_one_count(spoilt: bytes) -> None:
+def test_lists_before_an_invalid_one_are_applied(spoilt: bytes) -> None:
     good = chunk_list(change(entry("a", 9), rev=2)) + chunk_list(change(entry("b", 9), rev=3))
     taken, known, since = played(good + spoilt + b"0\r\n\r\n")
     assert [news.version for news in taken] == [3]
@@ -96,7 +96,7 @@
     assert since == 3
 
 
-def test_a_list_that_could_not_be_applied_leaves_the_version() -> None:
+def test_list_that_failed_to_apply_does_not_advance_the_version() -> None:
     """Else it would never come again."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -161,13 +161,13 @@
 
 
 @pytest.mark.parametrize("away", ["terminating", "terminated"])
-def test_an_endpoint_that_returns_is_not_joined_with_its_removal(away: str) -> None:
+def test_return_of_an_endpoint_is_not_joined_with_its_removal(away: str) -> None:
     """Its kept connections are the old one's."""
     lists = [read_list(change(entry("a", 9, state), rev=n)) for n, state in ((2, away), (3, "in_service"))]
     assert join_changes(lists) == lists
 
 
-def test_joined_changes_have_the_effect_of_the_single_ones() -> None:
+def test_joined_changes_have_the_same_effect_as_single_ones() -> None:
     rng = random.Random(1)
 
     async def test() -> None:
@@ -240,5 +240,5 @@
     run(test)
 
 
-def test_the_pause_in_reading_leaves_time_for_a_hold_up_of_the_process() -> None:
+def test_read_pause_leaves_time_for_a_process_stall() -> None:
     assert endpoint_watch.READ_PAUSE_S + 0.15 < 0.25 - 0.05
--- a/tests/net/discovery/test_json_stream.py
+++ b/tests/net/discovery/test_json_stream.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("indent", [None, 2])
-def test_a_long_list_is_split_off_with_few_calls_for_each_endpoint(indent: int | None) -> None:
+def test_long_list_is_split_with_few_calls_for_each_endpoint(indent: int | None) -> None:
     """A proxy has part of a core, and a pushed list has a second: one that took longer to cut would be
     given up and fetched anew, for ever."""
     few, many = (calls_to_cut(whole_list(backends, indent)) for backends in (100, 1_100))
@@ -52,14 +52,14 @@
 
 
 @pytest.mark.parametrize("cut", range(1, 12))
-def test_strings_hide_braces_wherever_reads_cut_them(cut: int) -> None:
+def test_braces_in_strings_are_ignored_wherever_reads_split_them(cut: int) -> None:
     splitter = JsonTextSplitter()
     got = [said for at in range(0, len(ODD), cut) for said in splitter.feed(ODD[at : at + cut])]
     lists = [json.loads(said) for said in got if said]
     assert lists == [{"a": '}"{', "b": []}, {"c": "\\"}, {"a": 'x"}'}, {"a": "A]["}]
 
 
-def test_a_string_that_comes_byte_by_byte_is_scanned_once() -> None:
+def test_string_received_byte_by_byte_is_scanned_once() -> None:
     """Guards the processor: read anew from its start with each byte, a megabyte would take hours."""
     splitter = JsonTextSplitter()
     list(splitter.feed(b'{"rev":"'))
@@ -69,14 +69,14 @@
         assert splitter._scanned_bytes == len(splitter._buffer) == 9 + n
 
 
-def test_a_string_without_end_is_given_up() -> None:
+def test_endless_string_raises_an_error() -> None:
     splitter = JsonTextSplitter()
     endless = (splitter.feed(b'{"rev":"' + b"x" * READ) for _ in range(100))
     with pytest.raises(JsonStreamError, match="without an end"):
         list(chain.from_iterable(endless))
 
 
-def test_a_text_nested_too_deep_is_given_up_at_once() -> None:
+def test_text_nested_too_deep_raises_an_error_at_once() -> None:
     """Each brace is looked at by itself: megabytes of them, again and again, would leave no time."""
     splitter = JsonTextSplitter()
     with pytest.raises(JsonStreamError, match="nested"):
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -55,7 +55,7 @@
 )
 
 
-def test_the_longest_wait_follows_from_the_protocol() -> None:
+def test_timeouts_and_backoff_fit_the_notification_deadline() -> None:
     assert (NOTIFIED_US, DISCOVERY_QUEUE_US) == (LIST_DEADLINE_S * S, TURN_S * S)
     assert POLLED_LIST_TIMEOUT_S > TURN_S  # a call is not given up before its turn
     assert (
@@ -86,7 +86,7 @@
 
 @BOTH
 @pytest.mark.parametrize("failure", FAILURES)
-def test_after_many_failed_calls_a_change_comes_in_time(setup: messages.Settings, failure: str) -> None:
+def test_change_is_applied_in_time_after_many_failed_calls(setup: messages.Settings, failure: str) -> None:
     """However long it lasted: discovery is there from the moment on in which the last of them failed."""
 
     async def test() -> None:
@@ -98,7 +98,7 @@
     run(test)
 
 
-def test_a_call_that_is_rejected_after_its_wait_is_repeated_in_time() -> None:
+def test_call_rejected_after_queueing_is_repeated_in_time() -> None:
     """The waits have grown and the last call has just failed; the next one is refused after 2 s."""
 
     async def test() -> None:
@@ -114,7 +114,7 @@
 
 
 @BOTH
-def test_a_watch_with_heartbeats_only_that_falls_silent_is_replaced_in_time(
+def test_watch_with_heartbeats_only_is_replaced_in_time_when_it_falls_silent(
     setup: messages.Settings, caplog: pytest.LogCaptureFixture
 ) -> None:
     """It has brought no list since the waits grew: there was nothing to tell."""
@@ -147,7 +147,7 @@
 @BOTH
 @pytest.mark.parametrize("dribbles", [False, True], ids=["still", "dribbling"])
 @pytest.mark.parametrize("stop", STOPS)
-def test_a_call_whose_response_stops_midway_is_repeated_in_time(
+def test_call_whose_response_stops_midway_is_repeated_in_time(
     setup: messages.Settings, stop: str, dribbles: bool
 ) -> None:
     """The call begins as discovery can just be reached, with the waits grown; bytes may go on coming."""
@@ -174,7 +174,7 @@
 
 
 @BOTH
-def test_after_refused_connections_a_change_comes_in_time(setup: messages.Settings) -> None:
+def test_change_is_applied_in_time_after_refused_connections(setup: messages.Settings) -> None:
     """Nobody listens for a while; the address is there again just after a connection was refused."""
 
     async def test() -> None:
@@ -256,7 +256,7 @@
 
 @BOTH
 @pytest.mark.parametrize(("said", "why"), SPOILT.values(), ids=SPOILT.keys())
-def test_an_invalid_list_leaves_the_old_one_and_the_watch_is_reopened(
+def test_invalid_list_keeps_the_old_one_and_reopens_the_watch(
     setup: messages.Settings, said: bytes, why: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Nothing of it counts, one line names why, and what comes next is taken."""
@@ -291,7 +291,7 @@
 
 
 @pytest.mark.parametrize("kind", ["read", "mark", "pay"])
-def test_an_endpoint_that_a_complete_list_omits_gets_no_more_requests(kind: str) -> None:
+def test_endpoint_omitted_by_a_complete_list_gets_no_more_requests(kind: str) -> None:
     """Its kept connection is closed, and what it has been sent is still answered by it."""
 
     async def test() -> None:
@@ -329,7 +329,7 @@
 
 
 @pytest.mark.parametrize("states", [("terminating", "terminated"), ("terminated", "in_service")])
-def test_of_two_entries_for_one_endpoint_the_later_counts(states: tuple[str, str]) -> None:
+def test_later_of_two_entries_for_one_endpoint_is_applied(states: tuple[str, str]) -> None:
     async def test() -> None:
         async with backend(answer(200, b"a")) as a, proxy(entry("a", a.port)) as p:
             news = listing(*(entry("a", a.port, state) for state in states), rev=2, full=False)
@@ -351,7 +351,7 @@
 
 @pytest.mark.parametrize("first", ["refused in its turn", "refused at once", "silent", "half a line"])
 @BOTH
-def test_a_watch_moved_while_the_old_discovery_is_down_has_its_list_in_time(
+def test_watch_moved_from_a_failed_discovery_has_its_list_in_time(
     setup: messages.Settings, first: str
 ) -> None:
     """The waits have grown on the old address; the first call on the new one fails as well."""
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -14,7 +14,7 @@
 from tests.support.simulated_fleet import MS, S
 
 
-def test_a_start_that_clocks_agree_on_keeps_its_age() -> None:
+def test_endpoint_age_follows_its_start_when_clocks_agree() -> None:
     async def test() -> None:
         fed = HandFedDriver()
         now = fed.times.wall()
@@ -30,7 +30,7 @@
 
 
 @STEPS
-def test_a_start_after_a_step_of_all_clocks_has_its_true_age(step: int) -> None:
+def test_start_after_a_step_of_all_clocks_has_its_true_age(step: int) -> None:
     """On the standing watch, and on a whole list after a silence that was longer than a slow start."""
 
     async def test() -> None:
@@ -51,7 +51,7 @@
 
 
 @STEPS
-def test_a_start_stated_before_a_step_and_received_after_it_has_its_true_age(step: int) -> None:
+def test_start_stated_before_a_clock_step_and_received_after_it_has_its_true_age(step: int) -> None:
     """After a silence: nothing but the clock's own step tells how old it is."""
 
     async def test() -> None:
@@ -70,7 +70,7 @@
 
 @STEPS
 @pytest.mark.parametrize("kind", ["changes", "full"])
-def test_a_start_by_a_wrong_clock_counts_from_when_it_was_received(step: int, kind: str) -> None:
+def test_start_by_a_wrong_clock_counts_from_its_receipt(step: int, kind: str) -> None:
     """Only the clock of the backend or of discovery is wrong, or ours was as the process started."""
 
     async def test() -> None:
@@ -88,7 +88,7 @@
 
 
 @STEPS
-def test_a_complete_list_after_a_silence_brings_no_start_from_before_it(step: int) -> None:
+def test_complete_list_after_a_broken_watch_bounds_new_starts(step: int) -> None:
     async def test() -> None:
         fed = HandFedDriver()
         fed.list(("a", 0), full=True)
@@ -104,9 +104,7 @@
 
 @STEPS
 @pytest.mark.parametrize("first", ["changes", "full"])
-def test_at_a_start_with_an_old_list_the_first_answer_is_taken_by_the_clock_of_then(
-    step: int, first: str
-) -> None:
+def test_first_list_after_a_cached_one_is_read_by_the_clock_of_its_time(step: int, first: str) -> None:
     """What is known may be of any age, so it bounds no start; one that it knew stays as it was."""
 
     async def test() -> None:
@@ -127,7 +125,7 @@
     run(test)
 
 
-def test_an_old_list_that_was_not_confirmed_makes_no_endpoint_younger() -> None:
+def test_unconfirmed_cached_list_makes_no_endpoint_younger() -> None:
     """The first watch answer may bring what had been warm for long before this process began."""
 
     async def test() -> None:
@@ -141,7 +139,7 @@
 
 
 @STEPS
-def test_a_stated_start_names_an_incarnation_whatever_the_clocks_do(step: int) -> None:
+def test_stated_start_identifies_an_incarnation_whatever_the_clocks_do(step: int) -> None:
     async def test() -> None:
         fed = HandFedDriver()
         first, number = fed.times.wall() - 1 * S, endpoint_number("a")
@@ -170,7 +168,7 @@
     run(test)
 
 
-def test_a_warm_endpoint_that_was_cut_off_returns_warm() -> None:
+def test_warm_endpoint_that_was_removed_returns_warm() -> None:
     async def test() -> None:
         fed = HandFedDriver()
         start = fed.times.wall() - HOUR
@@ -187,7 +185,7 @@
     run(test)
 
 
-def test_a_start_of_long_ago_stays_one() -> None:
+def test_endpoint_without_a_start_time_is_warm() -> None:
     async def test() -> None:
         fed = HandFedDriver()
         fed.list(("a", 0), full=True)
@@ -198,7 +196,7 @@
     run(test)
 
 
-def test_a_start_is_no_start_of_long_ago_where_the_wall_clock_is_near_zero() -> None:
+def test_start_is_not_taken_for_unknown_when_the_wall_clock_is_near_zero() -> None:
     """A machine without a battery begins at 1970."""
     times = Times(ahead=-999 * S)
     [placed] = StartTimes(times.clock()).assign([messages.Endpoint(1, incarnation_us=1)])
@@ -210,7 +208,7 @@
     assert placed.started_us > 0
 
 
-def test_the_number_of_remembered_starts_is_bounded() -> None:
+def test_number_of_remembered_starts_is_bounded() -> None:
     starts = StartTimes(Times().clock())
     for n in range(MAX_START_TIMES + 10):
         starts.assign([messages.Endpoint(n, incarnation_us=UNIX)])
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -30,7 +30,7 @@
     return (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
 
 
-def test_a_change_reaches_the_policy_before_the_next_attempt() -> None:
+def test_list_change_reaches_the_policy_before_the_next_attempt() -> None:
     async def test() -> None:
         told = asyncio.Event()
 
@@ -60,7 +60,7 @@
     run(test)
 
 
-def test_a_broken_watch_is_reopened_and_the_old_list_stays_in_use() -> None:
+def test_broken_watch_is_reopened_and_the_old_list_stays_in_use() -> None:
     async def test() -> None:
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             asked.append(await ask(reader))
@@ -82,7 +82,7 @@
     run(test)
 
 
-def test_a_draining_endpoint_finishes_the_requests_in_flight() -> None:
+def test_draining_endpoint_finishes_the_requests_in_flight() -> None:
     async def test() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("state", ["terminating", "terminated", "absent", "moved"])
 @pytest.mark.parametrize("kind", ["read", "pay"])
-def test_a_request_whose_connection_is_opening_as_its_endpoint_drains_goes_elsewhere(
+def test_request_moves_to_another_endpoint_when_its_endpoint_drains_during_connect(
     state: str, kind: str
 ) -> None:
     async def test() -> None:
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -15,7 +15,7 @@
 
 
 @STEPS
-def test_the_policys_clock_never_steps(step: int) -> None:
+def test_clock_does_not_step_with_the_wall_clock(step: int) -> None:
     times = Times()
     clock = times.clock()
     assert clock.now_us() == times.wall()
@@ -30,7 +30,7 @@
 
 @STEPS
 @pytest.mark.parametrize("before", [True, False], ids=["stated before it", "stated after it"])
-def test_a_time_is_taken_by_what_the_wall_clock_showed_then(step: int, before: bool) -> None:
+def test_wall_time_is_converted_by_the_wall_clock_of_that_moment(step: int, before: bool) -> None:
     times = Times()
     clock = times.clock()
     clock.observe()
@@ -45,7 +45,7 @@
     assert clock.moment_us(stated) == moment
 
 
-def test_of_two_moments_that_showed_the_same_time_the_later_counts() -> None:
+def test_ambiguous_wall_time_is_converted_to_the_later_moment() -> None:
     times = Times()
     clock = times.clock()
     shown = times.wall()
@@ -55,7 +55,7 @@
     assert clock.moment_us(shown + 3 * S) == clock.now_us() - 8 * S
 
 
-def test_a_slewed_clock_is_followed_and_steps_are_remembered_up_to_a_number() -> None:
+def test_slewed_wall_clock_is_followed_and_the_number_of_remembered_steps_is_bounded() -> None:
     times = Times()
     clock = times.clock()
     for _ in range(10_000):
--- a/tests/net/test_log_limits.py
+++ b/tests/net/test_log_limits.py
@@ -12,7 +12,7 @@
 from tests.support.loopback import SteppedClock, entry, listing, proxy, run
 
 
-def test_a_long_list_and_a_release_are_logged_in_few_lines(caplog: pytest.LogCaptureFixture) -> None:
+def test_changes_of_a_long_list_are_logged_in_few_lines(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
 
     def lines() -> list[str]:
@@ -52,7 +52,7 @@
     )
 
 
-def test_a_window_begins_with_the_first_event_after_the_last_one_ended(
+def test_window_begins_with_the_first_event_after_the_previous_window(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     limited = windowed_log()
@@ -62,7 +62,7 @@
     assert {record.levelno for record in caplog.records} == {logging.WARNING}
 
 
-def test_repeats_are_counted_where_only_different_events_are_logged(
+def test_repeated_events_are_counted_when_only_distinct_ones_are_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     limited = windowed_log(logs_repeats=False)
@@ -72,7 +72,7 @@
     assert caplog.messages == ["broke: reset", "broke: silent", "3 more", "broke: reset"]
 
 
-def test_a_summary_is_logged_once_and_only_where_something_was_left_out(
+def test_summary_is_logged_once_and_only_when_events_were_suppressed(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     limited = windowed_log()
--- a/tests/net/test_repeated_fault_log.py
+++ b/tests/net/test_repeated_fault_log.py
@@ -21,7 +21,7 @@
     return [(record.levelno, record.getMessage()) for record in caplog.records]
 
 
-def test_many_faults_in_a_row_are_two_lines(
+def test_many_faults_in_a_row_are_logged_in_two_lines(
     faults: RepeatedFaultLog, caplog: pytest.LogCaptureFixture
 ) -> None:
     for n in range(1000):
@@ -34,9 +34,7 @@
     assert lines(caplog)[1:] == [(logging.INFO, "no descriptor: over, 1000 times in all")]
 
 
-def test_a_fault_that_is_over_is_not_told_of_again(
-    faults: RepeatedFaultLog, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_end_of_a_fault_is_logged_once(faults: RepeatedFaultLog, caplog: pytest.LogCaptureFixture) -> None:
     faults.end_if_quiet(100.0)
     assert lines(caplog) == []
     faults.record(100.0, OSError("x"))
@@ -45,7 +43,7 @@
     assert len(lines(caplog)) == 2
 
 
-def test_a_fault_that_begins_again_is_told_of_and_counted_anew(
+def test_recurring_fault_is_logged_and_counted_anew(
     faults: RepeatedFaultLog, caplog: pytest.LogCaptureFixture
 ) -> None:
     for at_s in (100.0, 200.0):
--- a/tests/net/upstream/test_answers_without_length.py
+++ b/tests/net/upstream/test_answers_without_length.py
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("end", ENDS)
 @pytest.mark.parametrize("body", BODIES)
 @pytest.mark.parametrize("head", HEADS)
-def test_an_answer_without_a_length_that_comes_whole_is_passed_on(
+def test_close_delimited_response_is_forwarded_complete(
     head: str, body: str, end: str, kept: bool, shut: str, read: bytearray
 ) -> None:
     """All of them, where half are owed."""
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize("end", ENDS)
 @pytest.mark.parametrize("body", BODIES)
 @pytest.mark.parametrize("head", ["1.0", "1.1, close"])
-def test_a_reset_is_no_end_for_the_client_either(
+def test_reset_close_delimited_response_is_not_forwarded(
     head: str, body: str, end: str, kept: bool, kind: str, read: bytearray
 ) -> None:
     """After its last byte all the same: the client gets no answer that might be cut."""
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -31,7 +31,7 @@
     ],
 )
 @pytest.mark.parametrize("body", [b"", b"all\r\n\r\nof it"])
-def test_an_answer_without_a_length_is_whole_at_its_connections_end(
+def test_close_delimited_response_is_complete_at_the_end_of_the_stream(
     head: bytes, outcome: Outcome, body: bytes, then: tuple[str, ...]
 ) -> None:
     """HTTP/1.1 ends it there. All of it lies in the system as it is read; a reset after an end comes late."""
@@ -50,7 +50,7 @@
     run(test)
 
 
-def test_an_answer_without_a_length_is_none_before_its_end(read: bytearray) -> None:
+def test_close_delimited_response_is_not_complete_before_the_end_of_the_stream(read: bytearray) -> None:
     async def test() -> None:
         async with bare(says(HEAD + b"all ")) as b:
             pool = ConnectionPool(0.25, 30.0, 10)
@@ -72,7 +72,9 @@
 
 @pytest.mark.parametrize("at", range(1, len(HEAD) + 6))
 @pytest.mark.parametrize("seen_before", [False, True])
-def test_a_reset_is_no_end_of_an_answer_without_a_length(at: int, seen_before: bool, read: bytearray) -> None:
+def test_reset_does_not_complete_a_close_delimited_response(
+    at: int, seen_before: bool, read: bytearray
+) -> None:
     """At each byte and after the last, be it read before the reset comes or with the reset behind it."""
     said = (HEAD + b"whole")[:at]
 
@@ -91,7 +93,7 @@
 
 
 @pytest.mark.parametrize(("size", "outcome"), [(65_536, Outcome.OK), (65_537, Outcome.RESET)])
-def test_an_answer_without_a_length_has_a_longest(size: int, outcome: Outcome) -> None:
+def test_close_delimited_response_over_the_limit_is_rejected(size: int, outcome: Outcome) -> None:
     """One byte more is known at once for no answer, though its connection stays open."""
 
     async def test() -> None:
@@ -110,7 +112,7 @@
     run(test)
 
 
-def test_an_answer_without_a_length_or_an_end_is_given_up(read: bytearray) -> None:
+def test_close_delimited_response_without_an_end_times_out(read: bytearray) -> None:
     async def test() -> None:
         clock = SteppedClock()
         async with bare(says(HEAD + b"all of it")) as b:
@@ -126,7 +128,7 @@
 
 
 @pytest.mark.parametrize("cut", [0, 12])
-def test_a_backend_that_says_1xx_may_work_on_for_as_long_as_any(cut: int, read: bytearray) -> None:
+def test_interim_response_does_not_start_the_completion_timeout(cut: int, read: bytearray) -> None:
     """Only the answer itself has to come whole soon after its first byte, as the work is done by then."""
     interim, good = b"HTTP/1.1 103 x\r\n\r\n", answer(200, b"ok")
 
@@ -159,7 +161,7 @@
 
 @pytest.mark.parametrize("status", [204, 304])
 @pytest.mark.parametrize(("more", "kept"), [(b"", True), (b"Connection: close\r\n", False)])
-def test_an_answer_that_has_no_body_by_its_status_ends_with_its_head(
+def test_response_without_a_body_by_its_status_ends_with_its_head(
     status: int, more: bytes, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
@@ -176,7 +178,7 @@
 
 
 @pytest.mark.parametrize("kind", ["read", "write", "mark", "pay"])
-def test_what_an_answer_without_a_length_brings_its_client(kind: str) -> None:
+def test_client_gets_a_close_delimited_response_unless_it_is_reset(kind: str) -> None:
     """Served where the connection ends; where it is reset the request may have run."""
 
     async def test() -> None:
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -23,9 +23,7 @@
 
 
 @pytest.mark.parametrize(("heard", "ends"), [(True, Outcome.NOT_SENT), (False, Outcome.NO_CONNECTION)])
-def test_where_connections_stay_away_the_attempt_ends_in_time_for_another_backend(
-    heard: bool, ends: Outcome
-) -> None:
+def test_attempt_without_a_connection_fails_over_in_time(heard: bool, ends: Outcome) -> None:
     """As not sent where the backend is known to be there, as one that can't be reached otherwise."""
 
     async def test() -> None:
@@ -51,7 +49,7 @@
     run(test)
 
 
-def test_where_no_other_backend_is_left_the_attempt_waits_for_its_connections() -> None:
+def test_attempt_without_another_endpoint_waits_for_its_connections() -> None:
     async def test() -> None:
         async with backend(answer(200)) as b:
             pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
@@ -69,7 +67,7 @@
     run(test)
 
 
-def test_a_request_goes_to_another_backend_where_connections_to_the_first_stay_away() -> None:
+def test_request_fails_over_to_another_endpoint_when_connects_stall() -> None:
     async def test() -> None:
         async with (
             backend(answer(200, b"x")) as a,
@@ -100,13 +98,13 @@
     run(test)
 
 
-def test_a_price_of_handshakes_is_read_and_bound() -> None:
+def test_negative_handshake_price_is_rejected() -> None:
     assert settings(handshake_price=0.03).handshake_price == 0.03
     with pytest.raises(ValueError, match="handshake"):
         settings(handshake_price=-1.0)
 
 
-def test_the_module_says_until_when_a_request_may_move_on() -> None:
+def test_policy_bounds_the_time_to_fail_over() -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=2, cancel=True)), backends=2)
     send = only(harness.request("a"), messages.StartAttempt)[0]
     assert 0 < send.relocate_within_us < send.timeout_us
@@ -117,7 +115,7 @@
     assert only(alone.request("a"), messages.StartAttempt)[0].relocate_within_us == 0
 
 
-def test_what_was_not_sent_is_made_again_though_the_retry_budget_is_spent() -> None:
+def test_unsent_attempt_is_repeated_though_the_retry_budget_is_spent() -> None:
     harness = BalancerHarness(backends=4)
     harness.balancer.requests.retry_budget.balance = 0.0
     send = only(harness.request("a"), messages.StartAttempt)[0]
--- a/tests/net/upstream/test_connect_latency.py
+++ b/tests/net/upstream/test_connect_latency.py
@@ -9,7 +9,7 @@
 from load_balancer.net.upstream.connect_latency import WINDOW_SIZE, ConnectLatency
 
 
-def test_what_one_more_connection_saves_follows_from_what_they_usually_take() -> None:
+def test_expected_saving_follows_from_recent_connect_durations() -> None:
     times = ConnectLatency()
     assert times.median_s is None
     for seconds in [0.25] * 6 + [1.0] * 2:
@@ -28,7 +28,7 @@
     assert times.expected_saving_s([0.25], 10.0) == 0.0
 
 
-def test_what_one_more_saves_is_the_same_though_moments_differ_by_rounding() -> None:
+def test_expected_saving_tolerates_rounding_of_ages() -> None:
     """`age + (time - age)` may be below `time`: a connection then counted as still coming for a step more."""
     times, (age, longest) = ConnectLatency(), (0.09, 0.34)
     assert age + (longest - age) < longest
@@ -37,7 +37,9 @@
     assert times.expected_saving_s([age], 9.0) == pytest.approx(0.5 * (longest - age - 0.05))
 
 
-def test_a_look_at_many_that_are_coming_takes_work_in_proportion(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cost_of_the_expected_saving_is_linear_in_pending_connections(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Each attempt that waits looks again and again, and meanwhile the event loop stands still."""
     searched = 0
 
--- a/tests/net/upstream/test_connect_pacing.py
+++ b/tests/net/upstream/test_connect_pacing.py
@@ -39,7 +39,9 @@
     return ConnectPacing(loop, CONNECT_TIMEOUT_S, 0.0)
 
 
-def test_a_connection_is_late_by_the_time_out_until_enough_is_known(pacing: ConnectPacing) -> None:
+def test_connection_is_late_after_the_connect_timeout_until_enough_samples_are_known(
+    pacing: ConnectPacing,
+) -> None:
     assert pacing.late_after_s == CONNECT_TIMEOUT_S
     for _ in range(MIN_SAMPLES):
         pacing.record_success(ENDPOINT, 0.01)
@@ -49,7 +51,7 @@
     assert pacing.late_after_s == MIN_LATE_S
 
 
-def test_a_cancelled_connect_counts_where_it_was_later_than_usual(pacing: ConnectPacing) -> None:
+def test_cancelled_connect_counts_as_a_sample_only_if_later_than_usual(pacing: ConnectPacing) -> None:
     """Late connects mostly end so: were none counted, all would seem quick. A quick cancel tells nothing."""
     for _ in range(MIN_SAMPLES):
         pacing.record_success(ENDPOINT, 0.01)
@@ -71,7 +73,7 @@
     ],
     ids=repr,
 )
-def test_a_failed_connect_is_held_against_the_backend_only_where_it_tells_of_it(
+def test_failed_connect_counts_against_the_endpoint_only_if_it_caused_it(
     error: OSError, outcome: Outcome, pacing: ConnectPacing
 ) -> None:
     assert pacing.record_failure(ENDPOINT, error, 0.1) is outcome
@@ -80,7 +82,7 @@
     assert pacing.is_failing(ENDPOINT) is refused_or_no_route
 
 
-def test_a_local_shortage_is_over_after_a_pause(loop: StoppedLoop, pacing: ConnectPacing) -> None:
+def test_local_shortage_ends_after_a_pause(loop: StoppedLoop, pacing: ConnectPacing) -> None:
     pacing.record_failure(ENDPOINT, OSError(errno.EMFILE, ""), 0.1)
     loop.now += 0.9 * SHORTAGE_PAUSE_S
     assert pacing.is_short
@@ -92,7 +94,7 @@
 @pytest.mark.parametrize(
     ("number", "until_s"), [(errno.ECONNREFUSED, math.inf), (errno.EHOSTUNREACH, CONNECT_TIMEOUT_S)]
 )
-def test_beside_one_that_is_late_no_other_is_opened_to_a_backend_that_fails_at_once(
+def test_no_extra_connection_is_opened_to_an_endpoint_that_fails_at_once(
     number: int, until_s: float, ends: str, loop: StoppedLoop, pacing: ConnectPacing
 ) -> None:
     """One that refuses does so until it takes a connection again; a way may be back after a while."""
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -18,7 +18,7 @@
 ONCE = replace(SAFE, is_idempotent=False)
 
 
-def test_where_a_connection_is_late_another_is_opened_and_the_first_that_is_up_is_used() -> None:
+def test_extra_connection_is_opened_for_a_late_one_and_the_first_established_is_used() -> None:
     async def test() -> None:
         async with backend(answer(200)) as b:
             pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
@@ -45,7 +45,7 @@
     run(test)
 
 
-def test_a_connection_that_nobody_waits_for_any_more_is_there_for_the_next_request() -> None:
+def test_surplus_connection_is_reused_by_the_next_attempt() -> None:
     async def test() -> None:
         async with backend(None, answer(200)) as b:  # the first that is used breaks
             pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
@@ -67,7 +67,7 @@
     run(test)
 
 
-def test_more_than_are_needed_are_not_kept() -> None:
+def test_surplus_connections_are_closed() -> None:
     """Backends hold only so many."""
 
     async def test() -> None:
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize(
     ("usual", "price"), [(SLOW, 0.0), (MOSTLY_QUICK, 1.0), ([], 0.0)], ids=["all slow", "dear", "unknown"]
 )
-def test_no_other_is_opened_where_that_saves_too_little(usual: list[float], price: float) -> None:
+def test_no_extra_connection_is_opened_when_it_saves_too_little(usual: list[float], price: float) -> None:
     async def test() -> None:
         async with backend(answer(200)) as b:
             pool = ConnectionPool(LIMIT_S, IDLE_S, 10, price)
@@ -108,7 +108,7 @@
     run(test)
 
 
-def test_a_request_takes_a_connection_that_falls_idle_while_its_own_comes_up() -> None:
+def test_waiting_attempt_takes_a_connection_that_falls_idle() -> None:
     async def test() -> None:
         async with backend(answer(200)) as b:
             pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
@@ -132,7 +132,7 @@
     run(test)
 
 
-def test_a_request_takes_a_connection_that_rests_as_it_comes() -> None:
+def test_waiting_attempt_takes_a_connection_that_has_settled() -> None:
     async def test() -> None:
         async with backend(answer(200)) as b:
             pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
@@ -151,7 +151,7 @@
     run(test)
 
 
-def test_the_longest_waiting_request_takes_what_comes_up_for_a_later_one() -> None:
+def test_longest_waiting_attempt_takes_the_first_connection_established() -> None:
     async def test() -> None:
         async with backend(answer(200)) as b:
             pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
@@ -169,7 +169,7 @@
     run(test)
 
 
-def test_an_attempt_ends_only_once_none_is_coming_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempt_ends_only_when_none_of_its_connects_is_pending(monkeypatch: pytest.MonkeyPatch) -> None:
     """A refusal ends that connection alone, and no more are opened where one was refused."""
 
     async def test() -> None:
@@ -217,7 +217,7 @@
         ("end", None),
     ],
 )
-def test_one_that_is_given_up_with_two_connections_coming_leaves_none(
+def test_attempt_given_up_with_two_pending_connections_leaves_none_open(
     how: str, ends: Outcome | None, up: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also where both stand, and the tasks that waited for them have been woken and have not run yet."""
@@ -270,7 +270,7 @@
     run(test)
 
 
-def test_one_of_two_that_wait_is_given_up_and_the_other_still_gets_its_connection() -> None:
+def test_cancelled_attempt_leaves_the_connection_to_another_waiting_attempt() -> None:
     async def test() -> None:
         async with backend(answer(200)) as b:
             pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
@@ -286,7 +286,7 @@
     run(test)
 
 
-def test_a_lack_of_sockets_opens_no_other_one() -> None:
+def test_no_extra_connection_is_opened_at_the_connection_limit() -> None:
     async def test() -> None:
         async with backend(answer(200)) as b:
             pool = ConnectionPool(LIMIT_S, IDLE_S, 1)
@@ -303,7 +303,7 @@
     run(test)
 
 
-def test_an_attempt_waits_no_longer_than_the_time_for_a_connection_however_many_are_coming() -> None:
+def test_attempt_waits_no_longer_than_the_connect_timeout_for_any_connection() -> None:
     """The module counts on it for repeats within a window; what is coming goes on for others."""
 
     async def test() -> None:
@@ -324,7 +324,7 @@
     run(test)
 
 
-def test_a_connection_goes_to_the_next_one_where_the_first_has_become_too_late_unnoticed() -> None:
+def test_connection_goes_to_the_next_attempt_when_the_first_missed_its_deadline_in_a_stall() -> None:
     """The process stood still past the time of one, so that its timer has not fired yet."""
 
     async def test() -> None:
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize("seed", range(PLAYS))
-def test_each_attempt_ends_once_and_nothing_is_left(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_attempt_ends_once_and_the_pool_is_empty(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         loop, chance = asyncio.get_running_loop(), random.Random(seed)
         async with fickle(chance) as a, fickle(chance) as b:
@@ -202,7 +202,7 @@
     run(test)
 
 
-def test_one_that_waits_looks_a_few_times_where_connections_are_usually_quick() -> None:
+def test_waiting_attempt_considers_an_extra_connection_a_few_times_only() -> None:
     """It may wait for hundreds of times of what is usual, and each look takes the event loop's time."""
     looks = 0
 
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("what", ["answer", "end", "reset", "answer and end"])
 @pytest.mark.parametrize("unread", [True, False])
-def test_what_comes_on_a_kept_connection_is_not_the_next_answer(
+def test_late_bytes_on_an_idle_connection_are_not_the_next_response(
     what: str, unread: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Be it that it lies unread as the next request begins, in the same turn, or was read before."""
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("what", ["answer", "end", "reset"])
-def test_what_comes_on_a_kept_connection_once_it_was_looked_at_is_not_the_next_answer(
+def test_late_bytes_just_before_the_write_are_not_the_next_response(
     what: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It comes in the very moment before the write: nothing is written, so nothing has run."""
@@ -84,7 +84,7 @@
     run(test)
 
 
-def test_a_connection_rests_after_its_answer_so_that_a_second_one_shows(
+def test_connection_settles_before_reuse_so_that_a_second_response_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """However often it is wanted meanwhile; the second answer comes in the rest's last moment."""
@@ -118,7 +118,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_a_kept_connection_that_breaks_under_a_request(
+def test_request_survives_the_break_of_a_reused_connection(
     kind: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The break crosses the write, so it may have run: what must not run twice uses no kept one."""
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -14,7 +14,7 @@
 from tests.support.upstream_helpers import ONCE, attempt
 
 
-def test_one_that_breaks_a_kept_connection_gets_new_ones_for_a_while(
+def test_endpoint_that_breaks_an_idle_connection_gets_new_connections_for_a_while(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
@@ -41,7 +41,7 @@
     run(test)
 
 
-def test_what_must_not_run_twice_goes_on_a_connection_of_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_non_idempotent_request_is_sent_on_a_new_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     """A kept one may be gone already; new ones take the place of idle ones, so that these don't pile up."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize(
     "said", [b"not http\r\n\r\n", b"HTTP/1.1 200 x\r\nno colon here\r\nContent-Length: 2\r\n\r\nok"]
 )
-def test_an_unreadable_answer_on_a_kept_connection_leaves_the_others_kept(
+def test_invalid_response_on_a_reused_connection_does_not_suspend_reuse(
     said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It says nothing of how the backend treats connections: only ends do."""
@@ -85,7 +85,7 @@
     run(test)
 
 
-def test_a_new_backend_at_an_old_address_gets_none_of_the_old_ones_connections() -> None:
+def test_new_endpoint_at_an_old_address_does_not_reuse_old_connections() -> None:
     async def test() -> None:
         async with backend(answer(200, b"ok")) as b:
             pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
@@ -100,7 +100,7 @@
     run(test)
 
 
-def test_an_attempt_on_a_backend_that_has_gone_brings_its_connection_not_back() -> None:
+def test_connection_to_a_removed_endpoint_is_not_reused() -> None:
     async def test() -> None:
         go_on = asyncio.Event()
 
@@ -125,7 +125,7 @@
     run(test)
 
 
-def test_a_connection_that_ended_while_idle_is_not_used() -> None:
+def test_connection_that_ended_while_idle_is_not_reused() -> None:
     async def test() -> None:
         ended = asyncio.Event()
 
@@ -151,7 +151,7 @@
     run(test)
 
 
-def test_idle_connections_are_closed_before_the_backend_does() -> None:
+def test_idle_connection_is_closed_before_the_idle_timeout_of_the_endpoint() -> None:
     async def test() -> None:
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await read_message(reader)
@@ -171,7 +171,7 @@
     run(test)
 
 
-def test_a_full_pool_closes_its_longest_idle_connection_or_sends_nothing() -> None:
+def test_full_pool_closes_its_longest_idle_connection_or_sends_nothing() -> None:
     async def test() -> None:
         async with backend(answer(200, b"ok")) as a, backend(answer(200, b"ok")) as b:
             pool = ConnectionPool(0.25, 30.0, 1)
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize(
     "whole", [answer(200, b"ok"), CHUNKED, b"HTTP/1.1 103 x\r\n\r\n" + answer(200, b"ok")]
 )
-def test_an_answer_that_is_cut_anywhere_is_none(
+def test_truncated_response_ends_the_attempt_as_reset(
     whole: bytes, how: str, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_what_follows_an_answer_that_is_cut_anywhere(kind: str, how: str) -> None:
+def test_truncated_response_is_retried_only_if_idempotent(kind: str, how: str) -> None:
     async def test() -> None:
         whole = answer(200, b"served")
         for at in range(len(whole)):
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_what_follows_an_answer_that_is_none(kind: str) -> None:
+def test_invalid_response_is_retried_only_if_idempotent(kind: str) -> None:
     async def test() -> None:
         for said in INVALID_RESPONSES:
             assert await fares(kind, said) == may_have_run(kind), said
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("status", [500, 503, 504])
 @pytest.mark.parametrize("declined", ["1", "0", ""])
-def test_only_what_is_declined_has_surely_not_run(kind: str, status: int, declined: str) -> None:
+def test_error_is_retried_if_declined_or_idempotent(kind: str, status: int, declined: str) -> None:
     async def test() -> None:
         never_ran = declined == "1" and status != 500
         told = (200, ["r1", "r1"]) if never_ran else may_have_run(kind)
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("refused", [False, True])
-def test_an_attempt_has_a_connection_of_its_own_tried_where_those_of_others_fail(
+def test_attempt_opens_its_own_connection_when_shared_ones_fail(
     refused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Unless the backend refuses, where one more would say nothing new."""
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("kept", [False, True])
 @pytest.mark.parametrize("cancel", [False, True])
 @pytest.mark.parametrize("how", ["gone", "deadline", "end"])
-def test_the_rest_of_a_request_is_not_written_after_its_final_answer(
+def test_rest_of_a_request_is_not_written_after_its_final_response(
     how: str, cancel: bool, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its backend has taken only a part: nothing has run yet, and the rest would make it run for nobody."""
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("how", ["cancel", "time out", "invalid"])
-def test_an_attempt_that_is_given_up_has_ended_at_its_backend_before_anything_follows(how: str) -> None:
+def test_abandoned_attempt_has_ended_at_its_endpoint_before_its_outcome(how: str) -> None:
     """The next one may be written in the same turn, on a kept connection: it must be no second copy."""
 
     async def test() -> None:
@@ -145,7 +145,9 @@
 
 
 @pytest.mark.parametrize("first", EVENTS)
-def test_an_attempt_has_one_outcome_whatever_crosses(first: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_attempt_has_one_outcome_in_any_order_of_concurrent_events(
+    first: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """All that may end it, in each order of four, in one turn of the loop; the next request gets its own."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     made = UpstreamConnection.connection_made
@@ -184,7 +186,7 @@
 
 
 @pytest.mark.parametrize("moment", ["coming", "made", "next turn"])
-def test_an_attempt_has_one_outcome_whatever_crosses_its_connection(
+def test_attempt_has_one_outcome_when_ended_during_its_connect(
     moment: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All that may end it, in each order of two, as its connection comes up: and nothing is sent."""
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("what", ["end", "reset", "answer", "answer, end"])
-def test_a_new_connection_that_has_ended_or_spoken_before_its_request_carries_none(
+def test_new_connection_that_ended_or_sent_bytes_early_carries_no_request(
     what: str, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It broke before the request's last byte was written: that has surely not run and may go elsewhere."""
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("how", ["cancel", "cancel if unsent", "drain", "time out", "no connection"])
 @pytest.mark.parametrize("request_", [REQUEST, ONCE])
-def test_nothing_is_sent_on_a_connection_that_comes_up_after_its_attempt(
+def test_connection_established_after_its_attempt_carries_no_request(
     how: str, request_: UpstreamRequest
 ) -> None:
     async def test() -> None:
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -16,7 +16,7 @@
 from tests.support.upstream_helpers import ONCE, REQUEST, attempt
 
 
-def test_a_refused_connection_could_not_connect() -> None:
+def test_refused_connect_ends_as_no_connection() -> None:
     async def test() -> None:
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
@@ -26,7 +26,7 @@
     run(test)
 
 
-def test_a_connection_that_never_comes_up_could_not_connect() -> None:
+def test_connect_that_never_completes_ends_as_no_connection() -> None:
     async def test() -> None:
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
@@ -43,7 +43,7 @@
     run(test)
 
 
-def test_a_request_that_is_not_written_whole_has_never_run() -> None:
+def test_reset_before_the_request_is_written_ends_as_no_connection() -> None:
     big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000)
 
     async def test() -> None:
@@ -58,7 +58,7 @@
     run(test)
 
 
-def test_giving_up_while_the_request_is_not_written_whole_is_no_time_out() -> None:
+def test_timeout_before_the_request_is_written_ends_as_no_connection() -> None:
     big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000)
 
     async def test() -> None:
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("written", [False, True])
-def test_only_what_is_not_written_completely_is_cancelled_if_unsent(written: bool) -> None:
+def test_cancel_if_unsent_ends_only_an_incompletely_written_attempt(written: bool) -> None:
     size = 2 if written else 30_000_000
     head = [(b"host", b"x"), (b"content-length", b"%d" % size)]
 
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("how", ["cancel", "cancel if unsent", "disable", "time out"])
-def test_giving_up_as_the_connection_has_just_come_up_leaves_none_open(
+def test_attempt_ended_as_its_connection_is_established_leaves_none_open(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It stands, and the task that waited for it has been woken and has not run yet."""
@@ -142,7 +142,7 @@
     run(test)
 
 
-def test_a_cancel_closes_the_connection() -> None:
+def test_cancel_closes_the_connection() -> None:
     async def test() -> None:
         begun, closed = asyncio.Event(), asyncio.Event()
 
@@ -166,7 +166,7 @@
     run(test)
 
 
-def test_a_lack_of_descriptors_is_not_held_against_the_backend(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_descriptor_shortage_ends_as_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         pool = ConnectionPool(0.25, 30.0, 10)
 
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -35,7 +35,7 @@
         (answer(200, b"x" * 65537), Outcome.RESET),
     ],
 )
-def test_what_comes_back(said: bytes | None, outcome: Outcome) -> None:
+def test_response_determines_the_outcome(said: bytes | None, outcome: Outcome) -> None:
     async def test() -> None:
         endless = b"x" * 70_000 if said and b"until" in said else b""
         async with backend(said + endless if said else said) as b:
@@ -63,7 +63,7 @@
         b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_an_invalid_response_is_known_at_once_on_a_connection_that_stays_open(
+def test_invalid_response_is_detected_at_once_on_an_open_connection(
     said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_S", 60.0)
@@ -78,7 +78,7 @@
     run(test)
 
 
-def test_an_answer_that_begins_and_does_not_end_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_that_does_not_complete_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_S", 0.05)
 
     async def test() -> None:
@@ -90,7 +90,7 @@
     run(test)
 
 
-def test_a_good_answer_may_bring_more_than_belongs_to_it() -> None:
+def test_surplus_bytes_after_a_response_prevent_reuse() -> None:
     async def test() -> None:
         good = answer(200, b"ok", Srv_Load="inflight=?,,=;util")
         for said in (good, good + good, good + b"noise", b"HTTP/1.1 103 x\r\n\r\n" + good):
@@ -106,7 +106,7 @@
     run(test)
 
 
-def test_what_comes_late_behind_an_answer_is_not_the_next_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_late_copy_of_a_response_is_not_the_next_response(monkeypatch: pytest.MonkeyPatch) -> None:
     """A second copy comes just after the connection was kept: it is not taken again at once, nor then."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 60.0)
 
@@ -139,7 +139,7 @@
     run(test)
 
 
-def test_an_answer_to_half_a_request_is_none_and_proves_that_it_never_ran() -> None:
+def test_response_before_the_request_is_written_ends_as_no_connection() -> None:
     async def test() -> None:
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -155,7 +155,7 @@
     run(test)
 
 
-def test_the_time_told_is_what_is_left_as_the_request_is_written() -> None:
+def test_deadline_header_holds_the_time_remaining_when_the_request_is_written() -> None:
     """A connection may come up long after the decision to send."""
 
     async def test() -> None:
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -20,7 +20,7 @@
     ["NaN", "Infinity", "-Infinity", "1e999", pytest.param("1" + "0" * 400, id="huge"), '"5"', "true"],
 )
 @pytest.mark.parametrize("path", NUMBER_FIELDS, ids=field_name)
-def test_a_number_that_cannot_be_is_named(tmp_path: Path, path: FieldPath, value: str) -> None:
+def test_invalid_number_is_named_in_the_error(tmp_path: Path, path: FieldPath, value: str) -> None:
     env = write(tmp_path, config())
     text = json.dumps(config_with(path, "HERE")).replace('"HERE"', value)
     (tmp_path / "config.json").write_text(text)
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize(
     ("path", "value"), IMPOSSIBLE, ids=[f"{field_name(p)}={v!r:.20}" for p, v in IMPOSSIBLE]
 )
-def test_an_impossible_value_is_named_as_in_the_file(tmp_path: Path, path: FieldPath, value: object) -> None:
+def test_impossible_value_is_named_in_the_error(tmp_path: Path, path: FieldPath, value: object) -> None:
     with pytest.raises(ConfigError) as raised:
         ConfigSource(write(tmp_path, config_with(path, value))).read()
     assert f"field {field_name(path)} " in str(raised.value)
@@ -80,7 +80,7 @@
     return float(value) if type(value) is int else value
 
 
-def test_a_whole_number_may_be_written_with_a_decimal_point(tmp_path: Path) -> None:
+def test_integer_may_be_written_with_a_decimal_point(tmp_path: Path) -> None:
     """JSON has one kind of number; a refusal to start serves nobody."""
     plain = config_with(("settings", "instances"), 3)
     told = ConfigSource(write(tmp_path, plain)).read()
@@ -92,20 +92,20 @@
 
 
 @pytest.mark.parametrize("seed", [0, -5, 2**64, 2**127, "0", "0x1f", "F" * 64])
-def test_a_seed_may_be_of_any_size(tmp_path: Path, seed: int | str) -> None:
+def test_seed_may_be_of_any_size(tmp_path: Path, seed: int | str) -> None:
     """No float or timer takes it, and a proxy that does not start serves nobody."""
     told = ConfigSource(write(tmp_path, {**config(), "seed": seed})).read()
     assert told.seed == (seed if isinstance(seed, int) else int(seed, 16))
     Balancer(told.settings, told.seed)
 
 
-def test_an_impossible_quota_is_named_as_in_the_file(tmp_path: Path) -> None:
+def test_negative_quota_is_named_in_the_error(tmp_path: Path) -> None:
     tenants = [{"name": "a", "quotaPerS": 1}, {"name": "b", "quotaPerS": -1}]
     with pytest.raises(ConfigError, match=r"field settings\.tenants\[1\]\.quotaPerS is negative"):
         ConfigSource(write(tmp_path, config_with(("settings", "tenants"), tenants))).read()
 
 
-def test_the_environment_goes_before_the_file(tmp_path: Path) -> None:
+def test_environment_overrides_the_file(tmp_path: Path) -> None:
     env = write(tmp_path, config())
     told = ConfigSource({**env, "NODE_LISTEN": "127.0.0.1:7", "NODE_DISCOVERY": "127.0.0.1:8"}).read()
     assert (told.listen, told.discovery) == (("127.0.0.1", 7), ("127.0.0.1", 8))
@@ -114,7 +114,7 @@
     assert told.settings.limits.connect_timeout_us == 250_000
 
 
-def test_a_later_file_counts_where_the_environment_was_its_copy(tmp_path: Path) -> None:
+def test_changed_file_overrides_an_environment_that_equalled_the_first_file(tmp_path: Path) -> None:
     env = {**write(tmp_path, config()), "NODE_DISCOVERY": "127.0.0.1:1", "NODE_LISTEN": "127.0.0.1:7"}
     source = ConfigSource(env)
     write(tmp_path, config(discovery="127.0.0.1:2", listen="127.0.0.1:3"))
@@ -134,6 +134,6 @@
         ({"limits": {"sockets": "many"}}, "limits.sockets"),
     ],
 )
-def test_a_bad_configuration_names_the_field(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
+def test_invalid_configuration_names_the_field(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError, match=named.replace("[", r"\[")):
         ConfigSource(write(tmp_path, config(**changes))).read()
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -38,7 +38,7 @@
         (1024, 128, 128, 128, 128),
     ],
 )
-def test_the_lower_of_the_two_limits_counts(
+def test_lower_of_configured_and_system_limits_is_used(
     told: int, soft: int, hard: int, have: int, soft_then: int, limits: dict[str, tuple[int, int]]
 ) -> None:
     limits["now"] = (soft, hard)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("error", [OSError, ValueError])
-def test_a_limit_that_cannot_be_raised_counts_as_it_is(
+def test_limit_that_cannot_be_raised_is_used_as_it_is(
     error: type[Exception], limits: dict[str, tuple[int, int]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def fails(*args: object) -> None:
@@ -58,7 +58,7 @@
     assert usable_descriptors(1024) == 64
 
 
-def test_no_limit_of_the_system_leaves_the_one_of_the_settings(limits: dict[str, tuple[int, int]]) -> None:
+def test_configured_limit_is_used_when_the_system_has_none(limits: dict[str, tuple[int, int]]) -> None:
     none = resource.RLIM_INFINITY
     limits["now"] = (none, none)
     assert usable_descriptors(128) == 128
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /api HTTP/1.1\r\nHost: x\r\n", call(path="/ready")])
-def test_idle_callers_leave_backends_and_discovery_their_descriptors(sent: bytes, tmp_path: Path) -> None:
+def test_idle_clients_leave_descriptors_for_endpoints_and_discovery(sent: bytes, tmp_path: Path) -> None:
     """A real process under a low limit, whose crowd stays: it serves, and hears of a new backend."""
 
     async def ask(port: int, request_id: str) -> bytes:
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0, 3.0])
-def test_listening_ends_in_time_for_the_last_answers(deadline_s: float) -> None:
+def test_listening_ends_in_time_for_the_last_responses(deadline_s: float) -> None:
     """And 0.25 s are left for a hold-up and the end of the process."""
     answer_by = deadline_s + 0.2
     assert 0.4 < accept_time_s(answer_by) <= answer_by
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("hangs", [False, True], ids=["backends answer", "backends hang"])
 @pytest.mark.parametrize("stopped_at_s", [None, 0.0, 0.45])
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0])
-def test_clients_that_go_on_to_the_end_get_one_answer_for_each_request_read(
+def test_each_request_read_before_exit_gets_one_response(
     tmp_path: Path, deadline_s: float, hangs: bool, stopped_at_s: float | None
 ) -> None:
     """A connection that closes with no byte of an answer may only cross a request that was not read.
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(("path", "values"), WRONG, ids=[field_name(path) for path, _ in WRONG])
-def test_at_sighup_a_field_of_the_wrong_kind_is_named_and_the_old_configuration_stands(
+def test_reload_names_a_field_of_the_wrong_type_and_keeps_the_old_configuration(
     tmp_path: Path, path: FieldPath, values: tuple[object, ...], caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize(("content", "named"), FILES.values(), ids=FILES.keys())
-def test_at_sighup_a_file_that_cannot_be_used_changes_nothing(
+def test_reload_of_an_invalid_file_changes_nothing(
     tmp_path: Path, content: bytes, named: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize("way", ["gone", "a folder", "a link to itself"])
-def test_at_sighup_a_file_that_cannot_be_read_changes_nothing(
+def test_reload_of_an_unreadable_file_changes_nothing(
     tmp_path: Path, way: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -176,7 +176,7 @@
     run(test)
 
 
-def test_at_sighup_a_spoilt_list_as_last_known_keeps_nothing_from_being_followed(
+def test_reload_with_an_invalid_cached_list_still_moves_discovery(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -35,7 +35,7 @@
 )
 
 
-def test_a_bad_configuration_ends_it_with_one_line_and_code_2(tmp_path: Path) -> None:
+def test_invalid_configuration_exits_with_one_line_and_code_2(tmp_path: Path) -> None:
     async def test() -> None:
         async with process(write(tmp_path, config(listen=5))) as made:
             out, err = await made.communicate()
@@ -60,7 +60,7 @@
     return serve
 
 
-def test_sigterm_ends_it_with_all_answered(tmp_path: Path) -> None:
+def test_sigterm_answers_every_request_before_exit(tmp_path: Path) -> None:
     """What is out is answered, new connections and open ones are served for a while, then it ends."""
 
     async def test() -> None:
@@ -94,7 +94,7 @@
     run(test)
 
 
-def test_signals_during_its_end_change_nothing_but_where_discovery_is(tmp_path: Path) -> None:
+def test_signals_during_shutdown_only_move_discovery(tmp_path: Path) -> None:
     """A second SIGTERM, and a new configuration while what is out is still answered."""
 
     async def test() -> None:
@@ -145,7 +145,7 @@
 """
 
 
-def test_a_signal_in_its_very_last_moment_does_not_kill_it(tmp_path: Path) -> None:
+def test_signal_after_the_event_loop_has_closed_does_not_kill_the_process(tmp_path: Path) -> None:
     """The event loop is closed by then, and with it the handlers are gone."""
 
     async def test() -> None:
@@ -161,7 +161,7 @@
     run(test)
 
 
-def test_what_cannot_be_answered_in_time_at_the_end_is_still_answered(tmp_path: Path) -> None:
+def test_request_still_unanswered_at_the_shutdown_deadline_is_answered_502(tmp_path: Path) -> None:
     async def test() -> None:
         begun = asyncio.Event()
 
@@ -190,9 +190,7 @@
 
 
 @pytest.mark.parametrize(("told", "given"), [(64, 1024), (1024, 64)])
-def test_it_lives_on_where_callers_want_more_descriptors_than_it_has(
-    tmp_path: Path, told: int, given: int
-) -> None:
+def test_process_survives_clients_that_exhaust_its_descriptors(tmp_path: Path, told: int, given: int) -> None:
     """It keeps to the lower limit of the two by itself, and serves beside a crowd that stays."""
 
     async def test() -> None:
@@ -219,7 +217,7 @@
 
 
 @pytest.mark.parametrize("then", ["list", "silence", "SIGTERM"])
-def test_it_listens_once_discovery_has_said_what_there_is(tmp_path: Path, then: str) -> None:
+def test_pushed_list_is_awaited_before_listening(tmp_path: Path, then: str) -> None:
     """What its agent has counts as told from the first moment on, and what was known before may be old.
 
     Where discovery is silent, what is known has to do, and an end that comes meanwhile is one.
@@ -264,9 +262,7 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_where_lists_are_asked_for_only_one_that_knows_none_waits_for_the_first(
-    tmp_path: Path, known: bool
-) -> None:
+def test_polled_list_is_awaited_only_without_a_cached_list(tmp_path: Path, known: bool) -> None:
     """Nothing counts as told there before it has come, and the call may wait for its turn."""
 
     async def test() -> None:
@@ -296,7 +292,7 @@
     run(test)
 
 
-def test_sighup_moves_the_watch_and_keeps_the_rest(tmp_path: Path) -> None:
+def test_sighup_moves_the_watch_and_keeps_open_requests(tmp_path: Path) -> None:
     """A bad file changes nothing; a good one's discovery is followed though its versions are lower."""
 
     async def test() -> None:
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(("known", "named"), SPOILT.values(), ids=SPOILT.keys())
-def test_a_spoilt_list_in_the_configuration_is_dropped_with_a_line_that_names_the_field(
+def test_invalid_cached_list_is_dropped_and_its_field_logged(
     tmp_path: Path, known: object, named: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     told = ConfigSource(write(tmp_path, config(known=known))).read()
@@ -182,7 +182,7 @@
 
 @MODES
 @MOODS
-def test_with_an_old_list_it_is_ready_though_discovery_is_down(tmp_path: Path, mode: str, mood: str) -> None:
+def test_ready_with_a_cached_list_while_discovery_is_down(tmp_path: Path, mode: str, mood: str) -> None:
     """Where lists are pushed it first waits for discovery's word, as that counts from the first moment on."""
 
     async def test() -> None:
@@ -198,7 +198,7 @@
 @MODES
 @MOODS
 @pytest.mark.parametrize("known", [None, SPOILT["an odd state"][0]], ids=["none", "spoilt"])
-def test_with_no_list_it_is_ready_soon_after_discovery_is_back(
+def test_ready_without_a_list_soon_after_discovery_returns(
     tmp_path: Path, mode: str, mood: str, known: object
 ) -> None:
     """A call that hangs may be given up first, and a wait follows; the last call failed just before."""
@@ -231,9 +231,7 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
-def test_processes_with_an_old_list_none_and_a_spoilt_one_get_ready_together(
-    tmp_path: Path, mode: str
-) -> None:
+def test_processes_with_and_without_a_cached_list_become_ready(tmp_path: Path, mode: str) -> None:
     """Discovery is silent at first; those without a list wait for it, the others don't."""
 
     async def test() -> None:
@@ -286,7 +284,7 @@
 
 @pytest.mark.parametrize("stage", STAGES)
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM], ids=["SIGKILL", "SIGTERM"])
-def test_ended_at_any_stage_of_its_start_it_comes_again_under_its_name_and_address(
+def test_process_ended_at_any_stage_of_its_start_can_restart(
     tmp_path: Path, stage: str, number: signal.Signals
 ) -> None:
     """SIGTERM ends it with no error; the next one binds and serves though clients hold connections."""
