--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -1,4 +1,4 @@
-"""The end of listening: what the system has accepted is served, and idle connections are closed."""
+"""The end of listening: accepted connections are served, and idle ones are closed."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -1,4 +1,4 @@
-"""Which connection is closed to make room for another one, and which is not."""
+"""Which connection is evicted at the connection limit, and which is not."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -1,4 +1,4 @@
-"""The last responses before a close: each whole, one for each request, nothing forwarded that came after."""
+"""The last responses before a close: each is complete, and no later request is forwarded."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Limits on clients' connections: bytes, events a turn, and descriptors, whatever some clients send."""
+"""Limits on client connections: buffered bytes, work in each turn of the event loop, and descriptors."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -1,4 +1,4 @@
-"""A client that has left: no attempt begins for it, wherever its request waits."""
+"""After a client has disconnected no attempt begins for it, wherever its request waits."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -1,4 +1,4 @@
-"""A client that leaves just before its attempt is written: nothing is written, however late that is seen."""
+"""An attempt is not written when its client disconnects just before the write."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_http_request.py
+++ b/tests/net/client/test_http_request.py
@@ -1,4 +1,4 @@
-"""The head of a request: what is read from it, and what is rejected with which status."""
+"""Parsing the head of a request: what is read from it, and which status rejects it."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_http_server_protocol.py
+++ b/tests/net/client/test_http_server_protocol.py
@@ -1,4 +1,4 @@
-"""HTTP on a client's connection without I/O: bytes fed by hand, whatever their cut."""
+"""The server side of HTTP/1.1 without I/O: bytes are fed by the test, split in any way."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -1,4 +1,4 @@
-"""Malformed requests: an error or a close in time, nothing forwarded, nothing logged."""
+"""Malformed requests get an error or a close in time, are not forwarded and are not logged."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -1,4 +1,4 @@
-"""A request of which a part has been read gets an answer, whatever ends its connection."""
+"""A request that was read in part gets an error response, whatever ends its connection."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_receive_buffer.py
+++ b/tests/net/client/test_receive_buffer.py
@@ -1,4 +1,4 @@
-"""The bytes that came before their turn: in order, with their times, and counted over all connections."""
+"""Bytes received before their turn: in order, with their times, and counted over all connections."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -1,7 +1,7 @@
-"""The whole proxy among backends that misbehave and clients that leave, judged from outside by the protocol.
+"""The whole proxy between faulty endpoints and clients that disconnect, checked from outside.
 
-What a backend does with a request hangs on the seed and the request alone. Times are long, and a hand moves
-the clock on where all stand still: the real time that passes counts for nothing.
+How an endpoint treats a request depends on the seed and the request alone. Times are long, and the test steps
+the clock whenever nothing else happens: the real time that passes does not matter.
 """
 
 from __future__ import annotations
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -1,4 +1,4 @@
-"""Clients that stop within a request, or dribble it, and stay: an error or a close within 3 s."""
+"""Clients that stall within a request, or send it byte by byte, get an error or a close within 3 s."""
 
 from __future__ import annotations
 
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -1,4 +1,4 @@
-"""Long outages of discovery: how soon changes come after them, and that nothing accumulates meanwhile."""
+"""Long outages of discovery: changes are applied soon after them, and nothing accumulates meanwhile."""
 
 from __future__ import annotations
 
--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes of lists over one course of events: how they grow from 200 endpoints to 3,200."""
+"""How the bytes of endpoint lists grow over one course of events, from 200 endpoints to 3,200."""
 
 from __future__ import annotations
 
--- a/tests/net/discovery/test_endpoint_list_json.py
+++ b/tests/net/discovery/test_endpoint_list_json.py
@@ -1,4 +1,4 @@
-"""Lists in discovery's form are read, and what is wrong in one is named."""
+"""Reading the JSON form of endpoint lists, and naming what is invalid in one."""
 
 from __future__ import annotations
 
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -1,4 +1,4 @@
-"""Changes that come in one read are applied together, with the effect that they have one by one."""
+"""Changes received in one read are applied together, with the same effect as one by one."""
 
 from __future__ import annotations
 
--- a/tests/net/discovery/test_json_stream.py
+++ b/tests/net/discovery/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON texts are split off the stream with little work, wherever its reads cut them."""
+"""JSON texts are split off a stream at little cost, wherever its reads split them."""
 
 from __future__ import annotations
 
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -1,4 +1,4 @@
-"""How soon a change of the endpoint list has to be applied, at the worst moment of each failure."""
+"""How soon a change of the endpoint list is applied, at the worst moment of each failure."""
 
 from __future__ import annotations
 
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -1,4 +1,4 @@
-"""A stepped wall clock makes no endpoint older or younger."""
+"""A step of the wall clock does not change the age of an endpoint."""
 
 from __future__ import annotations
 
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -1,4 +1,4 @@
-"""What the endpoint list changes for requests, over real sockets."""
+"""What changes of the endpoint list mean for requests, over real sockets."""
 
 from __future__ import annotations
 
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -1,4 +1,4 @@
-"""The policy's clock never steps, and knows what the wall clock showed when."""
+"""The clock of the policy never steps, and converts wall-clock times by what the wall clock showed."""
 
 from __future__ import annotations
 
--- a/tests/net/test_log_limits.py
+++ b/tests/net/test_log_limits.py
@@ -1,4 +1,4 @@
-"""Changes of the list are logged singly up to a bound, and counted beyond."""
+"""Log lines of one kind are written up to a limit in each window, and counted beyond it."""
 
 from __future__ import annotations
 
--- a/tests/net/test_repeated_fault_log.py
+++ b/tests/net/test_repeated_fault_log.py
@@ -1,4 +1,4 @@
-"""A fault that comes over and over is logged as it begins and once it is over."""
+"""A repeated fault is logged once when it begins and once when it has ended."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_answers_without_length.py
+++ b/tests/net/upstream/test_answers_without_length.py
@@ -1,4 +1,4 @@
-"""Answers that only their connection's end delimits, through the whole proxy: each whole one is passed on."""
+"""Close-delimited responses through the whole proxy: each complete one is forwarded."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -1,4 +1,4 @@
-"""Responses without a length: complete at the end of the stream, and only there."""
+"""Close-delimited responses on one connection: complete at the end of the stream, and only there."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -1,4 +1,4 @@
-"""Where connections to a backend stay away, the attempt ends in time for another backend."""
+"""When connects to an endpoint stall, its attempt ends in time to fail over to another endpoint."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_connect_latency.py
+++ b/tests/net/upstream/test_connect_latency.py
@@ -1,4 +1,4 @@
-"""What one more connection saves, by the durations of the last connects."""
+"""The time that one more connection is expected to save, by the durations of recent connects."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_connect_pacing.py
+++ b/tests/net/upstream/test_connect_pacing.py
@@ -1,4 +1,4 @@
-"""When one more connection is worth its cost, by how the connects before it ended."""
+"""When an extra connection is worth its cost, by the outcomes of earlier connects."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connection a request takes, and what becomes of the others. Each comes up when the test says so."""
+"""Which connection an attempt uses, and what becomes of the others; the test completes each connect."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -1,6 +1,7 @@
-"""Random plays on the pool: whatever begins, ends or is disabled within an attempt's end, nothing is left.
+"""Random plays on the connection pool: each attempt ends once, and the pool is empty afterwards.
 
-Each play has a seed. What must hold does not depend on which of two things comes first.
+Attempts begin and end, and endpoints are disabled, within the outcome of another attempt. Each play has a
+seed; its assertions hold in any order of concurrent events.
 """
 
 from __future__ import annotations
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""What comes late on a connection that is idle or reused is not the next response."""
+"""Late bytes on an idle or reused connection are not taken for the next response."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Which idle connections are used again, and when they are closed."""
+"""Which idle connections are reused, and when they are closed."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -1,4 +1,4 @@
-"""Responses that are cut off or are none: how the attempt ends, and what the client gets."""
+"""Truncated and invalid responses: how the attempt ends, and what the client gets."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -1,4 +1,4 @@
-"""An attempt that waits on connections that others began, and these all fail at once."""
+"""An attempt that waits for connections opened for other attempts, all of which fail."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -1,4 +1,4 @@
-"""An attempt has one outcome whatever crosses, and nothing of it is written afterwards."""
+"""An attempt has one outcome in any order of concurrent events, and nothing is written after it."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -1,4 +1,4 @@
-"""Connections that are closed, or have been sent something, before their request; or come up too late."""
+"""Connections that end or receive bytes before their request is written, or are established too late."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -1,4 +1,4 @@
-"""How attempts end that are not sent, or not sent completely."""
+"""Outcomes of attempts that are not sent, or not sent completely."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""HTTP on a connection to a backend: which outcome a response brings, by the protocol's table."""
+"""HTTP on a connection to an endpoint: which outcome each response brings."""
 
 from __future__ import annotations
 
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -1,4 +1,4 @@
-"""What a configuration may hold, where it comes from, and how a field that cannot be used is named."""
+"""What a configuration may hold, where it is read from, and how invalid fields are named."""
 
 from __future__ import annotations
 
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Fewer descriptors from the system than the settings say: backends and discovery get theirs."""
+"""With fewer descriptors than configured, endpoints and discovery still get theirs."""
 
 from __future__ import annotations
 
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The end after SIGTERM, by the longest deadline: all that was read is answered before SIGKILL may come."""
+"""Graceful shutdown within the longest deadline: each request that was read is answered."""
 
 from __future__ import annotations
 
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -1,4 +1,4 @@
-"""What a SIGHUP does with each file it may meet: taken up as a whole, or refused with the field's name."""
+"""Reload at SIGHUP: a configuration is applied as a whole, or rejected with the name of its field."""
 
 from __future__ import annotations
 
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -1,4 +1,4 @@
-"""The proxy as the deploy file starts it: configuration, readiness, limits and its end."""
+"""The proxy as a process: configuration, readiness, descriptor limits and graceful shutdown."""
 
 from __future__ import annotations
 
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -1,4 +1,4 @@
-"""A restarted process is ready soon, whatever discovery does and whatever list it was given."""
+"""A restarted process is ready soon, whatever state discovery and its cached list are in."""
 
 from __future__ import annotations
 
