--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -21,7 +21,7 @@
 from load_balancer.policy.router import MAX_RETRY_CANDIDATES
 from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET, SUBSET_COVER, subset_size
 from tests.support.balancer_harness import BalancerHarness, only, settings
-from tests.support.loopback import entry, listing, proxy, run
+from tests.support.loopback import entry, listing, proxy
 
 GROWTH = 1.5  # a change may cost this many times as much with sixteen times the backends
 
@@ -151,12 +151,9 @@
         return lines_run(take)
 
 
-def test_the_driver_takes_a_change_at_the_price_of_the_change() -> None:
-    async def test() -> None:
-        few, many = await driver_change_cost(200, 34), await driver_change_cost(3200, 544)
-        assert many < GROWTH * few, (few, many)
-
-    run(test)
+async def test_the_driver_takes_a_change_at_the_price_of_the_change() -> None:
+    few, many = await driver_change_cost(200, 34), await driver_change_cost(3200, 544)
+    assert many < GROWTH * few, (few, many)
 
 
 @pytest.mark.parametrize("instances", [1, 3, 10, 34, 100, 200, 544])
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -16,7 +16,7 @@
 from load_balancer.net.client import client_limits
 from load_balancer.process.descriptor_limits import RESERVED_DESCRIPTORS
 from tests.support.client_helpers import Client, settled, silent_backend, status, streams
-from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, run, until
+from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, until
 
 
 class Turns:
@@ -60,30 +60,27 @@
     ],
     ids=["ready", "refused", "chunks"],
 )
-def test_what_comes_at_once_is_parsed_a_little_in_each_turn(
+async def test_what_comes_at_once_is_parsed_a_little_in_each_turn(
     sent: bytes, answers: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
-            client = Client(p)
-            await until(lambda: len(p.clients.open_connections) == 1)
-            [connection] = p.clients.open_connections
-            events, answered = Turns(), Turns()
-            counted(monkeypatch, connection._http, "next_event", events)
-            counted(monkeypatch, connection, "_respond", answered)
-            reader, writer = await streams(client)
-            writer.write(sent)
-            got = [status(await read_message(reader)) for _ in range(answers)]
-            assert set(got) <= {200, 502, 503}
-            assert got[0] == 200 or not b.seen
-            # Where bytes come in a turn that has been taken already, that is one more step.
-            assert 0 < answered.most <= 2
-            assert events.most <= 2 * client_limits.MAX_EVENTS_PER_TURN
-            events.stop()
-            answered.stop()
-            writer.close()
-
-    run(test)
+    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        client = Client(p)
+        await until(lambda: len(p.clients.open_connections) == 1)
+        [connection] = p.clients.open_connections
+        events, answered = Turns(), Turns()
+        counted(monkeypatch, connection._http, "next_event", events)
+        counted(monkeypatch, connection, "_respond", answered)
+        reader, writer = await streams(client)
+        writer.write(sent)
+        got = [status(await read_message(reader)) for _ in range(answers)]
+        assert set(got) <= {200, 502, 503}
+        assert got[0] == 200 or not b.seen
+        # Where bytes come in a turn that has been taken already, that is one more step.
+        assert 0 < answered.most <= 2
+        assert events.most <= 2 * client_limits.MAX_EVENTS_PER_TURN
+        events.stop()
+        answered.stop()
+        writer.close()
 
 
 def counted(monkeypatch: pytest.MonkeyPatch, of: object, name: str, turns: Turns) -> None:
@@ -115,67 +112,61 @@
         return accepted, address
 
 
-def test_a_connection_that_has_ended_as_it_is_accepted_leaves_nothing_behind(
+async def test_a_connection_that_has_ended_as_it_is_accepted_leaves_nothing_behind(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
-            with monkeypatch.context() as patch:
-                patch.setattr(p.listener, "_listening_socket", Broken(p.listener._listening_socket))
-                clients = [Client(p) for _ in range(40)]
-                for client in clients:
-                    client.socket.setblocking(False)
-                    assert await p.listener.loop.sock_recv(client.socket, 1) == b""
-                    client.socket.close()
-                await until(lambda: not p.listener._admission_tasks)
-            assert p.clients.descriptor_count == 0
-            assert "Traceback" not in caplog.text
-            assert caplog.text.count("lost as it came") == 1
-            assert status(await p.ask(call())) == 200
-
-    run(test)
+    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        with monkeypatch.context() as patch:
+            patch.setattr(p.listener, "_listening_socket", Broken(p.listener._listening_socket))
+            clients = [Client(p) for _ in range(40)]
+            for client in clients:
+                client.socket.setblocking(False)
+                assert await p.listener.loop.sock_recv(client.socket, 1) == b""
+                client.socket.close()
+            await until(lambda: not p.listener._admission_tasks)
+        assert p.clients.descriptor_count == 0
+        assert "Traceback" not in caplog.text
+        assert caplog.text.count("lost as it came") == 1
+        assert status(await p.ask(call())) == 200
 
 
 @pytest.mark.parametrize("kind", [*KINDS, "open"])
-def test_a_flood_of_connections_takes_no_more_descriptors_than_are_reserved_for_clients(
+async def test_a_flood_of_connections_takes_no_more_descriptors_than_are_reserved_for_clients(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also on the way from the accept to a place, and from a close to its end. A client then gets in."""
 
-    async def test() -> None:
-        async with silent_backend() as b, proxy(entry("b", b.port), most=64) as p:
-            accepted: list[socket.socket] = []
-            admit = p.listener._admit
-
-            def listen(connection: socket.socket) -> Coroutine[None, None, None]:
-                accepted.append(connection)
-                return admit(connection)
-
-            monkeypatch.setattr(p.listener, "_admit", listen)
-            clients = [Client(p) for _ in range(400)]
-            for n, client in enumerate(clients):
-                client.send(KINDS[kind] if kind != "open" else call(request_id=f"r{n}"))
-            most = 0
-            while len(accepted) < 400:
-                await asyncio.sleep(0)
-                most = max(most, sum(a.fileno() >= 0 for a in accepted))
-            assert most - 64 <= RESERVED_DESCRIPTORS - FIXED - WATCHES
-            await settled()
-            assert (
-                p.clients.descriptor_count
-                == len(p.clients.open_connections)
-                == sum(a.fileno() >= 0 for a in accepted)
-            )
-            if kind != "open":
-                ready, _, _ = await p.ask(call(path="/ready"))
-                assert ready.split()[1] == "200"
-            for client in clients:
-                client.leave("RST")
-            await until(lambda: not p.clients.open_connections)
-            await settled()
-            assert p.clients.descriptor_count == 0
-
-    run(test)
+    async with silent_backend() as b, proxy(entry("b", b.port), most=64) as p:
+        accepted: list[socket.socket] = []
+        admit = p.listener._admit
+
+        def listen(connection: socket.socket) -> Coroutine[None, None, None]:
+            accepted.append(connection)
+            return admit(connection)
+
+        monkeypatch.setattr(p.listener, "_admit", listen)
+        clients = [Client(p) for _ in range(400)]
+        for n, client in enumerate(clients):
+            client.send(KINDS[kind] if kind != "open" else call(request_id=f"r{n}"))
+        most = 0
+        while len(accepted) < 400:
+            await asyncio.sleep(0)
+            most = max(most, sum(a.fileno() >= 0 for a in accepted))
+        assert most - 64 <= RESERVED_DESCRIPTORS - FIXED - WATCHES
+        await settled()
+        assert (
+            p.clients.descriptor_count
+            == len(p.clients.open_connections)
+            == sum(a.fileno() >= 0 for a in accepted)
+        )
+        if kind != "open":
+            ready, _, _ = await p.ask(call(path="/ready"))
+            assert ready.split()[1] == "200"
+        for client in clients:
+            client.leave("RST")
+        await until(lambda: not p.clients.open_connections)
+        await settled()
+        assert p.clients.descriptor_count == 0
 
 
 @contextmanager
@@ -191,7 +182,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_a_lack_of_descriptors_is_logged_as_it_begins_and_when_it_is_over(
+async def test_a_lack_of_descriptors_is_logged_as_it_begins_and_when_it_is_over(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It is met again every 0.05 s while it lasts, and who waits for one is served afterwards."""
@@ -202,105 +193,91 @@
             r.getMessage() for r in caplog.records if r.name == "load_balancer.net.client.client_listener"
         ]
 
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
-            clock = SteppedClock()
-            for _ in range(2):  # a second spell is told of again
-                caplog.clear()
-                met, client = Turns(), Client(p)
-                with pytest.MonkeyPatch.context() as patch, no_descriptors():
-                    counted(patch, p.listener._descriptor_faults, "record", met)
-                    for n in range(30):
-                        await until(lambda n=n, met=met: met.all > n)  # type: ignore[misc]
-                        clock.step(client_limits.ACCEPT_RETRY_DELAY_S)
-                met.stop()
-                assert lines() == ["no descriptor for a connection: [Errno 24] Too many open files"]
-                client.send(call(path="/ready"))
-                reader, writer = await streams(client)
-                assert status(await read_message(reader)) == 200
-                clock.step(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
-                await until(lambda: len(lines()) > 1)
-                assert lines()[1:] == [f"no descriptor for a connection: over, {met.all} times in all"]
-                writer.close()
-                clock.step(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
-                await settled()
-                assert len(lines()) == 2
-
-    run(test)
-
-
-def test_connections_that_are_lost_before_they_are_accepted_are_logged_once(
+    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        clock = SteppedClock()
+        for _ in range(2):  # a second spell is told of again
+            caplog.clear()
+            met, client = Turns(), Client(p)
+            with pytest.MonkeyPatch.context() as patch, no_descriptors():
+                counted(patch, p.listener._descriptor_faults, "record", met)
+                for n in range(30):
+                    await until(lambda n=n, met=met: met.all > n)  # type: ignore[misc]
+                    clock.step(client_limits.ACCEPT_RETRY_DELAY_S)
+            met.stop()
+            assert lines() == ["no descriptor for a connection: [Errno 24] Too many open files"]
+            client.send(call(path="/ready"))
+            reader, writer = await streams(client)
+            assert status(await read_message(reader)) == 200
+            clock.step(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
+            await until(lambda: len(lines()) > 1)
+            assert lines()[1:] == [f"no descriptor for a connection: over, {met.all} times in all"]
+            writer.close()
+            clock.step(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
+            await settled()
+            assert len(lines()) == 2
+
+
+async def test_connections_that_are_lost_before_they_are_accepted_are_logged_once(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
-
-            async def fails(*args: object) -> None:
-                raise ConnectionAbortedError("gone")
+    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
 
-            with monkeypatch.context() as patch:
-                patch.setattr(p.listener.loop, "connect_accepted_socket", fails)
-                clients = [Client(p) for _ in range(100)]
-                for client in clients:
-                    client.socket.setblocking(False)
-                    with contextlib.suppress(ConnectionError):
-                        assert await p.listener.loop.sock_recv(client.socket, 1) == b""
-                    client.socket.close()
-            assert caplog.text.count("lost as it came") == 1
-            assert p.clients.descriptor_count == 0
-            assert status(await p.ask(call())) == 200
+        async def fails(*args: object) -> None:
+            raise ConnectionAbortedError("gone")
 
-    run(test)
+        with monkeypatch.context() as patch:
+            patch.setattr(p.listener.loop, "connect_accepted_socket", fails)
+            clients = [Client(p) for _ in range(100)]
+            for client in clients:
+                client.socket.setblocking(False)
+                with contextlib.suppress(ConnectionError):
+                    assert await p.listener.loop.sock_recv(client.socket, 1) == b""
+                client.socket.close()
+        assert caplog.text.count("lost as it came") == 1
+        assert p.clients.descriptor_count == 0
+        assert status(await p.ask(call())) == 200
 
 
-def test_what_many_clients_send_ahead_at_once_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_what_many_clients_send_ahead_at_once_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whatever the system has of each of them: one read each at the most goes over the limit for all."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES", 100_000)
     callers = 40
 
-    async def test() -> None:
-        async with silent_backend() as b, proxy(entry("b", b.port)) as p:
-            clients = [Client(p) for _ in range(callers)]
-            await until(lambda: len(p.clients.open_connections) == callers)
-            for n, client in enumerate(clients):  # all of it before any is read
-                client.socket.setblocking(False)
-                client.socket.send(
-                    call(request_id=f"r{n}") + call("mark", request_id=f"s{n}", body=b"x" * 60_000) * 10
-                )
-            connections = list(p.clients.open_connections)
-            await until(lambda: all(not c.transport.is_reading() for c in connections))
-            assert len(p.driver._requests) == callers  # each with its own request open
-            assert (
-                100_000 < p.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
+    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+        clients = [Client(p) for _ in range(callers)]
+        await until(lambda: len(p.clients.open_connections) == callers)
+        for n, client in enumerate(clients):  # all of it before any is read
+            client.socket.setblocking(False)
+            client.socket.send(
+                call(request_id=f"r{n}") + call("mark", request_id=f"s{n}", body=b"x" * 60_000) * 10
             )
-            assert p.clients.buffered.size_bytes == sum(c._http.received.size_bytes for c in connections)
-            for client in clients:
-                client.leave("RST")
-            await until(lambda: not p.clients.open_connections)
-            assert p.clients.buffered.size_bytes == 0
-
-    run(test)
-
-
-def test_a_connection_whose_request_is_parsed_over_some_turns_is_not_closed_to_make_room() -> None:
+        connections = list(p.clients.open_connections)
+        await until(lambda: all(not c.transport.is_reading() for c in connections))
+        assert len(p.driver._requests) == callers  # each with its own request open
+        assert 100_000 < p.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
+        assert p.clients.buffered.size_bytes == sum(c._http.received.size_bytes for c in connections)
+        for client in clients:
+            client.leave("RST")
+        await until(lambda: not p.clients.open_connections)
+        assert p.clients.buffered.size_bytes == 0
+
+
+async def test_a_connection_whose_request_is_parsed_over_some_turns_is_not_closed_to_make_room() -> None:
     """All of it has come by then."""
 
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port), most=1) as p:
-            client = Client(p)
-            await until(lambda: len(p.clients.open_connections) == 1)
-            [connection] = p.clients.open_connections
-            client.send(chunks(2_500))  # in one read, and in 25 turns
-            await until(lambda: connection._is_processing_scheduled)
-            other = Client(p)
-            other.send(call(request_id="other"))
-            await until(lambda: len(p.clients.open_connections) == 2)
-            assert connection._is_processing_scheduled
-            assert connection in p.clients.unused_connections
-            for one, expected in ((client, 200), (other, 503)):
-                reader, writer = await streams(one)
-                assert status(await read_message(reader)) == expected
-                writer.close()
-            assert [headers["req-id"] for _, headers, _ in b.seen] == ["chunks"]
-
-    run(test)
+    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port), most=1) as p:
+        client = Client(p)
+        await until(lambda: len(p.clients.open_connections) == 1)
+        [connection] = p.clients.open_connections
+        client.send(chunks(2_500))  # in one read, and in 25 turns
+        await until(lambda: connection._is_processing_scheduled)
+        other = Client(p)
+        other.send(call(request_id="other"))
+        await until(lambda: len(p.clients.open_connections) == 2)
+        assert connection._is_processing_scheduled
+        assert connection in p.clients.unused_connections
+        for one, expected in ((client, 200), (other, 503)):
+            reader, writer = await streams(one)
+            assert status(await read_message(reader)) == expected
+            writer.close()
+        assert [headers["req-id"] for _, headers, _ in b.seen] == ["chunks"]
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -14,7 +14,7 @@
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from tests.net.client.test_departed_client_attempts import FAILURE, WAYS, limits, nothing_left
 from tests.support.client_helpers import Client, attempt_connection, settled, silent_backend
-from tests.support.loopback import Gate, answer, call, entry, proxy, read_message, run, until
+from tests.support.loopback import Gate, answer, call, entry, proxy, read_message, until
 
 PATHS = ["connection comes up", "kept connection", "kept connection settles", "further attempt"]
 
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("paused", [True, False])
-def test_an_attempt_is_not_written_for_a_client_that_left_since_it_was_decided(
+async def test_an_attempt_is_not_written_for_a_client_that_left_since_it_was_decided(
     way: str, path: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The process is held up at the last clock that is read before the write, and the client leaves there.
@@ -58,86 +58,80 @@
         monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     hold = Hold(monkeypatch)
 
-    async def test() -> None:
-        async with (
-            silent_backend() as a,
-            silent_backend() as b,
-            proxy(entry("a", a.port), entry("b", b.port), setup=limits(cancel)) as p,
-        ):
-            if path.startswith("kept connection"):
-                for backend in p.driver._endpoints.by_number.values():  # one idle connection to each
-                    p.pool.start_attempt(
-                        backend,
-                        UpstreamRequest(b"GET", b"/", [(b"host", b"x")], b"", is_idempotent=True),
-                        5.0,
-                        lambda outcome, reply: None,
-                    )
-                await until(lambda: len(a.seen) + len(b.seen) == 2)
-                for idle in list(p.pool._open):
-                    idle.data_received(answer(200, b"x"))
-            gate = Gate(p.pool)
-            if path in ("connection comes up", "further attempt"):
-                gate.opened.set()
-            client = Client(p)
-            hold.meanwhile = lambda: None if way == "stays" else client.leave(way)  # type: ignore[method-assign]
-            hold.armed = path != "further attempt"
-            before = len(a.seen) + len(b.seen)
-            await until(lambda: len(p.clients.open_connections) == 1)
-            [connection] = p.clients.open_connections
-            client.socket.setblocking(False)
-            behind = call("mark", request_id="behind", body=b"x" * 60_000) if paused else b""
-            await p.listener.loop.sock_sendall(client.socket, call() + behind)
-            if path == "further attempt":
-                await until(lambda: len(a.seen) + len(b.seen) == 1)
-                await until(lambda: connection.transport.is_reading() is not paused)
-                hold.armed = True
-                attempt_connection(p).data_received(FAILURE)
-                before = 1
-            await until(lambda: hold.held == 1)
-            if way == "stays":
-                await until(lambda: len(a.seen) + len(b.seen) == before + 1)
-                client.leave("RST")
-                await until(lambda: not p.clients.open_connections)
-                return
-            await until(lambda: connection not in p.clients.open_connections)
+    async with (
+        silent_backend() as a,
+        silent_backend() as b,
+        proxy(entry("a", a.port), entry("b", b.port), setup=limits(cancel)) as p,
+    ):
+        if path.startswith("kept connection"):
+            for backend in p.driver._endpoints.by_number.values():  # one idle connection to each
+                p.pool.start_attempt(
+                    backend,
+                    UpstreamRequest(b"GET", b"/", [(b"host", b"x")], b"", is_idempotent=True),
+                    5.0,
+                    lambda outcome, reply: None,
+                )
+            await until(lambda: len(a.seen) + len(b.seen) == 2)
+            for idle in list(p.pool._open):
+                idle.data_received(answer(200, b"x"))
+        gate = Gate(p.pool)
+        if path in ("connection comes up", "further attempt"):
             gate.opened.set()
-            await settled()
-            assert len(a.seen) + len(b.seen) == before
-            assert nothing_left(p)
-            assert not p.driver._attempts
-            assert not p.clients.paused_connections
-            assert not p.pool._waiting
-
-    run(test)
+        client = Client(p)
+        hold.meanwhile = lambda: None if way == "stays" else client.leave(way)  # type: ignore[method-assign]
+        hold.armed = path != "further attempt"
+        before = len(a.seen) + len(b.seen)
+        await until(lambda: len(p.clients.open_connections) == 1)
+        [connection] = p.clients.open_connections
+        client.socket.setblocking(False)
+        behind = call("mark", request_id="behind", body=b"x" * 60_000) if paused else b""
+        await p.listener.loop.sock_sendall(client.socket, call() + behind)
+        if path == "further attempt":
+            await until(lambda: len(a.seen) + len(b.seen) == 1)
+            await until(lambda: connection.transport.is_reading() is not paused)
+            hold.armed = True
+            attempt_connection(p).data_received(FAILURE)
+            before = 1
+        await until(lambda: hold.held == 1)
+        if way == "stays":
+            await until(lambda: len(a.seen) + len(b.seen) == before + 1)
+            client.leave("RST")
+            await until(lambda: not p.clients.open_connections)
+            return
+        await until(lambda: connection not in p.clients.open_connections)
+        gate.opened.set()
+        await settled()
+        assert len(a.seen) + len(b.seen) == before
+        assert nothing_left(p)
+        assert not p.driver._attempts
+        assert not p.clients.paused_connections
+        assert not p.pool._waiting
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_what_is_not_written_takes_no_connection_from_another_that_waits(way: str) -> None:
+async def test_what_is_not_written_takes_no_connection_from_another_that_waits(way: str) -> None:
     """Two wait for connections to one backend, and the first of them leaves as they come up."""
 
-    async def test() -> None:
-        async with silent_backend() as b, proxy(entry("b", b.port)) as p:
-            gate, leaver, stayer = Gate(p.pool), Client(p), Client(p)
-            for client, key in ((leaver, "leaves"), (stayer, "stays")):
-                client.send(call(request_id=key))
-                await until(lambda key=key: key.encode() in p.clients.open_request_ids)  # type: ignore[misc]
-            await until(lambda: gate.waiting == 2)
-            came_up = p.pool._on_connected
-
-            def leaving(pending: PendingConnection, connection: UpstreamConnection) -> None:
-                if len(p.pool._waiting[pending.endpoint]) == 2:
-                    leaver.leave(way)
-                came_up(pending, connection)
-
-            p.pool._on_connected = leaving  # type: ignore[method-assign]
-            gate.opened.set()
-            await until(lambda: bool(b.seen))
-            attempt_connection(p).data_received(answer(200, b"x"))
-            stayer.socket.setblocking(False)
-            reader, writer = await asyncio.open_connection(sock=stayer.socket)
-            assert (await read_message(reader))[2] == b"x"
-            writer.close()
-            await until(lambda: not p.clients.open_connections)
-            assert [headers["req-id"] for _, headers, _ in b.seen] == ["stays"]
-
-    run(test)
+    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+        gate, leaver, stayer = Gate(p.pool), Client(p), Client(p)
+        for client, key in ((leaver, "leaves"), (stayer, "stays")):
+            client.send(call(request_id=key))
+            await until(lambda key=key: key.encode() in p.clients.open_request_ids)  # type: ignore[misc]
+        await until(lambda: gate.waiting == 2)
+        came_up = p.pool._on_connected
+
+        def leaving(pending: PendingConnection, connection: UpstreamConnection) -> None:
+            if len(p.pool._waiting[pending.endpoint]) == 2:
+                leaver.leave(way)
+            came_up(pending, connection)
+
+        p.pool._on_connected = leaving  # type: ignore[method-assign]
+        gate.opened.set()
+        await until(lambda: bool(b.seen))
+        attempt_connection(p).data_received(answer(200, b"x"))
+        stayer.socket.setblocking(False)
+        reader, writer = await asyncio.open_connection(sock=stayer.socket)
+        assert (await read_message(reader))[2] == b"x"
+        writer.close()
+        await until(lambda: not p.clients.open_connections)
+        assert [headers["req-id"] for _, headers, _ in b.seen] == ["stays"]
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -19,7 +19,6 @@
     entry,
     proxy,
     read_message,
-    run,
     until,
 )
 
@@ -68,29 +67,26 @@
 
 @pytest.mark.parametrize("sent", BAD.values(), ids=BAD.keys())
 @pytest.mark.parametrize("cut", [0, 1])
-def test_a_malformed_request_gets_an_error_and_a_close(
+async def test_a_malformed_request_gets_an_error_and_a_close(
     sent: bytes, cut: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     """At once, whether it comes in one piece or byte by byte."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b, proxy(entry("b", b.port)) as p:
-            reader, writer = await p.connect()
-            with contextlib.suppress(ConnectionError):
-                for piece in [sent] if not cut else [sent[n : n + cut] for n in range(min(len(sent), 400))]:
-                    writer.write(piece)
-                    await asyncio.sleep(0)
-                writer.write(sent[400 * cut :] if cut else b"")
-            got = await read_message(reader)
-            assert 400 <= status(got) < 600
-            assert got[1]["connection"] == "close"
-            assert await reader.read() == b""
-            writer.close()
-            assert b.seen == []
-            assert not lines(caplog)
-            assert status(await p.ask(call())) == 200
-
-    run(test)
+    async with backend(answer(200)) as b, proxy(entry("b", b.port)) as p:
+        reader, writer = await p.connect()
+        with contextlib.suppress(ConnectionError):
+            for piece in [sent] if not cut else [sent[n : n + cut] for n in range(min(len(sent), 400))]:
+                writer.write(piece)
+                await asyncio.sleep(0)
+            writer.write(sent[400 * cut :] if cut else b"")
+        got = await read_message(reader)
+        assert 400 <= status(got) < 600
+        assert got[1]["connection"] == "close"
+        assert await reader.read() == b""
+        writer.close()
+        assert b.seen == []
+        assert not lines(caplog)
+        assert status(await p.ask(call())) == 200
 
 
 def dribbled(begin: bytes, more: bytes) -> Iterator[bytes]:
@@ -114,56 +110,52 @@
 
 
 @pytest.mark.parametrize("kind", STILL)
-def test_a_request_without_an_end_is_closed_in_time(kind: str, caplog: pytest.LogCaptureFixture) -> None:
+async def test_a_request_without_an_end_is_closed_in_time(
+    kind: str, caplog: pytest.LogCaptureFixture
+) -> None:
     """However it keeps its bytes coming; the clock is stepped, a byte or a line each 0.05 s."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b, proxy(entry("b", b.port)) as p:
-            clock, client, gave = SteppedClock(), Client(p), STILL[kind]()
-            await until(lambda: len(p.clients.open_connections) == 1)
-            while p.clients.open_connections and clock.ahead <= DUE_S - LATE_S:
-                with contextlib.suppress(ConnectionError):
-                    client.send(next(gave))
-                await settled()
-                clock.step(0.05)
-                await settled()
-            assert not p.clients.open_connections
-            assert clock.ahead <= DUE_S - LATE_S
-            assert b.seen == []
-            assert not p.clients.open_request_ids
-            assert p.clients.buffered.size_bytes == 0
-            assert not lines(caplog)
-            client.socket.close()
-
-    run(test)
+    async with backend(answer(200)) as b, proxy(entry("b", b.port)) as p:
+        clock, client, gave = SteppedClock(), Client(p), STILL[kind]()
+        await until(lambda: len(p.clients.open_connections) == 1)
+        while p.clients.open_connections and clock.ahead <= DUE_S - LATE_S:
+            with contextlib.suppress(ConnectionError):
+                client.send(next(gave))
+            await settled()
+            clock.step(0.05)
+            await settled()
+        assert not p.clients.open_connections
+        assert clock.ahead <= DUE_S - LATE_S
+        assert b.seen == []
+        assert not p.clients.open_request_ids
+        assert p.clients.buffered.size_bytes == 0
+        assert not lines(caplog)
+        client.socket.close()
 
 
 @pytest.mark.parametrize("head", [call("mark", Content_Length="60000000"), b"", CHUNKED, call(request_id="")])
-def test_a_client_that_sends_60_mb_gets_an_error_and_a_close(
+async def test_a_client_that_sends_60_mb_gets_an_error_and_a_close(
     head: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     """What it sends is read for a while, so that the error is not lost, and takes no memory."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b, proxy(entry("b", b.port)) as p:
-            clock = SteppedClock()
-            reader, writer = await p.connect()
-            sent = head + (b"4000000\r\n" if head is CHUNKED else b"")
-            got = asyncio.create_task(read_message(reader))
-            with contextlib.suppress(ConnectionError):
-                for _ in range(60):
-                    writer.write(sent + b"x" * 1_000_000)
-                    sent = b""
-                    await writer.drain()
-                    assert p.clients.buffered.size_bytes <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION
-            assert 400 <= status(await got) < 600
-            clock.step(client_limits.LINGER_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
-            await until(lambda: not p.clients.open_connections)
-            writer.transport.abort()
-            assert b.seen == []
-            assert not lines(caplog)
-
-    run(test)
+    async with backend(answer(200)) as b, proxy(entry("b", b.port)) as p:
+        clock = SteppedClock()
+        reader, writer = await p.connect()
+        sent = head + (b"4000000\r\n" if head is CHUNKED else b"")
+        got = asyncio.create_task(read_message(reader))
+        with contextlib.suppress(ConnectionError):
+            for _ in range(60):
+                writer.write(sent + b"x" * 1_000_000)
+                sent = b""
+                await writer.drain()
+                assert p.clients.buffered.size_bytes <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION
+        assert 400 <= status(await got) < 600
+        clock.step(client_limits.LINGER_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
+        await until(lambda: not p.clients.open_connections)
+        writer.transport.abort()
+        assert b.seen == []
+        assert not lines(caplog)
 
 
 FORMS = {
@@ -180,56 +172,50 @@
 
 @pytest.mark.parametrize("kind", FORMS)
 @pytest.mark.parametrize("cut", [1, 2, 7])
-def test_requests_come_in_all_forms_and_in_pieces_across_their_ends(kind: str, cut: int) -> None:
+async def test_requests_come_in_all_forms_and_in_pieces_across_their_ends(kind: str, cut: int) -> None:
     """Two of them, one right behind the other: each gets its own answer, and is sent on as it was."""
 
-    async def test() -> None:
-        second = FORMS[kind].replace(b"f1", b"f2")
-        async with silent_backend() as b, proxy(entry("b", b.port)) as p:
-            client = Client(p)
-            sent = FORMS[kind] + second
-            for at in range(0, len(sent), cut):
-                client.send(sent[at : at + cut])
-                await asyncio.sleep(0)
-                await asyncio.sleep(0)
-            for n in (1, 2):
-                await until(lambda n=n: len(b.seen) == n)  # type: ignore[misc]
-                attempt_connection(p).data_received(answer(200, b"%d" % n))
-            reader, writer = await streams(client)
-            assert [(await read_message(reader))[2] for _ in range(2)] == [b"1", b"2"]
-            for n, (first, headers, body) in enumerate(b.seen):
-                assert (first, headers["req-id"], body) == ("POST /api?a=b HTTP/1.1", f"f{n + 1}", b"hello")
-            writer.close()
-
-    run(test)
+    second = FORMS[kind].replace(b"f1", b"f2")
+    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+        client = Client(p)
+        sent = FORMS[kind] + second
+        for at in range(0, len(sent), cut):
+            client.send(sent[at : at + cut])
+            await asyncio.sleep(0)
+            await asyncio.sleep(0)
+        for n in (1, 2):
+            await until(lambda n=n: len(b.seen) == n)  # type: ignore[misc]
+            attempt_connection(p).data_received(answer(200, b"%d" % n))
+        reader, writer = await streams(client)
+        assert [(await read_message(reader))[2] for _ in range(2)] == [b"1", b"2"]
+        for n, (first, headers, body) in enumerate(b.seen):
+            assert (first, headers["req-id"], body) == ("POST /api?a=b HTTP/1.1", f"f{n + 1}", b"hello")
+        writer.close()
 
 
 @pytest.mark.parametrize("ahead", [True, False])
-def test_empty_lines_behind_a_request_are_no_request(ahead: bool) -> None:
+async def test_empty_lines_behind_a_request_are_no_request(ahead: bool) -> None:
     """They bring no answer, and the connection rests as if they had not come."""
 
-    async def test() -> None:
-        async with silent_backend() as b, proxy(entry("b", b.port)) as p:
-            client = Client(p)
-            client.send(call() + (b"\r\n\r\n" if ahead else b""))
-            await until(lambda: len(b.seen) == 1)
-            attempt_connection(p).data_received(answer(200, b"x"))
-            await until(lambda: bool(p.clients.idle_connections))
-            [connection] = p.clients.idle_connections
-            since = connection._last_progress_at_s
-            if not ahead:
-                for empty in (b"\r\n", b"\r", b"\n\r\n"):
-                    client.send(empty)
-                    await settled()
-            assert connection.is_idle
-            assert connection in p.clients.idle_connections
-            assert connection._last_progress_at_s == since
-            assert p.clients.buffered.size_bytes == 0
-            client.send(b"\r\n" + call(path="/ready", Connection="close"))
-            reader, writer = await streams(client)
-            assert [status(await read_message(reader)) for _ in range(2)] == [200, 200]
-            assert await reader.read() == b""
-            writer.close()
-            await until(lambda: not p.clients.open_connections)
-
-    run(test)
+    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+        client = Client(p)
+        client.send(call() + (b"\r\n\r\n" if ahead else b""))
+        await until(lambda: len(b.seen) == 1)
+        attempt_connection(p).data_received(answer(200, b"x"))
+        await until(lambda: bool(p.clients.idle_connections))
+        [connection] = p.clients.idle_connections
+        since = connection._last_progress_at_s
+        if not ahead:
+            for empty in (b"\r\n", b"\r", b"\n\r\n"):
+                client.send(empty)
+                await settled()
+        assert connection.is_idle
+        assert connection in p.clients.idle_connections
+        assert connection._last_progress_at_s == since
+        assert p.clients.buffered.size_bytes == 0
+        client.send(b"\r\n" + call(path="/ready", Connection="close"))
+        reader, writer = await streams(client)
+        assert [status(await read_message(reader)) for _ in range(2)] == [200, 200]
+        assert await reader.read() == b""
+        writer.close()
+        await until(lambda: not p.clients.open_connections)
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -31,7 +31,6 @@
     listing,
     proxy,
     read_message,
-    run,
     until,
 )
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
@@ -55,186 +54,168 @@
 
 @pytest.mark.parametrize("stop", STOPS)
 @pytest.mark.parametrize("reason", REASONS)
-def test_a_request_that_has_come_in_part_gets_an_error_as_its_connection_is_ended(
+async def test_a_request_that_has_come_in_part_gets_an_error_as_its_connection_is_ended(
     stop: str, reason: str
 ) -> None:
     """Its client can read it though it goes on sending."""
 
-    async def test() -> None:
-        async with silent_backend() as b, proxy(entry("b", b.port), most=1) as p:
-            clock, client = SteppedClock(), Client(p)
-            connection = await came(p, client, STOPS[stop])
-            if reason == "time":
-                clock.step(client_limits.REQUEST_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
-            elif reason == "room":
-                newcomer = Client(p)
-            else:
-                p.listener.close()
-            await until(lambda: connection.transport.is_closing())
-            await settled()
-            with contextlib.suppress(ConnectionError):
-                client.send(b"x")
-                client.send(b"x")
-            reader, writer = await streams(client)
+    async with silent_backend() as b, proxy(entry("b", b.port), most=1) as p:
+        clock, client = SteppedClock(), Client(p)
+        connection = await came(p, client, STOPS[stop])
+        if reason == "time":
+            clock.step(client_limits.REQUEST_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
+        elif reason == "room":
+            newcomer = Client(p)
+        else:
+            p.listener.close()
+        await until(lambda: connection.transport.is_closing())
+        await settled()
+        with contextlib.suppress(ConnectionError):
+            client.send(b"x")
+            client.send(b"x")
+        reader, writer = await streams(client)
+        got = await read_message(reader)
+        if got[0].split()[1] == "100":
             got = await read_message(reader)
-            if got[0].split()[1] == "100":
-                got = await read_message(reader)
-            assert status(got) == REASONS[reason]
-            assert closes(got)
-            writer.close()
-            if reason == "room":
-                newcomer.leave("RST")
-            await until(lambda: not p.clients.open_connections)
-            assert not b.seen
-            assert p.driver.idle
-            assert not p.clients.open_request_ids
-            assert p.clients.descriptor_count == 0
-
-    run(test)
-
-
-def test_connections_that_have_sent_nothing_are_closed_first_to_make_room() -> None:
+        assert status(got) == REASONS[reason]
+        assert closes(got)
+        writer.close()
+        if reason == "room":
+            newcomer.leave("RST")
+        await until(lambda: not p.clients.open_connections)
+        assert not b.seen
+        assert p.driver.idle
+        assert not p.clients.open_request_ids
+        assert p.clients.descriptor_count == 0
+
+
+async def test_connections_that_have_sent_nothing_are_closed_first_to_make_room() -> None:
     """Before those that have brought a part of a request, though these came earlier."""
 
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port), most=2) as p:
-            half, nothing = Client(p), Client(p)
-            request = call()
-            begun = await came(p, half, request[:40])
-            await until(lambda: len(p.clients.open_connections) == 2)
-            [idle] = p.clients.open_connections - {begun}
-            assert status(await p.ask(call(request_id="other"))) == 200
-            assert begun in p.clients.open_connections
-            assert idle not in p.clients.open_connections
-            half.send(request[40:])
-            reader, writer = await streams(half)
-            assert status(await read_message(reader)) == 200
-            writer.close()
-            nothing.socket.close()
-
-    run(test)
+    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port), most=2) as p:
+        half, nothing = Client(p), Client(p)
+        request = call()
+        begun = await came(p, half, request[:40])
+        await until(lambda: len(p.clients.open_connections) == 2)
+        [idle] = p.clients.open_connections - {begun}
+        assert status(await p.ask(call(request_id="other"))) == 200
+        assert begun in p.clients.open_connections
+        assert idle not in p.clients.open_connections
+        half.send(request[40:])
+        reader, writer = await streams(half)
+        assert status(await read_message(reader)) == 200
+        writer.close()
+        nothing.socket.close()
 
 
 @pytest.mark.parametrize("stop", STOPS)
-def test_a_connection_with_a_later_incomplete_request_is_not_closed_to_make_room(stop: str) -> None:
+async def test_a_connection_with_a_later_incomplete_request_is_not_closed_to_make_room(stop: str) -> None:
     """Its connection has served its client before."""
 
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port), most=1) as p:
-            client = Client(p)
-            await came(p, client, call(request_id="first"))
-            await until(lambda: bool(p.clients.idle_connections))
-            [connection] = p.clients.open_connections
-            client.send(STOPS[stop])
-            await until(lambda: connection.has_unanswered_request)
-            assert status(await p.ask(call(request_id="other"))) == 503
-            assert connection in p.clients.open_connections
-            assert not connection.transport.is_closing()
-            client.socket.close()
-            await until(lambda: not p.clients.open_connections)
-
-    run(test)
-
-
-def test_a_request_that_is_open_is_not_refused_as_the_process_ends() -> None:
+    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port), most=1) as p:
+        client = Client(p)
+        await came(p, client, call(request_id="first"))
+        await until(lambda: bool(p.clients.idle_connections))
+        [connection] = p.clients.open_connections
+        client.send(STOPS[stop])
+        await until(lambda: connection.has_unanswered_request)
+        assert status(await p.ask(call(request_id="other"))) == 503
+        assert connection in p.clients.open_connections
+        assert not connection.transport.is_closing()
+        client.socket.close()
+        await until(lambda: not p.clients.open_connections)
+
+
+async def test_a_request_that_is_open_is_not_refused_as_the_process_ends() -> None:
     """It may have run. One whose client still writes is: nothing of it was sent on."""
 
-    async def test() -> None:
-        async with silent_backend() as b, proxy(entry("b", b.port)) as p:
-            busy, half = Client(p), Client(p)
-            await came(p, busy, call(request_id="open"))
-            await until(lambda: len(b.seen) == 1)
-            await came(p, half, call()[:40])
-            p.listener.close()
-            await until(lambda: not p.clients.open_connections)
-            reader, writer = await streams(busy)
-            assert await reader.read() == b""
-            writer.close()
-            reader, writer = await streams(half)
-            assert status(await read_message(reader)) == 503
-            writer.close()
-
-    run(test)
+    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+        busy, half = Client(p), Client(p)
+        await came(p, busy, call(request_id="open"))
+        await until(lambda: len(b.seen) == 1)
+        await came(p, half, call()[:40])
+        p.listener.close()
+        await until(lambda: not p.clients.open_connections)
+        reader, writer = await streams(busy)
+        assert await reader.read() == b""
+        writer.close()
+        reader, writer = await streams(half)
+        assert status(await read_message(reader)) == 503
+        writer.close()
 
 
 @pytest.mark.parametrize("where", ["read", "whole", "taken over"])
-def test_a_fault_over_a_request_brings_it_an_error_and_spares_the_others(
+async def test_a_fault_over_a_request_brings_it_an_error_and_spares_the_others(
     where: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The error promises nothing, as the fault may have come after an attempt began."""
 
-    async def test() -> None:
-        async with silent_backend() as b, proxy(entry("b", b.port)) as p:
-            other, client = Client(p), Client(p)
-            await came(p, other, call(request_id="other"))
-            await until(lambda: len(b.seen) == 1)
-
-            take_over = p.driver.request
-
-            def fails(*args: ClientRequest) -> str:
-                if where == "taken over":
-                    take_over(*args)
-                raise KeyError("a fault")
-
-            request = call("mark", request_id="faulty", body=b"xx")
-            connection = await came(p, client, request[:-2])
-            with monkeypatch.context() as patch:
-                if where == "read":
-                    patch.setattr(connection._http, "next_event", fails)
-                else:
-                    patch.setattr(p.driver, "request", fails)
-                client.send(request[-2:])
-                await until(lambda: connection._is_lingering or connection.transport.is_closing())
-            reader, writer = await streams(client)
-            got = await read_message(reader)
-            assert status(got) == 500
-            assert closes(got)
-            if where == "taken over":  # a backend's answer comes too late for it
-                await until(lambda: len(b.seen) == 2)
-                late = list(p.driver._attempts.values())[1]._connection
-                assert late is not None
-                late.data_received(answer(200))
-            assert await reader.read() == b""
-            writer.close()
-            assert caplog.text.count("Traceback") == 1
-            assert p.clients.open_request_ids == {b"other"}
-            attempt_connection(p).data_received(answer(200, b"x"))
-            reader, writer = await streams(other)
-            assert status(await read_message(reader)) == 200
-            writer.close()
-            await until(lambda: not p.clients.open_connections)
-            assert p.driver.idle
+    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+        other, client = Client(p), Client(p)
+        await came(p, other, call(request_id="other"))
+        await until(lambda: len(b.seen) == 1)
 
-    run(test)
+        take_over = p.driver.request
 
+        def fails(*args: ClientRequest) -> str:
+            if where == "taken over":
+                take_over(*args)
+            raise KeyError("a fault")
 
-def test_a_request_that_is_complete_after_the_last_moment_is_answered_503_and_not_forwarded() -> None:
+        request = call("mark", request_id="faulty", body=b"xx")
+        connection = await came(p, client, request[:-2])
+        with monkeypatch.context() as patch:
+            if where == "read":
+                patch.setattr(connection._http, "next_event", fails)
+            else:
+                patch.setattr(p.driver, "request", fails)
+            client.send(request[-2:])
+            await until(lambda: connection._is_lingering or connection.transport.is_closing())
+        reader, writer = await streams(client)
+        got = await read_message(reader)
+        assert status(got) == 500
+        assert closes(got)
+        if where == "taken over":  # a backend's answer comes too late for it
+            await until(lambda: len(b.seen) == 2)
+            late = list(p.driver._attempts.values())[1]._connection
+            assert late is not None
+            late.data_received(answer(200))
+        assert await reader.read() == b""
+        writer.close()
+        assert caplog.text.count("Traceback") == 1
+        assert p.clients.open_request_ids == {b"other"}
+        attempt_connection(p).data_received(answer(200, b"x"))
+        reader, writer = await streams(other)
+        assert status(await read_message(reader)) == 200
+        writer.close()
+        await until(lambda: not p.clients.open_connections)
+        assert p.driver.idle
+
+
+async def test_a_request_that_is_complete_after_the_last_moment_is_answered_503_and_not_forwarded() -> None:
     """The shutdown has ended all requests by then; there is no time left for one more."""
 
-    async def test() -> None:
-        async with silent_backend() as b, proxy(entry("b", b.port)) as p:
-            client, request = Client(p), call(request_id="late")
-            await came(p, client, request[:40])
-            p.listener.stop_listening()
-            p.listener.close_idle_connections()
-            p.driver.stop_within(0.0)
-            p.driver.give_up()
-            client.send(request[40:])
-            reader, writer = await streams(client)
-            got = await read_message(reader)
-            assert status(got) == 503
-            assert closes(got)
-            assert await reader.read() == b""
-            writer.close()
-            await until(lambda: p.listener.is_drained)
-            assert not b.seen
-            assert not b.connections
-            assert p.driver.idle
-
-    run(test)
-
-
-def test_not_all_of_many_incomplete_requests_are_looked_at_for_each_new_connection(
+    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+        client, request = Client(p), call(request_id="late")
+        await came(p, client, request[:40])
+        p.listener.stop_listening()
+        p.listener.close_idle_connections()
+        p.driver.stop_within(0.0)
+        p.driver.give_up()
+        client.send(request[40:])
+        reader, writer = await streams(client)
+        got = await read_message(reader)
+        assert status(got) == 503
+        assert closes(got)
+        assert await reader.read() == b""
+        writer.close()
+        await until(lambda: p.listener.is_drained)
+        assert not b.seen
+        assert not b.connections
+        assert p.driver.idle
+
+
+async def test_not_all_of_many_incomplete_requests_are_looked_at_for_each_new_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its connections are as many as there are descriptors, and newcomers may be as many a second."""
@@ -247,44 +228,36 @@
         looked_at += 1
         return bool(began(connection))
 
-    async def test() -> None:
-        async with silent_backend() as b, proxy(entry("b", b.port), most=crowd) as p:
-            clients = [Client(p) for _ in range(crowd)]
-            for client in clients:
-                await came(p, client, call()[:40])
-            monkeypatch.setattr(ClientConnection, "has_unanswered_request", property(counted))
-            newcomer = Client(p)
-            await until(
-                lambda: len(p.clients.open_connections) == crowd and p.clients.descriptor_count == crowd
-            )
-            await until(lambda: looked_at > 0)
-            assert looked_at <= client_limits.MAX_SILENT_CANDIDATES + 1  # and the one that makes room
-            for client in [*clients, newcomer]:
-                client.leave("RST")
-            await until(lambda: not p.clients.open_connections)
-
-    run(test)
+    async with silent_backend() as b, proxy(entry("b", b.port), most=crowd) as p:
+        clients = [Client(p) for _ in range(crowd)]
+        for client in clients:
+            await came(p, client, call()[:40])
+        monkeypatch.setattr(ClientConnection, "has_unanswered_request", property(counted))
+        newcomer = Client(p)
+        await until(lambda: len(p.clients.open_connections) == crowd and p.clients.descriptor_count == crowd)
+        await until(lambda: looked_at > 0)
+        assert looked_at <= client_limits.MAX_SILENT_CANDIDATES + 1  # and the one that makes room
+        for client in [*clients, newcomer]:
+            client.leave("RST")
+        await until(lambda: not p.clients.open_connections)
 
 
 @pytest.mark.parametrize("stop", ["in the first line", "in the body", "between chunks"])
-def test_a_request_that_has_come_in_part_gets_an_error_as_the_real_process_ends(
+async def test_a_request_that_has_come_in_part_gets_an_error_as_the_real_process_ends(
     stop: str, tmp_path: Path
 ) -> None:
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b:
-            lane = {"name": "mark", "idempotency": "keyed", "onTimeUs": 200_000, "deadlineUs": 300_000}
-            told = raw_settings(lanes=[{**lane, "repeatWindowUs": 100_000}], limits=LIMITS)
-            env = write(tmp_path, config(known=listing(entry("a", b.port)), settings=told))
-            async with process(env) as made:
-                reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
-                writer.write(STOPS[stop])
-                made.terminate()
-                got = await read_message(reader)
-                assert status(got) in (408, 503)
-                assert closes(got)
-                assert await reader.read() == b""
-                writer.close()
-                assert await made.wait() == 0
-                assert not b.seen
-
-    run(test)
+    async with backend(answer(200, b"x")) as b:
+        lane = {"name": "mark", "idempotency": "keyed", "onTimeUs": 200_000, "deadlineUs": 300_000}
+        told = raw_settings(lanes=[{**lane, "repeatWindowUs": 100_000}], limits=LIMITS)
+        env = write(tmp_path, config(known=listing(entry("a", b.port)), settings=told))
+        async with process(env) as made:
+            reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
+            writer.write(STOPS[stop])
+            made.terminate()
+            got = await read_message(reader)
+            assert status(got) in (408, 503)
+            assert closes(got)
+            assert await reader.read() == b""
+            writer.close()
+            assert await made.wait() == 0
+            assert not b.seen
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -19,7 +19,7 @@
 from load_balancer import messages
 from load_balancer.net.upstream import idle_connections
 from tests.support.balancer_harness import S, settings
-from tests.support.loopback import Proxy, SteppedClock, answer, call, entry, proxy, read_message, run
+from tests.support.loopback import Proxy, SteppedClock, answer, call, entry, proxy, read_message
 from tests.support.upstream_helpers import HEAD, INVALID_RESPONSES, Bare, Handle, Message, Wire, bare, stepped
 
 STEP_S = 5.0
@@ -268,45 +268,42 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_each_request_gets_one_answer_and_no_copy_that_the_rules_forbid(
+async def test_each_request_gets_one_answer_and_no_copy_that_the_rules_forbid(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", 4 * STEP_S)
     limits = messages.Limits(max_attempts=MOST, cancel=seed % 2 == 0, connect_timeout_us=round(CONNECT_S * S))
 
-    async def test() -> None:
-        async with AsyncExitStack() as stack:
-            closed = stack.enter_context(socket.socket())
-            closed.bind(("127.0.0.1", 0))
-            worlds: list[World] = []
-
-            def handle(cell: int) -> Handle:
-                async def handle(wire: Wire, got: Message) -> None:
-                    await worlds[0].backend(cell)(wire, got)
-
-                return handle
-
-            backends: list[Bare] = [await stack.enter_async_context(bare(handle(n % 2))) for n in range(6)]
-            entries = [entry(f"s-{n}", b.port, pod_group=n % 2) for n, b in enumerate(backends)]
-            p = await stack.enter_async_context(
-                proxy(
-                    *entries,
-                    entry("s-closed", closed.getsockname()[1]),
-                    setup=settings(classes=CLASSES, limits=limits),
-                    connect_s=CONNECT_S,
-                    idle_s=9000.0,
-                )
+    async with AsyncExitStack() as stack:
+        closed = stack.enter_context(socket.socket())
+        closed.bind(("127.0.0.1", 0))
+        worlds: list[World] = []
+
+        def handle(cell: int) -> Handle:
+            async def handle(wire: Wire, got: Message) -> None:
+                await worlds[0].backend(cell)(wire, got)
+
+            return handle
+
+        backends: list[Bare] = [await stack.enter_async_context(bare(handle(n % 2))) for n in range(6)]
+        entries = [entry(f"s-{n}", b.port, pod_group=n % 2) for n, b in enumerate(backends)]
+        p = await stack.enter_async_context(
+            proxy(
+                *entries,
+                entry("s-closed", closed.getsockname()[1]),
+                setup=settings(classes=CLASSES, limits=limits),
+                connect_s=CONNECT_S,
+                idle_s=9000.0,
             )
-            world = World(seed, p)
-            worlds.append(world)
-            await world.play(clients=8, requests=25)
-            assert world.faults == []
-            # The world does reach what it is to check.
-            every = world.asked.values()
-            assert len(every) == 200
-            assert sum(a.status == 200 for a in every) > 40
-            assert sum(len(a.visits) > 1 for a in every) > 5
-            assert sum(a.ended is not None and not a.status for a in every) > 5
-            assert len(Counter(v.way for a in every for v in a.visits)) > 12
-
-    run(test)
+        )
+        world = World(seed, p)
+        worlds.append(world)
+        await world.play(clients=8, requests=25)
+        assert world.faults == []
+        # The world does reach what it is to check.
+        every = world.asked.values()
+        assert len(every) == 200
+        assert sum(a.status == 200 for a in every) > 40
+        assert sum(len(a.visits) > 1 for a in every) > 5
+        assert sum(a.ended is not None and not a.status for a in every) > 5
+        assert len(Counter(v.way for a in every for v in a.visits)) > 12
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -12,7 +12,7 @@
 from load_balancer.net.client.client_listener import ClientListener
 from tests.net.client.test_malformed_requests import CHUNKED, lines
 from tests.support.client_helpers import Client, settled, silent_backend, status, streams
-from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, run, until
+from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, until
 
 DUE_S = 3.0  # from its connect, or from the first byte of a later request, to an error or a close
 LATE_S = 0.15  # the event loop is late by so much, as it takes a client in and whenever it checks it
@@ -64,49 +64,46 @@
 
 @pytest.mark.parametrize("stop", STOPS)
 @pytest.mark.parametrize("when", ["first", "after a good one", "at the end"])
-def test_a_client_that_stops_gets_an_error_or_a_close_in_time(
+async def test_a_client_that_stops_gets_an_error_or_a_close_in_time(
     stop: str, when: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Wherever it stops, with each sweep late, and also during the shutdown."""
 
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
-            clock, client = SteppedClock(), Client(p)
-            await until(lambda: len(p.clients.open_connections) == 1)
-            late = Late(p.listener, clock)
-            if when == "after a good one":
-                client.send(call(request_id="good"))
-                reader, writer = await streams(client)
-                assert status(await read_message(reader)) == 200
-                clock.step(5.0)  # an idle one may stay for longer
-                await settled()
-            began = clock.ahead - LATE_S  # it was taken in that late
-            client.send(STOPS[stop])
-            [connection] = p.clients.open_connections
-            await until(lambda: not connection.is_idle)
+    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        clock, client = SteppedClock(), Client(p)
+        await until(lambda: len(p.clients.open_connections) == 1)
+        late = Late(p.listener, clock)
+        if when == "after a good one":
+            client.send(call(request_id="good"))
+            reader, writer = await streams(client)
+            assert status(await read_message(reader)) == 200
+            clock.step(5.0)  # an idle one may stay for longer
+            await settled()
+        began = clock.ahead - LATE_S  # it was taken in that late
+        client.send(STOPS[stop])
+        [connection] = p.clients.open_connections
+        await until(lambda: not connection.is_idle)
+        if when == "at the end":
+            p.clients.is_shutting_down = True
+            p.listener.stop_listening()
+            p.listener.close_idle_connections()
+        while p.clients.open_connections:
             if when == "at the end":
-                p.clients.is_shutting_down = True
-                p.listener.stop_listening()
                 p.listener.close_idle_connections()
-            while p.clients.open_connections:
-                if when == "at the end":
-                    p.listener.close_idle_connections()
-                await late.sweep()
-                assert clock.ahead - began <= DUE_S
-            if when != "after a good one":
-                assert error_or_close(client)
-            else:
-                with contextlib.suppress(ConnectionError):
-                    reader.feed_eof()
-                    assert b"HTTP/1.1 2" not in await reader.read()
-                writer.close()
-            client.socket.close()
-            assert len(b.seen) == (when == "after a good one")
-            assert not p.clients.open_request_ids
-            assert p.clients.buffered.size_bytes == 0
-            assert not lines(caplog)
-
-    run(test)
+            await late.sweep()
+            assert clock.ahead - began <= DUE_S
+        if when != "after a good one":
+            assert error_or_close(client)
+        else:
+            with contextlib.suppress(ConnectionError):
+                reader.feed_eof()
+                assert b"HTTP/1.1 2" not in await reader.read()
+            writer.close()
+        client.socket.close()
+        assert len(b.seen) == (when == "after a good one")
+        assert not p.clients.open_request_ids
+        assert p.clients.buffered.size_bytes == 0
+        assert not lines(caplog)
 
 
 def dribble(begin: bytes, more: bytes) -> Iterator[bytes]:
@@ -124,69 +121,63 @@
 
 @pytest.mark.parametrize("kind", DRIBBLES)
 @pytest.mark.parametrize("first_sweep_s", [n * 0.05 for n in range(8)])
-def test_a_client_with_a_byte_here_at_each_check_is_closed_in_time(
+async def test_a_client_with_a_byte_here_at_each_check_is_closed_in_time(
     kind: str, first_sweep_s: float, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Each byte comes between the event loop's last reading and the check, forced; each check is late."""
 
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
-            clock, client = SteppedClock(), Client(p)
-            await until(lambda: len(p.clients.open_connections) == 1)
-            late = Late(p.listener, clock)
-            began = clock.ahead - LATE_S
-            [connection] = p.clients.open_connections
-            check = connection.check_time_limits
-
-            def crossed(now_s: float) -> None:
-                with contextlib.suppress(ConnectionError):
-                    client.send(next(sent))
-                check(now_s)
-
-            connection.check_time_limits = crossed  # type: ignore[method-assign]
-            clock.step(first_sweep_s)
-            sent = DRIBBLES[kind]()
-            while p.clients.open_connections:
-                await late.sweep()
-                if connection._has_final_check:
-                    clock.step(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
-                    await settled()
-                assert clock.ahead - began <= DUE_S
-            assert error_or_close(client)
-            client.socket.close()
-            assert not b.seen
-            assert p.clients.buffered.size_bytes == 0
-            assert not lines(caplog)
-
-    run(test)
+    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        clock, client = SteppedClock(), Client(p)
+        await until(lambda: len(p.clients.open_connections) == 1)
+        late = Late(p.listener, clock)
+        began = clock.ahead - LATE_S
+        [connection] = p.clients.open_connections
+        check = connection.check_time_limits
+
+        def crossed(now_s: float) -> None:
+            with contextlib.suppress(ConnectionError):
+                client.send(next(sent))
+            check(now_s)
+
+        connection.check_time_limits = crossed  # type: ignore[method-assign]
+        clock.step(first_sweep_s)
+        sent = DRIBBLES[kind]()
+        while p.clients.open_connections:
+            await late.sweep()
+            if connection._has_final_check:
+                clock.step(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
+                await settled()
+            assert clock.ahead - began <= DUE_S
+        assert error_or_close(client)
+        client.socket.close()
+        assert not b.seen
+        assert p.clients.buffered.size_bytes == 0
+        assert not lines(caplog)
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-def test_a_request_that_crosses_the_final_check_is_answered(fresh: bool) -> None:
+async def test_a_request_that_crosses_the_final_check_is_answered(fresh: bool) -> None:
     """It is with the system as the time of its connection is over."""
 
-    async def test() -> None:
-        async with silent_backend() as b, proxy(entry("b", b.port)) as p:
-            clock, client = SteppedClock(), Client(p)
-            await until(lambda: len(p.clients.open_connections) == 1)
-            late = Late(p.listener, clock)
-            [connection] = p.clients.open_connections
-            if not fresh:
-                client.send(call(path="/ready"))
-                await until(lambda: connection in p.clients.idle_connections)
-            clock.step(
-                (client_limits.REQUEST_TIMEOUT_S if fresh else client_limits.KEEP_ALIVE_TIMEOUT_S)
-                + client_limits.PARTIAL_REQUEST_GRACE_S
-            )
-            client.send(call(request_id="crossing"))
-            connection.check_time_limits(p.listener.loop.time())
-            clock.step(client_limits.FINAL_CHECK_DELAY_S)
-            await until(lambda: bool(b.seen))
-            for _ in range(5):
-                await late.sweep()
-            assert connection in p.clients.open_connections
-            assert p.clients.open_request_ids == {b"crossing"}
-            client.leave("RST")
-            await until(lambda: not p.clients.open_connections)
-
-    run(test)
+    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+        clock, client = SteppedClock(), Client(p)
+        await until(lambda: len(p.clients.open_connections) == 1)
+        late = Late(p.listener, clock)
+        [connection] = p.clients.open_connections
+        if not fresh:
+            client.send(call(path="/ready"))
+            await until(lambda: connection in p.clients.idle_connections)
+        clock.step(
+            (client_limits.REQUEST_TIMEOUT_S if fresh else client_limits.KEEP_ALIVE_TIMEOUT_S)
+            + client_limits.PARTIAL_REQUEST_GRACE_S
+        )
+        client.send(call(request_id="crossing"))
+        connection.check_time_limits(p.listener.loop.time())
+        clock.step(client_limits.FINAL_CHECK_DELAY_S)
+        await until(lambda: bool(b.seen))
+        for _ in range(5):
+            await late.sweep()
+        assert connection in p.clients.open_connections
+        assert p.clients.open_request_ids == {b"crossing"}
+        client.leave("RST")
+        await until(lambda: not p.clients.open_connections)
--- a/tests/net/discovery/test_discovery_moves.py
+++ b/tests/net/discovery/test_discovery_moves.py
@@ -35,7 +35,6 @@
     peer,
     proxy,
     read_message,
-    run,
     until,
 )
 from tests.support.proxy_process import config, port_of, process, write
@@ -242,31 +241,25 @@
 
 @BOTH
 @pytest.mark.parametrize(("event", "whole"), EVENTS, ids=[event.__name__ for event, _ in EVENTS])
-def test_a_complete_list_is_requested_only_where_no_version_can_be_resumed(
+async def test_a_complete_list_is_requested_only_where_no_version_can_be_resumed(
     setup: messages.Settings, event: Event, whole: int
 ) -> None:
     """At 3,200 backends it has half a megabyte."""
 
-    async def test() -> None:
-        async with play(setup) as made:
-            await made.follows(made.a)
-            assert made.a.whole == 1
-            await event(made)
-            await made.follows(made.b if event is moved else made.a)
-            assert made.a.whole + made.b.whole - 1 == whole
-
-    run(test)
+    async with play(setup) as made:
+        await made.follows(made.a)
+        assert made.a.whole == 1
+        await event(made)
+        await made.follows(made.b if event is moved else made.a)
+        assert made.a.whole + made.b.whole - 1 == whole
 
 
 @BOTH
-def test_a_cached_list_saves_the_complete_one_at_the_start(setup: messages.Settings) -> None:
-    async def test() -> None:
-        async with play(setup, entry("a-1", 9)) as made:
-            await made.follows(made.a)
-            assert made.a.whole == 0
-            assert made.a.asked == ["/v1/endpoints?follow=1&since=1"]
-
-    run(test)
+async def test_a_cached_list_saves_the_complete_one_at_the_start(setup: messages.Settings) -> None:
+    async with play(setup, entry("a-1", 9)) as made:
+        await made.follows(made.a)
+        assert made.a.whole == 0
+        assert made.a.asked == ["/v1/endpoints?follow=1&since=1"]
 
 
 class Reloads:
@@ -283,22 +276,19 @@
 
 
 @BOTH
-def test_a_new_configuration_with_the_same_discovery_leaves_the_watch_alone(
+async def test_a_new_configuration_with_the_same_discovery_leaves_the_watch_alone(
     setup: messages.Settings, tmp_path: Path
 ) -> None:
-    async def test() -> None:
-        async with play(setup) as made:
-            await made.follows(made.a)
-            reloads, task = Reloads(tmp_path, made.p, made.ports["a"]), made.p.driver._watch._task
-            for _ in range(3):
-                reloads.name(made.ports["a"])
-                await pass_until(made.clock, lambda: True)
-            made.a.change()
-            await made.follows(made.a)
-            assert made.p.driver._watch._task is task
-            assert len(made.a.asked) == made.a.whole == 1
-
-    run(test)
+    async with play(setup) as made:
+        await made.follows(made.a)
+        reloads, task = Reloads(tmp_path, made.p, made.ports["a"]), made.p.driver._watch._task
+        for _ in range(3):
+            reloads.name(made.ports["a"])
+            await pass_until(made.clock, lambda: True)
+        made.a.change()
+        await made.follows(made.a)
+        assert made.p.driver._watch._task is task
+        assert len(made.a.asked) == made.a.whole == 1
 
 
 MOODS = ["tells", "silent", "half a list", "half a head", "refuses", "turns away", "ends at once"]
@@ -343,114 +333,105 @@
 @BOTH
 @pytest.mark.parametrize("apart_s", [0.0, 0.3], ids=["at once", "0.3 s apart"])
 @pytest.mark.parametrize("mood", MOODS)
-def test_of_several_new_configurations_in_a_row_the_last_counts(
+async def test_of_several_new_configurations_in_a_row_the_last_counts(
     setup: messages.Settings, mood: str, apart_s: float, tmp_path: Path
 ) -> None:
     """Whatever the discoveries on the way do, the last one is followed in time and they are left."""
 
-    async def test() -> None:
-        async with play(setup) as made, AsyncExitStack() as stack:
-            await made.follows(made.a)
-            reloads = Reloads(tmp_path, made.p, made.ports["a"])
-            on_the_way = [await stack.enter_async_context(moody(name, mood)) for name in "cd"]
-            last, last_peer = await stack.enter_async_context(moody("e", "tells"))
-            last.silent = setup is ASKED  # it is crowded: the call has to wait for its turn there
-            for _, port in on_the_way:
-                reloads.name(port.port)
-                await pass_until(made.clock, lambda: True)
-                if apart_s:
-                    began = made.clock.ahead
-                    await pass_until(made.clock, lambda began=began: made.clock.ahead >= began + apart_s)  # type: ignore[misc]
-            reloads.name(last_peer.port)
-            waited = 0.0
-            if setup is ASKED:
+    async with play(setup) as made, AsyncExitStack() as stack:
+        await made.follows(made.a)
+        reloads = Reloads(tmp_path, made.p, made.ports["a"])
+        on_the_way = [await stack.enter_async_context(moody(name, mood)) for name in "cd"]
+        last, last_peer = await stack.enter_async_context(moody("e", "tells"))
+        last.silent = setup is ASKED  # it is crowded: the call has to wait for its turn there
+        for _, port in on_the_way:
+            reloads.name(port.port)
+            await pass_until(made.clock, lambda: True)
+            if apart_s:
                 began = made.clock.ahead
-                waited = await pass_until(made.clock, lambda: made.clock.ahead >= began + TURN_S)
-                last.silent = False
-                [writer] = last.open
-                writer.write(last.answer(None))
-            waited += await made.follows(last)
-            assert waited < MOVED_S
-            assert last.whole == 1
-            assert len(last.asked) == 1
-            # What the others say by now, be it on a connection that they still hold, is nobody's news.
-            await until(lambda: not made.a.open and not any(left.open for left, _ in on_the_way))
-            assert watch_tasks() == 1
-            assert made.p.driver._watch._task is not None
-            calls = [len(left.asked) for left, _ in on_the_way], len(made.a.asked)
-            await pass_until(made.clock, lambda: len(last.asked) == 2)  # it has been silent for 3 s since
-            assert calls == ([len(left.asked) for left, _ in on_the_way], len(made.a.asked))
-
-    run(test)
+                await pass_until(made.clock, lambda began=began: made.clock.ahead >= began + apart_s)  # type: ignore[misc]
+        reloads.name(last_peer.port)
+        waited = 0.0
+        if setup is ASKED:
+            began = made.clock.ahead
+            waited = await pass_until(made.clock, lambda: made.clock.ahead >= began + TURN_S)
+            last.silent = False
+            [writer] = last.open
+            writer.write(last.answer(None))
+        waited += await made.follows(last)
+        assert waited < MOVED_S
+        assert last.whole == 1
+        assert len(last.asked) == 1
+        # What the others say by now, be it on a connection that they still hold, is nobody's news.
+        await until(lambda: not made.a.open and not any(left.open for left, _ in on_the_way))
+        assert watch_tasks() == 1
+        assert made.p.driver._watch._task is not None
+        calls = [len(left.asked) for left, _ in on_the_way], len(made.a.asked)
+        await pass_until(made.clock, lambda: len(last.asked) == 2)  # it has been silent for 3 s since
+        assert calls == ([len(left.asked) for left, _ in on_the_way], len(made.a.asked))
 
 
 @BOTH
-def test_a_late_list_of_the_previous_discovery_is_not_applied(
+async def test_a_late_list_of_the_previous_discovery_is_not_applied(
     setup: messages.Settings, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Its bytes are with the system as the move comes: they came from an address that counts no more."""
 
-    async def test() -> None:
-        async with play(setup) as made:
-            await made.follows(made.a)
-            caplog.set_level(logging.INFO)
-            made.b.silent = True
-            made.a.change()  # written at once, and not read yet
-            made.move(made.b)
-            left = endpoint_number(made.a.uid)
-            await pass_until(made.clock, lambda: len(made.b.asked) == 2)
-            assert left not in made.p.driver._balancer.endpoints.states
-            made.b.silent = False
-            await made.follows(made.b)
-            assert left not in made.p.driver._endpoints.by_number
-            assert not any(made.a.uid in record.getMessage() for record in caplog.records)
-
-    run(test)
-
-
-def test_a_process_follows_the_last_of_three_configurations_within_a_second(tmp_path: Path) -> None:
+    async with play(setup) as made:
+        await made.follows(made.a)
+        caplog.set_level(logging.INFO)
+        made.b.silent = True
+        made.a.change()  # written at once, and not read yet
+        made.move(made.b)
+        left = endpoint_number(made.a.uid)
+        await pass_until(made.clock, lambda: len(made.b.asked) == 2)
+        assert left not in made.p.driver._balancer.endpoints.states
+        made.b.silent = False
+        await made.follows(made.b)
+        assert left not in made.p.driver._endpoints.by_number
+        assert not any(made.a.uid in record.getMessage() for record in caplog.records)
+
+
+async def test_a_process_follows_the_last_of_three_configurations_within_a_second(tmp_path: Path) -> None:
     """And back: each names another address, two of them never answer; no socket stays behind."""
 
-    async def test() -> None:
-        async def never(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            asked.set()
-            await reader.read()
+    async def never(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        asked.set()
+        await reader.read()
 
-        async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
-            told.set()
-            await reader.read()
+    async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
+        told.set()
+        await reader.read()
 
-        asked, told = asyncio.Event(), asyncio.Event()
-        async with (
-            backend(answer(200, b"b")) as b,
-            peer(never) as c,
-            peer(never) as d,
-            peer(tell) as e,
-        ):
-            known = listing(entry("a", 9), rev=1)
-            file = config(discovery=f"127.0.0.1:{c.port}", known=known)
-            async with process(write(tmp_path, file)) as made:
-                port = await port_of(made)
-                await asked.wait()
-                descriptors = len(os.listdir(f"/proc/{made.pid}/fd"))
-                for to, got in ((d, asked), (c, asked), (e, told)):
-                    got.clear()
-                    part = tmp_path / "part.json"
-                    part.write_text(json.dumps({**file, "discovery": f"127.0.0.1:{to.port}"}))
-                    part.replace(tmp_path / "config.json")
-                    made.send_signal(signal.SIGHUP)
-                    await got.wait()
-                status = b""
-                while status != b"b":
-                    reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    writer.write(call())
-                    status = (await read_message(reader))[2]
-                    writer.close()
-                assert (c.connections, d.connections, e.connections) == (2, 1, 1)
-                while len(os.listdir(f"/proc/{made.pid}/fd")) > descriptors + 1:  # one to the backend
-                    await asyncio.sleep(0.01)
-
-    run(test)
+    asked, told = asyncio.Event(), asyncio.Event()
+    async with (
+        backend(answer(200, b"b")) as b,
+        peer(never) as c,
+        peer(never) as d,
+        peer(tell) as e,
+    ):
+        known = listing(entry("a", 9), rev=1)
+        file = config(discovery=f"127.0.0.1:{c.port}", known=known)
+        async with process(write(tmp_path, file)) as made:
+            port = await port_of(made)
+            await asked.wait()
+            descriptors = len(os.listdir(f"/proc/{made.pid}/fd"))
+            for to, got in ((d, asked), (c, asked), (e, told)):
+                got.clear()
+                part = tmp_path / "part.json"
+                part.write_text(json.dumps({**file, "discovery": f"127.0.0.1:{to.port}"}))
+                part.replace(tmp_path / "config.json")
+                made.send_signal(signal.SIGHUP)
+                await got.wait()
+            status = b""
+            while status != b"b":
+                reader, writer = await asyncio.open_connection("127.0.0.1", port)
+                writer.write(call())
+                status = (await read_message(reader))[2]
+                writer.close()
+            assert (c.connections, d.connections, e.connections) == (2, 1, 1)
+            while len(os.listdir(f"/proc/{made.pid}/fd")) > descriptors + 1:  # one to the backend
+                await asyncio.sleep(0.01)
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -41,7 +41,6 @@
     listing,
     peer,
     read_message,
-    run,
 )
 from tests.support.proxy_process import LIMITS, config, free_port, port_of, process, raw_settings, write
 
@@ -92,71 +91,60 @@
 @BOTH
 @pytest.mark.parametrize("minutes", [2, 60])
 @pytest.mark.parametrize("mood", OUTAGES)
-def test_a_change_comes_in_time_after_a_long_outage_and_nothing_accumulates(
+async def test_a_change_comes_in_time_after_a_long_outage_and_nothing_accumulates(
     setup: messages.Settings, mood: str, minutes: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Discovery is back just after a call has failed, or with a call out that it never answers."""
 
-    async def test() -> None:
-        async with watched(setup) as (d, p, clock):
-            await step(clock, lambda: len(d.calls) == 1)
-            d.calls[0].say(WATCH_HEAD + list_of(1))
-            await step(clock, lambda: p.driver._watch.version == 1)
-            before = descriptors()
-            d.meet = OUTAGES[mood]
-            caplog.clear()
-            d.calls[0].writer.transport.abort()
-            await outage(clock, 60.0 * minutes)
-            lines = [r for r in caplog.records if r.levelno >= logging.WARNING]
-            assert len(lines) <= LINES_MOST * (60.0 * minutes / BREAK_LOG_WINDOW_S + 1)
-            assert not any(r.exc_info for r in lines)
-            assert set(p.driver._balancer.endpoints.states) == {
-                endpoint_number("s-1")
-            }  # the old list serves on
-            all_is_small(d, p)
-            assert descriptors() <= before + 2  # a call that is out: its two ends
-            waited = await next_call(d, clock)  # the last one that fails
-            await step(clock, d.calls[-1].over.is_set)
-            d.meet = lambda call: None
-            waited = await next_call(d, clock) + await served(d, p, clock, setup)
-            assert waited < LIST_DEADLINE_S
-            assert p.driver._balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
-
-    run(test)
+    async with watched(setup) as (d, p, clock):
+        await step(clock, lambda: len(d.calls) == 1)
+        d.calls[0].say(WATCH_HEAD + list_of(1))
+        await step(clock, lambda: p.driver._watch.version == 1)
+        before = descriptors()
+        d.meet = OUTAGES[mood]
+        caplog.clear()
+        d.calls[0].writer.transport.abort()
+        await outage(clock, 60.0 * minutes)
+        lines = [r for r in caplog.records if r.levelno >= logging.WARNING]
+        assert len(lines) <= LINES_MOST * (60.0 * minutes / BREAK_LOG_WINDOW_S + 1)
+        assert not any(r.exc_info for r in lines)
+        assert set(p.driver._balancer.endpoints.states) == {endpoint_number("s-1")}  # the old list serves on
+        all_is_small(d, p)
+        assert descriptors() <= before + 2  # a call that is out: its two ends
+        waited = await next_call(d, clock)  # the last one that fails
+        await step(clock, d.calls[-1].over.is_set)
+        d.meet = lambda call: None
+        waited = await next_call(d, clock) + await served(d, p, clock, setup)
+        assert waited < LIST_DEADLINE_S
+        assert p.driver._balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
 
 
 @BOTH
-def test_a_change_comes_in_time_after_an_hour_of_refused_connections(setup: messages.Settings) -> None:
-    async def test() -> None:
-        async with watched(setup) as (d, p, clock):
-            await step(clock, lambda: len(d.calls) == 1)
-            assert d.peer is not None
-            assert d.peer.server is not None
-            d.calls[0].writer.transport.abort()
-            d.peer.server.close()
-            await outage(clock, 3_600.0)
-            all_is_small(d, p)
-            tried = watch_starts(p)
-            await step(clock, lambda: len(tried) > 0 and p.driver._watch._task is None)
-            d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
-            assert await next_call(d, clock) + await served(d, p, clock, setup) < LIST_DEADLINE_S
-
-    run(test)
-
-
-def test_a_crowded_discovery_is_waited_for_each_time() -> None:
+async def test_a_change_comes_in_time_after_an_hour_of_refused_connections(setup: messages.Settings) -> None:
+    async with watched(setup) as (d, p, clock):
+        await step(clock, lambda: len(d.calls) == 1)
+        assert d.peer is not None
+        assert d.peer.server is not None
+        d.calls[0].writer.transport.abort()
+        d.peer.server.close()
+        await outage(clock, 3_600.0)
+        all_is_small(d, p)
+        tried = watch_starts(p)
+        await step(clock, lambda: len(tried) > 0 and p.driver._watch._task is None)
+        d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
+        assert await next_call(d, clock) + await served(d, p, clock, setup) < LIST_DEADLINE_S
+
+
+async def test_a_crowded_discovery_is_waited_for_each_time() -> None:
     """It tells each call after its turn of 2 s and then drops it, for minutes: no news is left out."""
 
-    async def test() -> None:
-        async with watched(ASKED) as (d, p, clock):
-            for rev in range(1, 41):
-                if len(d.calls) < rev:
-                    assert await next_call(d, clock) < 1.0
-                assert await served_as(rev, d, p, clock) < TURN_S + 0.5
-                d.calls[-1].writer.transport.abort()
-            assert len(d.calls) == 40
-
-    run(test)
+    async with watched(ASKED) as (d, p, clock):
+        for rev in range(1, 41):
+            if len(d.calls) < rev:
+                assert await next_call(d, clock) < 1.0
+            assert await served_as(rev, d, p, clock) < TURN_S + 0.5
+            d.calls[-1].writer.transport.abort()
+        assert len(d.calls) == 40
 
 
 async def served_as(rev: int, d: Discovery, p: Proxy, clock: SteppedClock) -> float:
@@ -170,71 +158,65 @@
 
 @pytest.mark.parametrize("beats", [False, True], ids=["silent", "beating"])
 @BOTH
-def test_a_watch_that_falls_silent_again_and_again_misses_nothing_for_long(
+async def test_a_watch_that_falls_silent_again_and_again_misses_nothing_for_long(
     setup: messages.Settings, beats: bool
 ) -> None:
     """For minutes: each watch tells one version and stops, some after a beat."""
 
-    async def test() -> None:
-        async with watched(setup) as (d, p, clock):
-            for rev in range(1, 21):
-                await step(clock, lambda rev=rev: len(d.calls) >= rev)  # type: ignore[misc]
-                d.calls[-1].say(WATCH_HEAD + list_of(rev))
-                await step(clock, lambda rev=rev: p.driver._watch.version == rev, 1.0)  # type: ignore[misc]
-                if beats:
-                    await step(clock, lambda: False, 2.0)
-                    d.calls[-1].say(chunk("\n"))
-                assert await next_call(d, clock) < LIST_DEADLINE_S - TURN_S
-                all_is_small(d, p)
-
-    run(test)
+    async with watched(setup) as (d, p, clock):
+        for rev in range(1, 21):
+            await step(clock, lambda rev=rev: len(d.calls) >= rev)  # type: ignore[misc]
+            d.calls[-1].say(WATCH_HEAD + list_of(rev))
+            await step(clock, lambda rev=rev: p.driver._watch.version == rev, 1.0)  # type: ignore[misc]
+            if beats:
+                await step(clock, lambda: False, 2.0)
+                d.calls[-1].say(chunk("\n"))
+            assert await next_call(d, clock) < LIST_DEADLINE_S - TURN_S
+            all_is_small(d, p)
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
-def test_a_proxy_restarted_with_a_cached_list_applies_a_drain_among_the_first_changes(
+async def test_a_proxy_restarted_with_a_cached_list_applies_a_drain_among_the_first_changes(
     tmp_path: Path, mode: str
 ) -> None:
     """Its list knows `a` alone. Discovery is slow, then tells that `a` drains and that `b` is there."""
 
-    async def test() -> None:
-        async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            asked.set()
-            await turn.wait()
-            news = listing(entry("a", a.port, "terminating"), entry("b", b.port), rev=7, full=False)
-            writer.write(WATCH_HEAD + chunk_list(news))
-            await reader.read()
-
-        asked, turn = asyncio.Event(), asyncio.Event()
-        async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b, peer(slow) as d:
-            for _ in range(2):  # killed outright and started again, under its name and address
-                turn.clear()
-                asked.clear()
-                port = free_port()
-                told = config(
-                    listen=f"127.0.0.1:{port}",
-                    discovery=f"127.0.0.1:{d.port}",
-                    known=listing(entry("a", a.port), rev=1),
-                    settings=raw_settings(limits=LIMITS, registryMode=mode),
-                )
-                async with process(write(tmp_path, told)) as made:
-                    assert made.stderr is not None
-                    await asked.wait()
-                    if mode == "automatic":  # what the agent has counts as told at once: no request before it
-                        with pytest.raises(ConnectionRefusedError):
-                            await asyncio.open_connection("127.0.0.1", port)
-                        turn.set()
-                        await port_of(made)
-                    else:
-                        await port_of(made)
-                        turn.set()
-                        while b"is b," not in (line := await made.stderr.readline()):
-                            assert line, "it ended"
-                    for n in range(10):
-                        reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                        writer.write(call(request_id=f"r{n}"))
-                        assert (await read_message(reader))[2] == b"b"
-                        writer.close()
-            assert a.seen == []
-
-    run(test)
+    async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        asked.set()
+        await turn.wait()
+        news = listing(entry("a", a.port, "terminating"), entry("b", b.port), rev=7, full=False)
+        writer.write(WATCH_HEAD + chunk_list(news))
+        await reader.read()
+
+    asked, turn = asyncio.Event(), asyncio.Event()
+    async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b, peer(slow) as d:
+        for _ in range(2):  # killed outright and started again, under its name and address
+            turn.clear()
+            asked.clear()
+            port = free_port()
+            told = config(
+                listen=f"127.0.0.1:{port}",
+                discovery=f"127.0.0.1:{d.port}",
+                known=listing(entry("a", a.port), rev=1),
+                settings=raw_settings(limits=LIMITS, registryMode=mode),
+            )
+            async with process(write(tmp_path, told)) as made:
+                assert made.stderr is not None
+                await asked.wait()
+                if mode == "automatic":  # what the agent has counts as told at once: no request before it
+                    with pytest.raises(ConnectionRefusedError):
+                        await asyncio.open_connection("127.0.0.1", port)
+                    turn.set()
+                    await port_of(made)
+                else:
+                    await port_of(made)
+                    turn.set()
+                    while b"is b," not in (line := await made.stderr.readline()):
+                        assert line, "it ended"
+                for n in range(10):
+                    reader, writer = await asyncio.open_connection("127.0.0.1", port)
+                    writer.write(call(request_id=f"r{n}"))
+                    assert (await read_message(reader))[2] == b"b"
+                    writer.close()
+        assert a.seen == []
--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -8,7 +8,7 @@
 
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
-from tests.support.loopback import WATCH_HEAD, peer, run, until
+from tests.support.loopback import WATCH_HEAD, peer, until
 
 USUAL, MOST = 200, 3_200
 TIMES, PLUS, PLUS_EACH = 2.0, 64_000, 500  # what the terms allow of the usual bytes, and for each backend
@@ -123,14 +123,7 @@
         return fleet
 
 
-def test_bytes_of_lists_stay_within_the_terms_at_sixteen_times_the_backends() -> None:
-    fleets: list[Fleet] = []
-
-    async def test() -> None:
-        for backends in (USUAL, MOST):
-            fleets.append(await course(backends))
-
-    run(test)
-    usual, most = fleets
+async def test_bytes_of_lists_stay_within_the_terms_at_sixteen_times_the_backends() -> None:
+    usual, most = [await course(backends) for backends in (USUAL, MOST)]
     assert usual.whole == most.whole == 2  # at the start, and after the move
     assert most.sent <= TIMES * usual.sent + PLUS + PLUS_EACH * MOST, (usual.sent, most.sent)
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -24,7 +24,6 @@
     listing,
     peer,
     proxy,
-    run,
     until,
 )
 
@@ -46,7 +45,7 @@
         self.watch.start()
 
 
-def test_lists_come_in_order_and_the_next_watch_resumes_from_the_last_version() -> None:
+async def test_lists_come_in_order_and_the_next_watch_resumes_from_the_last_version() -> None:
     asked: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -57,30 +56,27 @@
         changed = chunk_list(listing(entry("s-1", 9, "terminating"), rev=43, full=False))
         writer.write(full[20:] + chunk("\n") + changed + b"0\r\n\r\n")
 
-    async def test() -> None:
-        async with peer(handle) as d:
-            w = Watched(d)
-            first, second, end = [await w.news.get() for _ in range(3)]
-            assert first
-            assert second
-            assert end is None
-            assert (first.version, first.is_complete, first.endpoints[0].status) == (
-                41,
-                True,
-                messages.EndpointStatus.UP,
-            )
-            assert (second.version, second.is_complete) == (43, False)
-            assert second.endpoints[0].status is messages.EndpointStatus.DRAINING
-            w.watch.start()
-            while len(asked) < 2:
-                await w.news.get()
-            assert asked == [
-                "GET /v1/endpoints?follow=1 HTTP/1.1",
-                "GET /v1/endpoints?follow=1&since=43 HTTP/1.1",
-            ]
-            w.watch.close()
-
-    run(test)
+    async with peer(handle) as d:
+        w = Watched(d)
+        first, second, end = [await w.news.get() for _ in range(3)]
+        assert first
+        assert second
+        assert end is None
+        assert (first.version, first.is_complete, first.endpoints[0].status) == (
+            41,
+            True,
+            messages.EndpointStatus.UP,
+        )
+        assert (second.version, second.is_complete) == (43, False)
+        assert second.endpoints[0].status is messages.EndpointStatus.DRAINING
+        w.watch.start()
+        while len(asked) < 2:
+            await w.news.get()
+        assert asked == [
+            "GET /v1/endpoints?follow=1 HTTP/1.1",
+            "GET /v1/endpoints?follow=1&since=43 HTTP/1.1",
+        ]
+        w.watch.close()
 
 
 @pytest.mark.parametrize(
@@ -95,24 +91,21 @@
         b"nonsense\r\n\r\n",
     ],
 )
-def test_each_failure_ends_the_watch_once(said: bytes, caplog: pytest.LogCaptureFixture) -> None:
+async def test_each_failure_ends_the_watch_once(said: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await ask(reader)
         writer.write(said)
 
-    async def test() -> None:
-        async with peer(handle) as d:
-            w = Watched(d)
-            assert await w.news.get() is None
-            assert w.news.empty()
-            assert d.connections == 1
-            assert "watch on discovery broke" in caplog.text
-
-    run(test)
+    async with peer(handle) as d:
+        w = Watched(d)
+        assert await w.news.get() is None
+        assert w.news.empty()
+        assert d.connections == 1
+        assert "watch on discovery broke" in caplog.text
 
 
 @pytest.mark.parametrize("cut", [1, 7, 65536])
-def test_lists_may_be_indented_and_split_anywhere(cut: int) -> None:
+async def test_lists_may_be_indented_and_split_anywhere(cut: int) -> None:
     """Only braces outside of strings tell where a list ends; a line's end within one tells nothing."""
     odd = {**entry("s-1", 9), "note": 'a "brace\\" } and ] in {words}, \\ and a line\n'}
     lists = [
@@ -132,50 +125,47 @@
             writer.write(chunk(text[at : at + cut]))
         await reader.read()
 
-    async def test() -> None:
-        async with peer(handle) as d:
-            w = Watched(d)
-            got: list[
-                EndpointListMessage
-            ] = []  # changes that come in one read are one list, and chance says which ones do
-            while not got or got[-1].version < 43:
-                news = await w.news.get()
-                assert news is not None
-                got.append(news)
-            whole, changes = join_changes(got)
-            assert (whole.version, whole.is_complete, len(whole.endpoints)) == (41, True, 2)
-            assert changes == join_changes(map(read_list, lists))[1]
-            assert (changes.version, len(changes.endpoints)) == (43, 1)
-            w.watch.close()
-
-    run(test)
-
-
-def test_a_watch_ends_without_heartbeats_and_stays_open_with_them(caplog: pytest.LogCaptureFixture) -> None:
-    async def test() -> None:
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await ask(reader)
-            writer.write(WATCH_HEAD)
-            for _ in range(8):
-                clock.step(40.0)
-                writer.write(chunk("\n"))
-                for _ in range(20):  # for it to be read
-                    await asyncio.sleep(0)
-            writer.write(chunk_list(listing(entry("s-1", 9))))
-            await reader.read()  # and says nothing more
-
-        clock = SteppedClock()
-        async with peer(handle) as d:
-            w = Watched(d, silence_s=60.0)
-            assert await w.news.get() is not None
-            clock.step(61.0)
-            assert await w.news.get() is None
-            assert "broke: silent" in caplog.text
-
-    run(test)
-
-
-def test_bytes_of_an_incomplete_list_do_not_count_as_heartbeats(monkeypatch: pytest.MonkeyPatch) -> None:
+    async with peer(handle) as d:
+        w = Watched(d)
+        # Changes that come in one read are one list, and chance says which ones do.
+        got: list[EndpointListMessage] = []
+        while not got or got[-1].version < 43:
+            news = await w.news.get()
+            assert news is not None
+            got.append(news)
+        whole, changes = join_changes(got)
+        assert (whole.version, whole.is_complete, len(whole.endpoints)) == (41, True, 2)
+        assert changes == join_changes(map(read_list, lists))[1]
+        assert (changes.version, len(changes.endpoints)) == (43, 1)
+        w.watch.close()
+
+
+async def test_a_watch_ends_without_heartbeats_and_stays_open_with_them(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await ask(reader)
+        writer.write(WATCH_HEAD)
+        for _ in range(8):
+            clock.step(40.0)
+            writer.write(chunk("\n"))
+            for _ in range(20):  # for it to be read
+                await asyncio.sleep(0)
+        writer.write(chunk_list(listing(entry("s-1", 9))))
+        await reader.read()  # and says nothing more
+
+    clock = SteppedClock()
+    async with peer(handle) as d:
+        w = Watched(d, silence_s=60.0)
+        assert await w.news.get() is not None
+        clock.step(61.0)
+        assert await w.news.get() is None
+        assert "broke: silent" in caplog.text
+
+
+async def test_bytes_of_an_incomplete_list_do_not_count_as_heartbeats(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     read = bytearray()
     feed = asyncio.StreamReader.feed_data
 
@@ -188,22 +178,19 @@
         writer.write(WATCH_HEAD + chunk_list(listing(entry("s-1", 9))) + chunk('{"rev":2,'))
         await reader.read()
 
-    async def test() -> None:
-        clock = SteppedClock()
-        async with peer(handle) as d:
-            w = Watched(d, silence_s=60.0)
-            assert await w.news.get() is not None
-            monkeypatch.setattr(asyncio.StreamReader, "feed_data", note)
-            for n in range(1, 4):
-                clock.step(25.0)
-                d.writers[0].write(chunk("-"))
-                await until(lambda n=n: read.count(b"-") == n or not w.news.empty())  # type: ignore[misc]
-            assert await w.news.get() is None
-
-    run(test)
+    clock = SteppedClock()
+    async with peer(handle) as d:
+        w = Watched(d, silence_s=60.0)
+        assert await w.news.get() is not None
+        monkeypatch.setattr(asyncio.StreamReader, "feed_data", note)
+        for n in range(1, 4):
+            clock.step(25.0)
+            d.writers[0].write(chunk("-"))
+            await until(lambda n=n: read.count(b"-") == n or not w.news.empty())  # type: ignore[misc]
+        assert await w.news.get() is None
 
 
-def test_a_list_that_could_not_be_applied_is_requested_again() -> None:
+async def test_a_list_that_could_not_be_applied_is_requested_again() -> None:
     asked: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -211,24 +198,21 @@
         writer.write(WATCH_HEAD + chunk_list(listing(entry("s-1", 9), rev=41)))
         await reader.read()
 
-    async def test() -> None:
-        def fail(news: EndpointListMessage) -> None:
-            raise RuntimeError("not taken over")
+    def fail(news: EndpointListMessage) -> None:
+        raise RuntimeError("not taken over")
 
-        async with peer(handle) as d:
-            w = Watched(d)
-            w.watch._on_list = fail
-            assert await w.news.get() is None
-            assert w.watch.version is None
-            w.watch._on_list = w.news.put_nowait
-            w.watch.start()
-            again = await w.news.get()
-            assert again
-            assert again.version == w.watch.version == 41
-            assert asked == ["GET /v1/endpoints?follow=1 HTTP/1.1"] * 2
-            w.watch.close()
-
-    run(test)
+    async with peer(handle) as d:
+        w = Watched(d)
+        w.watch._on_list = fail
+        assert await w.news.get() is None
+        assert w.watch.version is None
+        w.watch._on_list = w.news.put_nowait
+        w.watch.start()
+        again = await w.news.get()
+        assert again
+        assert again.version == w.watch.version == 41
+        assert asked == ["GET /v1/endpoints?follow=1 HTTP/1.1"] * 2
+        w.watch.close()
 
 
 async def step_until(clock: SteppedClock, holds: Callable[[], bool]) -> None:
@@ -256,111 +240,99 @@
     ("must_subscribe", "silent", "in_time"),
     [(False, (2, 3), 6.0), (True, (2,), 7.5)],  # a call that may wait for 2 s gets 2 s more behind that
 )
-def test_a_silent_watch_is_replaced_in_time_though_the_next_ones_are_silent_too(
+async def test_a_silent_watch_is_replaced_in_time_though_the_next_ones_are_silent_too(
     must_subscribe: bool, silent: tuple[int, ...], in_time: float
 ) -> None:
     """What it misses counts as told 6 s after it fell silent."""
 
-    async def test() -> None:
-        clock = SteppedClock()
-        setup = settings(must_subscribe=must_subscribe)
-        async with peer(silent_watches(*silent)) as d, proxy(discovery=d.port, setup=setup) as p:
-            await until(lambda: p.driver._watch.version == 1)
-            await step_until(clock, lambda: p.driver._watch.version == 2 + len(silent))
-            assert clock.ahead < in_time
-
-    run(test)
+    clock = SteppedClock()
+    setup = settings(must_subscribe=must_subscribe)
+    async with peer(silent_watches(*silent)) as d, proxy(discovery=d.port, setup=setup) as p:
+        await until(lambda: p.driver._watch.version == 1)
+        await step_until(clock, lambda: p.driver._watch.version == 2 + len(silent))
+        assert clock.ahead < in_time
 
 
 @pytest.mark.parametrize(("must_subscribe", "silent"), [(False, (1, 2)), (True, (1,))])
-def test_a_moved_watch_is_replaced_in_time_though_it_is_silent_at_once(
+async def test_a_moved_watch_is_replaced_in_time_though_it_is_silent_at_once(
     must_subscribe: bool, silent: tuple[int, ...]
 ) -> None:
     """After SIGHUP whatever discovery has to tell counts as told 4 s later."""
 
-    async def test() -> None:
-        clock = SteppedClock()
-        setup = settings(must_subscribe=must_subscribe)
-        async with (
-            peer(silent_watches()) as old,
-            peer(silent_watches(*silent)) as new,
-            proxy(discovery=old.port, setup=setup) as p,
-        ):
-            await until(lambda: p.driver._watch.version == 1)
-            p.driver.move_discovery(("127.0.0.1", new.port))
-            await step_until(clock, lambda: p.driver._watch.version == 1 + len(silent))
-            assert clock.ahead < 4.0
+    clock = SteppedClock()
+    setup = settings(must_subscribe=must_subscribe)
+    async with (
+        peer(silent_watches()) as old,
+        peer(silent_watches(*silent)) as new,
+        proxy(discovery=old.port, setup=setup) as p,
+    ):
+        await until(lambda: p.driver._watch.version == 1)
+        p.driver.move_discovery(("127.0.0.1", new.port))
+        await step_until(clock, lambda: p.driver._watch.version == 1 + len(silent))
+        assert clock.ahead < 4.0
 
-    run(test)
 
-
-def test_where_lists_are_polled_a_call_may_wait_in_discoverys_queue() -> None:
+async def test_where_lists_are_polled_a_call_may_wait_in_discoverys_queue() -> None:
     """It may wait for 2 s in discovery's queue; giving it up would only send it to the end of that."""
 
-    async def test() -> None:
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await ask(reader)
-            asked.set()
-            await turn.wait()
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("s-1", 9), rev=7)))
-            await reader.read()
-
-        asked, turn, clock = asyncio.Event(), asyncio.Event(), SteppedClock()
-        async with peer(handle) as d, proxy(discovery=d.port, setup=settings(must_subscribe=True)) as p:
-            await asked.wait()
-            await step_until(clock, lambda: clock.ahead > 2.2)
-            turn.set()
-            await until(lambda: p.driver._watch.version == 7 or d.connections > 1)
-            assert d.connections == 1
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await ask(reader)
+        asked.set()
+        await turn.wait()
+        writer.write(WATCH_HEAD + chunk_list(listing(entry("s-1", 9), rev=7)))
+        await reader.read()
 
-    run(test)
+    asked, turn, clock = asyncio.Event(), asyncio.Event(), SteppedClock()
+    async with peer(handle) as d, proxy(discovery=d.port, setup=settings(must_subscribe=True)) as p:
+        await asked.wait()
+        await step_until(clock, lambda: clock.ahead > 2.2)
+        turn.set()
+        await until(lambda: p.driver._watch.version == 7 or d.connections > 1)
+        assert d.connections == 1
 
 
 @pytest.mark.parametrize("said", [chunk_list(listing(entry("s-2", 9), rev=2)), chunk("nonsense\n"), b""])
 @pytest.mark.parametrize("then", ["move", "close"])
-def test_a_watch_that_breaks_as_it_is_moved_or_closed_ends_once(
+async def test_a_watch_that_breaks_as_it_is_moved_or_closed_ends_once(
     said: bytes, then: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The old one's last bytes, or its end, have woken its task, which has not run yet."""
 
-    async def test() -> None:
-        async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await ask(reader)
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("s-1", 9), rev=1)))
-            await go_on.wait()
-            writer.write(said)
-
-        go_on = asyncio.Event()
-        async with peer(old) as d, peer(silent_watches()) as e:
-            w = Watched(d)
-            first = await w.news.get()
-            assert first
-            assert first.version == 1
-
-            def cross(name: str) -> None:
-                step = getattr(asyncio.StreamReader, name)
-
-                def crossed(reader: asyncio.StreamReader, *data: bytes) -> None:
-                    step(reader, *data)
-                    if go_on.is_set() and not w.crossed:
-                        w.crossed = True
-                        w.watch.close() if then == "close" else w.watch.move(("127.0.0.1", e.port))
-
-                monkeypatch.setattr(asyncio.StreamReader, name, crossed)
-
-            cross("feed_data")
-            cross("feed_eof")
-            go_on.set()
-            await until(lambda: w.crossed)
-            if then == "move":
-                second = await w.news.get()
-                assert second
-                assert (second.version, e.connections) == (1, 1)
-                assert w.watch._task is not None
-            for _ in range(20):
-                await asyncio.sleep(0)
-            assert w.news.empty()
-            assert d.connections == 1
-            w.watch.close()
+    async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await ask(reader)
+        writer.write(WATCH_HEAD + chunk_list(listing(entry("s-1", 9), rev=1)))
+        await go_on.wait()
+        writer.write(said)
 
-    run(test)
+    go_on = asyncio.Event()
+    async with peer(old) as d, peer(silent_watches()) as e:
+        w = Watched(d)
+        first = await w.news.get()
+        assert first
+        assert first.version == 1
+
+        def cross(name: str) -> None:
+            step = getattr(asyncio.StreamReader, name)
+
+            def crossed(reader: asyncio.StreamReader, *data: bytes) -> None:
+                step(reader, *data)
+                if go_on.is_set() and not w.crossed:
+                    w.crossed = True
+                    w.watch.close() if then == "close" else w.watch.move(("127.0.0.1", e.port))
+
+            monkeypatch.setattr(asyncio.StreamReader, name, crossed)
+
+        cross("feed_data")
+        cross("feed_eof")
+        go_on.set()
+        await until(lambda: w.crossed)
+        if then == "move":
+            second = await w.news.get()
+            assert second
+            assert (second.version, e.connections) == (1, 1)
+            assert w.watch._task is not None
+        for _ in range(20):
+            await asyncio.sleep(0)
+        assert w.news.empty()
+        assert d.connections == 1
+        w.watch.close()
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -96,7 +96,7 @@
     assert since == 3
 
 
-def test_a_list_that_could_not_be_applied_leaves_the_version() -> None:
+async def test_a_list_that_could_not_be_applied_leaves_the_version() -> None:
     """Else it would never come again."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -104,21 +104,18 @@
         whole, more = listing(entry("a", 9), rev=1), change(entry("b", 9), rev=2)
         writer.write(WATCH_HEAD + chunk_list(whole) + chunk_list(more))
 
-    async def test() -> None:
-        async with peer(handle) as d, proxy(discovery=d.port) as p:
-            take, broken = p.driver._watch._on_list, asyncio.Event()
+    async with peer(handle) as d, proxy(discovery=d.port) as p:
+        take, broken = p.driver._watch._on_list, asyncio.Event()
 
-            def fail_on_changes(news: EndpointListMessage) -> None:
-                if not news.is_complete:
-                    raise RuntimeError("a fault")
-                take(news)
+        def fail_on_changes(news: EndpointListMessage) -> None:
+            if not news.is_complete:
+                raise RuntimeError("a fault")
+            take(news)
 
-            p.driver._watch._on_list = fail_on_changes
-            p.driver._watch._on_break = broken.set
-            await broken.wait()
-            assert p.driver._watch.version == 1
-
-    run(test)
+        p.driver._watch._on_list = fail_on_changes
+        p.driver._watch._on_break = broken.set
+        await broken.wait()
+        assert p.driver._watch.version == 1
 
 
 def test_complete_lists_and_old_changes_are_not_joined() -> None:
@@ -137,7 +134,7 @@
     ]
 
 
-def test_old_changes_in_a_later_read_are_not_joined() -> None:
+async def test_old_changes_in_a_later_read_are_not_joined() -> None:
     """Joined with what is new, it would bring back what has gone since."""
     first = chunk_list(listing(entry("a", 9), rev=10)) + chunk_list(change(entry("b", 9), rev=12))
     later = chunk_list(change(entry("gone", 9), rev=11)) + chunk_list(change(entry("c", 9), rev=13))
@@ -149,15 +146,12 @@
         await taken_over.wait()
         writer.write(later + b"0\r\n\r\n")
 
-    async def test() -> None:
-        async with peer(handle) as d, proxy(discovery=d.port) as p:
-            await until(lambda: p.driver._watch.version == 12)
-            taken_over.set()
-            taken = await lists_until_the_end(p)
-            assert [news.version for news in taken] == [11, 13]
-            assert set(p.driver._balancer.endpoints.states) == names("a", "b", "c")
-
-    run(test)
+    async with peer(handle) as d, proxy(discovery=d.port) as p:
+        await until(lambda: p.driver._watch.version == 12)
+        taken_over.set()
+        taken = await lists_until_the_end(p)
+        assert [news.version for news in taken] == [11, 13]
+        assert set(p.driver._balancer.endpoints.states) == names("a", "b", "c")
 
 
 @pytest.mark.parametrize("away", ["terminating", "terminated"])
@@ -167,47 +161,44 @@
     assert join_changes(lists) == lists
 
 
-def test_joined_changes_have_the_effect_of_the_single_ones() -> None:
+async def test_joined_changes_have_the_effect_of_the_single_ones() -> None:
     rng = random.Random(1)
 
-    async def test() -> None:
-        for _ in range(40):
-            lists = [read_list(listing(*(entry(f"s-{n}", 9) for n in range(4)), rev=9))]
-            for rev in range(10, 20):
-                rows = [
-                    entry(
-                        f"s-{rng.randrange(6)}",
-                        rng.randrange(9, 11),
-                        rng.choice(STATES),
-                        boot_ms=rng.randrange(2),
-                    )
-                    for _ in range(rng.choice((0, 1, 2)))
-                ]
-                lists.append(read_list(change(*rows, rev=rev - 3 * (rng.random() < 0.1))))
-            if rng.random() < 0.5:
-                lists.insert(rng.randrange(1, 11), replace(lists[0], version=rng.randrange(5, 15)))
-            left = []
-            for taken in (lists, join_changes(lists)):
-                async with proxy() as p:
-                    for news in taken:
-                        p.driver._on_list(news)
-                    servers = p.driver._balancer.endpoints.states
-                    left.append(
-                        (
-                            # The moment of a start is by the clock of each of the two drivers.
-                            {n: replace(server.endpoint, started_us=None) for n, server in servers.items()},
-                            p.driver._endpoints.by_number,
-                            p.driver._endpoints.up_numbers,
-                            set(p.pool._idle.reuse_from),
-                            p.driver._balancer.endpoints.version,
-                        )
+    for _ in range(40):
+        lists = [read_list(listing(*(entry(f"s-{n}", 9) for n in range(4)), rev=9))]
+        for rev in range(10, 20):
+            rows = [
+                entry(
+                    f"s-{rng.randrange(6)}",
+                    rng.randrange(9, 11),
+                    rng.choice(STATES),
+                    boot_ms=rng.randrange(2),
+                )
+                for _ in range(rng.choice((0, 1, 2)))
+            ]
+            lists.append(read_list(change(*rows, rev=rev - 3 * (rng.random() < 0.1))))
+        if rng.random() < 0.5:
+            lists.insert(rng.randrange(1, 11), replace(lists[0], version=rng.randrange(5, 15)))
+        left = []
+        for taken in (lists, join_changes(lists)):
+            async with proxy() as p:
+                for news in taken:
+                    p.driver._on_list(news)
+                servers = p.driver._balancer.endpoints.states
+                left.append(
+                    (
+                        # The moment of a start is by the clock of each of the two drivers.
+                        {n: replace(server.endpoint, started_us=None) for n, server in servers.items()},
+                        p.driver._endpoints.by_number,
+                        p.driver._endpoints.up_numbers,
+                        set(p.pool._idle.reuse_from),
+                        p.driver._balancer.endpoints.version,
                     )
-            assert left[0] == left[1]
-
-    run(test)
+                )
+        assert left[0] == left[1]
 
 
-def test_changes_that_come_while_reading_is_paused_are_joined(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_changes_that_come_while_reading_is_paused_are_joined(monkeypatch: pytest.MonkeyPatch) -> None:
     """A release tells its changes one by one, some hundred a second."""
     monkeypatch.setattr(endpoint_watch, "READ_PAUSE_S", 1.0)
     taken_over = asyncio.Event()
@@ -221,23 +212,20 @@
             await asyncio.sleep(0)
         writer.write(b"0\r\n\r\n")
 
-    async def test() -> None:
-        async with peer(handle) as d, proxy(discovery=d.port) as p:
-            await until(lambda: p.driver._watch.version == 1)
-            taken_over.set()
-            pieces = 0
-            feed_data = asyncio.StreamReader.feed_data
+    async with peer(handle) as d, proxy(discovery=d.port) as p:
+        await until(lambda: p.driver._watch.version == 1)
+        taken_over.set()
+        pieces = 0
+        feed_data = asyncio.StreamReader.feed_data
 
-            def note(reader: asyncio.StreamReader, data: bytes) -> None:
-                nonlocal pieces
-                pieces += data.startswith(b"0\r\n") or b'"rev"' in data
-                feed_data(reader, data)
+        def note(reader: asyncio.StreamReader, data: bytes) -> None:
+            nonlocal pieces
+            pieces += data.startswith(b"0\r\n") or b'"rev"' in data
+            feed_data(reader, data)
 
-            monkeypatch.setattr(asyncio.StreamReader, "feed_data", note)
-            assert [news.version for news in await lists_until_the_end(p)] == [6]
-            assert pieces == 1  # nor does each one turn the loop
-
-    run(test)
+        monkeypatch.setattr(asyncio.StreamReader, "feed_data", note)
+        assert [news.version for news in await lists_until_the_end(p)] == [6]
+        assert pieces == 1  # nor does each one turn the loop
 
 
 def test_the_pause_in_reading_leaves_time_for_a_hold_up_of_the_process() -> None:
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -50,7 +50,6 @@
     peer,
     proxy,
     read_message,
-    run,
     target_list,
 )
 
@@ -86,52 +85,43 @@
 
 @BOTH
 @pytest.mark.parametrize("failure", FAILURES)
-def test_after_many_failed_calls_a_change_comes_in_time(setup: messages.Settings, failure: str) -> None:
+async def test_after_many_failed_calls_a_change_comes_in_time(setup: messages.Settings, failure: str) -> None:
     """However long it lasted: discovery is there from the moment on in which the last of them failed."""
 
-    async def test() -> None:
-        async with watched(setup) as (d, p, clock):
-            await after_failures(d, clock, FAILURES[failure])
-            waited = await next_call(d, clock) + await served(d, p, clock, setup)
-            assert waited < LIST_DEADLINE_S
-
-    run(test)
+    async with watched(setup) as (d, p, clock):
+        await after_failures(d, clock, FAILURES[failure])
+        waited = await next_call(d, clock) + await served(d, p, clock, setup)
+        assert waited < LIST_DEADLINE_S
 
 
-def test_a_call_that_is_rejected_after_its_wait_is_repeated_in_time() -> None:
+async def test_a_call_that_is_rejected_after_its_wait_is_repeated_in_time() -> None:
     """The waits have grown and the last call has just failed; the next one is refused after 2 s."""
 
-    async def test() -> None:
-        async with watched(ASKED) as (d, p, clock):
-            await after_failures(d, clock, FAILURES["refused"])
-            waited = await next_call(d, clock)
-            waited += await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
-            FAILURES["refused"](d.calls[-1])
-            waited += await next_call(d, clock) + await served(d, p, clock, ASKED)
-            assert waited < LIST_DEADLINE_S
-
-    run(test)
+    async with watched(ASKED) as (d, p, clock):
+        await after_failures(d, clock, FAILURES["refused"])
+        waited = await next_call(d, clock)
+        waited += await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
+        FAILURES["refused"](d.calls[-1])
+        waited += await next_call(d, clock) + await served(d, p, clock, ASKED)
+        assert waited < LIST_DEADLINE_S
 
 
 @BOTH
-def test_a_watch_with_heartbeats_only_that_falls_silent_is_replaced_in_time(
+async def test_a_watch_with_heartbeats_only_that_falls_silent_is_replaced_in_time(
     setup: messages.Settings, caplog: pytest.LogCaptureFixture
 ) -> None:
     """It has brought no list since the waits grew: there was nothing to tell."""
 
-    async def test() -> None:
-        async with watched(setup) as (d, p, clock):
-            await after_failures(d, clock, FAILURES["refused"])
-            await next_call(d, clock)
-            caplog.clear()
-            d.calls[-1].say(WATCH_HEAD + chunk("\n"))
-            await step(clock, lambda: d.calls[-1].over.is_set(), 1.5)
-            d.calls[-1].say(chunk("\n"))  # its last word
-            waited = await next_call(d, clock)
-            assert "broke: silent" in caplog.text
-            assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
-
-    run(test)
+    async with watched(setup) as (d, p, clock):
+        await after_failures(d, clock, FAILURES["refused"])
+        await next_call(d, clock)
+        caplog.clear()
+        d.calls[-1].say(WATCH_HEAD + chunk("\n"))
+        await step(clock, lambda: d.calls[-1].over.is_set(), 1.5)
+        d.calls[-1].say(chunk("\n"))  # its last word
+        waited = await next_call(d, clock)
+        assert "broke: silent" in caplog.text
+        assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
 
 
 STOPS = {
@@ -147,7 +137,7 @@
 @BOTH
 @pytest.mark.parametrize("dribbles", [False, True], ids=["still", "dribbling"])
 @pytest.mark.parametrize("stop", STOPS)
-def test_a_call_whose_response_stops_midway_is_repeated_in_time(
+async def test_a_call_whose_response_stops_midway_is_repeated_in_time(
     setup: messages.Settings, stop: str, dribbles: bool
 ) -> None:
     """The call begins as discovery can just be reached, with the waits grown; bytes may go on coming."""
@@ -157,40 +147,34 @@
     elif stop == "half a chunk":
         drop = b" "
 
-    async def test() -> None:
-        async with watched(setup) as (d, p, clock):
-            await after_failures(d, clock, FAILURES["refused"])
-            await next_call(d, clock)
-            first, waited = d.calls[-1], 0.0
-            first.say(STOPS[stop])
-            while len(d.calls) == 7:
-                waited += await step(clock, lambda: len(d.calls) > 7, 0.3)
-                if dribbles and not first.over.is_set():
-                    first.say(drop)
-                assert waited < LIST_DEADLINE_S
-            assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
-
-    run(test)
+    async with watched(setup) as (d, p, clock):
+        await after_failures(d, clock, FAILURES["refused"])
+        await next_call(d, clock)
+        first, waited = d.calls[-1], 0.0
+        first.say(STOPS[stop])
+        while len(d.calls) == 7:
+            waited += await step(clock, lambda: len(d.calls) > 7, 0.3)
+            if dribbles and not first.over.is_set():
+                first.say(drop)
+            assert waited < LIST_DEADLINE_S
+        assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
 
 
 @BOTH
-def test_after_refused_connections_a_change_comes_in_time(setup: messages.Settings) -> None:
+async def test_after_refused_connections_a_change_comes_in_time(setup: messages.Settings) -> None:
     """Nobody listens for a while; the address is there again just after a connection was refused."""
 
-    async def test() -> None:
-        async with watched(setup) as (d, p, clock):
-            await step(clock, lambda: len(d.calls) == 1)
-            assert d.peer is not None
-            assert d.peer.server is not None
-            d.calls[0].writer.transport.abort()
-            d.peer.server.close()
-            tried = watch_starts(p)
-            await step(clock, lambda: len(tried) == 6 and p.driver._watch._task is None)
-            d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
-            waited = await next_call(d, clock) + await served(d, p, clock, setup)
-            assert waited < LIST_DEADLINE_S
-
-    run(test)
+    async with watched(setup) as (d, p, clock):
+        await step(clock, lambda: len(d.calls) == 1)
+        assert d.peer is not None
+        assert d.peer.server is not None
+        d.calls[0].writer.transport.abort()
+        d.peer.server.close()
+        tried = watch_starts(p)
+        await step(clock, lambda: len(tried) == 6 and p.driver._watch._task is None)
+        d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
+        waited = await next_call(d, clock) + await served(d, p, clock, setup)
+        assert waited < LIST_DEADLINE_S
 
 
 def changes(*entries: object, **more: object) -> str:
@@ -256,94 +240,85 @@
 
 @BOTH
 @pytest.mark.parametrize(("said", "why"), SPOILT.values(), ids=SPOILT.keys())
-def test_an_invalid_list_leaves_the_old_one_and_the_watch_is_reopened(
+async def test_an_invalid_list_leaves_the_old_one_and_the_watch_is_reopened(
     setup: messages.Settings, said: bytes, why: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Nothing of it counts, one line names why, and what comes next is taken."""
     both = listing(entry("s-1", 9), entry("s-2", 9), rev=1)
 
-    async def test() -> None:
-        async with watched(setup) as (d, p, clock):
-            await step(clock, lambda: len(d.calls) == 1)
-            d.calls[0].say(WATCH_HEAD + chunk_list(both))
-            await step(clock, lambda: p.driver._watch.version == 1)
-            held, up = dict(p.driver._balancer.endpoints.states), set(p.driver._endpoints.up_numbers)
-            caplog.clear()
-            d.calls[0].say(said)
-            waited = await next_call(d, clock)
-            assert (
-                p.driver._balancer.endpoints.states,
-                p.driver._endpoints.up_numbers,
-                p.driver._watch.version,
-            ) == (
-                held,
-                up,
-                1,
-            )
-            [line] = [r for r in caplog.records if r.levelno >= logging.WARNING]
-            assert why in line.getMessage()
-            assert "\n" not in line.getMessage()
-            assert not line.exc_info
-            assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
-            assert set(p.driver._balancer.endpoints.states) == {endpoint_number("s-7")}
-
-    run(test)
+    async with watched(setup) as (d, p, clock):
+        await step(clock, lambda: len(d.calls) == 1)
+        d.calls[0].say(WATCH_HEAD + chunk_list(both))
+        await step(clock, lambda: p.driver._watch.version == 1)
+        held, up = dict(p.driver._balancer.endpoints.states), set(p.driver._endpoints.up_numbers)
+        caplog.clear()
+        d.calls[0].say(said)
+        waited = await next_call(d, clock)
+        assert (
+            p.driver._balancer.endpoints.states,
+            p.driver._endpoints.up_numbers,
+            p.driver._watch.version,
+        ) == (
+            held,
+            up,
+            1,
+        )
+        [line] = [r for r in caplog.records if r.levelno >= logging.WARNING]
+        assert why in line.getMessage()
+        assert "\n" not in line.getMessage()
+        assert not line.exc_info
+        assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
+        assert set(p.driver._balancer.endpoints.states) == {endpoint_number("s-7")}
 
 
 @pytest.mark.parametrize("kind", ["read", "mark", "pay"])
-def test_an_endpoint_that_a_complete_list_omits_gets_no_more_requests(kind: str) -> None:
+async def test_an_endpoint_that_a_complete_list_omits_gets_no_more_requests(kind: str) -> None:
     """Its kept connection is closed, and what it has been sent is still answered by it."""
 
-    async def test() -> None:
-        begun, go_on, closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
-
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            while True:
-                try:
-                    asked = await read_message(reader)
-                except asyncio.IncompleteReadError:
-                    closed.set()
-                    raise
-                a.seen.append(asked)
-                if asked[1]["req-id"] == "slow":
-                    begun.set()
-                    await go_on.wait()
-                writer.write(answer(200, b"a"))
-
-        async with peer(serve) as a, backend(answer(200, b"b")) as b, proxy(entry("a", a.port)) as p:
-            slow = asyncio.ensure_future(p.ask(call("pay", request_id="slow")))
-            await begun.wait()
-            assert (await p.ask(call("read", request_id="r0")))[2] == b"a"
-            assert sum(map(len, p.pool._idle.by_endpoint.values())) == 1
-            p.driver._on_list(target_list(entry("b", b.port), rev=2))
-            await closed.wait()
-            assert not p.pool._idle.by_endpoint
-            got = [(await p.ask(call(kind, request_id=f"r{n}")))[2] for n in range(1, 9)]
-            assert got == [b"b"] * 8
-            go_on.set()
-            assert (await slow)[2] == b"a"
-            assert len(a.seen) == 2
-            assert not any(e.number == endpoint_number("a") for e in p.pool._idle.by_endpoint)
-
-    run(test)
+    begun, go_on, closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            try:
+                asked = await read_message(reader)
+            except asyncio.IncompleteReadError:
+                closed.set()
+                raise
+            a.seen.append(asked)
+            if asked[1]["req-id"] == "slow":
+                begun.set()
+                await go_on.wait()
+            writer.write(answer(200, b"a"))
+
+    async with peer(serve) as a, backend(answer(200, b"b")) as b, proxy(entry("a", a.port)) as p:
+        slow = asyncio.ensure_future(p.ask(call("pay", request_id="slow")))
+        await begun.wait()
+        assert (await p.ask(call("read", request_id="r0")))[2] == b"a"
+        assert sum(map(len, p.pool._idle.by_endpoint.values())) == 1
+        p.driver._on_list(target_list(entry("b", b.port), rev=2))
+        await closed.wait()
+        assert not p.pool._idle.by_endpoint
+        got = [(await p.ask(call(kind, request_id=f"r{n}")))[2] for n in range(1, 9)]
+        assert got == [b"b"] * 8
+        go_on.set()
+        assert (await slow)[2] == b"a"
+        assert len(a.seen) == 2
+        assert not any(e.number == endpoint_number("a") for e in p.pool._idle.by_endpoint)
 
 
 @pytest.mark.parametrize("states", [("terminating", "terminated"), ("terminated", "in_service")])
-def test_of_two_entries_for_one_endpoint_the_later_counts(states: tuple[str, str]) -> None:
-    async def test() -> None:
-        async with backend(answer(200, b"a")) as a, proxy(entry("a", a.port)) as p:
-            news = listing(*(entry("a", a.port, state) for state in states), rev=2, full=False)
-            p.driver._on_list(read_list(news))
-            there = states[-1] == "in_service"
-            number = endpoint_number("a")
-            held = (
-                p.driver._balancer.endpoints.states,
-                p.driver._endpoints.by_number,
-                p.driver._endpoints.up_numbers,
-            )
-            assert [number in where for where in held] == [there] * 3
-
-    run(test)
+async def test_of_two_entries_for_one_endpoint_the_later_counts(states: tuple[str, str]) -> None:
+    async with backend(answer(200, b"a")) as a, proxy(entry("a", a.port)) as p:
+        news = listing(*(entry("a", a.port, state) for state in states), rev=2, full=False)
+        p.driver._on_list(read_list(news))
+        there = states[-1] == "in_service"
+        number = endpoint_number("a")
+        held = (
+            p.driver._balancer.endpoints.states,
+            p.driver._endpoints.by_number,
+            p.driver._endpoints.up_numbers,
+        )
+        assert [number in where for where in held] == [there] * 3
 
 
 MOVED_S = 4.0  # by the protocol, after SIGHUP
@@ -351,32 +326,29 @@
 
 @pytest.mark.parametrize("first", ["refused in its turn", "refused at once", "silent", "half a line"])
 @BOTH
-def test_a_watch_moved_while_the_old_discovery_is_down_has_its_list_in_time(
+async def test_a_watch_moved_while_the_old_discovery_is_down_has_its_list_in_time(
     setup: messages.Settings, first: str
 ) -> None:
     """The waits have grown on the old address; the first call on the new one fails as well."""
 
-    async def test() -> None:
-        async with watched(setup) as (d, p, clock), AsyncExitStack() as stack:
-            new = Discovery(clock)
-            e = await stack.enter_async_context(peer(new.handle))
-            await after_failures(d, clock, FAILURES["refused"])
-            p.driver.move_discovery(("127.0.0.1", e.port))
-            waited = await next_call(new, clock)
-            call = new.calls[-1]
-            if first == "refused in its turn" and setup is ASKED:
-                waited += await step(clock, lambda: call.over.is_set(), TURN_S)
-            if first.startswith("refused"):
-                FAILURES["refused"](call)
-            elif first == "half a line":
-                call.say(STOPS["half a line"])
-            waited += await next_call(new, clock)
-            new.calls[-1].say(WATCH_HEAD + list_of(7))
-            # Behind a call that was refused, the next one may still have to wait for its turn.
-            left = 0.0 if setup is PUSHED or not first.startswith("refused") else 1.0
-            waited += left + await step(clock, lambda: p.driver._watch.version == 7, 1.0)
-            assert p.driver._watch.version == 7
-            assert waited < MOVED_S
-            assert len(d.calls) == 6  # nothing more on the old one
-
-    run(test)
+    async with watched(setup) as (d, p, clock), AsyncExitStack() as stack:
+        new = Discovery(clock)
+        e = await stack.enter_async_context(peer(new.handle))
+        await after_failures(d, clock, FAILURES["refused"])
+        p.driver.move_discovery(("127.0.0.1", e.port))
+        waited = await next_call(new, clock)
+        call = new.calls[-1]
+        if first == "refused in its turn" and setup is ASKED:
+            waited += await step(clock, lambda: call.over.is_set(), TURN_S)
+        if first.startswith("refused"):
+            FAILURES["refused"](call)
+        elif first == "half a line":
+            call.say(STOPS["half a line"])
+        waited += await next_call(new, clock)
+        new.calls[-1].say(WATCH_HEAD + list_of(7))
+        # Behind a call that was refused, the next one may still have to wait for its turn.
+        left = 0.0 if setup is PUSHED or not first.startswith("refused") else 1.0
+        waited += left + await step(clock, lambda: p.driver._watch.version == 7, 1.0)
+        assert p.driver._watch.version == 7
+        assert waited < MOVED_S
+        assert len(d.calls) == 6  # nothing more on the old one
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -8,194 +8,161 @@
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.net.discovery.start_times import MAX_START_TIMES, StartTimes
 from tests.support.clock_helpers import HOUR, STEPS, UNIX, HandFedDriver, Times, lists
-from tests.support.loopback import (
-    run,
-)
 from tests.support.simulated_fleet import MS, S
 
 
-def test_a_start_that_clocks_agree_on_keeps_its_age() -> None:
-    async def test() -> None:
-        fed = HandFedDriver()
-        now = fed.times.wall()
-        fed.list(("old", now - 2 * S), ("odd", now - HOUR), full=True)
-        assert fed.age("old") == 2 * S
-        assert fed.age("odd") == HOUR
-        fed.times.advance(2 * S)
-        fed.list(("new", fed.times.wall() - 1 * S))
-        assert fed.age("new") == 1 * S
-        assert fed.age("old") == 4 * S
-
-    run(test)
+async def test_a_start_that_clocks_agree_on_keeps_its_age() -> None:
+    fed = HandFedDriver()
+    now = fed.times.wall()
+    fed.list(("old", now - 2 * S), ("odd", now - HOUR), full=True)
+    assert fed.age("old") == 2 * S
+    assert fed.age("odd") == HOUR
+    fed.times.advance(2 * S)
+    fed.list(("new", fed.times.wall() - 1 * S))
+    assert fed.age("new") == 1 * S
+    assert fed.age("old") == 4 * S
 
 
 @STEPS
-def test_a_start_after_a_step_of_all_clocks_has_its_true_age(step: int) -> None:
+async def test_a_start_after_a_step_of_all_clocks_has_its_true_age(step: int) -> None:
     """On the standing watch, and on a whole list after a silence that was longer than a slow start."""
 
-    async def test() -> None:
-        for silence, full in ((0, False), (60 * S, True)):
-            fed = HandFedDriver()
-            fed.list(("a", 0), ("b", fed.times.wall() - HOUR), full=True)
-            fed.times.advance(1 * S + silence)
-            fed.times.step(step)
-            fed.times.advance(1 * S)
-            start = fed.times.wall()
-            fed.times.advance(500 * MS)
-            fed.list(("a", start), ("b", UNIX + 1000 * S - HOUR), full=full)
-            assert fed.age("a") == 500 * MS
-            fed.times.advance(4 * S)
-            assert fed.capacity("a") == 1.0
-
-    run(test)
+    for silence, full in ((0, False), (60 * S, True)):
+        fed = HandFedDriver()
+        fed.list(("a", 0), ("b", fed.times.wall() - HOUR), full=True)
+        fed.times.advance(1 * S + silence)
+        fed.times.step(step)
+        fed.times.advance(1 * S)
+        start = fed.times.wall()
+        fed.times.advance(500 * MS)
+        fed.list(("a", start), ("b", UNIX + 1000 * S - HOUR), full=full)
+        assert fed.age("a") == 500 * MS
+        fed.times.advance(4 * S)
+        assert fed.capacity("a") == 1.0
 
 
 @STEPS
-def test_a_start_stated_before_a_step_and_received_after_it_has_its_true_age(step: int) -> None:
+async def test_a_start_stated_before_a_step_and_received_after_it_has_its_true_age(step: int) -> None:
     """After a silence: nothing but the clock's own step tells how old it is."""
 
-    async def test() -> None:
-        fed = HandFedDriver()
-        fed.list(("a", 0), full=True)
-        fed.times.advance(60 * S)
-        start = fed.times.wall()
-        fed.times.advance(1 * S)
-        fed.times.step(step)
-        fed.times.advance(1 * S)
-        fed.list(("a", start), full=True)
-        assert fed.age("a") == 2 * S
-
-    run(test)
+    fed = HandFedDriver()
+    fed.list(("a", 0), full=True)
+    fed.times.advance(60 * S)
+    start = fed.times.wall()
+    fed.times.advance(1 * S)
+    fed.times.step(step)
+    fed.times.advance(1 * S)
+    fed.list(("a", start), full=True)
+    assert fed.age("a") == 2 * S
 
 
 @STEPS
 @pytest.mark.parametrize("kind", ["changes", "full"])
-def test_a_start_by_a_wrong_clock_counts_from_when_it_was_received(step: int, kind: str) -> None:
+async def test_a_start_by_a_wrong_clock_counts_from_when_it_was_received(step: int, kind: str) -> None:
     """Only the clock of the backend or of discovery is wrong, or ours was as the process started."""
 
-    async def test() -> None:
-        fed = HandFedDriver()
-        fed.list(("a", 0), ("b", 0), full=True)
-        fed.times.advance(2 * S)
-        fed.beat()
-        fed.times.advance(1 * S)
-        fed.list(("b", 0), ("a", fed.times.wall() + step), full=kind == "full")
-        assert fed.age("a") == 0
-        fed.times.advance(4 * S)
-        assert fed.capacity("a") == 1.0  # and is warm after a slow start
-
-    run(test)
+    fed = HandFedDriver()
+    fed.list(("a", 0), ("b", 0), full=True)
+    fed.times.advance(2 * S)
+    fed.beat()
+    fed.times.advance(1 * S)
+    fed.list(("b", 0), ("a", fed.times.wall() + step), full=kind == "full")
+    assert fed.age("a") == 0
+    fed.times.advance(4 * S)
+    assert fed.capacity("a") == 1.0  # and is warm after a slow start
 
 
 @STEPS
-def test_a_complete_list_after_a_silence_brings_no_start_from_before_it(step: int) -> None:
-    async def test() -> None:
-        fed = HandFedDriver()
-        fed.list(("a", 0), full=True)
-        fed.times.advance(2 * S)
-        fed.beat()
-        fed.driver._on_watch_break()
-        fed.times.advance(3 * S)
-        fed.list(("a", fed.times.wall() + step), full=True)
-        assert fed.age("a") == 0
-
-    run(test)
+async def test_a_complete_list_after_a_silence_brings_no_start_from_before_it(step: int) -> None:
+    fed = HandFedDriver()
+    fed.list(("a", 0), full=True)
+    fed.times.advance(2 * S)
+    fed.beat()
+    fed.driver._on_watch_break()
+    fed.times.advance(3 * S)
+    fed.list(("a", fed.times.wall() + step), full=True)
+    assert fed.age("a") == 0
 
 
 @STEPS
 @pytest.mark.parametrize("first", ["changes", "full"])
-def test_at_a_start_with_an_old_list_the_first_answer_is_taken_by_the_clock_of_then(
+async def test_at_a_start_with_an_old_list_the_first_answer_is_taken_by_the_clock_of_then(
     step: int, first: str
 ) -> None:
     """What is known may be of any age, so it bounds no start; one that it knew stays as it was."""
 
-    async def test() -> None:
-        times = Times()
-        kept = times.wall() - 1 * S
-        fed = HandFedDriver(lists(("a", times.wall() - HOUR), ("b", kept)), times)
-        assert fed.age("b") == 1 * S
-        times.advance(500 * MS)
-        times.step(step)
-        start = times.wall()
-        times.advance(500 * MS)
-        fed.list(("a", start), ("b", kept), full=first == "full")
-        assert fed.age("a") == 500 * MS
-        assert fed.age("b") == 2 * S
-        fed.list(("c", times.wall() - HOUR))
-        assert fed.age("c") == 0  # from here on the list is known
-
-    run(test)
-
-
-def test_an_old_list_that_was_not_confirmed_makes_no_endpoint_younger() -> None:
+    times = Times()
+    kept = times.wall() - 1 * S
+    fed = HandFedDriver(lists(("a", times.wall() - HOUR), ("b", kept)), times)
+    assert fed.age("b") == 1 * S
+    times.advance(500 * MS)
+    times.step(step)
+    start = times.wall()
+    times.advance(500 * MS)
+    fed.list(("a", start), ("b", kept), full=first == "full")
+    assert fed.age("a") == 500 * MS
+    assert fed.age("b") == 2 * S
+    fed.list(("c", times.wall() - HOUR))
+    assert fed.age("c") == 0  # from here on the list is known
+
+
+async def test_an_old_list_that_was_not_confirmed_makes_no_endpoint_younger() -> None:
     """The first watch answer may bring what had been warm for long before this process began."""
 
-    async def test() -> None:
-        times = Times()
-        fed = HandFedDriver(lists(("a", times.wall() - HOUR)), times)
-        times.advance(1 * S)
-        fed.list(("a", times.wall() - HOUR // 2), full=True)
-        assert fed.capacity("a") == 1.0
-
-    run(test)
+    times = Times()
+    fed = HandFedDriver(lists(("a", times.wall() - HOUR)), times)
+    times.advance(1 * S)
+    fed.list(("a", times.wall() - HOUR // 2), full=True)
+    assert fed.capacity("a") == 1.0
 
 
 @STEPS
-def test_a_stated_start_names_an_incarnation_whatever_the_clocks_do(step: int) -> None:
-    async def test() -> None:
-        fed = HandFedDriver()
-        first, number = fed.times.wall() - 1 * S, endpoint_number("a")
-        balancer = fed.driver._balancer
-        fed.list(("a", first), full=True)
-        server = balancer.endpoints.states[number]
-        server.warming.tokens, server.share = 0.75, 0.5
-        detector = server.detector
-        fed.times.advance(1 * S)
-        fed.times.step(step)
-        for full in (False, True):
-            fed.list(("a", first), full=full)
-            kept = balancer.endpoints.states[number]
-            assert kept is server
-            assert kept.detector is detector
-            assert (kept.warming.tokens, kept.share) == (0.75, 0.5)
-            assert kept.endpoint.incarnation_us == first // 1000 * 1000
-            assert fed.age("a") == 2 * S
-        for later in (first + 1 * S, first + 1 * S + step):  # whichever way its own clock went
-            before = balancer.endpoints.states[number]
-            fed.list(("a", later))
-            after = balancer.endpoints.states[number]
-            assert after is not before
-            assert (after.share, after.endpoint.incarnation_us) == (1.0, later // 1000 * 1000)
-
-    run(test)
-
-
-def test_a_warm_endpoint_that_was_cut_off_returns_warm() -> None:
-    async def test() -> None:
-        fed = HandFedDriver()
-        start = fed.times.wall() - HOUR
-        fed.list(("a", start), ("b", 0), full=True)
-        fed.times.advance(2 * S)
-        fed.gone("a")
-        fed.times.advance(3 * S)
-        fed.list(("a", start))
-        assert fed.capacity("a") == 1.0
-        fed.gone("a")
-        fed.list(("a", fed.times.wall()))  # but not another incarnation
-        assert fed.capacity("a") == pytest.approx(0.2)
-
-    run(test)
-
-
-def test_a_start_of_long_ago_stays_one() -> None:
-    async def test() -> None:
-        fed = HandFedDriver()
-        fed.list(("a", 0), full=True)
-        fed.times.advance(2 * S)
-        fed.list(("b", 0))
-        assert fed.capacity("a") == fed.capacity("b") == 1.0
-
-    run(test)
+async def test_a_stated_start_names_an_incarnation_whatever_the_clocks_do(step: int) -> None:
+    fed = HandFedDriver()
+    first, number = fed.times.wall() - 1 * S, endpoint_number("a")
+    balancer = fed.driver._balancer
+    fed.list(("a", first), full=True)
+    server = balancer.endpoints.states[number]
+    server.warming.tokens, server.share = 0.75, 0.5
+    detector = server.detector
+    fed.times.advance(1 * S)
+    fed.times.step(step)
+    for full in (False, True):
+        fed.list(("a", first), full=full)
+        kept = balancer.endpoints.states[number]
+        assert kept is server
+        assert kept.detector is detector
+        assert (kept.warming.tokens, kept.share) == (0.75, 0.5)
+        assert kept.endpoint.incarnation_us == first // 1000 * 1000
+        assert fed.age("a") == 2 * S
+    for later in (first + 1 * S, first + 1 * S + step):  # whichever way its own clock went
+        before = balancer.endpoints.states[number]
+        fed.list(("a", later))
+        after = balancer.endpoints.states[number]
+        assert after is not before
+        assert (after.share, after.endpoint.incarnation_us) == (1.0, later // 1000 * 1000)
+
+
+async def test_a_warm_endpoint_that_was_cut_off_returns_warm() -> None:
+    fed = HandFedDriver()
+    start = fed.times.wall() - HOUR
+    fed.list(("a", start), ("b", 0), full=True)
+    fed.times.advance(2 * S)
+    fed.gone("a")
+    fed.times.advance(3 * S)
+    fed.list(("a", start))
+    assert fed.capacity("a") == 1.0
+    fed.gone("a")
+    fed.list(("a", fed.times.wall()))  # but not another incarnation
+    assert fed.capacity("a") == pytest.approx(0.2)
+
+
+async def test_a_start_of_long_ago_stays_one() -> None:
+    fed = HandFedDriver()
+    fed.list(("a", 0), full=True)
+    fed.times.advance(2 * S)
+    fed.list(("b", 0))
+    assert fed.capacity("a") == fed.capacity("b") == 1.0
 
 
 def test_a_start_is_no_start_of_long_ago_where_the_wall_clock_is_near_zero() -> None:
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -19,7 +19,6 @@
     peer,
     proxy,
     read_message,
-    run,
     target_list,
     until,
 )
@@ -30,113 +29,101 @@
     return (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
 
 
-def test_a_change_reaches_the_policy_before_the_next_attempt() -> None:
-    async def test() -> None:
-        told = asyncio.Event()
-
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await ask(reader)
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), entry("b", b.port), rev=1)))
-            await told.wait()
-            writer.write(chunk_list(listing(entry("a", a.port, "terminating"), rev=2, full=False)))
-            await reader.read()
-
-        async with (
-            backend(answer(200, b"a")) as a,
-            backend(answer(200, b"b")) as b,
-            peer(handle) as d,
-            proxy(discovery=d.port, setup=settings(must_subscribe=True)) as p,
-        ):
-            while not p.driver.ready:
-                await asyncio.sleep(0)
-            got = {(await p.ask(call(request_id=f"x{n}")))[2] for n in range(40)}
-            assert got == {b"a", b"b"}
-            told.set()
-            while len(p.driver._endpoints.up_numbers) == 2:
-                await asyncio.sleep(0)
-            got = {(await p.ask(call(request_id=f"y{n}")))[2] for n in range(40)}
-            assert got == {b"b"}
-
-    run(test)
-
-
-def test_a_broken_watch_is_reopened_and_the_old_list_stays_in_use() -> None:
-    async def test() -> None:
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(await ask(reader))
-            if len(asked) == 2:
-                again.set()
-                await reader.read()
-
-        asked: list[str] = []
-        again = asyncio.Event()
-        async with (
-            backend(answer(200, b"a")) as a,
-            peer(handle) as d,
-            proxy(entry("a", a.port), discovery=d.port, setup=settings(must_subscribe=True)) as p,
-        ):
-            assert (await p.ask(call()))[2] == b"a"
-            await again.wait()
-            assert asked == ["GET /v1/endpoints?follow=1&since=1 HTTP/1.1"] * 2
-
-    run(test)
-
-
-def test_a_draining_endpoint_finishes_the_requests_in_flight() -> None:
-    async def test() -> None:
-        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_message(reader)
-            begun.set()
-            await drained.wait()
-            writer.write(answer(200, b"done"))
-            assert await reader.read() == b""  # and the connection is not kept
-            closed.set()
-
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await ask(reader)
-            await begun.wait()
-            news = listing(entry("a", a.port, "terminating"), rev=2, full=False)
-            writer.write(WATCH_HEAD + chunk_list(news))
+async def test_a_change_reaches_the_policy_before_the_next_attempt() -> None:
+    told = asyncio.Event()
+
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await ask(reader)
+        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), entry("b", b.port), rev=1)))
+        await told.wait()
+        writer.write(chunk_list(listing(entry("a", a.port, "terminating"), rev=2, full=False)))
+        await reader.read()
+
+    async with (
+        backend(answer(200, b"a")) as a,
+        backend(answer(200, b"b")) as b,
+        peer(handle) as d,
+        proxy(discovery=d.port, setup=settings(must_subscribe=True)) as p,
+    ):
+        while not p.driver.ready:
+            await asyncio.sleep(0)
+        got = {(await p.ask(call(request_id=f"x{n}")))[2] for n in range(40)}
+        assert got == {b"a", b"b"}
+        told.set()
+        while len(p.driver._endpoints.up_numbers) == 2:
+            await asyncio.sleep(0)
+        got = {(await p.ask(call(request_id=f"y{n}")))[2] for n in range(40)}
+        assert got == {b"b"}
+
+
+async def test_a_broken_watch_is_reopened_and_the_old_list_stays_in_use() -> None:
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        asked.append(await ask(reader))
+        if len(asked) == 2:
+            again.set()
             await reader.read()
 
-        begun, drained, closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
-        async with (
-            peer(serve) as a,
-            peer(handle) as d,
-            proxy(entry("a", a.port), discovery=d.port, setup=settings(must_subscribe=True)) as p,
-        ):
-            asking = asyncio.ensure_future(p.ask(call()))
-            while p.driver.ready:
-                await asyncio.sleep(0)
-            drained.set()
-            assert (await asking)[2] == b"done"
-            await closed.wait()
-
-    run(test)
+    asked: list[str] = []
+    again = asyncio.Event()
+    async with (
+        backend(answer(200, b"a")) as a,
+        peer(handle) as d,
+        proxy(entry("a", a.port), discovery=d.port, setup=settings(must_subscribe=True)) as p,
+    ):
+        assert (await p.ask(call()))[2] == b"a"
+        await again.wait()
+        assert asked == ["GET /v1/endpoints?follow=1&since=1 HTTP/1.1"] * 2
+
+
+async def test_a_draining_endpoint_finishes_the_requests_in_flight() -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_message(reader)
+        begun.set()
+        await drained.wait()
+        writer.write(answer(200, b"done"))
+        assert await reader.read() == b""  # and the connection is not kept
+        closed.set()
+
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await ask(reader)
+        await begun.wait()
+        news = listing(entry("a", a.port, "terminating"), rev=2, full=False)
+        writer.write(WATCH_HEAD + chunk_list(news))
+        await reader.read()
+
+    begun, drained, closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
+    async with (
+        peer(serve) as a,
+        peer(handle) as d,
+        proxy(entry("a", a.port), discovery=d.port, setup=settings(must_subscribe=True)) as p,
+    ):
+        asking = asyncio.ensure_future(p.ask(call()))
+        while p.driver.ready:
+            await asyncio.sleep(0)
+        drained.set()
+        assert (await asking)[2] == b"done"
+        await closed.wait()
 
 
 @pytest.mark.parametrize("state", ["terminating", "terminated", "absent", "moved"])
 @pytest.mark.parametrize("kind", ["read", "pay"])
-def test_a_request_whose_connection_is_opening_as_its_endpoint_drains_goes_elsewhere(
+async def test_a_request_whose_connection_is_opening_as_its_endpoint_drains_goes_elsewhere(
     state: str, kind: str
 ) -> None:
-    async def test() -> None:
-        async with (
-            backend(answer(200, b"a")) as a,
-            backend(answer(200, b"b")) as b,
-            proxy(entry("a", a.port)) as p,
-        ):
-            gate = Gate(p.pool)
-            asking = asyncio.ensure_future(p.ask(call(kind)))
-            await until(lambda: gate.waiting == 1)
-            news = [entry("b", b.port)]
-            if state == "moved":
-                news = [entry("a", b.port)]
-            elif state != "absent":
-                news.append(entry("a", a.port, state))
-            p.driver._on_list(target_list(*news, rev=2))
-            gate.opened.set()
-            assert (await asking)[2] == b"b"
-            assert a.connections == 0
-
-    run(test)
+    async with (
+        backend(answer(200, b"a")) as a,
+        backend(answer(200, b"b")) as b,
+        proxy(entry("a", a.port)) as p,
+    ):
+        gate = Gate(p.pool)
+        asking = asyncio.ensure_future(p.ask(call(kind)))
+        await until(lambda: gate.waiting == 1)
+        news = [entry("b", b.port)]
+        if state == "moved":
+            news = [entry("a", b.port)]
+        elif state != "absent":
+            news.append(entry("a", a.port, state))
+        p.driver._on_list(target_list(*news, rev=2))
+        gate.opened.set()
+        assert (await asking)[2] == b"b"
+        assert a.connections == 0
--- a/tests/net/upstream/test_answers_without_length.py
+++ b/tests/net/upstream/test_answers_without_length.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.support.loopback import answer, call, entry, proxy, read_message, run, until
+from tests.support.loopback import answer, call, entry, proxy, read_message, until
 from tests.support.upstream_helpers import Message, Wire, bare, read
 
 __all__ = ["read"]  # a fixture
@@ -40,38 +40,35 @@
 @pytest.mark.parametrize("end", ENDS)
 @pytest.mark.parametrize("body", BODIES)
 @pytest.mark.parametrize("head", HEADS)
-def test_an_answer_without_a_length_that_comes_whole_is_passed_on(
+async def test_an_answer_without_a_length_that_comes_whole_is_passed_on(
     head: str, body: str, end: str, kept: bool, shut: str, read: bytearray
 ) -> None:
     """All of them, where half are owed."""
     said = HEADS[head] + BODIES[body]
 
-    async def test() -> None:
-        async def handle(wire: Wire, got: Message) -> None:
-            if got[1]["req-id"] == "first":
-                wire.say(answer(200, b"first"))
-                return
-            already = len(read)
-            await say(wire, said, more=not ENDS[end])
-            if ENDS[end]:
-                await until(lambda: len(read) == already + len(said))
-                await asyncio.sleep(ENDS[end])
-            if shut == "shutdown":
-                wire.end()
-            else:
-                wire.socket.close()
-
-        async with bare(handle) as b, proxy(entry("s-1", b.port)) as p:
-            if kept:
-                assert (await p.ask(call(request_id="first")))[2] == b"first"
-                await asyncio.sleep(0.02)  # it has to rest, so that a second answer would show
-            line, _, got = await p.ask(call(request_id="r1"))
-            assert line.split()[1] == "200"
-            assert got == BODIES[body]
-            assert b.ids.count("r1") == 1
-            assert len(b.wires) == 1
-
-    run(test)
+    async def handle(wire: Wire, got: Message) -> None:
+        if got[1]["req-id"] == "first":
+            wire.say(answer(200, b"first"))
+            return
+        already = len(read)
+        await say(wire, said, more=not ENDS[end])
+        if ENDS[end]:
+            await until(lambda: len(read) == already + len(said))
+            await asyncio.sleep(ENDS[end])
+        if shut == "shutdown":
+            wire.end()
+        else:
+            wire.socket.close()
+
+    async with bare(handle) as b, proxy(entry("s-1", b.port)) as p:
+        if kept:
+            assert (await p.ask(call(request_id="first")))[2] == b"first"
+            await asyncio.sleep(0.02)  # it has to rest, so that a second answer would show
+        line, _, got = await p.ask(call(request_id="r1"))
+        assert line.split()[1] == "200"
+        assert got == BODIES[body]
+        assert b.ids.count("r1") == 1
+        assert len(b.wires) == 1
 
 
 @pytest.mark.parametrize("kind", ["read", "write", "mark", "pay"])
@@ -79,33 +76,30 @@
 @pytest.mark.parametrize("end", ENDS)
 @pytest.mark.parametrize("body", BODIES)
 @pytest.mark.parametrize("head", ["1.0", "1.1, close"])
-def test_a_reset_is_no_end_for_the_client_either(
+async def test_a_reset_is_no_end_for_the_client_either(
     head: str, body: str, end: str, kept: bool, kind: str, read: bytearray
 ) -> None:
     """After its last byte all the same: the client gets no answer that might be cut."""
     said = HEADS[head] + BODIES[body]
 
-    async def test() -> None:
-        async def handle(wire: Wire, got: Message) -> None:
-            if got[1]["req-id"] == "first":
-                wire.say(answer(200, b"first"))
-                return
-            already = len(read)
-            await say(wire, said)
-            if ENDS[end]:
-                await until(lambda: len(read) == already + len(said) or wire.closed)
-            wire.reset()
-
-        async with bare(handle) as b, proxy(entry("s-1", b.port)) as p:
-            if kept:
-                assert (await p.ask(call(request_id="first")))[2] == b"first"
-                await asyncio.sleep(0.02)
-            reader, writer = await p.connect()
-            writer.write(call(kind, request_id="r1"))
-            line, _, _ = await read_message(reader)
-            assert line.split()[1] in ("502", "503")
-            if kind == "pay":
-                assert line.split()[1] == "502"
-                assert b.ids.count("r1") == 1
-
-    run(test)
+    async def handle(wire: Wire, got: Message) -> None:
+        if got[1]["req-id"] == "first":
+            wire.say(answer(200, b"first"))
+            return
+        already = len(read)
+        await say(wire, said)
+        if ENDS[end]:
+            await until(lambda: len(read) == already + len(said) or wire.closed)
+        wire.reset()
+
+    async with bare(handle) as b, proxy(entry("s-1", b.port)) as p:
+        if kept:
+            assert (await p.ask(call(request_id="first")))[2] == b"first"
+            await asyncio.sleep(0.02)
+        reader, writer = await p.connect()
+        writer.write(call(kind, request_id="r1"))
+        line, _, _ = await read_message(reader)
+        assert line.split()[1] in ("502", "503")
+        if kind == "pay":
+            assert line.split()[1] == "502"
+            assert b.ids.count("r1") == 1
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -11,7 +11,7 @@
 from load_balancer.net.upstream import connection_pool
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from tests.support.balancer_harness import BalancerHarness, S, only, settings
-from tests.support.loopback import answer, backend, call, entry, proxy, run
+from tests.support.loopback import answer, backend, call, entry, proxy
 from tests.support.upstream_helpers import (
     IDLE_S,
     LIMIT_S,
@@ -23,81 +23,72 @@
 
 
 @pytest.mark.parametrize(("heard", "ends"), [(True, Outcome.NOT_SENT), (False, Outcome.NO_CONNECTION)])
-def test_where_connections_stay_away_the_attempt_ends_in_time_for_another_backend(
+async def test_where_connections_stay_away_the_attempt_ends_in_time_for_another_backend(
     heard: bool, ends: Outcome
 ) -> None:
     """As not sent where the backend is known to be there, as one that can't be reached otherwise."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-            if heard:
-                pool.record_activity(calls.endpoint)
-            calls.begin("a", failover_within_s=LIMIT_S / 2)
-            for count in (2, 3):
-                await connects.step(11.0)
-                await connects.begun(count)
-            assert not calls.ended
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        if heard:
+            pool.record_activity(calls.endpoint)
+        calls.begin("a", failover_within_s=LIMIT_S / 2)
+        for count in (2, 3):
             await connects.step(11.0)
-            await calls.until(a=ends)
-            assert len(connects.gates) == 1 + connection_pool.MAX_SPARE_CONNECTS
-            calls.begin("b")  # what comes up late is there for another
-            connects.let(0)
-            await calls.until(a=ends, b=Outcome.OK)
-            assert ids(b) == ["b"]
-            pool.close()
-
-    run(test)
-
-
-def test_where_no_other_backend_is_left_the_attempt_waits_for_its_connections() -> None:
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-            calls.begin("a", failover_within_s=500.0)
-            await connects.step(600.0)
-            for _ in range(20):
-                await connects.step(50.0)
-            assert not calls.ended
-            assert len(connects.gates) == 1 + connection_pool.MAX_SPARE_CONNECTS
-            connects.let(0)
-            await calls.until(a=Outcome.OK)
-            pool.close()
-
-    run(test)
-
-
-def test_a_request_goes_to_another_backend_where_connections_to_the_first_stay_away() -> None:
-    async def test() -> None:
-        async with (
-            backend(answer(200, b"x")) as a,
-            backend(answer(200, b"x")) as b,
-            proxy(
-                entry("s-1", a.port),
-                entry("s-2", b.port),
-                setup=settings(
-                    classes=(messages.RequestClass("read", 5_000 * S, 9_000 * S, messages.Idempotency.SAFE),),
-                    limits=messages.Limits(max_attempts=2, cancel=True),
-                ),
-            ) as p,
-        ):
-            connects = Connects(p.pool, MOSTLY_QUICK)
-            p.pool._pacing.connect_timeout_s = LIMIT_S
-            for endpoint in list(p.pool._idle.reuse_from):
-                p.pool.record_activity(endpoint)
-            asked = asyncio.ensure_future(p.ask(call(Req_Deadline="9000")))
-            await connects.begun(1)
-            for count in (2, 3, 4):
-                await connects.step(11.0)
-                await connects.begun(count)
-            connects.let(3)  # the first to the other backend
-            first, _, body = await asked
-            assert (first.split()[1], body) == ("200", b"x")
-            assert a.connections + b.connections == 1
-
-    run(test)
+            await connects.begun(count)
+        assert not calls.ended
+        await connects.step(11.0)
+        await calls.until(a=ends)
+        assert len(connects.gates) == 1 + connection_pool.MAX_SPARE_CONNECTS
+        calls.begin("b")  # what comes up late is there for another
+        connects.let(0)
+        await calls.until(a=ends, b=Outcome.OK)
+        assert ids(b) == ["b"]
+        pool.close()
+
+
+async def test_where_no_other_backend_is_left_the_attempt_waits_for_its_connections() -> None:
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls.begin("a", failover_within_s=500.0)
+        await connects.step(600.0)
+        for _ in range(20):
+            await connects.step(50.0)
+        assert not calls.ended
+        assert len(connects.gates) == 1 + connection_pool.MAX_SPARE_CONNECTS
+        connects.let(0)
+        await calls.until(a=Outcome.OK)
+        pool.close()
+
+
+async def test_a_request_goes_to_another_backend_where_connections_to_the_first_stay_away() -> None:
+    async with (
+        backend(answer(200, b"x")) as a,
+        backend(answer(200, b"x")) as b,
+        proxy(
+            entry("s-1", a.port),
+            entry("s-2", b.port),
+            setup=settings(
+                classes=(messages.RequestClass("read", 5_000 * S, 9_000 * S, messages.Idempotency.SAFE),),
+                limits=messages.Limits(max_attempts=2, cancel=True),
+            ),
+        ) as p,
+    ):
+        connects = Connects(p.pool, MOSTLY_QUICK)
+        p.pool._pacing.connect_timeout_s = LIMIT_S
+        for endpoint in list(p.pool._idle.reuse_from):
+            p.pool.record_activity(endpoint)
+        asked = asyncio.ensure_future(p.ask(call(Req_Deadline="9000")))
+        await connects.begun(1)
+        for count in (2, 3, 4):
+            await connects.step(11.0)
+            await connects.begun(count)
+        connects.let(3)  # the first to the other backend
+        first, _, body = await asked
+        assert (first.split()[1], body) == ("200", b"x")
+        assert a.connections + b.connections == 1
 
 
 def test_a_price_of_handshakes_is_read_and_bound() -> None:
