--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -12,198 +12,173 @@
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from tests.support.loopback import answer, backend, run, until
+from tests.support.loopback import answer, backend, until
 from tests.support.upstream_helpers import IDLE_S, LIMIT_S, MOSTLY_QUICK, SAFE, SLOW, Calls, Connects, ids
 
 ONCE = replace(SAFE, is_idempotent=False)
 
 
-def test_where_a_connection_is_late_another_is_opened_and_the_first_that_is_up_is_used() -> None:
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-            calls.begin("a")
-            await connects.step(9.0)
-            assert len(connects.gates) == 1
-            await connects.step(2.0)
-            await connects.begun(2)
-            connects.let(1)
-            await calls.until(a=Outcome.OK)
-            assert b.connections == 1
-            assert ids(b) == ["a"]
-            await connects.step(1000.0)
-            calls.begin("b")  # the one that was used is idle again
-            await calls.until(a=Outcome.OK, b=Outcome.OK)
-            assert b.connections == 1
-            assert len(connects.gates) == 2
-            connects.let(0)
-            await until(lambda: b.connections == 2 and not pool._pending)
-            assert len(pool._idle.by_endpoint[calls.endpoint]) == 1  # the other one is not needed
-            pool.close()
-
-    run(test)
-
-
-def test_a_connection_that_nobody_waits_for_any_more_is_there_for_the_next_request() -> None:
-    async def test() -> None:
-        async with backend(None, answer(200)) as b:  # the first that is used breaks
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-            calls.begin("a")
-            await connects.step(11.0)
-            await connects.begun(2)
-            connects.let(1)
-            await calls.until(a=Outcome.RESET)
-            connects.let(0)
-            await until(lambda: bool(pool._idle.by_endpoint))
-            await connects.step(idle_connections.SETTLE_S)
-            calls.begin("b")
-            await calls.until(a=Outcome.RESET, b=Outcome.OK)
-            assert b.connections == 2
-            assert len(connects.gates) == 2
-            pool.close()
-
-    run(test)
-
-
-def test_more_than_are_needed_are_not_kept() -> None:
+async def test_where_a_connection_is_late_another_is_opened_and_the_first_that_is_up_is_used() -> None:
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls.begin("a")
+        await connects.step(9.0)
+        assert len(connects.gates) == 1
+        await connects.step(2.0)
+        await connects.begun(2)
+        connects.let(1)
+        await calls.until(a=Outcome.OK)
+        assert b.connections == 1
+        assert ids(b) == ["a"]
+        await connects.step(1000.0)
+        calls.begin("b")  # the one that was used is idle again
+        await calls.until(a=Outcome.OK, b=Outcome.OK)
+        assert b.connections == 1
+        assert len(connects.gates) == 2
+        connects.let(0)
+        await until(lambda: b.connections == 2 and not pool._pending)
+        assert len(pool._idle.by_endpoint[calls.endpoint]) == 1  # the other one is not needed
+        pool.close()
+
+
+async def test_a_connection_that_nobody_waits_for_any_more_is_there_for_the_next_request() -> None:
+    async with backend(None, answer(200)) as b:  # the first that is used breaks
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls.begin("a")
+        await connects.step(11.0)
+        await connects.begun(2)
+        connects.let(1)
+        await calls.until(a=Outcome.RESET)
+        connects.let(0)
+        await until(lambda: bool(pool._idle.by_endpoint))
+        await connects.step(idle_connections.SETTLE_S)
+        calls.begin("b")
+        await calls.until(a=Outcome.RESET, b=Outcome.OK)
+        assert b.connections == 2
+        assert len(connects.gates) == 2
+        pool.close()
+
+
+async def test_more_than_are_needed_are_not_kept() -> None:
     """Backends hold only so many."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-            calls.begin("a")
-            for count in (2, 3):
-                await connects.step(11.0)
-                await connects.begun(count)
-            connects.let(2)
-            await calls.until(a=Outcome.OK)
-            connects.let(0, 1)
-            await until(lambda: b.connections == 3 and not pool._pending)
-            await until(lambda: len(pool._open) == 1)
-            pool.close()
-
-    run(test)
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls.begin("a")
+        for count in (2, 3):
+            await connects.step(11.0)
+            await connects.begun(count)
+        connects.let(2)
+        await calls.until(a=Outcome.OK)
+        connects.let(0, 1)
+        await until(lambda: b.connections == 3 and not pool._pending)
+        await until(lambda: len(pool._open) == 1)
+        pool.close()
 
 
 @pytest.mark.parametrize(
     ("usual", "price"), [(SLOW, 0.0), (MOSTLY_QUICK, 1.0), ([], 0.0)], ids=["all slow", "dear", "unknown"]
 )
-def test_no_other_is_opened_where_that_saves_too_little(usual: list[float], price: float) -> None:
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10, price)
-            calls, connects = Calls(pool, b), Connects(pool, usual)
-            calls.begin("a", failover_within_s=LIMIT_S / 2)
-            for _ in range(20):
-                await connects.step(45.0)
-            assert len(connects.gates) == 1
-            assert not calls.ended
-            connects.let(0)
-            await calls.until(a=Outcome.OK)
-            pool.close()
-
-    run(test)
-
-
-def test_a_request_takes_a_connection_that_falls_idle_while_its_own_comes_up() -> None:
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, SLOW)
-            calls.begin("a")
-            calls.begin("once", ONCE)
-            calls.begin("b")
-            await connects.begun(3)
-            connects.let(0)
-            await until(lambda: "a" in calls.ended)
-            assert set(calls.ended) == {"a"}  # it rests first: more than its answer may be under way
-            await connects.step(idle_connections.SETTLE_S)
-            await calls.until(a=Outcome.OK, b=Outcome.OK)
-            assert b.connections == 1
-            assert ids(b) == ["a", "b"]
-            connects.let(1)  # what must not run twice waits for one of its own
-            await calls.until(a=Outcome.OK, b=Outcome.OK, once=Outcome.OK)
-            assert b.connections == 2
-            pool.close()
-
-    run(test)
-
-
-def test_a_request_takes_a_connection_that_rests_as_it_comes() -> None:
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, SLOW)
-            calls.begin("a")
-            await connects.begun(1)
-            connects.let(0)
-            await calls.until(a=Outcome.OK)
-            calls.begin("b")
-            await connects.begun(2)
-            await connects.step(idle_connections.SETTLE_S)
-            await calls.until(a=Outcome.OK, b=Outcome.OK)
-            assert b.connections == 1
-            pool.close()
-
-    run(test)
-
-
-def test_the_longest_waiting_request_takes_what_comes_up_for_a_later_one() -> None:
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, SLOW)
-            calls.begin("a", ONCE)
-            calls.begin("b", ONCE)
-            await connects.begun(2)
-            connects.let(1)
-            await calls.until(a=Outcome.OK)
-            connects.let(0)
-            await calls.until(a=Outcome.OK, b=Outcome.OK)
-            assert ids(b) == ["a", "b"]
-            pool.close()
-
-    run(test)
-
-
-def test_an_attempt_ends_only_once_none_is_coming_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_no_other_is_opened_where_that_saves_too_little(usual: list[float], price: float) -> None:
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10, price)
+        calls, connects = Calls(pool, b), Connects(pool, usual)
+        calls.begin("a", failover_within_s=LIMIT_S / 2)
+        for _ in range(20):
+            await connects.step(45.0)
+        assert len(connects.gates) == 1
+        assert not calls.ended
+        connects.let(0)
+        await calls.until(a=Outcome.OK)
+        pool.close()
+
+
+async def test_a_request_takes_a_connection_that_falls_idle_while_its_own_comes_up() -> None:
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, SLOW)
+        calls.begin("a")
+        calls.begin("once", ONCE)
+        calls.begin("b")
+        await connects.begun(3)
+        connects.let(0)
+        await until(lambda: "a" in calls.ended)
+        assert set(calls.ended) == {"a"}  # it rests first: more than its answer may be under way
+        await connects.step(idle_connections.SETTLE_S)
+        await calls.until(a=Outcome.OK, b=Outcome.OK)
+        assert b.connections == 1
+        assert ids(b) == ["a", "b"]
+        connects.let(1)  # what must not run twice waits for one of its own
+        await calls.until(a=Outcome.OK, b=Outcome.OK, once=Outcome.OK)
+        assert b.connections == 2
+        pool.close()
+
+
+async def test_a_request_takes_a_connection_that_rests_as_it_comes() -> None:
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, SLOW)
+        calls.begin("a")
+        await connects.begun(1)
+        connects.let(0)
+        await calls.until(a=Outcome.OK)
+        calls.begin("b")
+        await connects.begun(2)
+        await connects.step(idle_connections.SETTLE_S)
+        await calls.until(a=Outcome.OK, b=Outcome.OK)
+        assert b.connections == 1
+        pool.close()
+
+
+async def test_the_longest_waiting_request_takes_what_comes_up_for_a_later_one() -> None:
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, SLOW)
+        calls.begin("a", ONCE)
+        calls.begin("b", ONCE)
+        await connects.begun(2)
+        connects.let(1)
+        await calls.until(a=Outcome.OK)
+        connects.let(0)
+        await calls.until(a=Outcome.OK, b=Outcome.OK)
+        assert ids(b) == ["a", "b"]
+        pool.close()
+
+
+async def test_an_attempt_ends_only_once_none_is_coming_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
     """A refusal ends that connection alone, and no more are opened where one was refused."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-            made, number = pool.connect, iter(range(9))
-
-            async def refused_second(endpoint: EndpointAddress) -> UpstreamConnection:
-                second = next(number) == 1
-                connection = await made(endpoint)
-                if second:
-                    connection.close()
-                    raise ConnectionRefusedError
-                return connection
-
-            monkeypatch.setattr(pool, "connect", refused_second)
-            calls.begin("a", failover_within_s=LIMIT_S / 2)
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        made, number = pool.connect, iter(range(9))
+
+        async def refused_second(endpoint: EndpointAddress) -> UpstreamConnection:
+            second = next(number) == 1
+            connection = await made(endpoint)
+            if second:
+                connection.close()
+                raise ConnectionRefusedError
+            return connection
+
+        monkeypatch.setattr(pool, "connect", refused_second)
+        calls.begin("a", failover_within_s=LIMIT_S / 2)
+        await connects.step(11.0)
+        await connects.begun(2)
+        connects.let(1)
+        await until(
+            lambda: pool._pending[calls.endpoint][0].task is not None and bool(pool._pacing.no_extra_until)
+        )
+        for _ in range(20):
             await connects.step(11.0)
-            await connects.begun(2)
-            connects.let(1)
-            await until(
-                lambda: pool._pending[calls.endpoint][0].task is not None
-                and bool(pool._pacing.no_extra_until)
-            )
-            for _ in range(20):
-                await connects.step(11.0)
-            assert not calls.ended
-            assert len(connects.gates) == 2
-            connects.let(0)
-            await calls.until(a=Outcome.OK)
-            pool.close()
-
-    run(test)
+        assert not calls.ended
+        assert len(connects.gates) == 2
+        connects.let(0)
+        await calls.until(a=Outcome.OK)
+        pool.close()
 
 
 @pytest.mark.parametrize("up", [False, True], ids=["coming", "just up"])
@@ -217,132 +192,115 @@
         ("end", None),
     ],
 )
-def test_one_that_is_given_up_with_two_connections_coming_leaves_none(
+async def test_one_that_is_given_up_with_two_connections_coming_leaves_none(
     how: str, ends: Outcome | None, up: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also where both stand, and the tasks that waited for them have been woken and have not run yet."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-            out = calls.begin("a")
-            await connects.step(11.0)
-            await connects.begun(2)
-            give_up = {
-                "drain": lambda: pool.disable_endpoint(calls.endpoint),
-                "client gone": out.cancel_if_unsent,
-                "cancel": out.cancel,
-                "time-out": out._time_out,
-                "end": pool.close,
-            }[how]
-            tasks = [pending.task for pending in pool._pending[calls.endpoint]]
-            if up:
-                crossed: list[bool] = []
-                make = UpstreamConnection.connection_made
-
-                def made(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
-                    make(connection, transport)
-                    pool.loop.call_soon(
-                        cross
-                    )  # in the next turn, before the tasks, which this one wakes later
-
-                def cross() -> None:
-                    if not crossed:  # they were let at once and go on in step
-                        crossed.append(len(pool._open) == 2 and out._connection is None)
-                        give_up()
-
-                monkeypatch.setattr(UpstreamConnection, "connection_made", made)
-                connects.let(0, 1)
-                await until(lambda: bool(crossed))
-                assert crossed == [True]
-            else:
-                give_up()
-            await until(lambda: all(task.done() for task in tasks) and not pool._open)
-            assert calls.ended == ({} if ends is None else {"a": ends})
-            assert not pool._pending
-            assert not pool._idle.by_endpoint
-            assert not b.seen
-            assert not pool._waiting or how == "end"
-            out.cancel_if_unsent()
-            pool.close()
-
-    run(test)
-
-
-def test_one_of_two_that_wait_is_given_up_and_the_other_still_gets_its_connection() -> None:
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-            calls.begin("a")
-            calls.begin("b").cancel_if_unsent()
-            await connects.begun(1)
-            connects.let(0)
-            await calls.until(a=Outcome.OK, b=Outcome.NOT_SENT)
-            assert not pool._pending
-            pool.close()
-
-    run(test)
-
-
-def test_a_lack_of_sockets_opens_no_other_one() -> None:
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 1)
-            calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-            calls.begin("a")
-            for _ in range(5):
-                await connects.step(50.0)
-            assert len(connects.gates) == 1
-            calls.begin("b")
-            connects.let(0)
-            await calls.until(a=Outcome.OK, b=Outcome.NOT_SENT)
-            pool.close()
-
-    run(test)
-
-
-def test_an_attempt_waits_no_longer_than_the_time_for_a_connection_however_many_are_coming() -> None:
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        out = calls.begin("a")
+        await connects.step(11.0)
+        await connects.begun(2)
+        give_up = {
+            "drain": lambda: pool.disable_endpoint(calls.endpoint),
+            "client gone": out.cancel_if_unsent,
+            "cancel": out.cancel,
+            "time-out": out._time_out,
+            "end": pool.close,
+        }[how]
+        tasks = [pending.task for pending in pool._pending[calls.endpoint]]
+        if up:
+            crossed: list[bool] = []
+            make = UpstreamConnection.connection_made
+
+            def made(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
+                make(connection, transport)
+                pool.loop.call_soon(cross)  # in the next turn, before the tasks, which this one wakes later
+
+            def cross() -> None:
+                if not crossed:  # they were let at once and go on in step
+                    crossed.append(len(pool._open) == 2 and out._connection is None)
+                    give_up()
+
+            monkeypatch.setattr(UpstreamConnection, "connection_made", made)
+            connects.let(0, 1)
+            await until(lambda: bool(crossed))
+            assert crossed == [True]
+        else:
+            give_up()
+        await until(lambda: all(task.done() for task in tasks) and not pool._open)
+        assert calls.ended == ({} if ends is None else {"a": ends})
+        assert not pool._pending
+        assert not pool._idle.by_endpoint
+        assert not b.seen
+        assert not pool._waiting or how == "end"
+        out.cancel_if_unsent()
+        pool.close()
+
+
+async def test_one_of_two_that_wait_is_given_up_and_the_other_still_gets_its_connection() -> None:
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls.begin("a")
+        calls.begin("b").cancel_if_unsent()
+        await connects.begun(1)
+        connects.let(0)
+        await calls.until(a=Outcome.OK, b=Outcome.NOT_SENT)
+        assert not pool._pending
+        pool.close()
+
+
+async def test_a_lack_of_sockets_opens_no_other_one() -> None:
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 1)
+        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls.begin("a")
+        for _ in range(5):
+            await connects.step(50.0)
+        assert len(connects.gates) == 1
+        calls.begin("b")
+        connects.let(0)
+        await calls.until(a=Outcome.OK, b=Outcome.NOT_SENT)
+        pool.close()
+
+
+async def test_an_attempt_waits_no_longer_than_the_time_for_a_connection_however_many_are_coming() -> None:
     """The module counts on it for repeats within a window; what is coming goes on for others."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-            calls.begin("a", timeout_s=5 * LIMIT_S)
-            await connects.step(59000.0)
-            await connects.begun(2)
-            connects.clock.step(1100.0)  # the first is given up by its own limit, the second is a second old
-            await calls.until(a=Outcome.NO_CONNECTION)
-            calls.begin("b")
-            connects.let(1)
-            await calls.until(a=Outcome.NO_CONNECTION, b=Outcome.OK)
-            assert ids(b) == ["b"]
-            pool.close()
-
-    run(test)
-
-
-def test_a_connection_goes_to_the_next_one_where_the_first_has_become_too_late_unnoticed() -> None:
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls.begin("a", timeout_s=5 * LIMIT_S)
+        await connects.step(59000.0)
+        await connects.begun(2)
+        connects.clock.step(1100.0)  # the first is given up by its own limit, the second is a second old
+        await calls.until(a=Outcome.NO_CONNECTION)
+        calls.begin("b")
+        connects.let(1)
+        await calls.until(a=Outcome.NO_CONNECTION, b=Outcome.OK)
+        assert ids(b) == ["b"]
+        pool.close()
+
+
+async def test_a_connection_goes_to_the_next_one_where_the_first_has_become_too_late_unnoticed() -> None:
     """The process stood still past the time of one, so that its timer has not fired yet."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-            calls, connects = Calls(pool, b), Connects(pool, SLOW)
-            calls.begin("a", timeout_s=5 * LIMIT_S)
-            await connects.step(30000.0)
-            calls.begin("b", timeout_s=5 * LIMIT_S)
-            await connects.begun(2)
-            connection = await ConnectionPool.connect(pool, calls.endpoint)
-            pending = pool._pending[calls.endpoint][1]
-            pending.task.cancel()
-            connects.clock.step(31000.0)
-            pool._on_connected(pending, connection)
-            assert calls.ended == {"a": Outcome.NO_CONNECTION}
-            await calls.until(a=Outcome.NO_CONNECTION, b=Outcome.OK)
-            assert ids(b) == ["b"]
-            pool.close()
-
-    run(test)
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
+        calls, connects = Calls(pool, b), Connects(pool, SLOW)
+        calls.begin("a", timeout_s=5 * LIMIT_S)
+        await connects.step(30000.0)
+        calls.begin("b", timeout_s=5 * LIMIT_S)
+        await connects.begun(2)
+        connection = await ConnectionPool.connect(pool, calls.endpoint)
+        pending = pool._pending[calls.endpoint][1]
+        pending.task.cancel()
+        connects.clock.step(31000.0)
+        pool._on_connected(pending, connection)
+        assert calls.ended == {"a": Outcome.NO_CONNECTION}
+        await calls.until(a=Outcome.NO_CONNECTION, b=Outcome.OK)
+        assert ids(b) == ["b"]
+        pool.close()
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -22,7 +22,7 @@
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
-from tests.support.loopback import Peer, SteppedClock, answer, peer, read_message, run
+from tests.support.loopback import Peer, SteppedClock, answer, peer, read_message
 
 SAFE = UpstreamRequest(b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True)
 ONCE = replace(SAFE, is_idempotent=False)
@@ -157,86 +157,79 @@
 
 
 @pytest.mark.parametrize("seed", range(PLAYS))
-def test_each_attempt_ends_once_and_nothing_is_left(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test() -> None:
-        loop, chance = asyncio.get_running_loop(), random.Random(seed)
-        async with fickle(chance) as a, fickle(chance) as b:
-            play = Play(chance, [a.port, b.port])
-            pool, send = play.pool, UpstreamConnection.send
-
-            def checked(
-                connection: UpstreamConnection, attempt: UpstreamAttempt, request: UpstreamRequest
-            ) -> None:
-                play.check_send(connection, attempt, request)
-                send(connection, attempt, request)
-
-            monkeypatch.setattr(UpstreamConnection, "send", checked)
-            loop.set_exception_handler(lambda _, context: play.wrong.append(str(context)))
-            for _ in range(STEPS):
-                for _ in range(chance.choice([0, 1, 1, 3])):
-                    if len(play.out) < MOST_OUT:
-                        play.act()
-                if play.gates and chance.random() < 0.7:
-                    play.gates.pop(chance.randrange(len(play.gates))).set()
-                await play.go_on(chance.choice(STEPS_S) if chance.random() < 0.5 else 0.0)
-            play.depth = DEEPEST
-            for _ in range(70):
-                await play.go_on(0.1)
-            assert not play.out
-            assert play.ended == dict.fromkeys(range(play.begun), 1)
-            assert not pool._waiting
-            assert not pool._pending
-            assert not pool._idle.by_endpoint
-            assert not pool._open
-            ours = (UpstreamAttempt, UpstreamConnection, ConnectionPool)
-            timers = [h for h in loop._scheduled if not h.cancelled()]  # type: ignore[attr-defined]
-            assert not [h for h in timers if isinstance(getattr(h._callback, "__self__", None), ours)]
-            for endpoint in play.endpoints:
-                pool.disable_endpoint(endpoint)
-            assert not pool._idle.reuse_from
-            assert not pool._last_activity
-            assert not pool._pacing.no_extra_until
-            assert not play.wrong
-            loop.set_exception_handler(None)
-
-    run(test)
-
-
-def test_one_that_waits_looks_a_few_times_where_connections_are_usually_quick() -> None:
+async def test_each_attempt_ends_once_and_nothing_is_left(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    loop, chance = asyncio.get_running_loop(), random.Random(seed)
+    async with fickle(chance) as a, fickle(chance) as b:
+        play = Play(chance, [a.port, b.port])
+        pool, send = play.pool, UpstreamConnection.send
+
+        def checked(
+            connection: UpstreamConnection, attempt: UpstreamAttempt, request: UpstreamRequest
+        ) -> None:
+            play.check_send(connection, attempt, request)
+            send(connection, attempt, request)
+
+        monkeypatch.setattr(UpstreamConnection, "send", checked)
+        loop.set_exception_handler(lambda _, context: play.wrong.append(str(context)))
+        for _ in range(STEPS):
+            for _ in range(chance.choice([0, 1, 1, 3])):
+                if len(play.out) < MOST_OUT:
+                    play.act()
+            if play.gates and chance.random() < 0.7:
+                play.gates.pop(chance.randrange(len(play.gates))).set()
+            await play.go_on(chance.choice(STEPS_S) if chance.random() < 0.5 else 0.0)
+        play.depth = DEEPEST
+        for _ in range(70):
+            await play.go_on(0.1)
+        assert not play.out
+        assert play.ended == dict.fromkeys(range(play.begun), 1)
+        assert not pool._waiting
+        assert not pool._pending
+        assert not pool._idle.by_endpoint
+        assert not pool._open
+        ours = (UpstreamAttempt, UpstreamConnection, ConnectionPool)
+        timers = [h for h in loop._scheduled if not h.cancelled()]  # type: ignore[attr-defined]
+        assert not [h for h in timers if isinstance(getattr(h._callback, "__self__", None), ours)]
+        for endpoint in play.endpoints:
+            pool.disable_endpoint(endpoint)
+        assert not pool._idle.reuse_from
+        assert not pool._last_activity
+        assert not pool._pacing.no_extra_until
+        assert not play.wrong
+        loop.set_exception_handler(None)
+
+
+async def test_one_that_waits_looks_a_few_times_where_connections_are_usually_quick() -> None:
     """It may wait for hundreds of times of what is usual, and each look takes the event loop's time."""
     looks = 0
 
-    async def test() -> None:
-        nonlocal looks
-        async with fickle(random.Random(0)) as b:
-            pool, clock = ConnectionPool(1.0, 30.0, 10), SteppedClock()
-            for _ in range(32):
-                pool._pacing.latency.add(0.0001)
-
-            async def never(endpoint: EndpointAddress) -> UpstreamConnection:
-                await asyncio.Event().wait()
-                raise AssertionError
-
-            pool.connect = never  # type: ignore[method-assign]
-            look = pool.extra_connection_pays
-
-            def counted(attempt: UpstreamAttempt) -> bool:
-                nonlocal looks
-                looks += 1
-                return look(attempt)
-
-            pool.extra_connection_pays = counted  # type: ignore[method-assign]
-            ended: list[Outcome] = []
-            pool.start_attempt(
-                EndpointAddress(1, ("127.0.0.1", b.port)), SAFE, 30.0, lambda how, _: ended.append(how)
-            )
-            while not ended:
-                clock.step(0.001)
-                for _ in range(3):
-                    await asyncio.sleep(0)
-            assert ended == [Outcome.NO_CONNECTION]
-            assert connect_pacing.MIN_LATE_S == 0.002
-            pool.close()
-
-    run(test)
+    async with fickle(random.Random(0)) as b:
+        pool, clock = ConnectionPool(1.0, 30.0, 10), SteppedClock()
+        for _ in range(32):
+            pool._pacing.latency.add(0.0001)
+
+        async def never(endpoint: EndpointAddress) -> UpstreamConnection:
+            await asyncio.Event().wait()
+            raise AssertionError
+
+        pool.connect = never  # type: ignore[method-assign]
+        look = pool.extra_connection_pays
+
+        def counted(attempt: UpstreamAttempt) -> bool:
+            nonlocal looks
+            looks += 1
+            return look(attempt)
+
+        pool.extra_connection_pays = counted  # type: ignore[method-assign]
+        ended: list[Outcome] = []
+        pool.start_attempt(
+            EndpointAddress(1, ("127.0.0.1", b.port)), SAFE, 30.0, lambda how, _: ended.append(how)
+        )
+        while not ended:
+            clock.step(0.001)
+            for _ in range(3):
+                await asyncio.sleep(0)
+        assert ended == [Outcome.NO_CONNECTION]
+        assert connect_pacing.MIN_LATE_S == 0.002
+        pool.close()
     assert 1 + connection_pool.MAX_SPARE_CONNECTS <= looks <= 12
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -7,7 +7,7 @@
 from load_balancer.messages import Outcome
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
-from tests.support.loopback import answer, call, entry, proxy, run
+from tests.support.loopback import answer, call, entry, proxy
 from tests.support.upstream_helpers import INVALID_RESPONSES, KINDS, Message, Out, Wire, bare, says
 
 CHUNKED = b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n3\r\nall\r\n0\r\n\r\n"
@@ -18,32 +18,29 @@
 @pytest.mark.parametrize(
     "whole", [answer(200, b"ok"), CHUNKED, b"HTTP/1.1 103 x\r\n\r\n" + answer(200, b"ok")]
 )
-def test_an_answer_that_is_cut_anywhere_is_none(
+async def test_an_answer_that_is_cut_anywhere_is_none(
     whole: bytes, how: str, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async def test() -> None:
-        said: list[tuple[bytes | str, ...]] = []
+    said: list[tuple[bytes | str, ...]] = []
 
-        async def handle(wire: Wire, got: Message) -> None:
-            await says(*said.pop(0))(wire, got)
-
-        async with bare(handle) as b:
-            for at in range(len(whole) + 1):
-                said[:] = [*[(answer(200, b"first"),)] * kept, (whole[:at], how)]
-                pool, before = ConnectionPool(0.25, 30.0, 10), len(b.wires)
-                for _ in range(kept):
-                    assert (await Out(pool, b.endpoint).end())[0] is Outcome.OK
-                got = await Out(pool, b.endpoint).end()
-                if at < len(whole):
-                    assert got == (Outcome.RESET, None), at
-                else:
-                    assert got[0] is Outcome.OK
-                assert len(b.wires) == before + 1
-                pool.close()
-
-    run(test)
+    async def handle(wire: Wire, got: Message) -> None:
+        await says(*said.pop(0))(wire, got)
+
+    async with bare(handle) as b:
+        for at in range(len(whole) + 1):
+            said[:] = [*[(answer(200, b"first"),)] * kept, (whole[:at], how)]
+            pool, before = ConnectionPool(0.25, 30.0, 10), len(b.wires)
+            for _ in range(kept):
+                assert (await Out(pool, b.endpoint).end())[0] is Outcome.OK
+            got = await Out(pool, b.endpoint).end()
+            if at < len(whole):
+                assert got == (Outcome.RESET, None), at
+            else:
+                assert got[0] is Outcome.OK
+            assert len(b.wires) == before + 1
+            pool.close()
 
 
 async def fares(kind: str, *first: bytes | str) -> tuple[int, list[str]]:
@@ -71,32 +68,23 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("how", ["end", "reset"])
-def test_what_follows_an_answer_that_is_cut_anywhere(kind: str, how: str) -> None:
-    async def test() -> None:
-        whole = answer(200, b"served")
-        for at in range(len(whole)):
-            assert await fares(kind, whole[:at], how) == may_have_run(kind), at
-
-    run(test)
+async def test_what_follows_an_answer_that_is_cut_anywhere(kind: str, how: str) -> None:
+    whole = answer(200, b"served")
+    for at in range(len(whole)):
+        assert await fares(kind, whole[:at], how) == may_have_run(kind), at
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_what_follows_an_answer_that_is_none(kind: str) -> None:
-    async def test() -> None:
-        for said in INVALID_RESPONSES:
-            assert await fares(kind, said) == may_have_run(kind), said
-
-    run(test)
+async def test_what_follows_an_answer_that_is_none(kind: str) -> None:
+    for said in INVALID_RESPONSES:
+        assert await fares(kind, said) == may_have_run(kind), said
 
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("status", [500, 503, 504])
 @pytest.mark.parametrize("declined", ["1", "0", ""])
-def test_only_what_is_declined_has_surely_not_run(kind: str, status: int, declined: str) -> None:
-    async def test() -> None:
-        never_ran = declined == "1" and status != 500
-        told = (200, ["r1", "r1"]) if never_ran else may_have_run(kind)
-        said = answer(status, Srv_Declined=declined) if declined else answer(status)
-        assert await fares(kind, said) == told
-
-    run(test)
+async def test_only_what_is_declined_has_surely_not_run(kind: str, status: int, declined: str) -> None:
+    never_ran = declined == "1" and status != 500
+    told = (200, ["r1", "r1"]) if never_ran else may_have_run(kind)
+    said = answer(status, Srv_Declined=declined) if declined else answer(status)
+    assert await fares(kind, said) == told
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -19,7 +19,7 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
 from tests.support.balancer_harness import settings
-from tests.support.loopback import answer, call, entry, proxy, read_message, run, until
+from tests.support.loopback import answer, call, entry, proxy, read_message, until
 from tests.support.upstream_helpers import OK, ONCE, REQUEST, Message, Out, Wire, bare, says, stepped
 
 
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("kept", [False, True])
 @pytest.mark.parametrize("cancel", [False, True])
 @pytest.mark.parametrize("how", ["gone", "deadline", "end"])
-def test_the_rest_of_a_request_is_not_written_after_its_final_answer(
+async def test_the_rest_of_a_request_is_not_written_after_its_final_answer(
     how: str, cancel: bool, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its backend has taken only a part: nothing has run yet, and the rest would make it run for nobody."""
@@ -42,69 +42,63 @@
 
     monkeypatch.setattr(UpstreamConnection, "connection_made", narrow)
 
-    async def test() -> None:
-        limits = messages.Limits(max_attempts=3, cancel=cancel)
-        async with (
-            bare(says(answer(200, b"x"))) as b,
-            proxy(entry("s-1", b.port), setup=settings(limits=limits)) as p,
-        ):
-            b.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            if kept:
-                assert (await p.ask(call("mark", request_id="first")))[2] == b"x"
-            b.reads.clear()
-            clock = stepped(p)
-            reader, writer = await p.connect()
-            writer.write(call("mark" if kept else "pay", request_id="big", body=b"x" * 65_536))
-            await until(lambda: bool(transports) and transports[-1].get_write_buffer_size() > 0)
-            if how == "gone":
-                writer.close()
-            elif how == "deadline":
-                clock.step(4.0)
-            else:
-                p.driver.give_up()
-            if how != "gone":  # at the end of the proxy the module counts what is out as what may have run
-                told = "502" if how == "end" and not kept else "503"
-                assert (await read_message(reader))[0].split()[1] == told
-            await until(lambda: p.driver.idle)
-            b.reads.set()
-            await until(lambda: bool(b.wires) and b.wires[-1].ended)
-            assert len(b.wires) == 1
-            assert b.ids == ["first"] * kept
+    limits = messages.Limits(max_attempts=3, cancel=cancel)
+    async with (
+        bare(says(answer(200, b"x"))) as b,
+        proxy(entry("s-1", b.port), setup=settings(limits=limits)) as p,
+    ):
+        b.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        if kept:
+            assert (await p.ask(call("mark", request_id="first")))[2] == b"x"
+        b.reads.clear()
+        clock = stepped(p)
+        reader, writer = await p.connect()
+        writer.write(call("mark" if kept else "pay", request_id="big", body=b"x" * 65_536))
+        await until(lambda: bool(transports) and transports[-1].get_write_buffer_size() > 0)
+        if how == "gone":
             writer.close()
-
-    run(test)
+        elif how == "deadline":
+            clock.step(4.0)
+        else:
+            p.driver.give_up()
+        if how != "gone":  # at the end of the proxy the module counts what is out as what may have run
+            told = "502" if how == "end" and not kept else "503"
+            assert (await read_message(reader))[0].split()[1] == told
+        await until(lambda: p.driver.idle)
+        b.reads.set()
+        await until(lambda: bool(b.wires) and b.wires[-1].ended)
+        assert len(b.wires) == 1
+        assert b.ids == ["first"] * kept
+        writer.close()
 
 
 @pytest.mark.parametrize("how", ["cancel", "time out", "invalid"])
-def test_an_attempt_that_is_given_up_has_ended_at_its_backend_before_anything_follows(how: str) -> None:
+async def test_an_attempt_that_is_given_up_has_ended_at_its_backend_before_anything_follows(how: str) -> None:
     """The next one may be written in the same turn, on a kept connection: it must be no second copy."""
 
-    async def test() -> None:
-        async def handle(wire: Wire, got: Message) -> None:
-            if how == "invalid":
-                wire.say(b"not http\r\n\r\n")
-
-        def done(outcome: Outcome, reply: UpstreamResponse | None) -> None:
-            [wire] = b.wires
-            try:
-                ended.append(wire.socket.recv(1, socket.MSG_PEEK) == b"")
-            except BlockingIOError:
-                ended.append(False)
-
-        ended: list[bool] = []
-        async with bare(handle) as b:
-            pool = ConnectionPool(0.25, 30.0, 10)
-            out = pool.start_attempt(b.endpoint, REQUEST, 60.0, done)
-            await until(lambda: bool(b.seen))
-            if how == "cancel":
-                out.cancel()
-            elif how == "time out":
-                out._time_out()
-            await until(lambda: bool(ended))
-            assert ended == [True]
-            pool.close()
-
-    run(test)
+    async def handle(wire: Wire, got: Message) -> None:
+        if how == "invalid":
+            wire.say(b"not http\r\n\r\n")
+
+    def done(outcome: Outcome, reply: UpstreamResponse | None) -> None:
+        [wire] = b.wires
+        try:
+            ended.append(wire.socket.recv(1, socket.MSG_PEEK) == b"")
+        except BlockingIOError:
+            ended.append(False)
+
+    ended: list[bool] = []
+    async with bare(handle) as b:
+        pool = ConnectionPool(0.25, 30.0, 10)
+        out = pool.start_attempt(b.endpoint, REQUEST, 60.0, done)
+        await until(lambda: bool(b.seen))
+        if how == "cancel":
+            out.cancel()
+        elif how == "time out":
+            out._time_out()
+        await until(lambda: bool(ended))
+        assert ended == [True]
+        pool.close()
 
 
 EVENTS = ["answer", "reset", "time out", "cancel", "cancel if unsent", "drain"]
@@ -145,7 +139,9 @@
 
 
 @pytest.mark.parametrize("first", EVENTS)
-def test_an_attempt_has_one_outcome_whatever_crosses(first: str, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_attempt_has_one_outcome_whatever_crosses(
+    first: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """All that may end it, in each order of four, in one turn of the loop; the next request gets its own."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     made = UpstreamConnection.connection_made
@@ -157,34 +153,31 @@
 
     monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made)
 
-    async def test() -> None:
-        async def handle(wire: Wire, got: Message) -> None:
-            if got[0].split()[1] == "/next":
-                wire.say(answer(200, b"next"))
-
-        async with bare(handle) as b:
-            orders = [order for order in permutations(EVENTS, 4) if order[0] == first]
-            for number, order in enumerate(orders):
-                pool, seen = ConnectionPool(0.25, 30.0, 10), len(b.seen)
-                out = Out(pool, b.endpoint)
-                await until(lambda seen=seen: len(b.seen) > seen)  # type: ignore[misc]
-                wire, transport = b.wires[-1], transports[-1]
-                for event in order:
-                    cross(event, pool, out, wire, transport)
-                how, reply = await out.end()
-                assert how is expected_end(order), order
-                assert reply == (OK if how is Outcome.OK else None)
-                got = await Out(pool, b.endpoint, replace(REQUEST, target=b"/next")).end()
-                assert got[1], (number, order)
-                assert got[1].body == b"next", (number, order)
-                assert len(out.ends) == 1
-                pool.close()
-
-    run(test)
+    async def handle(wire: Wire, got: Message) -> None:
+        if got[0].split()[1] == "/next":
+            wire.say(answer(200, b"next"))
+
+    async with bare(handle) as b:
+        orders = [order for order in permutations(EVENTS, 4) if order[0] == first]
+        for number, order in enumerate(orders):
+            pool, seen = ConnectionPool(0.25, 30.0, 10), len(b.seen)
+            out = Out(pool, b.endpoint)
+            await until(lambda seen=seen: len(b.seen) > seen)  # type: ignore[misc]
+            wire, transport = b.wires[-1], transports[-1]
+            for event in order:
+                cross(event, pool, out, wire, transport)
+            how, reply = await out.end()
+            assert how is expected_end(order), order
+            assert reply == (OK if how is Outcome.OK else None)
+            got = await Out(pool, b.endpoint, replace(REQUEST, target=b"/next")).end()
+            assert got[1], (number, order)
+            assert got[1].body == b"next", (number, order)
+            assert len(out.ends) == 1
+            pool.close()
 
 
 @pytest.mark.parametrize("moment", ["coming", "made", "next turn"])
-def test_an_attempt_has_one_outcome_whatever_crosses_its_connection(
+async def test_an_attempt_has_one_outcome_whatever_crosses_its_connection(
     moment: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All that may end it, in each order of two, as its connection comes up: and nothing is sent."""
@@ -211,30 +204,27 @@
         "drain": Outcome.NOT_SENT,
     }
 
-    async def test() -> None:
-        async with bare(says(answer(200, b"ok"))) as b:
-            for first, second in permutations(outcomes, 2):
-                for request in (REQUEST, ONCE):
-                    pool = ConnectionPool(0.25, 30.0, 10)
-                    out = Out(pool, b.endpoint, replace(request, target=b"/crossed"))
-                    ends: dict[str, Callable[[], None]] = {
-                        "time out": out.attempt._time_out,
-                        "cancel": out.attempt.cancel,
-                        "cancel if unsent": out.attempt.cancel_if_unsent,
-                        "drain": partial(pool.disable_endpoint, b.endpoint),
-                    }
-
-                    cross = partial(both, ends[first], ends[second])
-                    if moment == "coming":
-                        await asyncio.sleep(0)  # the connect has begun
-                        cross()
-                    else:
-                        crossing.append(cross)
-                    assert await out.end() == (outcomes[first], None), (first, second)
-                    for _ in range(3):  # what would come of it comes before the end of these
-                        assert (await Out(pool, b.endpoint, request).end())[0] is Outcome.OK
-                    assert len(out.ends) == 1
-                    pool.close()
-            assert not [first for first, _, _ in b.seen if "crossed" in first]
-
-    run(test)
+    async with bare(says(answer(200, b"ok"))) as b:
+        for first, second in permutations(outcomes, 2):
+            for request in (REQUEST, ONCE):
+                pool = ConnectionPool(0.25, 30.0, 10)
+                out = Out(pool, b.endpoint, replace(request, target=b"/crossed"))
+                ends: dict[str, Callable[[], None]] = {
+                    "time out": out.attempt._time_out,
+                    "cancel": out.attempt.cancel,
+                    "cancel if unsent": out.attempt.cancel_if_unsent,
+                    "drain": partial(pool.disable_endpoint, b.endpoint),
+                }
+
+                cross = partial(both, ends[first], ends[second])
+                if moment == "coming":
+                    await asyncio.sleep(0)  # the connect has begun
+                    cross()
+                else:
+                    crossing.append(cross)
+                assert await out.end() == (outcomes[first], None), (first, second)
+                for _ in range(3):  # what would come of it comes before the end of these
+                    assert (await Out(pool, b.endpoint, request).end())[0] is Outcome.OK
+                assert len(out.ends) == 1
+                pool.close()
+        assert not [first for first, _, _ in b.seen if "crossed" in first]
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -11,13 +11,13 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
-from tests.support.loopback import SteppedClock, answer, call, entry, proxy, run, until
+from tests.support.loopback import SteppedClock, answer, call, entry, proxy, until
 from tests.support.upstream_helpers import KINDS, OK, ONCE, REQUEST, Bare, Held, Out, Wire, bare, says
 
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("what", ["end", "reset", "answer", "answer, end"])
-def test_a_new_connection_that_has_ended_or_spoken_before_its_request_carries_none(
+async def test_a_new_connection_that_has_ended_or_spoken_before_its_request_carries_none(
     what: str, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It broke before the request's last byte was written: that has surely not run and may go elsewhere."""
@@ -42,55 +42,49 @@
     taken: list[Wire] = []
     backends: list[Bare] = []
 
-    async def test() -> None:
-        handle = says(answer(200, b"served"))
-        async with (
-            bare(handle, accepts=False) as a,
-            bare(handle, accepts=False) as b,
-            proxy(entry("s-1", a.port), entry("s-2", b.port)) as p,
-        ):
-            backends[:] = [a, b]
-            line, _, body = await p.ask(call(kind, request_id="r1"))
-            assert line.split()[1] == "200"
-            assert body == b"served"
-            assert a.ids + b.ids == ["r1"]
-            if not taken[0].closed:
-                assert taken[0].socket.recv(1) == b""  # nothing was written
-                taken[0].socket.close()
-
-    run(test)
+    handle = says(answer(200, b"served"))
+    async with (
+        bare(handle, accepts=False) as a,
+        bare(handle, accepts=False) as b,
+        proxy(entry("s-1", a.port), entry("s-2", b.port)) as p,
+    ):
+        backends[:] = [a, b]
+        line, _, body = await p.ask(call(kind, request_id="r1"))
+        assert line.split()[1] == "200"
+        assert body == b"served"
+        assert a.ids + b.ids == ["r1"]
+        if not taken[0].closed:
+            assert taken[0].socket.recv(1) == b""  # nothing was written
+            taken[0].socket.close()
 
 
 @pytest.mark.parametrize("how", ["cancel", "cancel if unsent", "drain", "time out", "no connection"])
 @pytest.mark.parametrize("request_", [REQUEST, ONCE])
-def test_nothing_is_sent_on_a_connection_that_comes_up_after_its_attempt(
+async def test_nothing_is_sent_on_a_connection_that_comes_up_after_its_attempt(
     how: str, request_: UpstreamRequest
 ) -> None:
-    async def test() -> None:
-        clock = SteppedClock()
-        async with bare(says(answer(200, b"ok"))) as b:
-            pool, held = ConnectionPool(0.25, 30.0, 10), Held()
-            out = Out(pool, b.endpoint, request_, timeout_s=0.2 if how == "time out" else 60.0)
-            await until(lambda: held.waiting == 1)
-            match how:
-                case "cancel":
-                    out.attempt.cancel()
-                case "cancel if unsent":
-                    out.attempt.cancel_if_unsent()
-                case "drain":
-                    pool.disable_endpoint(b.endpoint)
-                case "time out":
-                    clock.step(0.21)
-                case _:
-                    clock.step(0.26)
-            got = (await out.end())[0]
-            assert got.never_ran or (how, got) == ("cancel", Outcome.CANCELLED)
-            held.opened.set()
-            for n in range(3):  # what would come of the first one comes before the end of these
-                other = replace(request_, target=b"/%d" % n)
-                assert await Out(pool, b.endpoint, other).end() == (Outcome.OK, OK)
-            assert [first.split()[1] for first, _, _ in b.seen] == ["/0", "/1", "/2"]
-            assert len(out.ends) == 1
-            pool.close()
-
-    run(test)
+    clock = SteppedClock()
+    async with bare(says(answer(200, b"ok"))) as b:
+        pool, held = ConnectionPool(0.25, 30.0, 10), Held()
+        out = Out(pool, b.endpoint, request_, timeout_s=0.2 if how == "time out" else 60.0)
+        await until(lambda: held.waiting == 1)
+        match how:
+            case "cancel":
+                out.attempt.cancel()
+            case "cancel if unsent":
+                out.attempt.cancel_if_unsent()
+            case "drain":
+                pool.disable_endpoint(b.endpoint)
+            case "time out":
+                clock.step(0.21)
+            case _:
+                clock.step(0.26)
+        got = (await out.end())[0]
+        assert got.never_ran or (how, got) == ("cancel", Outcome.CANCELLED)
+        held.opened.set()
+        for n in range(3):  # what would come of the first one comes before the end of these
+            other = replace(request_, target=b"/%d" % n)
+            assert await Out(pool, b.endpoint, other).end() == (Outcome.OK, OK)
+        assert [first.split()[1] for first, _, _ in b.seen] == ["/0", "/1", "/2"]
+        assert len(out.ends) == 1
+        pool.close()
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -12,168 +12,144 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from tests.support.loopback import answer, backend, peer, read_message, run, until
+from tests.support.loopback import answer, backend, peer, read_message, until
 from tests.support.upstream_helpers import ONCE, REQUEST, attempt
 
 
-def test_a_refused_connection_could_not_connect() -> None:
-    async def test() -> None:
-        with socket.socket() as closed:
-            closed.bind(("127.0.0.1", 0))
-            got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), closed.getsockname())
-            assert got is Outcome.NO_CONNECTION
+async def test_a_refused_connection_could_not_connect() -> None:
+    with socket.socket() as closed:
+        closed.bind(("127.0.0.1", 0))
+        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), closed.getsockname())
+        assert got is Outcome.NO_CONNECTION
 
-    run(test)
 
+async def test_a_connection_that_never_comes_up_could_not_connect() -> None:
+    with socket.socket() as full:
+        full.bind(("127.0.0.1", 0))
+        full.listen(0)
+        fillers = [socket.socket() for _ in range(4)]
+        for filler in fillers:  # until the queue takes no more, the system says nothing
+            filler.setblocking(False)
+            filler.connect_ex(full.getsockname())
+        got, _ = await attempt(ConnectionPool(0.1, 30.0, 10), full.getsockname())
+        assert got is Outcome.NO_CONNECTION
+        for filler in fillers:
+            filler.close()
 
-def test_a_connection_that_never_comes_up_could_not_connect() -> None:
-    async def test() -> None:
-        with socket.socket() as full:
-            full.bind(("127.0.0.1", 0))
-            full.listen(0)
-            fillers = [socket.socket() for _ in range(4)]
-            for filler in fillers:  # until the queue takes no more, the system says nothing
-                filler.setblocking(False)
-                filler.connect_ex(full.getsockname())
-            got, _ = await attempt(ConnectionPool(0.1, 30.0, 10), full.getsockname())
-            assert got is Outcome.NO_CONNECTION
-            for filler in fillers:
-                filler.close()
 
-    run(test)
-
-
-def test_a_request_that_is_not_written_whole_has_never_run() -> None:
+async def test_a_request_that_is_not_written_whole_has_never_run() -> None:
     big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000)
 
-    async def test() -> None:
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readexactly(10)
-            writer.transport.abort()
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readexactly(10)
+        writer.transport.abort()
 
-        async with peer(handle) as b:
-            got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big)
-            assert got is Outcome.NO_CONNECTION
+    async with peer(handle) as b:
+        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big)
+        assert got is Outcome.NO_CONNECTION
 
-    run(test)
 
-
-def test_giving_up_while_the_request_is_not_written_whole_is_no_time_out() -> None:
+async def test_giving_up_while_the_request_is_not_written_whole_is_no_time_out() -> None:
     big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000)
 
-    async def test() -> None:
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await never.wait()
-
-        never = asyncio.Event()
-        async with peer(handle) as b:
-            got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big, timeout_s=0.2)
-            assert got is Outcome.NO_CONNECTION
-            never.set()
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await never.wait()
 
-    run(test)
+    never = asyncio.Event()
+    async with peer(handle) as b:
+        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big, timeout_s=0.2)
+        assert got is Outcome.NO_CONNECTION
+        never.set()
 
 
 @pytest.mark.parametrize("written", [False, True])
-def test_only_what_is_not_written_completely_is_cancelled_if_unsent(written: bool) -> None:
+async def test_only_what_is_not_written_completely_is_cancelled_if_unsent(written: bool) -> None:
     size = 2 if written else 30_000_000
     head = [(b"host", b"x"), (b"content-length", b"%d" % size)]
 
-    async def test() -> None:
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            begun.set()
-            await go_on.wait()
-            writer.write(answer(200, b"ok"))
-
-        begun, go_on = asyncio.Event(), asyncio.Event()
-        ended: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        async with peer(handle) as b:
-            out = ConnectionPool(0.25, 30.0, 10).start_attempt(
-                EndpointAddress(1, ("127.0.0.1", b.port)),
-                replace(ONCE, headers=head, body=b"x" * size),
-                5.0,
-                lambda how, _: ended.set_result(how),
-            )
-            await begun.wait()
-            out.cancel_if_unsent()
-            assert out.is_over is not written
-            go_on.set()
-            assert await ended is (Outcome.OK if written else Outcome.NOT_SENT)
-
-    run(test)
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        begun.set()
+        await go_on.wait()
+        writer.write(answer(200, b"ok"))
+
+    begun, go_on = asyncio.Event(), asyncio.Event()
+    ended: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
+    async with peer(handle) as b:
+        out = ConnectionPool(0.25, 30.0, 10).start_attempt(
+            EndpointAddress(1, ("127.0.0.1", b.port)),
+            replace(ONCE, headers=head, body=b"x" * size),
+            5.0,
+            lambda how, _: ended.set_result(how),
+        )
+        await begun.wait()
+        out.cancel_if_unsent()
+        assert out.is_over is not written
+        go_on.set()
+        assert await ended is (Outcome.OK if written else Outcome.NOT_SENT)
 
 
 @pytest.mark.parametrize("how", ["cancel", "cancel if unsent", "disable", "time out"])
-def test_giving_up_as_the_connection_has_just_come_up_leaves_none_open(
+async def test_giving_up_as_the_connection_has_just_come_up_leaves_none_open(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It stands, and the task that waited for it has been woken and has not run yet."""
 
-    async def test() -> None:
-        async with backend(answer(200, b"ok")) as b:
-            pool, endpoint = ConnectionPool(0.25, 30.0, 10), EndpointAddress(1, ("127.0.0.1", b.port))
-            ended: list[Outcome] = []
-            made = UpstreamConnection.connection_made
-
-            def crossed(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
-                made(connection, transport)
-                pool.loop.call_soon(cross)  # in the next turn, before the task, which this one wakes later
-
-            def cross() -> None:
-                assert out._connection is None
-                assert not out.is_over
-                assert pool._open
-                {
-                    "cancel": out.cancel,
-                    "cancel if unsent": out.cancel_if_unsent,
-                    "disable": lambda: pool.disable_endpoint(endpoint),
-                    "time out": out._time_out,
-                }[how]()
-
-            monkeypatch.setattr(UpstreamConnection, "connection_made", crossed)
-            out = pool.start_attempt(endpoint, REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
-            await until(lambda: b.connections == 1 and not pool._open and not pool._pending)
-            assert len(ended) == 1
-            assert not pool._idle.by_endpoint
-            assert not pool._waiting
-            assert b.seen == []
-
-    run(test)
-
-
-def test_a_cancel_closes_the_connection() -> None:
-    async def test() -> None:
-        begun, closed = asyncio.Event(), asyncio.Event()
-
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_message(reader)
-            begun.set()
-            assert await reader.read() == b""
-            closed.set()
-
-        async with peer(handle) as b:
-            pool, ends = ConnectionPool(0.25, 30.0, 10), []
-            out = pool.start_attempt(
-                EndpointAddress(1, ("127.0.0.1", b.port)), REQUEST, 5.0, lambda how, _: ends.append(how)
-            )
-            await begun.wait()
-            out.cancel()
-            out.cancel()
-            assert ends == [Outcome.CANCELLED]
-            await closed.wait()
-
-    run(test)
-
-
-def test_a_lack_of_descriptors_is_not_held_against_the_backend(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test() -> None:
-        pool = ConnectionPool(0.25, 30.0, 10)
-
-        async def connect(endpoint: EndpointAddress) -> None:
-            raise OSError(24, "Too many open files")
-
-        monkeypatch.setattr(pool, "connect", connect)
-        assert (await attempt(pool, ("127.0.0.1", 1)))[0] is Outcome.NOT_SENT
-
-    run(test)
+    async with backend(answer(200, b"ok")) as b:
+        pool, endpoint = ConnectionPool(0.25, 30.0, 10), EndpointAddress(1, ("127.0.0.1", b.port))
+        ended: list[Outcome] = []
+        made = UpstreamConnection.connection_made
+
+        def crossed(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
+            made(connection, transport)
+            pool.loop.call_soon(cross)  # in the next turn, before the task, which this one wakes later
+
+        def cross() -> None:
+            assert out._connection is None
+            assert not out.is_over
+            assert pool._open
+            {
+                "cancel": out.cancel,
+                "cancel if unsent": out.cancel_if_unsent,
+                "disable": lambda: pool.disable_endpoint(endpoint),
+                "time out": out._time_out,
+            }[how]()
+
+        monkeypatch.setattr(UpstreamConnection, "connection_made", crossed)
+        out = pool.start_attempt(endpoint, REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
+        await until(lambda: b.connections == 1 and not pool._open and not pool._pending)
+        assert len(ended) == 1
+        assert not pool._idle.by_endpoint
+        assert not pool._waiting
+        assert b.seen == []
+
+
+async def test_a_cancel_closes_the_connection() -> None:
+    begun, closed = asyncio.Event(), asyncio.Event()
+
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_message(reader)
+        begun.set()
+        assert await reader.read() == b""
+        closed.set()
+
+    async with peer(handle) as b:
+        pool, ends = ConnectionPool(0.25, 30.0, 10), []
+        out = pool.start_attempt(
+            EndpointAddress(1, ("127.0.0.1", b.port)), REQUEST, 5.0, lambda how, _: ends.append(how)
+        )
+        await begun.wait()
+        out.cancel()
+        out.cancel()
+        assert ends == [Outcome.CANCELLED]
+        await closed.wait()
+
+
+async def test_a_lack_of_descriptors_is_not_held_against_the_backend(monkeypatch: pytest.MonkeyPatch) -> None:
+    pool = ConnectionPool(0.25, 30.0, 10)
+
+    async def connect(endpoint: EndpointAddress) -> None:
+        raise OSError(24, "Too many open files")
+
+    monkeypatch.setattr(pool, "connect", connect)
+    assert (await attempt(pool, ("127.0.0.1", 1)))[0] is Outcome.NOT_SENT
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -11,7 +11,7 @@
 from load_balancer.net.upstream import idle_connections, upstream_connection
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
-from tests.support.loopback import Gate, SteppedClock, answer, backend, peer, read_message, run, until
+from tests.support.loopback import Gate, SteppedClock, answer, backend, peer, read_message, until
 from tests.support.upstream_helpers import ONCE, attempt
 
 
@@ -35,18 +35,15 @@
         (answer(200, b"x" * 65537), Outcome.RESET),
     ],
 )
-def test_what_comes_back(said: bytes | None, outcome: Outcome) -> None:
-    async def test() -> None:
-        endless = b"x" * 70_000 if said and b"until" in said else b""
-        async with backend(said + endless if said else said) as b:
-            pool = ConnectionPool(0.25, 30.0, 10)
-            got, reply = await attempt(pool, ("127.0.0.1", b.port), timeout_s=0.5)
-            assert got is outcome
-            assert got is not Outcome.OK or (reply and reply.body == b"ok")
-            assert len(b.seen) == 1  # never sent again from here
-            pool.close()
-
-    run(test)
+async def test_what_comes_back(said: bytes | None, outcome: Outcome) -> None:
+    endless = b"x" * 70_000 if said and b"until" in said else b""
+    async with backend(said + endless if said else said) as b:
+        pool = ConnectionPool(0.25, 30.0, 10)
+        got, reply = await attempt(pool, ("127.0.0.1", b.port), timeout_s=0.5)
+        assert got is outcome
+        assert got is not Outcome.OK or (reply and reply.body == b"ok")
+        assert len(b.seen) == 1  # never sent again from here
+        pool.close()
 
 
 @pytest.mark.parametrize(
@@ -63,112 +60,92 @@
         b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_an_invalid_response_is_known_at_once_on_a_connection_that_stays_open(
+async def test_an_invalid_response_is_known_at_once_on_a_connection_that_stays_open(
     said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_S", 60.0)
 
-    async def test() -> None:
-        async with backend(said) as b:
-            pool = ConnectionPool(0.25, 30.0, 10)
-            assert await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0) == (Outcome.RESET, None)
-            assert not pool._idle.by_endpoint
-            pool.close()
-
-    run(test)
+    async with backend(said) as b:
+        pool = ConnectionPool(0.25, 30.0, 10)
+        assert await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0) == (Outcome.RESET, None)
+        assert not pool._idle.by_endpoint
+        pool.close()
 
 
-def test_an_answer_that_begins_and_does_not_end_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_answer_that_begins_and_does_not_end_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_S", 0.05)
 
-    async def test() -> None:
-        async with backend(b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf") as b:
-            pool = ConnectionPool(0.25, 30.0, 10)
-            assert (await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0))[0] is Outcome.RESET
-            pool.close()
-
-    run(test)
-
+    async with backend(b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf") as b:
+        pool = ConnectionPool(0.25, 30.0, 10)
+        assert (await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0))[0] is Outcome.RESET
+        pool.close()
 
-def test_a_good_answer_may_bring_more_than_belongs_to_it() -> None:
-    async def test() -> None:
-        good = answer(200, b"ok", Srv_Load="inflight=?,,=;util")
-        for said in (good, good + good, good + b"noise", b"HTTP/1.1 103 x\r\n\r\n" + good):
-            async with backend(said) as b:
-                pool = ConnectionPool(0.25, 30.0, 10)
-                got, reply = await attempt(pool, ("127.0.0.1", b.port))
-                assert got is Outcome.OK
-                assert reply
-                assert reply.body == b"ok"
-                assert bool(pool._idle.by_endpoint) is (said.endswith(b"ok") and said.count(b"ok") == 1)
-                pool.close()
 
-    run(test)
+async def test_a_good_answer_may_bring_more_than_belongs_to_it() -> None:
+    good = answer(200, b"ok", Srv_Load="inflight=?,,=;util")
+    for said in (good, good + good, good + b"noise", b"HTTP/1.1 103 x\r\n\r\n" + good):
+        async with backend(said) as b:
+            pool = ConnectionPool(0.25, 30.0, 10)
+            got, reply = await attempt(pool, ("127.0.0.1", b.port))
+            assert got is Outcome.OK
+            assert reply
+            assert reply.body == b"ok"
+            assert bool(pool._idle.by_endpoint) is (said.endswith(b"ok") and said.count(b"ok") == 1)
+            pool.close()
 
 
-def test_what_comes_late_behind_an_answer_is_not_the_next_one(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_what_comes_late_behind_an_answer_is_not_the_next_one(monkeypatch: pytest.MonkeyPatch) -> None:
     """A second copy comes just after the connection was kept: it is not taken again at once, nor then."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 60.0)
 
-    async def test() -> None:
-        copy = asyncio.Event()
-
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            b.seen.append(await read_message(reader))
-            writer.write(answer(200, b"%d" % len(b.seen)))
-            await copy.wait()
-            writer.write(answer(200, b"1"))
-            await reader.read()
-
-        async with peer(handle) as b:
-            pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
-            assert (await attempt(pool, address))[1] == UpstreamResponse(
-                200, [(b"content-length", b"1")], b"1"
-            )
-            later = asyncio.ensure_future(attempt(pool, address))
+    copy = asyncio.Event()
+
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        b.seen.append(await read_message(reader))
+        writer.write(answer(200, b"%d" % len(b.seen)))
+        await copy.wait()
+        writer.write(answer(200, b"1"))
+        await reader.read()
+
+    async with peer(handle) as b:
+        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
+        assert (await attempt(pool, address))[1] == UpstreamResponse(200, [(b"content-length", b"1")], b"1")
+        later = asyncio.ensure_future(attempt(pool, address))
+        await asyncio.sleep(0)
+        copy.set()
+        got, reply = await later
+        assert got is Outcome.OK
+        assert reply
+        assert reply.body == b"2"
+        while any(pool._idle.by_endpoint.values()):
             await asyncio.sleep(0)
-            copy.set()
-            got, reply = await later
-            assert got is Outcome.OK
-            assert reply
-            assert reply.body == b"2"
-            while any(pool._idle.by_endpoint.values()):
-                await asyncio.sleep(0)
-            pool.close()
-
-    run(test)
-
+        pool.close()
 
-def test_an_answer_to_half_a_request_is_none_and_proves_that_it_never_ran() -> None:
-    async def test() -> None:
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer(200, b"ok"))
-            await asyncio.Event().wait()
 
-        async with peer(handle) as b:
-            body = b"x" * 30_000_000
-            big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"%d" % len(body))], body=body)
-            pool = ConnectionPool(0.25, 30.0, 10)
-            assert await attempt(pool, ("127.0.0.1", b.port), big) == (Outcome.NO_CONNECTION, None)
+async def test_an_answer_to_half_a_request_is_none_and_proves_that_it_never_ran() -> None:
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(answer(200, b"ok"))
+        await asyncio.Event().wait()
 
-    run(test)
+    async with peer(handle) as b:
+        body = b"x" * 30_000_000
+        big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"%d" % len(body))], body=body)
+        pool = ConnectionPool(0.25, 30.0, 10)
+        assert await attempt(pool, ("127.0.0.1", b.port), big) == (Outcome.NO_CONNECTION, None)
 
 
-def test_the_time_told_is_what_is_left_as_the_request_is_written() -> None:
+async def test_the_time_told_is_what_is_left_as_the_request_is_written() -> None:
     """A connection may come up long after the decision to send."""
 
-    async def test() -> None:
-        clock = SteppedClock()
-        async with backend(answer(200, b"ok")) as b:
-            pool = ConnectionPool(60.0, 30.0, 10)
-            gate = Gate(pool)
-            out = asyncio.ensure_future(attempt(pool, ("127.0.0.1", b.port), timeout_s=4.0))
-            await until(lambda: gate.waiting == 1)
-            clock.step(1.5)
-            gate.opened.set()
-            assert (await out)[0] is Outcome.OK
-            assert 2.0 < float(b.seen[0][1]["req-deadline"]) <= 2.5
-            pool.close()
-
-    run(test)
+    clock = SteppedClock()
+    async with backend(answer(200, b"ok")) as b:
+        pool = ConnectionPool(60.0, 30.0, 10)
+        gate = Gate(pool)
+        out = asyncio.ensure_future(attempt(pool, ("127.0.0.1", b.port), timeout_s=4.0))
+        await until(lambda: gate.waiting == 1)
+        clock.step(1.5)
+        gate.opened.set()
+        assert (await out)[0] is Outcome.OK
+        assert 2.0 < float(b.seen[0][1]["req-deadline"]) <= 2.5
+        pool.close()
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -12,7 +12,7 @@
 from load_balancer.policy import health_check
 from load_balancer.policy.request_state import HangLimit
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
-from tests.support.loopback import answer, call, entry, peer, proxy, read_message, run
+from tests.support.loopback import answer, call, entry, peer, proxy, read_message
 
 LIMITS = messages.Limits(max_attempts=3, cancel=True, health_checks=True)
 PROBING = settings(limits=LIMITS)
@@ -137,7 +137,7 @@
     assert read_requests_in_flight(report) == holds
 
 
-def test_a_lost_answer_is_found_on_the_sockets_and_its_request_served(
+async def test_a_lost_answer_is_found_on_the_sockets_and_its_request_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(health_check, "SUSPECT_LIMIT", HangLimit(0.0, 60 * MS))
@@ -155,14 +155,11 @@
             else:
                 writer.write(answer(200, b"x"))
 
-    async def test() -> None:
-        async with (
-            peer(handle) as a,
-            peer(handle) as b,
-            proxy(entry("s-1", a.port), entry("s-2", b.port), setup=PROBING) as p,
-        ):
-            assert (await p.ask(call(request_id="a1")))[2] == b"x"
-            assert lost == ["a1"]
-            assert not p.driver._balancer.health.pending
-
-    run(test)
+    async with (
+        peer(handle) as a,
+        peer(handle) as b,
+        proxy(entry("s-1", a.port), entry("s-2", b.port), setup=PROBING) as p,
+    ):
+        assert (await p.ask(call(request_id="a1")))[2] == b"x"
+        assert lost == ["a1"]
+        assert not p.driver._balancer.health.pending
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -21,7 +21,6 @@
     entry,
     listing,
     read_message,
-    run,
 )
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
 
@@ -78,7 +77,9 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /api HTTP/1.1\r\nHost: x\r\n", call(path="/ready")])
-def test_idle_callers_leave_backends_and_discovery_their_descriptors(sent: bytes, tmp_path: Path) -> None:
+async def test_idle_callers_leave_backends_and_discovery_their_descriptors(
+    sent: bytes, tmp_path: Path
+) -> None:
     """A real process under a low limit, whose crowd stays: it serves, and hears of a new backend."""
 
     async def ask(port: int, request_id: str) -> bytes:
@@ -89,47 +90,44 @@
         finally:
             writer.close()
 
-    async def test() -> None:
-        asked = asyncio.Event()
-
-        async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
-            asked.set()
-            await reader.read()
-
-        async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b:
-            down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
-            down.bind(("127.0.0.1", 0))
-            told = config(
-                discovery=f"127.0.0.1:{down.getsockname()[1]}",
-                known=listing(entry("a", a.port)),
-                settings=raw_settings(limits=LIMITS, registryMode="automatic"),
-            )
-            assert told["limits"]["sockets"] > GIVEN
-            async with process(write(tmp_path, told), GIVEN) as made:
-                port = await port_of(made)
-                assert made.stderr is not None
-                reading = asyncio.create_task(made.stderr.read())
-                crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(CROWD)]
-                for one in crowd:
-                    one.sendall(sent)
-                # Refused while all of the crowd are just bringing what they send.
-                while await ask(port, "r0") != b"a":
-                    pass
-                back = Peer(watch)
-                back.server = await asyncio.start_server(back.accept, sock=down)
-                await asked.wait()
-                while await ask(port, "r1") != b"b":
-                    pass
-                assert len(os.listdir(f"/proc/{made.pid}/fd")) < GIVEN
-                made.terminate()
-                for one in crowd:
-                    one.close()
-                assert await made.wait() == 0
-                back.stop()
-                said = (await reading).decode()
-                assert "descriptor for" not in said
-                assert "Traceback" not in said
-
-    run(test)
+    asked = asyncio.Event()
+
+    async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
+        asked.set()
+        await reader.read()
+
+    async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b:
+        down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
+        down.bind(("127.0.0.1", 0))
+        told = config(
+            discovery=f"127.0.0.1:{down.getsockname()[1]}",
+            known=listing(entry("a", a.port)),
+            settings=raw_settings(limits=LIMITS, registryMode="automatic"),
+        )
+        assert told["limits"]["sockets"] > GIVEN
+        async with process(write(tmp_path, told), GIVEN) as made:
+            port = await port_of(made)
+            assert made.stderr is not None
+            reading = asyncio.create_task(made.stderr.read())
+            crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(CROWD)]
+            for one in crowd:
+                one.sendall(sent)
+            # Refused while all of the crowd are just bringing what they send.
+            while await ask(port, "r0") != b"a":
+                pass
+            back = Peer(watch)
+            back.server = await asyncio.start_server(back.accept, sock=down)
+            await asked.wait()
+            while await ask(port, "r1") != b"b":
+                pass
+            assert len(os.listdir(f"/proc/{made.pid}/fd")) < GIVEN
+            made.terminate()
+            for one in crowd:
+                one.close()
+            assert await made.wait() == 0
+            back.stop()
+            said = (await reading).decode()
+            assert "descriptor for" not in said
+            assert "Traceback" not in said
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -11,7 +11,7 @@
 import pytest
 
 from load_balancer.process.server import FLUSH_S, accept_time_s
-from tests.support.loopback import answer, call, entry, listing, peer, read_message, run
+from tests.support.loopback import answer, call, entry, listing, peer, read_message
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
 
 KILL_MORE_S = 0.7  # SIGKILL comes this long after the longest deadline, by the terms
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("hangs", [False, True], ids=["backends answer", "backends hang"])
 @pytest.mark.parametrize("stopped_at_s", [None, 0.0, 0.45])
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0])
-def test_clients_that_go_on_to_the_end_get_one_answer_for_each_request_read(
+async def test_clients_that_go_on_to_the_end_get_one_answer_for_each_request_read(
     tmp_path: Path, deadline_s: float, hangs: bool, stopped_at_s: float | None
 ) -> None:
     """A connection that closes with no byte of an answer may only cross a request that was not read.
@@ -102,27 +102,24 @@
     Also with the process stopped for a moment as the signal comes, and as it stops listening.
     """
 
-    async def test() -> None:
-        traffic = Traffic(deadline_s, hangs)
-        lane = {"name": "read", "idempotency": "safe", "worth": 1}
-        lane |= {"onTimeUs": round(deadline_s * 1e6), "deadlineUs": round(deadline_s * 1e6)}
-        async with peer(traffic.serve) as b:
-            told = raw_settings(lanes=[lane], limits=LIMITS)
-            env = write(tmp_path, config(known=listing(entry("a", b.port)), settings=told))
-            async with process(env) as made:
-                port = await port_of(made)
-                clients = [asyncio.ensure_future(traffic.client(port, n)) for n in range(CLIENTS)]
-                await asyncio.sleep(0.1)
-                traffic.stopping.set()
-                made.send_signal(signal.SIGTERM)
-                began = asyncio.get_running_loop().time()
-                if stopped_at_s is not None:
-                    await hold_up(made, stopped_at_s)
-                assert await made.wait() == 0
-                took = asyncio.get_running_loop().time() - began
-                await asyncio.gather(*clients)
-                assert took < deadline_s + KILL_MORE_S
-                assert traffic.sent == traffic.answered + len(traffic.crossed)
-                assert not set(traffic.crossed) & set(traffic.seen)
-
-    run(test)
+    traffic = Traffic(deadline_s, hangs)
+    lane = {"name": "read", "idempotency": "safe", "worth": 1}
+    lane |= {"onTimeUs": round(deadline_s * 1e6), "deadlineUs": round(deadline_s * 1e6)}
+    async with peer(traffic.serve) as b:
+        told = raw_settings(lanes=[lane], limits=LIMITS)
+        env = write(tmp_path, config(known=listing(entry("a", b.port)), settings=told))
+        async with process(env) as made:
+            port = await port_of(made)
+            clients = [asyncio.ensure_future(traffic.client(port, n)) for n in range(CLIENTS)]
+            await asyncio.sleep(0.1)
+            traffic.stopping.set()
+            made.send_signal(signal.SIGTERM)
+            began = asyncio.get_running_loop().time()
+            if stopped_at_s is not None:
+                await hold_up(made, stopped_at_s)
+            assert await made.wait() == 0
+            took = asyncio.get_running_loop().time() - began
+            await asyncio.gather(*clients)
+            assert took < deadline_s + KILL_MORE_S
+            assert traffic.sent == traffic.answered + len(traffic.crossed)
+            assert not set(traffic.crossed) & set(traffic.seen)
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -11,7 +11,7 @@
 from load_balancer.process.config import ConfigSource
 from load_balancer.process.server import Reloader
 from tests.support.config_fields import FIRST_LANE, NUMBER_FIELDS, FieldPath, config_with, field_name
-from tests.support.loopback import Proxy, proxy, run
+from tests.support.loopback import Proxy, proxy
 from tests.support.proxy_process import config, write
 
 
@@ -111,21 +111,18 @@
 
 
 @pytest.mark.parametrize(("path", "values"), WRONG, ids=[field_name(path) for path, _ in WRONG])
-def test_at_sighup_a_field_of_the_wrong_kind_is_named_and_the_old_configuration_stands(
+async def test_at_sighup_a_field_of_the_wrong_kind_is_named_and_the_old_configuration_stands(
     tmp_path: Path, path: FieldPath, values: tuple[object, ...], caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def test() -> None:
-        async with proxy() as p:
-            r = ReloadHarness(tmp_path, p, caplog)
-            for value in values:
-                changed = config_with(path, value)
-                if path != ("discovery",):
-                    changed["discovery"] = "127.0.0.1:2"
-                r.path.write_text(json.dumps(changed))
-                r.refused(f"field {field_name(path)}")
-            r.still_follows()
-
-    run(test)
+    async with proxy() as p:
+        r = ReloadHarness(tmp_path, p, caplog)
+        for value in values:
+            changed = config_with(path, value)
+            if path != ("discovery",):
+                changed["discovery"] = "127.0.0.1:2"
+            r.path.write_text(json.dumps(changed))
+            r.refused(f"field {field_name(path)}")
+        r.still_follows()
 
 
 FILES: dict[str, tuple[bytes, str]] = {
@@ -141,50 +138,41 @@
 
 
 @pytest.mark.parametrize(("content", "named"), FILES.values(), ids=FILES.keys())
-def test_at_sighup_a_file_that_cannot_be_used_changes_nothing(
+async def test_at_sighup_a_file_that_cannot_be_used_changes_nothing(
     tmp_path: Path, content: bytes, named: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def test() -> None:
-        async with proxy() as p:
-            r = ReloadHarness(tmp_path, p, caplog)
-            r.path.write_bytes(content)
-            r.refused(named)
-            r.still_follows()
-
-    run(test)
+    async with proxy() as p:
+        r = ReloadHarness(tmp_path, p, caplog)
+        r.path.write_bytes(content)
+        r.refused(named)
+        r.still_follows()
 
 
 @pytest.mark.parametrize("way", ["gone", "a folder", "a link to itself"])
-def test_at_sighup_a_file_that_cannot_be_read_changes_nothing(
+async def test_at_sighup_a_file_that_cannot_be_read_changes_nothing(
     tmp_path: Path, way: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def test() -> None:
-        async with proxy() as p:
-            r = ReloadHarness(tmp_path, p, caplog)
-            r.path.unlink()
-            if way == "a folder":
-                r.path.mkdir()
-            elif way == "a link to itself":
-                r.path.symlink_to(r.path)
-            r.refused("NODE_CONFIG")
-            if way == "a folder":
-                r.path.rmdir()
-            else:
-                r.path.unlink(missing_ok=True)
-            r.still_follows()
-
-    run(test)
-
-
-def test_at_sighup_a_spoilt_list_as_last_known_keeps_nothing_from_being_followed(
+    async with proxy() as p:
+        r = ReloadHarness(tmp_path, p, caplog)
+        r.path.unlink()
+        if way == "a folder":
+            r.path.mkdir()
+        elif way == "a link to itself":
+            r.path.symlink_to(r.path)
+        r.refused("NODE_CONFIG")
+        if way == "a folder":
+            r.path.rmdir()
+        else:
+            r.path.unlink(missing_ok=True)
+        r.still_follows()
+
+
+async def test_at_sighup_a_spoilt_list_as_last_known_keeps_nothing_from_being_followed(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def test() -> None:
-        async with proxy() as p:
-            r = ReloadHarness(tmp_path, p, caplog)
-            r.path.write_text(json.dumps(config(discovery="127.0.0.1:2", known={"rev": 1})))
-            r.reloader.reload()
-            assert r.moved == [("127.0.0.1", 2)]
-            assert "field known.targets" in caplog.text
-
-    run(test)
+    async with proxy() as p:
+        r = ReloadHarness(tmp_path, p, caplog)
+        r.path.write_text(json.dumps(config(discovery="127.0.0.1:2", known={"rev": 1})))
+        r.reloader.reload()
+        assert r.moved == [("127.0.0.1", 2)]
+        assert "field known.targets" in caplog.text
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -21,7 +21,6 @@
     listing,
     peer,
     read_message,
-    run,
 )
 from tests.support.proxy_process import (
     LIMITS,
@@ -35,15 +34,12 @@
 )
 
 
-def test_a_bad_configuration_ends_it_with_one_line_and_code_2(tmp_path: Path) -> None:
-    async def test() -> None:
-        async with process(write(tmp_path, config(listen=5))) as made:
-            out, err = await made.communicate()
-            assert (out, made.returncode) == (b"", 2)
-            assert b"listen" in err
-            assert err.count(b"\n") == 1
-
-    run(test)
+async def test_a_bad_configuration_ends_it_with_one_line_and_code_2(tmp_path: Path) -> None:
+    async with process(write(tmp_path, config(listen=5))) as made:
+        out, err = await made.communicate()
+        assert (out, made.returncode) == (b"", 2)
+        assert b"listen" in err
+        assert err.count(b"\n") == 1
 
 
 def answers_by_name(begun: asyncio.Event, go_on: asyncio.Event) -> Handler:
@@ -60,73 +56,67 @@
     return serve
 
 
-def test_sigterm_ends_it_with_all_answered(tmp_path: Path) -> None:
+async def test_sigterm_ends_it_with_all_answered(tmp_path: Path) -> None:
     """What is out is answered, new connections and open ones are served for a while, then it ends."""
 
-    async def test() -> None:
-        begun, go_on = asyncio.Event(), asyncio.Event()
-
-        async with peer(answers_by_name(begun, go_on)) as b:
-            known = listing(entry("a", b.port))
-            async with process(write(tmp_path, config(known=known))) as made:
-                port = await port_of(made)
-                kept_reader, kept = await asyncio.open_connection("127.0.0.1", port)
-                slow_reader, slow_writer = await asyncio.open_connection("127.0.0.1", port)
-                slow_writer.write(call(request_id="slow"))
-                await begun.wait()
-                made.send_signal(signal.SIGTERM)
-                kept.write(call(request_id="kept"))
-                assert (await read_message(kept_reader))[2] == b"kept"
-                new_reader, new = await asyncio.open_connection("127.0.0.1", port)
-                new.write(call(request_id="new"))
-                assert (await read_message(new_reader))[2] == b"new"
-                new.write(call(path="/ready"))
-                assert (await read_message(new_reader))[0].split()[1] == "503"
-                go_on.set()
-                assert (await read_message(slow_reader))[2] == b"slow"
-                await asyncio.sleep(1.0)  # longer than new connections go on coming
-                kept.write(call(request_id="late"))
-                assert (await read_message(kept_reader))[2] == b"late"
-                for left in (kept_reader, slow_reader, new_reader):
-                    assert await left.read() == b""  # each closes in time for the end
-                assert await made.wait() == 0
-
-    run(test)
-
-
-def test_signals_during_its_end_change_nothing_but_where_discovery_is(tmp_path: Path) -> None:
+    begun, go_on = asyncio.Event(), asyncio.Event()
+
+    async with peer(answers_by_name(begun, go_on)) as b:
+        known = listing(entry("a", b.port))
+        async with process(write(tmp_path, config(known=known))) as made:
+            port = await port_of(made)
+            kept_reader, kept = await asyncio.open_connection("127.0.0.1", port)
+            slow_reader, slow_writer = await asyncio.open_connection("127.0.0.1", port)
+            slow_writer.write(call(request_id="slow"))
+            await begun.wait()
+            made.send_signal(signal.SIGTERM)
+            kept.write(call(request_id="kept"))
+            assert (await read_message(kept_reader))[2] == b"kept"
+            new_reader, new = await asyncio.open_connection("127.0.0.1", port)
+            new.write(call(request_id="new"))
+            assert (await read_message(new_reader))[2] == b"new"
+            new.write(call(path="/ready"))
+            assert (await read_message(new_reader))[0].split()[1] == "503"
+            go_on.set()
+            assert (await read_message(slow_reader))[2] == b"slow"
+            await asyncio.sleep(1.0)  # longer than new connections go on coming
+            kept.write(call(request_id="late"))
+            assert (await read_message(kept_reader))[2] == b"late"
+            for left in (kept_reader, slow_reader, new_reader):
+                assert await left.read() == b""  # each closes in time for the end
+            assert await made.wait() == 0
+
+
+async def test_signals_during_its_end_change_nothing_but_where_discovery_is(tmp_path: Path) -> None:
     """A second SIGTERM, and a new configuration while what is out is still answered."""
 
-    async def test() -> None:
-        begun, go_on, moved = asyncio.Event(), asyncio.Event(), asyncio.Event()
-
-        async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_message(reader)
-            begun.set()
-            await go_on.wait()
-            writer.write(answer(200, b"slow"))
-
-        async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            moved.set()
-            await reader.read()
-
-        async with peer(slow) as b, peer(watch) as d:
-            told = config(known=listing(entry("a", b.port)))
-            async with process(write(tmp_path, told)) as made:
-                reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
-                writer.write(call())
-                await begun.wait()
-                made.send_signal(signal.SIGTERM)
-                write(tmp_path, {**told, "discovery": f"127.0.0.1:{d.port}"})
-                made.send_signal(signal.SIGHUP)
-                await moved.wait()
-                made.send_signal(signal.SIGTERM)
-                go_on.set()
-                assert (await read_message(reader))[2] == b"slow"
-                assert await made.wait() == 0
-
-    run(test)
+    begun, go_on, moved = asyncio.Event(), asyncio.Event(), asyncio.Event()
+
+    async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_message(reader)
+        begun.set()
+        await go_on.wait()
+        writer.write(answer(200, b"slow"))
+
+    async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        moved.set()
+        await reader.read()
+
+    async with peer(slow) as b, peer(watch) as d:
+        told = config(known=listing(entry("a", b.port)))
+        async with process(write(tmp_path, told)) as made:
+            reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
+            writer.write(call())
+            await begun.wait()
+            made.send_signal(signal.SIGTERM)
+            write(tmp_path, {**told, "discovery": f"127.0.0.1:{d.port}"})
+            made.send_signal(signal.SIGHUP)
+            await moved.wait()
+            made.send_signal(signal.SIGTERM)
+            go_on.set()
+            assert (await read_message(reader))[2] == b"slow"
+            assert await made.wait() == 0
 
 
 AT_ITS_END = """
@@ -145,205 +135,187 @@
 """
 
 
-def test_a_signal_in_its_very_last_moment_does_not_kill_it(tmp_path: Path) -> None:
+async def test_a_signal_in_its_very_last_moment_does_not_kill_it(tmp_path: Path) -> None:
     """The event loop is closed by then, and with it the handlers are gone."""
 
-    async def test() -> None:
-        env = {**os.environ, **write(tmp_path, config())}
-        pipe = asyncio.subprocess.PIPE
-        made = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", AT_ITS_END, cwd=ROOT, env=env, stderr=pipe
-        )
-        await port_of(made)
-        made.send_signal(signal.SIGTERM)
-        assert await made.wait() == 0
-
-    run(test)
-
-
-def test_what_cannot_be_answered_in_time_at_the_end_is_still_answered(tmp_path: Path) -> None:
-    async def test() -> None:
-        begun = asyncio.Event()
-
-        async def never(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await read_message(reader)
-            begun.set()
-            await reader.read()
-
-        async with peer(never) as b:
-            lane = {"name": "pay", "idempotency": "unsafe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
-            told = raw_settings(lanes=[{**lane, "lateValue": 0.5}], limits=LIMITS)
-            env = write(tmp_path, config(known=listing(entry("a", b.port)), settings=told))
-            async with process(env) as made:
-                reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
-                writer.write(call("pay", Req_Deadline="9.0"))
-                await begun.wait()
-                loop = asyncio.get_running_loop()
-                made.send_signal(signal.SIGTERM)
-                began = loop.time()
-                first, _, _ = await read_message(reader)
-                assert first.split()[1] == "502"  # it may have run: no refusal
-                assert await made.wait() == 0
-                assert loop.time() - began < 3.7
-
-    run(test)
+    env = {**os.environ, **write(tmp_path, config())}
+    pipe = asyncio.subprocess.PIPE
+    made = await asyncio.create_subprocess_exec(
+        sys.executable, "-c", AT_ITS_END, cwd=ROOT, env=env, stderr=pipe
+    )
+    await port_of(made)
+    made.send_signal(signal.SIGTERM)
+    assert await made.wait() == 0
+
+
+async def test_what_cannot_be_answered_in_time_at_the_end_is_still_answered(tmp_path: Path) -> None:
+    begun = asyncio.Event()
+
+    async def never(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await read_message(reader)
+        begun.set()
+        await reader.read()
+
+    async with peer(never) as b:
+        lane = {"name": "pay", "idempotency": "unsafe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
+        told = raw_settings(lanes=[{**lane, "lateValue": 0.5}], limits=LIMITS)
+        env = write(tmp_path, config(known=listing(entry("a", b.port)), settings=told))
+        async with process(env) as made:
+            reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
+            writer.write(call("pay", Req_Deadline="9.0"))
+            await begun.wait()
+            loop = asyncio.get_running_loop()
+            made.send_signal(signal.SIGTERM)
+            began = loop.time()
+            first, _, _ = await read_message(reader)
+            assert first.split()[1] == "502"  # it may have run: no refusal
+            assert await made.wait() == 0
+            assert loop.time() - began < 3.7
 
 
 @pytest.mark.parametrize(("told", "given"), [(64, 1024), (1024, 64)])
-def test_it_lives_on_where_callers_want_more_descriptors_than_it_has(
+async def test_it_lives_on_where_callers_want_more_descriptors_than_it_has(
     tmp_path: Path, told: int, given: int
 ) -> None:
     """It keeps to the lower limit of the two by itself, and serves beside a crowd that stays."""
 
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b:
-            known = listing(entry("a", b.port))
-            env = write(tmp_path, config(known=known, limits={"sockets": told}))
-            async with process(env, given) as made:
-                said: list[str] = []
-                port = await port_of(made, said)
-                crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(100)]
-                reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(call())
-                assert (await read_message(reader))[2] == b"x"
-                assert len(os.listdir(f"/proc/{made.pid}/fd")) <= 64
-                made.send_signal(signal.SIGTERM)
-                for _, one in crowd:
-                    one.close()
-                _, rest = await made.communicate()
-                lines = [*said, *rest.decode().splitlines()]
-                assert not any("descriptor for" in line or "Traceback" in line for line in lines)
-                assert any("the system gives 64 " in line for line in lines) == (given < told)
-
-    run(test)
+    async with backend(answer(200, b"x")) as b:
+        known = listing(entry("a", b.port))
+        env = write(tmp_path, config(known=known, limits={"sockets": told}))
+        async with process(env, given) as made:
+            said: list[str] = []
+            port = await port_of(made, said)
+            crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(100)]
+            reader, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.write(call())
+            assert (await read_message(reader))[2] == b"x"
+            assert len(os.listdir(f"/proc/{made.pid}/fd")) <= 64
+            made.send_signal(signal.SIGTERM)
+            for _, one in crowd:
+                one.close()
+            _, rest = await made.communicate()
+            lines = [*said, *rest.decode().splitlines()]
+            assert not any("descriptor for" in line or "Traceback" in line for line in lines)
+            assert any("the system gives 64 " in line for line in lines) == (given < told)
 
 
 @pytest.mark.parametrize("then", ["list", "silence", "SIGTERM"])
-def test_it_listens_once_discovery_has_said_what_there_is(tmp_path: Path, then: str) -> None:
+async def test_it_listens_once_discovery_has_said_what_there_is(tmp_path: Path, then: str) -> None:
     """What its agent has counts as told from the first moment on, and what was known before may be old.
 
     Where discovery is silent, what is known has to do, and an end that comes meanwhile is one.
     """
 
-    async def test() -> None:
-        asked, go_on = asyncio.Event(), asyncio.Event()
-
-        async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            asked.set()
-            await go_on.wait()
-            now = listing(entry("a", a.port, "terminating"), entry("b", b.port), rev=2)
-            writer.write(WATCH_HEAD + chunk_list(now))
-            await reader.read()
-
-        async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b, peer(hold) as d:
-            port = free_port()
-            told = config(
-                listen=f"127.0.0.1:{port}",
-                discovery=f"127.0.0.1:{d.port}",
-                known=listing(entry("a", a.port), rev=1),
-                settings=raw_settings(limits=LIMITS, registryMode="automatic"),
-            )
-            async with process(write(tmp_path, told)) as made:
-                await asked.wait()
-                with pytest.raises(ConnectionRefusedError):
-                    await asyncio.open_connection("127.0.0.1", port)
-                if then == "SIGTERM":
-                    made.send_signal(signal.SIGTERM)
-                    assert await made.wait() == 0
-                    return
-                if then == "list":
-                    go_on.set()
-                assert await port_of(made) == port
-                reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(call())
-                assert (await read_message(reader))[2] == (b"b" if then == "list" else b"a")
+    asked, go_on = asyncio.Event(), asyncio.Event()
+
+    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        asked.set()
+        await go_on.wait()
+        now = listing(entry("a", a.port, "terminating"), entry("b", b.port), rev=2)
+        writer.write(WATCH_HEAD + chunk_list(now))
+        await reader.read()
+
+    async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b, peer(hold) as d:
+        port = free_port()
+        told = config(
+            listen=f"127.0.0.1:{port}",
+            discovery=f"127.0.0.1:{d.port}",
+            known=listing(entry("a", a.port), rev=1),
+            settings=raw_settings(limits=LIMITS, registryMode="automatic"),
+        )
+        async with process(write(tmp_path, told)) as made:
+            await asked.wait()
+            with pytest.raises(ConnectionRefusedError):
+                await asyncio.open_connection("127.0.0.1", port)
+            if then == "SIGTERM":
+                made.send_signal(signal.SIGTERM)
+                assert await made.wait() == 0
+                return
+            if then == "list":
                 go_on.set()
-
-    run(test)
+            assert await port_of(made) == port
+            reader, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.write(call())
+            assert (await read_message(reader))[2] == (b"b" if then == "list" else b"a")
+            go_on.set()
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_where_lists_are_asked_for_only_one_that_knows_none_waits_for_the_first(
+async def test_where_lists_are_asked_for_only_one_that_knows_none_waits_for_the_first(
     tmp_path: Path, known: bool
 ) -> None:
     """Nothing counts as told there before it has come, and the call may wait for its turn."""
 
-    async def test() -> None:
-        asked, go_on = asyncio.Event(), asyncio.Event()
-
-        async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            asked.set()
-            await go_on.wait()
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), rev=2)))
-            await reader.read()
-
-        async with backend(answer(200, b"a")) as a, peer(hold) as d:
-            told = config(discovery=f"127.0.0.1:{d.port}")
-            if known:
-                told["known"] = listing(entry("a", a.port), rev=1)
-            async with process(write(tmp_path, told)) as made:
-                await asked.wait()
-                if not known:
-                    go_on.set()
-                said: list[str] = []
-                reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made, said))
-                assert not any("watch on discovery broke" in line for line in said)
-                writer.write(call())
-                assert (await read_message(reader))[2] == b"a"
-
-    run(test)
-
-
-def test_sighup_moves_the_watch_and_keeps_the_rest(tmp_path: Path) -> None:
-    """A bad file changes nothing; a good one's discovery is followed though its versions are lower."""
-
-    async def test() -> None:
-        begun, go_on = asyncio.Event(), asyncio.Event()
-        asked: list[str] = []
-        second: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
-
-        async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), rev=100)))
-            await reader.read()
-
-        async def new(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1])
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), rev=3)))
-            second.put_nowait(writer)
-            await reader.read()
-
-        slow = answers_by_name(begun, go_on)
-        async with peer(slow) as a, backend(answer(200, b"from b")) as b, peer(old) as d, peer(new) as e:
-            file = config(discovery=f"127.0.0.1:{d.port}", known=listing(entry("a", a.port), rev=90))
-            env = {**write(tmp_path, file), "NODE_DISCOVERY": f"127.0.0.1:{d.port}"}
-            async with process(env) as made:
-                assert made.stderr is not None
-                port = await port_of(made)
-                reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(call(request_id="slow"))
-                await begun.wait()
-                (tmp_path / "config.json").write_text("{")
-                made.send_signal(signal.SIGHUP)
-                while b"the old one stays" not in (line := await made.stderr.readline()):
-                    assert line, "it ended"
-                write(tmp_path, {**file, "discovery": f"127.0.0.1:{e.port}", "name": "other"})
-                made.send_signal(signal.SIGHUP)
-                while b"name needs a restart" not in (line := await made.stderr.readline()):
-                    assert line, "it ended"
-                watch = await second.get()
-                assert asked == ["/v1/endpoints?follow=1"]  # the versions there need not go on from here
-                change = listing(entry("a", a.port, "terminated"), entry("b", b.port), rev=4, full=False)
-                watch.write(chunk_list(change))
-                while b"is b," not in (line := await made.stderr.readline()):
-                    assert line, "it ended"
-                other_reader, other = await asyncio.open_connection("127.0.0.1", port)
-                other.write(call(request_id="r2"))
-                assert (await read_message(other_reader))[2] == b"from b"
+    asked, go_on = asyncio.Event(), asyncio.Event()
+
+    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        asked.set()
+        await go_on.wait()
+        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), rev=2)))
+        await reader.read()
+
+    async with backend(answer(200, b"a")) as a, peer(hold) as d:
+        told = config(discovery=f"127.0.0.1:{d.port}")
+        if known:
+            told["known"] = listing(entry("a", a.port), rev=1)
+        async with process(write(tmp_path, told)) as made:
+            await asked.wait()
+            if not known:
                 go_on.set()
-                assert (await read_message(reader))[2] == b"slow"
-                assert a.connections == 1
+            said: list[str] = []
+            reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made, said))
+            assert not any("watch on discovery broke" in line for line in said)
+            writer.write(call())
+            assert (await read_message(reader))[2] == b"a"
+
+
+async def test_sighup_moves_the_watch_and_keeps_the_rest(tmp_path: Path) -> None:
+    """A bad file changes nothing; a good one's discovery is followed though its versions are lower."""
 
-    run(test)
+    begun, go_on = asyncio.Event(), asyncio.Event()
+    asked: list[str] = []
+    second: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
+
+    async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), rev=100)))
+        await reader.read()
+
+    async def new(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1])
+        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), rev=3)))
+        second.put_nowait(writer)
+        await reader.read()
+
+    slow = answers_by_name(begun, go_on)
+    async with peer(slow) as a, backend(answer(200, b"from b")) as b, peer(old) as d, peer(new) as e:
+        file = config(discovery=f"127.0.0.1:{d.port}", known=listing(entry("a", a.port), rev=90))
+        env = {**write(tmp_path, file), "NODE_DISCOVERY": f"127.0.0.1:{d.port}"}
+        async with process(env) as made:
+            assert made.stderr is not None
+            port = await port_of(made)
+            reader, writer = await asyncio.open_connection("127.0.0.1", port)
+            writer.write(call(request_id="slow"))
+            await begun.wait()
+            (tmp_path / "config.json").write_text("{")
+            made.send_signal(signal.SIGHUP)
+            while b"the old one stays" not in (line := await made.stderr.readline()):
+                assert line, "it ended"
+            write(tmp_path, {**file, "discovery": f"127.0.0.1:{e.port}", "name": "other"})
+            made.send_signal(signal.SIGHUP)
+            while b"name needs a restart" not in (line := await made.stderr.readline()):
+                assert line, "it ended"
+            watch = await second.get()
+            assert asked == ["/v1/endpoints?follow=1"]  # the versions there need not go on from here
+            change = listing(entry("a", a.port, "terminated"), entry("b", b.port), rev=4, full=False)
+            watch.write(chunk_list(change))
+            while b"is b," not in (line := await made.stderr.readline()):
+                assert line, "it ended"
+            other_reader, other = await asyncio.open_connection("127.0.0.1", port)
+            other.write(call(request_id="r2"))
+            assert (await read_message(other_reader))[2] == b"from b"
+            go_on.set()
+            assert (await read_message(reader))[2] == b"slow"
+            assert a.connections == 1
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -29,7 +29,6 @@
     listing,
     peer,
     read_message,
-    run,
 )
 from tests.support.proxy_process import LIMITS, config, free_port, process, raw_settings, write
 
@@ -182,36 +181,32 @@
 
 @MODES
 @MOODS
-def test_with_an_old_list_it_is_ready_though_discovery_is_down(tmp_path: Path, mode: str, mood: str) -> None:
+async def test_with_an_old_list_it_is_ready_though_discovery_is_down(
+    tmp_path: Path, mode: str, mood: str
+) -> None:
     """Where lists are pushed it first waits for discovery's word, as that counts from the first moment on."""
 
-    async def test() -> None:
-        async with moody(mood) as d, backend(answer(200, b"x")) as b:
-            port = free_port()
-            async with attended(tmp_path, port, told(mode, d.port, listing(entry("a", b.port)))) as clock:
-                took = await step_until_ready(clock, port, READY_S)
-                assert took <= (0.2 if mode == "subscribe" else 2.8 if mood == "only beats" else 1.3)
-
-    run(test)
+    async with moody(mood) as d, backend(answer(200, b"x")) as b:
+        port = free_port()
+        async with attended(tmp_path, port, told(mode, d.port, listing(entry("a", b.port)))) as clock:
+            took = await step_until_ready(clock, port, READY_S)
+            assert took <= (0.2 if mode == "subscribe" else 2.8 if mood == "only beats" else 1.3)
 
 
 @MODES
 @MOODS
 @pytest.mark.parametrize("known", [None, SPOILT["an odd state"][0]], ids=["none", "spoilt"])
-def test_with_no_list_it_is_ready_soon_after_discovery_is_back(
+async def test_with_no_list_it_is_ready_soon_after_discovery_is_back(
     tmp_path: Path, mode: str, mood: str, known: object
 ) -> None:
     """A call that hangs may be given up first, and a wait follows; the last call failed just before."""
 
-    async def test() -> None:
-        async with moody(mood) as d, backend(answer(200, b"x")) as b:
-            port = free_port()
-            async with attended(tmp_path, port, told(mode, d.port, known)) as clock:
-                assert await step_until_ready(clock, port, 15.0) >= 15.0 - STEP_S  # nothing to send to
-                await d.come_back(listing(entry("a", b.port)))
-                assert await step_until_ready(clock, port, READY_S) <= 4.5
-
-    run(test)
+    async with moody(mood) as d, backend(answer(200, b"x")) as b:
+        port = free_port()
+        async with attended(tmp_path, port, told(mode, d.port, known)) as clock:
+            assert await step_until_ready(clock, port, 15.0) >= 15.0 - STEP_S  # nothing to send to
+            await d.come_back(listing(entry("a", b.port)))
+            assert await step_until_ready(clock, port, READY_S) <= 4.5
 
 
 async def served_by(port: int) -> bytes:
@@ -231,30 +226,27 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
-def test_processes_with_an_old_list_none_and_a_spoilt_one_get_ready_together(
+async def test_processes_with_an_old_list_none_and_a_spoilt_one_get_ready_together(
     tmp_path: Path, mode: str
 ) -> None:
     """Discovery is silent at first; those without a list wait for it, the others don't."""
 
-    async def test() -> None:
-        async with moody("silent") as d, backend(answer(200, b"x")) as b, AsyncExitStack() as stack:
-            news = listing(entry("a", b.port), rev=2)
-            made: list[asyncio.subprocess.Process] = []
-            ports = [free_port() for _ in range(3)]
-            for n, known in enumerate((listing(entry("a", b.port)), None, SPOILT["an odd address"][0])):
-                folder = tmp_path / str(n)
-                folder.mkdir()
-                env = write(folder, {**told(mode, d.port, known), "listen": f"127.0.0.1:{ports[n]}"})
-                made.append(await stack.enter_async_context(process(env)))
-            await until_ready(made[0], ports[0])
-            assert not await ready(ports[1])
-            assert not await ready(ports[2])
-            await d.come_back(news)
-            for n in (1, 2):
-                await until_ready(made[n], ports[n])
-            assert [await served_by(port) for port in ports] == [b"x"] * 3
-
-    run(test)
+    async with moody("silent") as d, backend(answer(200, b"x")) as b, AsyncExitStack() as stack:
+        news = listing(entry("a", b.port), rev=2)
+        made: list[asyncio.subprocess.Process] = []
+        ports = [free_port() for _ in range(3)]
+        for n, known in enumerate((listing(entry("a", b.port)), None, SPOILT["an odd address"][0])):
+            folder = tmp_path / str(n)
+            folder.mkdir()
+            env = write(folder, {**told(mode, d.port, known), "listen": f"127.0.0.1:{ports[n]}"})
+            made.append(await stack.enter_async_context(process(env)))
+        await until_ready(made[0], ports[0])
+        assert not await ready(ports[1])
+        assert not await ready(ports[2])
+        await d.come_back(news)
+        for n in (1, 2):
+            await until_ready(made[n], ports[n])
+        assert [await served_by(port) for port in ports] == [b"x"] * 3
 
 
 STAGES = ["just begun", "reading its configuration", "waiting for discovery", "ready", "serving"]
@@ -286,52 +278,49 @@
 
 @pytest.mark.parametrize("stage", STAGES)
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM], ids=["SIGKILL", "SIGTERM"])
-def test_ended_at_any_stage_of_its_start_it_comes_again_under_its_name_and_address(
+async def test_ended_at_any_stage_of_its_start_it_comes_again_under_its_name_and_address(
     tmp_path: Path, stage: str, number: signal.Signals
 ) -> None:
     """SIGTERM ends it with no error; the next one binds and serves though clients hold connections."""
 
-    async def test() -> None:
-        asked, begun, go_on = asyncio.Event(), asyncio.Event(), asyncio.Event()
+    asked, begun, go_on = asyncio.Event(), asyncio.Event(), asyncio.Event()
 
-        async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            asked.set()
-            if stage == "waiting for discovery":
+    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        asked.set()
+        if stage == "waiting for discovery":
+            await go_on.wait()
+        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", b.port), rev=2)))
+        await reader.read()
+
+    async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            _, headers, _ = await read_message(reader)
+            if headers["req-id"] == "slow":
+                begun.set()
                 await go_on.wait()
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("a", b.port), rev=2)))
-            await reader.read()
-
-        async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            while True:
-                _, headers, _ = await read_message(reader)
-                if headers["req-id"] == "slow":
-                    begun.set()
-                    await go_on.wait()
-                writer.write(answer(200, b"x"))
-
-        async with peer(slow) as b, peer(hold) as d:
-            port = free_port()
-            env = write(tmp_path, {**told("automatic", d.port, None), "listen": f"127.0.0.1:{port}"})
-            pipe = tmp_path / "pipe"
-            os.mkfifo(pipe)
-            reading = stage == "reading its configuration"
-            async with process({"NODE_CONFIG": str(pipe)} if reading else env) as first:
-                end = await until_read(pipe) if reading else None
-                held = await until_at(stage, first, port, asked, begun)
-                first.send_signal(number)
-                if number is signal.SIGTERM and stage == "serving":
-                    go_on.set()
-                code = await first.wait()
-                if end is not None:
-                    os.close(end)
-                # Before its first line has run the system's own end is the only one.
-                assert code in ((0, -number) if stage == "just begun" else (0,)) or number is signal.SIGKILL
+            writer.write(answer(200, b"x"))
+
+    async with peer(slow) as b, peer(hold) as d:
+        port = free_port()
+        env = write(tmp_path, {**told("automatic", d.port, None), "listen": f"127.0.0.1:{port}"})
+        pipe = tmp_path / "pipe"
+        os.mkfifo(pipe)
+        reading = stage == "reading its configuration"
+        async with process({"NODE_CONFIG": str(pipe)} if reading else env) as first:
+            end = await until_read(pipe) if reading else None
+            held = await until_at(stage, first, port, asked, begun)
+            first.send_signal(number)
+            if number is signal.SIGTERM and stage == "serving":
                 go_on.set()
-                async with process(env) as second:
-                    await until_ready(second, port)
-                    assert await served_by(port) == b"x"
-                if held is not None:
-                    held[1].close()
-
-    run(test)
+            code = await first.wait()
+            if end is not None:
+                os.close(end)
+            # Before its first line has run the system's own end is the only one.
+            assert code in ((0, -number) if stage == "just begun" else (0,)) or number is signal.SIGKILL
+            go_on.set()
+            async with process(env) as second:
+                await until_ready(second, port)
+                assert await served_by(port) == b"x"
+            if held is not None:
+                held[1].close()
--- a/tests/scenarios/test_deduplication_window.py
+++ b/tests/scenarios/test_deduplication_window.py
@@ -10,7 +10,7 @@
 
 from load_balancer import messages
 from tests.support.balancer_harness import S, settings
-from tests.support.loopback import Proxy, answer, call, entry, proxy, run, until
+from tests.support.loopback import Proxy, answer, call, entry, proxy, until
 from tests.support.upstream_helpers import (
     KINDS,
     Bare,
@@ -83,52 +83,46 @@
 )
 @pytest.mark.parametrize("late_s", [0.0, 24.0])
 @pytest.mark.parametrize("how", ["reset", "end", "500"])
-def test_a_keyed_repeat_is_seen_within_its_window(
+async def test_a_keyed_repeat_is_seen_within_its_window(
     window_s: float, after_s: float, late_s: float, again: bool, how: str
 ) -> None:
     """Also where its connection comes up as late as it may, or could come up later than the window's end."""
 
-    async def test() -> None:
-        async with keyed_request(window_s) as (request, seen):
-            held = Held()
-            request.clock.step(after_s)
-            if how == "500":
-                seen[0][1].say(answer(500))
-            else:
-                await says(how)(seen[0][1], ("", {}, b""))
-            if again:
-                await until(lambda: held.waiting == 1)
-                request.clock.step(late_s)
-                held.opened.set()
-            assert await request.status() == (200 if again else 503)
-            assert len(seen) == request.sent == 1 + again
-            assert seen[-1][0] - seen[0][0] <= window_s
-
-    run(test)
-
-
-def test_a_keyed_repeat_whose_connection_does_not_come_up_in_time_is_not_sent() -> None:
-    async def test() -> None:
-        async with keyed_request(100.0) as (request, seen):
-            held = Held()
-            request.clock.step(60.0)
-            seen[0][1].reset()
+    async with keyed_request(window_s) as (request, seen):
+        held = Held()
+        request.clock.step(after_s)
+        if how == "500":
+            seen[0][1].say(answer(500))
+        else:
+            await says(how)(seen[0][1], ("", {}, b""))
+        if again:
             await until(lambda: held.waiting == 1)
-            request.clock.step(CONNECT_S + 0.1)  # a further one could come up after the window
-            assert await request.status() == 503
+            request.clock.step(late_s)
             held.opened.set()
-            request.clock.step(50.0)
-            other = await request.p.ask(call("mark", request_id="r2", Req_Deadline="900"))
-            assert other[0].split()[1] == "200"
-            assert [i for b in request.endpoints for i in b.ids if i == "r1"] == ["r1"]
-
-    run(test)
+        assert await request.status() == (200 if again else 503)
+        assert len(seen) == request.sent == 1 + again
+        assert seen[-1][0] - seen[0][0] <= window_s
+
+
+async def test_a_keyed_repeat_whose_connection_does_not_come_up_in_time_is_not_sent() -> None:
+    async with keyed_request(100.0) as (request, seen):
+        held = Held()
+        request.clock.step(60.0)
+        seen[0][1].reset()
+        await until(lambda: held.waiting == 1)
+        request.clock.step(CONNECT_S + 0.1)  # a further one could come up after the window
+        assert await request.status() == 503
+        held.opened.set()
+        request.clock.step(50.0)
+        other = await request.p.ask(call("mark", request_id="r2", Req_Deadline="900"))
+        assert other[0].split()[1] == "200"
+        assert [i for b in request.endpoints for i in b.ids if i == "r1"] == ["r1"]
 
 
 # Resets under requests that have begun
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("after_s", [0.0, 10.0, 60.0])
-def test_a_reset_under_a_request_that_has_begun(kind: str, after_s: float) -> None:
+async def test_a_reset_under_a_request_that_has_begun(kind: str, after_s: float) -> None:
     """It may have run, however long after: what must not run twice ends, what has a key keeps its window."""
     classes = (
         messages.RequestClass("read", 400 * S, 900 * S, messages.Idempotency.SAFE),
@@ -147,30 +141,25 @@
     )
     limits = messages.Limits(max_attempts=3, connect_timeout_us=S)
 
-    async def test() -> None:
-        async def handle(wire: Wire, got: Message) -> None:
-            wires.append(wire)
-            if len(wires) > 1:
-                wire.say(answer(200, b"served"))
-
-        wires: list[Wire] = []
-        async with AsyncExitStack() as stack:
-            backends = [await stack.enter_async_context(bare(handle)) for _ in range(8)]
-            entries = [entry(f"s-{n}", b.port, pod_group=n % 4) for n, b in enumerate(backends)]
-            p = await stack.enter_async_context(
-                proxy(*entries, setup=settings(classes=classes, limits=limits))
-            )
-            clock = stepped(p)
-            asked = asyncio.ensure_future(p.ask(call(kind, request_id="r1", Req_Deadline="900")))
-            await until(lambda: len(wires) == 1)
-            clock.step(after_s)
-            wires[0].reset()
-            status = int((await asked)[0].split()[1])
-            again = kind == "read" or (kind != "pay" and after_s < 49.0)
-            # The rule on refusals knows no window: what has a key at all backends may be refused.
-            assert status == (200 if again else 503 if kind == "mark" else 502)
-            assert len(wires) == 1 + again
-            if kind == "write" and again:
-                assert [bool(b.seen) for b in backends[:4]] == [bool(b.seen) for b in backends[4:]]
-
-    run(test)
+    async def handle(wire: Wire, got: Message) -> None:
+        wires.append(wire)
+        if len(wires) > 1:
+            wire.say(answer(200, b"served"))
+
+    wires: list[Wire] = []
+    async with AsyncExitStack() as stack:
+        backends = [await stack.enter_async_context(bare(handle)) for _ in range(8)]
+        entries = [entry(f"s-{n}", b.port, pod_group=n % 4) for n, b in enumerate(backends)]
+        p = await stack.enter_async_context(proxy(*entries, setup=settings(classes=classes, limits=limits)))
+        clock = stepped(p)
+        asked = asyncio.ensure_future(p.ask(call(kind, request_id="r1", Req_Deadline="900")))
+        await until(lambda: len(wires) == 1)
+        clock.step(after_s)
+        wires[0].reset()
+        status = int((await asked)[0].split()[1])
+        again = kind == "read" or (kind != "pay" and after_s < 49.0)
+        # The rule on refusals knows no window: what has a key at all backends may be refused.
+        assert status == (200 if again else 503 if kind == "mark" else 502)
+        assert len(wires) == 1 + again
+        if kind == "write" and again:
+            assert [bool(b.seen) for b in backends[:4]] == [bool(b.seen) for b in backends[4:]]
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("kind", PIECES)
-def test_idle_clients_leave_the_watch_the_attempts_and_other_clients_their_descriptors(
+async def test_idle_clients_leave_the_watch_the_attempts_and_other_clients_their_descriptors(
     kind: str, tmp_path: Path
 ) -> None:
     async def ask(port: int, request_id: str) -> bytes:
@@ -51,61 +51,58 @@
         finally:
             writer.close()
 
-    async def test() -> None:
-        asked, began = asyncio.Event(), time.monotonic()
-
-        async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
-            asked.set()
-            await reader.read()
-
-        async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b:
-            down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
-            down.bind(("127.0.0.1", 0))
-            told = config(
-                discovery=f"127.0.0.1:{down.getsockname()[1]}",
-                known=listing(entry("a", a.port)),
-                limits={"sockets": DESCRIPTORS},
-                settings=raw_settings(limits=LIMITS, registryMode="automatic"),
-            )
-            async with process(write(tmp_path, told), DESCRIPTORS) as made:
-                said: list[str] = []
-                port = await port_of(made, said)
-                assert made.stderr is not None
-                reading = asyncio.create_task(made.stderr.read())
-                crowd = []
-                for n in range(3):  # they come again, as the first ones are closed
-                    for _ in range(CROWD // 3):
-                        crowd.append(socket.create_connection(("127.0.0.1", port)))
-                        crowd[-1].sendall(PIECES[kind])
-                    # Whoever comes behind them is served though they hold all that callers may have.
-                    assert await ask(port, f"r{n}") == b"a"
-                    assert len(os.listdir(f"/proc/{made.pid}/fd")) <= DESCRIPTORS - 8
-                back = Peer(watch)
-                back.server = await asyncio.start_server(back.accept, sock=down)
-                await asked.wait()
-                # The list is on its way.
-                while await ask(port, "r9") != b"b":
-                    pass
-                assert b.connections
-                assert back.connections == 1
-                made.send_signal(signal.SIGTERM)
-                for one in crowd:
-                    one.close()
-                assert await made.wait() == 0
-                back.stop()
-                lines = [*said, *(await reading).decode().splitlines()]
-                kinds = Counter("watch" if "watch on discovery" in line else "other" for line in lines)
-                assert kinds["other"] <= LINES, lines
-                spells = 1 + int((time.monotonic() - began) / BREAK_LOG_WINDOW_S)
-                assert kinds["watch"] <= spells * (MAX_LOGGED_BREAKS + 1), lines
-                assert not any("Traceback" in line or "descriptor" in line for line in lines)
-
-    run(test)
-
-
-def test_a_list_that_comes_again_and_again_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+    asked, began = asyncio.Event(), time.monotonic()
+
+    async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
+        asked.set()
+        await reader.read()
+
+    async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b:
+        down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
+        down.bind(("127.0.0.1", 0))
+        told = config(
+            discovery=f"127.0.0.1:{down.getsockname()[1]}",
+            known=listing(entry("a", a.port)),
+            limits={"sockets": DESCRIPTORS},
+            settings=raw_settings(limits=LIMITS, registryMode="automatic"),
+        )
+        async with process(write(tmp_path, told), DESCRIPTORS) as made:
+            said: list[str] = []
+            port = await port_of(made, said)
+            assert made.stderr is not None
+            reading = asyncio.create_task(made.stderr.read())
+            crowd = []
+            for n in range(3):  # they come again, as the first ones are closed
+                for _ in range(CROWD // 3):
+                    crowd.append(socket.create_connection(("127.0.0.1", port)))
+                    crowd[-1].sendall(PIECES[kind])
+                # Whoever comes behind them is served though they hold all that callers may have.
+                assert await ask(port, f"r{n}") == b"a"
+                assert len(os.listdir(f"/proc/{made.pid}/fd")) <= DESCRIPTORS - 8
+            back = Peer(watch)
+            back.server = await asyncio.start_server(back.accept, sock=down)
+            await asked.wait()
+            # The list is on its way.
+            while await ask(port, "r9") != b"b":
+                pass
+            assert b.connections
+            assert back.connections == 1
+            made.send_signal(signal.SIGTERM)
+            for one in crowd:
+                one.close()
+            assert await made.wait() == 0
+            back.stop()
+            lines = [*said, *(await reading).decode().splitlines()]
+            kinds = Counter("watch" if "watch on discovery" in line else "other" for line in lines)
+            assert kinds["other"] <= LINES, lines
+            spells = 1 + int((time.monotonic() - began) / BREAK_LOG_WINDOW_S)
+            assert kinds["watch"] <= spells * (MAX_LOGGED_BREAKS + 1), lines
+            assert not any("Traceback" in line or "descriptor" in line for line in lines)
+
+
+async def test_a_list_that_comes_again_and_again_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
     """Only what it changes is, twenty lines in ten seconds; here the watch ends behind each whole list."""
     caplog.set_level(logging.INFO, logger="load_balancer.net.driver.endpoint_directory")
     many = [entry(f"s{n}", 9) for n in range(100)]
@@ -113,30 +110,27 @@
     def lines() -> list[str]:
         return [r.getMessage() for r in caplog.records if "backend" in r.getMessage()]
 
-    async def test() -> None:
-        lists = 0
-
-        async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            nonlocal lists
-            await reader.readuntil(b"\r\n\r\n")
-            lists += 1
-            drains = entry("s0", 9, "terminating" if lists > 4 else "in_service")
-            moves = entry("s1", 10 if lists > 4 else 9)
-            writer.write(WATCH_HEAD + chunk_list(listing(drains, moves, *many[2:], rev=lists)))
-
-        async with peer(watch) as d, proxy(discovery=d.port) as p:
-            clock = SteppedClock()
-            while lists < 9:
-                await asyncio.sleep(0)
-                if p.driver._watch._task is None:
-                    clock.step(3.0)
-            singly = [line for line in lines() if line.startswith("backend ")]
-            counted = [line for line in lines() if line not in singly]
-            assert len(singly) == 20 + 2
-            assert counted == ["80 more changes of backends"]  # 102 in all
-            assert sum("draining" in line for line in singly) == 1
-
-    run(test)
+    lists = 0
+
+    async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        nonlocal lists
+        await reader.readuntil(b"\r\n\r\n")
+        lists += 1
+        drains = entry("s0", 9, "terminating" if lists > 4 else "in_service")
+        moves = entry("s1", 10 if lists > 4 else 9)
+        writer.write(WATCH_HEAD + chunk_list(listing(drains, moves, *many[2:], rev=lists)))
+
+    async with peer(watch) as d, proxy(discovery=d.port) as p:
+        clock = SteppedClock()
+        while lists < 9:
+            await asyncio.sleep(0)
+            if p.driver._watch._task is None:
+                clock.step(3.0)
+        singly = [line for line in lines() if line.startswith("backend ")]
+        counted = [line for line in lines() if line not in singly]
+        assert len(singly) == 20 + 2
+        assert counted == ["80 more changes of backends"]  # 102 in all
+        assert sum("draining" in line for line in singly) == 1
 
 
 def test_a_discovery_that_stays_away_is_logged_a_few_times_and_counted(
--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -9,7 +9,7 @@
 
 from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.upstream import idle_connections
-from tests.support.loopback import Proxy, answer, backend, call, entry, listing, proxy, read_message, run
+from tests.support.loopback import Proxy, answer, backend, call, entry, listing, proxy, read_message
 
 ROUNDS = 1500
 
@@ -28,28 +28,25 @@
     return counted
 
 
-def test_every_entry_leaves_again(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_every_entry_leaves_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("s-0", b.port), most=20) as p:
-            before: dict[str, int] = {}
-            for n in range(ROUNDS):
-                # Each round a new backend at the address of the one before, which is gone without a drain.
-                change = listing(
-                    entry(f"s-{n}", b.port, "terminated"), entry(f"s-{n + 1}", b.port), rev=n + 2, full=False
-                )
-                p.driver._on_list(read_list(change))
-                reader, writer = await p.connect()  # and a new connection, half of them kept for good
-                writer.write(call(request_id=f"r{n}"))
-                assert (await read_message(reader))[2] == b"x"
-                if n % 2:
-                    writer.close()
-                if n == 100:
-                    before = sizes(p)
-            after = sizes(p)
-            assert before.keys() == after.keys()
-            grown = {name: (before[name], after[name]) for name in after if after[name] > before[name] + 5}
-            assert not grown, grown
-
-    run(test)
+    async with backend(answer(200, b"x")) as b, proxy(entry("s-0", b.port), most=20) as p:
+        before: dict[str, int] = {}
+        for n in range(ROUNDS):
+            # Each round a new backend at the address of the one before, which is gone without a drain.
+            change = listing(
+                entry(f"s-{n}", b.port, "terminated"), entry(f"s-{n + 1}", b.port), rev=n + 2, full=False
+            )
+            p.driver._on_list(read_list(change))
+            reader, writer = await p.connect()  # and a new connection, half of them kept for good
+            writer.write(call(request_id=f"r{n}"))
+            assert (await read_message(reader))[2] == b"x"
+            if n % 2:
+                writer.close()
+            if n == 100:
+                before = sizes(p)
+        after = sizes(p)
+        assert before.keys() == after.keys()
+        grown = {name: (before[name], after[name]) for name in after if after[name] > before[name] + 5}
+        assert not grown, grown
--- a/tests/scenarios/test_hold_ups.py
+++ b/tests/scenarios/test_hold_ups.py
@@ -27,7 +27,6 @@
     entry,
     listing,
     proxy,
-    run,
     until,
 )
 from tests.support.upstream_helpers import Calls, Connects, ids, stepped
@@ -108,7 +107,7 @@
 
 @pytest.mark.parametrize("line", LINES)
 @pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-def test_the_time_told_is_what_the_client_has_left_wherever_the_proxy_is_held_up(
+async def test_the_time_told_is_what_the_client_has_left_wherever_the_proxy_is_held_up(
     line: str, kept: bool, monkeypatch: Patch
 ) -> None:
     """Of the first attempt and of a retry, each held up at that line.
@@ -116,64 +115,60 @@
     The slack is for the one hold-up that no check can see, after the time is told: others use none of it.
     """
 
-    async def test() -> None:
-        async with (
-            backend(*[answer(200)] * kept, answer(500), answer(200)) as a,
-            proxy(entry("s-1", a.port), connect_s=5.0) as p,
-        ):
-            clock = stepped(p)
-            if kept:
-                await p.ask(call(request_id="before"))
-                clock.step(1.0)  # its connection has settled
-                for _ in range(20):  # and no timer of before falls due among the hold-ups
-                    await asyncio.sleep(0)
-            writes = Writes(monkeypatch, clock)
-            held = Held(clock)
-            with monkeypatch.context() as patch:
-                LINES[line](held, patch, p)
-                began = asyncio.get_running_loop().time()
-                got = await p.ask(call(request_id="r1", Req_Deadline=str(DEADLINE_S)))
-            assert got[0].split()[1] == "200"
-            assert held.times >= 1
-            slack_s = SLACK_S if line == "between the time told and the write" else 0.0
-            assert len(writes.told) == 2
-            assert in_time(writes, began, DEADLINE_S, slack_s)
-
-    run(test)
+    async with (
+        backend(*[answer(200)] * kept, answer(500), answer(200)) as a,
+        proxy(entry("s-1", a.port), connect_s=5.0) as p,
+    ):
+        clock = stepped(p)
+        if kept:
+            await p.ask(call(request_id="before"))
+            clock.step(1.0)  # its connection has settled
+            for _ in range(20):  # and no timer of before falls due among the hold-ups
+                await asyncio.sleep(0)
+        writes = Writes(monkeypatch, clock)
+        held = Held(clock)
+        with monkeypatch.context() as patch:
+            LINES[line](held, patch, p)
+            began = asyncio.get_running_loop().time()
+            got = await p.ask(call(request_id="r1", Req_Deadline=str(DEADLINE_S)))
+        assert got[0].split()[1] == "200"
+        assert held.times >= 1
+        slack_s = SLACK_S if line == "between the time told and the write" else 0.0
+        assert len(writes.told) == 2
+        assert in_time(writes, began, DEADLINE_S, slack_s)
 
 
 @pytest.mark.parametrize("at", ["send_on", "send"])
 @pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-def test_nothing_is_written_once_no_time_is_left_to_tell(at: str, kept: bool, monkeypatch: Patch) -> None:
+async def test_nothing_is_written_once_no_time_is_left_to_tell(
+    at: str, kept: bool, monkeypatch: Patch
+) -> None:
     """The hold-up is longer than what was left, and the timer for that can't have run yet."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(60.0, 30.0, 10)
-            calls, connects = Calls(pool, b), Connects(pool, [])
-            if kept:
-                calls.begin("before")
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(60.0, 30.0, 10)
+        calls, connects = Calls(pool, b), Connects(pool, [])
+        if kept:
+            calls.begin("before")
+            await connects.begun(1)
+            connects.let(0)
+            await calls.until(before=Outcome.OK)
+            await connects.step(idle_connections.SETTLE_S)
+        owner = {"send_on": UpstreamAttempt, "send": UpstreamConnection}[at]
+        with monkeypatch.context() as patch:
+            Held(connects.clock, 0.03).before(patch, owner, at)
+            calls.begin("a", timeout_s=0.02)
+            if not kept:
                 await connects.begun(1)
                 connects.let(0)
-                await calls.until(before=Outcome.OK)
-                await connects.step(idle_connections.SETTLE_S)
-            owner = {"send_on": UpstreamAttempt, "send": UpstreamConnection}[at]
-            with monkeypatch.context() as patch:
-                Held(connects.clock, 0.03).before(patch, owner, at)
-                calls.begin("a", timeout_s=0.02)
-                if not kept:
-                    await connects.begun(1)
-                    connects.let(0)
-                await until(lambda: "a" in calls.ended)
-            assert calls.ended["a"] is Outcome.NOT_SENT  # it says nothing of the backend
-            calls.begin("b")
-            await connects.begun(2)
-            connects.let(1)
-            await until(lambda: "b" in calls.ended)
-            assert ids(b) == ["before"] * kept + ["b"]
-            pool.close()
-
-    run(test)
+            await until(lambda: "a" in calls.ended)
+        assert calls.ended["a"] is Outcome.NOT_SENT  # it says nothing of the backend
+        calls.begin("b")
+        await connects.begun(2)
+        connects.let(1)
+        await until(lambda: "b" in calls.ended)
+        assert ids(b) == ["before"] * kept + ["b"]
+        pool.close()
 
 
 @pytest.mark.parametrize(("before_us", "again"), [(1 * MS, True), (-1 * MS, False)])
@@ -191,31 +186,28 @@
 
 
 @pytest.mark.parametrize("line", ["send_on", "begin"])
-def test_what_waits_for_a_draining_backend_goes_elsewhere_though_the_list_is_read_late(
+async def test_what_waits_for_a_draining_backend_goes_elsewhere_though_the_list_is_read_late(
     line: str, monkeypatch: Patch
 ) -> None:
     """Its connection comes up in the turn after the list, which stood unread while the loop was held up."""
 
-    async def test() -> None:
-        async with (
-            backend(answer(200)) as a,
-            backend(answer(200)) as b,
-            proxy(entry("s-1", a.port), entry("s-2", b.port), connect_s=5.0) as p,
-        ):
-            clock, gate = stepped(p), Gate(p.pool)
-            asked = asyncio.ensure_future(p.ask(call()))
-            await until(lambda: gate.waiting == 1)
-            [attempt] = p.driver._attempts.values()
-            drains, other = (a, b) if attempt.endpoint.address[1] == a.port else (b, a)
-            uid = "s-1" if drains is a else "s-2"
-            clock.step(HOLD_UP_S)
-            with monkeypatch.context() as patch:
-                Held(clock).before(patch, UpstreamAttempt, line)
-                news = listing(entry(uid, drains.port, "terminating"), rev=2, full=False)
-                p.driver._on_list(read_list(news))
-                gate.opened.set()
-                assert (await asked)[0].split()[1] == "200"
-            assert not drains.seen
-            assert len(other.seen) == 1
-
-    run(test)
+    async with (
+        backend(answer(200)) as a,
+        backend(answer(200)) as b,
+        proxy(entry("s-1", a.port), entry("s-2", b.port), connect_s=5.0) as p,
+    ):
+        clock, gate = stepped(p), Gate(p.pool)
+        asked = asyncio.ensure_future(p.ask(call()))
+        await until(lambda: gate.waiting == 1)
+        [attempt] = p.driver._attempts.values()
+        drains, other = (a, b) if attempt.endpoint.address[1] == a.port else (b, a)
+        uid = "s-1" if drains is a else "s-2"
+        clock.step(HOLD_UP_S)
+        with monkeypatch.context() as patch:
+            Held(clock).before(patch, UpstreamAttempt, line)
+            news = listing(entry(uid, drains.port, "terminating"), rev=2, full=False)
+            p.driver._on_list(read_list(news))
+            gate.opened.set()
+            assert (await asked)[0].split()[1] == "200"
+        assert not drains.seen
+        assert len(other.seen) == 1
--- a/tests/scenarios/test_little_time.py
+++ b/tests/scenarios/test_little_time.py
@@ -7,7 +7,7 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.loopback import answer, backend, call, entry, peer, proxy, run
+from tests.support.loopback import answer, backend, call, entry, peer, proxy
 from tests.support.proxy_process import free_port
 
 SOON_S = 0.5  # by the terms an answer this long after a request's time is not lost
@@ -15,58 +15,51 @@
 
 @pytest.mark.parametrize("kind", ["read", "mark", "write", "pay"])
 @pytest.mark.parametrize("left_ms", [0, 1, 5, 14, 16, 18, 30])
-def test_a_request_with_hardly_any_time_left_gets_its_answer_and_no_attempt(kind: str, left_ms: int) -> None:
-    async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-            loop = asyncio.get_running_loop()
-            began = loop.time()
-            got = await p.ask(call(kind, Req_Deadline=f"{left_ms / 1e3:.3f}"))
-            assert got[0].split()[1] in ("502", "503")
-            assert loop.time() - began < SOON_S
-            assert not b.seen
-            assert not b.connections
-            assert p.driver.idle
-            assert not p.driver._attempts
-
-    run(test)
+async def test_a_request_with_hardly_any_time_left_gets_its_answer_and_no_attempt(
+    kind: str, left_ms: int
+) -> None:
+    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+        loop = asyncio.get_running_loop()
+        began = loop.time()
+        got = await p.ask(call(kind, Req_Deadline=f"{left_ms / 1e3:.3f}"))
+        assert got[0].split()[1] in ("502", "503")
+        assert loop.time() - began < SOON_S
+        assert not b.seen
+        assert not b.connections
+        assert p.driver.idle
+        assert not p.driver._attempts
 
 
 @pytest.mark.parametrize("kind", ["read", "mark", "write", "pay"])
-def test_attempts_that_are_all_refused_end_at_once_within_their_number(kind: str) -> None:
-    async def test() -> None:
-        ports = [free_port() for _ in range(5)]  # nobody listens there
-        async with proxy(*(entry(f"s-{n}", port) for n, port in enumerate(ports))) as p:
-            sends: list[messages.StartAttempt] = []
-            original = p.driver._start_attempt
-
-            def counted(send: messages.StartAttempt) -> None:
-                sends.append(send)
-                original(send)
-
-            p.driver._start_attempt = counted  # type: ignore[method-assign]
-            loop = asyncio.get_running_loop()
-            began = loop.time()
-            got = await p.ask(call(kind))
-            assert got[0].split()[1] == "503"
-            assert loop.time() - began < 1.0  # of the 2 s that are useful
-            assert len(sends) == 3
-            assert p.driver.idle
-
-    run(test)
+async def test_attempts_that_are_all_refused_end_at_once_within_their_number(kind: str) -> None:
+    ports = [free_port() for _ in range(5)]  # nobody listens there
+    async with proxy(*(entry(f"s-{n}", port) for n, port in enumerate(ports))) as p:
+        sends: list[messages.StartAttempt] = []
+        original = p.driver._start_attempt
+
+        def counted(send: messages.StartAttempt) -> None:
+            sends.append(send)
+            original(send)
+
+        p.driver._start_attempt = counted  # type: ignore[method-assign]
+        loop = asyncio.get_running_loop()
+        began = loop.time()
+        got = await p.ask(call(kind))
+        assert got[0].split()[1] == "503"
+        assert loop.time() - began < 1.0  # of the 2 s that are useful
+        assert len(sends) == 3
+        assert p.driver.idle
 
 
 @pytest.mark.parametrize("kind", ["read", "mark", "pay"])
-def test_a_backend_that_drops_a_request_without_a_word_leaves_its_client_an_answer(kind: str) -> None:
-    async def test() -> None:
-        async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.read()
-
-        async with peer(silent) as b, proxy(entry("s-1", b.port)) as p:
-            loop = asyncio.get_running_loop()
-            began = loop.time()
-            got = await p.ask(call(kind, Req_Deadline="0.5"))
-            assert got[0].split()[1] in ("502", "503")
-            assert loop.time() - began < 0.5 + SOON_S
-            assert p.driver.idle
-
-    run(test)
+async def test_a_backend_that_drops_a_request_without_a_word_leaves_its_client_an_answer(kind: str) -> None:
+    async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.read()
+
+    async with peer(silent) as b, proxy(entry("s-1", b.port)) as p:
+        loop = asyncio.get_running_loop()
+        began = loop.time()
+        got = await p.ask(call(kind, Req_Deadline="0.5"))
+        assert got[0].split()[1] in ("502", "503")
+        assert loop.time() - began < 0.5 + SOON_S
+        assert p.driver.idle
--- a/tests/scenarios/test_no_files.py
+++ b/tests/scenarios/test_no_files.py
@@ -22,7 +22,6 @@
     peer,
     read_message,
 )
-from tests.support.loopback import run as run_test
 from tests.support.proxy_process import ROOT, command, config, port_of, write
 
 # Each way to change the file system is told before it happens, whether or not it would succeed.
@@ -99,29 +98,23 @@
 
 
 @pytest.mark.parametrize("folder", ["missing", "no folder", "empty", "unset"])
-def test_it_needs_no_folder_and_no_file_that_can_be_written(tmp_path: Path, folder: str) -> None:
+async def test_it_needs_no_folder_and_no_file_that_can_be_written(tmp_path: Path, folder: str) -> None:
     """Each write to a file fails for it, as on a full disk, and there is no home."""
 
-    async def test() -> None:
-        place = tmp_path / "place"
-        if folder == "no folder":
-            place.write_bytes(b"")
-        elif folder == "empty":
-            place.mkdir()
-        env = {} if folder == "unset" else {"TMPDIR": str(place)}
-        text = await serve_move_and_end(tmp_path, command(), env, "ulimit -f 0;")
-        assert "Traceback" not in text
-        assert "Error" not in text
-        assert not place.is_dir() or not list(place.iterdir())
-
-    run_test(test)
-
-
-def test_it_opens_no_file_to_write_it(tmp_path: Path) -> None:
-    async def test() -> None:
-        assert command()[1:] == ["-B", "-m", "load_balancer"]  # -B: no compiled module is written either
-        words = [sys.executable, "-B", "-c", AUDITED]
-        text = await serve_move_and_end(tmp_path, words, {"TMPDIR": str(tmp_path)})
-        assert "FILE" not in text, text
-
-    run_test(test)
+    place = tmp_path / "place"
+    if folder == "no folder":
+        place.write_bytes(b"")
+    elif folder == "empty":
+        place.mkdir()
+    env = {} if folder == "unset" else {"TMPDIR": str(place)}
+    text = await serve_move_and_end(tmp_path, command(), env, "ulimit -f 0;")
+    assert "Traceback" not in text
+    assert "Error" not in text
+    assert not place.is_dir() or not list(place.iterdir())
+
+
+async def test_it_opens_no_file_to_write_it(tmp_path: Path) -> None:
+    assert command()[1:] == ["-B", "-m", "load_balancer"]  # -B: no compiled module is written either
+    words = [sys.executable, "-B", "-c", AUDITED]
+    text = await serve_move_and_end(tmp_path, words, {"TMPDIR": str(tmp_path)})
+    assert "FILE" not in text, text
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -15,95 +15,86 @@
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.scenarios.test_deduplication_window import keyed_request
-from tests.support.loopback import SteppedClock, answer, backend, run, until
+from tests.support.loopback import SteppedClock, answer, backend, until
 from tests.support.upstream_helpers import Calls, Connects, ids
 
 
-def test_a_keyed_repeat_is_not_late_where_the_proxy_stands_still_before_it_connects(
+async def test_a_keyed_repeat_is_not_late_where_the_proxy_stands_still_before_it_connects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The time for the connection runs from the decision to send, as the module counts it."""
 
-    async def test() -> None:
-        async with keyed_request(100.0) as (request, seen):
-            request.clock.step(70.0)
-            begin = request.p.pool.start_attempt
+    async with keyed_request(100.0) as (request, seen):
+        request.clock.step(70.0)
+        begin = request.p.pool.start_attempt
 
-            def stands_still(*what: Any) -> UpstreamAttempt:
-                out = begin(*what)
-                request.clock.step(40.0)
-                return out
+        def stands_still(*what: Any) -> UpstreamAttempt:
+            out = begin(*what)
+            request.clock.step(40.0)
+            return out
 
-            monkeypatch.setattr(request.p.pool, "start_attempt", stands_still)
-            seen[0][1].reset()
-            await request.status()
-            assert seen[-1][0] - seen[0][0] <= 100.0
+        monkeypatch.setattr(request.p.pool, "start_attempt", stands_still)
+        seen[0][1].reset()
+        await request.status()
+        assert seen[-1][0] - seen[0][0] <= 100.0
 
-    run(test)
 
-
-def test_an_idle_connection_is_kept_where_the_proxy_stands_still_as_it_is_taken(
+async def test_an_idle_connection_is_kept_where_the_proxy_stands_still_as_it_is_taken(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The attempt ends as too late; the connection has no timer any more, and none would ever close it."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool = ConnectionPool(60.0, 30.0, 10)
-            calls, connects = Calls(pool, b), Connects(pool, [])
-            calls.begin("a")
-            await connects.begun(1)
-            connects.let(0)
-            await calls.until(a=Outcome.OK)
-            await connects.step(idle_connections.SETTLE_S)
-            take = pool.take_idle
-
-            def stands_still(endpoint: EndpointAddress) -> UpstreamConnection | None:
-                connection = take(endpoint)
-                connects.clock.step(61.0)
-                return connection
-
-            with monkeypatch.context() as patched:
-                patched.setattr(pool, "take_idle", stands_still)
-                calls.begin("b", timeout_s=300.0)
-            await calls.until(a=Outcome.OK, b=Outcome.NO_CONNECTION)
-            assert pool._open == set(pool._idle.by_endpoint.get(calls.endpoint, ()))
-            await connects.step(31.0)
-            await until(lambda: not pool._open)
-            assert ids(b) == ["a"]
-
-    run(test)
+    async with backend(answer(200)) as b:
+        pool = ConnectionPool(60.0, 30.0, 10)
+        calls, connects = Calls(pool, b), Connects(pool, [])
+        calls.begin("a")
+        await connects.begun(1)
+        connects.let(0)
+        await calls.until(a=Outcome.OK)
+        await connects.step(idle_connections.SETTLE_S)
+        take = pool.take_idle
+
+        def stands_still(endpoint: EndpointAddress) -> UpstreamConnection | None:
+            connection = take(endpoint)
+            connects.clock.step(61.0)
+            return connection
+
+        with monkeypatch.context() as patched:
+            patched.setattr(pool, "take_idle", stands_still)
+            calls.begin("b", timeout_s=300.0)
+        await calls.until(a=Outcome.OK, b=Outcome.NO_CONNECTION)
+        assert pool._open == set(pool._idle.by_endpoint.get(calls.endpoint, ()))
+        await connects.step(31.0)
+        await until(lambda: not pool._open)
+        assert ids(b) == ["a"]
 
 
 @pytest.mark.parametrize("turn_s", [0.003, 0.01, 0.05])
 @pytest.mark.parametrize("turns", [1, 1000], ids=["one slow turn", "all turns slow"])
-def test_a_connection_that_an_event_loop_is_late_to_see_is_not_taken_for_late(
+async def test_a_connection_that_an_event_loop_is_late_to_see_is_not_taken_for_late(
     turn_s: float, turns: int
 ) -> None:
     """It stands at once, and any other one would cost the backend a handshake, and the proxy more turns."""
 
-    async def test() -> None:
-        async with backend(answer(200)) as b:
-            pool, clock, begun = ConnectionPool(60.0, 30.0, 10), SteppedClock(), 0
-            for _ in range(WINDOW_SIZE):
-                pool._pacing.latency.add(0.001)
-            connect = pool.connect
-
-            async def counted(endpoint: EndpointAddress) -> UpstreamConnection:
-                nonlocal begun
-                begun += 1
-                return await connect(endpoint)
-
-            pool.connect = counted  # type: ignore[method-assign]
-            calls = Calls(pool, b)
-            calls.begin("a", failover_within_s=30.0)
-            slow = turns
-            while not calls.ended:
-                await asyncio.sleep(0)
-                if slow:
-                    clock.step(turn_s)
-                    slow -= 1
-            assert (calls.ended, begun) == ({"a": Outcome.OK}, 1)
-            pool.close()
-
-    run(test)
+    async with backend(answer(200)) as b:
+        pool, clock, begun = ConnectionPool(60.0, 30.0, 10), SteppedClock(), 0
+        for _ in range(WINDOW_SIZE):
+            pool._pacing.latency.add(0.001)
+        connect = pool.connect
+
+        async def counted(endpoint: EndpointAddress) -> UpstreamConnection:
+            nonlocal begun
+            begun += 1
+            return await connect(endpoint)
+
+        pool.connect = counted  # type: ignore[method-assign]
+        calls = Calls(pool, b)
+        calls.begin("a", failover_within_s=30.0)
+        slow = turns
+        while not calls.ended:
+            await asyncio.sleep(0)
+            if slow:
+                clock.step(turn_s)
+                slow -= 1
+        assert (calls.ended, begun) == ({"a": Outcome.OK}, 1)
+        pool.close()
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -34,7 +34,6 @@
     entry,
     listing,
     proxy,
-    run,
     until,
 )
 from tests.support.upstream_helpers import ONCE, REQUEST, Bare, Handle, Message, Out, Wire, bare
@@ -151,77 +150,67 @@
 
 
 @BOTH
-def test_a_watch_that_only_beats_for_hours_stands_and_its_end_is_made_good_in_time(
+async def test_a_watch_that_only_beats_for_hours_stands_and_its_end_is_made_good_in_time(
     setup: messages.Settings,
 ) -> None:
-    async def test() -> None:
-        async with watched(setup) as (d, p, clock):
-            await step(clock, lambda: len(d.calls) == 1)
-            d.calls[0].say(WATCH_HEAD + chunk_list(listing(entry("s-1", 9))))
-            await step(clock, lambda: p.driver._watch.version == 1)
-            for _ in range(round(2 * 3_600 / BEAT_S)):
-                clock.step(BEAT_S)
-                d.calls[0].say(chunk("\n"))
-                await turns(12)
-            assert len(d.calls) == 1
-            assert len(p.driver._balancer.outbox.timers) == len(p.driver._timers) == 0
-            waited = await next_call(d, clock)  # it falls silent
-            assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
-
-    run(test)
+    async with watched(setup) as (d, p, clock):
+        await step(clock, lambda: len(d.calls) == 1)
+        d.calls[0].say(WATCH_HEAD + chunk_list(listing(entry("s-1", 9))))
+        await step(clock, lambda: p.driver._watch.version == 1)
+        for _ in range(round(2 * 3_600 / BEAT_S)):
+            clock.step(BEAT_S)
+            d.calls[0].say(chunk("\n"))
+            await turns(12)
+        assert len(d.calls) == 1
+        assert len(p.driver._balancer.outbox.timers) == len(p.driver._timers) == 0
+        waited = await next_call(d, clock)  # it falls silent
+        assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
 
 
 # Idle connections
 
 
-def test_after_a_quiet_time_the_first_request_finds_no_connection_that_the_backend_has_closed() -> None:
-    async def test() -> None:
-        async with bare(answers_as(b"x")) as b, proxy(entry("s-1", b.port)) as p, stepped(p) as clock:
-            assert (await p.ask(call(request_id="r0")))[2] == b"x"
-            for n in range(1, 5):
-                clock.step(HOURS * 3_600.0)
-                await until(lambda n=n: b.wires[n - 1].ended)  # type: ignore[misc]
-                assert (await p.ask(call(request_id=f"r{n}")))[2] == b"x"
-                assert len(b.wires) == n + 1
-                assert not any(w.read for w in b.wires)
-            assert b.ids == [f"r{n}" for n in range(5)]
-
-    run(test)
+async def test_after_a_quiet_time_the_first_request_finds_no_connection_that_the_backend_has_closed() -> None:
+    async with bare(answers_as(b"x")) as b, proxy(entry("s-1", b.port)) as p, stepped(p) as clock:
+        assert (await p.ask(call(request_id="r0")))[2] == b"x"
+        for n in range(1, 5):
+            clock.step(HOURS * 3_600.0)
+            await until(lambda n=n: b.wires[n - 1].ended)  # type: ignore[misc]
+            assert (await p.ask(call(request_id=f"r{n}")))[2] == b"x"
+            assert len(b.wires) == n + 1
+            assert not any(w.read for w in b.wires)
+        assert b.ids == [f"r{n}" for n in range(5)]
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.15, 3_600.0])
-def test_a_connection_past_its_idle_time_is_not_used_though_its_timer_has_not_run(late_s: float) -> None:
+async def test_a_connection_past_its_idle_time_is_not_used_though_its_timer_has_not_run(
+    late_s: float,
+) -> None:
     """The process was held up: a request is read in the very turn in which the timer is due."""
 
-    async def test() -> None:
-        clock = SteppedClock()
-        async with bare(answers_as(b"x")) as b:
-            pool = ConnectionPool(0.25, IDLE_S, 10)
-            assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
-            clock.step(IDLE_S * (1.0 - idle_connections.IDLE_MARGIN_SHARE) + late_s)
-            assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
-            assert len(b.wires) == 2
-            pool.close()
-
-    run(test)
+    clock = SteppedClock()
+    async with bare(answers_as(b"x")) as b:
+        pool = ConnectionPool(0.25, IDLE_S, 10)
+        assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
+        clock.step(IDLE_S * (1.0 - idle_connections.IDLE_MARGIN_SHARE) + late_s)
+        assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
+        assert len(b.wires) == 2
+        pool.close()
 
 
 @pytest.mark.parametrize("idle_s", [0.1, 0.5, 1.0, 4.0])
-def test_a_short_idle_time_leaves_room_for_a_process_that_is_held_up(idle_s: float) -> None:
+async def test_a_short_idle_time_leaves_room_for_a_process_that_is_held_up(idle_s: float) -> None:
     """For 0.15 s between reading its clock and writing: the backend may have closed by then."""
 
-    async def test() -> None:
-        clock = SteppedClock()
-        async with bare(answers_as(b"x")) as b:
-            pool = ConnectionPool(0.25, idle_s, 10)
-            assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
-            await turns()
-            clock.step(max(0.0, idle_s - 0.15))
-            assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
-            assert len(b.wires) == 2
-            pool.close()
-
-    run(test)
+    clock = SteppedClock()
+    async with bare(answers_as(b"x")) as b:
+        pool = ConnectionPool(0.25, idle_s, 10)
+        assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
+        await turns()
+        clock.step(max(0.0, idle_s - 0.15))
+        assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
+        assert len(b.wires) == 2
+        pool.close()
 
 
 class Forgetful:
@@ -261,160 +250,145 @@
 @pytest.mark.parametrize("many", [1, 3])
 @pytest.mark.parametrize("how", ["reset", "end", "silence"])
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_backend_that_has_forgotten_its_idle_connections_is_found_out_by_one_request(
+async def test_a_backend_that_has_forgotten_its_idle_connections_is_found_out_by_one_request(
     kind: str, how: str, many: int
 ) -> None:
     """It is made again on a new connection, and the next ones use none that was kept there."""
 
-    async def test() -> None:
-        forgetful = Forgetful(how)
-        async with AsyncExitStack() as stack:
-            made = [await stack.enter_async_context(bare(forgetful.handle)) for _ in range(many)]
-            entries = [entry(f"s-{n}", b.port) for n, b in enumerate(made)]
-            p = await stack.enter_async_context(proxy(*entries, setup=ROOMY, idle_s=1e6))
-            clock = await stack.enter_async_context(stepped(p))
-            for n in range(40 * many):
-                await p.ask(call(request_id=f"k{n}"))
-            assert sum(map(len, p.pool._idle.by_endpoint.values())) > 4
-            forgetful.forget()
-            clock.step(3_600.0)
-            statuses = []
-            for n in range(4):
-                asking = asyncio.ensure_future(p.ask(call(kind, request_id=f"r{n}", Req_Deadline="2.0")))
-                began = clock.ahead
-                while not asking.done():
-                    assert clock.ahead - began < 2.5, "no final answer"
-                    clock.step(0.05)
-                    await turns()
-                statuses.append((await asking)[0].split()[1])
-            lone = how == "silence" and many == 1 and kind != "pay"  # there is nowhere to make it again
-            assert statuses[lone:] == ["200"] * (4 - lone)
-
-    run(test)
+    forgetful = Forgetful(how)
+    async with AsyncExitStack() as stack:
+        made = [await stack.enter_async_context(bare(forgetful.handle)) for _ in range(many)]
+        entries = [entry(f"s-{n}", b.port) for n, b in enumerate(made)]
+        p = await stack.enter_async_context(proxy(*entries, setup=ROOMY, idle_s=1e6))
+        clock = await stack.enter_async_context(stepped(p))
+        for n in range(40 * many):
+            await p.ask(call(request_id=f"k{n}"))
+        assert sum(map(len, p.pool._idle.by_endpoint.values())) > 4
+        forgetful.forget()
+        clock.step(3_600.0)
+        statuses = []
+        for n in range(4):
+            asking = asyncio.ensure_future(p.ask(call(kind, request_id=f"r{n}", Req_Deadline="2.0")))
+            began = clock.ahead
+            while not asking.done():
+                assert clock.ahead - began < 2.5, "no final answer"
+                clock.step(0.05)
+                await turns()
+            statuses.append((await asking)[0].split()[1])
+        lone = how == "silence" and many == 1 and kind != "pay"  # there is nowhere to make it again
+        assert statuses[lone:] == ["200"] * (4 - lone)
 
 
 @pytest.mark.parametrize(
     "case", ["time out", "given up", "cancelled", "a new connection", "it answers others"]
 )
-def test_idle_connections_are_closed_only_where_a_kept_one_has_brought_nothing(case: str) -> None:
+async def test_idle_connections_are_closed_only_where_a_kept_one_has_brought_nothing(case: str) -> None:
     """Not as a client leaves, nor for a new connection, nor where the backend answers others meanwhile."""
     silent = case in ("time out", "given up")
 
-    async def test() -> None:
-        async def handle(wire: Wire, got: Message) -> None:
-            if got[0].startswith("GET"):
-                wire.say(answer(200, b"x"))
-
-        clock = SteppedClock()
-        async with bare(handle) as b:
-            pool = ConnectionPool(0.25, 1e6, 10)
-            b.reads.clear()
-            rested = [Out(pool, b.endpoint, GET) for _ in range(3)]
-            await until(lambda: len(b.wires) == 3)
-            b.reads.set()
-            for out in rested:
-                await out.end()
-            clock.step(60.0)
-            request = ONCE if case == "a new connection" else REQUEST
-            out = Out(pool, b.endpoint, request, 2.0)
-            await until(lambda: len(b.seen) == 4)
-            if case == "it answers others":
-                assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
-            if case == "given up":
-                out.attempt.cancel_unanswered()
-            elif case == "cancelled":
-                out.attempt.cancel()
-            else:
-                clock.step(2.0)
-            await out.end()
-            left = len(pool._idle.by_endpoint.get(b.endpoint, ()))
-            assert left == (0 if silent else 3 if case == "a new connection" else 2)
-            pool.close()
+    async def handle(wire: Wire, got: Message) -> None:
+        if got[0].startswith("GET"):
+            wire.say(answer(200, b"x"))
 
-    run(test)
+    clock = SteppedClock()
+    async with bare(handle) as b:
+        pool = ConnectionPool(0.25, 1e6, 10)
+        b.reads.clear()
+        rested = [Out(pool, b.endpoint, GET) for _ in range(3)]
+        await until(lambda: len(b.wires) == 3)
+        b.reads.set()
+        for out in rested:
+            await out.end()
+        clock.step(60.0)
+        request = ONCE if case == "a new connection" else REQUEST
+        out = Out(pool, b.endpoint, request, 2.0)
+        await until(lambda: len(b.seen) == 4)
+        if case == "it answers others":
+            assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
+        if case == "given up":
+            out.attempt.cancel_unanswered()
+        elif case == "cancelled":
+            out.attempt.cancel()
+        else:
+            clock.step(2.0)
+        await out.end()
+        left = len(pool._idle.by_endpoint.get(b.endpoint, ()))
+        assert left == (0 if silent else 3 if case == "a new connection" else 2)
+        pool.close()
 
 
 @pytest.mark.parametrize(("rest_s", "made"), [(500.0, 0), (2_000.0, 1)])
-def test_only_a_break_after_a_long_rest_has_the_request_made_again_on_a_new_connection(
+async def test_only_a_break_after_a_long_rest_has_the_request_made_again_on_a_new_connection(
     rest_s: float, made: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A backend that breaks a busy connection tells nothing of those to other backends."""
     monkeypatch.setattr(upstream_attempt, "LONG_IDLE_S", 1_000.0)  # no busy machine comes near by itself
 
-    async def test() -> None:
-        async def handle(wire: Wire, got: Message) -> None:
-            if got[1]["req-id"] == "r1" and not broken:
-                broken.append(wire)
-                wire.reset()
-            else:
-                wire.say(answer(200, b"x"))
-
-        broken: list[Wire] = []
-        async with (
-            bare(handle) as a,
-            bare(handle) as b,
-            proxy(entry("s-1", a.port), entry("s-2", b.port), setup=ROOMY, idle_s=1e6) as p,
-            stepped(p) as clock,
-        ):
-            while not (a.wires and b.wires):
-                await asyncio.gather(*(p.ask(call(request_id=f"k{n}")) for n in range(8)))
-            clock.step(rest_s)
-            before = len(a.wires) + len(b.wires)
-            assert (await p.ask(call(request_id="r1")))[2] == b"x"
-            assert (a.ids + b.ids).count("r1") == 2
-            assert len(a.wires) + len(b.wires) - before == made
-
-    run(test)
-
-
-def test_a_client_that_leaves_costs_its_backend_no_idle_connection() -> None:
-    async def test() -> None:
-        async def handle(wire: Wire, got: Message) -> None:
-            if got[1]["req-id"] != "left":
-                wire.say(answer(200, b"x"))
-
-        async with (
-            bare(handle) as b,
-            proxy(entry("s-1", b.port), setup=ROOMY, idle_s=1e6) as p,
-            stepped(p) as clock,
-        ):
-            await kept_by(p, b, 3)
-            clock.step(60.0)
-            _, writer = await p.connect()
-            writer.write(call(request_id="left"))
-            await until(lambda: "left" in b.ids)
-            writer.close()
-            await until(lambda: not p.driver._attempts)
-            assert sum(map(len, p.pool._idle.by_endpoint.values())) == 2
-
-    run(test)
+    async def handle(wire: Wire, got: Message) -> None:
+        if got[1]["req-id"] == "r1" and not broken:
+            broken.append(wire)
+            wire.reset()
+        else:
+            wire.say(answer(200, b"x"))
+
+    broken: list[Wire] = []
+    async with (
+        bare(handle) as a,
+        bare(handle) as b,
+        proxy(entry("s-1", a.port), entry("s-2", b.port), setup=ROOMY, idle_s=1e6) as p,
+        stepped(p) as clock,
+    ):
+        while not (a.wires and b.wires):
+            await asyncio.gather(*(p.ask(call(request_id=f"k{n}")) for n in range(8)))
+        clock.step(rest_s)
+        before = len(a.wires) + len(b.wires)
+        assert (await p.ask(call(request_id="r1")))[2] == b"x"
+        assert (a.ids + b.ids).count("r1") == 2
+        assert len(a.wires) + len(b.wires) - before == made
+
+
+async def test_a_client_that_leaves_costs_its_backend_no_idle_connection() -> None:
+    async def handle(wire: Wire, got: Message) -> None:
+        if got[1]["req-id"] != "left":
+            wire.say(answer(200, b"x"))
+
+    async with (
+        bare(handle) as b,
+        proxy(entry("s-1", b.port), setup=ROOMY, idle_s=1e6) as p,
+        stepped(p) as clock,
+    ):
+        await kept_by(p, b, 3)
+        clock.step(60.0)
+        _, writer = await p.connect()
+        writer.write(call(request_id="left"))
+        await until(lambda: "left" in b.ids)
+        writer.close()
+        await until(lambda: not p.driver._attempts)
+        assert sum(map(len, p.pool._idle.by_endpoint.values())) == 2
 
 
 @pytest.mark.parametrize("kept", [False, True], ids=["new", "kept"])
 @pytest.mark.parametrize("left", ["0.005", "0.030", "0.100", "0.300"])
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_request_with_little_time_that_a_backend_drops_without_a_word_gets_its_final_answer(
+async def test_a_request_with_little_time_that_a_backend_drops_without_a_word_gets_its_final_answer(
     kind: str, left: str, kept: bool
 ) -> None:
     """Within half a second after its time, whatever is left of it."""
 
-    async def test() -> None:
-        async def drop(wire: Wire, got: Message) -> None:
-            if got[1]["req-id"].startswith("k"):
-                wire.say(answer(200, b"k"))
-
-        async with bare(drop) as b, proxy(entry("s-1", b.port), idle_s=1e6) as p, stepped(p) as clock:
-            if kept:
-                await kept_by(p, b, 1)
-                clock.step(60.0)
-            asking = asyncio.ensure_future(p.ask(call(kind, request_id="r1", Req_Deadline=left)))
-            await until(lambda: "r1" in b.ids or asking.done())
-            began = clock.ahead
-            while not asking.done():
-                assert clock.ahead - began < float(left) + 0.5, "no final answer"
-                clock.step(0.01)
-                await turns()
-            assert (await asking)[0].split()[1] in ("502", "503")
-            assert b.ids.count("r1") <= (1 if kind == "pay" else 3)
+    async def drop(wire: Wire, got: Message) -> None:
+        if got[1]["req-id"].startswith("k"):
+            wire.say(answer(200, b"k"))
 
-    run(test)
+    async with bare(drop) as b, proxy(entry("s-1", b.port), idle_s=1e6) as p, stepped(p) as clock:
+        if kept:
+            await kept_by(p, b, 1)
+            clock.step(60.0)
+        asking = asyncio.ensure_future(p.ask(call(kind, request_id="r1", Req_Deadline=left)))
+        await until(lambda: "r1" in b.ids or asking.done())
+        began = clock.ahead
+        while not asking.done():
+            assert clock.ahead - began < float(left) + 0.5, "no final answer"
+            clock.step(0.01)
+            await turns()
+        assert (await asking)[0].split()[1] in ("502", "503")
+        assert b.ids.count("r1") <= (1 if kind == "pay" else 3)
