--- /dev/null
+++ b/load_balancer/messages/actions.py
@@ -0,0 +1,105 @@
+"""The actions that come out of a balancer. All times are whole microseconds."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class Draw:
+    """An endpoint that a selection looked at, with the numbers that decided."""
+
+    endpoint_id: int
+    share: float
+    in_flight: int  # own attempts; an overdue one counts twice, one that failed for a while longer
+
+
+@dataclass(frozen=True, slots=True)
+class StartAttempt:
+    """Start an attempt and end it with a time-out after `timeout_us`."""
+
+    request: str
+    endpoint_id: int
+    timeout_us: int
+    draws: tuple[Draw, ...] = ()  # why this endpoint: the draws, the winner first
+    # Ended as not sent within this time, the request may still go to another endpoint, as it should where
+    # connections to this one do not come up. 0: it should wait.
+    relocate_within_us: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class CheckHealth:
+    """Ask an endpoint whether it is there, and how many requests it has in flight."""
+
+    endpoint_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class CancelAttempt:
+    """Give up waiting for an attempt."""
+
+    request: str
+    attempt: int
+
+
+@dataclass(frozen=True, slots=True)
+class Reject:
+    """Final response: not done, and trying again is harmless."""
+
+    request: str
+    retry_after_us: int = 0  # when the client may best come back; 0: no advice
+
+
+@dataclass(frozen=True, slots=True)
+class Fail:
+    """Final response: failed, with no promise about the effect."""
+
+    request: str
+
+
+@dataclass(frozen=True, slots=True)
+class SetTimer:
+    """Ask for a `TimerFired` at a time."""
+
+    timer: int
+    at_us: int
+
+
+@dataclass(frozen=True, slots=True)
+class CancelTimer:
+    """A timer is no longer wanted. Where it can't be taken back it may still fire."""
+
+    timer: int
+
+
+@dataclass(frozen=True, slots=True)
+class Subscribe:
+    """Ask for the list and all later changes."""
+
+
+@dataclass(frozen=True, slots=True)
+class CloseIdle:
+    """Close the idle connections to an endpoint that has left the subset but is still up."""
+
+    endpoint_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class Log:
+    """A line for whoever is on call."""
+
+    text: str
+
+
+Action = (
+    StartAttempt
+    | CheckHealth
+    | CancelAttempt
+    | Reject
+    | Fail
+    | SetTimer
+    | CancelTimer
+    | Subscribe
+    | CloseIdle
+    | Log
+)
--- /dev/null
+++ b/load_balancer/messages/events.py
@@ -0,0 +1,98 @@
+"""The events that go into a balancer. All times are whole microseconds."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from load_balancer.messages.endpoints import Endpoint
+from load_balancer.messages.outcomes import Outcome
+
+
+class EndpointListKind(Enum):
+    """What an `EndpointListUpdate` brings."""
+
+    CHANGES = "changes"  # only what changed
+    COMPLETE = "full"  # everything; an endpoint that is absent is removed
+    CACHED = "remembered"  # everything as last known before a start, perhaps stale
+    FAILED = "failed"  # a subscription or a fetch failed, or the subscription broke
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListUpdate:
+    """An update of the endpoint list."""
+
+    kind: EndpointListKind
+    version: int = 0
+    endpoints: tuple[Endpoint, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class Request:
+    """A request that now wants exactly one final response within the time left."""
+
+    id: str
+    class_name: str
+    time_left_us: int
+    tenant: str | None = None
+    retry: bool = False  # the client has tried before, and says so
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptEnded:
+    """An attempt has ended; every `StartAttempt` gets exactly one of these."""
+
+    request: str
+    attempt: int  # numbered 0, 1, 2 ... in the order of the request's sends
+    endpoint_id: int
+    outcome: Outcome
+    took_us: int
+    last: bool  # the request itself is over
+
+
+@dataclass(frozen=True, slots=True)
+class StreamStarted:
+    """The answer of a streamed request has begun; it belongs to the client from now on."""
+
+    request: str
+    attempt: int
+
+
+@dataclass(frozen=True, slots=True)
+class TimerFired:
+    """A timer set by this balancer is due."""
+
+    timer: int
+
+
+@dataclass(frozen=True, slots=True)
+class HealthCheckEnded:
+    """A health check has ended; every `CheckHealth` gets exactly one of these."""
+
+    endpoint_id: int
+    alive: bool  # something came back, or nothing could be asked
+    in_flight: float | None = None  # by its load report, where it has one: late and a little noisy
+
+
+@dataclass(frozen=True, slots=True)
+class ClientGone:
+    """The client has left; nothing is owed any more."""
+
+    request: str
+
+
+@dataclass(frozen=True, slots=True)
+class ShutdownStarted:
+    """The proxy shuts down: every open request wants its final response now."""
+
+
+Event = (
+    ShutdownStarted
+    | EndpointListUpdate
+    | Request
+    | AttemptEnded
+    | StreamStarted
+    | TimerFired
+    | HealthCheckEnded
+    | ClientGone
+)
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -66,7 +66,7 @@
 
 NUMBER = (int, float)
 
-WIRE_NAMES = {  # of messages.py's fields in the form that is read; the others have the same name there
+WIRE_NAMES = {  # of the messages' fields in the form that is read; the others have the same name there
     "latency_objective_us": "onTimeUs",
     "deadline_us": "deadlineUs",
     "deduplication_window_us": "repeatWindowUs",
@@ -93,10 +93,10 @@
 
 @contextmanager
 def settings_field_names(where: str) -> Iterator[None]:
-    """Turn the ValueError of a value that messages.py does not take into one with the field as it was read.
+    """Turn the ValueError of a value that the messages do not take into one with the field as it was read.
 
     Raises:
-        InvalidFieldError: In place of the ValueError, whose text begins with messages.py's name for it.
+        InvalidFieldError: In place of the ValueError, whose text begins with the messages' name for it.
     """
     try:
         yield
@@ -173,7 +173,7 @@
 def read_settings(raw: JsonObject) -> messages.Settings:
     """Read the settings of one instance.
 
-    Unknown keys are ignored; optional ones have messages.py's defaults. Times are microseconds.
+    Unknown keys are ignored; optional ones have the messages' defaults. Times are microseconds.
 
     Raises:
         FieldError: A setting is missing or cannot be used; the message names it in full.
