--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -1,4 +1,4 @@
-"""The end of listening: what the system has accepted is served, and idle connections are closed."""
+"""The end of listening: accepted connections are served, and idle ones are closed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, until
 
 
-async def test_connections_in_the_accept_queue_are_served_though_listening_ends() -> None:
+async def test_connections_in_the_accept_queue_are_served_after_listening_ends() -> None:
     """With more of them than are taken in at once, their requests sent and none of it read."""
 
     async with proxy(entry("s-1", 9)) as p:
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-async def test_a_connection_is_not_closed_at_the_shutdown_as_its_request_comes(fresh: bool) -> None:
+async def test_connection_is_not_closed_at_shutdown_while_its_request_arrives(fresh: bool) -> None:
     """It is answered, and told that it was the last one; until then not all is said and done."""
 
     async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
@@ -43,7 +43,7 @@
         await until(lambda: p.listener.is_drained and not p.clients.open_connections)
 
 
-async def test_a_connection_that_has_just_come_has_time_for_its_request_at_the_shutdown() -> None:
+async def test_new_connection_is_given_time_for_a_request_at_shutdown() -> None:
     async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
         clock, client, silent = SteppedClock(), Client(p), Client(p)
         p.listener.stop_listening()
@@ -59,7 +59,7 @@
         assert silent.socket.recv(1) == b""
 
 
-async def test_an_incomplete_request_is_waited_for_at_the_shutdown() -> None:
+async def test_shutdown_waits_for_an_incomplete_request() -> None:
     async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
         client, request = Client(p), call()
         client.send(request[:30])
--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -1,4 +1,4 @@
-"""Which connection is closed to make room for another one, and which is not."""
+"""Which connection is evicted at the connection limit, and which is not."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.loopback import answer, backend, call, entry, peer, proxy, read_message, until
 
 
-async def test_connections_that_sent_nothing_are_closed_before_those_of_usual_clients() -> None:
+async def test_unused_connections_are_evicted_before_idle_ones() -> None:
     async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port), most=8) as p:
         usual = [await p.connect() for _ in range(4)]
         for n, (reader, writer) in enumerate(usual):
@@ -27,7 +27,7 @@
             writer.close()
 
 
-async def test_a_connection_that_has_just_come_is_not_closed_for_the_next_one() -> None:
+async def test_new_connection_is_not_evicted_by_the_next_one() -> None:
     """Connections that asked once and stay fill the room: they go first, not who is about to ask."""
 
     async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port), most=8) as p:
@@ -45,7 +45,7 @@
             writer.close()
 
 
-async def test_the_longest_idle_connection_is_closed_to_make_room_and_one_over_the_limit_rejected() -> None:
+async def test_longest_idle_connection_is_evicted_and_a_surplus_one_answered_503() -> None:
     blocked = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-async def test_a_connection_is_not_closed_to_make_room_as_its_request_comes(
+async def test_connection_is_not_evicted_while_its_request_arrives(
     fresh: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Where all others are busy, or about to be, the newcomer is one too many."""
@@ -92,7 +92,7 @@
         assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
 
 
-async def test_a_connection_whose_client_has_just_left_is_closed_to_make_room(
+async def test_connection_is_evicted_when_its_client_has_just_disconnected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What it has left unread is nobody's request any more."""
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -1,4 +1,4 @@
-"""The last responses before a close: each whole, one for each request, nothing forwarded that came after."""
+"""The last responses before a close: each is complete, and no later request is forwarded."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("behind", [1, 3])
 @pytest.mark.parametrize("read", [True, False])
-async def test_requests_behind_one_that_is_open_at_the_shutdown_are_answered(behind: int, read: bool) -> None:
+async def test_pipelined_requests_are_answered_before_the_close_at_shutdown(behind: int, read: bool) -> None:
     """Only the last answer ends the connection, be what follows read or still with the system."""
 
     async with silent_backend() as b, proxy(entry("b", b.port)) as p:
@@ -59,7 +59,7 @@
         await until(lambda: p.listener.is_drained and not p.clients.open_connections)
 
 
-async def test_each_request_on_a_connection_over_the_limit_is_answered_503() -> None:
+async def test_each_request_on_a_surplus_connection_is_answered_503() -> None:
     async with silent_backend() as b, proxy(entry("b", b.port), most=1) as p:
         busy, surplus = Client(p), Client(p)
         busy.send(call(request_id="busy"))
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("why", ["closing", "asked", "surplus", "bad"])
-async def test_nothing_that_comes_after_the_last_response_is_forwarded(why: str) -> None:
+async def test_request_after_the_last_response_is_not_forwarded(why: str) -> None:
     """The connection is shut by then; it is read on only so that its end resets nothing."""
 
     async with silent_backend() as b, proxy(entry("b", b.port), most=1) as p:
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("last", [True, False])
-async def test_a_connection_that_is_writing_a_response_is_not_closed_to_make_room(last: bool) -> None:
+async def test_connection_is_not_evicted_while_it_writes_a_response(last: bool) -> None:
     """Its connection counts as idle, or as about to end, from its last byte's hand-over on."""
 
     async with backend(answer(200, b"x" * 65_536)) as b, proxy(entry("b", b.port), most=1) as p:
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("last", [True, False])
-async def test_a_response_is_kept_for_a_client_that_reads_it_slowly(last: bool) -> None:
+async def test_slowly_read_response_is_delivered_complete(last: bool) -> None:
     """Also where it is the last one, and then the end comes behind it and not instead of its rest."""
 
     async with backend(answer(200, b"x" * 65_536)) as b, proxy(entry("b", b.port)) as p:
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("how", ["expiry", "end", "room"])
 @pytest.mark.parametrize("later", [False, True])
-async def test_a_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(
+async def test_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(
     how: str, later: bool
 ) -> None:
     """It comes after the last look at the connection: the client sends it once more on a new one."""
@@ -226,7 +226,7 @@
     ids=["a close in the middle", "noise in the middle", "a bad one in the middle", "a 100", "one id again"],
 )
 @pytest.mark.parametrize("whole", [True, False])
-async def test_each_of_several_requests_at_once_gets_one_final_answer_up_to_the_last(
+async def test_each_pipelined_request_up_to_the_last_gets_one_final_response(
     sent: list[bytes], statuses: list[int], on: int, whole: bool
 ) -> None:
     """Also where the rest comes only while the first one is open."""
--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes of lists over one course of events: how they grow from 200 endpoints to 3,200."""
+"""How the bytes of endpoint lists grow over one course of events, from 200 endpoints to 3,200."""
 
 from __future__ import annotations
 
@@ -123,7 +123,7 @@
         return fleet
 
 
-async def test_bytes_of_lists_stay_within_the_terms_at_sixteen_times_the_backends() -> None:
+async def test_list_bytes_stay_within_the_limit_at_sixteen_times_the_endpoints() -> None:
     usual, most = [await course(backends) for backends in (USUAL, MOST)]
     assert usual.whole == most.whole == 2  # at the start, and after the move
     assert most.sent <= TIMES * usual.sent + PLUS + PLUS_EACH * MOST, (usual.sent, most.sent)
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -1,4 +1,4 @@
-"""Responses without a length: complete at the end of the stream, and only there."""
+"""Close-delimited responses on one connection: complete at the end of the stream, and only there."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     ],
 )
 @pytest.mark.parametrize("body", [b"", b"all\r\n\r\nof it"])
-async def test_an_answer_without_a_length_is_whole_at_its_connections_end(
+async def test_close_delimited_response_is_complete_at_the_end_of_the_stream(
     head: bytes, outcome: Outcome, body: bytes, then: tuple[str, ...]
 ) -> None:
     """HTTP/1.1 ends it there. All of it lies in the system as it is read; a reset after an end comes late."""
@@ -47,7 +47,7 @@
         pool.close()
 
 
-async def test_an_answer_without_a_length_is_none_before_its_end(read: bytearray) -> None:
+async def test_close_delimited_response_is_not_complete_before_the_end_of_the_stream(read: bytearray) -> None:
     async with bare(says(HEAD + b"all ")) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         out = Out(pool, b.endpoint)
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("at", range(1, len(HEAD) + 6))
 @pytest.mark.parametrize("seen_before", [False, True])
-async def test_a_reset_is_no_end_of_an_answer_without_a_length(
+async def test_reset_does_not_complete_a_close_delimited_response(
     at: int, seen_before: bool, read: bytearray
 ) -> None:
     """At each byte and after the last, be it read before the reset comes or with the reset behind it."""
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(("size", "outcome"), [(65_536, Outcome.OK), (65_537, Outcome.RESET)])
-async def test_an_answer_without_a_length_has_a_longest(size: int, outcome: Outcome) -> None:
+async def test_close_delimited_response_over_the_limit_is_rejected(size: int, outcome: Outcome) -> None:
     """One byte more is known at once for no answer, though its connection stays open."""
 
     async def handle(wire: Wire, got: Message) -> None:
@@ -100,7 +100,7 @@
         pool.close()
 
 
-async def test_an_answer_without_a_length_or_an_end_is_given_up(read: bytearray) -> None:
+async def test_close_delimited_response_without_an_end_times_out(read: bytearray) -> None:
     clock = SteppedClock()
     async with bare(says(HEAD + b"all of it")) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("cut", [0, 12])
-async def test_a_backend_that_says_1xx_may_work_on_for_as_long_as_any(cut: int, read: bytearray) -> None:
+async def test_interim_response_does_not_start_the_completion_timeout(cut: int, read: bytearray) -> None:
     """Only the answer itself has to come whole soon after its first byte, as the work is done by then."""
     interim, good = b"HTTP/1.1 103 x\r\n\r\n", answer(200, b"ok")
 
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("status", [204, 304])
 @pytest.mark.parametrize(("more", "kept"), [(b"", True), (b"Connection: close\r\n", False)])
-async def test_an_answer_that_has_no_body_by_its_status_ends_with_its_head(
+async def test_response_without_a_body_by_its_status_ends_with_its_head(
     status: int, more: bytes, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize("kind", ["read", "write", "mark", "pay"])
-async def test_what_an_answer_without_a_length_brings_its_client(kind: str) -> None:
+async def test_client_gets_a_close_delimited_response_unless_it_is_reset(kind: str) -> None:
     """Served where the connection ends; where it is reset the request may have run."""
 
     ends = ["reset", "end"]
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -1,6 +1,7 @@
-"""Random plays on the pool: whatever begins, ends or is disabled within an attempt's end, nothing is left.
+"""Random plays on the connection pool: each attempt ends once, and the pool is empty afterwards.
 
-Each play has a seed. What must hold does not depend on which of two things comes first.
+Attempts begin and end, and endpoints are disabled, within the outcome of another attempt. Each play has a
+seed; its assertions hold in any order of concurrent events.
 """
 
 from __future__ import annotations
@@ -157,7 +158,9 @@
 
 
 @pytest.mark.parametrize("seed", range(PLAYS))
-async def test_each_attempt_ends_once_and_nothing_is_left(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_each_attempt_ends_once_and_the_pool_is_empty(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     loop, chance = asyncio.get_running_loop(), random.Random(seed)
     async with fickle(chance) as a, fickle(chance) as b:
         play = Play(chance, [a.port, b.port])
@@ -199,7 +202,7 @@
         loop.set_exception_handler(None)
 
 
-async def test_one_that_waits_looks_a_few_times_where_connections_are_usually_quick() -> None:
+async def test_waiting_attempt_considers_an_extra_connection_a_few_times_only() -> None:
     """It may wait for hundreds of times of what is usual, and each look takes the event loop's time."""
     looks = 0
 
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Which idle connections are used again, and when they are closed."""
+"""Which idle connections are reused, and when they are closed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.support.upstream_helpers import ONCE, attempt
 
 
-async def test_one_that_breaks_a_kept_connection_gets_new_ones_for_a_while(
+async def test_endpoint_that_breaks_an_idle_connection_gets_new_connections_for_a_while(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
@@ -38,7 +38,7 @@
         pool.close()
 
 
-async def test_what_must_not_run_twice_goes_on_a_connection_of_its_own(
+async def test_non_idempotent_request_is_sent_on_a_new_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A kept one may be gone already; new ones take the place of idle ones, so that these don't pile up."""
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize(
     "said", [b"not http\r\n\r\n", b"HTTP/1.1 200 x\r\nno colon here\r\nContent-Length: 2\r\n\r\nok"]
 )
-async def test_an_unreadable_answer_on_a_kept_connection_leaves_the_others_kept(
+async def test_invalid_response_on_a_reused_connection_does_not_suspend_reuse(
     said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It says nothing of how the backend treats connections: only ends do."""
@@ -78,7 +78,7 @@
         pool.close()
 
 
-async def test_a_new_backend_at_an_old_address_gets_none_of_the_old_ones_connections() -> None:
+async def test_new_endpoint_at_an_old_address_does_not_reuse_old_connections() -> None:
     async with backend(answer(200, b"ok")) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
         assert (await attempt(pool, address, number=1))[0] is Outcome.OK
@@ -90,7 +90,7 @@
         pool.close()
 
 
-async def test_an_attempt_on_a_backend_that_has_gone_brings_its_connection_not_back() -> None:
+async def test_connection_to_a_removed_endpoint_is_not_reused() -> None:
     go_on = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -112,7 +112,7 @@
         pool.close()
 
 
-async def test_a_connection_that_ended_while_idle_is_not_used() -> None:
+async def test_connection_that_ended_while_idle_is_not_reused() -> None:
     ended = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -135,7 +135,7 @@
         pool.close()
 
 
-async def test_idle_connections_are_closed_before_the_backend_does() -> None:
+async def test_idle_connection_is_closed_before_the_idle_timeout_of_the_endpoint() -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
         writer.write(answer(200, b"ok"))
@@ -152,7 +152,7 @@
         await closed.wait()
 
 
-async def test_a_full_pool_closes_its_longest_idle_connection_or_sends_nothing() -> None:
+async def test_full_pool_closes_its_longest_idle_connection_or_sends_nothing() -> None:
     async with backend(answer(200, b"ok")) as a, backend(answer(200, b"ok")) as b:
         pool = ConnectionPool(0.25, 30.0, 1)
         assert (await attempt(pool, ("127.0.0.1", a.port)))[0] is Outcome.OK
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -1,4 +1,4 @@
-"""An attempt that waits on connections that others began, and these all fail at once."""
+"""An attempt that waits for connections opened for other attempts, all of which fail."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("refused", [False, True])
-async def test_an_attempt_has_a_connection_of_its_own_tried_where_those_of_others_fail(
+async def test_attempt_opens_its_own_connection_when_shared_ones_fail(
     refused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Unless the backend refuses, where one more would say nothing new."""
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -1,4 +1,4 @@
-"""An attempt has one outcome whatever crosses, and nothing of it is written afterwards."""
+"""An attempt has one outcome in any order of concurrent events, and nothing is written after it."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("kept", [False, True])
 @pytest.mark.parametrize("cancel", [False, True])
 @pytest.mark.parametrize("how", ["gone", "deadline", "end"])
-async def test_the_rest_of_a_request_is_not_written_after_its_final_answer(
+async def test_rest_of_a_request_is_not_written_after_its_final_response(
     how: str, cancel: bool, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its backend has taken only a part: nothing has run yet, and the rest would make it run for nobody."""
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("how", ["cancel", "time out", "invalid"])
-async def test_an_attempt_that_is_given_up_has_ended_at_its_backend_before_anything_follows(how: str) -> None:
+async def test_abandoned_attempt_has_ended_at_its_endpoint_before_its_outcome(how: str) -> None:
     """The next one may be written in the same turn, on a kept connection: it must be no second copy."""
 
     async def handle(wire: Wire, got: Message) -> None:
@@ -139,7 +139,7 @@
 
 
 @pytest.mark.parametrize("first", EVENTS)
-async def test_an_attempt_has_one_outcome_whatever_crosses(
+async def test_attempt_has_one_outcome_in_any_order_of_concurrent_events(
     first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All that may end it, in each order of four, in one turn of the loop; the next request gets its own."""
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize("moment", ["coming", "made", "next turn"])
-async def test_an_attempt_has_one_outcome_whatever_crosses_its_connection(
+async def test_attempt_has_one_outcome_when_ended_during_its_connect(
     moment: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All that may end it, in each order of two, as its connection comes up: and nothing is sent."""
