--- a/tests/net/discovery/test_discovery_moves.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -1,4 +1,4 @@
-"""Discovery that moves by new configurations, and when the complete list is requested again."""
+"""Discovery that moves with new configurations: the last one is followed in time."""
 
 from __future__ import annotations
 
@@ -6,10 +6,9 @@
 import json
 import logging
 import os
-import re
 import signal
-from collections.abc import AsyncIterator, Awaitable, Callable, Iterator
-from contextlib import AsyncExitStack, asynccontextmanager, contextmanager
+from collections.abc import AsyncIterator
+from contextlib import AsyncExitStack, asynccontextmanager
 from pathlib import Path
 
 import pytest
@@ -18,248 +17,28 @@
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.process.config import ConfigSource
 from load_balancer.process.server import Reloader
-from tests.support.balancer_harness import S, settings
+from tests.net.discovery.versioned_discovery import ASKED, BOTH, Versions, pass_until, play
 from tests.support.discovery_helpers import watch_tasks
 from tests.support.loopback import (
     WATCH_HEAD,
     Peer,
     Proxy,
-    SteppedClock,
     answer,
     backend,
     call,
-    chunk,
     chunk_list,
     entry,
     listing,
     peer,
-    proxy,
     read_message,
     until,
 )
 from tests.support.proxy_process import config, port_of, process, write
 
 MOVED_S = 4.0  # what discovery has to tell counts as told this long after SIGHUP
-TURN_S = 2.0  # a crowded discovery answers so late
-STEP_S = 0.05
-TURNS = 40  # of the event loop between two steps: far more than a call and its answer take on loopback
-
-RULES = messages.Rules(0.4, 5 * S, 3.0, S, max_poll_interval_us=3_600 * S)
-ASKED = settings(must_subscribe=True, rules=RULES)
-PUSHED = settings(rules=RULES)
-BOTH = pytest.mark.parametrize("setup", [ASKED, PUSHED], ids=["asked", "pushed"])
-
-Event = Callable[["Play"], Awaitable[None]]
-
-
-class Versions:
-    """A discovery that numbers its versions: a watch gets what changed since, or else the whole list."""
-
-    def __init__(self, name: str, rev: int = 1) -> None:
-        self.name, self.rev, self.first = name, rev, rev
-        self.asked: list[str] = []  # what each call asked for
-        self.whole = 0  # whole lists that were sent
-        self.silent = False  # calls get no answer
-        self.ended = 0  # calls whose connection the proxy has ended
-        self.open: list[asyncio.StreamWriter] = []
-
-    @property
-    def uid(self) -> str:
-        """The one backend, another with each version."""
-        return f"{self.name}-{self.rev}"
-
-    def list_now(self) -> dict[str, object]:
-        return listing(entry(self.uid, 9), rev=self.rev)
-
-    def changes(self, since: int) -> dict[str, object]:
-        gone = [entry(f"{self.name}-{rev}", 9, "terminated") for rev in range(since, self.rev)]
-        return listing(*gone, entry(self.uid, 9), rev=self.rev, full=False)
-
-    def change(self) -> None:
-        """Tells a new version on the watches that stand."""
-        self.rev += 1
-        for writer in self.open:
-            writer.write(chunk_list(self.changes(self.rev - 1)))
-
-    def answer(self, since: int | None) -> bytes:
-        if since is None or not self.first <= since <= self.rev:
-            self.whole += 1
-            return WATCH_HEAD + chunk_list(self.list_now())
-        return WATCH_HEAD + (chunk_list(self.changes(since)) if since < self.rev else chunk("\n"))
-
-    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        target = (await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1]
-        self.asked.append(target)
-        found = re.search(r"since=(\d+)", target)
-        if not self.silent:
-            writer.write(self.answer(int(found[1]) if found else None))
-        self.open.append(writer)
-        try:
-            await reader.read()
-        finally:
-            self.open.remove(writer)
-            self.ended += 1
-
-
-async def pass_until(clock: SteppedClock, holds: Callable[[], bool], most_s: float = 20.0) -> float:
-    """Moves time on until something holds; the seconds that it took."""
-    began = clock.ahead
-    while not holds():
-        assert clock.ahead - began < most_s, "it never came"
-        clock.step(STEP_S)
-        for _ in range(TURNS):
-            await asyncio.sleep(0)
-    return clock.ahead - began
-
-
-@contextmanager
-def one_clock(clock: SteppedClock, p: Proxy) -> Iterator[None]:
-    """The module's clock goes with the event loop's."""
-    real = p.driver._clock.now_us
-    p.driver._clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
-    yield
-
-
-class Play:
-    """A proxy, the discovery that it follows, and another one."""
-
-    def __init__(self, p: Proxy, clock: SteppedClock, a: Versions, b: Versions) -> None:
-        self.p, self.clock, self.a, self.b = p, clock, a, b
-        self.ports: dict[str, int] = {}
-
-    def holds(self, on: Versions) -> bool:
-        """Is the list that of this discovery, and a watch on it open?"""
-        return set(self.p.driver._balancer.endpoints.states) == {endpoint_number(on.uid)} and bool(on.open)
-
-    async def follows(self, on: Versions) -> float:
-        return await pass_until(self.clock, lambda: self.holds(on))
-
-    def move(self, to: Versions) -> None:
-        self.p.driver.move_discovery(("127.0.0.1", self.ports[to.name]))
-
-
-@asynccontextmanager
-async def play(setup: messages.Settings, *known: dict[str, object]) -> AsyncIterator[Play]:
-    clock, a, b = SteppedClock(), Versions("a", 1), Versions("b", 3)
-    if known:
-        a.rev = 2
-    async with (
-        peer(a.handle) as pa,
-        peer(b.handle) as pb,
-        proxy(*known, setup=setup, discovery=pa.port) as p,
-    ):
-        with one_clock(clock, p):
-            made = Play(p, clock, a, b)
-            made.ports = {"a": pa.port, "b": pb.port}
-            yield made
-
 
-async def nothing(play: Play) -> None:
-    pass
 
-
-async def changes(play: Play) -> None:
-    for _ in range(3):
-        play.a.change()
-    await play.follows(play.a)
-
-
-async def end(play: Play) -> None:
-    play.a.open[0].write(b"0\r\n\r\n")
-    await pass_until(play.clock, lambda: len(play.a.asked) == 2)
-
-
-async def reset(play: Play) -> None:
-    play.a.open[0].transport.abort()
-    await pass_until(play.clock, lambda: len(play.a.asked) == 2)
-
-
-async def silence(play: Play) -> None:
-    await pass_until(play.clock, lambda: len(play.a.asked) == 2)
-
-
-async def silent_twice(play: Play) -> None:
-    play.a.silent = True
-    await pass_until(play.clock, lambda: len(play.a.asked) == 3)
-    play.a.silent = False
-    await pass_until(play.clock, lambda: len(play.a.asked) == 4)
-
-
-async def spoilt(play: Play) -> None:
-    play.a.open[0].write(chunk('{"rev":42,"all":false,"targets":[{"uid":"x","state":"odd"}]}\n'))
-    await pass_until(play.clock, lambda: len(play.a.asked) == 2)
-
-
-async def half_a_list(play: Play) -> None:
-    play.a.open[0].write(chunk('{"rev":42,"all":true,"targets":['))
-    await pass_until(play.clock, lambda: len(play.a.asked) == 2)
-
-
-async def moved(play: Play) -> None:
-    play.move(play.b)
-    await play.follows(play.b)
-
-
-async def moved_and_back_at_once(play: Play) -> None:
-    for to in (play.b, play.a, play.b, play.a):
-        play.move(to)
-    await pass_until(play.clock, lambda: len(play.a.asked) == 2)
-
-
-async def moved_and_back_from_a_silent_one(play: Play) -> None:
-    play.b.silent = True
-    play.move(play.b)
-    await pass_until(play.clock, lambda: len(play.b.asked) == 2)
-    play.a.change()
-    play.move(play.a)
-    await play.follows(play.a)
-
-
-async def moved_and_back_from_one_that_told(play: Play) -> None:
-    play.move(play.b)
-    await play.follows(play.b)
-    play.a.rev = play.b.rev + 1  # it knows the version that we hold, which is another one of that number
-    play.move(play.a)
-    await play.follows(play.a)
-
-
-EVENTS: list[tuple[Event, int]] = [  # and the whole lists that it may cost
-    (nothing, 0),
-    (changes, 0),
-    (end, 0),
-    (reset, 0),
-    (silence, 0),
-    (silent_twice, 0),
-    (spoilt, 0),
-    (half_a_list, 0),
-    (moved, 1),  # another discovery's versions tell nothing of what we hold
-    (moved_and_back_at_once, 0),
-    (moved_and_back_from_a_silent_one, 0),
-    (moved_and_back_from_one_that_told, 2),
-]
-
-
-@BOTH
-@pytest.mark.parametrize(("event", "whole"), EVENTS, ids=[event.__name__ for event, _ in EVENTS])
-async def test_complete_list_is_requested_only_when_no_version_can_be_resumed(
-    setup: messages.Settings, event: Event, whole: int
-) -> None:
-    """At 3,200 backends it has half a megabyte."""
-
-    async with play(setup) as made:
-        await made.follows(made.a)
-        assert made.a.whole == 1
-        await event(made)
-        await made.follows(made.b if event is moved else made.a)
-        assert made.a.whole + made.b.whole - 1 == whole
-
-
-@BOTH
-async def test_watch_resumes_from_a_cached_list_at_the_start(setup: messages.Settings) -> None:
-    async with play(setup, entry("a-1", 9)) as made:
-        await made.follows(made.a)
-        assert made.a.whole == 0
-        assert made.a.asked == ["/v1/endpoints?follow=1&since=1"]
+TURN_S = 2.0  # a crowded discovery answers so late
 
 
 class Reloads:
--- /dev/null
+++ b/tests/net/discovery/versioned_discovery.py
@@ -0,0 +1,144 @@
+"""A discovery that numbers its versions, and a proxy that follows it on a stepped clock."""
+
+from __future__ import annotations
+
+import asyncio
+import re
+from collections.abc import AsyncIterator, Callable, Iterator
+from contextlib import asynccontextmanager, contextmanager
+
+import pytest
+
+from load_balancer import messages
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number
+from tests.support.balancer_harness import S, settings
+from tests.support.loopback import (
+    WATCH_HEAD,
+    Proxy,
+    SteppedClock,
+    chunk,
+    chunk_list,
+    entry,
+    listing,
+    peer,
+    proxy,
+)
+
+STEP_S = 0.05
+
+
+TURNS = 40  # of the event loop between two steps: far more than a call and its answer take on loopback
+
+
+RULES = messages.Rules(0.4, 5 * S, 3.0, S, max_poll_interval_us=3_600 * S)
+
+
+ASKED = settings(must_subscribe=True, rules=RULES)
+
+
+PUSHED = settings(rules=RULES)
+
+
+BOTH = pytest.mark.parametrize("setup", [ASKED, PUSHED], ids=["asked", "pushed"])
+
+
+class Versions:
+    """A discovery that numbers its versions: a watch gets what changed since, or else the whole list."""
+
+    def __init__(self, name: str, rev: int = 1) -> None:
+        self.name, self.rev, self.first = name, rev, rev
+        self.asked: list[str] = []  # what each call asked for
+        self.whole = 0  # whole lists that were sent
+        self.silent = False  # calls get no answer
+        self.ended = 0  # calls whose connection the proxy has ended
+        self.open: list[asyncio.StreamWriter] = []
+
+    @property
+    def uid(self) -> str:
+        """The one backend, another with each version."""
+        return f"{self.name}-{self.rev}"
+
+    def list_now(self) -> dict[str, object]:
+        return listing(entry(self.uid, 9), rev=self.rev)
+
+    def changes(self, since: int) -> dict[str, object]:
+        gone = [entry(f"{self.name}-{rev}", 9, "terminated") for rev in range(since, self.rev)]
+        return listing(*gone, entry(self.uid, 9), rev=self.rev, full=False)
+
+    def change(self) -> None:
+        """Tells a new version on the watches that stand."""
+        self.rev += 1
+        for writer in self.open:
+            writer.write(chunk_list(self.changes(self.rev - 1)))
+
+    def answer(self, since: int | None) -> bytes:
+        if since is None or not self.first <= since <= self.rev:
+            self.whole += 1
+            return WATCH_HEAD + chunk_list(self.list_now())
+        return WATCH_HEAD + (chunk_list(self.changes(since)) if since < self.rev else chunk("\n"))
+
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        target = (await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1]
+        self.asked.append(target)
+        found = re.search(r"since=(\d+)", target)
+        if not self.silent:
+            writer.write(self.answer(int(found[1]) if found else None))
+        self.open.append(writer)
+        try:
+            await reader.read()
+        finally:
+            self.open.remove(writer)
+            self.ended += 1
+
+
+async def pass_until(clock: SteppedClock, holds: Callable[[], bool], most_s: float = 20.0) -> float:
+    """Moves time on until something holds; the seconds that it took."""
+    began = clock.ahead
+    while not holds():
+        assert clock.ahead - began < most_s, "it never came"
+        clock.step(STEP_S)
+        for _ in range(TURNS):
+            await asyncio.sleep(0)
+    return clock.ahead - began
+
+
+@contextmanager
+def one_clock(clock: SteppedClock, p: Proxy) -> Iterator[None]:
+    """The module's clock goes with the event loop's."""
+    real = p.driver._clock.now_us
+    p.driver._clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
+    yield
+
+
+class Play:
+    """A proxy, the discovery that it follows, and another one."""
+
+    def __init__(self, p: Proxy, clock: SteppedClock, a: Versions, b: Versions) -> None:
+        self.p, self.clock, self.a, self.b = p, clock, a, b
+        self.ports: dict[str, int] = {}
+
+    def holds(self, on: Versions) -> bool:
+        """Is the list that of this discovery, and a watch on it open?"""
+        return set(self.p.driver._balancer.endpoints.states) == {endpoint_number(on.uid)} and bool(on.open)
+
+    async def follows(self, on: Versions) -> float:
+        return await pass_until(self.clock, lambda: self.holds(on))
+
+    def move(self, to: Versions) -> None:
+        self.p.driver.move_discovery(("127.0.0.1", self.ports[to.name]))
+
+
+@asynccontextmanager
+async def play(setup: messages.Settings, *known: dict[str, object]) -> AsyncIterator[Play]:
+    clock, a, b = SteppedClock(), Versions("a", 1), Versions("b", 3)
+    if known:
+        a.rev = 2
+    async with (
+        peer(a.handle) as pa,
+        peer(b.handle) as pb,
+        proxy(*known, setup=setup, discovery=pa.port) as p,
+    ):
+        with one_clock(clock, p):
+            made = Play(p, clock, a, b)
+            made.ports = {"a": pa.port, "b": pb.port}
+            yield made
