--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -20,6 +20,7 @@
     streams,
 )
 from tests.support.loopback import (
+    Peer,
     Proxy,
     SteppedClock,
     answer,
@@ -76,28 +77,36 @@
         await until(lambda: not p.clients.open_connections)
 
 
+async def send_last_request(p: Proxy, b: Peer, client: Client, why: str) -> ClientConnection:
+    """Send the request whose response is the last one, and return the connection once it lingers."""
+    client.send({"asked": call(Connection="close"), "bad": call(request_id="")}.get(why, call()))
+    if why in ("closing", "asked"):
+        await until(lambda: len(b.seen) == 1)
+        p.clients.is_draining = why == "closing"
+        attempt_connection(p).data_received(answer(200, b"x"))
+    [connection] = [c for c in await shut(p) if c._is_lingering]
+    return connection
+
+
+async def send_late_requests(client: Client) -> None:
+    client.send(call(request_id="late1"))
+    await settled()
+    client.send(call(request_id="late2") + call(request_id="late3"))
+    await settled()
+
+
 @pytest.mark.parametrize("why", ["closing", "asked", "surplus", "bad"])
 async def test_request_after_the_last_response_is_not_forwarded(why: str) -> None:
     """The connection is shut by then; it is read on only so that its end resets nothing."""
-
     async with silent_backend() as b, proxy(entry("b", b.port), most=1) as p:
         busy = Client(p)
         if why == "surplus":
             busy.send(call(request_id="busy"))
             await until(lambda: len(b.seen) == 1)
         client = busy if why != "surplus" else Client(p)
-        first = {"asked": call(Connection="close"), "bad": call(request_id="")}.get(why, call())
-        client.send(first)
-        if why in ("closing", "asked"):
-            await until(lambda: len(b.seen) == 1)
-            p.clients.is_draining = why == "closing"
-            attempt_connection(p).data_received(answer(200, b"x"))
-        [connection] = [c for c in await shut(p) if c._is_lingering]
-        sent = len(b.seen)
-        client.send(call(request_id="late1"))
-        await settled()
-        client.send(call(request_id="late2") + call(request_id="late3"))
-        await settled()
+        connection = await send_last_request(p, b, client, why)
+        forwarded_count = len(b.seen)
+        await send_late_requests(client)
         reader, writer = await streams(client)
         got = await read_message(reader)
         assert status(got) == {"surplus": 503, "bad": 400}.get(why, 200)
@@ -105,7 +114,7 @@
         assert await reader.read() == b""
         assert connection in p.clients.open_connections
         assert not connection._http.received
-        assert len(b.seen) == sent
+        assert len(b.seen) == forwarded_count
         writer.close()
         await until(lambda: connection not in p.clients.open_connections)
         busy.socket.close()
@@ -161,28 +170,40 @@
         writer.close()
 
 
+async def idle_connection(p: Proxy, b: Peer, client: Client) -> ClientConnection:
+    """Answer the client's first request, and return its connection once that is idle."""
+    client.send(call(request_id="first"))
+    await until(lambda: len(b.seen) == 1)
+    attempt_connection(p).data_received(answer(200, b"first"))
+    await until(lambda: bool(p.clients.idle_connections))
+    [connection] = p.clients.open_connections
+    return connection
+
+
+async def close_idle_connection(p: Proxy, connection: ClientConnection, how: str) -> Client | None:
+    """Have the connection closed in this way, and return the client that it makes room for."""
+    if how == "expiry":
+        connection.check_time_limits(p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
+    elif how == "end":
+        p.listener.close_idle_connections()
+    else:
+        other = Client(p)
+        await until(lambda: connection.transport.is_closing())
+        return other
+    return None
+
+
 @pytest.mark.parametrize("how", ["expiry", "end", "room"])
 @pytest.mark.parametrize("later", [False, True])
 async def test_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(
     how: str, later: bool
 ) -> None:
     """It comes after the last look at the connection: the client sends it once more on a new one."""
-
     async with silent_backend() as b, proxy(entry("b", b.port), most=1) as p:
         clock, client = SteppedClock(), Client(p)
-        client.send(call(request_id="first"))
-        await until(lambda: len(b.seen) == 1)
-        attempt_connection(p).data_received(answer(200, b"first"))
-        await until(lambda: bool(p.clients.idle_connections))
-        [connection] = p.clients.open_connections
+        connection = await idle_connection(p, b, client)
         clock.step(1.0)
-        if how == "expiry":
-            connection.check_time_limits(p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
-        elif how == "end":
-            p.listener.close_idle_connections()
-        else:
-            other = Client(p)
-            await until(lambda: connection.transport.is_closing())
+        other = await close_idle_connection(p, connection, how)
         assert connection.transport.is_closing()
         if later:
             await settled()
@@ -197,7 +218,7 @@
         writer.close()
         assert len(b.seen) == 1
         assert p.driver.idle
-        if how == "room":
+        if other is not None:
             other.leave("FIN")
         await until(lambda: not p.clients.open_connections)
 
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -16,7 +16,17 @@
 from load_balancer.net.client import client_limits
 from load_balancer.process.descriptor_limits import RESERVED_DESCRIPTORS
 from tests.support.client_helpers import Client, settled, silent_backend, status, streams
-from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, until
+from tests.support.loopback import (
+    Proxy,
+    SteppedClock,
+    answer,
+    backend,
+    call,
+    entry,
+    proxy,
+    read_message,
+    until,
+)
 
 
 class Turns:
@@ -97,6 +107,7 @@
 FIXED = (
     8  # descriptors for standard streams, the event loop and its wake-up, the listener, and one for a file
 )
+FLOOD_SIZE = 400
 WATCHES = 2  # one that stands or comes up, and one that is just being closed
 
 
@@ -130,12 +141,27 @@
         assert status(await p.ask(call())) == 200
 
 
+def open_count(accepted: list[socket.socket]) -> int:
+    return sum(connection.fileno() >= 0 for connection in accepted)
+
+
+async def flood(p: Proxy, kind: str, accepted: list[socket.socket]) -> tuple[list[Client], int]:
+    """Connect 400 clients; return them and the most descriptors that their connections held at once."""
+    clients = [Client(p) for _ in range(FLOOD_SIZE)]
+    for number, client in enumerate(clients):
+        client.send(KINDS[kind] if kind != "open" else call(request_id=f"r{number}"))
+    most = 0
+    while len(accepted) < FLOOD_SIZE:
+        await asyncio.sleep(0)
+        most = max(most, open_count(accepted))
+    return clients, most
+
+
 @pytest.mark.parametrize("kind", [*KINDS, "open"])
 async def test_connection_flood_uses_no_more_descriptors_than_its_limit(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also on the way from the accept to a place, and from a close to its end. A client then gets in."""
-
     async with silent_backend() as b, proxy(entry("b", b.port), most=64) as p:
         accepted: list[socket.socket] = []
         admit = p.listener._admit
@@ -145,20 +171,10 @@
             return admit(connection)
 
         monkeypatch.setattr(p.listener, "_admit", listen)
-        clients = [Client(p) for _ in range(400)]
-        for n, client in enumerate(clients):
-            client.send(KINDS[kind] if kind != "open" else call(request_id=f"r{n}"))
-        most = 0
-        while len(accepted) < 400:
-            await asyncio.sleep(0)
-            most = max(most, sum(a.fileno() >= 0 for a in accepted))
+        clients, most = await flood(p, kind, accepted)
         assert most - 64 <= RESERVED_DESCRIPTORS - FIXED - WATCHES
         await settled()
-        assert (
-            p.clients.descriptor_count
-            == len(p.clients.open_connections)
-            == sum(a.fileno() >= 0 for a in accepted)
-        )
+        assert p.clients.descriptor_count == len(p.clients.open_connections) == open_count(accepted)
         if kind != "open":
             ready, _, _ = await p.ask(call(path="/ready"))
             assert ready.split()[1] == "200"
@@ -182,6 +198,18 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
+async def fail_to_accept(p: Proxy, clock: SteppedClock, times: int) -> int:
+    """Have at least so many accepts fail for lack of a descriptor, and return how many have failed."""
+    failures = Turns()
+    with pytest.MonkeyPatch.context() as patch, no_descriptors():
+        counted(patch, p.listener._descriptor_faults, "record", failures)
+        for number in range(times):
+            await until(lambda number=number: failures.all > number)  # type: ignore[misc]
+            clock.step(client_limits.ACCEPT_RETRY_DELAY_S)
+    failures.stop()
+    return failures.all
+
+
 async def test_descriptor_shortage_is_logged_once_when_it_begins_and_ends(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
@@ -197,20 +225,15 @@
         clock = SteppedClock()
         for _ in range(2):  # a second spell is told of again
             caplog.clear()
-            met, client = Turns(), Client(p)
-            with pytest.MonkeyPatch.context() as patch, no_descriptors():
-                counted(patch, p.listener._descriptor_faults, "record", met)
-                for n in range(30):
-                    await until(lambda n=n, met=met: met.all > n)  # type: ignore[misc]
-                    clock.step(client_limits.ACCEPT_RETRY_DELAY_S)
-            met.stop()
+            client = Client(p)
+            failure_count = await fail_to_accept(p, clock, times=30)
             assert lines() == ["no descriptor for a connection: [Errno 24] Too many open files"]
             client.send(call(path="/ready"))
             reader, writer = await streams(client)
             assert status(await read_message(reader)) == 200
             clock.step(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
             await until(lambda: len(lines()) > 1)
-            assert lines()[1:] == [f"no descriptor for a connection: over, {met.all} times in all"]
+            assert lines()[1:] == [f"no descriptor for a connection: over, {failure_count} times in all"]
             writer.close()
             clock.step(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
             await settled()
