--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -73,6 +73,8 @@
 async def test_parsing_and_responses_are_bounded_in_each_turn(
     sent: bytes, answers: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    # Parsing them all takes a second of real time, and longer on a busy machine.
+    monkeypatch.setattr(client_limits, "REQUEST_TIMEOUT_S", 60.0)
     async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
         client = Client(p)
         await until(lambda: len(p.clients.open_connections) == 1)
