--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -10,6 +10,7 @@
 from load_balancer import messages
 from load_balancer.net.client import client_limits
 from load_balancer.net.upstream import idle_connections
+from tests.net.client.delayed_endpoint import DelayedEndpoint
 from tests.support.balancer_harness import settings
 from tests.support.client_helpers import narrow, slow_reader, status
 from tests.support.loopback import (
@@ -91,21 +92,6 @@
         assert p.driver.idle
 
 
-class DelayedEndpoint:
-    """An endpoint that takes requests at once and answers each only when it may go on."""
-
-    def __init__(self) -> None:
-        self.may_respond = asyncio.Event()
-        self.request_ids: list[str] = []
-
-    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while True:
-            _, headers, _ = await read_message(reader)
-            self.request_ids.append(headers["req-id"])
-            await self.may_respond.wait()
-            writer.write(answer(200, b"x"))
-
-
 @pytest.mark.parametrize("paused", [False, True])
 @pytest.mark.parametrize("cancel", [True, False])
 async def test_pipelined_request_behind_an_open_request_is_not_forwarded_after_client_disconnects(
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -4,6 +4,8 @@
 
 import asyncio
 import contextlib
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
 
 import pytest
@@ -22,6 +24,7 @@
     streams,
 )
 from tests.support.loopback import (
+    Peer,
     Proxy,
     SteppedClock,
     answer,
@@ -34,6 +37,7 @@
     until,
 )
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.upstream_helpers import Message
 
 REASONS = {"time": 408, "room": 503, "exit": 503}
 
@@ -52,33 +56,45 @@
     return connection
 
 
+async def close_for(
+    reason: str, p: Proxy, clock: SteppedClock, connection: ClientConnection
+) -> Client | None:
+    """Have the connection closed for this reason, and return the client that it makes room for."""
+    newcomer = None
+    if reason == "time":
+        clock.step(client_limits.REQUEST_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
+    elif reason == "room":
+        newcomer = Client(p)
+    else:
+        p.listener.close()
+    await until(lambda: connection.transport.is_closing())
+    await settled()
+    return newcomer
+
+
+async def read_final_response(reader: asyncio.StreamReader) -> Message:
+    """Return the next response that is not an interim one."""
+    got = await read_message(reader)
+    return await read_message(reader) if status(got) == 100 else got
+
+
 @pytest.mark.parametrize("stop", STOPS)
 @pytest.mark.parametrize("reason", REASONS)
 async def test_partial_request_gets_an_error_when_its_connection_is_closed(stop: str, reason: str) -> None:
     """Its client can read it though it goes on sending."""
-
     async with silent_backend() as b, proxy(entry("b", b.port), most=1) as p:
         clock, client = SteppedClock(), Client(p)
         connection = await came(p, client, STOPS[stop])
-        if reason == "time":
-            clock.step(client_limits.REQUEST_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
-        elif reason == "room":
-            newcomer = Client(p)
-        else:
-            p.listener.close()
-        await until(lambda: connection.transport.is_closing())
-        await settled()
+        newcomer = await close_for(reason, p, clock, connection)
         with contextlib.suppress(ConnectionError):
             client.send(b"x")
             client.send(b"x")
         reader, writer = await streams(client)
-        got = await read_message(reader)
-        if got[0].split()[1] == "100":
-            got = await read_message(reader)
+        got = await read_final_response(reader)
         assert status(got) == REASONS[reason]
         assert closes(got)
         writer.close()
-        if reason == "room":
+        if newcomer is not None:
             newcomer.leave("RST")
         await until(lambda: not p.clients.open_connections)
         assert not b.seen
@@ -142,50 +158,57 @@
         writer.close()
 
 
+@contextmanager
+def faulty(where: str, p: Proxy, connection: ClientConnection) -> Iterator[None]:
+    """Have an exception raised as a request is parsed, as it is complete or once the driver has it."""
+    accept_request = p.driver.request
+
+    def fail(*requests: ClientRequest) -> str:
+        if where == "taken over":
+            accept_request(*requests)
+        raise KeyError("a fault")
+
+    with pytest.MonkeyPatch.context() as patch:
+        if where == "read":
+            patch.setattr(connection._http, "next_event", fail)
+        else:
+            patch.setattr(p.driver, "request", fail)
+        yield
+
+
+async def respond_to_latest_attempt(p: Proxy, b: Peer) -> None:
+    await until(lambda: len(b.seen) == 2)
+    connection = list(p.driver._attempts.values())[1]._connection
+    assert connection is not None
+    connection.data_received(answer(200))
+
+
 @pytest.mark.parametrize("where", ["read", "whole", "taken over"])
 async def test_exception_over_a_request_is_answered_500_and_spares_other_requests(
-    where: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+    where: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The error promises nothing, as the fault may have come after an attempt began."""
-
     async with silent_backend() as b, proxy(entry("b", b.port)) as p:
         other, client = Client(p), Client(p)
         await came(p, other, call(request_id="other"))
         await until(lambda: len(b.seen) == 1)
-
-        take_over = p.driver.request
-
-        def fails(*args: ClientRequest) -> str:
-            if where == "taken over":
-                take_over(*args)
-            raise KeyError("a fault")
-
         request = call("mark", request_id="faulty", body=b"xx")
         connection = await came(p, client, request[:-2])
-        with monkeypatch.context() as patch:
-            if where == "read":
-                patch.setattr(connection._http, "next_event", fails)
-            else:
-                patch.setattr(p.driver, "request", fails)
+        with faulty(where, p, connection):
             client.send(request[-2:])
             await until(lambda: connection._is_lingering or connection.transport.is_closing())
         reader, writer = await streams(client)
         got = await read_message(reader)
         assert status(got) == 500
         assert closes(got)
-        if where == "taken over":  # a backend's answer comes too late for it
-            await until(lambda: len(b.seen) == 2)
-            late = list(p.driver._attempts.values())[1]._connection
-            assert late is not None
-            late.data_received(answer(200))
+        if where == "taken over":
+            await respond_to_latest_attempt(p, b)  # it comes too late
         assert await reader.read() == b""
         writer.close()
         assert caplog.text.count("Traceback") == 1
         assert p.clients.open_request_ids == {b"other"}
         attempt_connection(p).data_received(answer(200, b"x"))
-        reader, writer = await streams(other)
-        assert status(await read_message(reader)) == 200
-        writer.close()
+        assert await other.read(1) == [200]
         await until(lambda: not p.clients.open_connections)
         assert p.driver.idle
 
--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -7,8 +7,10 @@
 import pytest
 
 from load_balancer.net.driver.client_messages import ClientRequest
+from tests.net.client.delayed_endpoint import DelayedEndpoint
 from tests.support.client_helpers import narrow, slow_reader, status
 from tests.support.loopback import (
+    Proxy,
     SteppedClock,
     answer,
     backend,
@@ -21,31 +23,29 @@
 )
 
 
-async def test_deadline_of_a_pipelined_request_counts_from_its_last_byte(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """However long it waited behind others, and whenever these came."""
-
-    go_on, clock = asyncio.Event(), SteppedClock()
-    patience: list[float] = []
+def record_times_left(p: Proxy, monkeypatch: pytest.MonkeyPatch) -> list[float]:
+    """Collect the seconds left to each request as the driver gets it."""
+    times_left_s: list[float] = []
+    accept_request = p.driver.request
 
-    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while True:
-            b.seen.append(await read_message(reader))
-            await go_on.wait()
-            writer.write(answer(200, b"x"))
+    def record(request: ClientRequest) -> str:
+        times_left_s.append(request.time_left_us / 1e6)
+        return accept_request(request)
 
-    async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
-        take = p.driver.request
+    monkeypatch.setattr(p.driver, "request", record)
+    return times_left_s
 
-        def listen(caller: ClientRequest) -> str:
-            patience.append(caller.time_left_us / 1e6)
-            return take(caller)
 
-        monkeypatch.setattr(p.driver, "request", listen)
+async def test_deadline_of_a_pipelined_request_counts_from_its_last_byte(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """However long it waited behind others, and whenever these came."""
+    clock, delayed = SteppedClock(), DelayedEndpoint()
+    async with peer(delayed.handle) as b, proxy(entry("s-1", b.port)) as p:
+        times_left_s = record_times_left(p, monkeypatch)
         reader, writer = await p.connect()
         writer.write(call(request_id="r1") + call(request_id="r2"))
-        await until(lambda: bool(b.seen))
+        await until(lambda: len(delayed.request_ids) == 1)
         clock.step(1.0)
         third = call(request_id="r3")
         writer.write(third[:-9])
@@ -54,12 +54,12 @@
         clock.step(0.5)
         writer.write(third[-9:])
         await until(lambda: connection._http.received.size_bytes == len(third))
-        go_on.set()
+        delayed.may_respond.set()
         for _ in range(3):
             assert status(await read_message(reader)) == 200
-        assert 3.0 < patience[0] <= 4.0
-        assert patience[1] <= 2.5
-        assert 3.0 < patience[2] <= 4.0
+        assert 3.0 < times_left_s[0] <= 4.0
+        assert times_left_s[1] <= 2.5
+        assert 3.0 < times_left_s[2] <= 4.0
         writer.close()
 
 
--- a/tests/net/client/test_request_forwarding.py
+++ b/tests/net/client/test_request_forwarding.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import socket
+from collections.abc import Callable
 
 import pytest
 
@@ -12,6 +13,7 @@
 from load_balancer.net.driver.client_messages import ClientRequest
 from load_balancer.net.driver.event_loop_driver import LAG_MARGIN_US
 from load_balancer.net.upstream import idle_connections
+from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.client_helpers import status
 from tests.support.loopback import (
@@ -117,38 +119,52 @@
         assert b.seen[1][1]["idempotency-key"] == "k"
 
 
+@pytest.fixture
+def policy_clock(monkeypatch: pytest.MonkeyPatch) -> Callable[[], SteppedClock]:
+    """Return what makes the stepped clock of the running loop, which the policy's clock follows as well."""
+
+    def make() -> SteppedClock:
+        clock, now_us = SteppedClock(), Clock.now_us
+        monkeypatch.setattr(Clock, "now_us", lambda self: now_us(self) + round(clock.ahead * 1e6))
+        return clock
+
+    return make
+
+
+class HeldConnects:
+    """Holds each connect of a pool until one more is permitted."""
+
+    def __init__(self, pool: ConnectionPool, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.begun_count = 0
+        self.permits = asyncio.Semaphore(0)
+        self._connect = pool.connect
+        monkeypatch.setattr(pool, "connect", self.connect)
+
+    async def connect(self, endpoint: EndpointAddress) -> UpstreamConnection:
+        self.begun_count += 1
+        await self.permits.acquire()
+        return await self._connect(endpoint)
+
+
 async def test_deadline_header_holds_the_time_remaining_when_the_attempt_is_written(
-    monkeypatch: pytest.MonkeyPatch,
+    policy_clock: Callable[[], SteppedClock], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The first one and a further one, though the connection of each comes up late."""
-
-    clock, permits, asked = SteppedClock(), asyncio.Semaphore(0), 0
-    now_us = Clock.now_us
-    monkeypatch.setattr(Clock, "now_us", lambda self: now_us(self) + round(clock.ahead * 1e6))
+    clock = policy_clock()
     async with (
         backend(answer(500)) as a,
         proxy(entry("s-1", a.port), entry("s-2", a.port), connect_s=60.0) as p,
     ):
-        connect = p.pool.connect
-
-        async def held(
-            endpoint: EndpointAddress,
-        ) -> UpstreamConnection:
-            nonlocal asked
-            asked += 1
-            await permits.acquire()
-            return await connect(endpoint)
-
-        monkeypatch.setattr(p.pool, "connect", held)
+        connects = HeldConnects(p.pool, monkeypatch)
         got = asyncio.ensure_future(p.ask(call(Req_Deadline="1.9")))
         for number, late in ((1, 0.4), (2, 0.8)):
-            await until(lambda number=number: asked == number)  # type: ignore[misc]
+            await until(lambda number=number: connects.begun_count == number)  # type: ignore[misc]
             clock.step(late)
-            permits.release()
+            connects.permits.release()
         await until(lambda: len(a.seen) == 2)
         first, second = (float(headers["req-deadline"]) for _, headers, _ in a.seen)
         margin = LAG_MARGIN_US / 1e6
         assert 1.0 < first <= 1.9 - 0.4 - margin
         assert 0.2 < second <= 1.9 - 1.2 - margin
-        permits.release()
+        connects.permits.release()
         assert status(await got) == 503
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-import asyncio
-
 import pytest
 
 from load_balancer import messages
+from tests.net.client.delayed_endpoint import DelayedEndpoint
 from tests.support.balancer_harness import settings
 from tests.support.client_helpers import status
 from tests.support.loopback import (
@@ -17,6 +16,7 @@
     peer,
     proxy,
     read_message,
+    until,
 )
 
 
@@ -65,25 +65,17 @@
 
 
 async def test_id_of_an_open_request_is_answered_409() -> None:
-    go_on = asyncio.Event()
-
-    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while True:
-            b.seen.append(await read_message(reader))
-            await go_on.wait()
-            writer.write(answer(200, b"x"))
-
-    async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
+    delayed = DelayedEndpoint()
+    async with peer(delayed.handle) as b, proxy(entry("s-1", b.port)) as p:
         reader, writer = await p.connect()
         writer.write(call(request_id="same"))
-        while not b.seen:
-            await asyncio.sleep(0)
+        await until(lambda: bool(delayed.request_ids))
         assert status(await p.ask(call(request_id="same"))) == 409
-        go_on.set()
+        delayed.may_respond.set()
         assert status(await read_message(reader)) == 200
         assert status(await p.ask(call(request_id="same"))) == 200  # over, so it may come again
         writer.close()
-        assert len(b.seen) == 2
+        assert len(delayed.request_ids) == 2
         assert not p.clients.open_request_ids
 
 
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -11,7 +11,8 @@
 import random
 import socket
 from collections import Counter
-from contextlib import AsyncExitStack
+from collections.abc import AsyncIterator
+from contextlib import AsyncExitStack, asynccontextmanager
 from dataclasses import dataclass, field
 
 import pytest
@@ -20,7 +21,7 @@
 from load_balancer.net.upstream import idle_connections
 from tests.support.balancer_harness import S, settings
 from tests.support.loopback import Proxy, SteppedClock, answer, call, entry, proxy, read_message
-from tests.support.upstream_helpers import HEAD, INVALID_RESPONSES, Bare, Handle, Message, Wire, bare, stepped
+from tests.support.upstream_helpers import HEAD, INVALID_RESPONSES, Handle, Message, Wire, bare, stepped
 
 STEP_S = 5.0
 WINDOW_S = 60.0
@@ -267,26 +268,23 @@
             task.result()
 
 
-@pytest.mark.parametrize("seed", range(12))
-async def test_each_request_gets_one_response_and_no_forbidden_retry(
-    seed: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr(idle_connections, "SETTLE_S", 4 * STEP_S)
+@asynccontextmanager
+async def running_world(seed: int) -> AsyncIterator[World]:
+    """Run a proxy before six endpoints that are as faulty as the seed says, and one that refuses connects."""
     limits = messages.Limits(max_attempts=MOST, cancel=seed % 2 == 0, connect_timeout_us=round(CONNECT_S * S))
+    worlds: list[World] = []
+
+    def handler(cell: int) -> Handle:
+        async def handle(wire: Wire, got: Message) -> None:
+            await worlds[0].backend(cell)(wire, got)
+
+        return handle
 
     async with AsyncExitStack() as stack:
         closed = stack.enter_context(socket.socket())
         closed.bind(("127.0.0.1", 0))
-        worlds: list[World] = []
-
-        def handle(cell: int) -> Handle:
-            async def handle(wire: Wire, got: Message) -> None:
-                await worlds[0].backend(cell)(wire, got)
-
-            return handle
-
-        backends: list[Bare] = [await stack.enter_async_context(bare(handle(n % 2))) for n in range(6)]
-        entries = [entry(f"s-{n}", b.port, pod_group=n % 2) for n, b in enumerate(backends)]
+        endpoints = [await stack.enter_async_context(bare(handler(number % 2))) for number in range(6)]
+        entries = [entry(f"s-{n}", endpoint.port, pod_group=n % 2) for n, endpoint in enumerate(endpoints)]
         p = await stack.enter_async_context(
             proxy(
                 *entries,
@@ -296,8 +294,16 @@
                 idle_s=9000.0,
             )
         )
-        world = World(seed, p)
-        worlds.append(world)
+        worlds.append(World(seed, p))
+        yield worlds[0]
+
+
+@pytest.mark.parametrize("seed", range(12))
+async def test_each_request_gets_one_response_and_no_forbidden_retry(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(idle_connections, "SETTLE_S", 4 * STEP_S)
+    async with running_world(seed) as world:
         await world.play(clients=8, requests=25)
         assert world.faults == []
         # The world does reach what it is to check.
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -9,10 +9,22 @@
 import pytest
 
 from load_balancer.net.client import client_limits
+from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_listener import ClientListener
 from tests.net.client.test_malformed_requests import CHUNKED, lines
 from tests.support.client_helpers import Client, settled, silent_backend, status, streams
-from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, until
+from tests.support.loopback import (
+    Proxy,
+    SteppedClock,
+    Streams,
+    answer,
+    backend,
+    call,
+    entry,
+    proxy,
+    read_message,
+    until,
+)
 
 DUE_S = 3.0  # from its connect, or from the first byte of a later request, to an error or a close
 LATE_S = 0.15  # the event loop is late by so much, as it takes a client in and whenever it checks it
@@ -39,11 +51,11 @@
     """Sweeps the connections by hand, each sweep as late as it may be; the clock is stepped."""
 
     def __init__(self, listener: ClientListener, clock: SteppedClock) -> None:
-        self._listener, self._clock = listener, clock
+        self._listener, self.clock = listener, clock
         listener._sweep_timer.cancel()
 
     async def sweep(self) -> None:
-        self._clock.step(client_limits.SWEEP_INTERVAL_S + LATE_S)
+        self.clock.step(client_limits.SWEEP_INTERVAL_S + LATE_S)
         self._listener._sweep()
         self._listener._sweep_timer.cancel()
         await settled()
@@ -62,23 +74,35 @@
     return not got.startswith((b"HTTP/1.1 1", b"HTTP/1.1 2")) if got else True
 
 
+async def sweep_until_closed(late: Late, p: Proxy, due_at_s: float, at_shutdown: bool) -> None:
+    while p.clients.open_connections:
+        if at_shutdown:
+            p.listener.close_idle_connections()
+        await late.sweep()
+        assert late.clock.ahead <= due_at_s
+
+
+async def serve_first_request(client: Client, clock: SteppedClock) -> Streams:
+    """Have the client's first request answered, and pass so much time that an idle one may stay."""
+    client.send(call(request_id="good"))
+    reader, writer = await streams(client)
+    assert status(await read_message(reader)) == 200
+    clock.step(5.0)
+    await settled()
+    return reader, writer
+
+
 @pytest.mark.parametrize("stop", STOPS)
 @pytest.mark.parametrize("when", ["first", "after a good one", "at the end"])
 async def test_stalled_client_gets_an_error_or_a_close_in_time(
     stop: str, when: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Wherever it stops, with each sweep late, and also during the shutdown."""
-
     async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
         clock, client = SteppedClock(), Client(p)
         await until(lambda: len(p.clients.open_connections) == 1)
         late = Late(p.listener, clock)
-        if when == "after a good one":
-            client.send(call(request_id="good"))
-            reader, writer = await streams(client)
-            assert status(await read_message(reader)) == 200
-            clock.step(5.0)  # an idle one may stay for longer
-            await settled()
+        opened = await serve_first_request(client, clock) if when == "after a good one" else None
         began = clock.ahead - LATE_S  # it was taken in that late
         client.send(STOPS[stop])
         [connection] = p.clients.open_connections
@@ -87,14 +111,11 @@
             p.clients.is_shutting_down = True
             p.listener.stop_listening()
             p.listener.close_idle_connections()
-        while p.clients.open_connections:
-            if when == "at the end":
-                p.listener.close_idle_connections()
-            await late.sweep()
-            assert clock.ahead - began <= DUE_S
-        if when != "after a good one":
+        await sweep_until_closed(late, p, began + DUE_S, at_shutdown=when == "at the end")
+        if opened is None:
             assert error_or_close(client)
         else:
+            reader, writer = opened
             with contextlib.suppress(ConnectionError):
                 reader.feed_eof()
                 assert b"HTTP/1.1 2" not in await reader.read()
@@ -119,29 +140,32 @@
 }
 
 
+def send_at_each_check(client: Client, connection: ClientConnection, pieces: Iterator[bytes]) -> None:
+    """Have the client send its next piece just before each check of the connection's time limits."""
+    check = connection.check_time_limits
+
+    def check_after_next_piece(now_s: float) -> None:
+        with contextlib.suppress(ConnectionError):
+            client.send(next(pieces))
+        check(now_s)
+
+    connection.check_time_limits = check_after_next_piece  # type: ignore[method-assign]
+
+
 @pytest.mark.parametrize("kind", DRIBBLES)
 @pytest.mark.parametrize("first_sweep_s", [n * 0.05 for n in range(8)])
 async def test_client_that_sends_a_byte_at_each_check_is_closed_in_time(
     kind: str, first_sweep_s: float, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Each byte comes between the event loop's last reading and the check, forced; each check is late."""
-
     async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
         clock, client = SteppedClock(), Client(p)
         await until(lambda: len(p.clients.open_connections) == 1)
         late = Late(p.listener, clock)
         began = clock.ahead - LATE_S
         [connection] = p.clients.open_connections
-        check = connection.check_time_limits
-
-        def crossed(now_s: float) -> None:
-            with contextlib.suppress(ConnectionError):
-                client.send(next(sent))
-            check(now_s)
-
-        connection.check_time_limits = crossed  # type: ignore[method-assign]
+        send_at_each_check(client, connection, DRIBBLES[kind]())
         clock.step(first_sweep_s)
-        sent = DRIBBLES[kind]()
         while p.clients.open_connections:
             await late.sweep()
             if connection._has_final_check:
