--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -21,7 +21,8 @@
 from load_balancer.policy.router import MAX_RETRY_CANDIDATES
 from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET, SUBSET_COVER, subset_size
 from tests.support.balancer_harness import BalancerHarness, only, settings
-from tests.support.loopback import entry, listing, proxy
+from tests.support.endpoint_lists import endpoint_entry, endpoint_list
+from tests.support.loopback_proxy import running_proxy
 
 GROWTH = 1.5  # a change may cost this many times as much with sixteen times the backends
 
@@ -135,14 +136,14 @@
 
 async def driver_change_cost(backends: int, instances: int) -> int:
     """Lines that driver and module run for 20 backends that drain, go and are replaced, one by one."""
-    listed = [entry(f"s-{n}", 9) for n in range(backends)]
+    listed = [endpoint_entry(f"s-{n}", 9) for n in range(backends)]
     setup = settings(instances=instances, index=instances // 2)
-    async with proxy(*listed, setup=setup) as p:
+    async with running_proxy(*listed, settings=setup) as p:
         changes = []
         for n in range(0, backends, backends // 20):
-            changes += [entry(f"s-{n}", 9, "terminating"), entry(f"s-{n}", 9, "terminated")]
-            changes += [entry(f"new-{n}", 9)]
-        lists = [read_list(listing(e, rev=at, full=False)) for at, e in enumerate(changes, 2)]
+            changes += [endpoint_entry(f"s-{n}", 9, "terminating"), endpoint_entry(f"s-{n}", 9, "terminated")]
+            changes += [endpoint_entry(f"new-{n}", 9)]
+        lists = [read_list(endpoint_list(e, rev=at, full=False)) for at, e in enumerate(changes, 2)]
 
         def take() -> None:
             for news in lists:
@@ -189,10 +190,10 @@
     """A release brings thousands of entries, most of them strings."""
 
     def cost(entries: int) -> int:
-        text = json.dumps(listing(*(entry(f"s-{n}", 9) for n in range(entries)))).encode()
+        text = json.dumps(endpoint_list(*(endpoint_entry(f"s-{n}", 9) for n in range(entries)))).encode()
         return lines_run(lambda: list(JsonTextSplitter().feed(text)))
 
-    strings = json.dumps(entry("s-1", 9)).count('"') // 2
+    strings = json.dumps(endpoint_entry("s-1", 9)).count('"') // 2
     steps = (cost(20) - cost(10)) / 10
     lines_for_a_step = 6
     assert steps < lines_for_a_step * (strings + 2)  # and an entry's two braces
--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -17,27 +17,24 @@
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.balancer_harness import settings
-from tests.support.client_helpers import Client, narrow, slow_reader, status
-from tests.support.loopback import (
-    Gate,
-    SteppedClock,
-    answer,
-    backend,
-    call,
-    entry,
-    peer,
-    proxy,
-    read_message,
-    until,
-)
+from tests.support.client_helpers import Client, narrow, slow_reader
+from tests.support.connect_gates import ConnectGate
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock, wait_until
 
 
 async def test_a_request_is_forwarded_complete_and_its_response_comes_back() -> None:
-    async with backend(answer(200, b"\x00body")) as b, proxy(entry("s-1", b.port)) as p:
-        sent = call("mark", "id7", "/api?sid=ab%20c", b"payload", Idempotency_Key="k1")
-        got = await p.ask(sent)
-        assert (status(got), got[2]) == (200, b"\x00body")
-        first, headers, body = b.seen[0]
+    async with (
+        StandInEndpoint(http_response(200, b"\x00body")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        sent = http_request("mark", "id7", "/api?sid=ab%20c", b"payload", Idempotency_Key="k1")
+        got = await p.send_request(sent)
+        assert (response_status(got), got[2]) == (200, b"\x00body")
+        first, headers, body = b.received[0]
         assert first == "POST /api?sid=ab%20c HTTP/1.1"
         assert (headers["req-id"], headers["idempotency-key"], body) == ("id7", "k1", b"payload")
         assert 0 < float(headers["req-deadline"]) <= 4.0
@@ -46,23 +43,26 @@
 async def test_both_sides_keep_their_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         reader, writer = await p.connect()
         for n in range(5):
-            writer.write(call(request_id=f"r{n}"))
-            assert status(await read_message(reader)) == 200
+            writer.write(http_request(request_id=f"r{n}"))
+            assert response_status(await read_http_message(reader)) == 200
         writer.close()
-        assert b.connections == 1
+        assert b.connection_count == 1
 
 
 async def test_ready_only_once_a_backend_is_known() -> None:
-    ready = call(path="/ready")
-    async with proxy() as p:
-        assert status(await p.ask(ready)) == 503
-    async with proxy(entry("s-1", 9, "terminating")) as p:
-        assert status(await p.ask(ready)) == 503
-    async with proxy(entry("s-1", 9)) as p:
-        assert status(await p.ask(ready)) == 200
+    ready = http_request(path="/ready")
+    async with running_proxy() as p:
+        assert response_status(await p.send_request(ready)) == 503
+    async with running_proxy(endpoint_entry("s-1", 9, "terminating")) as p:
+        assert response_status(await p.send_request(ready)) == 503
+    async with running_proxy(endpoint_entry("s-1", 9)) as p:
+        assert response_status(await p.send_request(ready)) == 200
 
 
 @pytest.mark.parametrize(
@@ -71,42 +71,42 @@
         b"nonsense\r\n\r\n",
         b"POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
         b"POST /api HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-        call(request_id=""),
-        call(kind=""),
-        call(Req_Deadline="soon"),
-        call(Req_Deadline="nan"),
-        call(Req_Deadline="inf"),
-        call(Req_Deadline="1_0"),
-        call(Req_Deadline="-1"),
-        call(Req_Deadline=""),
-        call("unheard-of"),
-        call("mark", Idempotency_Key=""),
-        call(req_id="other"),
-        call(req_kind="pay"),
-        call("mark", Content_Length="-5"),
-        call(body=b"with GET"),
-        call("mark", Content_Length="0", Transfer_Encoding="chunked") + b"0\r\n\r\n",
+        http_request(request_id=""),
+        http_request(kind=""),
+        http_request(Req_Deadline="soon"),
+        http_request(Req_Deadline="nan"),
+        http_request(Req_Deadline="inf"),
+        http_request(Req_Deadline="1_0"),
+        http_request(Req_Deadline="-1"),
+        http_request(Req_Deadline=""),
+        http_request("unheard-of"),
+        http_request("mark", Idempotency_Key=""),
+        http_request(req_id="other"),
+        http_request(req_kind="pay"),
+        http_request("mark", Content_Length="-5"),
+        http_request(body=b"with GET"),
+        http_request("mark", Content_Length="0", Transfer_Encoding="chunked") + b"0\r\n\r\n",
     ],
 )
 async def test_a_malformed_head_is_answered_400_and_not_forwarded(sent: bytes) -> None:
-    async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(sent)) == 400
-        assert b.seen == []
-        assert status(await p.ask(call())) == 200
+    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+        assert response_status(await p.send_request(sent)) == 400
+        assert b.received == []
+        assert response_status(await p.send_request(http_request())) == 200
 
 
 @pytest.mark.parametrize("method", [b"HEAD", b"POST", b"CONNECT", b"DELETE"])
 async def test_a_method_that_does_not_fit_its_class_is_rejected(method: bytes) -> None:
-    async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call().replace(b"GET", method, 1))) == 405
-        assert b.seen == []
+    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+        assert response_status(await p.send_request(http_request().replace(b"GET", method, 1))) == 405
+        assert b.received == []
 
 
 async def test_a_body_over_the_limit_is_answered_413_though_more_of_it_comes() -> None:
-    async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call("mark", body=b"x" * 65536))) == 200
-        assert status(await p.ask(call("mark", body=b"x" * 300_000))) == 413
-        assert len(b.seen) == 1
+    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+        assert response_status(await p.send_request(http_request("mark", body=b"x" * 65536))) == 200
+        assert response_status(await p.send_request(http_request("mark", body=b"x" * 300_000))) == 413
+        assert len(b.received) == 1
 
 
 async def test_the_id_of_an_open_request_is_rejected_and_the_first_one_served() -> None:
@@ -114,54 +114,69 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            b.seen.append(await read_message(reader))
+            b.received.append(await read_http_message(reader))
             await go_on.wait()
-            writer.write(answer(200, b"x"))
+            writer.write(http_response(200, b"x"))
 
-    async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInServer(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         reader, writer = await p.connect()
-        writer.write(call(request_id="same"))
-        while not b.seen:
+        writer.write(http_request(request_id="same"))
+        while not b.received:
             await asyncio.sleep(0)
-        assert status(await p.ask(call(request_id="same"))) == 409
+        assert response_status(await p.send_request(http_request(request_id="same"))) == 409
         go_on.set()
-        assert status(await read_message(reader)) == 200
-        assert status(await p.ask(call(request_id="same"))) == 200  # over, so it may come again
+        assert response_status(await read_http_message(reader)) == 200
+        assert (
+            response_status(await p.send_request(http_request(request_id="same"))) == 200
+        )  # over, so it may come again
         writer.close()
-        assert len(b.seen) == 2
+        assert len(b.received) == 2
         assert not p.clients.open_request_ids
 
 
 async def test_a_request_inside_the_body_of_another_is_not_forwarded() -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        hidden = call(request_id="hidden")
-        outer = call("mark", Content_Length=str(5 + len(hidden)), Transfer_Encoding="chunked")
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        hidden = http_request(request_id="hidden")
+        outer = http_request("mark", Content_Length=str(5 + len(hidden)), Transfer_Encoding="chunked")
         reader, writer = await p.connect()
         writer.write(outer + b"0\r\n\r\n" + hidden)
-        first, headers, _ = await read_message(reader)
+        first, headers, _ = await read_http_message(reader)
         assert (first.split()[1], headers["connection"]) == ("400", "close")
         assert await reader.read() == b""
         writer.close()
-        assert b.seen == []
+        assert b.received == []
 
 
 async def test_a_length_over_the_limit_is_rejected_by_its_head_alone() -> None:
-    async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         for length in ("60000000", "9" * 18, "9" * 5000):
-            assert status(await p.ask(call("mark", Content_Length=length))) in (400, 413, 431)
-        assert b.seen == []
+            assert response_status(await p.send_request(http_request("mark", Content_Length=length))) in (
+                400,
+                413,
+                431,
+            )
+        assert b.received == []
 
 
 async def test_one_that_claims_an_hour_does_not_make_others_look_old() -> None:
     """No client waits longer than its class allows, and none tells how old another's request is."""
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call(Req_Deadline="3600"))) == 200
-        assert status(await p.ask(call(request_id="a2"))) == 200
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        assert response_status(await p.send_request(http_request(Req_Deadline="3600"))) == 200
+        assert response_status(await p.send_request(http_request(request_id="a2"))) == 200
 
 
 async def test_a_retry_is_told_from_a_first_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         asked: list[bool] = []
         take = p.driver.request
 
@@ -170,14 +185,20 @@
             return take(caller)
 
         monkeypatch.setattr(p.driver, "request", listen)
-        assert status(await p.ask(call())) == 200
-        assert status(await p.ask(call(Req_Retry="1"))) == 200
-        assert status(await p.ask(call(Req_Retry="0"))) == 200
+        assert response_status(await p.send_request(http_request())) == 200
+        assert response_status(await p.send_request(http_request(Req_Retry="1"))) == 200
+        assert response_status(await p.send_request(http_request(Req_Retry="0"))) == 200
         assert asked == [False, True, False]
 
 
 @pytest.mark.parametrize(
-    "sent", [b"", b"GET /api HTT", call("mark", Content_Length="9") + b"half", b"POST / HTTP/1.1\r\nA: b\r\n"]
+    "sent",
+    [
+        b"",
+        b"GET /api HTT",
+        http_request("mark", Content_Length="9") + b"half",
+        b"POST / HTTP/1.1\r\nA: b\r\n",
+    ],
 )
 async def test_a_client_that_sends_no_complete_request_is_closed(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
@@ -185,21 +206,24 @@
     monkeypatch.setattr(client_limits, "REQUEST_TIMEOUT_S", 0.1)
     monkeypatch.setattr(client_limits, "SWEEP_INTERVAL_S", 0.02)
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        for first in (b"", call()):  # as its first one, and later
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        for first in (b"", http_request()):  # as its first one, and later
             reader, writer = await p.connect()
             if first:
                 writer.write(first)
-                assert status(await read_message(reader)) == 200
+                assert response_status(await read_http_message(reader)) == 200
                 if not sent:
                     continue  # idle ones may stay for longer
             writer.write(sent)
             if sent:  # it is told why, before the end
-                assert status(await read_message(reader)) == 408
+                assert response_status(await read_http_message(reader)) == 408
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
             writer.close()
-        assert len(b.seen) == 1
+        assert len(b.received) == 1
 
 
 async def test_a_client_that_does_not_read_its_responses_is_not_read_and_then_closed(
@@ -208,11 +232,14 @@
     monkeypatch.setattr(client_limits, "WRITE_TIMEOUT_S", 0.1)
     monkeypatch.setattr(client_limits, "SWEEP_INTERVAL_S", 0.02)
 
-    async with backend(answer(200, b"x" * 65536)) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x" * 65536)) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         reader, writer = await p.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         for n in range(2000):
-            writer.write(call(request_id=f"r{n}"))
+            writer.write(http_request(request_id=f"r{n}"))
         while not p.clients.open_connections:
             await asyncio.sleep(0)
         [connection] = p.clients.open_connections
@@ -223,7 +250,7 @@
                 connection._http.received.size_bytes
                 <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION + 256 * 1024
             )  # the limit and one read
-        assert len(b.seen) < 2000
+        assert len(b.received) < 2000
         writer.transport.abort()
 
 
@@ -235,11 +262,11 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            b.seen.append(await read_message(reader))
+            b.received.append(await read_http_message(reader))
             await go_on.wait()
-            writer.write(answer(200, b"x"))
+            writer.write(http_response(200, b"x"))
 
-    async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInServer(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         take = p.driver.request
 
         def listen(caller: ClientRequest) -> str:
@@ -248,19 +275,19 @@
 
         monkeypatch.setattr(p.driver, "request", listen)
         reader, writer = await p.connect()
-        writer.write(call(request_id="r1") + call(request_id="r2"))
-        await until(lambda: bool(b.seen))
-        clock.step(1.0)
-        third = call(request_id="r3")
+        writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
+        await wait_until(lambda: bool(b.received))
+        clock.advance(1.0)
+        third = http_request(request_id="r3")
         writer.write(third[:-9])
         [connection] = p.clients.open_connections
-        await until(lambda: connection._http.received.size_bytes == len(third) - 9)
-        clock.step(0.5)
+        await wait_until(lambda: connection._http.received.size_bytes == len(third) - 9)
+        clock.advance(0.5)
         writer.write(third[-9:])
-        await until(lambda: connection._http.received.size_bytes == len(third))
+        await wait_until(lambda: connection._http.received.size_bytes == len(third))
         go_on.set()
         for _ in range(3):
-            assert status(await read_message(reader)) == 200
+            assert response_status(await read_http_message(reader)) == 200
         assert 3.0 < patience[0] <= 4.0
         assert patience[1] <= 2.5
         assert 3.0 < patience[2] <= 4.0
@@ -268,10 +295,15 @@
 
 
 async def test_a_body_in_chunks_goes_on_with_its_length() -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        head = call("mark", Content_Length="0").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
-        assert status(await p.ask(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")) == 200
-        assert b.seen[0][2] == b"abcde"
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        head = http_request("mark", Content_Length="0").replace(
+            b"Content-Length: 0", b"Transfer-Encoding: chunked"
+        )
+        assert response_status(await p.send_request(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")) == 200
+        assert b.received[0][2] == b"abcde"
 
 
 async def test_an_outcome_after_the_final_answer_brings_no_second_one() -> None:
@@ -280,35 +312,40 @@
     late = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        _, headers, _ = await read_message(reader)
+        _, headers, _ = await read_http_message(reader)
         if headers["req-id"] == "slow":
             await late.wait()
-        writer.write(answer(200, headers["req-id"].encode()))
+        writer.write(http_response(200, headers["req-id"].encode()))
 
     limits = messages.Limits(max_attempts=3, cancel=False)
-    async with peer(handle) as b, proxy(entry("s-1", b.port), setup=settings(limits=limits)) as p:
+    async with (
+        StandInServer(handle) as b,
+        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+    ):
         reader, writer = await p.connect()
-        writer.write(call(request_id="slow"))
-        while b.connections == 0:
+        writer.write(http_request(request_id="slow"))
+        while b.connection_count == 0:
             await asyncio.sleep(0)
         p.driver.give_up()
-        assert status(await read_message(reader)) == 503
+        assert response_status(await read_http_message(reader)) == 503
         late.set()
         while p.driver._attempts:
             await asyncio.sleep(0)
-        writer.write(call(request_id="next"))
-        assert (await read_message(reader))[2] == b"next"
+        writer.write(http_request(request_id="next"))
+        assert (await read_http_message(reader))[2] == b"next"
         writer.close()
 
 
 async def test_requests_sent_ahead_are_answered_in_turn() -> None:
     async with (
-        backend(answer(200, b"1"), answer(200, b"2"), answer(200, b"3")) as b,
-        proxy(entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"1"), http_response(200, b"2"), http_response(200, b"3")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
     ):
         reader, writer = await p.connect()
-        writer.write(call(request_id="a") + call(request_id="b") + call(request_id="c"))
-        assert [(await read_message(reader))[2] for _ in range(3)] == [b"1", b"2", b"3"]
+        writer.write(
+            http_request(request_id="a") + http_request(request_id="b") + http_request(request_id="c")
+        )
+        assert [(await read_http_message(reader))[2] for _ in range(3)] == [b"1", b"2", b"3"]
         writer.close()
 
 
@@ -316,14 +353,14 @@
     gone = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_message(reader)
+        await read_http_message(reader)
         client.close()
         assert await reader.read() == b""  # the proxy closes the attempt's connection
         gone.set()
 
-    async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInServer(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         _, client = await p.connect()
-        client.write(call())
+        client.write(http_request())
         await gone.wait()
         assert p.driver.idle
 
@@ -334,7 +371,7 @@
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
-    async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInServer(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         told: list[messages.Event] = []
         handle_event = p.driver._balancer.handle
 
@@ -345,7 +382,7 @@
         monkeypatch.setattr(p.driver._balancer, "handle", listen)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        assert status(await p.ask(call(Req_Deadline="0.6"))) in (502, 503)
+        assert response_status(await p.send_request(http_request(Req_Deadline="0.6"))) in (502, 503)
         assert loop.time() - began < 1.8  # by its own deadline, not by the class's aim of 2 s
         [request] = [e for e in told if isinstance(e, messages.Request)]
         assert 400_000 < request.time_left_us <= 600_000 - LAG_MARGIN_US
@@ -354,43 +391,49 @@
 async def test_a_refusal_is_given_at_once_and_tells_when_to_come_back() -> None:
     limits = messages.Limits(max_attempts=1, cancel=True, retry_after_us=2_000_000)
     async with (
-        backend(answer(503, Srv_Declined="1")) as b,
-        proxy(entry("s-1", b.port), setup=settings(limits=limits)) as p,
+        StandInEndpoint(http_response(503, Srv_Declined="1")) as b,
+        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
     ):
-        got = await p.ask(call("pay"))
-        assert status(got) == 503  # it never ran, so even an unsafe one is refused
+        got = await p.send_request(http_request("pay"))
+        assert response_status(got) == 503  # it never ran, so even an unsafe one is refused
         assert 0.0 < float(got[1]["retry-after"]) <= 2.0
-    async with backend(answer(503, Srv_Declined="1")) as b, proxy(entry("s-1", b.port)) as p:
-        assert "retry-after" not in (await p.ask(call(Req_Deadline="0.2")))[1]
+    async with (
+        StandInEndpoint(http_response(503, Srv_Declined="1")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        assert "retry-after" not in (await p.send_request(http_request(Req_Deadline="0.2")))[1]
 
 
 async def test_what_may_have_run_is_not_refused() -> None:
-    for said in (None, answer(500), answer(503)):
-        async with backend(said) as b, proxy(entry("s-1", b.port)) as p:
-            assert status(await p.ask(call("pay"))) == 502
-            assert len(b.seen) == 1
+    for said in (None, http_response(500), http_response(503)):
+        async with StandInEndpoint(said) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+            assert response_status(await p.send_request(http_request("pay"))) == 502
+            assert len(b.received) == 1
 
 
 async def test_a_fault_in_the_module_is_logged_and_its_request_answered(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
 
         def fault(now: int, event: messages.Event) -> list[messages.Action]:
             raise ZeroDivisionError("a fault")
 
         with monkeypatch.context() as patch:
             patch.setattr(p.driver._balancer, "handle", fault)
-            assert status(await p.ask(call())) == 502
+            assert response_status(await p.send_request(http_request())) == 502
         assert "ZeroDivisionError: a fault" in caplog.text
-        assert status(await p.ask(call())) == 200
+        assert response_status(await p.send_request(http_request())) == 200
 
 
 async def test_no_delay_is_set_on_both_sides() -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         reader, writer = await p.connect()
-        writer.write(call())
-        await read_message(reader)
+        writer.write(http_request())
+        await read_http_message(reader)
         transports = [c.transport for c in p.clients.open_connections] + [c.transport for c in p.pool._open]
         assert len(transports) == 2
         for transport in transports:
@@ -402,9 +445,11 @@
 async def test_what_a_backend_cannot_use_is_not_sent_again_nor_held_against_it() -> None:
     """A request that is no good is no good anywhere: trying it elsewhere would lower all backends."""
 
-    async with backend(answer(400)) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call())) == 502  # no refusal: coming again would not help
-        assert len(b.seen) == 1
+    async with StandInEndpoint(http_response(400)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+        assert (
+            response_status(await p.send_request(http_request())) == 502
+        )  # no refusal: coming again would not help
+        assert len(b.received) == 1
         [server] = p.driver._balancer.endpoints.states.values()
         assert server.failure_penalties == []
         assert server.detector.mean == 1.0
@@ -416,7 +461,7 @@
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
-    async with peer(silent) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInServer(silent) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         handle = p.driver._balancer.handle
 
         def faulty(now: int, event: messages.Event) -> list[messages.Action]:
@@ -425,7 +470,7 @@
             return handle(now, event)
 
         monkeypatch.setattr(p.driver._balancer, "handle", faulty)
-        assert status(await p.ask(call(Req_Deadline="0.6"))) == 502
+        assert response_status(await p.send_request(http_request(Req_Deadline="0.6"))) == 502
         assert p.driver.idle
         assert not p.driver._balancer.requests.requests
 
@@ -433,22 +478,25 @@
 async def test_an_action_that_fails_does_not_take_the_next_ones_along(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         monkeypatch.setattr(
             p.driver._balancer,
             "handle",
             lambda now, e: [messages.StartAttempt("x", 1, 1), messages.Reject(e.id)],
         )
         monkeypatch.setattr(p.driver, "_start_attempt", None)  # can't be called
-        assert status(await p.ask(call())) == 503
+        assert response_status(await p.send_request(http_request())) == 503
 
 
 async def test_a_module_that_says_nothing_still_leaves_each_request_its_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with proxy(entry("s-1", 9)) as p:
+    async with running_proxy(endpoint_entry("s-1", 9)) as p:
         monkeypatch.setattr(p.driver._balancer, "handle", lambda now, event: [])
-        assert status(await p.ask(call(Req_Deadline="0.1"))) == 502
+        assert response_status(await p.send_request(http_request(Req_Deadline="0.1"))) == 502
         assert p.driver.idle
 
 
@@ -461,38 +509,41 @@
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
-        backend(answer(200, b"x")) as b,
-        proxy(entry("s-1", b.port), setup=settings(limits=limits)) as p,
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
     ):
-        gate = Gate(p.pool)
+        gate = ConnectGate(p.pool)
         _, writer = await p.connect()
-        writer.write(call(kind))
-        await until(lambda: gate.waiting == 1)
+        writer.write(http_request(kind))
+        await wait_until(lambda: gate.waiting_count == 1)
         writer.close()
-        await until(lambda: p.driver.idle)
+        await wait_until(lambda: p.driver.idle)
         gate.opened.set()
-        await until(lambda: not p.driver._attempts)
-        assert b.seen == []
-        assert b.connections == 0
+        await wait_until(lambda: not p.driver._attempts)
+        assert b.received == []
+        assert b.connection_count == 0
         assert not p.driver._balancer.requests.in_flight
         assert not p.driver._balancer.requests.requests
 
 
 @pytest.mark.parametrize("size", [20_000, 65_536])
 async def test_a_request_behind_a_response_that_is_read_slowly_is_answered_in_its_turn(size: int) -> None:
-    async with backend(answer(200, b"x" * size)) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x" * size)) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         narrow(p)
         reader, writer = await slow_reader(p)
-        writer.write(call(request_id="r1") + call(request_id="r2"))
-        await until(lambda: bool(p.clients.open_connections))
+        writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
+        await wait_until(lambda: bool(p.clients.open_connections))
         [connection] = p.clients.open_connections
-        await until(lambda: connection.transport.get_write_buffer_size() > 0)
+        await wait_until(lambda: connection.transport.get_write_buffer_size() > 0)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.seen) == 1  # what is not read holds the next one back: guards memory
+        assert len(b.received) == 1  # what is not read holds the next one back: guards memory
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(2):
-            assert len((await read_message(reader))[2]) == size
+            assert len((await read_http_message(reader))[2]) == size
         writer.close()
 
 
@@ -502,20 +553,23 @@
     """The client's end has come, and what is queued for it still goes out: then the next request is read."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async with backend(answer(200, b"x" * 65_536)) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x" * 65_536)) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         narrow(p)
         _, writer = await slow_reader(p)
-        writer.write(call(request_id="r1") + call(request_id="r2"))
-        await until(lambda: bool(p.clients.open_connections))
+        writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
+        await wait_until(lambda: bool(p.clients.open_connections))
         [connection] = p.clients.open_connections
-        await until(lambda: connection.transport.get_write_buffer_size() > 0)
+        await wait_until(lambda: connection.transport.get_write_buffer_size() > 0)
         writer.write_eof()
-        await until(connection.transport.is_closing)
+        await wait_until(connection.transport.is_closing)
         writer.transport.resume_reading()  # type: ignore[attr-defined]
-        await until(lambda: connection not in p.clients.open_connections)
+        await wait_until(lambda: connection not in p.clients.open_connections)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.seen) == 1
+        assert len(b.received) == 1
         assert p.driver.idle
 
 
@@ -532,27 +586,30 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            b.seen.append(await read_message(reader))
+            b.received.append(await read_http_message(reader))
             await go_on.wait()
-            writer.write(answer(200, b"x"))
+            writer.write(http_response(200, b"x"))
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
-    async with peer(handle) as b, proxy(entry("s-1", b.port), setup=settings(limits=limits)) as p:
+    async with (
+        StandInServer(handle) as b,
+        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+    ):
         _, writer = await p.connect()
         # Read in more than one go, so that the pause holds some of it back.
         body = b"x" * 60_000
-        writer.write(b"".join(call("mark", request_id=f"r{n}", body=body) for n in range(6)))
-        await until(lambda: bool(b.seen))
+        writer.write(b"".join(http_request("mark", request_id=f"r{n}", body=body) for n in range(6)))
+        await wait_until(lambda: bool(b.received))
         [connection] = p.clients.open_connections
-        await until(lambda: connection.transport.is_reading() is not paused)
+        await wait_until(lambda: connection.transport.is_reading() is not paused)
         writer.close()
         for _ in range(100):
             await asyncio.sleep(0)
-        clock.step(client_limits.SWEEP_INTERVAL_S)
-        await until(lambda: p.driver.idle)
+        clock.advance(client_limits.SWEEP_INTERVAL_S)
+        await wait_until(lambda: p.driver.idle)
         go_on.set()
-        await until(lambda: not p.driver._attempts and not p.clients.open_connections)
-        assert [headers["req-id"] for _, headers, _ in b.seen] == ["r0"]
+        await wait_until(lambda: not p.driver._attempts and not p.clients.open_connections)
+        assert [headers["req-id"] for _, headers, _ in b.received] == ["r0"]
         assert p.clients.buffered.size_bytes == 0
 
 
@@ -562,28 +619,34 @@
     """It waited in the system, as it does while the event loop is busy; a kept connection is at harness."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call(request_id="r1"))) == 200
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        assert response_status(await p.send_request(http_request(request_id="r1"))) == 200
         with socket.create_connection(("127.0.0.1", p.port)) as client:
-            client.sendall(call(request_id="r2"))
-        await until(lambda: bool(p.clients.open_connections))
-        await until(lambda: not p.clients.open_connections)
+            client.sendall(http_request(request_id="r2"))
+        await wait_until(lambda: bool(p.clients.open_connections))
+        await wait_until(lambda: not p.clients.open_connections)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.seen) == 1
+        assert len(b.received) == 1
         assert p.driver.idle
 
 
 @pytest.mark.parametrize("fresh", [True, False])
 async def test_a_connection_is_not_closed_for_standing_still_as_its_request_comes(fresh: bool) -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         client = Client(p)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         if not fresh:
-            client.send(call(request_id="r1"))
-            await until(lambda: connection in p.clients.idle_connections)
-        client.send(call(request_id="r2"))
+            client.send(http_request(request_id="r1"))
+            await wait_until(lambda: connection in p.clients.idle_connections)
+        client.send(http_request(request_id="r2"))
         connection.check_time_limits(p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
         assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
 
@@ -595,11 +658,14 @@
     """A header does not: a client may give a key to what must not run twice."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call(request_id="first"))) == 200
-        assert status(await p.ask(call(kind, Idempotency_Key="k"))) == 200
-        assert b.connections == 2 - kept
-        assert b.seen[1][1]["idempotency-key"] == "k"
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        assert response_status(await p.send_request(http_request(request_id="first"))) == 200
+        assert response_status(await p.send_request(http_request(kind, Idempotency_Key="k"))) == 200
+        assert b.connection_count == 2 - kept
+        assert b.received[1][1]["idempotency-key"] == "k"
 
 
 async def test_each_attempt_tells_its_backend_what_is_left_as_it_is_written(
@@ -609,10 +675,12 @@
 
     clock, permits, asked = SteppedClock(), asyncio.Semaphore(0), 0
     now_us = Clock.now_us
-    monkeypatch.setattr(Clock, "now_us", lambda self: now_us(self) + round(clock.ahead * 1e6))
+    monkeypatch.setattr(Clock, "now_us", lambda self: now_us(self) + round(clock.advanced_s * 1e6))
     async with (
-        backend(answer(500)) as a,
-        proxy(entry("s-1", a.port), entry("s-2", a.port), connect_s=60.0) as p,
+        StandInEndpoint(http_response(500)) as a,
+        running_proxy(
+            endpoint_entry("s-1", a.port), endpoint_entry("s-2", a.port), connect_timeout_s=60.0
+        ) as p,
     ):
         connect = p.pool.connect
 
@@ -625,15 +693,15 @@
             return await connect(endpoint)
 
         monkeypatch.setattr(p.pool, "connect", held)
-        got = asyncio.ensure_future(p.ask(call(Req_Deadline="1.9")))
+        got = asyncio.ensure_future(p.send_request(http_request(Req_Deadline="1.9")))
         for number, late in ((1, 0.4), (2, 0.8)):
-            await until(lambda number=number: asked == number)  # type: ignore[misc]
-            clock.step(late)
+            await wait_until(lambda number=number: asked == number)  # type: ignore[misc]
+            clock.advance(late)
             permits.release()
-        await until(lambda: len(a.seen) == 2)
-        first, second = (float(headers["req-deadline"]) for _, headers, _ in a.seen)
+        await wait_until(lambda: len(a.received) == 2)
+        first, second = (float(headers["req-deadline"]) for _, headers, _ in a.received)
         margin = LAG_MARGIN_US / 1e6
         assert 1.0 < first <= 1.9 - 0.4 - margin
         assert 0.2 < second <= 1.9 - 1.2 - margin
         permits.release()
-        assert status(await got) == 503
+        assert response_status(await got) == 503
--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -5,16 +5,20 @@
 import pytest
 
 from tests.support.client_helpers import Client
-from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, until
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint
+from tests.support.stepped_clock import SteppedClock, wait_until
 
 
 async def test_connections_in_the_accept_queue_are_served_though_listening_ends() -> None:
     """With more of them than are taken in at once, their requests sent and none of it read."""
 
-    async with proxy(entry("s-1", 9)) as p:
+    async with running_proxy(endpoint_entry("s-1", 9)) as p:
         clients = [Client(p) for _ in range(40)]
         for client in clients:
-            client.send(call(path="/ready"))
+            client.send(http_request(path="/ready"))
         p.listener.stop_listening()
         assert not p.listener.is_drained
         assert [await client.read(1) for client in clients] == [[200]] * 40
@@ -26,48 +30,57 @@
 async def test_a_connection_is_not_closed_at_the_shutdown_as_its_request_comes(fresh: bool) -> None:
     """It is answered, and told that it was the last one; until then not all is said and done."""
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         client, other = Client(p), Client(p)
-        await until(lambda: len(p.clients.open_connections) == 2)
+        await wait_until(lambda: len(p.clients.open_connections) == 2)
         if not fresh:
-            client.send(call(request_id="r1"))
-            await until(lambda: len(p.clients.idle_connections) == 1)
+            client.send(http_request(request_id="r1"))
+            await wait_until(lambda: len(p.clients.idle_connections) == 1)
         clock = SteppedClock()
-        clock.step(1.0)  # neither has just come
-        client.send(call(request_id="r2"))
+        clock.advance(1.0)  # neither has just come
+        client.send(http_request(request_id="r2"))
         p.listener.close_idle_connections()
         assert not p.listener.is_drained
-        await until(lambda: len(p.clients.open_connections) == 1)  # the other one is closed
+        await wait_until(lambda: len(p.clients.open_connections) == 1)  # the other one is closed
         assert other.socket.recv(1) == b""
         assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
-        await until(lambda: p.listener.is_drained and not p.clients.open_connections)
+        await wait_until(lambda: p.listener.is_drained and not p.clients.open_connections)
 
 
 async def test_a_connection_that_has_just_come_has_time_for_its_request_at_the_shutdown() -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         clock, client, silent = SteppedClock(), Client(p), Client(p)
         p.listener.stop_listening()
         p.listener.close_idle_connections()
-        await until(lambda: len(p.clients.open_connections) == 2)
+        await wait_until(lambda: len(p.clients.open_connections) == 2)
         p.listener.close_idle_connections()
         assert not p.listener.is_drained
-        client.send(call())
+        client.send(http_request())
         assert await client.read(1) == [200]
-        clock.step(1.0)
+        clock.advance(1.0)
         p.listener.close_idle_connections()
-        await until(lambda: p.listener.is_drained and not p.clients.open_connections)
+        await wait_until(lambda: p.listener.is_drained and not p.clients.open_connections)
         assert silent.socket.recv(1) == b""
 
 
 async def test_an_incomplete_request_is_waited_for_at_the_shutdown() -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        client, request = Client(p), call()
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        client, request = Client(p), http_request()
         client.send(request[:30])
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
-        await until(lambda: not connection.is_idle and not p.listener._admission_tasks)
+        await wait_until(lambda: not connection.is_idle and not p.listener._admission_tasks)
         p.listener.close_idle_connections()
         assert not p.listener.is_drained
         client.send(request[30:])
         assert await client.read(1) == [200]
-        await until(lambda: p.listener.is_drained)
+        await wait_until(lambda: p.listener.is_drained)
--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -7,22 +7,29 @@
 import pytest
 
 from load_balancer.net.client.client_connection import ClientConnection
-from tests.support.client_helpers import Client, status
-from tests.support.loopback import answer, backend, call, entry, peer, proxy, read_message, until
+from tests.support.client_helpers import Client
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import wait_until
 
 
 async def test_connections_that_sent_nothing_are_closed_before_those_of_usual_clients() -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port), most=8) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port), max_connections=8) as p,
+    ):
         usual = [await p.connect() for _ in range(4)]
         for n, (reader, writer) in enumerate(usual):
-            writer.write(call(request_id=f"u{n}"))
-            assert status(await read_message(reader)) == 200
+            writer.write(http_request(request_id=f"u{n}"))
+            assert response_status(await read_http_message(reader)) == 200
         crowd = [await p.connect() for _ in range(50)]
         while len(p.clients.unused_connections) > 4 or len(p.clients.open_connections) > 8:
             await asyncio.sleep(0)
         for n, (reader, writer) in enumerate(usual):
-            writer.write(call(request_id=f"v{n}"))
-            assert status(await read_message(reader)) == 200
+            writer.write(http_request(request_id=f"v{n}"))
+            assert response_status(await read_http_message(reader)) == 200
         for _, writer in (*crowd, *usual):
             writer.close()
 
@@ -30,17 +37,20 @@
 async def test_a_connection_that_has_just_come_is_not_closed_for_the_next_one() -> None:
     """Connections that asked once and stay fill the room: they go first, not who is about to ask."""
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port), most=8) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port), max_connections=8) as p,
+    ):
         stayed = [await p.connect() for _ in range(8)]
         for n, (reader, writer) in enumerate(stayed):
-            writer.write(call(request_id=f"s{n}"))
-            assert status(await read_message(reader)) == 200
+            writer.write(http_request(request_id=f"s{n}"))
+            assert response_status(await read_http_message(reader)) == 200
         new = [await p.connect() for _ in range(3)]
         while len(p.clients.unused_connections) < 3:
             await asyncio.sleep(0)
         for n, (reader, writer) in enumerate(new):
-            writer.write(call(request_id=f"n{n}"))
-            assert status(await read_message(reader)) == 200
+            writer.write(http_request(request_id=f"n{n}"))
+            assert response_status(await read_http_message(reader)) == 200
         for _, writer in (*stayed, *new):
             writer.close()
 
@@ -49,23 +59,26 @@
     blocked = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_message(reader)
+        await read_http_message(reader)
         await blocked.wait()
-        writer.write(answer(200, b"late"))
+        writer.write(http_response(200, b"late"))
 
-    async with peer(handle) as b, proxy(entry("s-1", b.port), most=2) as p:
+    async with (
+        StandInServer(handle) as b,
+        running_proxy(endpoint_entry("s-1", b.port), max_connections=2) as p,
+    ):
         idle_reader, _ = await p.connect()
         reader_a, writer_a = await p.connect()
-        writer_a.write(call(request_id="a"))
+        writer_a.write(http_request(request_id="a"))
         reader_b, writer_b = await p.connect()  # closes the idle one
         assert await idle_reader.read() == b""
-        writer_b.write(call(request_id="b"))
-        while b.connections < 2:
+        writer_b.write(http_request(request_id="b"))
+        while b.connection_count < 2:
             await asyncio.sleep(0)
-        assert status(await p.ask(call(request_id="c"))) == 503  # both are busy
+        assert response_status(await p.send_request(http_request(request_id="c"))) == 503  # both are busy
         blocked.set()
-        assert status(await read_message(reader_a)) == 200
-        assert status(await read_message(reader_b)) == 200
+        assert response_status(await read_http_message(reader_a)) == 200
+        assert response_status(await read_http_message(reader_b)) == 200
 
 
 @pytest.mark.parametrize("fresh", [True, False])
@@ -74,21 +87,24 @@
 ) -> None:
     """Where all others are busy, or about to be, the newcomer is one too many."""
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port), most=1) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port), max_connections=1) as p,
+    ):
         client = Client(p)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         if not fresh:
-            client.send(call(request_id="r1"))
-            await until(lambda: connection in p.clients.idle_connections)
+            client.send(http_request(request_id="r1"))
+            await wait_until(lambda: connection in p.clients.idle_connections)
         add = p.clients.add
 
         def crossed(newcomer: ClientConnection) -> bool:
-            client.send(call(request_id="r2"))
+            client.send(http_request(request_id="r2"))
             return add(newcomer)
 
         monkeypatch.setattr(p.clients, "add", crossed)
-        assert status(await p.ask(call(request_id="r3"))) == 503
+        assert response_status(await p.send_request(http_request(request_id="r3"))) == 503
         assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
 
 
@@ -97,16 +113,19 @@
 ) -> None:
     """What it has left unread is nobody's request any more."""
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port), most=1) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port), max_connections=1) as p,
+    ):
         client = Client(p)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         add = p.clients.add
 
         def crossed(newcomer: ClientConnection) -> bool:
-            client.send(call(request_id="r1"))
+            client.send(http_request(request_id="r1"))
             client.socket.close()
             return add(newcomer)
 
         monkeypatch.setattr(p.clients, "add", crossed)
-        assert status(await p.ask(call(request_id="r2"))) == 200
-        assert len(b.seen) == 1
+        assert response_status(await p.send_request(http_request(request_id="r2"))) == 200
+        assert len(b.received) == 1
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -15,8 +15,12 @@
 from load_balancer.net import repeated_fault_log
 from load_balancer.net.client import client_limits
 from load_balancer.process.descriptor_limits import RESERVED_DESCRIPTORS
-from tests.support.client_helpers import Client, settled, silent_backend, status, streams
-from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, until
+from tests.support.client_helpers import Client, streams
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
+from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
 
 class Turns:
@@ -42,7 +46,7 @@
 
 def chunks(count: int) -> bytes:
     """A request whose body comes one byte a chunk."""
-    head = call("mark", request_id="chunks", Content_Length="0").replace(
+    head = http_request("mark", request_id="chunks", Content_Length="0").replace(
         b"Content-Length: 0", b"Transfer-Encoding: chunked"
     )
     return head + b"1\r\nx\r\n" * count + b"0\r\n\r\n"
@@ -51,9 +55,9 @@
 @pytest.mark.parametrize(
     ("sent", "answers"),
     [
-        (call(path="/ready") * 1000, 1000),
+        (http_request(path="/ready") * 1000, 1000),
         (
-            b"".join(call(request_id=f"r{n}", Req_Deadline="0") for n in range(1000)),
+            b"".join(http_request(request_id=f"r{n}", Req_Deadline="0") for n in range(1000)),
             1000,
         ),  # ended as they come
         (chunks(20_000), 1),
@@ -63,18 +67,21 @@
 async def test_what_comes_at_once_is_parsed_a_little_in_each_turn(
     sent: bytes, answers: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
         client = Client(p)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         events, answered = Turns(), Turns()
         counted(monkeypatch, connection._http, "next_event", events)
         counted(monkeypatch, connection, "_respond", answered)
         reader, writer = await streams(client)
         writer.write(sent)
-        got = [status(await read_message(reader)) for _ in range(answers)]
+        got = [response_status(await read_http_message(reader)) for _ in range(answers)]
         assert set(got) <= {200, 502, 503}
-        assert got[0] == 200 or not b.seen
+        assert got[0] == 200 or not b.received
         # Where bytes come in a turn that has been taken already, that is one more step.
         assert 0 < answered.most <= 2
         assert events.most <= 2 * client_limits.MAX_EVENTS_PER_TURN
@@ -93,7 +100,7 @@
     monkeypatch.setattr(of, name, called)
 
 
-KINDS = {"silent": b"", "half": b"GET /api HTTP/1.1\r\nHost", "asked": call(path="/ready")}
+KINDS = {"silent": b"", "half": b"GET /api HTTP/1.1\r\nHost", "asked": http_request(path="/ready")}
 FIXED = (
     8  # descriptors for standard streams, the event loop and its wake-up, the listener, and one for a file
 )
@@ -115,7 +122,10 @@
 async def test_a_connection_that_has_ended_as_it_is_accepted_leaves_nothing_behind(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
         with monkeypatch.context() as patch:
             patch.setattr(p.listener, "_listening_socket", Broken(p.listener._listening_socket))
             clients = [Client(p) for _ in range(40)]
@@ -123,11 +133,11 @@
                 client.socket.setblocking(False)
                 assert await p.listener.loop.sock_recv(client.socket, 1) == b""
                 client.socket.close()
-            await until(lambda: not p.listener._admission_tasks)
+            await wait_until(lambda: not p.listener._admission_tasks)
         assert p.clients.descriptor_count == 0
         assert "Traceback" not in caplog.text
         assert caplog.text.count("lost as it came") == 1
-        assert status(await p.ask(call())) == 200
+        assert response_status(await p.send_request(http_request())) == 200
 
 
 @pytest.mark.parametrize("kind", [*KINDS, "open"])
@@ -136,7 +146,7 @@
 ) -> None:
     """Also on the way from the accept to a place, and from a close to its end. A client then gets in."""
 
-    async with silent_backend() as b, proxy(entry("b", b.port), most=64) as p:
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=64) as p:
         accepted: list[socket.socket] = []
         admit = p.listener._admit
 
@@ -147,25 +157,25 @@
         monkeypatch.setattr(p.listener, "_admit", listen)
         clients = [Client(p) for _ in range(400)]
         for n, client in enumerate(clients):
-            client.send(KINDS[kind] if kind != "open" else call(request_id=f"r{n}"))
+            client.send(KINDS[kind] if kind != "open" else http_request(request_id=f"r{n}"))
         most = 0
         while len(accepted) < 400:
             await asyncio.sleep(0)
             most = max(most, sum(a.fileno() >= 0 for a in accepted))
         assert most - 64 <= RESERVED_DESCRIPTORS - FIXED - WATCHES
-        await settled()
+        await run_loop_turns()
         assert (
             p.clients.descriptor_count
             == len(p.clients.open_connections)
             == sum(a.fileno() >= 0 for a in accepted)
         )
         if kind != "open":
-            ready, _, _ = await p.ask(call(path="/ready"))
+            ready, _, _ = await p.send_request(http_request(path="/ready"))
             assert ready.split()[1] == "200"
         for client in clients:
             client.leave("RST")
-        await until(lambda: not p.clients.open_connections)
-        await settled()
+        await wait_until(lambda: not p.clients.open_connections)
+        await run_loop_turns()
         assert p.clients.descriptor_count == 0
 
 
@@ -193,7 +203,10 @@
             r.getMessage() for r in caplog.records if r.name == "load_balancer.net.client.client_listener"
         ]
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
         clock = SteppedClock()
         for _ in range(2):  # a second spell is told of again
             caplog.clear()
@@ -201,26 +214,29 @@
             with pytest.MonkeyPatch.context() as patch, no_descriptors():
                 counted(patch, p.listener._descriptor_faults, "record", met)
                 for n in range(30):
-                    await until(lambda n=n, met=met: met.all > n)  # type: ignore[misc]
-                    clock.step(client_limits.ACCEPT_RETRY_DELAY_S)
+                    await wait_until(lambda n=n, met=met: met.all > n)  # type: ignore[misc]
+                    clock.advance(client_limits.ACCEPT_RETRY_DELAY_S)
             met.stop()
             assert lines() == ["no descriptor for a connection: [Errno 24] Too many open files"]
-            client.send(call(path="/ready"))
+            client.send(http_request(path="/ready"))
             reader, writer = await streams(client)
-            assert status(await read_message(reader)) == 200
-            clock.step(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
-            await until(lambda: len(lines()) > 1)
+            assert response_status(await read_http_message(reader)) == 200
+            clock.advance(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
+            await wait_until(lambda: len(lines()) > 1)
             assert lines()[1:] == [f"no descriptor for a connection: over, {met.all} times in all"]
             writer.close()
-            clock.step(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
-            await settled()
+            clock.advance(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
+            await run_loop_turns()
             assert len(lines()) == 2
 
 
 async def test_connections_that_are_lost_before_they_are_accepted_are_logged_once(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
 
         async def fails(*args: object) -> None:
             raise ConnectionAbortedError("gone")
@@ -235,7 +251,7 @@
                 client.socket.close()
         assert caplog.text.count("lost as it came") == 1
         assert p.clients.descriptor_count == 0
-        assert status(await p.ask(call())) == 200
+        assert response_status(await p.send_request(http_request())) == 200
 
 
 async def test_what_many_clients_send_ahead_at_once_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -243,41 +259,45 @@
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES", 100_000)
     callers = 40
 
-    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
         clients = [Client(p) for _ in range(callers)]
-        await until(lambda: len(p.clients.open_connections) == callers)
+        await wait_until(lambda: len(p.clients.open_connections) == callers)
         for n, client in enumerate(clients):  # all of it before any is read
             client.socket.setblocking(False)
             client.socket.send(
-                call(request_id=f"r{n}") + call("mark", request_id=f"s{n}", body=b"x" * 60_000) * 10
+                http_request(request_id=f"r{n}")
+                + http_request("mark", request_id=f"s{n}", body=b"x" * 60_000) * 10
             )
         connections = list(p.clients.open_connections)
-        await until(lambda: all(not c.transport.is_reading() for c in connections))
+        await wait_until(lambda: all(not c.transport.is_reading() for c in connections))
         assert len(p.driver._requests) == callers  # each with its own request open
         assert 100_000 < p.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
         assert p.clients.buffered.size_bytes == sum(c._http.received.size_bytes for c in connections)
         for client in clients:
             client.leave("RST")
-        await until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not p.clients.open_connections)
         assert p.clients.buffered.size_bytes == 0
 
 
 async def test_a_connection_whose_request_is_parsed_over_some_turns_is_not_closed_to_make_room() -> None:
     """All of it has come by then."""
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port), most=1) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port), max_connections=1) as p,
+    ):
         client = Client(p)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         client.send(chunks(2_500))  # in one read, and in 25 turns
-        await until(lambda: connection._is_processing_scheduled)
+        await wait_until(lambda: connection._is_processing_scheduled)
         other = Client(p)
-        other.send(call(request_id="other"))
-        await until(lambda: len(p.clients.open_connections) == 2)
+        other.send(http_request(request_id="other"))
+        await wait_until(lambda: len(p.clients.open_connections) == 2)
         assert connection._is_processing_scheduled
         assert connection in p.clients.unused_connections
         for one, expected in ((client, 200), (other, 503)):
             reader, writer = await streams(one)
-            assert status(await read_message(reader)) == expected
+            assert response_status(await read_http_message(reader)) == expected
             writer.close()
-        assert [headers["req-id"] for _, headers, _ in b.seen] == ["chunks"]
+        assert [headers["req-id"] for _, headers, _ in b.received] == ["chunks"]
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -12,28 +12,23 @@
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.upstream import idle_connections
 from tests.support.balancer_harness import settings
-from tests.support.client_helpers import Client, attempt_connection, narrow, settled, silent_backend
-from tests.support.loopback import (
-    Gate,
-    Proxy,
-    SteppedClock,
-    answer,
-    call,
-    entry,
-    proxy,
-    read_message,
-    until,
-)
+from tests.support.client_helpers import Client, attempt_connection, narrow
+from tests.support.connect_gates import ConnectGate
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stand_in_server import SilentEndpoint
+from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
 WAYS = ["FIN", "half", "RST"]
-FAILURE = answer(503, Srv_Declined="1")
+FAILURE = http_response(503, Srv_Declined="1")
 
 
 def limits(cancel: bool) -> messages.Settings:
     return settings(limits=messages.Limits(max_attempts=3, cancel=cancel))
 
 
-def nothing_left(p: Proxy) -> bool:
+def nothing_left(p: LoopbackProxy) -> bool:
     balancer = p.driver._balancer
     return p.driver.idle and not (
         balancer.requests.requests
@@ -49,37 +44,37 @@
     """The attempt fails in the very turn in which its client leaves, and is read first."""
 
     async with (
-        silent_backend() as a,
-        silent_backend() as b,
-        proxy(entry("a", a.port), entry("b", b.port), setup=limits(cancel)) as p,
+        SilentEndpoint() as a,
+        SilentEndpoint() as b,
+        running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
         client = Client(p)
-        client.send(call())
-        await until(lambda: len(a.seen) + len(b.seen) == 1)
+        client.send(http_request())
+        await wait_until(lambda: len(a.received) + len(b.received) == 1)
         failing = attempt_connection(p)
         client.leave(way)
         failing.data_received(FAILURE)
         assert not p.driver._attempts
         assert p.driver.idle
-        await until(lambda: not p.clients.open_connections)
-        await settled()
-        assert len(a.seen) + len(b.seen) == 1
-        assert a.connections + b.connections == 1
+        await wait_until(lambda: not p.clients.open_connections)
+        await run_loop_turns()
+        assert len(a.received) + len(b.received) == 1
+        assert a.connection_count + b.connection_count == 1
         assert nothing_left(p)
 
 
 @pytest.mark.parametrize("cancel", [True, False])
 async def test_a_retry_begins_for_a_client_that_stays(cancel: bool) -> None:
     async with (
-        silent_backend() as a,
-        silent_backend() as b,
-        proxy(entry("a", a.port), entry("b", b.port), setup=limits(cancel)) as p,
+        SilentEndpoint() as a,
+        SilentEndpoint() as b,
+        running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
         client = Client(p)
-        client.send(call())
-        await until(lambda: len(a.seen) + len(b.seen) == 1)
+        client.send(http_request())
+        await wait_until(lambda: len(a.received) + len(b.received) == 1)
         attempt_connection(p).data_received(FAILURE)
-        await until(lambda: len(a.seen) + len(b.seen) == 2)
+        await wait_until(lambda: len(a.received) + len(b.received) == 2)
         client.socket.close()
 
 
@@ -91,23 +86,26 @@
     """A backend comes free in the very turn in which the client of a held request leaves."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)  # the connection that comes free is taken at once
 
-    async with silent_backend() as b, proxy(entry("b", b.port), setup=limits(cancel)) as p:
+    async with (
+        SilentEndpoint() as b,
+        running_proxy(endpoint_entry("b", b.port), settings=limits(cancel)) as p,
+    ):
         clients: list[Client] = []
         while not p.driver._balancer.requests.queue:
             clients.append(Client(p))
-            clients[-1].send(call(request_id=f"r{len(clients)}"))
-            await until(lambda: len(p.driver._balancer.requests.requests) == len(clients))
+            clients[-1].send(http_request(request_id=f"r{len(clients)}"))
+            await wait_until(lambda: len(p.driver._balancer.requests.requests) == len(clients))
         sent = len(clients) - 1
-        await until(lambda: len(b.seen) == sent)
+        await wait_until(lambda: len(b.received) == sent)
         clients[-1].leave(way)
-        attempt_connection(p).data_received(answer(200, b"x"))
+        attempt_connection(p).data_received(http_response(200, b"x"))
         assert not p.driver._balancer.requests.queue  # its turn came
-        await until(lambda: len(p.clients.open_connections) == sent)
-        await settled()
-        assert len(b.seen) == sent == len(p.driver._balancer.requests.in_flight) + 1
+        await wait_until(lambda: len(p.clients.open_connections) == sent)
+        await run_loop_turns()
+        assert len(b.received) == sent == len(p.driver._balancer.requests.in_flight) + 1
         for client in clients[:-1]:
             client.leave("FIN")
-        await until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not p.clients.open_connections)
         if cancel:
             assert nothing_left(p)
 
@@ -116,15 +114,17 @@
 WHERE = ["held", "connecting", "out"]
 
 
-async def begin(p: Proxy, client: Client, paused: bool) -> ClientConnection:
+async def begin(p: LoopbackProxy, client: Client, paused: bool) -> ClientConnection:
     """The client's request, and where it pauses so much behind it that the proxy ceases to read."""
     before = set(p.clients.open_connections)
     client.socket.setblocking(False)
-    sent = call(request_id="r0") + (call("mark", request_id="behind", body=b"x" * 60_000) if paused else b"")
+    sent = http_request(request_id="r0") + (
+        http_request("mark", request_id="behind", body=b"x" * 60_000) if paused else b""
+    )
     await asyncio.get_running_loop().sock_sendall(client.socket, sent)
-    await until(lambda: len(p.clients.open_connections - before) == 1)
+    await wait_until(lambda: len(p.clients.open_connections - before) == 1)
     [connection] = p.clients.open_connections - before
-    await until(
+    await wait_until(
         lambda: connection._request_key is not None and connection.transport.is_reading() is not paused
     )
     return connection
@@ -143,48 +143,51 @@
     """
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
 
-    async with silent_backend() as b, proxy(entry("b", b.port), setup=limits(cancel)) as p:
+    async with (
+        SilentEndpoint() as b,
+        running_proxy(endpoint_entry("b", b.port), settings=limits(cancel)) as p,
+    ):
         p.listener._sweep_timer.cancel()
-        gate, clock = Gate(p.pool), SteppedClock()
+        gate, clock = ConnectGate(p.pool), SteppedClock()
         crowd: list[Client] = []
         if where != "connecting":
             gate.opened.set()
         if where == "held":
             while not p.driver._balancer.requests.queue:
                 crowd.append(Client(p))
-                crowd[-1].send(call(request_id=f"c{len(crowd)}"))
-                await until(lambda: len(p.driver._balancer.requests.requests) == len(crowd))
+                crowd[-1].send(http_request(request_id=f"c{len(crowd)}"))
+                await wait_until(lambda: len(p.driver._balancer.requests.requests) == len(crowd))
             crowd.pop().leave("FIN")
-            await until(lambda: not p.driver._balancer.requests.queue)
+            await wait_until(lambda: not p.driver._balancer.requests.queue)
         client = Client(p)
         connection = await begin(p, client, paused)
         if where == "connecting":
-            await until(lambda: gate.waiting == 1)
+            await wait_until(lambda: gate.waiting_count == 1)
         elif where == "out":
-            await until(lambda: len(b.seen) == 1)
+            await wait_until(lambda: len(b.received) == 1)
         else:
             assert p.driver._balancer.requests.queue
         key = connection._request_key
         assert key is not None
         client.leave(way)
-        await settled()
+        await run_loop_turns()
         if paused:  # the event loop does not see it
             assert connection in p.clients.open_connections
-            clock.step(LATEST_S / 2)
-            await settled()
+            clock.advance(LATEST_S / 2)
+            await run_loop_turns()
         assert connection not in p.clients.open_connections
         assert key not in p.driver._requests
         gate.opened.set()
         for (request, _), attempt in list(p.driver._attempts.items()):
             assert attempt._connection is not None
-            attempt._connection.data_received(FAILURE if request == key else answer(200, b"x"))
-        await settled()
-        mine = [headers["req-id"] for _, headers, _ in b.seen if not headers["req-id"].startswith("c")]
+            attempt._connection.data_received(FAILURE if request == key else http_response(200, b"x"))
+        await run_loop_turns()
+        mine = [headers["req-id"] for _, headers, _ in b.received if not headers["req-id"].startswith("c")]
         assert mine == (["r0"] if where == "out" else [])
         assert not p.clients.paused_connections
         for other in crowd:
             other.leave("FIN")
-        await until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not p.clients.open_connections)
 
 
 async def test_only_connections_that_are_not_read_are_polled(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -199,30 +202,30 @@
 
     monkeypatch.setattr(client_connection, "peer_has_ended", counted)
 
-    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
         clock, idle, busy = SteppedClock(), Client(p), Client(p)
-        busy.send(call(request_id="busy"))
-        await until(lambda: len(b.seen) == 1 and len(p.clients.open_connections) == 2)
+        busy.send(http_request(request_id="busy"))
+        await wait_until(lambda: len(b.received) == 1 and len(p.clients.open_connections) == 2)
         asked.clear()
         for _ in range(10):
-            clock.step(0.05)
-            await settled()
+            clock.advance(0.05)
+            await run_loop_turns()
         assert not asked
         assert p.clients._presence_timer is None
         client = Client(p)
         connection = await begin(p, client, True)
         for _ in range(10):
-            clock.step(0.05)
-            await settled()
+            clock.advance(0.05)
+            await run_loop_turns()
         assert len(asked) >= 10
         assert set(asked) == {connection.transport}
         p.driver.give_up()
-        await until(lambda: not p.clients.paused_connections)
+        await wait_until(lambda: not p.clients.paused_connections)
         for one in (idle, busy, client):
             one.leave("RST")
-        await until(lambda: not p.clients.open_connections)
-        clock.step(0.05)
-        await settled()
+        await wait_until(lambda: not p.clients.open_connections)
+        clock.advance(0.05)
+        await run_loop_turns()
         assert p.clients._presence_timer is None
 
 
@@ -235,25 +238,25 @@
     if paused:
         monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
 
-    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
         narrow(p)
         client = Client(p, 4096)
         connection = await begin(p, client, paused)
-        await until(lambda: len(b.seen) == 1)
+        await wait_until(lambda: len(b.received) == 1)
         if not paused:
-            client.send(call(request_id="behind"))
-            await until(lambda: connection._http.received.size_bytes > 0)
-        attempt_connection(p).data_received(answer(200, b"x" * 65_536))
+            client.send(http_request(request_id="behind"))
+            await wait_until(lambda: connection._http.received.size_bytes > 0)
+        attempt_connection(p).data_received(http_response(200, b"x" * 65_536))
         assert connection.is_writing
         assert connection._http.has_unparsed_bytes
         client.leave(way)
-        await settled()
+        await run_loop_turns()
         if way == "half":  # it may still read, and what goes on then is the answer alone
             client.socket.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client.socket)
-            assert len((await read_message(reader))[2]) == 65_536
+            assert len((await read_http_message(reader))[2]) == 65_536
             writer.close()
-        await until(lambda: connection not in p.clients.open_connections)
-        await settled()
-        assert len(b.seen) == 1
+        await wait_until(lambda: connection not in p.clients.open_connections)
+        await run_loop_turns()
+        assert len(b.received) == 1
         assert nothing_left(p)
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -13,8 +13,13 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from tests.net.client.test_departed_client_attempts import FAILURE, WAYS, limits, nothing_left
-from tests.support.client_helpers import Client, attempt_connection, settled, silent_backend
-from tests.support.loopback import Gate, answer, call, entry, proxy, read_message, until
+from tests.support.client_helpers import Client, attempt_connection
+from tests.support.connect_gates import ConnectGate
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import SilentEndpoint
+from tests.support.stepped_clock import run_loop_turns, wait_until
 
 PATHS = ["connection comes up", "kept connection", "kept connection settles", "further attempt"]
 
@@ -59,9 +64,9 @@
     hold = Hold(monkeypatch)
 
     async with (
-        silent_backend() as a,
-        silent_backend() as b,
-        proxy(entry("a", a.port), entry("b", b.port), setup=limits(cancel)) as p,
+        SilentEndpoint() as a,
+        SilentEndpoint() as b,
+        running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
         if path.startswith("kept connection"):
             for backend in p.driver._endpoints.by_number.values():  # one idle connection to each
@@ -71,37 +76,37 @@
                     5.0,
                     lambda outcome, reply: None,
                 )
-            await until(lambda: len(a.seen) + len(b.seen) == 2)
+            await wait_until(lambda: len(a.received) + len(b.received) == 2)
             for idle in list(p.pool._open):
-                idle.data_received(answer(200, b"x"))
-        gate = Gate(p.pool)
+                idle.data_received(http_response(200, b"x"))
+        gate = ConnectGate(p.pool)
         if path in ("connection comes up", "further attempt"):
             gate.opened.set()
         client = Client(p)
         hold.meanwhile = lambda: None if way == "stays" else client.leave(way)  # type: ignore[method-assign]
         hold.armed = path != "further attempt"
-        before = len(a.seen) + len(b.seen)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        before = len(a.received) + len(b.received)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         client.socket.setblocking(False)
-        behind = call("mark", request_id="behind", body=b"x" * 60_000) if paused else b""
-        await p.listener.loop.sock_sendall(client.socket, call() + behind)
+        behind = http_request("mark", request_id="behind", body=b"x" * 60_000) if paused else b""
+        await p.listener.loop.sock_sendall(client.socket, http_request() + behind)
         if path == "further attempt":
-            await until(lambda: len(a.seen) + len(b.seen) == 1)
-            await until(lambda: connection.transport.is_reading() is not paused)
+            await wait_until(lambda: len(a.received) + len(b.received) == 1)
+            await wait_until(lambda: connection.transport.is_reading() is not paused)
             hold.armed = True
             attempt_connection(p).data_received(FAILURE)
             before = 1
-        await until(lambda: hold.held == 1)
+        await wait_until(lambda: hold.held == 1)
         if way == "stays":
-            await until(lambda: len(a.seen) + len(b.seen) == before + 1)
+            await wait_until(lambda: len(a.received) + len(b.received) == before + 1)
             client.leave("RST")
-            await until(lambda: not p.clients.open_connections)
+            await wait_until(lambda: not p.clients.open_connections)
             return
-        await until(lambda: connection not in p.clients.open_connections)
+        await wait_until(lambda: connection not in p.clients.open_connections)
         gate.opened.set()
-        await settled()
-        assert len(a.seen) + len(b.seen) == before
+        await run_loop_turns()
+        assert len(a.received) + len(b.received) == before
         assert nothing_left(p)
         assert not p.driver._attempts
         assert not p.clients.paused_connections
@@ -112,12 +117,12 @@
 async def test_what_is_not_written_takes_no_connection_from_another_that_waits(way: str) -> None:
     """Two wait for connections to one backend, and the first of them leaves as they come up."""
 
-    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
-        gate, leaver, stayer = Gate(p.pool), Client(p), Client(p)
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
+        gate, leaver, stayer = ConnectGate(p.pool), Client(p), Client(p)
         for client, key in ((leaver, "leaves"), (stayer, "stays")):
-            client.send(call(request_id=key))
-            await until(lambda key=key: key.encode() in p.clients.open_request_ids)  # type: ignore[misc]
-        await until(lambda: gate.waiting == 2)
+            client.send(http_request(request_id=key))
+            await wait_until(lambda key=key: key.encode() in p.clients.open_request_ids)  # type: ignore[misc]
+        await wait_until(lambda: gate.waiting_count == 2)
         came_up = p.pool._on_connected
 
         def leaving(pending: PendingConnection, connection: UpstreamConnection) -> None:
@@ -127,11 +132,11 @@
 
         p.pool._on_connected = leaving  # type: ignore[method-assign]
         gate.opened.set()
-        await until(lambda: bool(b.seen))
-        attempt_connection(p).data_received(answer(200, b"x"))
+        await wait_until(lambda: bool(b.received))
+        attempt_connection(p).data_received(http_response(200, b"x"))
         stayer.socket.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=stayer.socket)
-        assert (await read_message(reader))[2] == b"x"
+        assert (await read_http_message(reader))[2] == b"x"
         writer.close()
-        await until(lambda: not p.clients.open_connections)
-        assert [headers["req-id"] for _, headers, _ in b.seen] == ["stays"]
+        await wait_until(lambda: not p.clients.open_connections)
+        assert [headers["req-id"] for _, headers, _ in b.received] == ["stays"]
--- a/tests/net/client/test_http_server_protocol.py
+++ b/tests/net/client/test_http_server_protocol.py
@@ -8,7 +8,7 @@
 from load_balancer.net.client.http_server_protocol import HttpServerProtocol
 from load_balancer.net.client.receive_buffer import BufferedTotal
 from load_balancer.net.driver.client_messages import ClientResponse
-from tests.support.loopback import call
+from tests.support.http_messages import http_request
 
 
 @pytest.fixture
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("size", [1, 7, 10_000])
 def test_a_request_is_read_however_its_bytes_are_cut(protocol: HttpServerProtocol, size: int) -> None:
-    sent = call("mark", path="/a", body=b"hello")
+    sent = http_request("mark", path="/a", body=b"hello")
     assert protocol.is_between_requests
     for start in range(0, len(sent), size):
         protocol.receive(1.0, sent[start : start + size])
@@ -46,7 +46,7 @@
 
 def test_each_request_ends_with_the_time_at_which_its_last_bytes_came(protocol: HttpServerProtocol) -> None:
     for at_s, path in ((1.0, "/a"), (2.0, "/b")):
-        protocol.receive(at_s, call(path=path))
+        protocol.receive(at_s, http_request(path=path))
     assert read_request(protocol) == (b"/a", b"")
     assert protocol.parsed_received_at_s == 1.0
     protocol.final_response(ClientResponse(200), is_last=False)
@@ -59,7 +59,7 @@
 def test_empty_lines_between_requests_are_no_request(protocol: HttpServerProtocol, lines: bytes) -> None:
     assert not protocol.receive(1.0, lines)
     assert protocol.is_between_requests
-    protocol.receive(1.0, lines + call(path="/a") + lines + call(path="/b") + lines)
+    protocol.receive(1.0, lines + http_request(path="/a") + lines + http_request(path="/b") + lines)
     for path in (b"/a", b"/b"):
         assert read_request(protocol) == (path, b"")
         protocol.final_response(ClientResponse(200), is_last=False)
@@ -76,7 +76,7 @@
 
 
 def test_a_client_that_waits_for_an_interim_response_gets_one(protocol: HttpServerProtocol) -> None:
-    head = call("mark", Expect="100-continue", Content_Length="2")
+    head = http_request("mark", Expect="100-continue", Content_Length="2")
     protocol.receive(1.0, head)
     assert read_request(protocol) is None
     assert protocol.interim_response().startswith(b"HTTP/1.1 100 ")
@@ -87,7 +87,7 @@
 def test_a_final_response_tells_its_length_and_whether_it_is_the_last(
     protocol: HttpServerProtocol, is_last: bool
 ) -> None:
-    protocol.receive(1.0, call())
+    protocol.receive(1.0, http_request())
     read_request(protocol)
     sent = protocol.final_response(ClientResponse(503, b"no", ((b"retry-after", b"1"),)), is_last)
     head, _, body = sent.partition(b"\r\n\r\n")
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -12,33 +12,24 @@
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.driver.client_messages import ClientRequest
 from tests.net.client.test_stalled_clients import STOPS
-from tests.support.client_helpers import (
-    Client,
-    attempt_connection,
-    closes,
-    settled,
-    silent_backend,
-    status,
-    streams,
-)
-from tests.support.loopback import (
-    Proxy,
-    SteppedClock,
-    answer,
-    backend,
-    call,
-    entry,
-    listing,
-    proxy,
-    read_message,
-    until,
+from tests.support.client_helpers import Client, attempt_connection, streams
+from tests.support.endpoint_lists import endpoint_entry, endpoint_list
+from tests.support.http_messages import (
+    closes_connection,
+    http_request,
+    http_response,
+    read_http_message,
+    response_status,
 )
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
+from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
 REASONS = {"time": 408, "room": 503, "exit": 503}
 
 
-async def came(p: Proxy, client: Client, sent: bytes) -> ClientConnection:
+async def came(p: LoopbackProxy, client: Client, sent: bytes) -> ClientConnection:
     """The connection of a client, once what it sent has been read."""
     client.send(sent)
     name = client.socket.getsockname()
@@ -46,9 +37,9 @@
     def its_own() -> list[ClientConnection]:
         return [c for c in p.clients.open_connections if c.transport.get_extra_info("peername") == name]
 
-    await until(lambda: bool(its_own()))
+    await wait_until(lambda: bool(its_own()))
     [connection] = its_own()
-    await until(lambda: connection.has_unanswered_request)
+    await wait_until(lambda: connection.has_unanswered_request)
     return connection
 
 
@@ -59,31 +50,31 @@
 ) -> None:
     """Its client can read it though it goes on sending."""
 
-    async with silent_backend() as b, proxy(entry("b", b.port), most=1) as p:
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=1) as p:
         clock, client = SteppedClock(), Client(p)
         connection = await came(p, client, STOPS[stop])
         if reason == "time":
-            clock.step(client_limits.REQUEST_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
+            clock.advance(client_limits.REQUEST_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
         elif reason == "room":
             newcomer = Client(p)
         else:
             p.listener.close()
-        await until(lambda: connection.transport.is_closing())
-        await settled()
+        await wait_until(lambda: connection.transport.is_closing())
+        await run_loop_turns()
         with contextlib.suppress(ConnectionError):
             client.send(b"x")
             client.send(b"x")
         reader, writer = await streams(client)
-        got = await read_message(reader)
+        got = await read_http_message(reader)
         if got[0].split()[1] == "100":
-            got = await read_message(reader)
-        assert status(got) == REASONS[reason]
-        assert closes(got)
+            got = await read_http_message(reader)
+        assert response_status(got) == REASONS[reason]
+        assert closes_connection(got)
         writer.close()
         if reason == "room":
             newcomer.leave("RST")
-        await until(lambda: not p.clients.open_connections)
-        assert not b.seen
+        await wait_until(lambda: not p.clients.open_connections)
+        assert not b.received
         assert p.driver.idle
         assert not p.clients.open_request_ids
         assert p.clients.descriptor_count == 0
@@ -92,18 +83,21 @@
 async def test_connections_that_have_sent_nothing_are_closed_first_to_make_room() -> None:
     """Before those that have brought a part of a request, though these came earlier."""
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port), most=2) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port), max_connections=2) as p,
+    ):
         half, nothing = Client(p), Client(p)
-        request = call()
+        request = http_request()
         begun = await came(p, half, request[:40])
-        await until(lambda: len(p.clients.open_connections) == 2)
+        await wait_until(lambda: len(p.clients.open_connections) == 2)
         [idle] = p.clients.open_connections - {begun}
-        assert status(await p.ask(call(request_id="other"))) == 200
+        assert response_status(await p.send_request(http_request(request_id="other"))) == 200
         assert begun in p.clients.open_connections
         assert idle not in p.clients.open_connections
         half.send(request[40:])
         reader, writer = await streams(half)
-        assert status(await read_message(reader)) == 200
+        assert response_status(await read_http_message(reader)) == 200
         writer.close()
         nothing.socket.close()
 
@@ -112,35 +106,38 @@
 async def test_a_connection_with_a_later_incomplete_request_is_not_closed_to_make_room(stop: str) -> None:
     """Its connection has served its client before."""
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port), most=1) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port), max_connections=1) as p,
+    ):
         client = Client(p)
-        await came(p, client, call(request_id="first"))
-        await until(lambda: bool(p.clients.idle_connections))
+        await came(p, client, http_request(request_id="first"))
+        await wait_until(lambda: bool(p.clients.idle_connections))
         [connection] = p.clients.open_connections
         client.send(STOPS[stop])
-        await until(lambda: connection.has_unanswered_request)
-        assert status(await p.ask(call(request_id="other"))) == 503
+        await wait_until(lambda: connection.has_unanswered_request)
+        assert response_status(await p.send_request(http_request(request_id="other"))) == 503
         assert connection in p.clients.open_connections
         assert not connection.transport.is_closing()
         client.socket.close()
-        await until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not p.clients.open_connections)
 
 
 async def test_a_request_that_is_open_is_not_refused_as_the_process_ends() -> None:
     """It may have run. One whose client still writes is: nothing of it was sent on."""
 
-    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
         busy, half = Client(p), Client(p)
-        await came(p, busy, call(request_id="open"))
-        await until(lambda: len(b.seen) == 1)
-        await came(p, half, call()[:40])
+        await came(p, busy, http_request(request_id="open"))
+        await wait_until(lambda: len(b.received) == 1)
+        await came(p, half, http_request()[:40])
         p.listener.close()
-        await until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not p.clients.open_connections)
         reader, writer = await streams(busy)
         assert await reader.read() == b""
         writer.close()
         reader, writer = await streams(half)
-        assert status(await read_message(reader)) == 503
+        assert response_status(await read_http_message(reader)) == 503
         writer.close()
 
 
@@ -150,10 +147,10 @@
 ) -> None:
     """The error promises nothing, as the fault may have come after an attempt began."""
 
-    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
         other, client = Client(p), Client(p)
-        await came(p, other, call(request_id="other"))
-        await until(lambda: len(b.seen) == 1)
+        await came(p, other, http_request(request_id="other"))
+        await wait_until(lambda: len(b.received) == 1)
 
         take_over = p.driver.request
 
@@ -162,7 +159,7 @@
                 take_over(*args)
             raise KeyError("a fault")
 
-        request = call("mark", request_id="faulty", body=b"xx")
+        request = http_request("mark", request_id="faulty", body=b"xx")
         connection = await came(p, client, request[:-2])
         with monkeypatch.context() as patch:
             if where == "read":
@@ -170,33 +167,33 @@
             else:
                 patch.setattr(p.driver, "request", fails)
             client.send(request[-2:])
-            await until(lambda: connection._is_lingering or connection.transport.is_closing())
+            await wait_until(lambda: connection._is_lingering or connection.transport.is_closing())
         reader, writer = await streams(client)
-        got = await read_message(reader)
-        assert status(got) == 500
-        assert closes(got)
+        got = await read_http_message(reader)
+        assert response_status(got) == 500
+        assert closes_connection(got)
         if where == "taken over":  # a backend's answer comes too late for it
-            await until(lambda: len(b.seen) == 2)
+            await wait_until(lambda: len(b.received) == 2)
             late = list(p.driver._attempts.values())[1]._connection
             assert late is not None
-            late.data_received(answer(200))
+            late.data_received(http_response(200))
         assert await reader.read() == b""
         writer.close()
         assert caplog.text.count("Traceback") == 1
         assert p.clients.open_request_ids == {b"other"}
-        attempt_connection(p).data_received(answer(200, b"x"))
+        attempt_connection(p).data_received(http_response(200, b"x"))
         reader, writer = await streams(other)
-        assert status(await read_message(reader)) == 200
+        assert response_status(await read_http_message(reader)) == 200
         writer.close()
-        await until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not p.clients.open_connections)
         assert p.driver.idle
 
 
 async def test_a_request_that_is_complete_after_the_last_moment_is_answered_503_and_not_forwarded() -> None:
     """The shutdown has ended all requests by then; there is no time left for one more."""
 
-    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
-        client, request = Client(p), call(request_id="late")
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
+        client, request = Client(p), http_request(request_id="late")
         await came(p, client, request[:40])
         p.listener.stop_listening()
         p.listener.close_idle_connections()
@@ -204,14 +201,14 @@
         p.driver.give_up()
         client.send(request[40:])
         reader, writer = await streams(client)
-        got = await read_message(reader)
-        assert status(got) == 503
-        assert closes(got)
+        got = await read_http_message(reader)
+        assert response_status(got) == 503
+        assert closes_connection(got)
         assert await reader.read() == b""
         writer.close()
-        await until(lambda: p.listener.is_drained)
-        assert not b.seen
-        assert not b.connections
+        await wait_until(lambda: p.listener.is_drained)
+        assert not b.received
+        assert not b.connection_count
         assert p.driver.idle
 
 
@@ -228,36 +225,38 @@
         looked_at += 1
         return bool(began(connection))
 
-    async with silent_backend() as b, proxy(entry("b", b.port), most=crowd) as p:
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=crowd) as p:
         clients = [Client(p) for _ in range(crowd)]
         for client in clients:
-            await came(p, client, call()[:40])
+            await came(p, client, http_request()[:40])
         monkeypatch.setattr(ClientConnection, "has_unanswered_request", property(counted))
         newcomer = Client(p)
-        await until(lambda: len(p.clients.open_connections) == crowd and p.clients.descriptor_count == crowd)
-        await until(lambda: looked_at > 0)
+        await wait_until(
+            lambda: len(p.clients.open_connections) == crowd and p.clients.descriptor_count == crowd
+        )
+        await wait_until(lambda: looked_at > 0)
         assert looked_at <= client_limits.MAX_SILENT_CANDIDATES + 1  # and the one that makes room
         for client in [*clients, newcomer]:
             client.leave("RST")
-        await until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not p.clients.open_connections)
 
 
 @pytest.mark.parametrize("stop", ["in the first line", "in the body", "between chunks"])
 async def test_a_request_that_has_come_in_part_gets_an_error_as_the_real_process_ends(
     stop: str, tmp_path: Path
 ) -> None:
-    async with backend(answer(200, b"x")) as b:
+    async with StandInEndpoint(http_response(200, b"x")) as b:
         lane = {"name": "mark", "idempotency": "keyed", "onTimeUs": 200_000, "deadlineUs": 300_000}
         told = raw_settings(lanes=[{**lane, "repeatWindowUs": 100_000}], limits=LIMITS)
-        env = write(tmp_path, config(known=listing(entry("a", b.port)), settings=told))
+        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told))
         async with process(env) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
             writer.write(STOPS[stop])
             made.terminate()
-            got = await read_message(reader)
-            assert status(got) in (408, 503)
-            assert closes(got)
+            got = await read_http_message(reader)
+            assert response_status(got) in (408, 503)
+            assert closes_connection(got)
             assert await reader.read() == b""
             writer.close()
             assert await made.wait() == 0
-            assert not b.seen
+            assert not b.received
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -19,8 +19,11 @@
 from load_balancer import messages
 from load_balancer.net.upstream import idle_connections
 from tests.support.balancer_harness import S, settings
-from tests.support.loopback import Proxy, SteppedClock, answer, call, entry, proxy, read_message
-from tests.support.upstream_helpers import HEAD, INVALID_RESPONSES, Bare, Handle, Message, Wire, bare, stepped
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stepped_clock import SteppedClock
+from tests.support.upstream_helpers import HEAD, INVALID_RESPONSES, Bare, Handle, Wire, bare, stepped
 
 STEP_S = 5.0
 WINDOW_S = 60.0
@@ -93,7 +96,7 @@
 
 
 class World:
-    def __init__(self, seed: int, p: Proxy) -> None:
+    def __init__(self, seed: int, p: LoopbackProxy) -> None:
         self.seed, self.p = seed, p
         self.clock: SteppedClock = stepped(p)
         self.step = 0
@@ -108,7 +111,7 @@
     # Backends
 
     def backend(self, cell: int) -> Handle:
-        async def handle(wire: Wire, got: Message) -> None:
+        async def handle(wire: Wire, got: HttpMessage) -> None:
             self.news += 1
             request_id = got[1].get("req-id", "none")
             asked = self.asked.get(request_id)
@@ -121,7 +124,7 @@
             self.check(request_id, asked, visit)
             asked.visits.append(visit)
             with contextlib.suppress(OSError):  # the proxy may have left
-                await self.respond(rng, visit, answer(200, request_id.encode()), request_id)
+                await self.respond(rng, visit, http_response(200, request_id.encode()), request_id)
             self.news += 1
 
         return handle
@@ -168,9 +171,9 @@
                 wire.say(without_length)
                 wire.reset()
             case "500" | "503":
-                wire.say(answer(int(way), b"x"))
+                wire.say(http_response(int(way), b"x"))
             case "declined":
-                wire.say(answer(rng.choice((503, 504)), Srv_Declined="1"))
+                wire.say(http_response(rng.choice((503, 504)), Srv_Declined="1"))
             case "cut, end" | "cut, reset":
                 wire.say(good[: rng.randrange(1, len(good))])
                 wire.end() if way == "cut, end" else wire.reset()
@@ -210,8 +213,8 @@
             streams = streams or await self.p.connect()
             reader, writer = streams
             asked = self.asked[request_id] = Asked(kind)
-            writer.write(call(kind, request_id=request_id, body=body, Req_Deadline="500"))
-            got = asyncio.ensure_future(read_message(reader))
+            writer.write(http_request(kind, request_id=request_id, body=body, Req_Deadline="500"))
+            got = asyncio.ensure_future(read_http_message(reader))
             if leaves is not None:
                 for _ in range(leaves):
                     await asyncio.sleep(0)
@@ -262,7 +265,7 @@
                 still = still + 1 if self.news == seen and not self.late else 0
                 seen = self.news
             self.step += 1
-            self.clock.step(STEP_S)
+            self.clock.advance(STEP_S)
         for task in tasks:
             task.result()
 
@@ -280,20 +283,20 @@
         worlds: list[World] = []
 
         def handle(cell: int) -> Handle:
-            async def handle(wire: Wire, got: Message) -> None:
+            async def handle(wire: Wire, got: HttpMessage) -> None:
                 await worlds[0].backend(cell)(wire, got)
 
             return handle
 
         backends: list[Bare] = [await stack.enter_async_context(bare(handle(n % 2))) for n in range(6)]
-        entries = [entry(f"s-{n}", b.port, pod_group=n % 2) for n, b in enumerate(backends)]
+        entries = [endpoint_entry(f"s-{n}", b.port, pod_group=n % 2) for n, b in enumerate(backends)]
         p = await stack.enter_async_context(
-            proxy(
+            running_proxy(
                 *entries,
-                entry("s-closed", closed.getsockname()[1]),
-                setup=settings(classes=CLASSES, limits=limits),
-                connect_s=CONNECT_S,
-                idle_s=9000.0,
+                endpoint_entry("s-closed", closed.getsockname()[1]),
+                settings=settings(classes=CLASSES, limits=limits),
+                connect_timeout_s=CONNECT_S,
+                idle_timeout_s=9000.0,
             )
         )
         world = World(seed, p)
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -11,13 +11,17 @@
 from load_balancer.net.client import client_limits
 from load_balancer.net.client.client_listener import ClientListener
 from tests.net.client.test_malformed_requests import CHUNKED, lines
-from tests.support.client_helpers import Client, settled, silent_backend, status, streams
-from tests.support.loopback import SteppedClock, answer, backend, call, entry, proxy, read_message, until
+from tests.support.client_helpers import Client, streams
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
+from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
 DUE_S = 3.0  # from its connect, or from the first byte of a later request, to an error or a close
 LATE_S = 0.15  # the event loop is late by so much, as it takes a client in and whenever it checks it
 
-COMPLETE = call("mark", request_id="stalled", body=b"x" * 2_000)
+COMPLETE = http_request("mark", request_id="stalled", body=b"x" * 2_000)
 HEAD = len(COMPLETE) - 2_000
 STOPS = {
     "in the first line": COMPLETE[:9],
@@ -31,7 +35,7 @@
     "in a chunk": CHUNKED + b"5\r\nab",
     "between chunks": CHUNKED + b"5\r\nabcde\r\n",
     "before the last chunk": CHUNKED + b"5\r\nabcde\r\n0\r\n",
-    "after a 100": call("mark", request_id="stalled", Expect="100-continue", Content_Length="9"),
+    "after a 100": http_request("mark", request_id="stalled", Expect="100-continue", Content_Length="9"),
 }
 
 
@@ -43,10 +47,10 @@
         listener._sweep_timer.cancel()
 
     async def sweep(self) -> None:
-        self._clock.step(client_limits.SWEEP_INTERVAL_S + LATE_S)
+        self._clock.advance(client_limits.SWEEP_INTERVAL_S + LATE_S)
         self._listener._sweep()
         self._listener._sweep_timer.cancel()
-        await settled()
+        await run_loop_turns()
 
 
 def error_or_close(client: Client) -> bool:
@@ -69,20 +73,23 @@
 ) -> None:
     """Wherever it stops, with each sweep late, and also during the shutdown."""
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
         clock, client = SteppedClock(), Client(p)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         late = Late(p.listener, clock)
         if when == "after a good one":
-            client.send(call(request_id="good"))
+            client.send(http_request(request_id="good"))
             reader, writer = await streams(client)
-            assert status(await read_message(reader)) == 200
-            clock.step(5.0)  # an idle one may stay for longer
-            await settled()
-        began = clock.ahead - LATE_S  # it was taken in that late
+            assert response_status(await read_http_message(reader)) == 200
+            clock.advance(5.0)  # an idle one may stay for longer
+            await run_loop_turns()
+        began = clock.advanced_s - LATE_S  # it was taken in that late
         client.send(STOPS[stop])
         [connection] = p.clients.open_connections
-        await until(lambda: not connection.is_idle)
+        await wait_until(lambda: not connection.is_idle)
         if when == "at the end":
             p.clients.is_shutting_down = True
             p.listener.stop_listening()
@@ -91,7 +98,7 @@
             if when == "at the end":
                 p.listener.close_idle_connections()
             await late.sweep()
-            assert clock.ahead - began <= DUE_S
+            assert clock.advanced_s - began <= DUE_S
         if when != "after a good one":
             assert error_or_close(client)
         else:
@@ -100,7 +107,7 @@
                 assert b"HTTP/1.1 2" not in await reader.read()
             writer.close()
         client.socket.close()
-        assert len(b.seen) == (when == "after a good one")
+        assert len(b.received) == (when == "after a good one")
         assert not p.clients.open_request_ids
         assert p.clients.buffered.size_bytes == 0
         assert not lines(caplog)
@@ -113,7 +120,7 @@
 DRIBBLES: dict[str, Callable[[], Iterator[bytes]]] = {
     "a header": lambda: dribble(COMPLETE[:60], b"x"),
     "headers": lambda: dribble(COMPLETE[:60] + b"\r\n", b"X: y\r\n"),
-    "a body": lambda: dribble(call("mark", request_id="stalled", Content_Length="60000"), b"x"),
+    "a body": lambda: dribble(http_request("mark", request_id="stalled", Content_Length="60000"), b"x"),
     "chunks": lambda: dribble(CHUNKED, b"1\r\nx\r\n"),
     "empty lines": lambda: dribble(b"\r\n", b"\r\n"),
 }
@@ -126,11 +133,14 @@
 ) -> None:
     """Each byte comes between the event loop's last reading and the check, forced; each check is late."""
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
         clock, client = SteppedClock(), Client(p)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         late = Late(p.listener, clock)
-        began = clock.ahead - LATE_S
+        began = clock.advanced_s - LATE_S
         [connection] = p.clients.open_connections
         check = connection.check_time_limits
 
@@ -140,17 +150,17 @@
             check(now_s)
 
         connection.check_time_limits = crossed  # type: ignore[method-assign]
-        clock.step(first_sweep_s)
+        clock.advance(first_sweep_s)
         sent = DRIBBLES[kind]()
         while p.clients.open_connections:
             await late.sweep()
             if connection._has_final_check:
-                clock.step(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
-                await settled()
-            assert clock.ahead - began <= DUE_S
+                clock.advance(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
+                await run_loop_turns()
+            assert clock.advanced_s - began <= DUE_S
         assert error_or_close(client)
         client.socket.close()
-        assert not b.seen
+        assert not b.received
         assert p.clients.buffered.size_bytes == 0
         assert not lines(caplog)
 
@@ -159,25 +169,25 @@
 async def test_a_request_that_crosses_the_final_check_is_answered(fresh: bool) -> None:
     """It is with the system as the time of its connection is over."""
 
-    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
         clock, client = SteppedClock(), Client(p)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         late = Late(p.listener, clock)
         [connection] = p.clients.open_connections
         if not fresh:
-            client.send(call(path="/ready"))
-            await until(lambda: connection in p.clients.idle_connections)
-        clock.step(
+            client.send(http_request(path="/ready"))
+            await wait_until(lambda: connection in p.clients.idle_connections)
+        clock.advance(
             (client_limits.REQUEST_TIMEOUT_S if fresh else client_limits.KEEP_ALIVE_TIMEOUT_S)
             + client_limits.PARTIAL_REQUEST_GRACE_S
         )
-        client.send(call(request_id="crossing"))
+        client.send(http_request(request_id="crossing"))
         connection.check_time_limits(p.listener.loop.time())
-        clock.step(client_limits.FINAL_CHECK_DELAY_S)
-        await until(lambda: bool(b.seen))
+        clock.advance(client_limits.FINAL_CHECK_DELAY_S)
+        await wait_until(lambda: bool(b.received))
         for _ in range(5):
             await late.sweep()
         assert connection in p.clients.open_connections
         assert p.clients.open_request_ids == {b"crossing"}
         client.leave("RST")
-        await until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not p.clients.open_connections)
--- a/tests/net/discovery/test_discovery_moves.py
+++ b/tests/net/discovery/test_discovery_moves.py
@@ -20,24 +20,17 @@
 from load_balancer.process.server import Reloader
 from tests.support.balancer_harness import S, settings
 from tests.support.discovery_helpers import watch_tasks
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Peer,
-    Proxy,
-    SteppedClock,
-    answer,
-    backend,
-    call,
-    chunk,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    proxy,
-    read_message,
-    until,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.proxy_process import config, port_of, process, write
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock, wait_until
 
 MOVED_S = 4.0  # what discovery has to tell counts as told this long after SIGHUP
 TURN_S = 2.0  # a crowded discovery answers so late
@@ -69,23 +62,25 @@
         return f"{self.name}-{self.rev}"
 
     def list_now(self) -> dict[str, object]:
-        return listing(entry(self.uid, 9), rev=self.rev)
+        return endpoint_list(endpoint_entry(self.uid, 9), rev=self.rev)
 
     def changes(self, since: int) -> dict[str, object]:
-        gone = [entry(f"{self.name}-{rev}", 9, "terminated") for rev in range(since, self.rev)]
-        return listing(*gone, entry(self.uid, 9), rev=self.rev, full=False)
+        gone = [endpoint_entry(f"{self.name}-{rev}", 9, "terminated") for rev in range(since, self.rev)]
+        return endpoint_list(*gone, endpoint_entry(self.uid, 9), rev=self.rev, full=False)
 
     def change(self) -> None:
         """Tells a new version on the watches that stand."""
         self.rev += 1
         for writer in self.open:
-            writer.write(chunk_list(self.changes(self.rev - 1)))
+            writer.write(endpoint_list_chunk(self.changes(self.rev - 1)))
 
     def answer(self, since: int | None) -> bytes:
         if since is None or not self.first <= since <= self.rev:
             self.whole += 1
-            return WATCH_HEAD + chunk_list(self.list_now())
-        return WATCH_HEAD + (chunk_list(self.changes(since)) if since < self.rev else chunk("\n"))
+            return WATCH_RESPONSE_HEAD + endpoint_list_chunk(self.list_now())
+        return WATCH_RESPONSE_HEAD + (
+            endpoint_list_chunk(self.changes(since)) if since < self.rev else http_chunk("\n")
+        )
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         target = (await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1]
@@ -103,27 +98,27 @@
 
 async def pass_until(clock: SteppedClock, holds: Callable[[], bool], most_s: float = 20.0) -> float:
     """Moves time on until something holds; the seconds that it took."""
-    began = clock.ahead
+    began = clock.advanced_s
     while not holds():
-        assert clock.ahead - began < most_s, "it never came"
-        clock.step(STEP_S)
+        assert clock.advanced_s - began < most_s, "it never came"
+        clock.advance(STEP_S)
         for _ in range(TURNS):
             await asyncio.sleep(0)
-    return clock.ahead - began
+    return clock.advanced_s - began
 
 
 @contextmanager
-def one_clock(clock: SteppedClock, p: Proxy) -> Iterator[None]:
+def one_clock(clock: SteppedClock, p: LoopbackProxy) -> Iterator[None]:
     """The module's clock goes with the event loop's."""
     real = p.driver._clock.now_us
-    p.driver._clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
+    p.driver._clock.now_us = lambda: real() + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
     yield
 
 
 class Play:
     """A proxy, the discovery that it follows, and another one."""
 
-    def __init__(self, p: Proxy, clock: SteppedClock, a: Versions, b: Versions) -> None:
+    def __init__(self, p: LoopbackProxy, clock: SteppedClock, a: Versions, b: Versions) -> None:
         self.p, self.clock, self.a, self.b = p, clock, a, b
         self.ports: dict[str, int] = {}
 
@@ -144,9 +139,9 @@
     if known:
         a.rev = 2
     async with (
-        peer(a.handle) as pa,
-        peer(b.handle) as pb,
-        proxy(*known, setup=setup, discovery=pa.port) as p,
+        StandInServer(a.handle) as pa,
+        StandInServer(b.handle) as pb,
+        running_proxy(*known, settings=setup, discovery_port=pa.port) as p,
     ):
         with one_clock(clock, p):
             made = Play(p, clock, a, b)
@@ -186,12 +181,12 @@
 
 
 async def spoilt(play: Play) -> None:
-    play.a.open[0].write(chunk('{"rev":42,"all":false,"targets":[{"uid":"x","state":"odd"}]}\n'))
+    play.a.open[0].write(http_chunk('{"rev":42,"all":false,"targets":[{"uid":"x","state":"odd"}]}\n'))
     await pass_until(play.clock, lambda: len(play.a.asked) == 2)
 
 
 async def half_a_list(play: Play) -> None:
-    play.a.open[0].write(chunk('{"rev":42,"all":true,"targets":['))
+    play.a.open[0].write(http_chunk('{"rev":42,"all":true,"targets":['))
     await pass_until(play.clock, lambda: len(play.a.asked) == 2)
 
 
@@ -256,7 +251,7 @@
 
 @BOTH
 async def test_a_cached_list_saves_the_complete_one_at_the_start(setup: messages.Settings) -> None:
-    async with play(setup, entry("a-1", 9)) as made:
+    async with play(setup, endpoint_entry("a-1", 9)) as made:
         await made.follows(made.a)
         assert made.a.whole == 0
         assert made.a.asked == ["/v1/endpoints?follow=1&since=1"]
@@ -265,7 +260,7 @@
 class Reloads:
     """A configuration file, and a SIGHUP for each discovery that it comes to name."""
 
-    def __init__(self, folder: Path, p: Proxy, port: int) -> None:
+    def __init__(self, folder: Path, p: LoopbackProxy, port: int) -> None:
         self.folder = folder
         source = ConfigSource(write(folder, config(discovery=f"127.0.0.1:{port}")))
         self.reloader = Reloader(source, source.read(), p.driver)
@@ -308,7 +303,7 @@
         await reader.readuntil(b"\r\n\r\n")
         self.asked.append("")
         whole = self.answer(None)
-        said = {"half a list": whole[:-20], "half a head": whole[:9], "turns away": answer(503)}
+        said = {"half a list": whole[:-20], "half a head": whole[:9], "turns away": http_response(503)}
         writer.write(said.get(self.mood, b""))
         if self.mood in ("turns away", "ends at once"):
             return
@@ -321,9 +316,9 @@
 
 
 @asynccontextmanager
-async def moody(name: str, mood: str) -> AsyncIterator[tuple[Moody, Peer]]:
+async def moody(name: str, mood: str) -> AsyncIterator[tuple[Moody, StandInServer]]:
     made = Moody(name, mood)
-    async with peer(made.handle) as p:
+    async with StandInServer(made.handle) as p:
         if mood == "refuses":
             assert p.server is not None
             p.server.close()
@@ -348,13 +343,13 @@
             reloads.name(port.port)
             await pass_until(made.clock, lambda: True)
             if apart_s:
-                began = made.clock.ahead
-                await pass_until(made.clock, lambda began=began: made.clock.ahead >= began + apart_s)  # type: ignore[misc]
+                began = made.clock.advanced_s
+                await pass_until(made.clock, lambda began=began: made.clock.advanced_s >= began + apart_s)  # type: ignore[misc]
         reloads.name(last_peer.port)
         waited = 0.0
         if setup is ASKED:
-            began = made.clock.ahead
-            waited = await pass_until(made.clock, lambda: made.clock.ahead >= began + TURN_S)
+            began = made.clock.advanced_s
+            waited = await pass_until(made.clock, lambda: made.clock.advanced_s >= began + TURN_S)
             last.silent = False
             [writer] = last.open
             writer.write(last.answer(None))
@@ -363,7 +358,7 @@
         assert last.whole == 1
         assert len(last.asked) == 1
         # What the others say by now, be it on a connection that they still hold, is nobody's news.
-        await until(lambda: not made.a.open and not any(left.open for left, _ in on_the_way))
+        await wait_until(lambda: not made.a.open and not any(left.open for left, _ in on_the_way))
         assert watch_tasks() == 1
         assert made.p.driver._watch._task is not None
         calls = [len(left.asked) for left, _ in on_the_way], len(made.a.asked)
@@ -402,18 +397,20 @@
 
     async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("b", b.port), rev=2))
+        )
         told.set()
         await reader.read()
 
     asked, told = asyncio.Event(), asyncio.Event()
     async with (
-        backend(answer(200, b"b")) as b,
-        peer(never) as c,
-        peer(never) as d,
-        peer(tell) as e,
+        StandInEndpoint(http_response(200, b"b")) as b,
+        StandInServer(never) as c,
+        StandInServer(never) as d,
+        StandInServer(tell) as e,
     ):
-        known = listing(entry("a", 9), rev=1)
+        known = endpoint_list(endpoint_entry("a", 9), rev=1)
         file = config(discovery=f"127.0.0.1:{c.port}", known=known)
         async with process(write(tmp_path, file)) as made:
             port = await port_of(made)
@@ -429,9 +426,9 @@
             status = b""
             while status != b"b":
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(call())
-                status = (await read_message(reader))[2]
+                writer.write(http_request())
+                status = (await read_http_message(reader))[2]
                 writer.close()
-            assert (c.connections, d.connections, e.connections) == (2, 1, 1)
+            assert (c.connection_count, d.connection_count, e.connection_count) == (2, 1, 1)
             while len(os.listdir(f"/proc/{made.pid}/fd")) > descriptors + 1:  # one to the backend
                 await asyncio.sleep(0.01)
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -28,21 +28,17 @@
     watch_tasks,
     watched,
 )
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Proxy,
-    SteppedClock,
-    answer,
-    backend,
-    call,
-    chunk,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    read_message,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
+from tests.support.loopback_proxy import LoopbackProxy
 from tests.support.proxy_process import LIMITS, config, free_port, port_of, process, raw_settings, write
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock
 
 JUMPS = 300  # of the clock in an outage, however long
 LINES_MOST = (
@@ -51,18 +47,18 @@
 
 
 def half_a_list_and_reset(call: Call) -> None:
-    call.say(WATCH_HEAD + list_of(6)[:30])
+    call.say(WATCH_RESPONSE_HEAD + list_of(6)[:30])
     call.writer.transport.abort()
 
 
 OUTAGES: dict[str, Callable[[Call], None]] = {
-    "turned away": lambda call: call.say(answer(503), end=True),
+    "turned away": lambda call: call.say(http_response(503), end=True),
     "reset": lambda call: call.writer.transport.abort(),
     "ends at once": lambda call: call.say(b"", end=True),
     "silent": lambda call: None,
-    "a head": lambda call: call.say(WATCH_HEAD),
-    "half a head": lambda call: call.say(WATCH_HEAD[:20]),
-    "half a list": lambda call: call.say(WATCH_HEAD + list_of(6)[:30]),
+    "a head": lambda call: call.say(WATCH_RESPONSE_HEAD),
+    "half a head": lambda call: call.say(WATCH_RESPONSE_HEAD[:20]),
+    "half a list": lambda call: call.say(WATCH_RESPONSE_HEAD + list_of(6)[:30]),
     "half a list, then reset": half_a_list_and_reset,
     "noise": lambda call: call.say(b"\x00\xff\r\n\r\n"),
 }
@@ -70,7 +66,7 @@
 
 async def outage(clock: SteppedClock, seconds: float) -> None:
     for _ in range(JUMPS):
-        clock.step(seconds / JUMPS)
+        clock.advance(seconds / JUMPS)
         for _ in range(30):
             await asyncio.sleep(0)
 
@@ -79,7 +75,7 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def all_is_small(d: Discovery, p: Proxy) -> None:
+def all_is_small(d: Discovery, p: LoopbackProxy) -> None:
     """Nothing of the calls that failed is left."""
     assert sum(not call.over.is_set() for call in d.calls) <= 1
     assert watch_tasks() <= 1
@@ -98,7 +94,7 @@
 
     async with watched(setup) as (d, p, clock):
         await step(clock, lambda: len(d.calls) == 1)
-        d.calls[0].say(WATCH_HEAD + list_of(1))
+        d.calls[0].say(WATCH_RESPONSE_HEAD + list_of(1))
         await step(clock, lambda: p.driver._watch.version == 1)
         before = descriptors()
         d.meet = OUTAGES[mood]
@@ -147,10 +143,10 @@
         assert len(d.calls) == 40
 
 
-async def served_as(rev: int, d: Discovery, p: Proxy, clock: SteppedClock) -> float:
+async def served_as(rev: int, d: Discovery, p: LoopbackProxy, clock: SteppedClock) -> float:
     """Has the call that is out told this version after its longest time in the queue."""
     waited = await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
-    d.calls[-1].say(WATCH_HEAD + list_of(rev))
+    d.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(rev))
     waited += await step(clock, lambda: p.driver._watch.version == rev, 1.0)
     assert p.driver._watch.version == rev
     return waited
@@ -166,11 +162,11 @@
     async with watched(setup) as (d, p, clock):
         for rev in range(1, 21):
             await step(clock, lambda rev=rev: len(d.calls) >= rev)  # type: ignore[misc]
-            d.calls[-1].say(WATCH_HEAD + list_of(rev))
+            d.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(rev))
             await step(clock, lambda rev=rev: p.driver._watch.version == rev, 1.0)  # type: ignore[misc]
             if beats:
                 await step(clock, lambda: False, 2.0)
-                d.calls[-1].say(chunk("\n"))
+                d.calls[-1].say(http_chunk("\n"))
             assert await next_call(d, clock) < LIST_DEADLINE_S - TURN_S
             all_is_small(d, p)
 
@@ -185,12 +181,18 @@
         await reader.readuntil(b"\r\n\r\n")
         asked.set()
         await turn.wait()
-        news = listing(entry("a", a.port, "terminating"), entry("b", b.port), rev=7, full=False)
-        writer.write(WATCH_HEAD + chunk_list(news))
+        news = endpoint_list(
+            endpoint_entry("a", a.port, "terminating"), endpoint_entry("b", b.port), rev=7, full=False
+        )
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(news))
         await reader.read()
 
     asked, turn = asyncio.Event(), asyncio.Event()
-    async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b, peer(slow) as d:
+    async with (
+        StandInEndpoint(http_response(200, b"a")) as a,
+        StandInEndpoint(http_response(200, b"b")) as b,
+        StandInServer(slow) as d,
+    ):
         for _ in range(2):  # killed outright and started again, under its name and address
             turn.clear()
             asked.clear()
@@ -198,7 +200,7 @@
             told = config(
                 listen=f"127.0.0.1:{port}",
                 discovery=f"127.0.0.1:{d.port}",
-                known=listing(entry("a", a.port), rev=1),
+                known=endpoint_list(endpoint_entry("a", a.port), rev=1),
                 settings=raw_settings(limits=LIMITS, registryMode=mode),
             )
             async with process(write(tmp_path, told)) as made:
@@ -216,7 +218,7 @@
                         assert line, "it ended"
                 for n in range(10):
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    writer.write(call(request_id=f"r{n}"))
-                    assert (await read_message(reader))[2] == b"b"
+                    writer.write(http_request(request_id=f"r{n}"))
+                    assert (await read_http_message(reader))[2] == b"b"
                     writer.close()
-        assert a.seen == []
+        assert a.received == []
--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -8,7 +8,9 @@
 
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
-from tests.support.loopback import WATCH_HEAD, peer, until
+from tests.support.endpoint_lists import WATCH_RESPONSE_HEAD
+from tests.support.stand_in_server import StandInServer
+from tests.support.stepped_clock import wait_until
 
 USUAL, MOST = 200, 3_200
 TIMES, PLUS, PLUS_EACH = 2.0, 64_000, 500  # what the terms allow of the usual bytes, and for each backend
@@ -39,7 +41,7 @@
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         target = (await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1]
         found = re.search(r"since=(\d+)", target)
-        writer.write(WATCH_HEAD)
+        writer.write(WATCH_RESPONSE_HEAD)
         if found is None:
             self.say(writer, True, list(self.now.values()))
         else:
@@ -89,14 +91,14 @@
 
     async def told(self) -> None:
         """Until it holds what discovery has, with one watch open."""
-        await until(lambda: self.watch.version == self.fleet.rev and len(self.fleet.open) == 1)
+        await wait_until(lambda: self.watch.version == self.fleet.rev and len(self.fleet.open) == 1)
         assert self.held.keys() == self.fleet.now.keys()
 
 
 async def course(backends: int) -> Fleet:
     """Half of the backends are replaced, with trouble on the way, and discovery moves once."""
     fleet = Fleet(backends)
-    async with peer(fleet.handle) as first, peer(fleet.handle) as second:
+    async with StandInServer(fleet.handle) as first, StandInServer(fleet.handle) as second:
         follower = Follower((first.port, second.port), fleet)
         follower.watch.start()
         await follower.told()
@@ -110,14 +112,14 @@
                 await follower.told()
             elif n == 60:
                 fleet.open[0].write(b"9\r\nnonsense\n\r\n")
-                await until(lambda: follower.watch._task is None)
+                await wait_until(lambda: follower.watch._task is None)
                 await follower.told()
             elif n == 80:  # a new configuration, and the old one again before anything came
                 follower.watch.move(follower.at[1])
                 follower.watch.move(follower.at[0])
                 await follower.told()
         follower.watch.move(follower.at[1])
-        await until(lambda: not any(w.get_extra_info("sockname")[1] == first.port for w in fleet.open))
+        await wait_until(lambda: not any(w.get_extra_info("sockname")[1] == first.port for w in fleet.open))
         await follower.told()
         follower.watch.close()
         return fleet
--- a/tests/net/discovery/test_endpoint_list_json.py
+++ b/tests/net/discovery/test_endpoint_list_json.py
@@ -8,10 +8,7 @@
 
 from load_balancer.errors import WireError
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
-from tests.support.loopback import (
-    entry,
-    listing,
-)
+from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 
 
 def test_a_uid_has_the_same_number_everywhere() -> None:
@@ -20,16 +17,18 @@
 
 
 def test_a_start_is_read_as_microseconds_of_unix_time() -> None:
-    [warm, cold] = read_list(listing(entry("a", 1), entry("b", 1, boot_ms=1_700_000_000_123))).endpoints
+    [warm, cold] = read_list(
+        endpoint_list(endpoint_entry("a", 1), endpoint_entry("b", 1, boot_ms=1_700_000_000_123))
+    ).endpoints
     assert (warm.incarnation_us, cold.incarnation_us) == (0, 1_700_000_000_123_000)
 
 
 def test_an_invalid_entry_is_named() -> None:
     with pytest.raises(WireError, match=r"targets\[1\]\.endpoint"):
-        read_list(listing(entry("a", 1), {**entry("b", 1), "endpoint": "nowhere"}))
+        read_list(endpoint_list(endpoint_entry("a", 1), {**endpoint_entry("b", 1), "endpoint": "nowhere"}))
 
 
 def test_a_uid_with_half_a_surrogate_pair_is_read() -> None:
     """JSON may hold one."""
-    text = json.dumps(listing(entry("\ud800", 9)))
+    text = json.dumps(endpoint_list(endpoint_entry("\ud800", 9)))
     assert list(read_list(json.loads(text)).uids) == [endpoint_number("\ud800")]
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -12,20 +12,16 @@
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, join_changes, read_list
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
 from tests.support.balancer_harness import settings
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Handler,
-    Peer,
-    SteppedClock,
-    answer,
-    chunk,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    proxy,
-    until,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import http_chunk, http_response
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInServer, StreamHandler
+from tests.support.stepped_clock import SteppedClock, wait_until
 
 
 async def ask(reader: asyncio.StreamReader) -> str:
@@ -36,7 +32,7 @@
 class Watched:
     """A watch, and what came of it."""
 
-    def __init__(self, on: Peer, silence_s: float = 60.0) -> None:
+    def __init__(self, on: StandInServer, silence_s: float = 60.0) -> None:
         self.news: asyncio.Queue[EndpointListMessage | None] = asyncio.Queue()
         self.crossed = False
         self.watch = EndpointWatch(
@@ -50,13 +46,15 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         asked.append(await ask(reader))
-        full = chunk_list(listing(entry("s-1", 9), rev=41))
-        writer.write(WATCH_HEAD + full[:20])
+        full = endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=41))
+        writer.write(WATCH_RESPONSE_HEAD + full[:20])
         await writer.drain()
-        changed = chunk_list(listing(entry("s-1", 9, "terminating"), rev=43, full=False))
-        writer.write(full[20:] + chunk("\n") + changed + b"0\r\n\r\n")
+        changed = endpoint_list_chunk(
+            endpoint_list(endpoint_entry("s-1", 9, "terminating"), rev=43, full=False)
+        )
+        writer.write(full[20:] + http_chunk("\n") + changed + b"0\r\n\r\n")
 
-    async with peer(handle) as d:
+    async with StandInServer(handle) as d:
         w = Watched(d)
         first, second, end = [await w.news.get() for _ in range(3)]
         assert first
@@ -82,12 +80,12 @@
 @pytest.mark.parametrize(
     "said",
     [
-        answer(503),
+        http_response(503),
         b"",
-        WATCH_HEAD,
-        WATCH_HEAD + b"0\r\n\r\n",
-        WATCH_HEAD + chunk("{\n"),
-        WATCH_HEAD + chunk('{"rev":1,"all":true,"targets":[{"uid":"a","state":"odd"}]}\n'),
+        WATCH_RESPONSE_HEAD,
+        WATCH_RESPONSE_HEAD + b"0\r\n\r\n",
+        WATCH_RESPONSE_HEAD + http_chunk("{\n"),
+        WATCH_RESPONSE_HEAD + http_chunk('{"rev":1,"all":true,"targets":[{"uid":"a","state":"odd"}]}\n'),
         b"nonsense\r\n\r\n",
     ],
 )
@@ -96,22 +94,22 @@
         await ask(reader)
         writer.write(said)
 
-    async with peer(handle) as d:
+    async with StandInServer(handle) as d:
         w = Watched(d)
         assert await w.news.get() is None
         assert w.news.empty()
-        assert d.connections == 1
+        assert d.connection_count == 1
         assert "watch on discovery broke" in caplog.text
 
 
 @pytest.mark.parametrize("cut", [1, 7, 65536])
 async def test_lists_may_be_indented_and_split_anywhere(cut: int) -> None:
     """Only braces outside of strings tell where a list ends; a line's end within one tells nothing."""
-    odd = {**entry("s-1", 9), "note": 'a "brace\\" } and ] in {words}, \\ and a line\n'}
+    odd = {**endpoint_entry("s-1", 9), "note": 'a "brace\\" } and ] in {words}, \\ and a line\n'}
     lists = [
-        listing(odd, entry("s-2", 9), rev=41),
-        listing(entry("s-1", 9, "terminating"), rev=42, full=False),
-        listing(rev=43, full=False),
+        endpoint_list(odd, endpoint_entry("s-2", 9), rev=41),
+        endpoint_list(endpoint_entry("s-1", 9, "terminating"), rev=42, full=False),
+        endpoint_list(rev=43, full=False),
     ]
     text = (
         "\n".join("\n" + json.dumps(news, indent=by) for news, by in zip(lists, (2, None, 1), strict=True))
@@ -120,12 +118,12 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await ask(reader)
-        writer.write(WATCH_HEAD)
+        writer.write(WATCH_RESPONSE_HEAD)
         for at in range(0, len(text), cut):
-            writer.write(chunk(text[at : at + cut]))
+            writer.write(http_chunk(text[at : at + cut]))
         await reader.read()
 
-    async with peer(handle) as d:
+    async with StandInServer(handle) as d:
         w = Watched(d)
         # Changes that come in one read are one list, and chance says which ones do.
         got: list[EndpointListMessage] = []
@@ -145,20 +143,20 @@
 ) -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await ask(reader)
-        writer.write(WATCH_HEAD)
+        writer.write(WATCH_RESPONSE_HEAD)
         for _ in range(8):
-            clock.step(40.0)
-            writer.write(chunk("\n"))
+            clock.advance(40.0)
+            writer.write(http_chunk("\n"))
             for _ in range(20):  # for it to be read
                 await asyncio.sleep(0)
-        writer.write(chunk_list(listing(entry("s-1", 9))))
+        writer.write(endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9))))
         await reader.read()  # and says nothing more
 
     clock = SteppedClock()
-    async with peer(handle) as d:
+    async with StandInServer(handle) as d:
         w = Watched(d, silence_s=60.0)
         assert await w.news.get() is not None
-        clock.step(61.0)
+        clock.advance(61.0)
         assert await w.news.get() is None
         assert "broke: silent" in caplog.text
 
@@ -175,18 +173,22 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await ask(reader)
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("s-1", 9))) + chunk('{"rev":2,'))
+        writer.write(
+            WATCH_RESPONSE_HEAD
+            + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9)))
+            + http_chunk('{"rev":2,')
+        )
         await reader.read()
 
     clock = SteppedClock()
-    async with peer(handle) as d:
+    async with StandInServer(handle) as d:
         w = Watched(d, silence_s=60.0)
         assert await w.news.get() is not None
         monkeypatch.setattr(asyncio.StreamReader, "feed_data", note)
         for n in range(1, 4):
-            clock.step(25.0)
-            d.writers[0].write(chunk("-"))
-            await until(lambda n=n: read.count(b"-") == n or not w.news.empty())  # type: ignore[misc]
+            clock.advance(25.0)
+            d.writers[0].write(http_chunk("-"))
+            await wait_until(lambda n=n: read.count(b"-") == n or not w.news.empty())  # type: ignore[misc]
         assert await w.news.get() is None
 
 
@@ -195,13 +197,15 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         asked.append(await ask(reader))
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("s-1", 9), rev=41)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=41))
+        )
         await reader.read()
 
     def fail(news: EndpointListMessage) -> None:
         raise RuntimeError("not taken over")
 
-    async with peer(handle) as d:
+    async with StandInServer(handle) as d:
         w = Watched(d)
         w.watch._on_list = fail
         assert await w.news.get() is None
@@ -218,19 +222,22 @@
 async def step_until(clock: SteppedClock, holds: Callable[[], bool]) -> None:
     """Moves the clock on in small steps, each with time for what it sets off."""
     while not holds():
-        clock.step(0.05)
+        clock.advance(0.05)
         for _ in range(20):
             await asyncio.sleep(0)
 
 
-def silent_watches(*silent: int) -> Handler:
+def silent_watches(*silent: int) -> StreamHandler:
     """Brings a list to each connection and then no more; those of these numbers get nothing at all."""
     seen: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         seen.append(await ask(reader))
         if len(seen) not in silent:
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("s-1", 9), rev=len(seen))))
+            writer.write(
+                WATCH_RESPONSE_HEAD
+                + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=len(seen)))
+            )
         await reader.read()
 
     return handle
@@ -247,10 +254,13 @@
 
     clock = SteppedClock()
     setup = settings(must_subscribe=must_subscribe)
-    async with peer(silent_watches(*silent)) as d, proxy(discovery=d.port, setup=setup) as p:
-        await until(lambda: p.driver._watch.version == 1)
+    async with (
+        StandInServer(silent_watches(*silent)) as d,
+        running_proxy(discovery_port=d.port, settings=setup) as p,
+    ):
+        await wait_until(lambda: p.driver._watch.version == 1)
         await step_until(clock, lambda: p.driver._watch.version == 2 + len(silent))
-        assert clock.ahead < in_time
+        assert clock.advanced_s < in_time
 
 
 @pytest.mark.parametrize(("must_subscribe", "silent"), [(False, (1, 2)), (True, (1,))])
@@ -262,14 +272,14 @@
     clock = SteppedClock()
     setup = settings(must_subscribe=must_subscribe)
     async with (
-        peer(silent_watches()) as old,
-        peer(silent_watches(*silent)) as new,
-        proxy(discovery=old.port, setup=setup) as p,
+        StandInServer(silent_watches()) as old,
+        StandInServer(silent_watches(*silent)) as new,
+        running_proxy(discovery_port=old.port, settings=setup) as p,
     ):
-        await until(lambda: p.driver._watch.version == 1)
+        await wait_until(lambda: p.driver._watch.version == 1)
         p.driver.move_discovery(("127.0.0.1", new.port))
         await step_until(clock, lambda: p.driver._watch.version == 1 + len(silent))
-        assert clock.ahead < 4.0
+        assert clock.advanced_s < 4.0
 
 
 async def test_where_lists_are_polled_a_call_may_wait_in_discoverys_queue() -> None:
@@ -279,19 +289,27 @@
         await ask(reader)
         asked.set()
         await turn.wait()
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("s-1", 9), rev=7)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=7))
+        )
         await reader.read()
 
     asked, turn, clock = asyncio.Event(), asyncio.Event(), SteppedClock()
-    async with peer(handle) as d, proxy(discovery=d.port, setup=settings(must_subscribe=True)) as p:
+    async with (
+        StandInServer(handle) as d,
+        running_proxy(discovery_port=d.port, settings=settings(must_subscribe=True)) as p,
+    ):
         await asked.wait()
-        await step_until(clock, lambda: clock.ahead > 2.2)
+        await step_until(clock, lambda: clock.advanced_s > 2.2)
         turn.set()
-        await until(lambda: p.driver._watch.version == 7 or d.connections > 1)
-        assert d.connections == 1
+        await wait_until(lambda: p.driver._watch.version == 7 or d.connection_count > 1)
+        assert d.connection_count == 1
 
 
-@pytest.mark.parametrize("said", [chunk_list(listing(entry("s-2", 9), rev=2)), chunk("nonsense\n"), b""])
+@pytest.mark.parametrize(
+    "said",
+    [endpoint_list_chunk(endpoint_list(endpoint_entry("s-2", 9), rev=2)), http_chunk("nonsense\n"), b""],
+)
 @pytest.mark.parametrize("then", ["move", "close"])
 async def test_a_watch_that_breaks_as_it_is_moved_or_closed_ends_once(
     said: bytes, then: str, monkeypatch: pytest.MonkeyPatch
@@ -300,12 +318,14 @@
 
     async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await ask(reader)
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("s-1", 9), rev=1)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=1))
+        )
         await go_on.wait()
         writer.write(said)
 
     go_on = asyncio.Event()
-    async with peer(old) as d, peer(silent_watches()) as e:
+    async with StandInServer(old) as d, StandInServer(silent_watches()) as e:
         w = Watched(d)
         first = await w.news.get()
         assert first
@@ -325,14 +345,14 @@
         cross("feed_data")
         cross("feed_eof")
         go_on.set()
-        await until(lambda: w.crossed)
+        await wait_until(lambda: w.crossed)
         if then == "move":
             second = await w.news.get()
             assert second
-            assert (second.version, e.connections) == (1, 1)
+            assert (second.version, e.connection_count) == (1, 1)
             assert w.watch._task is not None
         for _ in range(20):
             await asyncio.sleep(0)
         assert w.news.empty()
-        assert d.connections == 1
+        assert d.connection_count == 1
         w.watch.close()
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -16,31 +16,30 @@
     join_changes,
     read_list,
 )
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Proxy,
-    chunk,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    proxy,
-    run,
-    until,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import http_chunk
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stand_in_server import StandInServer
+from tests.support.stepped_clock import wait_until
+from tests.support.time_limit import run_in_event_loop
 
 STATES = ("in_service", "in_service", "terminating", "terminated")
 
 
 def change(*entries: dict[str, object], rev: int) -> dict[str, object]:
-    return listing(*entries, rev=rev, full=False)
+    return endpoint_list(*entries, rev=rev, full=False)
 
 
 def names(*uids: str) -> set[int]:
     return {endpoint_number(uid) for uid in uids}
 
 
-async def lists_until_the_end(p: Proxy) -> list[messages.EndpointListUpdate]:
+async def lists_until_the_end(p: LoopbackProxy) -> list[messages.EndpointListUpdate]:
     """The lists that reach the module until the watch has ended."""
     taken: list[messages.EndpointListUpdate] = []
     feed = p.driver._enqueue_event
@@ -51,7 +50,7 @@
         feed(event)
 
     p.driver._enqueue_event = note  # type: ignore[method-assign]
-    await until(lambda: bool(taken) and taken[-1].kind is messages.EndpointListKind.FAILED)
+    await wait_until(lambda: bool(taken) and taken[-1].kind is messages.EndpointListKind.FAILED)
     return taken[:-1]
 
 
@@ -61,23 +60,23 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_HEAD + said)
+        writer.write(WATCH_RESPONSE_HEAD + said)
 
     async def test() -> None:
-        async with peer(handle) as d, proxy(discovery=d.port) as p:
+        async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
             taken = await lists_until_the_end(p)
             result.append((taken, set(p.driver._balancer.endpoints.states), p.driver._watch.version))
 
-    run(test)
+    run_in_event_loop(test)
     return result[0]
 
 
 def test_changes_of_one_read_reach_the_policy_as_one_message() -> None:
-    said = chunk_list(listing(entry("a", 9), entry("b", 9), rev=1))
+    said = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), endpoint_entry("b", 9), rev=1))
     for n in range(50):
-        said += chunk_list(change(entry(f"s-{n}", 9), rev=2 + n)) + chunk("\n")
-    said += chunk_list(change(entry("a", 9, "terminating"), rev=52))
-    said += chunk_list(change(entry("a", 9, "terminated"), rev=53))
+        said += endpoint_list_chunk(change(endpoint_entry(f"s-{n}", 9), rev=2 + n)) + http_chunk("\n")
+    said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminating"), rev=52))
+    said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminated"), rev=53))
     taken, known, since = played(said + b"0\r\n\r\n")
     assert [(news.kind, news.version) for news in taken] == [
         (messages.EndpointListKind.COMPLETE, 1),
@@ -87,9 +86,13 @@
     assert since == 53
 
 
-@pytest.mark.parametrize("spoilt", [chunk('{"rev":'), chunk('{"rev":4}\n'), b"zz\r\n", b"0\r\n\r\n"])
+@pytest.mark.parametrize(
+    "spoilt", [http_chunk('{"rev":'), http_chunk('{"rev":4}\n'), b"zz\r\n", b"0\r\n\r\n"]
+)
 def test_lists_before_an_invalid_one_count(spoilt: bytes) -> None:
-    good = chunk_list(change(entry("a", 9), rev=2)) + chunk_list(change(entry("b", 9), rev=3))
+    good = endpoint_list_chunk(change(endpoint_entry("a", 9), rev=2)) + endpoint_list_chunk(
+        change(endpoint_entry("b", 9), rev=3)
+    )
     taken, known, since = played(good + spoilt + b"0\r\n\r\n")
     assert [news.version for news in taken] == [3]
     assert known == names("a", "b")
@@ -101,10 +104,10 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        whole, more = listing(entry("a", 9), rev=1), change(entry("b", 9), rev=2)
-        writer.write(WATCH_HEAD + chunk_list(whole) + chunk_list(more))
+        whole, more = endpoint_list(endpoint_entry("a", 9), rev=1), change(endpoint_entry("b", 9), rev=2)
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(whole) + endpoint_list_chunk(more))
 
-    async with peer(handle) as d, proxy(discovery=d.port) as p:
+    async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
         take, broken = p.driver._watch._on_list, asyncio.Event()
 
         def fail_on_changes(news: EndpointListMessage) -> None:
@@ -120,11 +123,11 @@
 
 def test_complete_lists_and_old_changes_are_not_joined() -> None:
     lists = [
-        read_list(change(entry("a", 9), rev=5)),
-        read_list(change(entry("b", 9), rev=6)),
-        read_list(listing(entry("c", 9), rev=3)),
-        read_list(change(entry("d", 9), rev=4)),
-        read_list(change(entry("e", 9), rev=2)),
+        read_list(change(endpoint_entry("a", 9), rev=5)),
+        read_list(change(endpoint_entry("b", 9), rev=6)),
+        read_list(endpoint_list(endpoint_entry("c", 9), rev=3)),
+        read_list(change(endpoint_entry("d", 9), rev=4)),
+        read_list(change(endpoint_entry("e", 9), rev=2)),
     ]
     assert [(news.version, news.is_complete) for news in join_changes(lists)] == [
         (6, False),
@@ -136,18 +139,22 @@
 
 async def test_old_changes_in_a_later_read_are_not_joined() -> None:
     """Joined with what is new, it would bring back what has gone since."""
-    first = chunk_list(listing(entry("a", 9), rev=10)) + chunk_list(change(entry("b", 9), rev=12))
-    later = chunk_list(change(entry("gone", 9), rev=11)) + chunk_list(change(entry("c", 9), rev=13))
+    first = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), rev=10)) + endpoint_list_chunk(
+        change(endpoint_entry("b", 9), rev=12)
+    )
+    later = endpoint_list_chunk(change(endpoint_entry("gone", 9), rev=11)) + endpoint_list_chunk(
+        change(endpoint_entry("c", 9), rev=13)
+    )
     taken_over = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_HEAD + first)
+        writer.write(WATCH_RESPONSE_HEAD + first)
         await taken_over.wait()
         writer.write(later + b"0\r\n\r\n")
 
-    async with peer(handle) as d, proxy(discovery=d.port) as p:
-        await until(lambda: p.driver._watch.version == 12)
+    async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
+        await wait_until(lambda: p.driver._watch.version == 12)
         taken_over.set()
         taken = await lists_until_the_end(p)
         assert [news.version for news in taken] == [11, 13]
@@ -157,7 +164,9 @@
 @pytest.mark.parametrize("away", ["terminating", "terminated"])
 def test_an_endpoint_that_returns_is_not_joined_with_its_removal(away: str) -> None:
     """Its kept connections are the old one's."""
-    lists = [read_list(change(entry("a", 9, state), rev=n)) for n, state in ((2, away), (3, "in_service"))]
+    lists = [
+        read_list(change(endpoint_entry("a", 9, state), rev=n)) for n, state in ((2, away), (3, "in_service"))
+    ]
     assert join_changes(lists) == lists
 
 
@@ -165,10 +174,10 @@
     rng = random.Random(1)
 
     for _ in range(40):
-        lists = [read_list(listing(*(entry(f"s-{n}", 9) for n in range(4)), rev=9))]
+        lists = [read_list(endpoint_list(*(endpoint_entry(f"s-{n}", 9) for n in range(4)), rev=9))]
         for rev in range(10, 20):
             rows = [
-                entry(
+                endpoint_entry(
                     f"s-{rng.randrange(6)}",
                     rng.randrange(9, 11),
                     rng.choice(STATES),
@@ -181,7 +190,7 @@
             lists.insert(rng.randrange(1, 11), replace(lists[0], version=rng.randrange(5, 15)))
         left = []
         for taken in (lists, join_changes(lists)):
-            async with proxy() as p:
+            async with running_proxy() as p:
                 for news in taken:
                     p.driver._on_list(news)
                 servers = p.driver._balancer.endpoints.states
@@ -205,15 +214,15 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", 9), rev=1)))
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), rev=1)))
         await taken_over.wait()
         for n in range(5):
-            writer.write(chunk_list(change(entry(f"s-{n}", 9), rev=2 + n)))
+            writer.write(endpoint_list_chunk(change(endpoint_entry(f"s-{n}", 9), rev=2 + n)))
             await asyncio.sleep(0)
         writer.write(b"0\r\n\r\n")
 
-    async with peer(handle) as d, proxy(discovery=d.port) as p:
-        await until(lambda: p.driver._watch.version == 1)
+    async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
+        await wait_until(lambda: p.driver._watch.version == 1)
         taken_over.set()
         pieces = 0
         feed_data = asyncio.StreamReader.feed_data
--- a/tests/net/discovery/test_json_stream.py
+++ b/tests/net/discovery/test_json_stream.py
@@ -10,14 +10,14 @@
 import pytest
 
 from load_balancer.net.discovery.json_stream import JsonStreamError, JsonTextSplitter
-from tests.support.loopback import entry, listing
+from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 
 READ = 65_536  # bytes that come at once
 
 
 def whole_list(backends: int, indent: int | None) -> bytes:
-    targets = [entry(f"s-{n:08x}", 9_000, model="m2", capacity_hint=1.0) for n in range(backends)]
-    return json.dumps(listing(*targets), indent=indent).encode() + b"\n"
+    targets = [endpoint_entry(f"s-{n:08x}", 9_000, model="m2", capacity_hint=1.0) for n in range(backends)]
+    return json.dumps(endpoint_list(*targets), indent=indent).encode() + b"\n"
 
 
 def calls_to_cut(text: bytes) -> int:
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -37,21 +37,17 @@
     watch_starts,
     watched,
 )
-from tests.support.loopback import (
-    WATCH_HEAD,
-    SteppedClock,
-    answer,
-    backend,
-    call,
-    chunk,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    proxy,
-    read_message,
-    target_list,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
+    parsed_endpoint_list,
 )
+from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock
 
 
 def test_the_longest_wait_follows_from_the_protocol() -> None:
@@ -67,10 +63,10 @@
 
 
 FAILURES: dict[str, Callable[[Call], None]] = {
-    "refused": lambda call: call.say(answer(503), end=True),
+    "refused": lambda call: call.say(http_response(503), end=True),
     "reset": lambda call: call.writer.transport.abort(),
-    "ended": lambda call: call.say(WATCH_HEAD + b"0\r\n\r\n", end=True),
-    "spoilt": lambda call: call.say(WATCH_HEAD + chunk("nonsense\n")),
+    "ended": lambda call: call.say(WATCH_RESPONSE_HEAD + b"0\r\n\r\n", end=True),
+    "spoilt": lambda call: call.say(WATCH_RESPONSE_HEAD + http_chunk("nonsense\n")),
 }
 
 
@@ -116,9 +112,9 @@
         await after_failures(d, clock, FAILURES["refused"])
         await next_call(d, clock)
         caplog.clear()
-        d.calls[-1].say(WATCH_HEAD + chunk("\n"))
+        d.calls[-1].say(WATCH_RESPONSE_HEAD + http_chunk("\n"))
         await step(clock, lambda: d.calls[-1].over.is_set(), 1.5)
-        d.calls[-1].say(chunk("\n"))  # its last word
+        d.calls[-1].say(http_chunk("\n"))  # its last word
         waited = await next_call(d, clock)
         assert "broke: silent" in caplog.text
         assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
@@ -126,10 +122,10 @@
 
 STOPS = {
     "nothing": b"",
-    "half a head": WATCH_HEAD[:20],
-    "a head": WATCH_HEAD,
-    "half a chunk": WATCH_HEAD + list_of(6)[:30],
-    "half a line": WATCH_HEAD + chunk('{"rev":6,"all":true,"targets":[{"uid":"s-6"'),
+    "half a head": WATCH_RESPONSE_HEAD[:20],
+    "a head": WATCH_RESPONSE_HEAD,
+    "half a chunk": WATCH_RESPONSE_HEAD + list_of(6)[:30],
+    "half a line": WATCH_RESPONSE_HEAD + http_chunk('{"rev":6,"all":true,"targets":[{"uid":"s-6"'),
     "an interim answer": b"HTTP/1.1 100 Continue\r\n\r\n",
 }
 
@@ -141,7 +137,7 @@
     setup: messages.Settings, stop: str, dribbles: bool
 ) -> None:
     """The call begins as discovery can just be reached, with the waits grown; bytes may go on coming."""
-    drop = {"half a head": b"x", "a head": b"", "nothing": b""}.get(stop, chunk(" "))
+    drop = {"half a head": b"x", "a head": b"", "nothing": b""}.get(stop, http_chunk(" "))
     if stop == "an interim answer":
         drop = STOPS[stop]
     elif stop == "half a chunk":
@@ -179,27 +175,27 @@
 
 def changes(*entries: object, **more: object) -> str:
     """Changes of a list that begin with a sound one: the backend s-1 is gone."""
-    sound = entry("s-1", 9, "terminated")
-    return json.dumps({**listing(rev=2, full=False), "targets": [sound, *entries], **more}) + "\n"
+    sound = endpoint_entry("s-1", 9, "terminated")
+    return json.dumps({**endpoint_list(rev=2, full=False), "targets": [sound, *entries], **more}) + "\n"
 
 
 def odd(**more: object) -> bytes:
-    return chunk(changes({**entry("s-2", 9), **more}))
+    return http_chunk(changes({**endpoint_entry("s-2", 9), **more}))
 
 
 def boot(text: str) -> bytes:
-    return chunk(changes({**entry("s-2", 9), "boot_ms": "HERE"}).replace('"HERE"', text))
+    return http_chunk(changes({**endpoint_entry("s-2", 9), "boot_ms": "HERE"}).replace('"HERE"', text))
 
 
 NESTED = changes("HERE").replace('"HERE"', "[" * 100_000 + "]" * 100_000)
 SPOILT: dict[str, tuple[bytes, str]] = {
-    "no JSON": (chunk("nonsense\n"), "not JSON"),
-    "cut short": (chunk(changes()[:-4] + "}}}\n"), "not JSON"),
-    "an array": (chunk("[1,2]\n"), "field targets"),
-    "a number": (chunk("7\n"), "field targets"),
-    "no targets": (chunk('{"rev":2,"all":false}\n'), "field targets"),
-    "targets an object": (chunk('{"rev":2,"all":false,"targets":{}}\n'), "field targets"),
-    "an entry no object": (chunk(changes(5)), "field targets[1].uid"),
+    "no JSON": (http_chunk("nonsense\n"), "not JSON"),
+    "cut short": (http_chunk(changes()[:-4] + "}}}\n"), "not JSON"),
+    "an array": (http_chunk("[1,2]\n"), "field targets"),
+    "a number": (http_chunk("7\n"), "field targets"),
+    "no targets": (http_chunk('{"rev":2,"all":false}\n'), "field targets"),
+    "targets an object": (http_chunk('{"rev":2,"all":false,"targets":{}}\n'), "field targets"),
+    "an entry no object": (http_chunk(changes(5)), "field targets[1].uid"),
     "no uid": (odd(uid=None), "field targets[1].uid"),
     "uid a number": (odd(uid=7), "field targets[1].uid"),
     "no state": (odd(state=None), "field targets[1].state"),
@@ -223,16 +219,19 @@
     "start too large": (boot("1e308"), "field targets[1].boot_ms"),
     "start of 400 digits": (boot("1" * 400), "field targets[1].boot_ms"),
     "start of 5000 digits": (boot("1" * 5000), "not JSON"),
-    "no rev": (chunk(changes(rev=None)), "field rev"),
-    "rev a text": (chunk(changes(rev="2")), "field rev"),
-    "rev true": (chunk(changes(rev=True)), "field rev"),
-    "rev negative": (chunk(changes(rev=-1)), "field rev"),
-    "rev of 400 digits": (chunk(changes(rev=10**400)), "field rev"),
-    "all a number": (chunk(changes(all=0)), "field all"),
-    "nested": (chunk(NESTED), "nested too deep"),
-    "nested without end": (chunk("[" * 100_000), "nested too deep"),
-    "not UTF-8": (chunk(changes()[:-5] + '"') + b"3\r\n\xff\xfe\xfd\r\n" + chunk('"}]}\n'), "not JSON"),
-    "endless": (chunk('{"rev":"' + "x" * MAX_TEXT_BYTES), "without an end"),
+    "no rev": (http_chunk(changes(rev=None)), "field rev"),
+    "rev a text": (http_chunk(changes(rev="2")), "field rev"),
+    "rev true": (http_chunk(changes(rev=True)), "field rev"),
+    "rev negative": (http_chunk(changes(rev=-1)), "field rev"),
+    "rev of 400 digits": (http_chunk(changes(rev=10**400)), "field rev"),
+    "all a number": (http_chunk(changes(all=0)), "field all"),
+    "nested": (http_chunk(NESTED), "nested too deep"),
+    "nested without end": (http_chunk("[" * 100_000), "nested too deep"),
+    "not UTF-8": (
+        http_chunk(changes()[:-5] + '"') + b"3\r\n\xff\xfe\xfd\r\n" + http_chunk('"}]}\n'),
+        "not JSON",
+    ),
+    "endless": (http_chunk('{"rev":"' + "x" * MAX_TEXT_BYTES), "without an end"),
     "bad chunk": (b"zz\r\nnonsense\r\n", "illegal chunk"),
     "negative chunk": (b"-2\r\n\n\n\r\n", "illegal chunk"),
 }
@@ -244,11 +243,11 @@
     setup: messages.Settings, said: bytes, why: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Nothing of it counts, one line names why, and what comes next is taken."""
-    both = listing(entry("s-1", 9), entry("s-2", 9), rev=1)
+    both = endpoint_list(endpoint_entry("s-1", 9), endpoint_entry("s-2", 9), rev=1)
 
     async with watched(setup) as (d, p, clock):
         await step(clock, lambda: len(d.calls) == 1)
-        d.calls[0].say(WATCH_HEAD + chunk_list(both))
+        d.calls[0].say(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
         await step(clock, lambda: p.driver._watch.version == 1)
         held, up = dict(p.driver._balancer.endpoints.states), set(p.driver._endpoints.up_numbers)
         caplog.clear()
@@ -280,36 +279,43 @@
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             try:
-                asked = await read_message(reader)
+                asked = await read_http_message(reader)
             except asyncio.IncompleteReadError:
                 closed.set()
                 raise
-            a.seen.append(asked)
+            a.received.append(asked)
             if asked[1]["req-id"] == "slow":
                 begun.set()
                 await go_on.wait()
-            writer.write(answer(200, b"a"))
-
-    async with peer(serve) as a, backend(answer(200, b"b")) as b, proxy(entry("a", a.port)) as p:
-        slow = asyncio.ensure_future(p.ask(call("pay", request_id="slow")))
+            writer.write(http_response(200, b"a"))
+
+    async with (
+        StandInServer(serve) as a,
+        StandInEndpoint(http_response(200, b"b")) as b,
+        running_proxy(endpoint_entry("a", a.port)) as p,
+    ):
+        slow = asyncio.ensure_future(p.send_request(http_request("pay", request_id="slow")))
         await begun.wait()
-        assert (await p.ask(call("read", request_id="r0")))[2] == b"a"
+        assert (await p.send_request(http_request("read", request_id="r0")))[2] == b"a"
         assert sum(map(len, p.pool._idle.by_endpoint.values())) == 1
-        p.driver._on_list(target_list(entry("b", b.port), rev=2))
+        p.driver._on_list(parsed_endpoint_list(endpoint_entry("b", b.port), rev=2))
         await closed.wait()
         assert not p.pool._idle.by_endpoint
-        got = [(await p.ask(call(kind, request_id=f"r{n}")))[2] for n in range(1, 9)]
+        got = [(await p.send_request(http_request(kind, request_id=f"r{n}")))[2] for n in range(1, 9)]
         assert got == [b"b"] * 8
         go_on.set()
         assert (await slow)[2] == b"a"
-        assert len(a.seen) == 2
+        assert len(a.received) == 2
         assert not any(e.number == endpoint_number("a") for e in p.pool._idle.by_endpoint)
 
 
 @pytest.mark.parametrize("states", [("terminating", "terminated"), ("terminated", "in_service")])
 async def test_of_two_entries_for_one_endpoint_the_later_counts(states: tuple[str, str]) -> None:
-    async with backend(answer(200, b"a")) as a, proxy(entry("a", a.port)) as p:
-        news = listing(*(entry("a", a.port, state) for state in states), rev=2, full=False)
+    async with (
+        StandInEndpoint(http_response(200, b"a")) as a,
+        running_proxy(endpoint_entry("a", a.port)) as p,
+    ):
+        news = endpoint_list(*(endpoint_entry("a", a.port, state) for state in states), rev=2, full=False)
         p.driver._on_list(read_list(news))
         there = states[-1] == "in_service"
         number = endpoint_number("a")
@@ -333,7 +339,7 @@
 
     async with watched(setup) as (d, p, clock), AsyncExitStack() as stack:
         new = Discovery(clock)
-        e = await stack.enter_async_context(peer(new.handle))
+        e = await stack.enter_async_context(StandInServer(new.handle))
         await after_failures(d, clock, FAILURES["refused"])
         p.driver.move_discovery(("127.0.0.1", e.port))
         waited = await next_call(new, clock)
@@ -345,7 +351,7 @@
         elif first == "half a line":
             call.say(STOPS["half a line"])
         waited += await next_call(new, clock)
-        new.calls[-1].say(WATCH_HEAD + list_of(7))
+        new.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(7))
         # Behind a call that was refused, the next one may still have to wait for its turn.
         left = 0.0 if setup is PUSHED or not first.startswith("refused") else 1.0
         waited += left + await step(clock, lambda: p.driver._watch.version == 7, 1.0)
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -7,21 +7,18 @@
 import pytest
 
 from tests.support.balancer_harness import settings
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Gate,
-    answer,
-    backend,
-    call,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    proxy,
-    read_message,
-    target_list,
-    until,
+from tests.support.connect_gates import ConnectGate
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
+    parsed_endpoint_list,
 )
+from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import wait_until
 
 
 async def ask(reader: asyncio.StreamReader) -> str:
@@ -34,25 +31,32 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await ask(reader)
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), entry("b", b.port), rev=1)))
+        writer.write(
+            WATCH_RESPONSE_HEAD
+            + endpoint_list_chunk(
+                endpoint_list(endpoint_entry("a", a.port), endpoint_entry("b", b.port), rev=1)
+            )
+        )
         await told.wait()
-        writer.write(chunk_list(listing(entry("a", a.port, "terminating"), rev=2, full=False)))
+        writer.write(
+            endpoint_list_chunk(endpoint_list(endpoint_entry("a", a.port, "terminating"), rev=2, full=False))
+        )
         await reader.read()
 
     async with (
-        backend(answer(200, b"a")) as a,
-        backend(answer(200, b"b")) as b,
-        peer(handle) as d,
-        proxy(discovery=d.port, setup=settings(must_subscribe=True)) as p,
+        StandInEndpoint(http_response(200, b"a")) as a,
+        StandInEndpoint(http_response(200, b"b")) as b,
+        StandInServer(handle) as d,
+        running_proxy(discovery_port=d.port, settings=settings(must_subscribe=True)) as p,
     ):
         while not p.driver.ready:
             await asyncio.sleep(0)
-        got = {(await p.ask(call(request_id=f"x{n}")))[2] for n in range(40)}
+        got = {(await p.send_request(http_request(request_id=f"x{n}")))[2] for n in range(40)}
         assert got == {b"a", b"b"}
         told.set()
         while len(p.driver._endpoints.up_numbers) == 2:
             await asyncio.sleep(0)
-        got = {(await p.ask(call(request_id=f"y{n}")))[2] for n in range(40)}
+        got = {(await p.send_request(http_request(request_id=f"y{n}")))[2] for n in range(40)}
         assert got == {b"b"}
 
 
@@ -66,38 +70,42 @@
     asked: list[str] = []
     again = asyncio.Event()
     async with (
-        backend(answer(200, b"a")) as a,
-        peer(handle) as d,
-        proxy(entry("a", a.port), discovery=d.port, setup=settings(must_subscribe=True)) as p,
+        StandInEndpoint(http_response(200, b"a")) as a,
+        StandInServer(handle) as d,
+        running_proxy(
+            endpoint_entry("a", a.port), discovery_port=d.port, settings=settings(must_subscribe=True)
+        ) as p,
     ):
-        assert (await p.ask(call()))[2] == b"a"
+        assert (await p.send_request(http_request()))[2] == b"a"
         await again.wait()
         assert asked == ["GET /v1/endpoints?follow=1&since=1 HTTP/1.1"] * 2
 
 
 async def test_a_draining_endpoint_finishes_the_requests_in_flight() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_message(reader)
+        await read_http_message(reader)
         begun.set()
         await drained.wait()
-        writer.write(answer(200, b"done"))
+        writer.write(http_response(200, b"done"))
         assert await reader.read() == b""  # and the connection is not kept
         closed.set()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await ask(reader)
         await begun.wait()
-        news = listing(entry("a", a.port, "terminating"), rev=2, full=False)
-        writer.write(WATCH_HEAD + chunk_list(news))
+        news = endpoint_list(endpoint_entry("a", a.port, "terminating"), rev=2, full=False)
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(news))
         await reader.read()
 
     begun, drained, closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
     async with (
-        peer(serve) as a,
-        peer(handle) as d,
-        proxy(entry("a", a.port), discovery=d.port, setup=settings(must_subscribe=True)) as p,
+        StandInServer(serve) as a,
+        StandInServer(handle) as d,
+        running_proxy(
+            endpoint_entry("a", a.port), discovery_port=d.port, settings=settings(must_subscribe=True)
+        ) as p,
     ):
-        asking = asyncio.ensure_future(p.ask(call()))
+        asking = asyncio.ensure_future(p.send_request(http_request()))
         while p.driver.ready:
             await asyncio.sleep(0)
         drained.set()
@@ -111,19 +119,19 @@
     state: str, kind: str
 ) -> None:
     async with (
-        backend(answer(200, b"a")) as a,
-        backend(answer(200, b"b")) as b,
-        proxy(entry("a", a.port)) as p,
+        StandInEndpoint(http_response(200, b"a")) as a,
+        StandInEndpoint(http_response(200, b"b")) as b,
+        running_proxy(endpoint_entry("a", a.port)) as p,
     ):
-        gate = Gate(p.pool)
-        asking = asyncio.ensure_future(p.ask(call(kind)))
-        await until(lambda: gate.waiting == 1)
-        news = [entry("b", b.port)]
+        gate = ConnectGate(p.pool)
+        asking = asyncio.ensure_future(p.send_request(http_request(kind)))
+        await wait_until(lambda: gate.waiting_count == 1)
+        news = [endpoint_entry("b", b.port)]
         if state == "moved":
-            news = [entry("a", b.port)]
+            news = [endpoint_entry("a", b.port)]
         elif state != "absent":
-            news.append(entry("a", a.port, state))
-        p.driver._on_list(target_list(*news, rev=2))
+            news.append(endpoint_entry("a", a.port, state))
+        p.driver._on_list(parsed_endpoint_list(*news, rev=2))
         gate.opened.set()
         assert (await asking)[2] == b"b"
-        assert a.connections == 0
+        assert a.connection_count == 0
--- a/tests/net/test_log_limits.py
+++ b/tests/net/test_log_limits.py
@@ -9,7 +9,9 @@
 from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.driver.endpoint_directory import CHANGE_LOG_WINDOW_S, MAX_LOGGED_CHANGES
 from load_balancer.net.log_limits import WindowedLog
-from tests.support.loopback import SteppedClock, entry, listing, proxy
+from tests.support.endpoint_lists import endpoint_entry, endpoint_list
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stepped_clock import SteppedClock
 
 
 async def test_a_long_list_and_a_release_are_logged_in_few_lines(caplog: pytest.LogCaptureFixture) -> None:
@@ -21,18 +23,20 @@
         return found
 
     clock = SteppedClock()
-    async with proxy() as p:
-        p.driver._on_list(read_list(listing(*(entry(f"s-{n}", 9) for n in range(500)))))
+    async with running_proxy() as p:
+        p.driver._on_list(read_list(endpoint_list(*(endpoint_entry(f"s-{n}", 9) for n in range(500)))))
         told = lines()
         assert len(told) == MAX_LOGGED_CHANGES + 1
         assert "is s-0, cell 1, up" in told[0]
         assert told[-1] == f"{500 - MAX_LOGGED_CHANGES} more changes of backends"
         for n in range(100):
-            change = listing(entry(f"s-{n}", 9, "terminating"), rev=2 + n, full=False)
+            change = endpoint_list(endpoint_entry(f"s-{n}", 9, "terminating"), rev=2 + n, full=False)
             p.driver._on_list(read_list(change))
         assert not lines()
-        clock.step(CHANGE_LOG_WINDOW_S)
-        p.driver._on_list(read_list(listing(entry("s-1", 9, "terminated"), rev=200, full=False)))
+        clock.advance(CHANGE_LOG_WINDOW_S)
+        p.driver._on_list(
+            read_list(endpoint_list(endpoint_entry("s-1", 9, "terminated"), rev=200, full=False))
+        )
         counted, single = lines()
         assert counted == "100 more changes of backends"
         assert "is s-1, cell 1, gone" in single
--- a/tests/net/upstream/test_answers_without_length.py
+++ b/tests/net/upstream/test_answers_without_length.py
@@ -8,8 +8,11 @@
 
 import pytest
 
-from tests.support.loopback import answer, call, entry, proxy, read_message, until
-from tests.support.upstream_helpers import Message, Wire, bare, read
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stepped_clock import wait_until
+from tests.support.upstream_helpers import Wire, bare, read
 
 __all__ = ["read"]  # a fixture
 
@@ -46,25 +49,25 @@
     """All of them, where half are owed."""
     said = HEADS[head] + BODIES[body]
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         if got[1]["req-id"] == "first":
-            wire.say(answer(200, b"first"))
+            wire.say(http_response(200, b"first"))
             return
         already = len(read)
         await say(wire, said, more=not ENDS[end])
         if ENDS[end]:
-            await until(lambda: len(read) == already + len(said))
+            await wait_until(lambda: len(read) == already + len(said))
             await asyncio.sleep(ENDS[end])
         if shut == "shutdown":
             wire.end()
         else:
             wire.socket.close()
 
-    async with bare(handle) as b, proxy(entry("s-1", b.port)) as p:
+    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         if kept:
-            assert (await p.ask(call(request_id="first")))[2] == b"first"
+            assert (await p.send_request(http_request(request_id="first")))[2] == b"first"
             await asyncio.sleep(0.02)  # it has to rest, so that a second answer would show
-        line, _, got = await p.ask(call(request_id="r1"))
+        line, _, got = await p.send_request(http_request(request_id="r1"))
         assert line.split()[1] == "200"
         assert got == BODIES[body]
         assert b.ids.count("r1") == 1
@@ -82,23 +85,23 @@
     """After its last byte all the same: the client gets no answer that might be cut."""
     said = HEADS[head] + BODIES[body]
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         if got[1]["req-id"] == "first":
-            wire.say(answer(200, b"first"))
+            wire.say(http_response(200, b"first"))
             return
         already = len(read)
         await say(wire, said)
         if ENDS[end]:
-            await until(lambda: len(read) == already + len(said) or wire.closed)
+            await wait_until(lambda: len(read) == already + len(said) or wire.closed)
         wire.reset()
 
-    async with bare(handle) as b, proxy(entry("s-1", b.port)) as p:
+    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         if kept:
-            assert (await p.ask(call(request_id="first")))[2] == b"first"
+            assert (await p.send_request(http_request(request_id="first")))[2] == b"first"
             await asyncio.sleep(0.02)
         reader, writer = await p.connect()
-        writer.write(call(kind, request_id="r1"))
-        line, _, _ = await read_message(reader)
+        writer.write(http_request(kind, request_id="r1"))
+        line, _, _ = await read_http_message(reader)
         assert line.split()[1] in ("502", "503")
         if kind == "pay":
             assert line.split()[1] == "502"
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -9,8 +9,11 @@
 from load_balancer.messages import Outcome
 from load_balancer.net.upstream import idle_connections, upstream_connection
 from load_balancer.net.upstream.connection_pool import ConnectionPool
-from tests.support.loopback import SteppedClock, answer, call, entry, proxy, until
-from tests.support.upstream_helpers import HEAD, OK, Message, Out, Wire, bare, read, says
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import HttpMessage, http_request, http_response
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.upstream_helpers import HEAD, OK, Out, Wire, bare, read, says
 
 __all__ = ["read"]  # a fixture
 
@@ -43,7 +46,7 @@
             assert how is outcome
             assert reply is not None
             assert reply.body == body
-            assert len(b.wires) == len(b.seen) == tries
+            assert len(b.wires) == len(b.received) == tries
         pool.close()
 
 
@@ -51,10 +54,10 @@
     async with bare(says(HEAD + b"all ")) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         out = Out(pool, b.endpoint)
-        await until(lambda: len(read) == len(HEAD) + 4)
+        await wait_until(lambda: len(read) == len(HEAD) + 4)
         assert not out.ends
         b.wires[0].say(b"of it")
-        await until(lambda: len(read) == len(HEAD) + 9)
+        await wait_until(lambda: len(read) == len(HEAD) + 9)
         assert not out.ends
         b.wires[0].end()
         how, reply = await out.end()
@@ -76,7 +79,7 @@
         pool = ConnectionPool(0.25, 30.0, 10)
         out = Out(pool, b.endpoint)
         if seen_before:
-            await until(lambda: len(read) == len(said))
+            await wait_until(lambda: len(read) == len(said))
             assert not out.ends
             b.wires[0].reset()
         assert await out.end() == (Outcome.RESET, None)
@@ -87,7 +90,7 @@
 async def test_an_answer_without_a_length_has_a_longest(size: int, outcome: Outcome) -> None:
     """One byte more is known at once for no answer, though its connection stays open."""
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         await asyncio.get_running_loop().sock_sendall(wire.socket, HEAD + b"x" * size)
         if outcome is Outcome.OK:
             wire.end()
@@ -105,9 +108,9 @@
     async with bare(says(HEAD + b"all of it")) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         out = Out(pool, b.endpoint)
-        await until(lambda: read.endswith(b"it"))
+        await wait_until(lambda: read.endswith(b"it"))
         assert not out.ends
-        clock.step(upstream_connection.RESPONSE_COMPLETION_S)
+        clock.advance(upstream_connection.RESPONSE_COMPLETION_S)
         assert await out.end() == (Outcome.RESET, None)
         pool.close()
 
@@ -115,27 +118,27 @@
 @pytest.mark.parametrize("cut", [0, 12])
 async def test_a_backend_that_says_1xx_may_work_on_for_as_long_as_any(cut: int, read: bytearray) -> None:
     """Only the answer itself has to come whole soon after its first byte, as the work is done by then."""
-    interim, good = b"HTTP/1.1 103 x\r\n\r\n", answer(200, b"ok")
+    interim, good = b"HTTP/1.1 103 x\r\n\r\n", http_response(200, b"ok")
 
     clock = SteppedClock()
     async with bare(says(interim[:cut])) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         out = Out(pool, b.endpoint)
-        await until(lambda: len(read) == cut and len(b.seen) == 1)
+        await wait_until(lambda: len(read) == cut and len(b.received) == 1)
         b.wires[0].say(interim[cut:])
-        await until(lambda: len(read) == len(interim))
-        clock.step(10 * upstream_connection.RESPONSE_COMPLETION_S)
+        await wait_until(lambda: len(read) == len(interim))
+        clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_S)
         for _ in range(20):
             await asyncio.sleep(0)
         b.wires[0].say(good[:-1])
-        await until(lambda: read.endswith(b"o") or bool(out.ends))
+        await wait_until(lambda: read.endswith(b"o") or bool(out.ends))
         assert not out.ends
-        clock.step(upstream_connection.RESPONSE_COMPLETION_S)  # now its time runs
+        clock.advance(upstream_connection.RESPONSE_COMPLETION_S)  # now its time runs
         assert await out.end() == (Outcome.RESET, None)
         out = Out(pool, b.endpoint)
-        await until(lambda: len(b.seen) == 2)
+        await wait_until(lambda: len(b.received) == 2)
         b.wires[1].say(interim[cut:])
-        clock.step(10 * upstream_connection.RESPONSE_COMPLETION_S)
+        clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_S)
         b.wires[1].say(good)
         assert await out.end() == (Outcome.OK, OK)
         pool.close()
@@ -162,15 +165,15 @@
 
     ends = ["reset", "end"]
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         await says(HEAD + b"all of it", ends.pop(0))(wire, got)
 
-    async with bare(handle) as b, proxy(entry("s-1", b.port)) as p:
-        first, _, body = await p.ask(call(kind))
+    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+        first, _, body = await p.send_request(http_request(kind))
         if kind == "pay":
             assert first.split()[1] == "502"
-            assert len(b.seen) == 1
-            first, _, body = await p.ask(call(kind, request_id="a2"))
+            assert len(b.received) == 1
+            first, _, body = await p.send_request(http_request(kind, request_id="a2"))
         assert first.split()[1] == "200"
         assert body == b"all of it"
-        assert len(b.seen) == 2
+        assert len(b.received) == 2
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -11,7 +11,10 @@
 from load_balancer.net.upstream import connection_pool
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from tests.support.balancer_harness import BalancerHarness, S, only, settings
-from tests.support.loopback import answer, backend, call, entry, proxy
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint
 from tests.support.upstream_helpers import (
     IDLE_S,
     LIMIT_S,
@@ -28,7 +31,7 @@
 ) -> None:
     """As not sent where the backend is known to be there, as one that can't be reached otherwise."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
         if heard:
@@ -49,7 +52,7 @@
 
 
 async def test_where_no_other_backend_is_left_the_attempt_waits_for_its_connections() -> None:
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
         calls.begin("a", failover_within_s=500.0)
@@ -65,12 +68,12 @@
 
 async def test_a_request_goes_to_another_backend_where_connections_to_the_first_stay_away() -> None:
     async with (
-        backend(answer(200, b"x")) as a,
-        backend(answer(200, b"x")) as b,
-        proxy(
-            entry("s-1", a.port),
-            entry("s-2", b.port),
-            setup=settings(
+        StandInEndpoint(http_response(200, b"x")) as a,
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(
+            endpoint_entry("s-1", a.port),
+            endpoint_entry("s-2", b.port),
+            settings=settings(
                 classes=(messages.RequestClass("read", 5_000 * S, 9_000 * S, messages.Idempotency.SAFE),),
                 limits=messages.Limits(max_attempts=2, cancel=True),
             ),
@@ -80,7 +83,7 @@
         p.pool._pacing.connect_timeout_s = LIMIT_S
         for endpoint in list(p.pool._idle.reuse_from):
             p.pool.record_activity(endpoint)
-        asked = asyncio.ensure_future(p.ask(call(Req_Deadline="9000")))
+        asked = asyncio.ensure_future(p.send_request(http_request(Req_Deadline="9000")))
         await connects.begun(1)
         for count in (2, 3, 4):
             await connects.step(11.0)
@@ -88,7 +91,7 @@
         connects.let(3)  # the first to the other backend
         first, _, body = await asked
         assert (first.split()[1], body) == ("200", b"x")
-        assert a.connections + b.connections == 1
+        assert a.connection_count + b.connection_count == 1
 
 
 def test_a_price_of_handshakes_is_read_and_bound() -> None:
