--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -12,14 +12,16 @@
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from tests.support.loopback import answer, backend, until
+from tests.support.http_messages import http_response
+from tests.support.stand_in_server import StandInEndpoint
+from tests.support.stepped_clock import wait_until
 from tests.support.upstream_helpers import IDLE_S, LIMIT_S, MOSTLY_QUICK, SAFE, SLOW, Calls, Connects, ids
 
 ONCE = replace(SAFE, is_idempotent=False)
 
 
 async def test_where_a_connection_is_late_another_is_opened_and_the_first_that_is_up_is_used() -> None:
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
         calls.begin("a")
@@ -29,21 +31,21 @@
         await connects.begun(2)
         connects.let(1)
         await calls.until(a=Outcome.OK)
-        assert b.connections == 1
+        assert b.connection_count == 1
         assert ids(b) == ["a"]
         await connects.step(1000.0)
         calls.begin("b")  # the one that was used is idle again
         await calls.until(a=Outcome.OK, b=Outcome.OK)
-        assert b.connections == 1
+        assert b.connection_count == 1
         assert len(connects.gates) == 2
         connects.let(0)
-        await until(lambda: b.connections == 2 and not pool._pending)
+        await wait_until(lambda: b.connection_count == 2 and not pool._pending)
         assert len(pool._idle.by_endpoint[calls.endpoint]) == 1  # the other one is not needed
         pool.close()
 
 
 async def test_a_connection_that_nobody_waits_for_any_more_is_there_for_the_next_request() -> None:
-    async with backend(None, answer(200)) as b:  # the first that is used breaks
+    async with StandInEndpoint(None, http_response(200)) as b:  # the first that is used breaks
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
         calls.begin("a")
@@ -52,11 +54,11 @@
         connects.let(1)
         await calls.until(a=Outcome.RESET)
         connects.let(0)
-        await until(lambda: bool(pool._idle.by_endpoint))
+        await wait_until(lambda: bool(pool._idle.by_endpoint))
         await connects.step(idle_connections.SETTLE_S)
         calls.begin("b")
         await calls.until(a=Outcome.RESET, b=Outcome.OK)
-        assert b.connections == 2
+        assert b.connection_count == 2
         assert len(connects.gates) == 2
         pool.close()
 
@@ -64,7 +66,7 @@
 async def test_more_than_are_needed_are_not_kept() -> None:
     """Backends hold only so many."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
         calls.begin("a")
@@ -74,8 +76,8 @@
         connects.let(2)
         await calls.until(a=Outcome.OK)
         connects.let(0, 1)
-        await until(lambda: b.connections == 3 and not pool._pending)
-        await until(lambda: len(pool._open) == 1)
+        await wait_until(lambda: b.connection_count == 3 and not pool._pending)
+        await wait_until(lambda: len(pool._open) == 1)
         pool.close()
 
 
@@ -83,7 +85,7 @@
     ("usual", "price"), [(SLOW, 0.0), (MOSTLY_QUICK, 1.0), ([], 0.0)], ids=["all slow", "dear", "unknown"]
 )
 async def test_no_other_is_opened_where_that_saves_too_little(usual: list[float], price: float) -> None:
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10, price)
         calls, connects = Calls(pool, b), Connects(pool, usual)
         calls.begin("a", failover_within_s=LIMIT_S / 2)
@@ -97,7 +99,7 @@
 
 
 async def test_a_request_takes_a_connection_that_falls_idle_while_its_own_comes_up() -> None:
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, SLOW)
         calls.begin("a")
@@ -105,20 +107,20 @@
         calls.begin("b")
         await connects.begun(3)
         connects.let(0)
-        await until(lambda: "a" in calls.ended)
+        await wait_until(lambda: "a" in calls.ended)
         assert set(calls.ended) == {"a"}  # it rests first: more than its answer may be under way
         await connects.step(idle_connections.SETTLE_S)
         await calls.until(a=Outcome.OK, b=Outcome.OK)
-        assert b.connections == 1
+        assert b.connection_count == 1
         assert ids(b) == ["a", "b"]
         connects.let(1)  # what must not run twice waits for one of its own
         await calls.until(a=Outcome.OK, b=Outcome.OK, once=Outcome.OK)
-        assert b.connections == 2
+        assert b.connection_count == 2
         pool.close()
 
 
 async def test_a_request_takes_a_connection_that_rests_as_it_comes() -> None:
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, SLOW)
         calls.begin("a")
@@ -129,12 +131,12 @@
         await connects.begun(2)
         await connects.step(idle_connections.SETTLE_S)
         await calls.until(a=Outcome.OK, b=Outcome.OK)
-        assert b.connections == 1
+        assert b.connection_count == 1
         pool.close()
 
 
 async def test_the_longest_waiting_request_takes_what_comes_up_for_a_later_one() -> None:
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, SLOW)
         calls.begin("a", ONCE)
@@ -151,7 +153,7 @@
 async def test_an_attempt_ends_only_once_none_is_coming_for_it(monkeypatch: pytest.MonkeyPatch) -> None:
     """A refusal ends that connection alone, and no more are opened where one was refused."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
         made, number = pool.connect, iter(range(9))
@@ -169,7 +171,7 @@
         await connects.step(11.0)
         await connects.begun(2)
         connects.let(1)
-        await until(
+        await wait_until(
             lambda: pool._pending[calls.endpoint][0].task is not None and bool(pool._pacing.no_extra_until)
         )
         for _ in range(20):
@@ -197,7 +199,7 @@
 ) -> None:
     """Also where both stand, and the tasks that waited for them have been woken and have not run yet."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
         out = calls.begin("a")
@@ -226,22 +228,22 @@
 
             monkeypatch.setattr(UpstreamConnection, "connection_made", made)
             connects.let(0, 1)
-            await until(lambda: bool(crossed))
+            await wait_until(lambda: bool(crossed))
             assert crossed == [True]
         else:
             give_up()
-        await until(lambda: all(task.done() for task in tasks) and not pool._open)
+        await wait_until(lambda: all(task.done() for task in tasks) and not pool._open)
         assert calls.ended == ({} if ends is None else {"a": ends})
         assert not pool._pending
         assert not pool._idle.by_endpoint
-        assert not b.seen
+        assert not b.received
         assert not pool._waiting or how == "end"
         out.cancel_if_unsent()
         pool.close()
 
 
 async def test_one_of_two_that_wait_is_given_up_and_the_other_still_gets_its_connection() -> None:
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
         calls.begin("a")
@@ -254,7 +256,7 @@
 
 
 async def test_a_lack_of_sockets_opens_no_other_one() -> None:
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 1)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
         calls.begin("a")
@@ -270,13 +272,13 @@
 async def test_an_attempt_waits_no_longer_than_the_time_for_a_connection_however_many_are_coming() -> None:
     """The module counts on it for repeats within a window; what is coming goes on for others."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
         calls.begin("a", timeout_s=5 * LIMIT_S)
         await connects.step(59000.0)
         await connects.begun(2)
-        connects.clock.step(1100.0)  # the first is given up by its own limit, the second is a second old
+        connects.clock.advance(1100.0)  # the first is given up by its own limit, the second is a second old
         await calls.until(a=Outcome.NO_CONNECTION)
         calls.begin("b")
         connects.let(1)
@@ -288,7 +290,7 @@
 async def test_a_connection_goes_to_the_next_one_where_the_first_has_become_too_late_unnoticed() -> None:
     """The process stood still past the time of one, so that its timer has not fired yet."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, SLOW)
         calls.begin("a", timeout_s=5 * LIMIT_S)
@@ -298,7 +300,7 @@
         connection = await ConnectionPool.connect(pool, calls.endpoint)
         pending = pool._pending[calls.endpoint][1]
         pending.task.cancel()
-        connects.clock.step(31000.0)
+        connects.clock.advance(31000.0)
         pool._on_connected(pending, connection)
         assert calls.ended == {"a": Outcome.NO_CONNECTION}
         await calls.until(a=Outcome.NO_CONNECTION, b=Outcome.OK)
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -22,22 +22,30 @@
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
-from tests.support.loopback import Peer, SteppedClock, answer, peer, read_message
+from tests.support.http_messages import http_response, read_http_message
+from tests.support.stand_in_server import StandInServer
+from tests.support.stepped_clock import SteppedClock
 
 SAFE = UpstreamRequest(b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True)
 ONCE = replace(SAFE, is_idempotent=False)
 PLAYS, STEPS, TURNS, MOST_OUT, DEEPEST = 24, 120, 8, 25, 4
 STEPS_S = [0.001, 0.003, 0.01, 0.05, 0.2]
-ANSWERS = [answer(200, b"x"), answer(200, b"x") + b"junk", answer(500), answer(503, Srv_Declined="1"), None]
+ANSWERS = [
+    http_response(200, b"x"),
+    http_response(200, b"x") + b"junk",
+    http_response(500),
+    http_response(503, Srv_Declined="1"),
+    None,
+]
 
 
 @asynccontextmanager
-async def fickle(chance: random.Random) -> AsyncIterator[Peer]:
+async def fickle(chance: random.Random) -> AsyncIterator[StandInServer]:
     """A backend that answers as it likes, or not at all, and may end the connection."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            await read_message(reader)
+            await read_http_message(reader)
             said = chance.choice(ANSWERS)
             if chance.random() < 0.15:
                 await reader.read()
@@ -47,7 +55,7 @@
             if chance.random() < 0.1:
                 return
 
-    async with peer(handle) as made:
+    async with StandInServer(handle) as made:
         yield made
 
 
@@ -150,7 +158,7 @@
         assert not self.wrong
 
     async def go_on(self, seconds: float) -> None:
-        self.clock.step(seconds)
+        self.clock.advance(seconds)
         for _ in range(TURNS):
             await asyncio.sleep(0)
             self.check()
@@ -226,7 +234,7 @@
             EndpointAddress(1, ("127.0.0.1", b.port)), SAFE, 30.0, lambda how, _: ended.append(how)
         )
         while not ended:
-            clock.step(0.001)
+            clock.advance(0.001)
             for _ in range(3):
                 await asyncio.sleep(0)
         assert ended == [Outcome.NO_CONNECTION]
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -11,8 +11,11 @@
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
-from tests.support.loopback import SteppedClock, answer, call, entry, proxy, until
-from tests.support.upstream_helpers import KINDS, Message, Out, Wire, bare, says
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import HttpMessage, http_request, http_response
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.upstream_helpers import KINDS, Out, Wire, bare, says
 
 
 @pytest.mark.parametrize("what", ["answer", "end", "reset", "answer and end"])
@@ -23,8 +26,8 @@
     """Be it that it lies unread as the next request begins, in the same turn, or was read before."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async def handle(wire: Wire, got: Message) -> None:
-        wire.say(answer(200, b"%d" % len(b.seen)))
+    async def handle(wire: Wire, got: HttpMessage) -> None:
+        wire.say(http_response(200, b"%d" % len(b.received)))
 
     async with bare(handle) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
@@ -33,18 +36,18 @@
         )
         [wire] = b.wires
         if "answer" in what:
-            wire.say(answer(200, b"1"))
+            wire.say(http_response(200, b"1"))
         if "end" in what:
             wire.end()
         if what == "reset":
             wire.reset()
         if not unread:
-            await until(lambda: not pool._open)
+            await wait_until(lambda: not pool._open)
         how, reply = await Out(pool, b.endpoint).end()
         assert how is Outcome.OK
         assert reply
         assert reply.body == b"2"
-        assert len(b.wires) == len(b.seen) == 2
+        assert len(b.wires) == len(b.received) == 2
         pool.close()
 
 
@@ -57,7 +60,7 @@
     looks: list[bool] = []
     look = socket_state.has_unread_bytes
 
-    async with bare(says(answer(200, b"first"))) as b:
+    async with bare(says(http_response(200, b"first"))) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         assert (await Out(pool, b.endpoint).end())[0] is Outcome.OK
 
@@ -65,15 +68,17 @@
             looks.append(look(transport, unknown))
             if len(looks) == 1:
                 [wire] = b.wires
-                {"answer": lambda: wire.say(answer(200, b"late")), "end": wire.end, "reset": wire.reset}[
-                    what
-                ]()
+                {
+                    "answer": lambda: wire.say(http_response(200, b"late")),
+                    "end": wire.end,
+                    "reset": wire.reset,
+                }[what]()
             return looks[-1]
 
         monkeypatch.setattr(socket_state, "has_unread_bytes", crossed)
         assert await Out(pool, b.endpoint).end() == (Outcome.NOT_SENT, None)
         assert looks == [False, True]
-        assert len(b.seen) == 1
+        assert len(b.received) == 1
         assert not pool._idle.by_endpoint
         pool.close()
 
@@ -84,8 +89,8 @@
     """However often it is wanted meanwhile; the second answer comes in the rest's last moment."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 20.0)
 
-    async def handle(wire: Wire, got: Message) -> None:
-        wire.say(answer(200, b"%d" % len(b.seen)))
+    async def handle(wire: Wire, got: HttpMessage) -> None:
+        wire.say(http_response(200, b"%d" % len(b.received)))
 
     async with bare(handle) as b:
         pool, clock = ConnectionPool(0.25, 3000.0, 10), SteppedClock()
@@ -96,8 +101,8 @@
             assert reply.body == n
         assert len(b.wires) == 3
         for wire in b.wires[:2]:
-            wire.say(answer(200, b"late"))
-        clock.step(20.0)
+            wire.say(http_response(200, b"late"))
+        clock.advance(20.0)
         for n in (b"4", b"5"):  # the third one has rested and said nothing more
             how, reply = await Out(pool, b.endpoint).end()
             assert how is Outcome.OK
@@ -115,17 +120,17 @@
     """The break crosses the write, so it may have run: what must not run twice uses no kept one."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         if len(wires) == 1 and wire is wires[0]:
             await says(how)(wire, got)
         else:
             wires.append(wire)
-            wire.say(answer(200, got[1]["req-id"].encode()))
+            wire.say(http_response(200, got[1]["req-id"].encode()))
 
     wires: list[Wire] = []
-    async with bare(handle) as b, proxy(entry("s-1", b.port)) as p:
-        assert (await p.ask(call(request_id="first")))[2] == b"first"
-        line, _, body = await p.ask(call(kind, request_id="r1"))
+    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+        assert (await p.send_request(http_request(request_id="first")))[2] == b"first"
+        line, _, body = await p.send_request(http_request(kind, request_id="r1"))
         assert line.split()[1] == "200"
         assert body == b"r1"
         assert b.ids == (["first", "r1"] if kind == "pay" else ["first", "r1", "r1"])
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -10,7 +10,8 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
-from tests.support.loopback import answer, backend, peer, read_message
+from tests.support.http_messages import http_response, read_http_message
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.upstream_helpers import ONCE, attempt
 
 
@@ -20,15 +21,15 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        b.seen.append(await read_message(reader))
-        writer.write(answer(200, b"ok"))
-        b.seen.append(await read_message(reader))  # and then it ends, with nothing said
+        b.received.append(await read_http_message(reader))
+        writer.write(http_response(200, b"ok"))
+        b.received.append(await read_http_message(reader))  # and then it ends, with nothing said
 
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
         got = [(await attempt(pool, address))[0] for _ in range(4)]
         assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
-        assert b.connections == 3
+        assert b.connection_count == 3
         assert not pool._idle.by_endpoint
         pool._idle.reuse_from[EndpointAddress(1, address)] -= (
             idle_connections.NO_REUSE_S
@@ -45,16 +46,16 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        b.seen.append(await read_message(reader))
-        writer.write(answer(200, b"ok"))
-        await read_message(reader)  # and then it ends, with nothing said
+        b.received.append(await read_http_message(reader))
+        writer.write(http_response(200, b"ok"))
+        await read_http_message(reader)  # and then it ends, with nothing said
 
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
         for _ in range(4):
             assert (await attempt(pool, address, ONCE))[0] is Outcome.OK
             assert len(pool._idle.by_endpoint[EndpointAddress(1, address)]) == 1
-        assert b.connections == 4
+        assert b.connection_count == 4
         assert (await attempt(pool, address))[0] is Outcome.RESET  # the same on a kept one
         pool.close()
 
@@ -68,22 +69,22 @@
     """It says nothing of how the backend treats connections: only ends do."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    good = answer(200, b"ok")
-    async with backend(good, said, good) as b:
+    good = http_response(200, b"ok")
+    async with StandInEndpoint(good, said, good) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
         got = [(await attempt(pool, address))[0] for _ in range(4)]
         assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
-        assert b.connections == 2
+        assert b.connection_count == 2
         assert pool._idle.by_endpoint
         pool.close()
 
 
 async def test_a_new_backend_at_an_old_address_gets_none_of_the_old_ones_connections() -> None:
-    async with backend(answer(200, b"ok")) as b:
+    async with StandInEndpoint(http_response(200, b"ok")) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
         assert (await attempt(pool, address, number=1))[0] is Outcome.OK
         assert (await attempt(pool, address, number=2))[0] is Outcome.OK
-        assert b.connections == 2
+        assert b.connection_count == 2
         pool.disable_endpoint(EndpointAddress(1, address))  # the old one's end leaves the new one's alone
         assert not pool._idle.by_endpoint.get(EndpointAddress(1, address))
         assert len(pool._idle.by_endpoint[EndpointAddress(2, address)]) == 1
@@ -94,15 +95,15 @@
     go_on = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        b.seen.append(await read_message(reader))
+        b.received.append(await read_http_message(reader))
         await go_on.wait()
-        writer.write(answer(200, b"ok"))
+        writer.write(http_response(200, b"ok"))
         await reader.read()
 
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
         out = asyncio.ensure_future(attempt(pool, address))
-        while not b.seen:
+        while not b.received:
             await asyncio.sleep(0)
         pool.disable_endpoint(EndpointAddress(1, address))
         go_on.set()
@@ -116,34 +117,34 @@
     ended = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        b.seen.append(await read_message(reader))
-        writer.write(answer(200, b"ok"))
-        if b.connections == 1:
+        b.received.append(await read_http_message(reader))
+        writer.write(http_response(200, b"ok"))
+        if b.connection_count == 1:
             writer.close()
             ended.set()
         else:
             await reader.read()
 
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         address = ("127.0.0.1", b.port)
         assert (await attempt(pool, address))[0] is Outcome.OK
         await ended.wait()
         assert (await attempt(pool, address))[0] is Outcome.OK
-        assert b.connections == 2
-        assert len(b.seen) == 2
+        assert b.connection_count == 2
+        assert len(b.received) == 2
         pool.close()
 
 
 async def test_idle_connections_are_closed_before_the_backend_does() -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_message(reader)
-        writer.write(answer(200, b"ok"))
+        await read_http_message(reader)
+        writer.write(http_response(200, b"ok"))
         assert await reader.read() == b""
         closed.set()
 
     closed = asyncio.Event()
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         pool, address = ConnectionPool(0.25, 0.5, 10), ("127.0.0.1", b.port)
         assert (await attempt(pool, address))[0] is Outcome.OK
         timer = pool._idle.by_endpoint[EndpointAddress(1, address)][0].idle_timer
@@ -153,7 +154,10 @@
 
 
 async def test_a_full_pool_closes_its_longest_idle_connection_or_sends_nothing() -> None:
-    async with backend(answer(200, b"ok")) as a, backend(answer(200, b"ok")) as b:
+    async with (
+        StandInEndpoint(http_response(200, b"ok")) as a,
+        StandInEndpoint(http_response(200, b"ok")) as b,
+    ):
         pool = ConnectionPool(0.25, 30.0, 1)
         assert (await attempt(pool, ("127.0.0.1", a.port)))[0] is Outcome.OK
         assert (await attempt(pool, ("127.0.0.1", b.port)))[0] is Outcome.OK
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -7,8 +7,10 @@
 from load_balancer.messages import Outcome
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
-from tests.support.loopback import answer, call, entry, proxy
-from tests.support.upstream_helpers import INVALID_RESPONSES, KINDS, Message, Out, Wire, bare, says
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import HttpMessage, http_request, http_response
+from tests.support.loopback_proxy import running_proxy
+from tests.support.upstream_helpers import INVALID_RESPONSES, KINDS, Out, Wire, bare, says
 
 CHUNKED = b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n3\r\nall\r\n0\r\n\r\n"
 
@@ -16,7 +18,7 @@
 @pytest.mark.parametrize("kept", [False, True])
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize(
-    "whole", [answer(200, b"ok"), CHUNKED, b"HTTP/1.1 103 x\r\n\r\n" + answer(200, b"ok")]
+    "whole", [http_response(200, b"ok"), CHUNKED, b"HTTP/1.1 103 x\r\n\r\n" + http_response(200, b"ok")]
 )
 async def test_an_answer_that_is_cut_anywhere_is_none(
     whole: bytes, how: str, kept: bool, monkeypatch: pytest.MonkeyPatch
@@ -25,12 +27,12 @@
 
     said: list[tuple[bytes | str, ...]] = []
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         await says(*said.pop(0))(wire, got)
 
     async with bare(handle) as b:
         for at in range(len(whole) + 1):
-            said[:] = [*[(answer(200, b"first"),)] * kept, (whole[:at], how)]
+            said[:] = [*[(http_response(200, b"first"),)] * kept, (whole[:at], how)]
             pool, before = ConnectionPool(0.25, 30.0, 10), len(b.wires)
             for _ in range(kept):
                 assert (await Out(pool, b.endpoint).end())[0] is Outcome.OK
@@ -47,15 +49,15 @@
     """What a client gets, and the ids that backends saw, where the first of two sends is met with this."""
     met = [first]
 
-    async def handle(wire: Wire, got: Message) -> None:
-        await says(*(met.pop() if met else (answer(200, b"served"),)))(wire, got)
+    async def handle(wire: Wire, got: HttpMessage) -> None:
+        await says(*(met.pop() if met else (http_response(200, b"served"),)))(wire, got)
 
     async with (
         bare(handle) as a,
         bare(handle) as b,
-        proxy(entry("s-1", a.port), entry("s-2", b.port)) as p,
+        running_proxy(endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port)) as p,
     ):
-        line, _, body = await p.ask(call(kind, request_id="r1"))
+        line, _, body = await p.send_request(http_request(kind, request_id="r1"))
         status = int(line.split()[1])
         assert (status == 200) is (body == b"served")
         return status, a.ids + b.ids
@@ -69,7 +71,7 @@
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("how", ["end", "reset"])
 async def test_what_follows_an_answer_that_is_cut_anywhere(kind: str, how: str) -> None:
-    whole = answer(200, b"served")
+    whole = http_response(200, b"served")
     for at in range(len(whole)):
         assert await fares(kind, whole[:at], how) == may_have_run(kind), at
 
@@ -86,5 +88,5 @@
 async def test_only_what_is_declined_has_surely_not_run(kind: str, status: int, declined: str) -> None:
     never_ran = declined == "1" and status != 500
     told = (200, ["r1", "r1"]) if never_ran else may_have_run(kind)
-    said = answer(status, Srv_Declined=declined) if declined else answer(status)
+    said = http_response(status, Srv_Declined=declined) if declined else http_response(status)
     assert await fares(kind, said) == told
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -10,7 +10,9 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.connection_pool import MAX_SPARE_CONNECTS, ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from tests.support.loopback import answer, backend, until
+from tests.support.http_messages import http_response
+from tests.support.stand_in_server import StandInEndpoint
+from tests.support.stepped_clock import wait_until
 from tests.support.upstream_helpers import Calls, Connects, ids
 
 OTHERS = 1 + MAX_SPARE_CONNECTS
@@ -22,7 +24,7 @@
 ) -> None:
     """Unless the backend refuses, where one more would say nothing new."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(600.0, 300.0, 10)
         calls, connects = Calls(pool, b), Connects(pool, [])
         gates, number = pool.connect, iter(range(99))
@@ -45,13 +47,13 @@
         assert len(connects.gates) == OTHERS  # as many as may are coming
         connects.let(*range(OTHERS))
         if refused:
-            await until(lambda: "late" in calls.ended)
+            await wait_until(lambda: "late" in calls.ended)
             assert calls.ended["late"] is Outcome.NO_CONNECTION
             assert len(connects.gates) == OTHERS
         else:
             await connects.begun(OTHERS + 1)
             connects.let(OTHERS)
-            await until(lambda: "late" in calls.ended)
+            await wait_until(lambda: "late" in calls.ended)
             assert calls.ended["late"] is Outcome.OK
             assert ids(b) == ["late"]
         pool.close()
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -19,8 +19,11 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
 from tests.support.balancer_harness import settings
-from tests.support.loopback import answer, call, entry, proxy, read_message, until
-from tests.support.upstream_helpers import OK, ONCE, REQUEST, Message, Out, Wire, bare, says, stepped
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stepped_clock import wait_until
+from tests.support.upstream_helpers import OK, ONCE, REQUEST, Out, Wire, bare, says, stepped
 
 
 # After the final answer
@@ -44,29 +47,29 @@
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
-        bare(says(answer(200, b"x"))) as b,
-        proxy(entry("s-1", b.port), setup=settings(limits=limits)) as p,
+        bare(says(http_response(200, b"x"))) as b,
+        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
     ):
         b.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         if kept:
-            assert (await p.ask(call("mark", request_id="first")))[2] == b"x"
+            assert (await p.send_request(http_request("mark", request_id="first")))[2] == b"x"
         b.reads.clear()
         clock = stepped(p)
         reader, writer = await p.connect()
-        writer.write(call("mark" if kept else "pay", request_id="big", body=b"x" * 65_536))
-        await until(lambda: bool(transports) and transports[-1].get_write_buffer_size() > 0)
+        writer.write(http_request("mark" if kept else "pay", request_id="big", body=b"x" * 65_536))
+        await wait_until(lambda: bool(transports) and transports[-1].get_write_buffer_size() > 0)
         if how == "gone":
             writer.close()
         elif how == "deadline":
-            clock.step(4.0)
+            clock.advance(4.0)
         else:
             p.driver.give_up()
         if how != "gone":  # at the end of the proxy the module counts what is out as what may have run
             told = "502" if how == "end" and not kept else "503"
-            assert (await read_message(reader))[0].split()[1] == told
-        await until(lambda: p.driver.idle)
+            assert (await read_http_message(reader))[0].split()[1] == told
+        await wait_until(lambda: p.driver.idle)
         b.reads.set()
-        await until(lambda: bool(b.wires) and b.wires[-1].ended)
+        await wait_until(lambda: bool(b.wires) and b.wires[-1].ended)
         assert len(b.wires) == 1
         assert b.ids == ["first"] * kept
         writer.close()
@@ -76,7 +79,7 @@
 async def test_an_attempt_that_is_given_up_has_ended_at_its_backend_before_anything_follows(how: str) -> None:
     """The next one may be written in the same turn, on a kept connection: it must be no second copy."""
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         if how == "invalid":
             wire.say(b"not http\r\n\r\n")
 
@@ -91,12 +94,12 @@
     async with bare(handle) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         out = pool.start_attempt(b.endpoint, REQUEST, 60.0, done)
-        await until(lambda: bool(b.seen))
+        await wait_until(lambda: bool(b.received))
         if how == "cancel":
             out.cancel()
         elif how == "time out":
             out._time_out()
-        await until(lambda: bool(ended))
+        await wait_until(lambda: bool(ended))
         assert ended == [True]
         pool.close()
 
@@ -114,7 +117,7 @@
     """Lets one event happen, within this turn of the loop."""
     match event:
         case "answer" if not wire.closed:
-            wire.say(answer(200, b"ok"))
+            wire.say(http_response(200, b"ok"))
             transport._read_ready()  # the loop's reading, in this very turn
         case "reset":
             wire.reset()
@@ -153,16 +156,16 @@
 
     monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made)
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         if got[0].split()[1] == "/next":
-            wire.say(answer(200, b"next"))
+            wire.say(http_response(200, b"next"))
 
     async with bare(handle) as b:
         orders = [order for order in permutations(EVENTS, 4) if order[0] == first]
         for number, order in enumerate(orders):
-            pool, seen = ConnectionPool(0.25, 30.0, 10), len(b.seen)
+            pool, seen = ConnectionPool(0.25, 30.0, 10), len(b.received)
             out = Out(pool, b.endpoint)
-            await until(lambda seen=seen: len(b.seen) > seen)  # type: ignore[misc]
+            await wait_until(lambda seen=seen: len(b.received) > seen)  # type: ignore[misc]
             wire, transport = b.wires[-1], transports[-1]
             for event in order:
                 cross(event, pool, out, wire, transport)
@@ -204,7 +207,7 @@
         "drain": Outcome.NOT_SENT,
     }
 
-    async with bare(says(answer(200, b"ok"))) as b:
+    async with bare(says(http_response(200, b"ok"))) as b:
         for first, second in permutations(outcomes, 2):
             for request in (REQUEST, ONCE):
                 pool = ConnectionPool(0.25, 30.0, 10)
@@ -227,4 +230,4 @@
                     assert (await Out(pool, b.endpoint, request).end())[0] is Outcome.OK
                 assert len(out.ends) == 1
                 pool.close()
-        assert not [first for first, _, _ in b.seen if "crossed" in first]
+        assert not [first for first, _, _ in b.received if "crossed" in first]
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -11,7 +11,10 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
-from tests.support.loopback import SteppedClock, answer, call, entry, proxy, until
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stepped_clock import SteppedClock, wait_until
 from tests.support.upstream_helpers import KINDS, OK, ONCE, REQUEST, Bare, Held, Out, Wire, bare, says
 
 
@@ -30,7 +33,7 @@
         [b] = [b for b in backends if b.endpoint.address == connection.endpoint.address]
         taken.append(Wire(b.socket.accept()[0], asyncio.Event()))
         if "answer" in what:
-            taken[0].say(answer(200, b"unasked"))
+            taken[0].say(http_response(200, b"unasked"))
         if "end" in what:
             taken[0].end()
         if what == "reset":
@@ -42,14 +45,14 @@
     taken: list[Wire] = []
     backends: list[Bare] = []
 
-    handle = says(answer(200, b"served"))
+    handle = says(http_response(200, b"served"))
     async with (
         bare(handle, accepts=False) as a,
         bare(handle, accepts=False) as b,
-        proxy(entry("s-1", a.port), entry("s-2", b.port)) as p,
+        running_proxy(endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port)) as p,
     ):
         backends[:] = [a, b]
-        line, _, body = await p.ask(call(kind, request_id="r1"))
+        line, _, body = await p.send_request(http_request(kind, request_id="r1"))
         assert line.split()[1] == "200"
         assert body == b"served"
         assert a.ids + b.ids == ["r1"]
@@ -64,10 +67,10 @@
     how: str, request_: UpstreamRequest
 ) -> None:
     clock = SteppedClock()
-    async with bare(says(answer(200, b"ok"))) as b:
+    async with bare(says(http_response(200, b"ok"))) as b:
         pool, held = ConnectionPool(0.25, 30.0, 10), Held()
         out = Out(pool, b.endpoint, request_, timeout_s=0.2 if how == "time out" else 60.0)
-        await until(lambda: held.waiting == 1)
+        await wait_until(lambda: held.waiting == 1)
         match how:
             case "cancel":
                 out.attempt.cancel()
@@ -76,15 +79,15 @@
             case "drain":
                 pool.disable_endpoint(b.endpoint)
             case "time out":
-                clock.step(0.21)
+                clock.advance(0.21)
             case _:
-                clock.step(0.26)
+                clock.advance(0.26)
         got = (await out.end())[0]
         assert got.never_ran or (how, got) == ("cancel", Outcome.CANCELLED)
         held.opened.set()
         for n in range(3):  # what would come of the first one comes before the end of these
             other = replace(request_, target=b"/%d" % n)
             assert await Out(pool, b.endpoint, other).end() == (Outcome.OK, OK)
-        assert [first.split()[1] for first, _, _ in b.seen] == ["/0", "/1", "/2"]
+        assert [first.split()[1] for first, _, _ in b.received] == ["/0", "/1", "/2"]
         assert len(out.ends) == 1
         pool.close()
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -12,7 +12,9 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from tests.support.loopback import answer, backend, peer, read_message, until
+from tests.support.http_messages import http_response, read_http_message
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import wait_until
 from tests.support.upstream_helpers import ONCE, REQUEST, attempt
 
 
@@ -44,7 +46,7 @@
         await reader.readexactly(10)
         writer.transport.abort()
 
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big)
         assert got is Outcome.NO_CONNECTION
 
@@ -56,7 +58,7 @@
         await never.wait()
 
     never = asyncio.Event()
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big, timeout_s=0.2)
         assert got is Outcome.NO_CONNECTION
         never.set()
@@ -71,11 +73,11 @@
         await reader.readuntil(b"\r\n\r\n")
         begun.set()
         await go_on.wait()
-        writer.write(answer(200, b"ok"))
+        writer.write(http_response(200, b"ok"))
 
     begun, go_on = asyncio.Event(), asyncio.Event()
     ended: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         out = ConnectionPool(0.25, 30.0, 10).start_attempt(
             EndpointAddress(1, ("127.0.0.1", b.port)),
             replace(ONCE, headers=head, body=b"x" * size),
@@ -95,7 +97,7 @@
 ) -> None:
     """It stands, and the task that waited for it has been woken and has not run yet."""
 
-    async with backend(answer(200, b"ok")) as b:
+    async with StandInEndpoint(http_response(200, b"ok")) as b:
         pool, endpoint = ConnectionPool(0.25, 30.0, 10), EndpointAddress(1, ("127.0.0.1", b.port))
         ended: list[Outcome] = []
         made = UpstreamConnection.connection_made
@@ -117,23 +119,23 @@
 
         monkeypatch.setattr(UpstreamConnection, "connection_made", crossed)
         out = pool.start_attempt(endpoint, REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
-        await until(lambda: b.connections == 1 and not pool._open and not pool._pending)
+        await wait_until(lambda: b.connection_count == 1 and not pool._open and not pool._pending)
         assert len(ended) == 1
         assert not pool._idle.by_endpoint
         assert not pool._waiting
-        assert b.seen == []
+        assert b.received == []
 
 
 async def test_a_cancel_closes_the_connection() -> None:
     begun, closed = asyncio.Event(), asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_message(reader)
+        await read_http_message(reader)
         begun.set()
         assert await reader.read() == b""
         closed.set()
 
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         pool, ends = ConnectionPool(0.25, 30.0, 10), []
         out = pool.start_attempt(
             EndpointAddress(1, ("127.0.0.1", b.port)), REQUEST, 5.0, lambda how, _: ends.append(how)
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -11,38 +11,41 @@
 from load_balancer.net.upstream import idle_connections, upstream_connection
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
-from tests.support.loopback import Gate, SteppedClock, answer, backend, peer, read_message, until
+from tests.support.connect_gates import ConnectGate
+from tests.support.http_messages import http_response, read_http_message
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock, wait_until
 from tests.support.upstream_helpers import ONCE, attempt
 
 
 @pytest.mark.parametrize(
     ("said", "outcome"),
     [
-        (answer(200, b"ok"), Outcome.OK),
+        (http_response(200, b"ok"), Outcome.OK),
         (b"HTTP/1.1 200 x\r\n\r\nuntil the end", Outcome.RESET),  # no length, and it goes on past the limit
-        (answer(500), Outcome.ERROR),
-        (answer(503, Srv_Declined="1"), Outcome.REJECTED),
-        (answer(504, Srv_Declined="1"), Outcome.REJECTED),
-        (answer(503), Outcome.ERROR),
-        (answer(504), Outcome.ERROR),
-        (answer(500, Srv_Declined="1"), Outcome.ERROR),
-        (answer(503, Srv_Declined="0"), Outcome.ERROR),
-        (answer(404), Outcome.UNUSABLE),
-        (answer(400), Outcome.UNUSABLE),
+        (http_response(500), Outcome.ERROR),
+        (http_response(503, Srv_Declined="1"), Outcome.REJECTED),
+        (http_response(504, Srv_Declined="1"), Outcome.REJECTED),
+        (http_response(503), Outcome.ERROR),
+        (http_response(504), Outcome.ERROR),
+        (http_response(500, Srv_Declined="1"), Outcome.ERROR),
+        (http_response(503, Srv_Declined="0"), Outcome.ERROR),
+        (http_response(404), Outcome.UNUSABLE),
+        (http_response(400), Outcome.UNUSABLE),
         (None, Outcome.RESET),
         (b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf", Outcome.TIMEOUT),
         (b"not http\r\n\r\n", Outcome.RESET),
-        (answer(200, b"x" * 65537), Outcome.RESET),
+        (http_response(200, b"x" * 65537), Outcome.RESET),
     ],
 )
 async def test_what_comes_back(said: bytes | None, outcome: Outcome) -> None:
     endless = b"x" * 70_000 if said and b"until" in said else b""
-    async with backend(said + endless if said else said) as b:
+    async with StandInEndpoint(said + endless if said else said) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         got, reply = await attempt(pool, ("127.0.0.1", b.port), timeout_s=0.5)
         assert got is outcome
         assert got is not Outcome.OK or (reply and reply.body == b"ok")
-        assert len(b.seen) == 1  # never sent again from here
+        assert len(b.received) == 1  # never sent again from here
         pool.close()
 
 
@@ -65,7 +68,7 @@
 ) -> None:
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_S", 60.0)
 
-    async with backend(said) as b:
+    async with StandInEndpoint(said) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         assert await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0) == (Outcome.RESET, None)
         assert not pool._idle.by_endpoint
@@ -75,16 +78,16 @@
 async def test_an_answer_that_begins_and_does_not_end_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_S", 0.05)
 
-    async with backend(b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf") as b:
+    async with StandInEndpoint(b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf") as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         assert (await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0))[0] is Outcome.RESET
         pool.close()
 
 
 async def test_a_good_answer_may_bring_more_than_belongs_to_it() -> None:
-    good = answer(200, b"ok", Srv_Load="inflight=?,,=;util")
+    good = http_response(200, b"ok", Srv_Load="inflight=?,,=;util")
     for said in (good, good + good, good + b"noise", b"HTTP/1.1 103 x\r\n\r\n" + good):
-        async with backend(said) as b:
+        async with StandInEndpoint(said) as b:
             pool = ConnectionPool(0.25, 30.0, 10)
             got, reply = await attempt(pool, ("127.0.0.1", b.port))
             assert got is Outcome.OK
@@ -101,13 +104,13 @@
     copy = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        b.seen.append(await read_message(reader))
-        writer.write(answer(200, b"%d" % len(b.seen)))
+        b.received.append(await read_http_message(reader))
+        writer.write(http_response(200, b"%d" % len(b.received)))
         await copy.wait()
-        writer.write(answer(200, b"1"))
+        writer.write(http_response(200, b"1"))
         await reader.read()
 
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
         assert (await attempt(pool, address))[1] == UpstreamResponse(200, [(b"content-length", b"1")], b"1")
         later = asyncio.ensure_future(attempt(pool, address))
@@ -125,10 +128,10 @@
 async def test_an_answer_to_half_a_request_is_none_and_proves_that_it_never_ran() -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(answer(200, b"ok"))
+        writer.write(http_response(200, b"ok"))
         await asyncio.Event().wait()
 
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         body = b"x" * 30_000_000
         big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"%d" % len(body))], body=body)
         pool = ConnectionPool(0.25, 30.0, 10)
@@ -139,13 +142,13 @@
     """A connection may come up long after the decision to send."""
 
     clock = SteppedClock()
-    async with backend(answer(200, b"ok")) as b:
+    async with StandInEndpoint(http_response(200, b"ok")) as b:
         pool = ConnectionPool(60.0, 30.0, 10)
-        gate = Gate(pool)
+        gate = ConnectGate(pool)
         out = asyncio.ensure_future(attempt(pool, ("127.0.0.1", b.port), timeout_s=4.0))
-        await until(lambda: gate.waiting == 1)
-        clock.step(1.5)
+        await wait_until(lambda: gate.waiting_count == 1)
+        clock.advance(1.5)
         gate.opened.set()
         assert (await out)[0] is Outcome.OK
-        assert 2.0 < float(b.seen[0][1]["req-deadline"]) <= 2.5
+        assert 2.0 < float(b.received[0][1]["req-deadline"]) <= 2.5
         pool.close()
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -12,7 +12,10 @@
 from load_balancer.policy import health_check
 from load_balancer.policy.request_state import HangLimit
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
-from tests.support.loopback import answer, call, entry, peer, proxy, read_message
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInServer
 
 LIMITS = messages.Limits(max_attempts=3, cancel=True, health_checks=True)
 PROBING = settings(limits=LIMITS)
@@ -147,19 +150,19 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            first, headers, _ = await read_message(reader)
+            first, headers, _ = await read_http_message(reader)
             if "/status/load" in first:
-                writer.write(answer(200, b"busy_reqs=0"))
+                writer.write(http_response(200, b"busy_reqs=0"))
             elif not lost:
                 lost.append(headers["req-id"])  # and its connection stays open
             else:
-                writer.write(answer(200, b"x"))
+                writer.write(http_response(200, b"x"))
 
     async with (
-        peer(handle) as a,
-        peer(handle) as b,
-        proxy(entry("s-1", a.port), entry("s-2", b.port), setup=PROBING) as p,
+        StandInServer(handle) as a,
+        StandInServer(handle) as b,
+        running_proxy(endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port), settings=PROBING) as p,
     ):
-        assert (await p.ask(call(request_id="a1")))[2] == b"x"
+        assert (await p.send_request(http_request(request_id="a1")))[2] == b"x"
         assert lost == ["a1"]
         assert not p.driver._balancer.health.pending
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -11,18 +11,15 @@
 import pytest
 
 from load_balancer.process.descriptor_limits import usable_descriptors
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Peer,
-    answer,
-    backend,
-    call,
-    chunk_list,
-    entry,
-    listing,
-    read_message,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 GIVEN = 96
 CROWD = 200
@@ -76,7 +73,7 @@
     return held
 
 
-@pytest.mark.parametrize("sent", [b"", b"GET /api HTTP/1.1\r\nHost: x\r\n", call(path="/ready")])
+@pytest.mark.parametrize("sent", [b"", b"GET /api HTTP/1.1\r\nHost: x\r\n", http_request(path="/ready")])
 async def test_idle_callers_leave_backends_and_discovery_their_descriptors(
     sent: bytes, tmp_path: Path
 ) -> None:
@@ -84,9 +81,9 @@
 
     async def ask(port: int, request_id: str) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(call(request_id=request_id))
+        writer.write(http_request(request_id=request_id))
         try:
-            return (await read_message(reader))[2]
+            return (await read_http_message(reader))[2]
         finally:
             writer.close()
 
@@ -94,16 +91,18 @@
 
     async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("b", b.port), rev=2))
+        )
         asked.set()
         await reader.read()
 
-    async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b:
+    async with StandInEndpoint(http_response(200, b"a")) as a, StandInEndpoint(http_response(200, b"b")) as b:
         down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
         down.bind(("127.0.0.1", 0))
         told = config(
             discovery=f"127.0.0.1:{down.getsockname()[1]}",
-            known=listing(entry("a", a.port)),
+            known=endpoint_list(endpoint_entry("a", a.port)),
             settings=raw_settings(limits=LIMITS, registryMode="automatic"),
         )
         assert told["limits"]["sockets"] > GIVEN
@@ -117,7 +116,7 @@
             # Refused while all of the crowd are just bringing what they send.
             while await ask(port, "r0") != b"a":
                 pass
-            back = Peer(watch)
+            back = StandInServer(watch)
             back.server = await asyncio.start_server(back.accept, sock=down)
             await asked.wait()
             while await ask(port, "r1") != b"b":
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -11,8 +11,10 @@
 import pytest
 
 from load_balancer.process.server import FLUSH_S, accept_time_s
-from tests.support.loopback import answer, call, entry, listing, peer, read_message
+from tests.support.endpoint_lists import endpoint_entry, endpoint_list
+from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.stand_in_server import StandInServer
 
 KILL_MORE_S = 0.7  # SIGKILL comes this long after the longest deadline, by the terms
 CLIENTS = 6
@@ -42,12 +44,12 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """The backend's side of a connection."""
         while True:
-            _, headers, _ = await read_message(reader)
+            _, headers, _ = await read_http_message(reader)
             self.seen.append(headers["req-id"])
             if self.hangs and self.stopping.is_set():
                 await reader.read()
                 return
-            writer.write(answer(200, b"x"))
+            writer.write(http_response(200, b"x"))
 
     async def client(self, port: int, number: int) -> None:
         """Calls one after another, until its connection is closed."""
@@ -56,7 +58,7 @@
             request_id = f"c{number}-{k}"
             self.sent += 1
             with contextlib.suppress(ConnectionError):
-                writer.write(call(request_id=request_id, Req_Deadline=str(self.deadline_s)))
+                writer.write(http_request(request_id=request_id, Req_Deadline=str(self.deadline_s)))
             headers = await read_answer_headers(reader)
             if headers is None:
                 self.crossed.append(request_id)
@@ -72,7 +74,7 @@
 async def read_answer_headers(reader: asyncio.StreamReader) -> dict[str, str] | None:
     """The headers of the next answer; None where the connection ended with no byte of one."""
     try:
-        _, headers, _ = await read_message(reader)
+        _, headers, _ = await read_http_message(reader)
     except asyncio.IncompleteReadError as end:
         partial = end.partial
     except ConnectionError:
@@ -105,9 +107,9 @@
     traffic = Traffic(deadline_s, hangs)
     lane = {"name": "read", "idempotency": "safe", "worth": 1}
     lane |= {"onTimeUs": round(deadline_s * 1e6), "deadlineUs": round(deadline_s * 1e6)}
-    async with peer(traffic.serve) as b:
+    async with StandInServer(traffic.serve) as b:
         told = raw_settings(lanes=[lane], limits=LIMITS)
-        env = write(tmp_path, config(known=listing(entry("a", b.port)), settings=told))
+        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told))
         async with process(env) as made:
             port = await port_of(made)
             clients = [asyncio.ensure_future(traffic.client(port, n)) for n in range(CLIENTS)]
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -11,14 +11,14 @@
 from load_balancer.process.config import ConfigSource
 from load_balancer.process.server import Reloader
 from tests.support.config_fields import FIRST_LANE, NUMBER_FIELDS, FieldPath, config_with, field_name
-from tests.support.loopback import Proxy, proxy
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.proxy_process import config, write
 
 
 class ReloadHarness:
     """A running proxy, its configuration file, and what a SIGHUP does to it."""
 
-    def __init__(self, folder: Path, p: Proxy, caplog: pytest.LogCaptureFixture) -> None:
+    def __init__(self, folder: Path, p: LoopbackProxy, caplog: pytest.LogCaptureFixture) -> None:
         env = write(folder, config())
         self.path, self.caplog = folder / "config.json", caplog
         source = ConfigSource(env)
@@ -114,7 +114,7 @@
 async def test_at_sighup_a_field_of_the_wrong_kind_is_named_and_the_old_configuration_stands(
     tmp_path: Path, path: FieldPath, values: tuple[object, ...], caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with proxy() as p:
+    async with running_proxy() as p:
         r = ReloadHarness(tmp_path, p, caplog)
         for value in values:
             changed = config_with(path, value)
@@ -141,7 +141,7 @@
 async def test_at_sighup_a_file_that_cannot_be_used_changes_nothing(
     tmp_path: Path, content: bytes, named: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with proxy() as p:
+    async with running_proxy() as p:
         r = ReloadHarness(tmp_path, p, caplog)
         r.path.write_bytes(content)
         r.refused(named)
@@ -152,7 +152,7 @@
 async def test_at_sighup_a_file_that_cannot_be_read_changes_nothing(
     tmp_path: Path, way: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with proxy() as p:
+    async with running_proxy() as p:
         r = ReloadHarness(tmp_path, p, caplog)
         r.path.unlink()
         if way == "a folder":
@@ -170,7 +170,7 @@
 async def test_at_sighup_a_spoilt_list_as_last_known_keeps_nothing_from_being_followed(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with proxy() as p:
+    async with running_proxy() as p:
         r = ReloadHarness(tmp_path, p, caplog)
         r.path.write_text(json.dumps(config(discovery="127.0.0.1:2", known={"rev": 1})))
         r.reloader.reload()
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -10,18 +10,13 @@
 
 import pytest
 
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Handler,
-    answer,
-    backend,
-    call,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    read_message,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.proxy_process import (
     LIMITS,
     ROOT,
@@ -32,6 +27,7 @@
     raw_settings,
     write,
 )
+from tests.support.stand_in_server import StandInEndpoint, StandInServer, StreamHandler
 
 
 async def test_a_bad_configuration_ends_it_with_one_line_and_code_2(tmp_path: Path) -> None:
@@ -42,16 +38,16 @@
         assert err.count(b"\n") == 1
 
 
-def answers_by_name(begun: asyncio.Event, go_on: asyncio.Event) -> Handler:
+def answers_by_name(begun: asyncio.Event, go_on: asyncio.Event) -> StreamHandler:
     """A backend that answers with each request's id, to the one named "slow" only when it may go on."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            _, headers, _ = await read_message(reader)
+            _, headers, _ = await read_http_message(reader)
             if headers["req-id"] == "slow":
                 begun.set()
                 await go_on.wait()
-            writer.write(answer(200, headers["req-id"].encode()))
+            writer.write(http_response(200, headers["req-id"].encode()))
 
     return serve
 
@@ -61,27 +57,27 @@
 
     begun, go_on = asyncio.Event(), asyncio.Event()
 
-    async with peer(answers_by_name(begun, go_on)) as b:
-        known = listing(entry("a", b.port))
+    async with StandInServer(answers_by_name(begun, go_on)) as b:
+        known = endpoint_list(endpoint_entry("a", b.port))
         async with process(write(tmp_path, config(known=known))) as made:
             port = await port_of(made)
             kept_reader, kept = await asyncio.open_connection("127.0.0.1", port)
             slow_reader, slow_writer = await asyncio.open_connection("127.0.0.1", port)
-            slow_writer.write(call(request_id="slow"))
+            slow_writer.write(http_request(request_id="slow"))
             await begun.wait()
             made.send_signal(signal.SIGTERM)
-            kept.write(call(request_id="kept"))
-            assert (await read_message(kept_reader))[2] == b"kept"
+            kept.write(http_request(request_id="kept"))
+            assert (await read_http_message(kept_reader))[2] == b"kept"
             new_reader, new = await asyncio.open_connection("127.0.0.1", port)
-            new.write(call(request_id="new"))
-            assert (await read_message(new_reader))[2] == b"new"
-            new.write(call(path="/ready"))
-            assert (await read_message(new_reader))[0].split()[1] == "503"
+            new.write(http_request(request_id="new"))
+            assert (await read_http_message(new_reader))[2] == b"new"
+            new.write(http_request(path="/ready"))
+            assert (await read_http_message(new_reader))[0].split()[1] == "503"
             go_on.set()
-            assert (await read_message(slow_reader))[2] == b"slow"
+            assert (await read_http_message(slow_reader))[2] == b"slow"
             await asyncio.sleep(1.0)  # longer than new connections go on coming
-            kept.write(call(request_id="late"))
-            assert (await read_message(kept_reader))[2] == b"late"
+            kept.write(http_request(request_id="late"))
+            assert (await read_http_message(kept_reader))[2] == b"late"
             for left in (kept_reader, slow_reader, new_reader):
                 assert await left.read() == b""  # each closes in time for the end
             assert await made.wait() == 0
@@ -93,21 +89,21 @@
     begun, go_on, moved = asyncio.Event(), asyncio.Event(), asyncio.Event()
 
     async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_message(reader)
+        await read_http_message(reader)
         begun.set()
         await go_on.wait()
-        writer.write(answer(200, b"slow"))
+        writer.write(http_response(200, b"slow"))
 
     async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         moved.set()
         await reader.read()
 
-    async with peer(slow) as b, peer(watch) as d:
-        told = config(known=listing(entry("a", b.port)))
+    async with StandInServer(slow) as b, StandInServer(watch) as d:
+        told = config(known=endpoint_list(endpoint_entry("a", b.port)))
         async with process(write(tmp_path, told)) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
-            writer.write(call())
+            writer.write(http_request())
             await begun.wait()
             made.send_signal(signal.SIGTERM)
             write(tmp_path, {**told, "discovery": f"127.0.0.1:{d.port}"})
@@ -115,7 +111,7 @@
             await moved.wait()
             made.send_signal(signal.SIGTERM)
             go_on.set()
-            assert (await read_message(reader))[2] == b"slow"
+            assert (await read_http_message(reader))[2] == b"slow"
             assert await made.wait() == 0
 
 
@@ -152,22 +148,22 @@
     begun = asyncio.Event()
 
     async def never(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_message(reader)
+        await read_http_message(reader)
         begun.set()
         await reader.read()
 
-    async with peer(never) as b:
+    async with StandInServer(never) as b:
         lane = {"name": "pay", "idempotency": "unsafe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
         told = raw_settings(lanes=[{**lane, "lateValue": 0.5}], limits=LIMITS)
-        env = write(tmp_path, config(known=listing(entry("a", b.port)), settings=told))
+        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told))
         async with process(env) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
-            writer.write(call("pay", Req_Deadline="9.0"))
+            writer.write(http_request("pay", Req_Deadline="9.0"))
             await begun.wait()
             loop = asyncio.get_running_loop()
             made.send_signal(signal.SIGTERM)
             began = loop.time()
-            first, _, _ = await read_message(reader)
+            first, _, _ = await read_http_message(reader)
             assert first.split()[1] == "502"  # it may have run: no refusal
             assert await made.wait() == 0
             assert loop.time() - began < 3.7
@@ -179,16 +175,16 @@
 ) -> None:
     """It keeps to the lower limit of the two by itself, and serves beside a crowd that stays."""
 
-    async with backend(answer(200, b"x")) as b:
-        known = listing(entry("a", b.port))
+    async with StandInEndpoint(http_response(200, b"x")) as b:
+        known = endpoint_list(endpoint_entry("a", b.port))
         env = write(tmp_path, config(known=known, limits={"sockets": told}))
         async with process(env, given) as made:
             said: list[str] = []
             port = await port_of(made, said)
             crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(100)]
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(call())
-            assert (await read_message(reader))[2] == b"x"
+            writer.write(http_request())
+            assert (await read_http_message(reader))[2] == b"x"
             assert len(os.listdir(f"/proc/{made.pid}/fd")) <= 64
             made.send_signal(signal.SIGTERM)
             for _, one in crowd:
@@ -212,16 +208,20 @@
         await reader.readuntil(b"\r\n\r\n")
         asked.set()
         await go_on.wait()
-        now = listing(entry("a", a.port, "terminating"), entry("b", b.port), rev=2)
-        writer.write(WATCH_HEAD + chunk_list(now))
+        now = endpoint_list(endpoint_entry("a", a.port, "terminating"), endpoint_entry("b", b.port), rev=2)
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(now))
         await reader.read()
 
-    async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b, peer(hold) as d:
+    async with (
+        StandInEndpoint(http_response(200, b"a")) as a,
+        StandInEndpoint(http_response(200, b"b")) as b,
+        StandInServer(hold) as d,
+    ):
         port = free_port()
         told = config(
             listen=f"127.0.0.1:{port}",
             discovery=f"127.0.0.1:{d.port}",
-            known=listing(entry("a", a.port), rev=1),
+            known=endpoint_list(endpoint_entry("a", a.port), rev=1),
             settings=raw_settings(limits=LIMITS, registryMode="automatic"),
         )
         async with process(write(tmp_path, told)) as made:
@@ -236,8 +236,8 @@
                 go_on.set()
             assert await port_of(made) == port
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(call())
-            assert (await read_message(reader))[2] == (b"b" if then == "list" else b"a")
+            writer.write(http_request())
+            assert (await read_http_message(reader))[2] == (b"b" if then == "list" else b"a")
             go_on.set()
 
 
@@ -253,13 +253,15 @@
         await reader.readuntil(b"\r\n\r\n")
         asked.set()
         await go_on.wait()
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), rev=2)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", a.port), rev=2))
+        )
         await reader.read()
 
-    async with backend(answer(200, b"a")) as a, peer(hold) as d:
+    async with StandInEndpoint(http_response(200, b"a")) as a, StandInServer(hold) as d:
         told = config(discovery=f"127.0.0.1:{d.port}")
         if known:
-            told["known"] = listing(entry("a", a.port), rev=1)
+            told["known"] = endpoint_list(endpoint_entry("a", a.port), rev=1)
         async with process(write(tmp_path, told)) as made:
             await asked.wait()
             if not known:
@@ -267,8 +269,8 @@
             said: list[str] = []
             reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made, said))
             assert not any("watch on discovery broke" in line for line in said)
-            writer.write(call())
-            assert (await read_message(reader))[2] == b"a"
+            writer.write(http_request())
+            assert (await read_http_message(reader))[2] == b"a"
 
 
 async def test_sighup_moves_the_watch_and_keeps_the_rest(tmp_path: Path) -> None:
@@ -280,24 +282,35 @@
 
     async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), rev=100)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", a.port), rev=100))
+        )
         await reader.read()
 
     async def new(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1])
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", a.port), rev=3)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", a.port), rev=3))
+        )
         second.put_nowait(writer)
         await reader.read()
 
     slow = answers_by_name(begun, go_on)
-    async with peer(slow) as a, backend(answer(200, b"from b")) as b, peer(old) as d, peer(new) as e:
-        file = config(discovery=f"127.0.0.1:{d.port}", known=listing(entry("a", a.port), rev=90))
+    async with (
+        StandInServer(slow) as a,
+        StandInEndpoint(http_response(200, b"from b")) as b,
+        StandInServer(old) as d,
+        StandInServer(new) as e,
+    ):
+        file = config(
+            discovery=f"127.0.0.1:{d.port}", known=endpoint_list(endpoint_entry("a", a.port), rev=90)
+        )
         env = {**write(tmp_path, file), "NODE_DISCOVERY": f"127.0.0.1:{d.port}"}
         async with process(env) as made:
             assert made.stderr is not None
             port = await port_of(made)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(call(request_id="slow"))
+            writer.write(http_request(request_id="slow"))
             await begun.wait()
             (tmp_path / "config.json").write_text("{")
             made.send_signal(signal.SIGHUP)
@@ -309,13 +322,15 @@
                 assert line, "it ended"
             watch = await second.get()
             assert asked == ["/v1/endpoints?follow=1"]  # the versions there need not go on from here
-            change = listing(entry("a", a.port, "terminated"), entry("b", b.port), rev=4, full=False)
-            watch.write(chunk_list(change))
+            change = endpoint_list(
+                endpoint_entry("a", a.port, "terminated"), endpoint_entry("b", b.port), rev=4, full=False
+            )
+            watch.write(endpoint_list_chunk(change))
             while b"is b," not in (line := await made.stderr.readline()):
                 assert line, "it ended"
             other_reader, other = await asyncio.open_connection("127.0.0.1", port)
-            other.write(call(request_id="r2"))
-            assert (await read_message(other_reader))[2] == b"from b"
+            other.write(http_request(request_id="r2"))
+            assert (await read_http_message(other_reader))[2] == b"from b"
             go_on.set()
-            assert (await read_message(reader))[2] == b"slow"
-            assert a.connections == 1
+            assert (await read_http_message(reader))[2] == b"slow"
+            assert a.connection_count == 1
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -16,21 +16,16 @@
 
 from load_balancer.process.config import ConfigSource
 from load_balancer.process.server import serve_until_stopped
-from tests.support.loopback import (
-    WATCH_HEAD,
-    SteppedClock,
-    Streams,
-    answer,
-    backend,
-    call,
-    chunk,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    read_message,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import StreamPair, http_chunk, http_request, http_response, read_http_message
 from tests.support.proxy_process import LIMITS, config, free_port, process, raw_settings, write
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock
 
 READY_S = 10.0  # by the terms, for nine in ten
 STEP_S = 0.05
@@ -41,10 +36,13 @@
     "a text": ("list", "known.targets"),
     "no targets": ({"rev": 1, "all": True}, "known.targets"),
     "an entry without a uid": ({"rev": 1, "all": True, "targets": [{}]}, "known.targets[0].uid"),
-    "an odd state": (listing(entry("a", 9, "odd")), "known.targets[0].state"),
-    "an odd address": (listing(entry("a", 0)), "known.targets[0].endpoint"),
-    "a start that cannot be": (listing(entry("a", 9, boot_ms=1e300)), "known.targets[0].boot_ms"),
-    "a rev that cannot be": ({**listing(entry("a", 9)), "rev": 10**400}, "known.rev"),
+    "an odd state": (endpoint_list(endpoint_entry("a", 9, "odd")), "known.targets[0].state"),
+    "an odd address": (endpoint_list(endpoint_entry("a", 0)), "known.targets[0].endpoint"),
+    "a start that cannot be": (
+        endpoint_list(endpoint_entry("a", 9, boot_ms=1e300)),
+        "known.targets[0].boot_ms",
+    ),
+    "a rev that cannot be": ({**endpoint_list(endpoint_entry("a", 9)), "rev": 10**400}, "known.rev"),
 }
 
 
@@ -72,17 +70,17 @@
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         if self.mood == "answers":
-            writer.write(WATCH_HEAD + self.news)
+            writer.write(WATCH_RESPONSE_HEAD + self.news)
         elif self.mood == "refuses":
-            writer.write(answer(503))
+            writer.write(http_response(503))
         elif self.mood == "only beats":
-            writer.write(WATCH_HEAD)
+            writer.write(WATCH_RESPONSE_HEAD)
             while self.mood == "only beats":
-                writer.write(chunk("\n"))
+                writer.write(http_chunk("\n"))
                 await asyncio.sleep(1.0)
             writer.write(self.news)
         elif self.mood == "says half":
-            writer.write(WATCH_HEAD + chunk('{"rev":'))
+            writer.write(WATCH_RESPONSE_HEAD + http_chunk('{"rev":'))
         await reader.read()
 
     async def start(self) -> None:
@@ -105,7 +103,7 @@
         for made in self.taken:
             made.close()
         self.taken.clear()
-        self.mood, self.news = "answers", chunk_list(news)
+        self.mood, self.news = "answers", endpoint_list_chunk(news)
         if self.server is None:
             await self.start()
 
@@ -133,19 +131,19 @@
     except ConnectionRefusedError:
         return False
     try:
-        writer.write(call(path="/ready"))
-        return (await read_message(reader))[0].split()[1] == "200"
+        writer.write(http_request(path="/ready"))
+        return (await read_http_message(reader))[0].split()[1] == "200"
     finally:
         writer.close()
 
 
 async def step_until_ready(clock: SteppedClock, port: int, most_s: float) -> float:
-    began = clock.ahead
-    while clock.ahead - began < most_s and not await ready(port):
-        clock.step(STEP_S)
+    began = clock.advanced_s
+    while clock.advanced_s - began < most_s and not await ready(port):
+        clock.advance(STEP_S)
         for _ in range(TURNS):
             await asyncio.sleep(0)
-    return clock.ahead - began
+    return clock.advanced_s - began
 
 
 @asynccontextmanager
@@ -160,7 +158,7 @@
     finally:
         os.kill(os.getpid(), signal.SIGTERM)
         while not attending.done():
-            clock.step(STEP_S)
+            clock.advance(STEP_S)
             await asyncio.sleep(0)
         await attending
 
@@ -186,9 +184,11 @@
 ) -> None:
     """Where lists are pushed it first waits for discovery's word, as that counts from the first moment on."""
 
-    async with moody(mood) as d, backend(answer(200, b"x")) as b:
+    async with moody(mood) as d, StandInEndpoint(http_response(200, b"x")) as b:
         port = free_port()
-        async with attended(tmp_path, port, told(mode, d.port, listing(entry("a", b.port)))) as clock:
+        async with attended(
+            tmp_path, port, told(mode, d.port, endpoint_list(endpoint_entry("a", b.port)))
+        ) as clock:
             took = await step_until_ready(clock, port, READY_S)
             assert took <= (0.2 if mode == "subscribe" else 2.8 if mood == "only beats" else 1.3)
 
@@ -201,19 +201,19 @@
 ) -> None:
     """A call that hangs may be given up first, and a wait follows; the last call failed just before."""
 
-    async with moody(mood) as d, backend(answer(200, b"x")) as b:
+    async with moody(mood) as d, StandInEndpoint(http_response(200, b"x")) as b:
         port = free_port()
         async with attended(tmp_path, port, told(mode, d.port, known)) as clock:
             assert await step_until_ready(clock, port, 15.0) >= 15.0 - STEP_S  # nothing to send to
-            await d.come_back(listing(entry("a", b.port)))
+            await d.come_back(endpoint_list(endpoint_entry("a", b.port)))
             assert await step_until_ready(clock, port, READY_S) <= 4.5
 
 
 async def served_by(port: int) -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(call())
+    writer.write(http_request())
     try:
-        return (await read_message(reader))[2]
+        return (await read_http_message(reader))[2]
     finally:
         writer.close()
 
@@ -231,11 +231,17 @@
 ) -> None:
     """Discovery is silent at first; those without a list wait for it, the others don't."""
 
-    async with moody("silent") as d, backend(answer(200, b"x")) as b, AsyncExitStack() as stack:
-        news = listing(entry("a", b.port), rev=2)
+    async with (
+        moody("silent") as d,
+        StandInEndpoint(http_response(200, b"x")) as b,
+        AsyncExitStack() as stack,
+    ):
+        news = endpoint_list(endpoint_entry("a", b.port), rev=2)
         made: list[asyncio.subprocess.Process] = []
         ports = [free_port() for _ in range(3)]
-        for n, known in enumerate((listing(entry("a", b.port)), None, SPOILT["an odd address"][0])):
+        for n, known in enumerate(
+            (endpoint_list(endpoint_entry("a", b.port)), None, SPOILT["an odd address"][0])
+        ):
             folder = tmp_path / str(n)
             folder.mkdir()
             env = write(folder, {**told(mode, d.port, known), "listen": f"127.0.0.1:{ports[n]}"})
@@ -262,7 +268,7 @@
 
 async def until_at(
     stage: str, made: asyncio.subprocess.Process, port: int, asked: asyncio.Event, begun: asyncio.Event
-) -> Streams | None:
+) -> StreamPair | None:
     """Waits for a stage of the start; where it serves, returns the connection of the call, which is held."""
     if stage not in ("just begun", "reading its configuration"):
         await asked.wait()
@@ -271,7 +277,7 @@
     if stage != "serving":
         return None
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    writer.write(call(request_id="slow"))
+    writer.write(http_request(request_id="slow"))
     await begun.wait()
     return reader, writer
 
@@ -290,18 +296,20 @@
         asked.set()
         if stage == "waiting for discovery":
             await go_on.wait()
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", b.port), rev=2)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", b.port), rev=2))
+        )
         await reader.read()
 
     async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            _, headers, _ = await read_message(reader)
+            _, headers, _ = await read_http_message(reader)
             if headers["req-id"] == "slow":
                 begun.set()
                 await go_on.wait()
-            writer.write(answer(200, b"x"))
+            writer.write(http_response(200, b"x"))
 
-    async with peer(slow) as b, peer(hold) as d:
+    async with StandInServer(slow) as b, StandInServer(hold) as d:
         port = free_port()
         env = write(tmp_path, {**told("automatic", d.port, None), "listen": f"127.0.0.1:{port}"})
         pipe = tmp_path / "pipe"
--- a/tests/scenarios/test_deduplication_window.py
+++ b/tests/scenarios/test_deduplication_window.py
@@ -10,17 +10,11 @@
 
 from load_balancer import messages
 from tests.support.balancer_harness import S, settings
-from tests.support.loopback import Proxy, answer, call, entry, proxy, until
-from tests.support.upstream_helpers import (
-    KINDS,
-    Bare,
-    Held,
-    Message,
-    Wire,
-    bare,
-    says,
-    stepped,
-)
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import HttpMessage, http_request, http_response
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stepped_clock import wait_until
+from tests.support.upstream_helpers import KINDS, Bare, Held, Wire, bare, says, stepped
 
 # Short windows. All times are long, so that the real time that passes meanwhile counts for nothing.
 CONNECT_S = 25.0
@@ -42,14 +36,16 @@
 class Keyed:
     """A keyed request through the proxy: its first attempt is out, and the test's hand is on the clock."""
 
-    def __init__(self, p: Proxy, backends: list[Bare]) -> None:
+    def __init__(self, p: LoopbackProxy, backends: list[Bare]) -> None:
         self.p, self.endpoints = p, backends
         self.clock = stepped(p)
-        self.asked = asyncio.ensure_future(p.ask(call("mark", request_id="r1", Req_Deadline="900")))
+        self.asked = asyncio.ensure_future(
+            p.send_request(http_request("mark", request_id="r1", Req_Deadline="900"))
+        )
 
     @property
     def sent(self) -> int:
-        return sum(len(b.seen) for b in self.endpoints)
+        return sum(len(b.received) for b in self.endpoints)
 
     async def status(self) -> int:
         return int((await self.asked)[0].split()[1])
@@ -60,20 +56,24 @@
     """And when backends saw it, by their own clock."""
     seen: list[tuple[float, Wire]] = []
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         seen.append((asyncio.get_running_loop().time(), wire))
         if len(seen) > 1:
-            wire.say(answer(200, b"ok"))
+            wire.say(http_response(200, b"ok"))
 
     async with (
         bare(handle) as a,
         bare(handle) as b,
-        proxy(
-            entry("s-1", a.port), entry("s-2", b.port), setup=keyed(window_s), connect_s=CONNECT_S, idle_s=9e3
+        running_proxy(
+            endpoint_entry("s-1", a.port),
+            endpoint_entry("s-2", b.port),
+            settings=keyed(window_s),
+            connect_timeout_s=CONNECT_S,
+            idle_timeout_s=9e3,
         ) as p,
     ):
         request = Keyed(p, [a, b])
-        await until(lambda: len(seen) == 1)
+        await wait_until(lambda: len(seen) == 1)
         yield request, seen
 
 
@@ -90,14 +90,14 @@
 
     async with keyed_request(window_s) as (request, seen):
         held = Held()
-        request.clock.step(after_s)
+        request.clock.advance(after_s)
         if how == "500":
-            seen[0][1].say(answer(500))
+            seen[0][1].say(http_response(500))
         else:
-            await says(how)(seen[0][1], ("", {}, b""))
+            await says(how)(seen[0][1], HttpMessage("", {}, b""))
         if again:
-            await until(lambda: held.waiting == 1)
-            request.clock.step(late_s)
+            await wait_until(lambda: held.waiting == 1)
+            request.clock.advance(late_s)
             held.opened.set()
         assert await request.status() == (200 if again else 503)
         assert len(seen) == request.sent == 1 + again
@@ -107,14 +107,14 @@
 async def test_a_keyed_repeat_whose_connection_does_not_come_up_in_time_is_not_sent() -> None:
     async with keyed_request(100.0) as (request, seen):
         held = Held()
-        request.clock.step(60.0)
+        request.clock.advance(60.0)
         seen[0][1].reset()
-        await until(lambda: held.waiting == 1)
-        request.clock.step(CONNECT_S + 0.1)  # a further one could come up after the window
+        await wait_until(lambda: held.waiting == 1)
+        request.clock.advance(CONNECT_S + 0.1)  # a further one could come up after the window
         assert await request.status() == 503
         held.opened.set()
-        request.clock.step(50.0)
-        other = await request.p.ask(call("mark", request_id="r2", Req_Deadline="900"))
+        request.clock.advance(50.0)
+        other = await request.p.send_request(http_request("mark", request_id="r2", Req_Deadline="900"))
         assert other[0].split()[1] == "200"
         assert [i for b in request.endpoints for i in b.ids if i == "r1"] == ["r1"]
 
@@ -141,20 +141,22 @@
     )
     limits = messages.Limits(max_attempts=3, connect_timeout_us=S)
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         wires.append(wire)
         if len(wires) > 1:
-            wire.say(answer(200, b"served"))
+            wire.say(http_response(200, b"served"))
 
     wires: list[Wire] = []
     async with AsyncExitStack() as stack:
         backends = [await stack.enter_async_context(bare(handle)) for _ in range(8)]
-        entries = [entry(f"s-{n}", b.port, pod_group=n % 4) for n, b in enumerate(backends)]
-        p = await stack.enter_async_context(proxy(*entries, setup=settings(classes=classes, limits=limits)))
+        entries = [endpoint_entry(f"s-{n}", b.port, pod_group=n % 4) for n, b in enumerate(backends)]
+        p = await stack.enter_async_context(
+            running_proxy(*entries, settings=settings(classes=classes, limits=limits))
+        )
         clock = stepped(p)
-        asked = asyncio.ensure_future(p.ask(call(kind, request_id="r1", Req_Deadline="900")))
-        await until(lambda: len(wires) == 1)
-        clock.step(after_s)
+        asked = asyncio.ensure_future(p.send_request(http_request(kind, request_id="r1", Req_Deadline="900")))
+        await wait_until(lambda: len(wires) == 1)
+        clock.advance(after_s)
         wires[0].reset()
         status = int((await asked)[0].split()[1])
         again = kind == "read" or (kind != "pay" and after_s < 49.0)
@@ -162,4 +164,4 @@
         assert status == (200 if again else 503 if kind == "mark" else 502)
         assert len(wires) == 1 + again
         if kind == "write" and again:
-            assert [bool(b.seen) for b in backends[:4]] == [bool(b.seen) for b in backends[4:]]
+            assert [bool(b.received) for b in backends[:4]] == [bool(b.received) for b in backends[4:]]
--- a/tests/scenarios/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -12,7 +12,10 @@
 from load_balancer.policy.endpoint_list import MAX_DEPARTED
 from load_balancer.simulator import write_action
 from tests.support.balancer_harness import BalancerHarness, only, settings
-from tests.support.loopback import answer, backend, call, entry, proxy
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint
 
 
 def subset(harness: BalancerHarness) -> set[int]:
@@ -77,13 +80,16 @@
 
 
 async def test_idle_connections_are_closed_and_the_backend_can_still_be_sent_to() -> None:
-    async with backend(answer(200, b"a")) as a, proxy(entry("a", a.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"a")) as a,
+        running_proxy(endpoint_entry("a", a.port)) as p,
+    ):
         for n in (1, 2):
-            assert (await p.ask(call(request_id=f"r{n}")))[2] == b"a"
+            assert (await p.send_request(http_request(request_id=f"r{n}")))[2] == b"a"
             [[connection]] = p.pool._idle.by_endpoint.values()
             p.driver._perform_action(messages.CloseIdle(endpoint_number("a")))
             assert connection.transport.is_closing()
             assert not p.pool._idle.by_endpoint
             await asyncio.sleep(0)
-        assert a.connections == 2
+        assert a.connection_count == 2
         p.driver._perform_action(messages.CloseIdle(12345))  # not on the list any more
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -14,29 +14,25 @@
 import pytest
 
 from load_balancer.net.discovery.endpoint_watch import BREAK_LOG_WINDOW_S, MAX_LOGGED_BREAKS
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Peer,
-    SteppedClock,
-    answer,
-    backend,
-    call,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    proxy,
-    read_message,
-    run,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.loopback_proxy import running_proxy
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock
+from tests.support.time_limit import run_in_event_loop
 
 DESCRIPTORS = 128
 CROWD = 300
 LINES = (
     20  # in the log of the whole test, but for those of the watch: some of the start, of the list and the end
 )
-PIECES = {"silent": b"", "half": b"GET /api HTTP/1.1\r\nHost: x\r\n", "asked": call(path="/ready")}
+PIECES = {"silent": b"", "half": b"GET /api HTTP/1.1\r\nHost: x\r\n", "asked": http_request(path="/ready")}
 
 
 @pytest.mark.parametrize("kind", PIECES)
@@ -45,9 +41,9 @@
 ) -> None:
     async def ask(port: int, request_id: str) -> bytes:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(call(request_id=request_id))
+        writer.write(http_request(request_id=request_id))
         try:
-            return (await read_message(reader))[2]
+            return (await read_http_message(reader))[2]
         finally:
             writer.close()
 
@@ -55,16 +51,18 @@
 
     async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("b", b.port), rev=2))
+        )
         asked.set()
         await reader.read()
 
-    async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b:
+    async with StandInEndpoint(http_response(200, b"a")) as a, StandInEndpoint(http_response(200, b"b")) as b:
         down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
         down.bind(("127.0.0.1", 0))
         told = config(
             discovery=f"127.0.0.1:{down.getsockname()[1]}",
-            known=listing(entry("a", a.port)),
+            known=endpoint_list(endpoint_entry("a", a.port)),
             limits={"sockets": DESCRIPTORS},
             settings=raw_settings(limits=LIMITS, registryMode="automatic"),
         )
@@ -81,14 +79,14 @@
                 # Whoever comes behind them is served though they hold all that callers may have.
                 assert await ask(port, f"r{n}") == b"a"
                 assert len(os.listdir(f"/proc/{made.pid}/fd")) <= DESCRIPTORS - 8
-            back = Peer(watch)
+            back = StandInServer(watch)
             back.server = await asyncio.start_server(back.accept, sock=down)
             await asked.wait()
             # The list is on its way.
             while await ask(port, "r9") != b"b":
                 pass
-            assert b.connections
-            assert back.connections == 1
+            assert b.connection_count
+            assert back.connection_count == 1
             made.send_signal(signal.SIGTERM)
             for one in crowd:
                 one.close()
@@ -105,7 +103,7 @@
 async def test_a_list_that_comes_again_and_again_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
     """Only what it changes is, twenty lines in ten seconds; here the watch ends behind each whole list."""
     caplog.set_level(logging.INFO, logger="load_balancer.net.driver.endpoint_directory")
-    many = [entry(f"s{n}", 9) for n in range(100)]
+    many = [endpoint_entry(f"s{n}", 9) for n in range(100)]
 
     def lines() -> list[str]:
         return [r.getMessage() for r in caplog.records if "backend" in r.getMessage()]
@@ -116,16 +114,18 @@
         nonlocal lists
         await reader.readuntil(b"\r\n\r\n")
         lists += 1
-        drains = entry("s0", 9, "terminating" if lists > 4 else "in_service")
-        moves = entry("s1", 10 if lists > 4 else 9)
-        writer.write(WATCH_HEAD + chunk_list(listing(drains, moves, *many[2:], rev=lists)))
+        drains = endpoint_entry("s0", 9, "terminating" if lists > 4 else "in_service")
+        moves = endpoint_entry("s1", 10 if lists > 4 else 9)
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(drains, moves, *many[2:], rev=lists))
+        )
 
-    async with peer(watch) as d, proxy(discovery=d.port) as p:
+    async with StandInServer(watch) as d, running_proxy(discovery_port=d.port) as p:
         clock = SteppedClock()
         while lists < 9:
             await asyncio.sleep(0)
             if p.driver._watch._task is None:
-                clock.step(3.0)
+                clock.advance(3.0)
         singly = [line for line in lines() if line.startswith("backend ")]
         counted = [line for line in lines() if line not in singly]
         assert len(singly) == 20 + 2
@@ -144,19 +144,19 @@
         async def refuse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             nonlocal broke
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(answer(503))
+            writer.write(http_response(503))
             broke += 1
 
         nonlocal ahead
-        async with peer(refuse) as d, proxy(discovery=d.port) as p:
+        async with StandInServer(refuse) as d, running_proxy(discovery_port=d.port) as p:
             clock = SteppedClock()
             while broke < 250:
                 await asyncio.sleep(0)
                 if p.driver._watch._task is None:
-                    clock.step(0.1)
-            ahead = clock.ahead
+                    clock.advance(0.1)
+            ahead = clock.advanced_s
 
-    run(test)
+    run_in_event_loop(test)
     lines = [r.getMessage() for r in caplog.records]
     named = [line for line in lines if line.endswith("broke: status 503")]
     counted = [int(line.split()[4]) for line in lines if "more times" in line]
--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -9,12 +9,15 @@
 
 from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.upstream import idle_connections
-from tests.support.loopback import Proxy, answer, backend, call, entry, listing, proxy, read_message
+from tests.support.endpoint_lists import endpoint_entry, endpoint_list
+from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stand_in_server import StandInEndpoint
 
 ROUNDS = 1500
 
 
-def sizes(p: Proxy) -> dict[str, int]:
+def sizes(p: LoopbackProxy) -> dict[str, int]:
     """The entries of every collection that lives as long as the process."""
     counted = {}
     for owner in (p.driver, p.driver._endpoints, p.driver._balancer, p.pool, p.listener, p.clients):
@@ -31,17 +34,23 @@
 async def test_every_entry_leaves_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-0", b.port), most=20) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-0", b.port), max_connections=20) as p,
+    ):
         before: dict[str, int] = {}
         for n in range(ROUNDS):
             # Each round a new backend at the address of the one before, which is gone without a drain.
-            change = listing(
-                entry(f"s-{n}", b.port, "terminated"), entry(f"s-{n + 1}", b.port), rev=n + 2, full=False
+            change = endpoint_list(
+                endpoint_entry(f"s-{n}", b.port, "terminated"),
+                endpoint_entry(f"s-{n + 1}", b.port),
+                rev=n + 2,
+                full=False,
             )
             p.driver._on_list(read_list(change))
             reader, writer = await p.connect()  # and a new connection, half of them kept for good
-            writer.write(call(request_id=f"r{n}"))
-            assert (await read_message(reader))[2] == b"x"
+            writer.write(http_request(request_id=f"r{n}"))
+            assert (await read_http_message(reader))[2] == b"x"
             if n % 2:
                 writer.close()
             if n == 100:
--- a/tests/scenarios/test_hold_ups.py
+++ b/tests/scenarios/test_hold_ups.py
@@ -17,18 +17,12 @@
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
-from tests.support.loopback import (
-    Gate,
-    Proxy,
-    SteppedClock,
-    answer,
-    backend,
-    call,
-    entry,
-    listing,
-    proxy,
-    until,
-)
+from tests.support.connect_gates import ConnectGate
+from tests.support.endpoint_lists import endpoint_entry, endpoint_list
+from tests.support.http_messages import http_request, http_response
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stand_in_server import StandInEndpoint
+from tests.support.stepped_clock import SteppedClock, wait_until
 from tests.support.upstream_helpers import Calls, Connects, ids, stepped
 
 HOLD_UP_S = 0.15  # by the terms
@@ -47,7 +41,7 @@
     def _hold(self) -> None:
         self.times += 1
         if self.times <= 2:  # more would use up the time of the request itself
-            self.clock.step(self.seconds)
+            self.clock.advance(self.seconds)
 
     def before(self, patch: Patch, owner: object, name: str) -> None:
         original = getattr(owner, name)
@@ -70,7 +64,7 @@
 
 
 # Where the loop is blocked, and how. The last is between the time told and the write itself.
-LINES: dict[str, Callable[[Held, Patch, Proxy], None]] = {
+LINES: dict[str, Callable[[Held, Patch, LoopbackProxy], None]] = {
     "between the request's time and the driver": lambda h, m, p: h.before(m, p.driver, "request"),
     "between the driver and its event": lambda h, m, p: h.before(m, p.driver, "_process_event"),
     "between the event's time and the module": lambda h, m, p: h.before(m, p.driver._balancer, "handle"),
@@ -116,13 +110,13 @@
     """
 
     async with (
-        backend(*[answer(200)] * kept, answer(500), answer(200)) as a,
-        proxy(entry("s-1", a.port), connect_s=5.0) as p,
+        StandInEndpoint(*[http_response(200)] * kept, http_response(500), http_response(200)) as a,
+        running_proxy(endpoint_entry("s-1", a.port), connect_timeout_s=5.0) as p,
     ):
         clock = stepped(p)
         if kept:
-            await p.ask(call(request_id="before"))
-            clock.step(1.0)  # its connection has settled
+            await p.send_request(http_request(request_id="before"))
+            clock.advance(1.0)  # its connection has settled
             for _ in range(20):  # and no timer of before falls due among the hold-ups
                 await asyncio.sleep(0)
         writes = Writes(monkeypatch, clock)
@@ -130,7 +124,7 @@
         with monkeypatch.context() as patch:
             LINES[line](held, patch, p)
             began = asyncio.get_running_loop().time()
-            got = await p.ask(call(request_id="r1", Req_Deadline=str(DEADLINE_S)))
+            got = await p.send_request(http_request(request_id="r1", Req_Deadline=str(DEADLINE_S)))
         assert got[0].split()[1] == "200"
         assert held.times >= 1
         slack_s = SLACK_S if line == "between the time told and the write" else 0.0
@@ -145,7 +139,7 @@
 ) -> None:
     """The hold-up is longer than what was left, and the timer for that can't have run yet."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(60.0, 30.0, 10)
         calls, connects = Calls(pool, b), Connects(pool, [])
         if kept:
@@ -161,12 +155,12 @@
             if not kept:
                 await connects.begun(1)
                 connects.let(0)
-            await until(lambda: "a" in calls.ended)
+            await wait_until(lambda: "a" in calls.ended)
         assert calls.ended["a"] is Outcome.NOT_SENT  # it says nothing of the backend
         calls.begin("b")
         await connects.begun(2)
         connects.let(1)
-        await until(lambda: "b" in calls.ended)
+        await wait_until(lambda: "b" in calls.ended)
         assert ids(b) == ["before"] * kept + ["b"]
         pool.close()
 
@@ -192,22 +186,24 @@
     """Its connection comes up in the turn after the list, which stood unread while the loop was held up."""
 
     async with (
-        backend(answer(200)) as a,
-        backend(answer(200)) as b,
-        proxy(entry("s-1", a.port), entry("s-2", b.port), connect_s=5.0) as p,
+        StandInEndpoint(http_response(200)) as a,
+        StandInEndpoint(http_response(200)) as b,
+        running_proxy(
+            endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port), connect_timeout_s=5.0
+        ) as p,
     ):
-        clock, gate = stepped(p), Gate(p.pool)
-        asked = asyncio.ensure_future(p.ask(call()))
-        await until(lambda: gate.waiting == 1)
+        clock, gate = stepped(p), ConnectGate(p.pool)
+        asked = asyncio.ensure_future(p.send_request(http_request()))
+        await wait_until(lambda: gate.waiting_count == 1)
         [attempt] = p.driver._attempts.values()
         drains, other = (a, b) if attempt.endpoint.address[1] == a.port else (b, a)
         uid = "s-1" if drains is a else "s-2"
-        clock.step(HOLD_UP_S)
+        clock.advance(HOLD_UP_S)
         with monkeypatch.context() as patch:
             Held(clock).before(patch, UpstreamAttempt, line)
-            news = listing(entry(uid, drains.port, "terminating"), rev=2, full=False)
+            news = endpoint_list(endpoint_entry(uid, drains.port, "terminating"), rev=2, full=False)
             p.driver._on_list(read_list(news))
             gate.opened.set()
             assert (await asked)[0].split()[1] == "200"
-        assert not drains.seen
-        assert len(other.seen) == 1
+        assert not drains.received
+        assert len(other.received) == 1
--- a/tests/scenarios/test_little_time.py
+++ b/tests/scenarios/test_little_time.py
@@ -7,8 +7,11 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.loopback import answer, backend, call, entry, peer, proxy
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response
+from tests.support.loopback_proxy import running_proxy
 from tests.support.proxy_process import free_port
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 SOON_S = 0.5  # by the terms an answer this long after a request's time is not lost
 
@@ -18,14 +21,17 @@
 async def test_a_request_with_hardly_any_time_left_gets_its_answer_and_no_attempt(
     kind: str, left_ms: int
 ) -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         loop = asyncio.get_running_loop()
         began = loop.time()
-        got = await p.ask(call(kind, Req_Deadline=f"{left_ms / 1e3:.3f}"))
+        got = await p.send_request(http_request(kind, Req_Deadline=f"{left_ms / 1e3:.3f}"))
         assert got[0].split()[1] in ("502", "503")
         assert loop.time() - began < SOON_S
-        assert not b.seen
-        assert not b.connections
+        assert not b.received
+        assert not b.connection_count
         assert p.driver.idle
         assert not p.driver._attempts
 
@@ -33,7 +39,7 @@
 @pytest.mark.parametrize("kind", ["read", "mark", "write", "pay"])
 async def test_attempts_that_are_all_refused_end_at_once_within_their_number(kind: str) -> None:
     ports = [free_port() for _ in range(5)]  # nobody listens there
-    async with proxy(*(entry(f"s-{n}", port) for n, port in enumerate(ports))) as p:
+    async with running_proxy(*(endpoint_entry(f"s-{n}", port) for n, port in enumerate(ports))) as p:
         sends: list[messages.StartAttempt] = []
         original = p.driver._start_attempt
 
@@ -44,7 +50,7 @@
         p.driver._start_attempt = counted  # type: ignore[method-assign]
         loop = asyncio.get_running_loop()
         began = loop.time()
-        got = await p.ask(call(kind))
+        got = await p.send_request(http_request(kind))
         assert got[0].split()[1] == "503"
         assert loop.time() - began < 1.0  # of the 2 s that are useful
         assert len(sends) == 3
@@ -56,10 +62,10 @@
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
-    async with peer(silent) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInServer(silent) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         loop = asyncio.get_running_loop()
         began = loop.time()
-        got = await p.ask(call(kind, Req_Deadline="0.5"))
+        got = await p.send_request(http_request(kind, Req_Deadline="0.5"))
         assert got[0].split()[1] in ("502", "503")
         assert loop.time() - began < 0.5 + SOON_S
         assert p.driver.idle
--- a/tests/scenarios/test_no_files.py
+++ b/tests/scenarios/test_no_files.py
@@ -11,18 +11,15 @@
 
 import pytest
 
-from tests.support.loopback import (
-    WATCH_HEAD,
-    answer,
-    backend,
-    call,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    read_message,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.proxy_process import ROOT, command, config, port_of, write
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 # Each way to change the file system is told before it happens, whether or not it would succeed.
 AUDITED = """
@@ -71,18 +68,24 @@
 
     async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("b", b.port), rev=2))
+        )
         await reader.read()
 
-    async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b, peer(tell) as d:
-        told = config(known=listing(entry("a", a.port)))
+    async with (
+        StandInEndpoint(http_response(200, b"a")) as a,
+        StandInEndpoint(http_response(200, b"b")) as b,
+        StandInServer(tell) as d,
+    ):
+        told = config(known=endpoint_list(endpoint_entry("a", a.port)))
         async with started(words, {**write(tmp_path, told), **env}, shell) as made:
             said: list[str] = []
             port = await port_of(made, said)
             for expected in (b"a", b"b"):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(call())
-                assert (await read_message(reader))[2] == expected
+                writer.write(http_request())
+                assert (await read_http_message(reader))[2] == expected
                 writer.close()
                 if expected == b"a":
                     write(tmp_path, {**told, "discovery": f"127.0.0.1:{d.port}"})
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -15,7 +15,9 @@
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.scenarios.test_deduplication_window import keyed_request
-from tests.support.loopback import SteppedClock, answer, backend, until
+from tests.support.http_messages import http_response
+from tests.support.stand_in_server import StandInEndpoint
+from tests.support.stepped_clock import SteppedClock, wait_until
 from tests.support.upstream_helpers import Calls, Connects, ids
 
 
@@ -25,12 +27,12 @@
     """The time for the connection runs from the decision to send, as the module counts it."""
 
     async with keyed_request(100.0) as (request, seen):
-        request.clock.step(70.0)
+        request.clock.advance(70.0)
         begin = request.p.pool.start_attempt
 
         def stands_still(*what: Any) -> UpstreamAttempt:
             out = begin(*what)
-            request.clock.step(40.0)
+            request.clock.advance(40.0)
             return out
 
         monkeypatch.setattr(request.p.pool, "start_attempt", stands_still)
@@ -44,7 +46,7 @@
 ) -> None:
     """The attempt ends as too late; the connection has no timer any more, and none would ever close it."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(60.0, 30.0, 10)
         calls, connects = Calls(pool, b), Connects(pool, [])
         calls.begin("a")
@@ -56,7 +58,7 @@
 
         def stands_still(endpoint: EndpointAddress) -> UpstreamConnection | None:
             connection = take(endpoint)
-            connects.clock.step(61.0)
+            connects.clock.advance(61.0)
             return connection
 
         with monkeypatch.context() as patched:
@@ -65,7 +67,7 @@
         await calls.until(a=Outcome.OK, b=Outcome.NO_CONNECTION)
         assert pool._open == set(pool._idle.by_endpoint.get(calls.endpoint, ()))
         await connects.step(31.0)
-        await until(lambda: not pool._open)
+        await wait_until(lambda: not pool._open)
         assert ids(b) == ["a"]
 
 
@@ -76,7 +78,7 @@
 ) -> None:
     """It stands at once, and any other one would cost the backend a handshake, and the proxy more turns."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool, clock, begun = ConnectionPool(60.0, 30.0, 10), SteppedClock(), 0
         for _ in range(WINDOW_SIZE):
             pool._pacing.latency.add(0.001)
@@ -94,7 +96,7 @@
         while not calls.ended:
             await asyncio.sleep(0)
             if slow:
-                clock.step(turn_s)
+                clock.advance(turn_s)
                 slow -= 1
         assert (calls.ended, begun) == ({"a": Outcome.OK}, 1)
         pool.close()
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -23,20 +23,16 @@
     step,
     watched,
 )
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Proxy,
-    SteppedClock,
-    answer,
-    call,
-    chunk,
-    chunk_list,
-    entry,
-    listing,
-    proxy,
-    until,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
-from tests.support.upstream_helpers import ONCE, REQUEST, Bare, Handle, Message, Out, Wire, bare
+from tests.support.http_messages import HttpMessage, http_chunk, http_request, http_response
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.upstream_helpers import ONCE, REQUEST, Bare, Handle, Out, Wire, bare
 
 KINDS = ["read", "write", "mark", "pay"]
 HOURS = 10
@@ -46,8 +42,8 @@
 
 
 def answers_as(name: bytes) -> Handle:
-    async def handle(wire: Wire, got: Message) -> None:
-        wire.say(answer(200, name))
+    async def handle(wire: Wire, got: HttpMessage) -> None:
+        wire.say(http_response(200, name))
 
     return handle
 
@@ -58,11 +54,11 @@
 
 
 @asynccontextmanager
-async def stepped(p: Proxy) -> AsyncIterator[SteppedClock]:
+async def stepped(p: LoopbackProxy) -> AsyncIterator[SteppedClock]:
     """One clock for the event loop and the module."""
     clock = SteppedClock()
     real = p.driver._clock.now_us
-    p.driver._clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
+    p.driver._clock.now_us = lambda: real() + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
     yield clock
 
 
@@ -155,11 +151,11 @@
 ) -> None:
     async with watched(setup) as (d, p, clock):
         await step(clock, lambda: len(d.calls) == 1)
-        d.calls[0].say(WATCH_HEAD + chunk_list(listing(entry("s-1", 9))))
+        d.calls[0].say(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9))))
         await step(clock, lambda: p.driver._watch.version == 1)
         for _ in range(round(2 * 3_600 / BEAT_S)):
-            clock.step(BEAT_S)
-            d.calls[0].say(chunk("\n"))
+            clock.advance(BEAT_S)
+            d.calls[0].say(http_chunk("\n"))
             await turns(12)
         assert len(d.calls) == 1
         assert len(p.driver._balancer.outbox.timers) == len(p.driver._timers) == 0
@@ -171,12 +167,16 @@
 
 
 async def test_after_a_quiet_time_the_first_request_finds_no_connection_that_the_backend_has_closed() -> None:
-    async with bare(answers_as(b"x")) as b, proxy(entry("s-1", b.port)) as p, stepped(p) as clock:
-        assert (await p.ask(call(request_id="r0")))[2] == b"x"
+    async with (
+        bare(answers_as(b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        stepped(p) as clock,
+    ):
+        assert (await p.send_request(http_request(request_id="r0")))[2] == b"x"
         for n in range(1, 5):
-            clock.step(HOURS * 3_600.0)
-            await until(lambda n=n: b.wires[n - 1].ended)  # type: ignore[misc]
-            assert (await p.ask(call(request_id=f"r{n}")))[2] == b"x"
+            clock.advance(HOURS * 3_600.0)
+            await wait_until(lambda n=n: b.wires[n - 1].ended)  # type: ignore[misc]
+            assert (await p.send_request(http_request(request_id=f"r{n}")))[2] == b"x"
             assert len(b.wires) == n + 1
             assert not any(w.read for w in b.wires)
         assert b.ids == [f"r{n}" for n in range(5)]
@@ -192,7 +192,7 @@
     async with bare(answers_as(b"x")) as b:
         pool = ConnectionPool(0.25, IDLE_S, 10)
         assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
-        clock.step(IDLE_S * (1.0 - idle_connections.IDLE_MARGIN_SHARE) + late_s)
+        clock.advance(IDLE_S * (1.0 - idle_connections.IDLE_MARGIN_SHARE) + late_s)
         assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
         assert len(b.wires) == 2
         pool.close()
@@ -207,7 +207,7 @@
         pool = ConnectionPool(0.25, idle_s, 10)
         assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
         await turns()
-        clock.step(max(0.0, idle_s - 0.15))
+        clock.advance(max(0.0, idle_s - 0.15))
         assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
         assert len(b.wires) == 2
         pool.close()
@@ -224,24 +224,24 @@
     def forget(self) -> None:
         self.forgotten = set(self.known)
 
-    async def handle(self, wire: Wire, got: Message) -> None:
+    async def handle(self, wire: Wire, got: HttpMessage) -> None:
         if wire not in self.forgotten:
             self.known.add(wire)
-            wire.say(answer(200, got[1]["req-id"].encode()))
+            wire.say(http_response(200, got[1]["req-id"].encode()))
         elif self.how == "reset":
             wire.reset()
         elif self.how == "end":
             wire.end()
 
 
-async def kept_by(p: Proxy, b: Bare, count: int) -> None:
+async def kept_by(p: LoopbackProxy, b: Bare, count: int) -> None:
     """So many idle connections to it, each of which has carried a request."""
     b.reads.clear()
-    asking = [asyncio.ensure_future(p.ask(call(request_id=f"k{n}"))) for n in range(count)]
-    await until(lambda: len(b.wires) == count)
+    asking = [asyncio.ensure_future(p.send_request(http_request(request_id=f"k{n}"))) for n in range(count)]
+    await wait_until(lambda: len(b.wires) == count)
     b.reads.set()
     await asyncio.gather(*asking)
-    await until(lambda: sum(map(len, p.pool._idle.by_endpoint.values())) == count)
+    await wait_until(lambda: sum(map(len, p.pool._idle.by_endpoint.values())) == count)
 
 
 ROOMY = settings(limits=messages.Limits(max_attempts=3, cancel=True))
@@ -258,21 +258,23 @@
     forgetful = Forgetful(how)
     async with AsyncExitStack() as stack:
         made = [await stack.enter_async_context(bare(forgetful.handle)) for _ in range(many)]
-        entries = [entry(f"s-{n}", b.port) for n, b in enumerate(made)]
-        p = await stack.enter_async_context(proxy(*entries, setup=ROOMY, idle_s=1e6))
+        entries = [endpoint_entry(f"s-{n}", b.port) for n, b in enumerate(made)]
+        p = await stack.enter_async_context(running_proxy(*entries, settings=ROOMY, idle_timeout_s=1e6))
         clock = await stack.enter_async_context(stepped(p))
         for n in range(40 * many):
-            await p.ask(call(request_id=f"k{n}"))
+            await p.send_request(http_request(request_id=f"k{n}"))
         assert sum(map(len, p.pool._idle.by_endpoint.values())) > 4
         forgetful.forget()
-        clock.step(3_600.0)
+        clock.advance(3_600.0)
         statuses = []
         for n in range(4):
-            asking = asyncio.ensure_future(p.ask(call(kind, request_id=f"r{n}", Req_Deadline="2.0")))
-            began = clock.ahead
+            asking = asyncio.ensure_future(
+                p.send_request(http_request(kind, request_id=f"r{n}", Req_Deadline="2.0"))
+            )
+            began = clock.advanced_s
             while not asking.done():
-                assert clock.ahead - began < 2.5, "no final answer"
-                clock.step(0.05)
+                assert clock.advanced_s - began < 2.5, "no final answer"
+                clock.advance(0.05)
                 await turns()
             statuses.append((await asking)[0].split()[1])
         lone = how == "silence" and many == 1 and kind != "pay"  # there is nowhere to make it again
@@ -286,23 +288,23 @@
     """Not as a client leaves, nor for a new connection, nor where the backend answers others meanwhile."""
     silent = case in ("time out", "given up")
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         if got[0].startswith("GET"):
-            wire.say(answer(200, b"x"))
+            wire.say(http_response(200, b"x"))
 
     clock = SteppedClock()
     async with bare(handle) as b:
         pool = ConnectionPool(0.25, 1e6, 10)
         b.reads.clear()
         rested = [Out(pool, b.endpoint, GET) for _ in range(3)]
-        await until(lambda: len(b.wires) == 3)
+        await wait_until(lambda: len(b.wires) == 3)
         b.reads.set()
         for out in rested:
             await out.end()
-        clock.step(60.0)
+        clock.advance(60.0)
         request = ONCE if case == "a new connection" else REQUEST
         out = Out(pool, b.endpoint, request, 2.0)
-        await until(lambda: len(b.seen) == 4)
+        await wait_until(lambda: len(b.received) == 4)
         if case == "it answers others":
             assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
         if case == "given up":
@@ -310,7 +312,7 @@
         elif case == "cancelled":
             out.attempt.cancel()
         else:
-            clock.step(2.0)
+            clock.advance(2.0)
         await out.end()
         left = len(pool._idle.by_endpoint.get(b.endpoint, ()))
         assert left == (0 if silent else 3 if case == "a new connection" else 2)
@@ -324,46 +326,48 @@
     """A backend that breaks a busy connection tells nothing of those to other backends."""
     monkeypatch.setattr(upstream_attempt, "LONG_IDLE_S", 1_000.0)  # no busy machine comes near by itself
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         if got[1]["req-id"] == "r1" and not broken:
             broken.append(wire)
             wire.reset()
         else:
-            wire.say(answer(200, b"x"))
+            wire.say(http_response(200, b"x"))
 
     broken: list[Wire] = []
     async with (
         bare(handle) as a,
         bare(handle) as b,
-        proxy(entry("s-1", a.port), entry("s-2", b.port), setup=ROOMY, idle_s=1e6) as p,
+        running_proxy(
+            endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port), settings=ROOMY, idle_timeout_s=1e6
+        ) as p,
         stepped(p) as clock,
     ):
         while not (a.wires and b.wires):
-            await asyncio.gather(*(p.ask(call(request_id=f"k{n}")) for n in range(8)))
-        clock.step(rest_s)
+            await asyncio.gather(*(p.send_request(http_request(request_id=f"k{n}")) for n in range(8)))
+        clock.advance(rest_s)
         before = len(a.wires) + len(b.wires)
-        assert (await p.ask(call(request_id="r1")))[2] == b"x"
+        assert (await p.send_request(http_request(request_id="r1")))[2] == b"x"
         assert (a.ids + b.ids).count("r1") == 2
         assert len(a.wires) + len(b.wires) - before == made
 
 
 async def test_a_client_that_leaves_costs_its_backend_no_idle_connection() -> None:
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         if got[1]["req-id"] != "left":
-            wire.say(answer(200, b"x"))
+            wire.say(http_response(200, b"x"))
 
     async with (
         bare(handle) as b,
-        proxy(entry("s-1", b.port), setup=ROOMY, idle_s=1e6) as p,
+        running_proxy(endpoint_entry("s-1", b.port), settings=ROOMY, idle_timeout_s=1e6) as p,
         stepped(p) as clock,
     ):
         await kept_by(p, b, 3)
-        clock.step(60.0)
+        clock.advance(60.0)
         _, writer = await p.connect()
-        writer.write(call(request_id="left"))
-        await until(lambda: "left" in b.ids)
+        writer.write(http_request(request_id="left"))
+        await wait_until(lambda: "left" in b.ids)
         writer.close()
-        await until(lambda: not p.driver._attempts)
+        await wait_until(lambda: not p.driver._attempts)
         assert sum(map(len, p.pool._idle.by_endpoint.values())) == 2
 
 
@@ -375,20 +379,24 @@
 ) -> None:
     """Within half a second after its time, whatever is left of it."""
 
-    async def drop(wire: Wire, got: Message) -> None:
+    async def drop(wire: Wire, got: HttpMessage) -> None:
         if got[1]["req-id"].startswith("k"):
-            wire.say(answer(200, b"k"))
+            wire.say(http_response(200, b"k"))
 
-    async with bare(drop) as b, proxy(entry("s-1", b.port), idle_s=1e6) as p, stepped(p) as clock:
+    async with (
+        bare(drop) as b,
+        running_proxy(endpoint_entry("s-1", b.port), idle_timeout_s=1e6) as p,
+        stepped(p) as clock,
+    ):
         if kept:
             await kept_by(p, b, 1)
-            clock.step(60.0)
-        asking = asyncio.ensure_future(p.ask(call(kind, request_id="r1", Req_Deadline=left)))
-        await until(lambda: "r1" in b.ids or asking.done())
-        began = clock.ahead
+            clock.advance(60.0)
+        asking = asyncio.ensure_future(p.send_request(http_request(kind, request_id="r1", Req_Deadline=left)))
+        await wait_until(lambda: "r1" in b.ids or asking.done())
+        began = clock.advanced_s
         while not asking.done():
-            assert clock.ahead - began < float(left) + 0.5, "no final answer"
-            clock.step(0.01)
+            assert clock.advanced_s - began < float(left) + 0.5, "no final answer"
+            clock.advance(0.01)
             await turns()
         assert (await asking)[0].split()[1] in ("502", "503")
         assert b.ids.count("r1") <= (1 if kind == "pay" else 3)
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -41,24 +41,24 @@
 from tests.process.test_reload import ReloadHarness
 from tests.process.test_startup import attended
 from tests.support.balancer_harness import MS, BalancerHarness, S, only
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Peer,
-    SteppedClock,
-    Streams,
-    answer,
-    backend,
-    call,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    proxy,
-    read_message,
-    run,
-    until,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import (
+    StreamPair,
+    http_request,
+    http_response,
+    read_http_message,
+    response_status,
+)
+from tests.support.loopback_proxy import running_proxy
 from tests.support.proxy_process import LIMITS, ROOT, config, free_port, port_of, process, raw_settings, write
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.time_limit import run_in_event_loop
 from tests.support.upstream_helpers import Calls, Connects, attempt
 
 Side = Callable[[socket.socket], bool]
@@ -183,18 +183,14 @@
     return [line for line in lines(caplog) if "Traceback" in line]
 
 
-def status(got: tuple[str, dict[str, str], bytes]) -> int:
-    return int(got[0].split()[1])
-
-
 def queued(port: int, request_id: str) -> socket.socket:
     """A connection that stands in the system's queue, with a request on it."""
     made = socket.create_connection(("127.0.0.1", port))
-    made.sendall(call(request_id=request_id))
+    made.sendall(http_request(request_id=request_id))
     return made
 
 
-async def streams(made: socket.socket) -> Streams:
+async def streams(made: socket.socket) -> StreamPair:
     made.setblocking(False)
     return await asyncio.open_connection(sock=made)
 
@@ -203,7 +199,7 @@
     """The status that comes on it; 0 where it ends without an answer."""
     reader, writer = await streams(made)
     try:
-        return status(await read_message(reader))
+        return response_status(await read_http_message(reader))
     except (asyncio.IncompleteReadError, ConnectionError):
         return 0
     finally:
@@ -235,16 +231,19 @@
     error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
             rule = rules.add("accept", at(p.port), error, times=5)
             clients = [queued(p.port, f"r{n}") for n in range(8)]
             lost = 5 if error in OF_ONE_CONNECTION else 0
             got = await asyncio.gather(*map(answered, clients))
             assert sorted(got) == [0] * lost + [200] * (8 - lost)
             assert rule.hits == 5
-            assert len(b.seen) == 8 - lost
+            assert len(b.received) == 8 - lost
 
-    run(test)
+    run_in_event_loop(test)
     assert not traces(caplog)
     assert len([line for line in lines(caplog) if "connection" in line]) <= 1
 
@@ -256,24 +255,27 @@
     """What is open is answered, and each connection in the queue but the one that failed."""
 
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
             reader, writer = await p.connect()
-            writer.write(call(request_id="open"))
-            assert status(await read_message(reader)) == 200
+            writer.write(http_request(request_id="open"))
+            assert response_status(await read_http_message(reader)) == 200
             rules.add("accept", at(p.port), error, times=1 if error in OF_ONE_CONNECTION else 3)
             clients = [queued(p.port, f"r{n}") for n in range(6)]
             p.listener.stop_listening()  # as the shutdown calls it, before the event loop has turned
             assert not p.listener.is_drained
             got = await asyncio.gather(*map(answered, clients))
             assert sorted(got) == [200 * (error not in OF_ONE_CONNECTION), *[200] * 5]
-            writer.write(call(request_id="again"))
-            assert status(await read_message(reader)) == 200
+            writer.write(http_request(request_id="again"))
+            assert response_status(await read_http_message(reader)) == 200
             writer.close()
-            await until(lambda: p.listener._listening_socket.fileno() < 0)
+            await wait_until(lambda: p.listener._listening_socket.fileno() < 0)
             with pytest.raises(ConnectionRefusedError):
                 await p.connect()
 
-    run(test)
+    run_in_event_loop(test)
     assert not traces(caplog)
     assert len(lines(caplog)) <= 1
 
@@ -285,7 +287,7 @@
     """The listener stays readable all the while. Each wait is one timer, which the test lets run out."""
     waits: list[float] = []
 
-    async with proxy(entry("b", 9)) as p:
+    async with running_proxy(endpoint_entry("b", 9)) as p:
         rule = rules.add("accept", at(p.port), error, times=sys.maxsize)
         call_later = p.listener.loop.call_later
 
@@ -312,15 +314,15 @@
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         nonlocal begun
         while True:
-            await read_message(reader)
+            await read_http_message(reader)
             begun += 1
             await go_on.wait()
-            writer.write(answer(200, b"x"))
+            writer.write(http_response(200, b"x"))
 
-    async with peer(hold) as b, proxy(entry("b", b.port), most=2) as p:
+    async with StandInServer(hold) as b, running_proxy(endpoint_entry("b", b.port), max_connections=2) as p:
         room = 2 + 8
         first = [asyncio.ensure_future(answered(queued(p.port, f"a{n}"))) for n in range(2)]
-        await until(lambda: begun == 2)
+        await wait_until(lambda: begun == 2)
         rest = [queued(p.port, f"r{n}") for n in range(2 * room)]
         p.listener.stop_listening()
         p.listener.close_idle_connections()
@@ -388,17 +390,17 @@
 
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            _, headers, _ = await read_message(reader)
+            _, headers, _ = await read_http_message(reader)
             if headers["req-id"] == "open":
                 begun.set()
                 await go_on.wait()
-            writer.write(answer(200, b"x"))
+            writer.write(http_response(200, b"x"))
 
-    async with peer(hold) as b:
+    async with StandInServer(hold) as b:
         # An answer is of use for long enough that one may still be open as it stops listening.
         lane = {"name": "read", "idempotency": "safe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
         settings = raw_settings(lanes=[{**lane, "lateValue": 0.5}], limits=LIMITS)
-        told = config(known=listing(entry("b", b.port)), settings=settings)
+        told = config(known=endpoint_list(endpoint_entry("b", b.port)), settings=settings)
         env = {**os.environ, **write(tmp_path, told)}
         pipe = asyncio.subprocess.PIPE
         arguments = [sys.executable, "-c", PROCESS, str(failed), str(descriptors)]
@@ -408,7 +410,7 @@
         try:
             port = await port_of(made)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(call(request_id="open", Req_Deadline="9.0"))
+            writer.write(http_request(request_id="open", Req_Deadline="9.0"))
             await begun.wait()
             # These keep their connections, and with them all descriptors.
             crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(descriptors)]
@@ -420,7 +422,7 @@
             made.stdin.write(b"\n")
             got = await asyncio.gather(*map(answered, clients))
             go_on.set()
-            assert status(await read_message(reader)) == 200
+            assert response_status(await read_http_message(reader)) == 200
             writer.close()
             assert sorted(got) == [0 if failed else 200, *[200] * 5]
             rest = await made.stderr.read()
@@ -454,21 +456,24 @@
     name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
             reader, writer = await p.connect()
-            await until(lambda: len(p.clients.open_connections) == 1)
+            await wait_until(lambda: len(p.clients.open_connections) == 1)
             rule = rules.add(name, anyone, error)
-            writer.write(call())
-            assert status(await read_message(reader)) == 200
+            writer.write(http_request())
+            assert response_status(await read_http_message(reader)) == 200
             assert rule.hits == 1
-            assert len(b.seen) == 1
+            assert len(b.received) == 1
             assert not p.pool._pacing.no_extra_until
             [server] = p.driver._balancer.endpoints.states.values()
             assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
             assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
             writer.close()
 
-    run(test)
+    run_in_event_loop(test)
     assert not traces(caplog)
 
 
@@ -479,26 +484,29 @@
     """After as many tries as the settings allow, which cost no retry, and none of them goes on."""
 
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(*(entry(f"b{n}", b.port) for n in range(5))) as p:
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(*(endpoint_entry(f"b{n}", b.port) for n in range(5))) as p,
+        ):
             reader, writer = await p.connect()
-            await until(lambda: len(p.clients.open_connections) == 1)
+            await wait_until(lambda: len(p.clients.open_connections) == 1)
             rule = rules.add(name, anyone, error, times=sys.maxsize)
             for answers in range(1, 31):
-                writer.write(call(request_id=f"r{answers}"))
-                assert status(await read_message(reader)) == 503
+                writer.write(http_request(request_id=f"r{answers}"))
+                assert response_status(await read_http_message(reader)) == 503
                 assert rule.hits == 3 * answers
                 assert p.driver.idle
             assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
-            assert not b.seen
+            assert not b.received
             assert not p.pool._pending
             assert not p.pool._open
             assert not p.pool._waiting
             rules.clear()
-            writer.write(call(request_id="last"))
-            assert status(await read_message(reader)) == 200
+            writer.write(http_request(request_id="last"))
+            assert response_status(await read_http_message(reader)) == 200
             writer.close()
 
-    run(test)
+    run_in_event_loop(test)
     assert not traces(caplog)
 
 
@@ -507,7 +515,7 @@
 ) -> None:
     """An attempt whose connection is late tries another one often, as one that fails at once is soon gone."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(60.0, 60.0, 10)
         calls, connects = Calls(pool, b), Connects(pool, [0.005] * 10 + [1.0] * 5)
         made, tried = pool.connect, 0
@@ -540,9 +548,9 @@
 
     async def test() -> None:
         async with (
-            backend(answer(200, b"a")) as a,
-            backend(answer(200, b"b")) as b,
-            proxy(entry("a", a.port), entry("b", b.port)) as p,
+            StandInEndpoint(http_response(200, b"a")) as a,
+            StandInEndpoint(http_response(200, b"b")) as b,
+            running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port)) as p,
         ):
             balancer = p.driver._balancer
             known = {
@@ -556,7 +564,7 @@
             async def ask() -> None:
                 nonlocal asked
                 asked += 1
-                assert status(await p.ask(call(request_id=f"r{asked}"))) == 200
+                assert response_status(await p.send_request(http_request(request_id=f"r{asked}"))) == 200
 
             while rule.hits < 3:
                 await ask()
@@ -564,15 +572,15 @@
                     clock._ahead_us += COOL_DOWN_US
             assert lost.detector.first_epoch_count == PRIOR_SAMPLES
             assert lost.share == 1.0
-            assert not a.seen
+            assert not a.received
             endpoint = next(e for e in p.driver._endpoints.by_number.values() if e.address[1] == a.port)
             assert p.pool._pacing.no_extra_until[endpoint] <= p.pool.loop.time() + p.pool.connect_timeout_s
-            while not a.seen:
+            while not a.received:
                 await ask()
             assert not p.pool._pacing.no_extra_until
             assert lost.unreachable_backoff_us == 0
 
-    run(test)
+    run_in_event_loop(test)
     assert not traces(caplog)
 
 
@@ -661,7 +669,7 @@
 
 
 async def step(clock: SteppedClock, seconds: float) -> None:
-    clock.step(seconds)
+    clock.advance(seconds)
     for _ in range(3):
         await asyncio.sleep(0)
 
@@ -670,7 +678,7 @@
 async def test_a_new_configuration_that_cannot_be_read_for_a_moment_is_followed_after_it(
     how: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with proxy() as p:
+    async with running_proxy() as p:
         clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
         file = ReadFile(r.path, monkeypatch)
         spoil(r.path, file, how)
@@ -694,7 +702,7 @@
 async def test_a_new_configuration_that_stays_unreadable_is_given_up_and_the_old_one_stays(
     how: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with proxy() as p:
+    async with running_proxy() as p:
         clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
         file = ReadFile(r.path, monkeypatch)
         spoil(r.path, file, how)
@@ -714,7 +722,7 @@
 ) -> None:
     """And what another signal brought is taken over once."""
 
-    async with proxy() as p:
+    async with running_proxy() as p:
         clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
         file = ReadFile(r.path, monkeypatch)
         spoil(r.path, file, None)
@@ -745,11 +753,11 @@
 
     async with attended(tmp_path, free_port(), config()) as clock:
         if serving:
-            await until(lambda: "listens on" in caplog.text)
+            await wait_until(lambda: "listens on" in caplog.text)
         file = ReadFile(tmp_path / "config.json", monkeypatch)
         (tmp_path / "config.json").unlink()
         os.kill(os.getpid(), signal.SIGHUP)
-        await until(lambda: file.reads == 1)
+        await wait_until(lambda: file.reads == 1)
     reads = file.reads
     for _ in range(100):
         await step(clock, RELOAD_RETRY_INTERVAL_S)
@@ -764,10 +772,10 @@
     async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         asked.put_nowait(writer.get_extra_info("sockname")[1])
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", 9))))
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9))))
         await reader.read()
 
-    async with peer(watch) as old, peer(watch) as new:
+    async with StandInServer(watch) as old, StandInServer(watch) as new:
         told = config(discovery=f"127.0.0.1:{old.port}")
         async with process(write(tmp_path, told)) as made:
             await port_of(made)
@@ -796,16 +804,16 @@
 
 
 @asynccontextmanager
-async def discovery(*lists: dict[str, object]) -> AsyncIterator[Peer]:
+async def discovery(*lists: dict[str, object]) -> AsyncIterator[StandInServer]:
     """Tells each watch the next of these, the last one for ever; the watch stands."""
     left = list(lists)
 
     async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_HEAD + chunk_list(left.pop(0) if len(left) > 1 else left[0]))
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(left.pop(0) if len(left) > 1 else left[0]))
         await reader.read()
 
-    async with peer(watch) as made:
+    async with StandInServer(watch) as made:
         yield made
 
 
@@ -816,21 +824,21 @@
 ) -> None:
     async def test() -> None:
         async with (
-            backend(answer(200, b"said" * 50)) as b,
-            discovery(listing(entry("b", b.port))) as d,
-            proxy(discovery=d.port) as p,
+            StandInEndpoint(http_response(200, b"said" * 50)) as b,
+            discovery(endpoint_list(endpoint_entry("b", b.port))) as d,
+            running_proxy(discovery_port=d.port) as p,
         ):
             sides = {"caller": at(p.port), "backend": to(b.port), "discovery": to(d.port)}
             rule = rules.add(name, sides[side], times=NEVER_ENDING)
-            await until(lambda: p.driver.ready)
+            await wait_until(lambda: p.driver.ready)
             for number in range(2):
-                got = await p.ask(call("mark", request_id=f"r{number}", body=b"asked" * 50))
-                assert (status(got), got[2]) == (200, b"said" * 50)
-            assert [body for _, _, body in b.seen] == [b"asked" * 50] * 2
+                got = await p.send_request(http_request("mark", request_id=f"r{number}", body=b"asked" * 50))
+                assert (response_status(got), got[2]) == (200, b"said" * 50)
+            assert [body for _, _, body in b.received] == [b"asked" * 50] * 2
             assert rule.hits > 50
-            assert d.connections == 1
+            assert d.connection_count == 1
 
-    run(test)
+    run_in_event_loop(test)
     assert not lines(caplog)
 
 
@@ -841,18 +849,18 @@
 
     async def test() -> None:
         async with (
-            backend(answer(200, b"x")) as b,
-            discovery(listing(entry("b", b.port))) as d,
-            proxy(discovery=d.port) as p,
+            StandInEndpoint(http_response(200, b"x")) as b,
+            discovery(endpoint_list(endpoint_entry("b", b.port))) as d,
+            running_proxy(discovery_port=d.port) as p,
         ):
             sides = {"caller": at(p.port), "backend": to(b.port), "discovery": to(d.port)}
             rule = rules.add(name, sides[side], errno.EINTR, times=3)
-            await until(lambda: p.driver.ready)
+            await wait_until(lambda: p.driver.ready)
             for number in range(3):
-                assert status(await p.ask(call(request_id=f"r{number}"))) == 200
+                assert response_status(await p.send_request(http_request(request_id=f"r{number}"))) == 200
             assert rule.hits == 3
-            assert len(b.seen) == 3
-            assert d.connections == 1
+            assert len(b.received) == 3
+            assert d.connection_count == 1
 
     rings = 0
 
@@ -863,7 +871,7 @@
     before = signal.signal(signal.SIGALRM, ring)
     signal.setitimer(signal.ITIMER_REAL, 0.0005, 0.0005)
     try:
-        run(test)
+        run_in_event_loop(test)
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0.0)
         signal.signal(signal.SIGALRM, before)
@@ -882,7 +890,7 @@
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         assert await reader.readexactly(len(whole) - all_but) == whole[: len(whole) - all_but]
 
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         pool = ConnectionPool(5.0, 30.0, 10)
         rules.add("send", to(b.port), times=len(whole) - all_but)
         rules.add("send", to(b.port), errno.EAGAIN, times=NEVER_ENDING)
@@ -901,27 +909,27 @@
         ended: list[str] = []
 
         async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            _, headers, _ = await read_message(reader)
+            _, headers, _ = await read_http_message(reader)
             held[headers["req-id"]] = writer
             await reader.read()
             ended.append(headers["req-id"])
 
-        async with peer(hold) as b, proxy(entry("b", b.port)) as p:
+        async with StandInServer(hold) as b, running_proxy(endpoint_entry("b", b.port)) as p:
             other_reader, other = await p.connect()
-            other.write(call(request_id="other"))
+            other.write(http_request(request_id="other"))
             _, writer = await p.connect()
-            writer.write(call(request_id="lost"))
-            await until(lambda: len(held) == 2)
+            writer.write(http_request(request_id="lost"))
+            await wait_until(lambda: len(held) == 2)
             mine = writer.get_extra_info("sockname")
             rule = rules.add(name, lambda made: at(p.port)(made) and made.getpeername() == mine, error)
             if name == "recv":
                 writer.write(b"G")  # what comes makes it read
-                await until(lambda: ended == ["lost"])
+                await wait_until(lambda: ended == ["lost"])
             else:
-                held["lost"].write(answer(200, b"x"))
-            await until(lambda: rule.hits == 1 and len(p.clients.open_connections) == 1)
-            held["other"].write(answer(200, b"y"))
-            assert (await read_message(other_reader))[2] == b"y"
+                held["lost"].write(http_response(200, b"x"))
+            await wait_until(lambda: rule.hits == 1 and len(p.clients.open_connections) == 1)
+            held["other"].write(http_response(200, b"y"))
+            assert (await read_http_message(other_reader))[2] == b"y"
             assert p.driver.idle
             assert not p.driver._attempts
             assert not p.clients.open_request_ids
@@ -929,7 +937,7 @@
             other.close()
             writer.close()
 
-    run(test)
+    run_in_event_loop(test)
     assert not lines(caplog)
 
 
@@ -943,14 +951,14 @@
     async def test() -> None:
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             if when == "written":
-                await read_message(reader)
+                await read_http_message(reader)
             else:
                 await reader.readexactly(half)
             if when in ("half written, read", "written"):
                 writer.write(b"HTTP")  # makes the proxy read
             await reader.read()
 
-        async with peer(handle) as b:
+        async with StandInServer(handle) as b:
             pool = ConnectionPool(5.0, 30.0, 10)
             side = to(b.port)
             if "half" in when:
@@ -962,10 +970,10 @@
             outcome, _ = await attempt(pool, ("127.0.0.1", b.port))
             assert outcome is (Outcome.RESET if when == "written" else Outcome.NO_CONNECTION)
             assert rule.hits == 1
-            await until(lambda: not pool._open)
+            await wait_until(lambda: not pool._open)
             pool.close()
 
-    run(test)
+    run_in_event_loop(test)
     assert not lines(caplog)
 
 
@@ -974,17 +982,20 @@
     error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
-            assert status(await p.ask(call(request_id="r1"))) == 200
-            await until(lambda: bool(p.pool._idle.by_endpoint))
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
+            assert response_status(await p.send_request(http_request(request_id="r1"))) == 200
+            await wait_until(lambda: bool(p.pool._idle.by_endpoint))
             rules.add("recv", to(b.port), error)
             b.writers[0].write(b"H")
-            await until(lambda: not p.pool._idle.by_endpoint and not p.pool._open)
-            assert status(await p.ask(call(request_id="r2"))) == 200
-            assert b.connections == 2
+            await wait_until(lambda: not p.pool._idle.by_endpoint and not p.pool._open)
+            assert response_status(await p.send_request(http_request(request_id="r2"))) == 200
+            assert b.connection_count == 2
             assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
 
-    run(test)
+    run_in_event_loop(test)
     assert not lines(caplog)
 
 
@@ -1005,7 +1016,7 @@
     """Three times in a row; what discovery has then comes."""
 
     async def test() -> None:
-        async with discovery(listing(entry("b", 9), rev=7)) as d:
+        async with discovery(endpoint_list(endpoint_entry("b", 9), rev=7)) as d:
             rule = rules.add(name, anyone if name == "socket" else to(d.port), error, times=3)
             news: asyncio.Queue[EndpointListMessage | None] = asyncio.Queue()
             watch = EndpointWatch(
@@ -1021,7 +1032,7 @@
             assert told.version == 7
             watch.close()
 
-    run(test)
+    run_in_event_loop(test)
     [line] = lines(caplog)
     assert "watch on discovery broke: " in line
     assert "Traceback" not in line
@@ -1048,22 +1059,25 @@
     """The careful answer counts: a resting connection is not used, no client has left, none is closed."""
 
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
             failing = Unpolled(error)
             reader, writer = await p.connect()
             idle_reader, idle = await p.connect()
-            await until(lambda: len(p.clients.open_connections) == 2)
+            await wait_until(lambda: len(p.clients.open_connections) == 2)
             clock = SteppedClock()
             with monkeypatch.context() as patch:
                 patch.setattr("load_balancer.net.socket_state.select.poll", lambda: failing)
                 for number in range(3):
-                    writer.write(call(request_id=f"r{number}"))
-                    assert status(await read_message(reader)) == 200
-                    clock.step(SETTLE_S)
-                assert b.connections == 3
+                    writer.write(http_request(request_id=f"r{number}"))
+                    assert response_status(await read_http_message(reader)) == 200
+                    clock.advance(SETTLE_S)
+                assert b.connection_count == 3
                 assert failing.asked
                 assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
-                clock.step(1.0)
+                clock.advance(1.0)
                 p.listener.close_idle_connections()
                 p.listener._sweep()
                 assert len(p.clients.open_connections) == 2
@@ -1073,7 +1087,7 @@
             writer.close()
             idle.close()
 
-    run(test)
+    run_in_event_loop(test)
     assert not lines(caplog)
 
 
@@ -1081,16 +1095,19 @@
     rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
             rule = rules.add("shutdown", at(p.port), errno.ENOTCONN)
             reader, writer = await p.connect()
-            writer.write(call() + b"nonsense\r\n\r\n")
-            assert [status(await read_message(reader)) for _ in range(2)] == [200, 400]
-            await until(lambda: rule.hits == 1)
+            writer.write(http_request() + b"nonsense\r\n\r\n")
+            assert [response_status(await read_http_message(reader)) for _ in range(2)] == [200, 400]
+            await wait_until(lambda: rule.hits == 1)
             writer.close()
-            await until(lambda: not p.clients.open_connections)
-            assert status(await p.ask(call(request_id="a2"))) == 200
-            assert len(b.seen) == 2
+            await wait_until(lambda: not p.clients.open_connections)
+            assert response_status(await p.send_request(http_request(request_id="a2"))) == 200
+            assert len(b.received) == 2
 
-    run(test)
+    run_in_event_loop(test)
     assert not lines(caplog)
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -23,23 +23,18 @@
 from load_balancer.process.server import serve_until_stopped
 from tests.support.balancer_harness import settings
 from tests.support.clock_helpers import COLD, HOUR, STEPS, Times, lists
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Peer,
-    SteppedClock,
-    answer,
-    call,
-    chunk,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    proxy,
-    read_message,
-    until,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
+from tests.support.loopback_proxy import running_proxy
 from tests.support.proxy_process import LIMITS, config, free_port, raw_settings, write
 from tests.support.simulated_fleet import MS, Fleet, Machine, S
+from tests.support.stand_in_server import StandInServer
+from tests.support.stepped_clock import SteppedClock, wait_until
 
 
 class Wall:
@@ -71,14 +66,14 @@
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0])
         self.writers.append(writer)
-        writer.write(WATCH_HEAD + chunk_list(self.first))
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(self.first))
         await reader.read()
 
     def say(self, said: bytes) -> None:
         self.writers[-1].write(said)
 
 
-def driver_on(discovery: Peer, times: Times) -> EventLoopDriver:
+def driver_on(discovery: StandInServer, times: Times) -> EventLoopDriver:
     """Its watch doesn't end for silence, however slow the machine is."""
     pool = ConnectionPool(0.25, 30.0, 10)
     driver = EventLoopDriver(settings(rules=COLD), 1, pool, ("127.0.0.1", discovery.port), times.clock())
@@ -92,20 +87,22 @@
 async def test_heartbeats_on_a_standing_watch_bound_the_next_start(started_ms: int, age_ms: int) -> None:
     """The last one came 700 ms ago, and the list before it 2 s earlier."""
 
-    times, agent = Times(), Agent(listing(entry("a", 9)))
-    async with peer(agent.handle) as d:
+    times, agent = Times(), Agent(endpoint_list(endpoint_entry("a", 9)))
+    async with StandInServer(agent.handle) as d:
         driver = driver_on(d, times)
         driver.start(None)
         await driver.discovery_reported.wait()
         times.advance(2 * S)
         confirmed = driver._start_times._confirmed_at_us
-        agent.say(chunk("\n"))
-        await until(lambda: driver._start_times._confirmed_at_us != confirmed)
+        agent.say(http_chunk("\n"))
+        await wait_until(lambda: driver._start_times._confirmed_at_us != confirmed)
         times.advance(700 * MS)
         stated = times.wall() // MS - started_ms
-        agent.say(chunk_list(listing(entry("a", 9, boot_ms=stated), rev=2, full=False)))
+        agent.say(
+            endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9, boot_ms=stated), rev=2, full=False))
+        )
         balancer, number = driver._balancer, endpoint_number("a")
-        await until(lambda: balancer.endpoints.states[number].endpoint.incarnation_us > 0)
+        await wait_until(lambda: balancer.endpoints.states[number].endpoint.incarnation_us > 0)
         assert driver._clock.now_us() - balancer.endpoints.states[number].started_us == age_ms * MS
         driver.close()
 
@@ -113,12 +110,12 @@
 async def test_a_heartbeat_before_the_first_list_of_a_watch_confirms_nothing() -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        late = listing(entry("a", 9, boot_ms=times.wall() // 1000 - 2000), rev=9)
-        writer.write(WATCH_HEAD + chunk("\n") + chunk_list(late))
+        late = endpoint_list(endpoint_entry("a", 9, boot_ms=times.wall() // 1000 - 2000), rev=9)
+        writer.write(WATCH_RESPONSE_HEAD + http_chunk("\n") + endpoint_list_chunk(late))
         await reader.read()
 
     times = Times()
-    async with peer(handle) as d:
+    async with StandInServer(handle) as d:
         driver = driver_on(d, times)
         driver.start(lists(("a", times.wall() - HOUR)))
         await driver.discovery_reported.wait()
@@ -131,8 +128,8 @@
 async def test_a_watch_stands_over_a_step_and_its_silence_is_judged_by_real_time(
     step: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    wall, agent, clock = Wall(monkeypatch), Agent(listing(entry("a", 9))), SteppedClock()
-    async with peer(agent.handle) as d:
+    wall, agent, clock = Wall(monkeypatch), Agent(endpoint_list(endpoint_entry("a", 9))), SteppedClock()
+    async with StandInServer(agent.handle) as d:
         driver = EventLoopDriver(
             settings(rules=COLD), 1, ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", d.port)
         )
@@ -141,13 +138,13 @@
         wall.step(step)
         for _ in range(3):
             beat = driver._start_times._confirmed_at_us
-            agent.say(chunk("\n"))
-            await until(lambda beat=beat: driver._start_times._confirmed_at_us != beat)  # type: ignore[misc]
-            clock.step(2.0)
+            agent.say(http_chunk("\n"))
+            await wait_until(lambda beat=beat: driver._start_times._confirmed_at_us != beat)  # type: ignore[misc]
+            clock.advance(2.0)
             await turns()
             assert len(agent.asked) == 1
-        clock.step(1.5)
-        await until(lambda: len(agent.asked) == 2)
+        clock.advance(1.5)
+        await wait_until(lambda: len(agent.asked) == 2)
         driver.close()
 
 
@@ -159,24 +156,24 @@
     begun, go_on = asyncio.Event(), asyncio.Event()
 
     async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_message(reader)
+        await read_http_message(reader)
         begun.set()
         await go_on.wait()
-        writer.write(answer(200, b"x"))
+        writer.write(http_response(200, b"x"))
 
     wall, clock = Wall(monkeypatch), SteppedClock()
-    async with peer(slow) as b, proxy(entry("a", b.port)) as p:
-        asked = asyncio.ensure_future(p.ask(call(Req_Deadline="3.0")))
+    async with StandInServer(slow) as b, running_proxy(endpoint_entry("a", b.port)) as p:
+        asked = asyncio.ensure_future(p.send_request(http_request(Req_Deadline="3.0")))
         await begun.wait()
         wall.step(step)
-        clock.step(2.5)
+        clock.advance(2.5)
         await turns()
         assert not asked.done()
         if ends == "answered":
             go_on.set()
             assert (await asked)[2] == b"x"
         else:
-            clock.step(0.6)
+            clock.advance(0.6)
             assert int((await asked)[0].split()[1]) in (502, 503)
             assert p.driver.idle
 
@@ -190,14 +187,14 @@
     begun = asyncio.Event()
 
     async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_message(reader)
+        await read_http_message(reader)
         begun.set()
         await reader.read()
 
     wall, clock, port = Wall(monkeypatch), SteppedClock(), free_port()
-    async with peer(slow) as b:
-        agent = Agent(listing(entry("a", b.port)))
-        async with peer(agent.handle) as d:
+    async with StandInServer(slow) as b:
+        agent = Agent(endpoint_list(endpoint_entry("a", b.port)))
+        async with StandInServer(agent.handle) as d:
             fed = config(
                 discovery=f"127.0.0.1:{d.port}",
                 listen=f"127.0.0.1:{port}",
@@ -212,26 +209,26 @@
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 except ConnectionRefusedError:
                     continue
-            writer.write(call(Req_Deadline="900"))
+            writer.write(http_request(Req_Deadline="900"))
             await begun.wait()
             os.kill(os.getpid(), signal.SIGTERM)
             await turns()
             wall.step(step)
-            answered = asyncio.ensure_future(read_message(reader))
-            began, stepped_again = clock.ahead, False
-            while not answered.done() and clock.ahead - began < 30.0:
-                if clock.ahead - began > 2.5 and not stepped_again:  # it takes no new connections by now
+            answered = asyncio.ensure_future(read_http_message(reader))
+            began, stepped_again = clock.advanced_s, False
+            while not answered.done() and clock.advanced_s - began < 30.0:
+                if clock.advanced_s - began > 2.5 and not stepped_again:  # it takes no new connections by now
                     wall.step(step)
                     stepped_again = True
-                agent.say(chunk("\n"))
-                clock.step(0.1)
+                agent.say(http_chunk("\n"))
+                clock.advance(0.1)
                 await turns()
             assert answered.done()
-            assert 2.8 < clock.ahead - began < 3.5
-            while not attending.done() and clock.ahead - began < 30.0:
-                clock.step(0.1)
+            assert 2.8 < clock.advanced_s - began < 3.5
+            while not attending.done() and clock.advanced_s - began < 30.0:
+                clock.advance(0.1)
                 await turns()
-            assert clock.ahead - began < 6.0  # though its client keeps the connection
+            assert clock.advanced_s - began < 6.0  # though its client keeps the connection
             await attending
             writer.close()
 
--- a/tests/support/clock_helpers.py
+++ b/tests/support/clock_helpers.py
@@ -12,10 +12,7 @@
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from tests.support.balancer_harness import settings
-from tests.support.loopback import (
-    entry,
-    listing,
-)
+from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.simulated_fleet import S
 
 HOUR = 3600 * S
@@ -66,7 +63,9 @@
 
     def gone(self, uid: str) -> None:
         self.rev += 1
-        self.driver._on_list(read_list(listing(entry(uid, 9, "terminated"), rev=self.rev, full=False)))
+        self.driver._on_list(
+            read_list(endpoint_list(endpoint_entry(uid, 9, "terminated"), rev=self.rev, full=False))
+        )
 
     def age(self, uid: str) -> int:
         server = self.driver._balancer.endpoints.states[endpoint_number(uid)]
@@ -79,4 +78,6 @@
 
 def lists(*starts: tuple[str, int], full: bool = True, rev: int = 1) -> EndpointListMessage:
     """A list of backends and their starts in Unix time, microseconds."""
-    return read_list(listing(*(entry(u, 9, boot_ms=at // 1000) for u, at in starts), rev=rev, full=full))
+    return read_list(
+        endpoint_list(*(endpoint_entry(u, 9, boot_ms=at // 1000) for u, at in starts), rev=rev, full=full)
+    )
--- a/tests/support/config_fields.py
+++ b/tests/support/config_fields.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from tests.support.loopback import entry, listing
+from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.proxy_process import config
 
 FieldPath = tuple[str | int, ...]
@@ -13,7 +13,7 @@
 
 def config_with(path: FieldPath, value: object) -> dict[str, Any]:
     """The configuration with another value at a place in it."""
-    made: Any = json.loads(json.dumps(config(known=listing(entry("a", 9)))))
+    made: Any = json.loads(json.dumps(config(known=endpoint_list(endpoint_entry("a", 9)))))
     made["settings"]["limits"]["retryAfter"] = True
     made["settings"]["tenants"] = [{"name": "t", "quotaPerS": 5}]
     inner = made
--- a/tests/support/discovery_helpers.py
+++ b/tests/support/discovery_helpers.py
@@ -11,17 +11,15 @@
 
 from load_balancer import messages
 from tests.support.balancer_harness import S, settings
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Peer,
-    Proxy,
-    SteppedClock,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    proxy,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stand_in_server import StandInServer
+from tests.support.stepped_clock import SteppedClock
 
 LIST_DEADLINE_S, TURN_S = 6.0, 2.0  # by the protocol
 STEP_S = 0.02
@@ -35,7 +33,7 @@
 
 
 def list_of(rev: int) -> bytes:
-    return chunk_list(listing(entry(f"s-{rev}", 9), rev=rev))
+    return endpoint_list_chunk(endpoint_list(endpoint_entry(f"s-{rev}", 9), rev=rev))
 
 
 @dataclass
@@ -58,11 +56,11 @@
     def __init__(self, clock: SteppedClock) -> None:
         self.clock, self.calls = clock, list[Call]()
         self.meet: Callable[[Call], None] = lambda call: None
-        self.peer: Peer | None = None
+        self.peer: StandInServer | None = None
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        call = Call(self.clock.ahead, writer)
+        call = Call(self.clock.advanced_s, writer)
         self.calls.append(call)
         self.meet(call)
         try:
@@ -72,20 +70,20 @@
 
 
 @asynccontextmanager
-async def watched(setup: messages.Settings) -> AsyncIterator[tuple[Discovery, Proxy, SteppedClock]]:
+async def watched(setup: messages.Settings) -> AsyncIterator[tuple[Discovery, LoopbackProxy, SteppedClock]]:
     """A proxy on a discovery, on one stepped clock: the event loop's and the module's."""
     clock = SteppedClock()
     discovery = Discovery(clock)
-    async with peer(discovery.handle) as d:
+    async with StandInServer(discovery.handle) as d:
         discovery.peer = d
-        async with proxy(setup=setup, discovery=d.port) as p:
+        async with running_proxy(settings=setup, discovery_port=d.port) as p:
             real = p.driver._clock.now_us
-            p.driver._clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
+            p.driver._clock.now_us = lambda: real() + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
             p.driver._balancer.subscription.jitter.uniform = lambda a, b: b  # type: ignore[method-assign]
             yield discovery, p, clock
 
 
-def watch_starts(p: Proxy) -> list[float]:
+def watch_starts(p: LoopbackProxy) -> list[float]:
     """Grows with each call that is begun from now on, whether or not anybody is there."""
     tried: list[float] = []
     start = p.driver._watch.start
@@ -100,12 +98,12 @@
 
 async def step(clock: SteppedClock, holds: Callable[[], bool], most_s: float = 60.0) -> float:
     """Moves time on until something holds, or for that long; the seconds that it took."""
-    began = clock.ahead
-    while not holds() and clock.ahead - began < most_s:
-        clock.step(STEP_S)
+    began = clock.advanced_s
+    while not holds() and clock.advanced_s - began < most_s:
+        clock.advance(STEP_S)
         for _ in range(TURNS):
             await asyncio.sleep(0)
-    return clock.ahead - began
+    return clock.advanced_s - began
 
 
 async def next_call(d: Discovery, clock: SteppedClock) -> float:
@@ -114,12 +112,12 @@
     return await step(clock, lambda: len(d.calls) > before)
 
 
-async def served(d: Discovery, p: Proxy, clock: SteppedClock, setup: messages.Settings) -> float:
+async def served(d: Discovery, p: LoopbackProxy, clock: SteppedClock, setup: messages.Settings) -> float:
     """Has the present call served after its longest time in the queue; the seconds until it is told."""
     waited = 0.0
     if setup is ASKED:
         waited = await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
-    d.calls[-1].say(WATCH_HEAD + list_of(7))
+    d.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(7))
     waited += await step(clock, lambda: p.driver._watch.version == 7, 1.0)
     assert p.driver._watch.version == 7
     return waited
--- /dev/null
+++ b/tests/support/endpoint_lists.py
@@ -0,0 +1,40 @@
+"""Endpoint lists in discovery's own form, as tests state them."""
+
+from __future__ import annotations
+
+import json
+
+from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, read_list
+from tests.support.http_messages import http_chunk
+
+WATCH_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+
+def endpoint_entry(
+    uid: str, port: int, state: str = "in_service", **other_fields: object
+) -> dict[str, object]:
+    """Return the entry of one endpoint on loopback."""
+    return {
+        "uid": uid,
+        "endpoint": f"127.0.0.1:{port}",
+        "az": "a",
+        "pod_group": 1,
+        "state": state,
+        "boot_ms": 0,
+        **other_fields,
+    }
+
+
+def endpoint_list(*entries: dict[str, object], rev: int = 1, full: bool = True) -> dict[str, object]:
+    """Return the complete list with these entries, or the changes to one where it is not `full`."""
+    return {"rev": rev, "all": full, "targets": list(entries)}
+
+
+def parsed_endpoint_list(*entries: dict[str, object], rev: int = 1) -> EndpointListMessage:
+    """Return the complete list with these entries as the product reads it."""
+    return read_list(endpoint_list(*entries, rev=rev))
+
+
+def endpoint_list_chunk(message: dict[str, object]) -> bytes:
+    """Return one chunk of a watch's response that holds this list."""
+    return http_chunk(json.dumps(message) + "\n")
--- /dev/null
+++ b/tests/support/stand_in_server.py
@@ -0,0 +1,87 @@
+"""Servers on loopback that stand in for endpoints and for discovery, and do what a test says."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from typing import Self
+
+from tests.support.http_messages import HttpMessage, read_http_message
+
+StreamHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+
+
+class StandInServer:
+    """A server on a port of its own, as an async context manager.
+
+    Its handler gets each connection, which is closed as the handler returns. The handler may append what
+    it has read to `received`.
+    """
+
+    def __init__(self, handler: StreamHandler) -> None:
+        self.handler = handler
+        self.port = 0  # known once it listens
+        self.connection_count = 0  # accepted so far
+        self.received: list[HttpMessage] = []
+        self.writers: list[asyncio.StreamWriter] = []  # of all connections accepted so far
+        self.server: asyncio.Server | None = None
+
+    async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Hand one connection to the handler, and close the connection afterwards."""
+        self.connection_count += 1
+        self.writers.append(writer)
+        try:
+            await self.handler(reader, writer)
+        except (asyncio.IncompleteReadError, ConnectionError):
+            pass
+        finally:
+            writer.close()
+
+    async def start(self) -> None:
+        """Listen on a port that the system chooses."""
+        self.server = await asyncio.start_server(self.accept, "127.0.0.1", 0)
+        self.port = self.server.sockets[0].getsockname()[1]
+
+    def stop(self) -> None:
+        """Stop listening, and reset all connections."""
+        assert self.server is not None
+        self.server.close()
+        for writer in self.writers:
+            writer.transport.abort()
+
+    async def __aenter__(self) -> Self:
+        await self.start()
+        return self
+
+    async def __aexit__(self, *exception: object) -> None:
+        self.stop()
+
+
+class StandInEndpoint(StandInServer):
+    """Answers each request with the next of some responses, the last one for ever.
+
+    None in place of a response closes the connection without one.
+    """
+
+    def __init__(self, *responses: bytes | None) -> None:
+        super().__init__(self._respond)
+        self._remaining = list(responses)
+
+    async def _respond(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            self.received.append(await read_http_message(reader))
+            response = self._remaining.pop(0) if len(self._remaining) > 1 else self._remaining[0]
+            if response is None:
+                return
+            writer.write(response)
+
+
+class SilentEndpoint(StandInServer):
+    """Takes requests and answers none; a test answers in its place through `writers`."""
+
+    def __init__(self) -> None:
+        super().__init__(self._receive)
+
+    async def _receive(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            self.received.append(await read_http_message(reader))
--- a/tests/support/time_limit.py
+++ b/tests/support/time_limit.py
@@ -42,3 +42,8 @@
             await test(*args, **kwargs)
 
     return within_limit
+
+
+def run_in_event_loop(part: Callable[[], Awaitable[None]]) -> None:
+    """Run the asynchronous part of a synchronous test, which looks at what the end of the loop leaves."""
+    asyncio.run(limited(part)())
--- a/tests/support/upstream_helpers.py
+++ b/tests/support/upstream_helpers.py
@@ -18,7 +18,10 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
 from tests.support.balancer_harness import S
-from tests.support.loopback import Peer, Proxy, SteppedClock, answer, until
+from tests.support.http_messages import HttpMessage, http_response
+from tests.support.loopback_proxy import LoopbackProxy
+from tests.support.stand_in_server import StandInServer
+from tests.support.stepped_clock import SteppedClock, wait_until
 
 REQUEST = UpstreamRequest(
     b"POST", b"/api", [(b"host", b"x"), (b"idempotency-key", b"k"), (b"content-length", b"2")], b"hi", True
@@ -35,8 +38,6 @@
 
 KINDS = ["read", "write", "mark", "pay"]
 
-Message = tuple[str, dict[str, str], bytes]
-
 
 class Wire:
     """A backend's end of one connection: what it does is with the system before the call returns."""
@@ -92,7 +93,7 @@
             if not self.closed:
                 loop.remove_reader(self.socket)
 
-    async def request(self) -> Message | None:
+    async def request(self) -> HttpMessage | None:
         """The next request, once it has come whole; none at the end."""
         while b"\r\n\r\n" not in self.read:
             if not await self.more():
@@ -107,7 +108,7 @@
                 return None
             rest += self.read
         self.read = rest[length:]
-        return first, headers, rest[:length]
+        return HttpMessage(first, headers, rest[:length])
 
 
 class Bare:
@@ -122,14 +123,14 @@
         self.accepts = asyncio.Event()  # until then its connections wait in the system
         self.reads = asyncio.Event()  # it reads nothing while this is not set
         self.reads.set()
-        self.seen: list[Message] = []
+        self.received: list[HttpMessage] = []
 
     @property
     def ids(self) -> list[str]:
-        return [headers["req-id"] for _, headers, _ in self.seen]
+        return [headers["req-id"] for _, headers, _ in self.received]
 
 
-Handle = Callable[[Wire, Message], Awaitable[None]]
+Handle = Callable[[Wire, HttpMessage], Awaitable[None]]
 
 
 @asynccontextmanager
@@ -141,7 +142,7 @@
 
     async def serve(wire: Wire) -> None:
         while (got := await wire.request()) is not None:
-            made.seen.append(got)
+            made.received.append(got)
             await handle(wire, got)
 
     async def accept() -> None:
@@ -168,7 +169,7 @@
 def says(*steps: bytes | str) -> Handle:
     """A backend that says and does this at each request, all in one turn: "end", "reset"."""
 
-    async def handle(wire: Wire, got: Message) -> None:
+    async def handle(wire: Wire, got: HttpMessage) -> None:
         for step in steps:
             if isinstance(step, bytes):
                 wire.say(step)
@@ -193,7 +194,7 @@
         self.attempt = pool.start_attempt(endpoint, request, timeout_s, lambda *how: self.ends.append(how))
 
     async def end(self) -> tuple[Outcome, UpstreamResponse | None]:
-        await until(lambda: bool(self.ends))
+        await wait_until(lambda: bool(self.ends))
         for _ in range(5):  # whatever would follow
             await asyncio.sleep(0)
         [end] = self.ends
@@ -221,7 +222,7 @@
     b"HTTP/1.1 200 x\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
     b"HTTP/1.1 200 x\r\nContent-Length: 65537\r\n\r\nok",
     b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-    b"HTTP/1.1 100 x\r\n\r\n" * 100 + answer(200, b"ok"),
+    b"HTTP/1.1 100 x\r\n\r\n" * 100 + http_response(200, b"ok"),
     b"HTTP/1.1 101 x\r\nUpgrade: y\r\n\r\n",
 ]
 
@@ -242,10 +243,10 @@
         loop.create_connection = held  # type: ignore[method-assign, assignment]
 
 
-def stepped(p: Proxy) -> SteppedClock:
+def stepped(p: LoopbackProxy) -> SteppedClock:
     """A hand on the loop's clock and the module's."""
     clock, now_us = SteppedClock(), p.driver._clock.now_us
-    p.driver._clock.now_us = lambda: now_us() + round(clock.ahead * S)  # type: ignore[method-assign]
+    p.driver._clock.now_us = lambda: now_us() + round(clock.advanced_s * S)  # type: ignore[method-assign]
     return clock
 
 
@@ -284,7 +285,7 @@
         pool.connect = held  # type: ignore[method-assign]
 
     async def begun(self, count: int) -> None:
-        await until(lambda: len(self.gates) == count)
+        await wait_until(lambda: len(self.gates) == count)
 
     def let(self, *numbers: int) -> None:
         for number in numbers:
@@ -292,7 +293,7 @@
 
     async def step(self, seconds: float) -> None:
         """Lets time pass, and all that falls due then run."""
-        self.clock.step(seconds)
+        self.clock.advance(seconds)
         for _ in range(12):
             await asyncio.sleep(0)
 
@@ -300,7 +301,7 @@
 class Calls:
     """Attempts on one backend, and how they ended."""
 
-    def __init__(self, pool: ConnectionPool, made: Peer) -> None:
+    def __init__(self, pool: ConnectionPool, made: StandInServer) -> None:
         self.pool, self.endpoint = pool, EndpointAddress(1, ("127.0.0.1", made.port))
         self.ended: dict[str, Outcome] = {}
         pool.enable_endpoint(self.endpoint)
@@ -322,8 +323,8 @@
         )
 
     async def until(self, **ended: Outcome) -> None:
-        await until(lambda: self.ended == ended)
+        await wait_until(lambda: self.ended == ended)
 
 
-def ids(made: Peer) -> list[str]:
-    return [headers["req-id"] for _, headers, _ in made.seen]
+def ids(made: StandInServer) -> list[str]:
+    return [headers["req-id"] for _, headers, _ in made.received]
