--- a/tests/net/client/delayed_endpoint.py
+++ b/tests/net/client/delayed_endpoint.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from tests.support.loopback import answer, read_message
+from tests.support.http_messages import http_response, read_http_message
 
 
 class DelayedEndpoint:
@@ -22,7 +22,7 @@
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serve one connection."""
         while True:
-            _, headers, _ = await read_message(reader)
+            _, headers, _ = await read_http_message(reader)
             self.request_ids.append(headers["req-id"])
             await self.may_respond.wait()
-            writer.write(answer(200, b"x"))
+            writer.write(http_response(200, b"x"))
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -12,33 +12,27 @@
 from load_balancer.net.upstream import idle_connections
 from tests.net.client.delayed_endpoint import DelayedEndpoint
 from tests.support.balancer_harness import settings
-from tests.support.client_helpers import narrow, slow_reader, status
-from tests.support.loopback import (
-    Gate,
-    SteppedClock,
-    answer,
-    backend,
-    call,
-    entry,
-    peer,
-    proxy,
-    read_message,
-    until,
-)
+from tests.support.client_helpers import narrow, slow_reader
+from tests.support.connect_gates import ConnectGate
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock, wait_until
 
 
 async def test_attempt_is_cancelled_when_its_client_disconnects() -> None:
     gone = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_message(reader)
+        await read_http_message(reader)
         client.close()
         assert await reader.read() == b""  # the proxy closes the attempt's connection
         gone.set()
 
-    async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInServer(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         _, client = await p.connect()
-        client.write(call())
+        client.write(http_request())
         await gone.wait()
         assert p.driver.idle
 
@@ -52,19 +46,19 @@
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
-        backend(answer(200, b"x")) as b,
-        proxy(entry("s-1", b.port), setup=settings(limits=limits)) as p,
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
     ):
-        gate = Gate(p.pool)
+        gate = ConnectGate(p.pool)
         _, writer = await p.connect()
-        writer.write(call(kind))
-        await until(lambda: gate.waiting == 1)
+        writer.write(http_request(kind))
+        await wait_until(lambda: gate.waiting_count == 1)
         writer.close()
-        await until(lambda: p.driver.idle)
+        await wait_until(lambda: p.driver.idle)
         gate.opened.set()
-        await until(lambda: not p.driver._attempts)
-        assert b.seen == []
-        assert b.connections == 0
+        await wait_until(lambda: not p.driver._attempts)
+        assert b.received == []
+        assert b.connection_count == 0
         assert not p.driver._balancer.requests.in_flight
         assert not p.driver._balancer.requests.requests
 
@@ -75,20 +69,23 @@
     """The client's end has come, and what is queued for it still goes out: then the next request is read."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async with backend(answer(200, b"x" * 65_536)) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x" * 65_536)) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         narrow(p)
         _, writer = await slow_reader(p)
-        writer.write(call(request_id="r1") + call(request_id="r2"))
-        await until(lambda: bool(p.clients.open_connections))
+        writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
+        await wait_until(lambda: bool(p.clients.open_connections))
         [connection] = p.clients.open_connections
-        await until(lambda: connection.transport.get_write_buffer_size() > 0)
+        await wait_until(lambda: connection.transport.get_write_buffer_size() > 0)
         writer.write_eof()
-        await until(connection.transport.is_closing)
+        await wait_until(connection.transport.is_closing)
         writer.transport.resume_reading()  # type: ignore[attr-defined]
-        await until(lambda: connection not in p.clients.open_connections)
+        await wait_until(lambda: connection not in p.clients.open_connections)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.seen) == 1
+        assert len(b.received) == 1
         assert p.driver.idle
 
 
@@ -103,23 +100,23 @@
     clock, delayed = SteppedClock(), DelayedEndpoint()
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
-        peer(delayed.handle) as b,
-        proxy(entry("s-1", b.port), setup=settings(limits=limits)) as p,
+        StandInServer(delayed.handle) as b,
+        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
     ):
         _, writer = await p.connect()
         # Read in more than one go, so that the pause holds some of it back.
         body = b"x" * 60_000
-        writer.write(b"".join(call("mark", request_id=f"r{n}", body=body) for n in range(6)))
-        await until(lambda: bool(delayed.request_ids))
+        writer.write(b"".join(http_request("mark", request_id=f"r{n}", body=body) for n in range(6)))
+        await wait_until(lambda: bool(delayed.request_ids))
         [connection] = p.clients.open_connections
-        await until(lambda: connection.transport.is_reading() is not paused)
+        await wait_until(lambda: connection.transport.is_reading() is not paused)
         writer.close()
         for _ in range(100):
             await asyncio.sleep(0)
-        clock.step(client_limits.SWEEP_INTERVAL_S)
-        await until(lambda: p.driver.idle)
+        clock.advance(client_limits.SWEEP_INTERVAL_S)
+        await wait_until(lambda: p.driver.idle)
         delayed.may_respond.set()
-        await until(lambda: not p.driver._attempts and not p.clients.open_connections)
+        await wait_until(lambda: not p.driver._attempts and not p.clients.open_connections)
         assert delayed.request_ids == ["r0"]
         assert p.clients.buffered.size_bytes == 0
 
@@ -130,13 +127,16 @@
     """It waited in the system, as it does while the event loop is busy; a kept connection is at harness."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call(request_id="r1"))) == 200
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        assert response_status(await p.send_request(http_request(request_id="r1"))) == 200
         with socket.create_connection(("127.0.0.1", p.port)) as client:
-            client.sendall(call(request_id="r2"))
-        await until(lambda: bool(p.clients.open_connections))
-        await until(lambda: not p.clients.open_connections)
+            client.sendall(http_request(request_id="r2"))
+        await wait_until(lambda: bool(p.clients.open_connections))
+        await wait_until(lambda: not p.clients.open_connections)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.seen) == 1
+        assert len(b.received) == 1
         assert p.driver.idle
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -17,8 +17,13 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from tests.net.client.test_departed_client_attempts import FAILURE, WAYS, limits, nothing_left
-from tests.support.client_helpers import Client, attempt_connection, settled, silent_backend
-from tests.support.loopback import Gate, Peer, Proxy, answer, call, entry, proxy, read_message, until
+from tests.support.client_helpers import Client, attempt_connection
+from tests.support.connect_gates import ConnectGate
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stand_in_server import SilentEndpoint, StandInServer
+from tests.support.stepped_clock import run_loop_turns, wait_until
 
 PATHS = ["connection comes up", "kept connection", "kept connection settles", "further attempt"]
 
@@ -45,27 +50,27 @@
         raise NotImplementedError
 
 
-def request_count(endpoints: tuple[Peer, Peer]) -> int:
-    return sum(len(endpoint.seen) for endpoint in endpoints)
+def request_count(endpoints: tuple[StandInServer, StandInServer]) -> int:
+    return sum(len(endpoint.received) for endpoint in endpoints)
 
 
-async def open_idle_connections(p: Proxy, endpoints: tuple[Peer, Peer]) -> None:
+async def open_idle_connections(p: LoopbackProxy, endpoints: tuple[StandInServer, StandInServer]) -> None:
     """Bring the pool one idle connection to each endpoint."""
     for address in p.driver._endpoints.by_number.values():
         request = UpstreamRequest(b"GET", b"/", [(b"host", b"x")], b"", is_idempotent=True)
         p.pool.start_attempt(address, request, 5.0, lambda outcome, reply: None)
-    await until(lambda: request_count(endpoints) == 2)
+    await wait_until(lambda: request_count(endpoints) == 2)
     for connection in list(p.pool._open):
-        connection.data_received(answer(200, b"x"))
+        connection.data_received(http_response(200, b"x"))
 
 
-async def send_request(p: Proxy, client: Client, paused: bool) -> ClientConnection:
+async def send_request(p: LoopbackProxy, client: Client, paused: bool) -> ClientConnection:
     """Send a request, and behind it where reading is to pause more than is read; return the connection."""
-    await until(lambda: len(p.clients.open_connections) == 1)
+    await wait_until(lambda: len(p.clients.open_connections) == 1)
     [connection] = p.clients.open_connections
     client.socket.setblocking(False)
-    behind = call("mark", request_id="behind", body=b"x" * 60_000) if paused else b""
-    await p.listener.loop.sock_sendall(client.socket, call() + behind)
+    behind = http_request("mark", request_id="behind", body=b"x" * 60_000) if paused else b""
+    await p.listener.loop.sock_sendall(client.socket, http_request() + behind)
     return connection
 
 
@@ -73,11 +78,11 @@
 class HeldWrite:
     """An attempt that was held just before its write, and what is around it."""
 
-    proxy: Proxy
-    endpoints: tuple[Peer, Peer]
+    proxy: LoopbackProxy
+    endpoints: tuple[StandInServer, StandInServer]
     client: Client
     connection: ClientConnection
-    gate: Gate
+    gate: ConnectGate
     requests_before: int  # that came to the endpoints
 
 
@@ -87,14 +92,14 @@
 ) -> AsyncIterator[HeldWrite]:
     """Have a client's attempt written on this path, and `meanwhile` called just before the write."""
     async with (
-        silent_backend() as a,
-        silent_backend() as b,
-        proxy(entry("a", a.port), entry("b", b.port), setup=limits(cancel)) as p,
+        SilentEndpoint() as a,
+        SilentEndpoint() as b,
+        running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
         endpoints = (a, b)
         if path.startswith("kept connection"):
             await open_idle_connections(p, endpoints)
-        gate, client = Gate(p.pool), Client(p)
+        gate, client = ConnectGate(p.pool), Client(p)
         if path in ("connection comes up", "further attempt"):
             gate.opened.set()
         hold.meanwhile = lambda: meanwhile(client)  # type: ignore[method-assign]
@@ -102,11 +107,11 @@
         requests_before = request_count(endpoints)
         connection = await send_request(p, client, paused)
         if path == "further attempt":
-            await until(lambda: request_count(endpoints) == 1)
-            await until(lambda: connection.transport.is_reading() is not paused)
+            await wait_until(lambda: request_count(endpoints) == 1)
+            await wait_until(lambda: connection.transport.is_reading() is not paused)
             hold.armed, requests_before = True, 1
             attempt_connection(p).data_received(FAILURE)
-        await until(lambda: hold.held == 1)
+        await wait_until(lambda: hold.held == 1)
         yield HeldWrite(p, endpoints, client, connection, gate, requests_before)
 
 
@@ -133,9 +138,9 @@
     """
     async with held_write(hold, path, cancel, paused, lambda client: client.leave(way)) as held:
         clients = held.proxy.clients
-        await until(lambda: held.connection not in clients.open_connections)
+        await wait_until(lambda: held.connection not in clients.open_connections)
         held.gate.opened.set()
-        await settled()
+        await run_loop_turns()
         assert request_count(held.endpoints) == held.requests_before
         assert nothing_left(held.proxy)
         assert not held.proxy.driver._attempts
@@ -150,21 +155,21 @@
     path: str, cancel: bool, paused: bool, hold: Hold
 ) -> None:
     async with held_write(hold, path, cancel, paused, lambda client: None) as held:
-        await until(lambda: request_count(held.endpoints) == held.requests_before + 1)
+        await wait_until(lambda: request_count(held.endpoints) == held.requests_before + 1)
         held.client.leave("RST")
-        await until(lambda: not held.proxy.clients.open_connections)
+        await wait_until(lambda: not held.proxy.clients.open_connections)
 
 
 @pytest.mark.parametrize("way", WAYS)
 async def test_unwritten_attempt_leaves_its_connection_to_another_waiting_attempt(way: str) -> None:
     """Two wait for connections to one backend, and the first of them leaves as they come up."""
 
-    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
-        gate, leaver, stayer = Gate(p.pool), Client(p), Client(p)
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
+        gate, leaver, stayer = ConnectGate(p.pool), Client(p), Client(p)
         for client, key in ((leaver, "leaves"), (stayer, "stays")):
-            client.send(call(request_id=key))
-            await until(lambda key=key: key.encode() in p.clients.open_request_ids)  # type: ignore[misc]
-        await until(lambda: gate.waiting == 2)
+            client.send(http_request(request_id=key))
+            await wait_until(lambda key=key: key.encode() in p.clients.open_request_ids)  # type: ignore[misc]
+        await wait_until(lambda: gate.waiting_count == 2)
         came_up = p.pool._on_connected
 
         def leaving(pending: PendingConnection, connection: UpstreamConnection) -> None:
@@ -174,11 +179,11 @@
 
         p.pool._on_connected = leaving  # type: ignore[method-assign]
         gate.opened.set()
-        await until(lambda: bool(b.seen))
-        attempt_connection(p).data_received(answer(200, b"x"))
+        await wait_until(lambda: bool(b.received))
+        attempt_connection(p).data_received(http_response(200, b"x"))
         stayer.socket.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=stayer.socket)
-        assert (await read_message(reader))[2] == b"x"
+        assert (await read_http_message(reader))[2] == b"x"
         writer.close()
-        await until(lambda: not p.clients.open_connections)
-        assert [headers["req-id"] for _, headers, _ in b.seen] == ["stays"]
+        await wait_until(lambda: not p.clients.open_connections)
+        assert [headers["req-id"] for _, headers, _ in b.received] == ["stays"]
--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -8,22 +8,15 @@
 
 from load_balancer.net.driver.client_messages import ClientRequest
 from tests.net.client.delayed_endpoint import DelayedEndpoint
-from tests.support.client_helpers import narrow, slow_reader, status
-from tests.support.loopback import (
-    Proxy,
-    SteppedClock,
-    answer,
-    backend,
-    call,
-    entry,
-    peer,
-    proxy,
-    read_message,
-    until,
-)
+from tests.support.client_helpers import narrow, slow_reader
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock, wait_until
 
 
-def record_times_left(p: Proxy, monkeypatch: pytest.MonkeyPatch) -> list[float]:
+def record_times_left(p: LoopbackProxy, monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """Collect the seconds left to each request as the driver gets it."""
     times_left_s: list[float] = []
     accept_request = p.driver.request
@@ -41,22 +34,22 @@
 ) -> None:
     """However long it waited behind others, and whenever these came."""
     clock, delayed = SteppedClock(), DelayedEndpoint()
-    async with peer(delayed.handle) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInServer(delayed.handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         times_left_s = record_times_left(p, monkeypatch)
         reader, writer = await p.connect()
-        writer.write(call(request_id="r1") + call(request_id="r2"))
-        await until(lambda: len(delayed.request_ids) == 1)
-        clock.step(1.0)
-        third = call(request_id="r3")
+        writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
+        await wait_until(lambda: len(delayed.request_ids) == 1)
+        clock.advance(1.0)
+        third = http_request(request_id="r3")
         writer.write(third[:-9])
         [connection] = p.clients.open_connections
-        await until(lambda: connection._http.received.size_bytes == len(third) - 9)
-        clock.step(0.5)
+        await wait_until(lambda: connection._http.received.size_bytes == len(third) - 9)
+        clock.advance(0.5)
         writer.write(third[-9:])
-        await until(lambda: connection._http.received.size_bytes == len(third))
+        await wait_until(lambda: connection._http.received.size_bytes == len(third))
         delayed.may_respond.set()
         for _ in range(3):
-            assert status(await read_message(reader)) == 200
+            assert response_status(await read_http_message(reader)) == 200
         assert 3.0 < times_left_s[0] <= 4.0
         assert times_left_s[1] <= 2.5
         assert 3.0 < times_left_s[2] <= 4.0
@@ -65,28 +58,33 @@
 
 async def test_pipelined_requests_are_answered_in_order() -> None:
     async with (
-        backend(answer(200, b"1"), answer(200, b"2"), answer(200, b"3")) as b,
-        proxy(entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"1"), http_response(200, b"2"), http_response(200, b"3")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
     ):
         reader, writer = await p.connect()
-        writer.write(call(request_id="a") + call(request_id="b") + call(request_id="c"))
-        assert [(await read_message(reader))[2] for _ in range(3)] == [b"1", b"2", b"3"]
+        writer.write(
+            http_request(request_id="a") + http_request(request_id="b") + http_request(request_id="c")
+        )
+        assert [(await read_http_message(reader))[2] for _ in range(3)] == [b"1", b"2", b"3"]
         writer.close()
 
 
 @pytest.mark.parametrize("size", [20_000, 65_536])
 async def test_pipelined_request_waits_for_a_slowly_read_response(size: int) -> None:
-    async with backend(answer(200, b"x" * size)) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x" * size)) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         narrow(p)
         reader, writer = await slow_reader(p)
-        writer.write(call(request_id="r1") + call(request_id="r2"))
-        await until(lambda: bool(p.clients.open_connections))
+        writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
+        await wait_until(lambda: bool(p.clients.open_connections))
         [connection] = p.clients.open_connections
-        await until(lambda: connection.transport.get_write_buffer_size() > 0)
+        await wait_until(lambda: connection.transport.get_write_buffer_size() > 0)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.seen) == 1  # what is not read holds the next one back: guards memory
+        assert len(b.received) == 1  # what is not read holds the next one back: guards memory
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(2):
-            assert len((await read_message(reader))[2]) == size
+            assert len((await read_http_message(reader))[2]) == size
         writer.close()
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -12,24 +12,23 @@
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_listener import ClientListener
 from tests.net.client.test_malformed_requests import CHUNKED, lines
-from tests.support.client_helpers import Client, settled, silent_backend, status, streams
-from tests.support.loopback import (
-    Proxy,
-    SteppedClock,
-    Streams,
-    answer,
-    backend,
-    call,
-    entry,
-    proxy,
-    read_message,
-    until,
+from tests.support.client_helpers import Client, streams
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import (
+    StreamPair,
+    http_request,
+    http_response,
+    read_http_message,
+    response_status,
 )
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
+from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
 DUE_S = 3.0  # from its connect, or from the first byte of a later request, to an error or a close
 LATE_S = 0.15  # the event loop is late by so much, as it takes a client in and whenever it checks it
 
-COMPLETE = call("mark", request_id="stalled", body=b"x" * 2_000)
+COMPLETE = http_request("mark", request_id="stalled", body=b"x" * 2_000)
 HEAD = len(COMPLETE) - 2_000
 STOPS = {
     "in the first line": COMPLETE[:9],
@@ -43,7 +42,7 @@
     "in a chunk": CHUNKED + b"5\r\nab",
     "between chunks": CHUNKED + b"5\r\nabcde\r\n",
     "before the last chunk": CHUNKED + b"5\r\nabcde\r\n0\r\n",
-    "after a 100": call("mark", request_id="stalled", Expect="100-continue", Content_Length="9"),
+    "after a 100": http_request("mark", request_id="stalled", Expect="100-continue", Content_Length="9"),
 }
 
 
@@ -55,10 +54,10 @@
         listener._sweep_timer.cancel()
 
     async def sweep(self) -> None:
-        self.clock.step(client_limits.SWEEP_INTERVAL_S + LATE_S)
+        self.clock.advance(client_limits.SWEEP_INTERVAL_S + LATE_S)
         self._listener._sweep()
         self._listener._sweep_timer.cancel()
-        await settled()
+        await run_loop_turns()
 
 
 def error_or_close(client: Client) -> bool:
@@ -74,21 +73,21 @@
     return not got.startswith((b"HTTP/1.1 1", b"HTTP/1.1 2")) if got else True
 
 
-async def sweep_until_closed(late: Late, p: Proxy, due_at_s: float, at_shutdown: bool) -> None:
+async def sweep_until_closed(late: Late, p: LoopbackProxy, due_at_s: float, at_shutdown: bool) -> None:
     while p.clients.open_connections:
         if at_shutdown:
             p.listener.close_idle_connections()
         await late.sweep()
-        assert late.clock.ahead <= due_at_s
+        assert late.clock.advanced_s <= due_at_s
 
 
-async def serve_first_request(client: Client, clock: SteppedClock) -> Streams:
+async def serve_first_request(client: Client, clock: SteppedClock) -> StreamPair:
     """Have the client's first request answered, and pass so much time that an idle one may stay."""
-    client.send(call(request_id="good"))
+    client.send(http_request(request_id="good"))
     reader, writer = await streams(client)
-    assert status(await read_message(reader)) == 200
-    clock.step(5.0)
-    await settled()
+    assert response_status(await read_http_message(reader)) == 200
+    clock.advance(5.0)
+    await run_loop_turns()
     return reader, writer
 
 
@@ -98,15 +97,18 @@
     stop: str, when: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Wherever it stops, with each sweep late, and also during the shutdown."""
-    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
         clock, client = SteppedClock(), Client(p)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         late = Late(p.listener, clock)
         opened = await serve_first_request(client, clock) if when == "after a good one" else None
-        began = clock.ahead - LATE_S  # it was taken in that late
+        began = clock.advanced_s - LATE_S  # it was taken in that late
         client.send(STOPS[stop])
         [connection] = p.clients.open_connections
-        await until(lambda: not connection.is_idle)
+        await wait_until(lambda: not connection.is_idle)
         if when == "at the end":
             p.clients.is_shutting_down = True
             p.listener.stop_listening()
@@ -121,7 +123,7 @@
                 assert b"HTTP/1.1 2" not in await reader.read()
             writer.close()
         client.socket.close()
-        assert len(b.seen) == (when == "after a good one")
+        assert len(b.received) == (when == "after a good one")
         assert not p.clients.open_request_ids
         assert p.clients.buffered.size_bytes == 0
         assert not lines(caplog)
@@ -134,7 +136,7 @@
 DRIBBLES: dict[str, Callable[[], Iterator[bytes]]] = {
     "a header": lambda: dribble(COMPLETE[:60], b"x"),
     "headers": lambda: dribble(COMPLETE[:60] + b"\r\n", b"X: y\r\n"),
-    "a body": lambda: dribble(call("mark", request_id="stalled", Content_Length="60000"), b"x"),
+    "a body": lambda: dribble(http_request("mark", request_id="stalled", Content_Length="60000"), b"x"),
     "chunks": lambda: dribble(CHUNKED, b"1\r\nx\r\n"),
     "empty lines": lambda: dribble(b"\r\n", b"\r\n"),
 }
@@ -158,23 +160,26 @@
     kind: str, first_sweep_s: float, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Each byte comes between the event loop's last reading and the check, forced; each check is late."""
-    async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
         clock, client = SteppedClock(), Client(p)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         late = Late(p.listener, clock)
-        began = clock.ahead - LATE_S
+        began = clock.advanced_s - LATE_S
         [connection] = p.clients.open_connections
         send_at_each_check(client, connection, DRIBBLES[kind]())
-        clock.step(first_sweep_s)
+        clock.advance(first_sweep_s)
         while p.clients.open_connections:
             await late.sweep()
             if connection._has_final_check:
-                clock.step(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
-                await settled()
-            assert clock.ahead - began <= DUE_S
+                clock.advance(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
+                await run_loop_turns()
+            assert clock.advanced_s - began <= DUE_S
         assert error_or_close(client)
         client.socket.close()
-        assert not b.seen
+        assert not b.received
         assert p.clients.buffered.size_bytes == 0
         assert not lines(caplog)
 
@@ -183,25 +188,25 @@
 async def test_request_that_crosses_the_final_check_is_forwarded(fresh: bool) -> None:
     """It is with the system as the time of its connection is over."""
 
-    async with silent_backend() as b, proxy(entry("b", b.port)) as p:
+    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
         clock, client = SteppedClock(), Client(p)
-        await until(lambda: len(p.clients.open_connections) == 1)
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
         late = Late(p.listener, clock)
         [connection] = p.clients.open_connections
         if not fresh:
-            client.send(call(path="/ready"))
-            await until(lambda: connection in p.clients.idle_connections)
-        clock.step(
+            client.send(http_request(path="/ready"))
+            await wait_until(lambda: connection in p.clients.idle_connections)
+        clock.advance(
             (client_limits.REQUEST_TIMEOUT_S if fresh else client_limits.KEEP_ALIVE_TIMEOUT_S)
             + client_limits.PARTIAL_REQUEST_GRACE_S
         )
-        client.send(call(request_id="crossing"))
+        client.send(http_request(request_id="crossing"))
         connection.check_time_limits(p.listener.loop.time())
-        clock.step(client_limits.FINAL_CHECK_DELAY_S)
-        await until(lambda: bool(b.seen))
+        clock.advance(client_limits.FINAL_CHECK_DELAY_S)
+        await wait_until(lambda: bool(b.received))
         for _ in range(5):
             await late.sweep()
         assert connection in p.clients.open_connections
         assert p.clients.open_request_ids == {b"crossing"}
         client.leave("RST")
-        await until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not p.clients.open_connections)
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -19,21 +19,17 @@
 from load_balancer.process.server import Reloader
 from tests.net.discovery.versioned_discovery import ASKED, BOTH, Versions, pass_until, play
 from tests.support.discovery_helpers import watch_tasks
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Peer,
-    Proxy,
-    answer,
-    backend,
-    call,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    read_message,
-    until,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.loopback_proxy import LoopbackProxy
 from tests.support.proxy_process import config, port_of, process, write
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import wait_until
 
 MOVED_S = 4.0  # what discovery has to tell counts as told this long after SIGHUP
 
@@ -44,7 +40,7 @@
 class Reloads:
     """A configuration file, and a SIGHUP for each discovery that it comes to name."""
 
-    def __init__(self, folder: Path, p: Proxy, port: int) -> None:
+    def __init__(self, folder: Path, p: LoopbackProxy, port: int) -> None:
         self.folder = folder
         source = ConfigSource(write(folder, config(discovery=f"127.0.0.1:{port}")))
         self.reloader = Reloader(source, source.read(), p.driver)
@@ -87,7 +83,7 @@
         await reader.readuntil(b"\r\n\r\n")
         self.asked.append("")
         whole = self.answer(None)
-        said = {"half a list": whole[:-20], "half a head": whole[:9], "turns away": answer(503)}
+        said = {"half a list": whole[:-20], "half a head": whole[:9], "turns away": http_response(503)}
         writer.write(said.get(self.mood, b""))
         if self.mood in ("turns away", "ends at once"):
             return
@@ -100,9 +96,9 @@
 
 
 @asynccontextmanager
-async def moody(name: str, mood: str) -> AsyncIterator[tuple[Moody, Peer]]:
+async def moody(name: str, mood: str) -> AsyncIterator[tuple[Moody, StandInServer]]:
     made = Moody(name, mood)
-    async with peer(made.handle) as p:
+    async with StandInServer(made.handle) as p:
         if mood == "refuses":
             assert p.server is not None
             p.server.close()
@@ -127,13 +123,13 @@
             reloads.name(port.port)
             await pass_until(made.clock, lambda: True)
             if apart_s:
-                began = made.clock.ahead
-                await pass_until(made.clock, lambda began=began: made.clock.ahead >= began + apart_s)  # type: ignore[misc]
+                began = made.clock.advanced_s
+                await pass_until(made.clock, lambda began=began: made.clock.advanced_s >= began + apart_s)  # type: ignore[misc]
         reloads.name(last_peer.port)
         waited = 0.0
         if setup is ASKED:
-            began = made.clock.ahead
-            waited = await pass_until(made.clock, lambda: made.clock.ahead >= began + TURN_S)
+            began = made.clock.advanced_s
+            waited = await pass_until(made.clock, lambda: made.clock.advanced_s >= began + TURN_S)
             last.silent = False
             [writer] = last.open
             writer.write(last.answer(None))
@@ -142,7 +138,7 @@
         assert last.whole == 1
         assert len(last.asked) == 1
         # What the others say by now, be it on a connection that they still hold, is nobody's news.
-        await until(lambda: not made.a.open and not any(left.open for left, _ in on_the_way))
+        await wait_until(lambda: not made.a.open and not any(left.open for left, _ in on_the_way))
         assert watch_tasks() == 1
         assert made.p.driver._watch._task is not None
         calls = [len(left.asked) for left, _ in on_the_way], len(made.a.asked)
@@ -181,18 +177,20 @@
 
     async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
+        writer.write(
+            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("b", b.port), rev=2))
+        )
         told.set()
         await reader.read()
 
     asked, told = asyncio.Event(), asyncio.Event()
     async with (
-        backend(answer(200, b"b")) as b,
-        peer(never) as c,
-        peer(never) as d,
-        peer(tell) as e,
+        StandInEndpoint(http_response(200, b"b")) as b,
+        StandInServer(never) as c,
+        StandInServer(never) as d,
+        StandInServer(tell) as e,
     ):
-        known = listing(entry("a", 9), rev=1)
+        known = endpoint_list(endpoint_entry("a", 9), rev=1)
         file = config(discovery=f"127.0.0.1:{c.port}", known=known)
         async with process(write(tmp_path, file)) as made:
             port = await port_of(made)
@@ -208,9 +206,9 @@
             status = b""
             while status != b"b":
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(call())
-                status = (await read_message(reader))[2]
+                writer.write(http_request())
+                status = (await read_http_message(reader))[2]
                 writer.close()
-            assert (c.connections, d.connections, e.connections) == (2, 1, 1)
+            assert (c.connection_count, d.connection_count, e.connection_count) == (2, 1, 1)
             while len(os.listdir(f"/proc/{made.pid}/fd")) > descriptors + 1:  # one to the backend
                 await asyncio.sleep(0.01)
--- a/tests/net/discovery/test_watch_resumption.py
+++ b/tests/net/discovery/test_watch_resumption.py
@@ -8,10 +8,8 @@
 
 from load_balancer import messages
 from tests.net.discovery.versioned_discovery import BOTH, Play, pass_until, play
-from tests.support.loopback import (
-    chunk,
-    entry,
-)
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_chunk
 
 Event = Callable[["Play"], Awaitable[None]]
 
@@ -48,12 +46,12 @@
 
 
 async def spoilt(play: Play) -> None:
-    play.a.open[0].write(chunk('{"rev":42,"all":false,"targets":[{"uid":"x","state":"odd"}]}\n'))
+    play.a.open[0].write(http_chunk('{"rev":42,"all":false,"targets":[{"uid":"x","state":"odd"}]}\n'))
     await pass_until(play.clock, lambda: len(play.a.asked) == 2)
 
 
 async def half_a_list(play: Play) -> None:
-    play.a.open[0].write(chunk('{"rev":42,"all":true,"targets":['))
+    play.a.open[0].write(http_chunk('{"rev":42,"all":true,"targets":['))
     await pass_until(play.clock, lambda: len(play.a.asked) == 2)
 
 
@@ -118,7 +116,7 @@
 
 @BOTH
 async def test_watch_resumes_from_a_cached_list_at_the_start(setup: messages.Settings) -> None:
-    async with play(setup, entry("a-1", 9)) as made:
+    async with play(setup, endpoint_entry("a-1", 9)) as made:
         await made.follows(made.a)
         assert made.a.whole == 0
         assert made.a.asked == ["/v1/endpoints?follow=1&since=1"]
--- a/tests/net/discovery/versioned_discovery.py
+++ b/tests/net/discovery/versioned_discovery.py
@@ -12,17 +12,16 @@
 from load_balancer import messages
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from tests.support.balancer_harness import S, settings
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Proxy,
-    SteppedClock,
-    chunk,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    proxy,
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.http_messages import http_chunk
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stand_in_server import StandInServer
+from tests.support.stepped_clock import SteppedClock
 
 STEP_S = 0.05
 
@@ -59,23 +58,25 @@
         return f"{self.name}-{self.rev}"
 
     def list_now(self) -> dict[str, object]:
-        return listing(entry(self.uid, 9), rev=self.rev)
+        return endpoint_list(endpoint_entry(self.uid, 9), rev=self.rev)
 
     def changes(self, since: int) -> dict[str, object]:
-        gone = [entry(f"{self.name}-{rev}", 9, "terminated") for rev in range(since, self.rev)]
-        return listing(*gone, entry(self.uid, 9), rev=self.rev, full=False)
+        gone = [endpoint_entry(f"{self.name}-{rev}", 9, "terminated") for rev in range(since, self.rev)]
+        return endpoint_list(*gone, endpoint_entry(self.uid, 9), rev=self.rev, full=False)
 
     def change(self) -> None:
         """Tells a new version on the watches that stand."""
         self.rev += 1
         for writer in self.open:
-            writer.write(chunk_list(self.changes(self.rev - 1)))
+            writer.write(endpoint_list_chunk(self.changes(self.rev - 1)))
 
     def answer(self, since: int | None) -> bytes:
         if since is None or not self.first <= since <= self.rev:
             self.whole += 1
-            return WATCH_HEAD + chunk_list(self.list_now())
-        return WATCH_HEAD + (chunk_list(self.changes(since)) if since < self.rev else chunk("\n"))
+            return WATCH_RESPONSE_HEAD + endpoint_list_chunk(self.list_now())
+        return WATCH_RESPONSE_HEAD + (
+            endpoint_list_chunk(self.changes(since)) if since < self.rev else http_chunk("\n")
+        )
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         target = (await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1]
@@ -93,27 +94,27 @@
 
 async def pass_until(clock: SteppedClock, holds: Callable[[], bool], most_s: float = 20.0) -> float:
     """Moves time on until something holds; the seconds that it took."""
-    began = clock.ahead
+    began = clock.advanced_s
     while not holds():
-        assert clock.ahead - began < most_s, "it never came"
-        clock.step(STEP_S)
+        assert clock.advanced_s - began < most_s, "it never came"
+        clock.advance(STEP_S)
         for _ in range(TURNS):
             await asyncio.sleep(0)
-    return clock.ahead - began
+    return clock.advanced_s - began
 
 
 @contextmanager
-def one_clock(clock: SteppedClock, p: Proxy) -> Iterator[None]:
+def one_clock(clock: SteppedClock, p: LoopbackProxy) -> Iterator[None]:
     """The module's clock goes with the event loop's."""
     real = p.driver._clock.now_us
-    p.driver._clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
+    p.driver._clock.now_us = lambda: real() + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
     yield
 
 
 class Play:
     """A proxy, the discovery that it follows, and another one."""
 
-    def __init__(self, p: Proxy, clock: SteppedClock, a: Versions, b: Versions) -> None:
+    def __init__(self, p: LoopbackProxy, clock: SteppedClock, a: Versions, b: Versions) -> None:
         self.p, self.clock, self.a, self.b = p, clock, a, b
         self.ports: dict[str, int] = {}
 
@@ -134,9 +135,9 @@
     if known:
         a.rev = 2
     async with (
-        peer(a.handle) as pa,
-        peer(b.handle) as pb,
-        proxy(*known, setup=setup, discovery=pa.port) as p,
+        StandInServer(a.handle) as pa,
+        StandInServer(b.handle) as pb,
+        running_proxy(*known, settings=setup, discovery_port=pa.port) as p,
     ):
         with one_clock(clock, p):
             made = Play(p, clock, a, b)
