--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -15,15 +15,15 @@
 async def test_connections_in_the_accept_queue_are_served_after_listening_ends() -> None:
     """With more of them than are taken in at once, their requests sent and none of it read."""
 
-    async with running_proxy(endpoint_entry("s-1", 9)) as p:
-        clients = [Client(p) for _ in range(40)]
+    async with running_proxy(endpoint_entry("s-1", 9)) as proxy:
+        clients = [Client(proxy) for _ in range(40)]
         for client in clients:
             client.send(http_request(path="/ready"))
-        p.listener.stop_listening()
-        assert not p.listener.is_drained
+        proxy.listener.stop_listening()
+        assert not proxy.listener.is_drained
         assert [await client.read(1) for client in clients] == [[200]] * 40
         with pytest.raises(ConnectionRefusedError):
-            await p.connect()
+            await proxy.connect()
 
 
 @pytest.mark.parametrize("fresh", [True, False])
@@ -31,56 +31,56 @@
     """It is answered, and told that it was the last one; until then not all is said and done."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        client, other = Client(p), Client(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 2)
+        client, other = Client(proxy), Client(proxy)
+        await wait_until(lambda: len(proxy.clients.open_connections) == 2)
         if not fresh:
             client.send(http_request(request_id="r1"))
-            await wait_until(lambda: len(p.clients.idle_connections) == 1)
+            await wait_until(lambda: len(proxy.clients.idle_connections) == 1)
         clock = SteppedClock()
         clock.advance(1.0)  # neither has just come
         client.send(http_request(request_id="r2"))
-        p.listener.close_idle_connections()
-        assert not p.listener.is_drained
-        await wait_until(lambda: len(p.clients.open_connections) == 1)  # the other one is closed
+        proxy.listener.close_idle_connections()
+        assert not proxy.listener.is_drained
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)  # the other one is closed
         assert other.socket.recv(1) == b""
         assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
-        await wait_until(lambda: p.listener.is_drained and not p.clients.open_connections)
+        await wait_until(lambda: proxy.listener.is_drained and not proxy.clients.open_connections)
 
 
 async def test_new_connection_is_given_time_for_a_request_at_shutdown() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        clock, client, silent = SteppedClock(), Client(p), Client(p)
-        p.listener.stop_listening()
-        p.listener.close_idle_connections()
-        await wait_until(lambda: len(p.clients.open_connections) == 2)
-        p.listener.close_idle_connections()
-        assert not p.listener.is_drained
+        clock, client, silent = SteppedClock(), Client(proxy), Client(proxy)
+        proxy.listener.stop_listening()
+        proxy.listener.close_idle_connections()
+        await wait_until(lambda: len(proxy.clients.open_connections) == 2)
+        proxy.listener.close_idle_connections()
+        assert not proxy.listener.is_drained
         client.send(http_request())
         assert await client.read(1) == [200]
         clock.advance(1.0)
-        p.listener.close_idle_connections()
-        await wait_until(lambda: p.listener.is_drained and not p.clients.open_connections)
+        proxy.listener.close_idle_connections()
+        await wait_until(lambda: proxy.listener.is_drained and not proxy.clients.open_connections)
         assert silent.socket.recv(1) == b""
 
 
 async def test_shutdown_waits_for_an_incomplete_request() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        client, request = Client(p), http_request()
+        client, request = Client(proxy), http_request()
         client.send(request[:30])
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        [connection] = p.clients.open_connections
-        await wait_until(lambda: not connection.is_idle and not p.listener._admission_tasks)
-        p.listener.close_idle_connections()
-        assert not p.listener.is_drained
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        [connection] = proxy.clients.open_connections
+        await wait_until(lambda: not connection.is_idle and not proxy.listener._admission_tasks)
+        proxy.listener.close_idle_connections()
+        assert not proxy.listener.is_drained
         client.send(request[30:])
         assert await client.read(1) == [200]
-        await wait_until(lambda: p.listener.is_drained)
+        await wait_until(lambda: proxy.listener.is_drained)
--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -17,18 +17,18 @@
 
 async def test_unused_connections_are_evicted_before_idle_ones() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port), max_connections=8) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port), max_connections=8) as proxy,
     ):
-        usual = [await p.connect() for _ in range(4)]
-        for n, (reader, writer) in enumerate(usual):
-            writer.write(http_request(request_id=f"u{n}"))
+        usual = [await proxy.connect() for _ in range(4)]
+        for number, (reader, writer) in enumerate(usual):
+            writer.write(http_request(request_id=f"u{number}"))
             assert response_status(await read_http_message(reader)) == 200
-        crowd = [await p.connect() for _ in range(50)]
-        while len(p.clients.unused_connections) > 4 or len(p.clients.open_connections) > 8:
+        crowd = [await proxy.connect() for _ in range(50)]
+        while len(proxy.clients.unused_connections) > 4 or len(proxy.clients.open_connections) > 8:
             await asyncio.sleep(0)
-        for n, (reader, writer) in enumerate(usual):
-            writer.write(http_request(request_id=f"v{n}"))
+        for number, (reader, writer) in enumerate(usual):
+            writer.write(http_request(request_id=f"v{number}"))
             assert response_status(await read_http_message(reader)) == 200
         for _, writer in (*crowd, *usual):
             writer.close()
@@ -38,18 +38,18 @@
     """Connections that asked once and stay fill the room: they go first, not who is about to ask."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port), max_connections=8) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port), max_connections=8) as proxy,
     ):
-        stayed = [await p.connect() for _ in range(8)]
-        for n, (reader, writer) in enumerate(stayed):
-            writer.write(http_request(request_id=f"s{n}"))
+        stayed = [await proxy.connect() for _ in range(8)]
+        for number, (reader, writer) in enumerate(stayed):
+            writer.write(http_request(request_id=f"s{number}"))
             assert response_status(await read_http_message(reader)) == 200
-        new = [await p.connect() for _ in range(3)]
-        while len(p.clients.unused_connections) < 3:
+        new = [await proxy.connect() for _ in range(3)]
+        while len(proxy.clients.unused_connections) < 3:
             await asyncio.sleep(0)
-        for n, (reader, writer) in enumerate(new):
-            writer.write(http_request(request_id=f"n{n}"))
+        for number, (reader, writer) in enumerate(new):
+            writer.write(http_request(request_id=f"n{number}"))
             assert response_status(await read_http_message(reader)) == 200
         for _, writer in (*stayed, *new):
             writer.close()
@@ -64,18 +64,18 @@
         writer.write(http_response(200, b"late"))
 
     async with (
-        StandInServer(handle) as b,
-        running_proxy(endpoint_entry("s-1", b.port), max_connections=2) as p,
+        StandInServer(handle) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port), max_connections=2) as proxy,
     ):
-        idle_reader, _ = await p.connect()
-        reader_a, writer_a = await p.connect()
+        idle_reader, _ = await proxy.connect()
+        reader_a, writer_a = await proxy.connect()
         writer_a.write(http_request(request_id="a"))
-        reader_b, writer_b = await p.connect()  # closes the idle one
+        reader_b, writer_b = await proxy.connect()  # closes the idle one
         assert await idle_reader.read() == b""
         writer_b.write(http_request(request_id="b"))
-        while b.connection_count < 2:
+        while endpoint.connection_count < 2:
             await asyncio.sleep(0)
-        assert response_status(await p.send_request(http_request(request_id="c"))) == 503  # both are busy
+        assert response_status(await proxy.send_request(http_request(request_id="c"))) == 503  # both are busy
         blocked.set()
         assert response_status(await read_http_message(reader_a)) == 200
         assert response_status(await read_http_message(reader_b)) == 200
@@ -88,23 +88,23 @@
     """Where all others are busy, or about to be, the newcomer is one too many."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port), max_connections=1) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port), max_connections=1) as proxy,
     ):
-        client = Client(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        [connection] = p.clients.open_connections
+        client = Client(proxy)
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        [connection] = proxy.clients.open_connections
         if not fresh:
             client.send(http_request(request_id="r1"))
-            await wait_until(lambda: connection in p.clients.idle_connections)
-        add = p.clients.add
+            await wait_until(lambda: connection in proxy.clients.idle_connections)
+        add = proxy.clients.add
 
         def crossed(newcomer: ClientConnection) -> bool:
             client.send(http_request(request_id="r2"))
             return add(newcomer)
 
-        monkeypatch.setattr(p.clients, "add", crossed)
-        assert response_status(await p.send_request(http_request(request_id="r3"))) == 503
+        monkeypatch.setattr(proxy.clients, "add", crossed)
+        assert response_status(await proxy.send_request(http_request(request_id="r3"))) == 503
         assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
 
 
@@ -114,18 +114,18 @@
     """What it has left unread is nobody's request any more."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port), max_connections=1) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port), max_connections=1) as proxy,
     ):
-        client = Client(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        add = p.clients.add
+        client = Client(proxy)
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        add = proxy.clients.add
 
         def crossed(newcomer: ClientConnection) -> bool:
             client.send(http_request(request_id="r1"))
             client.socket.close()
             return add(newcomer)
 
-        monkeypatch.setattr(p.clients, "add", crossed)
-        assert response_status(await p.send_request(http_request(request_id="r2"))) == 200
-        assert len(b.received) == 1
+        monkeypatch.setattr(proxy.clients, "add", crossed)
+        assert response_status(await proxy.send_request(http_request(request_id="r2"))) == 200
+        assert len(endpoint.received) == 1
--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -35,11 +35,11 @@
     monkeypatch.setattr(client_limits, "SWEEP_INTERVAL_S", 0.02)
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
         for first in (b"", http_request()):  # as its first one, and later
-            reader, writer = await p.connect()
+            reader, writer = await proxy.connect()
             if first:
                 writer.write(first)
                 assert response_status(await read_http_message(reader)) == 200
@@ -51,7 +51,7 @@
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
             writer.close()
-        assert len(b.received) == 1
+        assert len(endpoint.received) == 1
 
 
 async def test_client_that_does_not_read_responses_is_paused_then_closed(
@@ -61,24 +61,24 @@
     monkeypatch.setattr(client_limits, "SWEEP_INTERVAL_S", 0.02)
 
     async with (
-        StandInEndpoint(http_response(200, b"x" * 65536)) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x" * 65536)) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        reader, writer = await p.connect()
+        reader, writer = await proxy.connect()
         reader._transport.pause_reading()  # type: ignore[attr-defined]
-        for n in range(2000):
-            writer.write(http_request(request_id=f"r{n}"))
-        while not p.clients.open_connections:
+        for number in range(2000):
+            writer.write(http_request(request_id=f"r{number}"))
+        while not proxy.clients.open_connections:
             await asyncio.sleep(0)
-        [connection] = p.clients.open_connections
-        while p.clients.open_connections:
+        [connection] = proxy.clients.open_connections
+        while proxy.clients.open_connections:
             await asyncio.sleep(0.01)
             assert connection.transport.get_write_buffer_size() <= 2 * 65536 + 1024
             assert (
                 connection._http.received.size_bytes
                 <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION + 256 * 1024
             )  # the limit and one read
-        assert len(b.received) < 2000
+        assert len(endpoint.received) < 2000
         writer.transport.abort()
 
 
@@ -95,17 +95,17 @@
 
     limits = messages.Limits(max_attempts=3, cancel=False)
     async with (
-        StandInServer(handle) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+        StandInServer(handle) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port), settings=settings(limits=limits)) as proxy,
     ):
-        reader, writer = await p.connect()
+        reader, writer = await proxy.connect()
         writer.write(http_request(request_id="slow"))
-        while b.connection_count == 0:
+        while endpoint.connection_count == 0:
             await asyncio.sleep(0)
-        p.driver.give_up()
+        proxy.driver.give_up()
         assert response_status(await read_http_message(reader)) == 503
         late.set()
-        while p.driver._attempts:
+        while proxy.driver._attempts:
             await asyncio.sleep(0)
         writer.write(http_request(request_id="next"))
         assert (await read_http_message(reader))[2] == b"next"
@@ -118,35 +118,38 @@
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
-    async with StandInServer(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+    async with (
+        StandInServer(handle) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
         told: list[messages.Event] = []
-        handle_event = p.driver._balancer.handle
+        handle_event = proxy.driver._balancer.handle
 
         def listen(now: int, event: messages.Event) -> list[messages.Action]:
             told.append(event)
             return handle_event(now, event)
 
-        monkeypatch.setattr(p.driver._balancer, "handle", listen)
+        monkeypatch.setattr(proxy.driver._balancer, "handle", listen)
         loop = asyncio.get_running_loop()
         began = loop.time()
-        assert response_status(await p.send_request(http_request(Req_Deadline="0.6"))) in (502, 503)
+        assert response_status(await proxy.send_request(http_request(Req_Deadline="0.6"))) in (502, 503)
         assert loop.time() - began < 1.8  # by its own deadline, not by the class's aim of 2 s
-        [request] = [e for e in told if isinstance(e, messages.Request)]
+        [request] = [event_ for event_ in told if isinstance(event_, messages.Request)]
         assert 400_000 < request.time_left_us <= 600_000 - LAG_MARGIN_US
 
 
 @pytest.mark.parametrize("fresh", [True, False])
 async def test_connection_is_not_closed_as_idle_while_its_request_arrives(fresh: bool) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        client = Client(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        [connection] = p.clients.open_connections
+        client = Client(proxy)
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        [connection] = proxy.clients.open_connections
         if not fresh:
             client.send(http_request(request_id="r1"))
-            await wait_until(lambda: connection in p.clients.idle_connections)
+            await wait_until(lambda: connection in proxy.clients.idle_connections)
         client.send(http_request(request_id="r2"))
-        connection.check_time_limits(p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
+        connection.check_time_limits(proxy.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
         assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -27,48 +27,53 @@
 async def test_pipelined_requests_are_answered_before_the_close_at_shutdown(behind: int, read: bool) -> None:
     """Only the last answer ends the connection, be what follows read or still with the system."""
 
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        client = Client(p)
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        client = Client(proxy)
         client.send(http_request(request_id="r0"))
-        await wait_until(lambda: len(b.received) == 1)
-        p.listener.close_idle_connections()
-        client.send(b"".join(http_request(request_id=f"r{n + 1}") for n in range(behind)))
+        await wait_until(lambda: len(endpoint.received) == 1)
+        proxy.listener.close_idle_connections()
+        client.send(b"".join(http_request(request_id=f"r{number + 1}") for number in range(behind)))
         if read:
-            [connection] = p.clients.open_connections
+            [connection] = proxy.clients.open_connections
             await wait_until(lambda: connection._http.received.size_bytes > 0)
-        for n in range(1 + behind):
-            await wait_until(lambda n=n: len(b.received) == n + 1)  # type: ignore[misc]
-            assert not p.listener.is_drained
-            attempt_connection(p).data_received(http_response(200, b"%d" % n))
+        for number in range(1 + behind):
+            await wait_until(lambda number=number: len(endpoint.received) == number + 1)  # type: ignore[misc]
+            assert not proxy.listener.is_drained
+            attempt_connection(proxy).data_received(http_response(200, b"%d" % number))
         reader, writer = await streams(client)
         got = [await read_http_message(reader) for _ in range(1 + behind)]
-        assert [g[2] for g in got] == [b"%d" % n for n in range(1 + behind)]
-        assert [closes_connection(g) for g in got] == [False] * behind + [True]
+        assert [response[2] for response in got] == [b"%d" % number for number in range(1 + behind)]
+        assert [closes_connection(response) for response in got] == [False] * behind + [True]
         assert await reader.read() == b""
         writer.close()
-        await wait_until(lambda: p.listener.is_drained and not p.clients.open_connections)
+        await wait_until(lambda: proxy.listener.is_drained and not proxy.clients.open_connections)
 
 
 async def test_each_request_on_a_surplus_connection_is_answered_503() -> None:
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=1) as p:
-        busy, surplus = Client(p), Client(p)
+    async with (
+        SilentEndpoint() as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
+    ):
+        busy, surplus = Client(proxy), Client(proxy)
         busy.send(http_request(request_id="busy"))
-        await wait_until(lambda: len(b.received) == 1)
+        await wait_until(lambda: len(endpoint.received) == 1)
         surplus.send(
             http_request(request_id="r1") + http_request(request_id="r2") + http_request(request_id="r3")
         )
         reader, writer = await streams(surplus)
         got = [await read_http_message(reader) for _ in range(3)]
-        assert [response_status(g) for g in got] == [503] * 3
-        assert [closes_connection(g) for g in got] == [False, False, True]
+        assert [response_status(response) for response in got] == [503] * 3
+        assert [closes_connection(response) for response in got] == [False, False, True]
         assert await reader.read() == b""
         writer.close()
-        assert len(b.received) == 1
+        assert len(endpoint.received) == 1
         busy.leave("FIN")
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
 
 
-async def send_last_request(p: LoopbackProxy, b: StandInServer, client: Client, why: str) -> ClientConnection:
+async def send_last_request(
+    proxy: LoopbackProxy, endpoint: StandInServer, client: Client, why: str
+) -> ClientConnection:
     """Send the request whose response is the last one, and return the connection once it lingers."""
     client.send(
         {"asked": http_request(Connection="close"), "bad": http_request(request_id="")}.get(
@@ -76,10 +81,12 @@
         )
     )
     if why in ("closing", "asked"):
-        await wait_until(lambda: len(b.received) == 1)
-        p.clients.is_draining = why == "closing"
-        attempt_connection(p).data_received(http_response(200, b"x"))
-    [connection] = [c for c in await shut(p) if c._is_lingering]
+        await wait_until(lambda: len(endpoint.received) == 1)
+        proxy.clients.is_draining = why == "closing"
+        attempt_connection(proxy).data_received(http_response(200, b"x"))
+    [connection] = [
+        client_connection for client_connection in await shut(proxy) if client_connection._is_lingering
+    ]
     return connection
 
 
@@ -93,32 +100,35 @@
 @pytest.mark.parametrize("why", ["closing", "asked", "surplus", "bad"])
 async def test_request_after_the_last_response_is_not_forwarded(why: str) -> None:
     """The connection is shut by then; it is read on only so that its end resets nothing."""
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=1) as p:
-        busy = Client(p)
+    async with (
+        SilentEndpoint() as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
+    ):
+        busy = Client(proxy)
         if why == "surplus":
             busy.send(http_request(request_id="busy"))
-            await wait_until(lambda: len(b.received) == 1)
-        client = busy if why != "surplus" else Client(p)
-        connection = await send_last_request(p, b, client, why)
-        forwarded_count = len(b.received)
+            await wait_until(lambda: len(endpoint.received) == 1)
+        client = busy if why != "surplus" else Client(proxy)
+        connection = await send_last_request(proxy, endpoint, client, why)
+        forwarded_count = len(endpoint.received)
         await send_late_requests(client)
         reader, writer = await streams(client)
         got = await read_http_message(reader)
         assert response_status(got) == {"surplus": 503, "bad": 400}.get(why, 200)
         assert closes_connection(got)
         assert await reader.read() == b""
-        assert connection in p.clients.open_connections
+        assert connection in proxy.clients.open_connections
         assert not connection._http.received
-        assert len(b.received) == forwarded_count
+        assert len(endpoint.received) == forwarded_count
         writer.close()
-        await wait_until(lambda: connection not in p.clients.open_connections)
+        await wait_until(lambda: connection not in proxy.clients.open_connections)
         busy.socket.close()
 
 
-async def shut(p: LoopbackProxy) -> list[ClientConnection]:
+async def shut(proxy: LoopbackProxy) -> list[ClientConnection]:
     """The connections, once one of them has been shut."""
-    await wait_until(lambda: any(c._is_lingering for c in p.clients.open_connections))
-    return list(p.clients.open_connections)
+    await wait_until(lambda: any(connection._is_lingering for connection in proxy.clients.open_connections))
+    return list(proxy.clients.open_connections)
 
 
 @pytest.mark.parametrize("last", [True, False])
@@ -126,18 +136,18 @@
     """Its connection counts as idle, or as about to end, from its last byte's hand-over on."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x" * 65_536)) as b,
-        running_proxy(endpoint_entry("b", b.port), max_connections=1) as p,
+        StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        narrow(p)
-        reader, writer = await slow_reader(p)
+        narrow(proxy)
+        reader, writer = await slow_reader(proxy)
         writer.write(http_request(request_id="slow", Connection="close" if last else "keep-alive"))
-        await wait_until(lambda: any(c.is_writing for c in p.clients.open_connections))
-        assert response_status(await p.send_request(http_request(request_id="new"))) == 503
+        await wait_until(lambda: any(connection.is_writing for connection in proxy.clients.open_connections))
+        assert response_status(await proxy.send_request(http_request(request_id="new"))) == 503
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert len((await read_http_message(reader))[2]) == 65_536
         writer.close()
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
 
 
 @pytest.mark.parametrize("last", [True, False])
@@ -145,50 +155,54 @@
     """Also where it is the last one, and then the end comes behind it and not instead of its rest."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x" * 65_536)) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        narrow(p)
+        narrow(proxy)
         clock = SteppedClock()
-        reader, writer = await slow_reader(p)
+        reader, writer = await slow_reader(proxy)
         writer.write(http_request(request_id="slow", Connection="close" if last else "keep-alive"))
-        await wait_until(lambda: any(c.is_writing for c in p.clients.open_connections))
-        [connection] = p.clients.open_connections
+        await wait_until(
+            lambda: any(client_connection.is_writing for client_connection in proxy.clients.open_connections)
+        )
+        [connection] = proxy.clients.open_connections
         clock.advance(client_limits.WRITE_TIMEOUT_S - 0.5)
         await run_loop_turns()
-        assert connection in p.clients.open_connections
+        assert connection in proxy.clients.open_connections
         assert connection.is_writing
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert len((await read_http_message(reader))[2]) == 65_536
         await wait_until(lambda: not connection.is_writing)
-        connection.check_time_limits(p.listener.loop.time())
-        assert connection in p.clients.open_connections
+        connection.check_time_limits(proxy.listener.loop.time())
+        assert connection in proxy.clients.open_connections
         assert not connection.transport.is_closing()
         if last:
             assert await reader.read() == b""
             clock.advance(client_limits.LINGER_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
-            await wait_until(lambda: not p.clients.open_connections)
+            await wait_until(lambda: not proxy.clients.open_connections)
         writer.close()
 
 
-async def idle_connection(p: LoopbackProxy, b: StandInServer, client: Client) -> ClientConnection:
+async def idle_connection(proxy: LoopbackProxy, endpoint: StandInServer, client: Client) -> ClientConnection:
     """Answer the client's first request, and return its connection once that is idle."""
     client.send(http_request(request_id="first"))
-    await wait_until(lambda: len(b.received) == 1)
-    attempt_connection(p).data_received(http_response(200, b"first"))
-    await wait_until(lambda: bool(p.clients.idle_connections))
-    [connection] = p.clients.open_connections
+    await wait_until(lambda: len(endpoint.received) == 1)
+    attempt_connection(proxy).data_received(http_response(200, b"first"))
+    await wait_until(lambda: bool(proxy.clients.idle_connections))
+    [connection] = proxy.clients.open_connections
     return connection
 
 
-async def close_idle_connection(p: LoopbackProxy, connection: ClientConnection, how: str) -> Client | None:
+async def close_idle_connection(
+    proxy: LoopbackProxy, connection: ClientConnection, how: str
+) -> Client | None:
     """Have the connection closed in this way, and return the client that it makes room for."""
     if how == "expiry":
-        connection.check_time_limits(p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
+        connection.check_time_limits(proxy.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
     elif how == "end":
-        p.listener.close_idle_connections()
+        proxy.listener.close_idle_connections()
     else:
-        other = Client(p)
+        other = Client(proxy)
         await wait_until(lambda: connection.transport.is_closing())
         return other
     return None
@@ -200,11 +214,14 @@
     how: str, later: bool
 ) -> None:
     """It comes after the last look at the connection: the client sends it once more on a new one."""
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=1) as p:
-        clock, client = SteppedClock(), Client(p)
-        connection = await idle_connection(p, b, client)
+    async with (
+        SilentEndpoint() as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
+    ):
+        clock, client = SteppedClock(), Client(proxy)
+        connection = await idle_connection(proxy, endpoint, client)
         clock.advance(1.0)
-        other = await close_idle_connection(p, connection, how)
+        other = await close_idle_connection(proxy, connection, how)
         assert connection.transport.is_closing()
         if later:
             await run_loop_turns()
@@ -217,11 +234,11 @@
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
         writer.close()
-        assert len(b.received) == 1
-        assert p.driver.idle
+        assert len(endpoint.received) == 1
+        assert proxy.driver.idle
         if other is not None:
             other.leave("FIN")
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
 
 
 @pytest.mark.parametrize(
@@ -268,17 +285,17 @@
 ) -> None:
     """Also where the rest comes only while the first one is open."""
 
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        client = Client(p)
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        client = Client(proxy)
         client.send(b"".join(sent) if whole else sent[0])
-        for n in range(on):
-            await wait_until(lambda n=n: len(b.received) == n + 1)  # type: ignore[misc]
-            if n == 0 and not whole:
+        for number in range(on):
+            await wait_until(lambda number=number: len(endpoint.received) == number + 1)  # type: ignore[misc]
+            if number == 0 and not whole:
                 client.send(b"".join(sent[1:]))
-            attempt_connection(p).data_received(http_response(200, b"%d" % n))
+            attempt_connection(proxy).data_received(http_response(200, b"%d" % number))
         reader, writer = await streams(client)
         got = [await read_http_message(reader) for _ in statuses]
-        assert [response_status(g) for g in got] == statuses
+        assert [response_status(response) for response in got] == statuses
         await run_loop_turns()
         if statuses[-1] == 400 or len(statuses) == 2:
             assert await reader.read() == b""
@@ -286,6 +303,6 @@
             writer.write(http_request(path="/ready", Connection="close"))
             assert response_status(await read_http_message(reader)) == 200
             assert await reader.read() == b""
-        assert len(b.received) == on
+        assert len(endpoint.received) == on
         writer.close()
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -57,7 +57,7 @@
     [
         (http_request(path="/ready") * 1000, 1000),
         (
-            b"".join(http_request(request_id=f"r{n}", Req_Deadline="0") for n in range(1000)),
+            b"".join(http_request(request_id=f"r{number}", Req_Deadline="0") for number in range(1000)),
             1000,
         ),  # ended as they come
         (chunks(20_000), 1),
@@ -70,12 +70,12 @@
     # Parsing them all takes a second of real time, and longer on a busy machine.
     monkeypatch.setattr(client_limits, "REQUEST_TIMEOUT_S", 60.0)
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        client = Client(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        [connection] = p.clients.open_connections
+        client = Client(proxy)
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        [connection] = proxy.clients.open_connections
         events, answered = Turns(), Turns()
         counted(monkeypatch, connection._http, "next_event", events)
         counted(monkeypatch, connection, "_respond", answered)
@@ -83,7 +83,7 @@
         writer.write(sent)
         got = [response_status(await read_http_message(reader)) for _ in range(answers)]
         assert set(got) <= {200, 502, 503}
-        assert got[0] == 200 or not b.received
+        assert got[0] == 200 or not endpoint.received
         # Where bytes come in a turn that has been taken already, that is one more step.
         assert 0 < answered.most <= 2
         assert events.most <= 2 * client_limits.MAX_EVENTS_PER_TURN
@@ -126,30 +126,30 @@
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
         with monkeypatch.context() as patch:
-            patch.setattr(p.listener, "_listening_socket", Broken(p.listener._listening_socket))
-            clients = [Client(p) for _ in range(40)]
+            patch.setattr(proxy.listener, "_listening_socket", Broken(proxy.listener._listening_socket))
+            clients = [Client(proxy) for _ in range(40)]
             for client in clients:
                 client.socket.setblocking(False)
-                assert await p.listener.loop.sock_recv(client.socket, 1) == b""
+                assert await proxy.listener.loop.sock_recv(client.socket, 1) == b""
                 client.socket.close()
-            await wait_until(lambda: not p.listener._admission_tasks)
-        assert p.clients.descriptor_count == 0
+            await wait_until(lambda: not proxy.listener._admission_tasks)
+        assert proxy.clients.descriptor_count == 0
         assert "Traceback" not in caplog.text
         assert caplog.text.count("lost as it came") == 1
-        assert response_status(await p.send_request(http_request())) == 200
+        assert response_status(await proxy.send_request(http_request())) == 200
 
 
 def open_count(accepted: list[socket.socket]) -> int:
     return sum(connection.fileno() >= 0 for connection in accepted)
 
 
-async def flood(p: LoopbackProxy, kind: str, accepted: list[socket.socket]) -> tuple[list[Client], int]:
+async def flood(proxy: LoopbackProxy, kind: str, accepted: list[socket.socket]) -> tuple[list[Client], int]:
     """Connect 400 clients; return them and the most descriptors that their connections held at once."""
-    clients = [Client(p) for _ in range(FLOOD_SIZE)]
+    clients = [Client(proxy) for _ in range(FLOOD_SIZE)]
     for number, client in enumerate(clients):
         client.send(KINDS[kind] if kind != "open" else http_request(request_id=f"r{number}"))
     most = 0
@@ -164,27 +164,30 @@
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also on the way from the accept to a place, and from a close to its end. A client then gets in."""
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=64) as p:
+    async with (
+        SilentEndpoint() as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), max_connections=64) as proxy,
+    ):
         accepted: list[socket.socket] = []
-        admit = p.listener._admit
+        admit = proxy.listener._admit
 
         def listen(connection: socket.socket) -> Coroutine[None, None, None]:
             accepted.append(connection)
             return admit(connection)
 
-        monkeypatch.setattr(p.listener, "_admit", listen)
-        clients, most = await flood(p, kind, accepted)
+        monkeypatch.setattr(proxy.listener, "_admit", listen)
+        clients, most = await flood(proxy, kind, accepted)
         assert most - 64 <= RESERVED_DESCRIPTORS - FIXED - WATCHES
         await run_loop_turns()
-        assert p.clients.descriptor_count == len(p.clients.open_connections) == open_count(accepted)
+        assert proxy.clients.descriptor_count == len(proxy.clients.open_connections) == open_count(accepted)
         if kind != "open":
-            ready, _, _ = await p.send_request(http_request(path="/ready"))
+            ready, _, _ = await proxy.send_request(http_request(path="/ready"))
             assert ready.split()[1] == "200"
         for client in clients:
             client.leave("RST")
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
         await run_loop_turns()
-        assert p.clients.descriptor_count == 0
+        assert proxy.clients.descriptor_count == 0
 
 
 @contextmanager
@@ -200,11 +203,11 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-async def fail_to_accept(p: LoopbackProxy, clock: SteppedClock, times: int) -> int:
+async def fail_to_accept(proxy: LoopbackProxy, clock: SteppedClock, times: int) -> int:
     """Have at least so many accepts fail for lack of a descriptor, and return how many have failed."""
     failures = Turns()
     with pytest.MonkeyPatch.context() as patch, no_descriptors():
-        counted(patch, p.listener._descriptor_faults, "record", failures)
+        counted(patch, proxy.listener._descriptor_faults, "record", failures)
         for number in range(times):
             await wait_until(lambda number=number: failures.all > number)  # type: ignore[misc]
             clock.advance(client_limits.ACCEPT_RETRY_DELAY_S)
@@ -220,18 +223,20 @@
 
     def lines() -> list[str]:
         return [
-            r.getMessage() for r in caplog.records if r.name == "load_balancer.net.client.client_listener"
+            record.getMessage()
+            for record in caplog.records
+            if record.name == "load_balancer.net.client.client_listener"
         ]
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
         clock = SteppedClock()
         for _ in range(2):  # a second spell is told of again
             caplog.clear()
-            client = Client(p)
-            failure_count = await fail_to_accept(p, clock, times=30)
+            client = Client(proxy)
+            failure_count = await fail_to_accept(proxy, clock, times=30)
             assert lines() == ["no descriptor for a connection: [Errno 24] Too many open files"]
             client.send(http_request(path="/ready"))
             reader, writer = await streams(client)
@@ -249,24 +254,24 @@
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
 
         async def fails(*args: object) -> None:
             raise ConnectionAbortedError("gone")
 
         with monkeypatch.context() as patch:
-            patch.setattr(p.listener.loop, "connect_accepted_socket", fails)
-            clients = [Client(p) for _ in range(100)]
+            patch.setattr(proxy.listener.loop, "connect_accepted_socket", fails)
+            clients = [Client(proxy) for _ in range(100)]
             for client in clients:
                 client.socket.setblocking(False)
                 with contextlib.suppress(ConnectionError):
-                    assert await p.listener.loop.sock_recv(client.socket, 1) == b""
+                    assert await proxy.listener.loop.sock_recv(client.socket, 1) == b""
                 client.socket.close()
         assert caplog.text.count("lost as it came") == 1
-        assert p.clients.descriptor_count == 0
-        assert response_status(await p.send_request(http_request())) == 200
+        assert proxy.clients.descriptor_count == 0
+        assert response_status(await proxy.send_request(http_request())) == 200
 
 
 async def test_bytes_buffered_for_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -274,45 +279,49 @@
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES", 100_000)
     callers = 40
 
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        clients = [Client(p) for _ in range(callers)]
-        await wait_until(lambda: len(p.clients.open_connections) == callers)
-        for n, client in enumerate(clients):  # all of it before any is read
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        clients = [Client(proxy) for _ in range(callers)]
+        await wait_until(lambda: len(proxy.clients.open_connections) == callers)
+        for number, client in enumerate(clients):  # all of it before any is read
             client.socket.setblocking(False)
             client.socket.send(
-                http_request(request_id=f"r{n}")
-                + http_request("mark", request_id=f"s{n}", body=b"x" * 60_000) * 10
+                http_request(request_id=f"r{number}")
+                + http_request("mark", request_id=f"s{number}", body=b"x" * 60_000) * 10
             )
-        connections = list(p.clients.open_connections)
-        await wait_until(lambda: all(not c.transport.is_reading() for c in connections))
-        assert len(p.driver._requests) == callers  # each with its own request open
-        assert 100_000 < p.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
-        assert p.clients.buffered.size_bytes == sum(c._http.received.size_bytes for c in connections)
+        connections = list(proxy.clients.open_connections)
+        await wait_until(lambda: all(not connection.transport.is_reading() for connection in connections))
+        assert len(proxy.driver._requests) == callers  # each with its own request open
+        assert (
+            100_000 < proxy.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
+        )
+        assert proxy.clients.buffered.size_bytes == sum(
+            connection._http.received.size_bytes for connection in connections
+        )
         for client in clients:
             client.leave("RST")
-        await wait_until(lambda: not p.clients.open_connections)
-        assert p.clients.buffered.size_bytes == 0
+        await wait_until(lambda: not proxy.clients.open_connections)
+        assert proxy.clients.buffered.size_bytes == 0
 
 
 async def test_connection_is_not_evicted_while_its_request_is_parsed() -> None:
     """All of it has come by then."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port), max_connections=1) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        client = Client(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        [connection] = p.clients.open_connections
+        client = Client(proxy)
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        [connection] = proxy.clients.open_connections
         client.send(chunks(2_500))  # in one read, and in 25 turns
         await wait_until(lambda: connection._is_processing_scheduled)
-        other = Client(p)
+        other = Client(proxy)
         other.send(http_request(request_id="other"))
-        await wait_until(lambda: len(p.clients.open_connections) == 2)
+        await wait_until(lambda: len(proxy.clients.open_connections) == 2)
         assert connection._is_processing_scheduled
-        assert connection in p.clients.unused_connections
+        assert connection in proxy.clients.unused_connections
         for one, expected in ((client, 200), (other, 503)):
             reader, writer = await streams(one)
             assert response_status(await read_http_message(reader)) == expected
             writer.close()
-        assert [headers["req-id"] for _, headers, _ in b.received] == ["chunks"]
+        assert [headers["req-id"] for _, headers, _ in endpoint.received] == ["chunks"]
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -29,13 +29,13 @@
     return settings(limits=messages.Limits(max_attempts=3, cancel=cancel))
 
 
-def nothing_left(p: LoopbackProxy) -> bool:
-    balancer = p.driver._balancer
-    return p.driver.idle and not (
+def nothing_left(proxy: LoopbackProxy) -> bool:
+    balancer = proxy.driver._balancer
+    return proxy.driver.idle and not (
         balancer.requests.requests
         or balancer.requests.in_flight
         or balancer.requests.queue
-        or p.clients.open_request_ids
+        or proxy.clients.open_request_ids
     )
 
 
@@ -45,37 +45,45 @@
     """The attempt fails in the very turn in which its client leaves, and is read first."""
 
     async with (
-        SilentEndpoint() as a,
-        SilentEndpoint() as b,
-        running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port), settings=limits(cancel)) as p,
+        SilentEndpoint() as first_endpoint,
+        SilentEndpoint() as second_endpoint,
+        running_proxy(
+            endpoint_entry("a", first_endpoint.port),
+            endpoint_entry("b", second_endpoint.port),
+            settings=limits(cancel),
+        ) as proxy,
     ):
-        client = Client(p)
+        client = Client(proxy)
         client.send(http_request())
-        await wait_until(lambda: len(a.received) + len(b.received) == 1)
-        failing = attempt_connection(p)
+        await wait_until(lambda: len(first_endpoint.received) + len(second_endpoint.received) == 1)
+        failing = attempt_connection(proxy)
         client.leave(way)
         failing.data_received(FAILURE)
-        assert not p.driver._attempts
-        assert p.driver.idle
-        await wait_until(lambda: not p.clients.open_connections)
+        assert not proxy.driver._attempts
+        assert proxy.driver.idle
+        await wait_until(lambda: not proxy.clients.open_connections)
         await run_loop_turns()
-        assert len(a.received) + len(b.received) == 1
-        assert a.connection_count + b.connection_count == 1
-        assert nothing_left(p)
+        assert len(first_endpoint.received) + len(second_endpoint.received) == 1
+        assert first_endpoint.connection_count + second_endpoint.connection_count == 1
+        assert nothing_left(proxy)
 
 
 @pytest.mark.parametrize("cancel", [True, False])
 async def test_retry_is_sent_while_client_stays_connected(cancel: bool) -> None:
     async with (
-        SilentEndpoint() as a,
-        SilentEndpoint() as b,
-        running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port), settings=limits(cancel)) as p,
+        SilentEndpoint() as first_endpoint,
+        SilentEndpoint() as second_endpoint,
+        running_proxy(
+            endpoint_entry("a", first_endpoint.port),
+            endpoint_entry("b", second_endpoint.port),
+            settings=limits(cancel),
+        ) as proxy,
     ):
-        client = Client(p)
+        client = Client(proxy)
         client.send(http_request())
-        await wait_until(lambda: len(a.received) + len(b.received) == 1)
-        attempt_connection(p).data_received(FAILURE)
-        await wait_until(lambda: len(a.received) + len(b.received) == 2)
+        await wait_until(lambda: len(first_endpoint.received) + len(second_endpoint.received) == 1)
+        attempt_connection(proxy).data_received(FAILURE)
+        await wait_until(lambda: len(first_endpoint.received) + len(second_endpoint.received) == 2)
         client.socket.close()
 
 
@@ -88,73 +96,75 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)  # the connection that comes free is taken at once
 
     async with (
-        SilentEndpoint() as b,
-        running_proxy(endpoint_entry("b", b.port), settings=limits(cancel)) as p,
+        SilentEndpoint() as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), settings=limits(cancel)) as proxy,
     ):
         clients: list[Client] = []
-        while not p.driver._balancer.requests.queue:
-            clients.append(Client(p))
+        while not proxy.driver._balancer.requests.queue:
+            clients.append(Client(proxy))
             clients[-1].send(http_request(request_id=f"r{len(clients)}"))
-            await wait_until(lambda: len(p.driver._balancer.requests.requests) == len(clients))
+            await wait_until(lambda: len(proxy.driver._balancer.requests.requests) == len(clients))
         sent = len(clients) - 1
-        await wait_until(lambda: len(b.received) == sent)
+        await wait_until(lambda: len(endpoint.received) == sent)
         clients[-1].leave(way)
-        attempt_connection(p).data_received(http_response(200, b"x"))
-        assert not p.driver._balancer.requests.queue  # its turn came
-        await wait_until(lambda: len(p.clients.open_connections) == sent)
+        attempt_connection(proxy).data_received(http_response(200, b"x"))
+        assert not proxy.driver._balancer.requests.queue  # its turn came
+        await wait_until(lambda: len(proxy.clients.open_connections) == sent)
         await run_loop_turns()
-        assert len(b.received) == sent == len(p.driver._balancer.requests.in_flight) + 1
+        assert len(endpoint.received) == sent == len(proxy.driver._balancer.requests.in_flight) + 1
         for client in clients[:-1]:
             client.leave("FIN")
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
         if cancel:
-            assert nothing_left(p)
+            assert nothing_left(proxy)
 
 
 LATEST_S = 0.1  # from a client's end to the last attempt that may begin for it
 WHERE = ["held", "connecting", "out"]
 
 
-async def begin(p: LoopbackProxy, client: Client, paused: bool) -> ClientConnection:
+async def begin(proxy: LoopbackProxy, client: Client, paused: bool) -> ClientConnection:
     """The client's request, and where it pauses so much behind it that the proxy ceases to read."""
-    before = set(p.clients.open_connections)
+    before = set(proxy.clients.open_connections)
     client.socket.setblocking(False)
     sent = http_request(request_id="r0") + (
         http_request("mark", request_id="behind", body=b"x" * 60_000) if paused else b""
     )
     await asyncio.get_running_loop().sock_sendall(client.socket, sent)
-    await wait_until(lambda: len(p.clients.open_connections - before) == 1)
-    [connection] = p.clients.open_connections - before
+    await wait_until(lambda: len(proxy.clients.open_connections - before) == 1)
+    [connection] = proxy.clients.open_connections - before
     await wait_until(
         lambda: connection._request_key is not None and connection.transport.is_reading() is not paused
     )
     return connection
 
 
-async def fill_endpoint(p: LoopbackProxy) -> list[Client]:
+async def fill_endpoint(proxy: LoopbackProxy) -> list[Client]:
     """Have clients send requests until one more has to wait in the admission queue."""
     clients: list[Client] = []
-    while not p.driver._balancer.requests.queue:
-        clients.append(Client(p))
+    while not proxy.driver._balancer.requests.queue:
+        clients.append(Client(proxy))
         clients[-1].send(http_request(request_id=f"c{len(clients)}"))
-        await wait_until(lambda: len(p.driver._balancer.requests.requests) == len(clients))
+        await wait_until(lambda: len(proxy.driver._balancer.requests.requests) == len(clients))
     clients.pop().leave("FIN")
-    await wait_until(lambda: not p.driver._balancer.requests.queue)
+    await wait_until(lambda: not proxy.driver._balancer.requests.queue)
     return clients
 
 
-async def wait_for_request_at(where: str, p: LoopbackProxy, b: StandInServer, gate: ConnectGate) -> None:
+async def wait_for_request_at(
+    where: str, proxy: LoopbackProxy, endpoint: StandInServer, gate: ConnectGate
+) -> None:
     if where == "connecting":
         await wait_until(lambda: gate.waiting_count == 1)
     elif where == "out":
-        await wait_until(lambda: len(b.received) == 1)
+        await wait_until(lambda: len(endpoint.received) == 1)
     else:
-        assert p.driver._balancer.requests.queue
+        assert proxy.driver._balancer.requests.queue
 
 
-async def end_all_attempts(p: LoopbackProxy, failing_request: str) -> None:
+async def end_all_attempts(proxy: LoopbackProxy, failing_request: str) -> None:
     """Bring the one request's attempt a failure that may be retried, and all others a response."""
-    for (request, _), attempt in list(p.driver._attempts.items()):
+    for (request, _), attempt in list(proxy.driver._attempts.items()):
         assert attempt._connection is not None
         attempt._connection.data_received(FAILURE if request == failing_request else http_response(200, b"x"))
     await run_loop_turns()
@@ -173,36 +183,36 @@
     """
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     async with (
-        SilentEndpoint() as b,
-        running_proxy(endpoint_entry("b", b.port), settings=limits(cancel)) as p,
+        SilentEndpoint() as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), settings=limits(cancel)) as proxy,
     ):
-        p.listener._sweep_timer.cancel()
-        gate, clock = ConnectGate(p.pool), SteppedClock()
+        proxy.listener._sweep_timer.cancel()
+        gate, clock = ConnectGate(proxy.pool), SteppedClock()
         if where != "connecting":
             gate.opened.set()
-        crowd = await fill_endpoint(p) if where == "held" else []
-        client = Client(p)
-        connection = await begin(p, client, paused)
-        await wait_for_request_at(where, p, b, gate)
+        crowd = await fill_endpoint(proxy) if where == "held" else []
+        client = Client(proxy)
+        connection = await begin(proxy, client, paused)
+        await wait_for_request_at(where, proxy, endpoint, gate)
         key = connection._request_key
         assert key is not None
         client.leave(way)
         await run_loop_turns()
         if paused:  # the event loop does not see it
-            assert connection in p.clients.open_connections
+            assert connection in proxy.clients.open_connections
             clock.advance(LATEST_S / 2)
             await run_loop_turns()
-        assert connection not in p.clients.open_connections
-        assert key not in p.driver._requests
+        assert connection not in proxy.clients.open_connections
+        assert key not in proxy.driver._requests
         gate.opened.set()
-        await end_all_attempts(p, failing_request=key)
-        assert [request_id for request_id in ids(b) if not request_id.startswith("c")] == (
+        await end_all_attempts(proxy, failing_request=key)
+        assert [request_id for request_id in ids(endpoint) if not request_id.startswith("c")] == (
             ["r0"] if where == "out" else []
         )
-        assert not p.clients.paused_connections
+        assert not proxy.clients.paused_connections
         for other in crowd:
             other.leave("FIN")
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
 
 
 async def pass_half_a_second(clock: SteppedClock) -> None:
@@ -230,27 +240,27 @@
 ) -> None:
     """An idle connection costs nothing, nor does one with a request open that is read."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        clock, idle, busy = SteppedClock(), Client(p), Client(p)
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        clock, idle, busy = SteppedClock(), Client(proxy), Client(proxy)
         busy.send(http_request(request_id="busy"))
-        await wait_until(lambda: len(b.received) == 1 and len(p.clients.open_connections) == 2)
+        await wait_until(lambda: len(endpoint.received) == 1 and len(proxy.clients.open_connections) == 2)
         polled_transports.clear()
         await pass_half_a_second(clock)
         assert not polled_transports
-        assert p.clients._presence_timer is None
-        client = Client(p)
-        connection = await begin(p, client, True)
+        assert proxy.clients._presence_timer is None
+        client = Client(proxy)
+        connection = await begin(proxy, client, True)
         await pass_half_a_second(clock)
         assert len(polled_transports) >= 10
         assert set(polled_transports) == {connection.transport}
-        p.driver.give_up()
-        await wait_until(lambda: not p.clients.paused_connections)
+        proxy.driver.give_up()
+        await wait_until(lambda: not proxy.clients.paused_connections)
         for one in (idle, busy, client):
             one.leave("RST")
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
         clock.advance(0.05)
         await run_loop_turns()
-        assert p.clients._presence_timer is None
+        assert proxy.clients._presence_timer is None
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -262,15 +272,15 @@
     if paused:
         monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
 
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        narrow(p)
-        client = Client(p, 4096)
-        connection = await begin(p, client, paused)
-        await wait_until(lambda: len(b.received) == 1)
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        narrow(proxy)
+        client = Client(proxy, 4096)
+        connection = await begin(proxy, client, paused)
+        await wait_until(lambda: len(endpoint.received) == 1)
         if not paused:
             client.send(http_request(request_id="behind"))
             await wait_until(lambda: connection._http.received.size_bytes > 0)
-        attempt_connection(p).data_received(http_response(200, b"x" * 65_536))
+        attempt_connection(proxy).data_received(http_response(200, b"x" * 65_536))
         assert connection.is_writing
         assert connection._http.has_unparsed_bytes
         client.leave(way)
@@ -280,7 +290,7 @@
             reader, writer = await asyncio.open_connection(sock=client.socket)
             assert len((await read_http_message(reader))[2]) == 65_536
             writer.close()
-        await wait_until(lambda: connection not in p.clients.open_connections)
+        await wait_until(lambda: connection not in proxy.clients.open_connections)
         await run_loop_turns()
-        assert len(b.received) == 1
-        assert nothing_left(p)
+        assert len(endpoint.received) == 1
+        assert nothing_left(proxy)
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -30,11 +30,14 @@
         assert await reader.read() == b""  # the proxy closes the attempt's connection
         gone.set()
 
-    async with StandInServer(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        _, client = await p.connect()
+    async with (
+        StandInServer(handle) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
+        _, client = await proxy.connect()
         client.write(http_request())
         await gone.wait()
-        assert p.driver.idle
+        assert proxy.driver.idle
 
 
 @pytest.mark.parametrize("kind", ["read", "pay"])
@@ -46,21 +49,21 @@
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port), settings=settings(limits=limits)) as proxy,
     ):
-        gate = ConnectGate(p.pool)
-        _, writer = await p.connect()
+        gate = ConnectGate(proxy.pool)
+        _, writer = await proxy.connect()
         writer.write(http_request(kind))
         await wait_until(lambda: gate.waiting_count == 1)
         writer.close()
-        await wait_until(lambda: p.driver.idle)
+        await wait_until(lambda: proxy.driver.idle)
         gate.opened.set()
-        await wait_until(lambda: not p.driver._attempts)
-        assert b.received == []
-        assert b.connection_count == 0
-        assert not p.driver._balancer.requests.in_flight
-        assert not p.driver._balancer.requests.requests
+        await wait_until(lambda: not proxy.driver._attempts)
+        assert endpoint.received == []
+        assert endpoint.connection_count == 0
+        assert not proxy.driver._balancer.requests.in_flight
+        assert not proxy.driver._balancer.requests.requests
 
 
 async def test_pipelined_request_behind_a_response_is_not_forwarded_after_client_disconnects(
@@ -70,23 +73,23 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
-        StandInEndpoint(http_response(200, b"x" * 65_536)) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        narrow(p)
-        _, writer = await slow_reader(p)
+        narrow(proxy)
+        _, writer = await slow_reader(proxy)
         writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
-        await wait_until(lambda: bool(p.clients.open_connections))
-        [connection] = p.clients.open_connections
+        await wait_until(lambda: bool(proxy.clients.open_connections))
+        [connection] = proxy.clients.open_connections
         await wait_until(lambda: connection.transport.get_write_buffer_size() > 0)
         writer.write_eof()
         await wait_until(connection.transport.is_closing)
         writer.transport.resume_reading()  # type: ignore[attr-defined]
-        await wait_until(lambda: connection not in p.clients.open_connections)
+        await wait_until(lambda: connection not in proxy.clients.open_connections)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.received) == 1
-        assert p.driver.idle
+        assert len(endpoint.received) == 1
+        assert proxy.driver.idle
 
 
 @pytest.mark.parametrize("paused", [False, True])
@@ -100,25 +103,27 @@
     clock, delayed = SteppedClock(), DelayedEndpoint()
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
-        StandInServer(delayed.handle) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+        StandInServer(delayed.handle) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port), settings=settings(limits=limits)) as proxy,
     ):
-        _, writer = await p.connect()
+        _, writer = await proxy.connect()
         # Read in more than one go, so that the pause holds some of it back.
         body = b"x" * 60_000
-        writer.write(b"".join(http_request("mark", request_id=f"r{n}", body=body) for n in range(6)))
+        writer.write(
+            b"".join(http_request("mark", request_id=f"r{number}", body=body) for number in range(6))
+        )
         await wait_until(lambda: bool(delayed.request_ids))
-        [connection] = p.clients.open_connections
+        [connection] = proxy.clients.open_connections
         await wait_until(lambda: connection.transport.is_reading() is not paused)
         writer.close()
         for _ in range(100):
             await asyncio.sleep(0)
         clock.advance(client_limits.SWEEP_INTERVAL_S)
-        await wait_until(lambda: p.driver.idle)
+        await wait_until(lambda: proxy.driver.idle)
         delayed.may_respond.set()
-        await wait_until(lambda: not p.driver._attempts and not p.clients.open_connections)
+        await wait_until(lambda: not proxy.driver._attempts and not proxy.clients.open_connections)
         assert delayed.request_ids == ["r0"]
-        assert p.clients.buffered.size_bytes == 0
+        assert proxy.clients.buffered.size_bytes == 0
 
 
 async def test_request_read_after_its_client_disconnected_is_not_forwarded(
@@ -128,15 +133,15 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        assert response_status(await p.send_request(http_request(request_id="r1"))) == 200
-        with socket.create_connection(("127.0.0.1", p.port)) as client:
+        assert response_status(await proxy.send_request(http_request(request_id="r1"))) == 200
+        with socket.create_connection(("127.0.0.1", proxy.port)) as client:
             client.sendall(http_request(request_id="r2"))
-        await wait_until(lambda: bool(p.clients.open_connections))
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: bool(proxy.clients.open_connections))
+        await wait_until(lambda: not proxy.clients.open_connections)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.received) == 1
-        assert p.driver.idle
+        assert len(endpoint.received) == 1
+        assert proxy.driver.idle
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -54,23 +54,23 @@
     return sum(len(endpoint.received) for endpoint in endpoints)
 
 
-async def open_idle_connections(p: LoopbackProxy, endpoints: tuple[StandInServer, StandInServer]) -> None:
+async def open_idle_connections(proxy: LoopbackProxy, endpoints: tuple[StandInServer, StandInServer]) -> None:
     """Bring the pool one idle connection to each endpoint."""
-    for address in p.driver._endpoints.by_number.values():
+    for address in proxy.driver._endpoints.by_number.values():
         request = UpstreamRequest(b"GET", b"/", [(b"host", b"x")], b"", is_idempotent=True)
-        p.pool.start_attempt(address, request, 5.0, lambda outcome, reply: None)
+        proxy.pool.start_attempt(address, request, 5.0, lambda outcome, reply: None)
     await wait_until(lambda: request_count(endpoints) == 2)
-    for connection in list(p.pool._open):
+    for connection in list(proxy.pool._open):
         connection.data_received(http_response(200, b"x"))
 
 
-async def send_request(p: LoopbackProxy, client: Client, paused: bool) -> ClientConnection:
+async def send_request(proxy: LoopbackProxy, client: Client, paused: bool) -> ClientConnection:
     """Send a request, and behind it where reading is to pause more than is read; return the connection."""
-    await wait_until(lambda: len(p.clients.open_connections) == 1)
-    [connection] = p.clients.open_connections
+    await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+    [connection] = proxy.clients.open_connections
     client.socket.setblocking(False)
     behind = http_request("mark", request_id="behind", body=b"x" * 60_000) if paused else b""
-    await p.listener.loop.sock_sendall(client.socket, http_request() + behind)
+    await proxy.listener.loop.sock_sendall(client.socket, http_request() + behind)
     return connection
 
 
@@ -92,27 +92,31 @@
 ) -> AsyncIterator[HeldWrite]:
     """Have a client's attempt written on this path, and `meanwhile` called just before the write."""
     async with (
-        SilentEndpoint() as a,
-        SilentEndpoint() as b,
-        running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port), settings=limits(cancel)) as p,
+        SilentEndpoint() as first_endpoint,
+        SilentEndpoint() as second_endpoint,
+        running_proxy(
+            endpoint_entry("a", first_endpoint.port),
+            endpoint_entry("b", second_endpoint.port),
+            settings=limits(cancel),
+        ) as proxy,
     ):
-        endpoints = (a, b)
+        endpoints = (first_endpoint, second_endpoint)
         if path.startswith("kept connection"):
-            await open_idle_connections(p, endpoints)
-        gate, client = ConnectGate(p.pool), Client(p)
+            await open_idle_connections(proxy, endpoints)
+        gate, client = ConnectGate(proxy.pool), Client(proxy)
         if path in ("connection comes up", "further attempt"):
             gate.opened.set()
         hold.meanwhile = lambda: meanwhile(client)  # type: ignore[method-assign]
         hold.armed = path != "further attempt"
         requests_before = request_count(endpoints)
-        connection = await send_request(p, client, paused)
+        connection = await send_request(proxy, client, paused)
         if path == "further attempt":
             await wait_until(lambda: request_count(endpoints) == 1)
             await wait_until(lambda: connection.transport.is_reading() is not paused)
             hold.armed, requests_before = True, 1
-            attempt_connection(p).data_received(FAILURE)
+            attempt_connection(proxy).data_received(FAILURE)
         await wait_until(lambda: hold.held == 1)
-        yield HeldWrite(p, endpoints, client, connection, gate, requests_before)
+        yield HeldWrite(proxy, endpoints, client, connection, gate, requests_before)
 
 
 @pytest.fixture
@@ -164,26 +168,26 @@
 async def test_unwritten_attempt_leaves_its_connection_to_another_waiting_attempt(way: str) -> None:
     """Two wait for connections to one backend, and the first of them leaves as they come up."""
 
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        gate, leaver, stayer = ConnectGate(p.pool), Client(p), Client(p)
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        gate, leaver, stayer = ConnectGate(proxy.pool), Client(proxy), Client(proxy)
         for client, key in ((leaver, "leaves"), (stayer, "stays")):
             client.send(http_request(request_id=key))
-            await wait_until(lambda key=key: key.encode() in p.clients.open_request_ids)  # type: ignore[misc]
+            await wait_until(lambda key=key: key.encode() in proxy.clients.open_request_ids)  # type: ignore[misc]
         await wait_until(lambda: gate.waiting_count == 2)
-        came_up = p.pool._on_connected
+        came_up = proxy.pool._on_connected
 
         def leaving(pending: PendingConnection, connection: UpstreamConnection) -> None:
-            if len(p.pool._waiting[pending.endpoint]) == 2:
+            if len(proxy.pool._waiting[pending.endpoint]) == 2:
                 leaver.leave(way)
             came_up(pending, connection)
 
-        p.pool._on_connected = leaving  # type: ignore[method-assign]
+        proxy.pool._on_connected = leaving  # type: ignore[method-assign]
         gate.opened.set()
-        await wait_until(lambda: bool(b.received))
-        attempt_connection(p).data_received(http_response(200, b"x"))
+        await wait_until(lambda: bool(endpoint.received))
+        attempt_connection(proxy).data_received(http_response(200, b"x"))
         stayer.socket.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=stayer.socket)
         assert (await read_http_message(reader))[2] == b"x"
         writer.close()
-        await wait_until(lambda: not p.clients.open_connections)
-        assert [headers["req-id"] for _, headers, _ in b.received] == ["stays"]
+        await wait_until(lambda: not proxy.clients.open_connections)
+        assert [headers["req-id"] for _, headers, _ in endpoint.received] == ["stays"]
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -59,7 +59,7 @@
 
 
 def lines(caplog: pytest.LogCaptureFixture) -> list[str]:
-    return [r.getMessage() for r in caplog.records if r.levelname != "DEBUG"]
+    return [record.getMessage() for record in caplog.records if record.levelname != "DEBUG"]
 
 
 @pytest.mark.parametrize("sent", BAD.values(), ids=BAD.keys())
@@ -69,10 +69,15 @@
 ) -> None:
     """At once, whether it comes in one piece or byte by byte."""
 
-    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        reader, writer = await p.connect()
+    async with (
+        StandInEndpoint(http_response(200)) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
+    ):
+        reader, writer = await proxy.connect()
         with contextlib.suppress(ConnectionError):
-            for piece in [sent] if not cut else [sent[n : n + cut] for n in range(min(len(sent), 400))]:
+            for piece in (
+                [sent] if not cut else [sent[number : number + cut] for number in range(min(len(sent), 400))]
+            ):
                 writer.write(piece)
                 await asyncio.sleep(0)
             writer.write(sent[400 * cut :] if cut else b"")
@@ -81,13 +86,15 @@
         assert got[1]["connection"] == "close"
         assert await reader.read() == b""
         writer.close()
-        assert b.received == []
+        assert endpoint.received == []
         assert not lines(caplog)
-        assert response_status(await p.send_request(http_request())) == 200
+        assert response_status(await proxy.send_request(http_request())) == 200
 
 
 def dribbled(begin: bytes, more: bytes) -> Iterator[bytes]:
-    return itertools.chain((begin[n : n + 1] for n in range(len(begin))), itertools.cycle([more]))
+    return itertools.chain(
+        (begin[number : number + 1] for number in range(len(begin))), itertools.cycle([more])
+    )
 
 
 STILL: dict[str, Callable[[], Iterator[bytes]]] = {
@@ -114,20 +121,23 @@
 ) -> None:
     """However it keeps its bytes coming; the clock is stepped, a byte or a line each 0.05 s."""
 
-    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        clock, client, gave = SteppedClock(), Client(p), STILL[kind]()
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        while p.clients.open_connections and clock.advanced_s <= DUE_S - LATE_S:
+    async with (
+        StandInEndpoint(http_response(200)) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
+    ):
+        clock, client, gave = SteppedClock(), Client(proxy), STILL[kind]()
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        while proxy.clients.open_connections and clock.advanced_s <= DUE_S - LATE_S:
             with contextlib.suppress(ConnectionError):
                 client.send(next(gave))
             await run_loop_turns()
             clock.advance(0.05)
             await run_loop_turns()
-        assert not p.clients.open_connections
+        assert not proxy.clients.open_connections
         assert clock.advanced_s <= DUE_S - LATE_S
-        assert b.received == []
-        assert not p.clients.open_request_ids
-        assert p.clients.buffered.size_bytes == 0
+        assert endpoint.received == []
+        assert not proxy.clients.open_request_ids
+        assert proxy.clients.buffered.size_bytes == 0
         assert not lines(caplog)
         client.socket.close()
 
@@ -140,9 +150,12 @@
 ) -> None:
     """What it sends is read for a while, so that the error is not lost, and takes no memory."""
 
-    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("b", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200)) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
+    ):
         clock = SteppedClock()
-        reader, writer = await p.connect()
+        reader, writer = await proxy.connect()
         sent = head + (b"4000000\r\n" if head is CHUNKED else b"")
         got = asyncio.create_task(read_http_message(reader))
         with contextlib.suppress(ConnectionError):
@@ -150,12 +163,12 @@
                 writer.write(sent + b"x" * 1_000_000)
                 sent = b""
                 await writer.drain()
-                assert p.clients.buffered.size_bytes <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION
+                assert proxy.clients.buffered.size_bytes <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION
         assert 400 <= response_status(await got) < 600
         clock.advance(client_limits.LINGER_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
         writer.transport.abort()
-        assert b.received == []
+        assert endpoint.received == []
         assert not lines(caplog)
 
 
@@ -177,20 +190,20 @@
     """Two of them, one right behind the other: each gets its own answer, and is sent on as it was."""
 
     second = FORMS[kind].replace(b"f1", b"f2")
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        client = Client(p)
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        client = Client(proxy)
         sent = FORMS[kind] + second
         for at in range(0, len(sent), cut):
             client.send(sent[at : at + cut])
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-        for n in (1, 2):
-            await wait_until(lambda n=n: len(b.received) == n)  # type: ignore[misc]
-            attempt_connection(p).data_received(http_response(200, b"%d" % n))
+        for number in (1, 2):
+            await wait_until(lambda number=number: len(endpoint.received) == number)  # type: ignore[misc]
+            attempt_connection(proxy).data_received(http_response(200, b"%d" % number))
         reader, writer = await streams(client)
         assert [(await read_http_message(reader))[2] for _ in range(2)] == [b"1", b"2"]
-        for n, (first, headers, body) in enumerate(b.received):
-            assert (first, headers["req-id"], body) == ("POST /api?a=b HTTP/1.1", f"f{n + 1}", b"hello")
+        for number, (first, headers, body) in enumerate(endpoint.received):
+            assert (first, headers["req-id"], body) == ("POST /api?a=b HTTP/1.1", f"f{number + 1}", b"hello")
         writer.close()
 
 
@@ -198,25 +211,25 @@
 async def test_empty_lines_after_a_request_leave_the_connection_idle(ahead: bool) -> None:
     """They bring no answer, and the connection rests as if they had not come."""
 
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        client = Client(p)
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        client = Client(proxy)
         client.send(http_request() + (b"\r\n\r\n" if ahead else b""))
-        await wait_until(lambda: len(b.received) == 1)
-        attempt_connection(p).data_received(http_response(200, b"x"))
-        await wait_until(lambda: bool(p.clients.idle_connections))
-        [connection] = p.clients.idle_connections
+        await wait_until(lambda: len(endpoint.received) == 1)
+        attempt_connection(proxy).data_received(http_response(200, b"x"))
+        await wait_until(lambda: bool(proxy.clients.idle_connections))
+        [connection] = proxy.clients.idle_connections
         since = connection._last_progress_at_s
         if not ahead:
             for empty in (b"\r\n", b"\r", b"\n\r\n"):
                 client.send(empty)
                 await run_loop_turns()
         assert connection.is_idle
-        assert connection in p.clients.idle_connections
+        assert connection in proxy.clients.idle_connections
         assert connection._last_progress_at_s == since
-        assert p.clients.buffered.size_bytes == 0
+        assert proxy.clients.buffered.size_bytes == 0
         client.send(b"\r\n" + http_request(path="/ready", Connection="close"))
         reader, writer = await streams(client)
         assert [response_status(await read_http_message(reader)) for _ in range(2)] == [200, 200]
         assert await reader.read() == b""
         writer.close()
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -32,13 +32,17 @@
 REASONS = {"time": 408, "room": 503, "exit": 503}
 
 
-async def came(p: LoopbackProxy, client: Client, sent: bytes) -> ClientConnection:
+async def came(proxy: LoopbackProxy, client: Client, sent: bytes) -> ClientConnection:
     """The connection of a client, once what it sent has been read."""
     client.send(sent)
     name = client.socket.getsockname()
 
     def its_own() -> list[ClientConnection]:
-        return [c for c in p.clients.open_connections if c.transport.get_extra_info("peername") == name]
+        return [
+            client_connection
+            for client_connection in proxy.clients.open_connections
+            if client_connection.transport.get_extra_info("peername") == name
+        ]
 
     await wait_until(lambda: bool(its_own()))
     [connection] = its_own()
@@ -47,16 +51,16 @@
 
 
 async def close_for(
-    reason: str, p: LoopbackProxy, clock: SteppedClock, connection: ClientConnection
+    reason: str, proxy: LoopbackProxy, clock: SteppedClock, connection: ClientConnection
 ) -> Client | None:
     """Have the connection closed for this reason, and return the client that it makes room for."""
     newcomer = None
     if reason == "time":
         clock.advance(client_limits.REQUEST_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
     elif reason == "room":
-        newcomer = Client(p)
+        newcomer = Client(proxy)
     else:
-        p.listener.close()
+        proxy.listener.close()
     await wait_until(lambda: connection.transport.is_closing())
     await run_loop_turns()
     return newcomer
@@ -72,10 +76,13 @@
 @pytest.mark.parametrize("reason", REASONS)
 async def test_partial_request_gets_an_error_when_its_connection_is_closed(stop: str, reason: str) -> None:
     """Its client can read it though it goes on sending."""
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=1) as p:
-        clock, client = SteppedClock(), Client(p)
-        connection = await came(p, client, STOPS[stop])
-        newcomer = await close_for(reason, p, clock, connection)
+    async with (
+        SilentEndpoint() as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
+    ):
+        clock, client = SteppedClock(), Client(proxy)
+        connection = await came(proxy, client, STOPS[stop])
+        newcomer = await close_for(reason, proxy, clock, connection)
         with contextlib.suppress(ConnectionError):
             client.send(b"x")
             client.send(b"x")
@@ -86,28 +93,28 @@
         writer.close()
         if newcomer is not None:
             newcomer.leave("RST")
-        await wait_until(lambda: not p.clients.open_connections)
-        assert not b.received
-        assert p.driver.idle
-        assert not p.clients.open_request_ids
-        assert p.clients.descriptor_count == 0
+        await wait_until(lambda: not proxy.clients.open_connections)
+        assert not endpoint.received
+        assert proxy.driver.idle
+        assert not proxy.clients.open_request_ids
+        assert proxy.clients.descriptor_count == 0
 
 
 async def test_unused_connection_is_evicted_before_one_with_a_partial_request() -> None:
     """Before those that have brought a part of a request, though these came earlier."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port), max_connections=2) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), max_connections=2) as proxy,
     ):
-        half, nothing = Client(p), Client(p)
+        half, nothing = Client(proxy), Client(proxy)
         request = http_request()
-        begun = await came(p, half, request[:40])
-        await wait_until(lambda: len(p.clients.open_connections) == 2)
-        [idle] = p.clients.open_connections - {begun}
-        assert response_status(await p.send_request(http_request(request_id="other"))) == 200
-        assert begun in p.clients.open_connections
-        assert idle not in p.clients.open_connections
+        begun = await came(proxy, half, request[:40])
+        await wait_until(lambda: len(proxy.clients.open_connections) == 2)
+        [idle] = proxy.clients.open_connections - {begun}
+        assert response_status(await proxy.send_request(http_request(request_id="other"))) == 200
+        assert begun in proxy.clients.open_connections
+        assert idle not in proxy.clients.open_connections
         half.send(request[40:])
         reader, writer = await streams(half)
         assert response_status(await read_http_message(reader)) == 200
@@ -120,32 +127,32 @@
     """Its connection has served its client before."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port), max_connections=1) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        client = Client(p)
-        await came(p, client, http_request(request_id="first"))
-        await wait_until(lambda: bool(p.clients.idle_connections))
-        [connection] = p.clients.open_connections
+        client = Client(proxy)
+        await came(proxy, client, http_request(request_id="first"))
+        await wait_until(lambda: bool(proxy.clients.idle_connections))
+        [connection] = proxy.clients.open_connections
         client.send(STOPS[stop])
         await wait_until(lambda: connection.has_unanswered_request)
-        assert response_status(await p.send_request(http_request(request_id="other"))) == 503
-        assert connection in p.clients.open_connections
+        assert response_status(await proxy.send_request(http_request(request_id="other"))) == 503
+        assert connection in proxy.clients.open_connections
         assert not connection.transport.is_closing()
         client.socket.close()
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
 
 
 async def test_open_request_is_not_answered_503_at_exit() -> None:
     """It may have run. One whose client still writes is: nothing of it was sent on."""
 
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        busy, half = Client(p), Client(p)
-        await came(p, busy, http_request(request_id="open"))
-        await wait_until(lambda: len(b.received) == 1)
-        await came(p, half, http_request()[:40])
-        p.listener.close()
-        await wait_until(lambda: not p.clients.open_connections)
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        busy, half = Client(proxy), Client(proxy)
+        await came(proxy, busy, http_request(request_id="open"))
+        await wait_until(lambda: len(endpoint.received) == 1)
+        await came(proxy, half, http_request()[:40])
+        proxy.listener.close()
+        await wait_until(lambda: not proxy.clients.open_connections)
         reader, writer = await streams(busy)
         assert await reader.read() == b""
         writer.close()
@@ -155,9 +162,9 @@
 
 
 @contextmanager
-def faulty(where: str, p: LoopbackProxy, connection: ClientConnection) -> Iterator[None]:
+def faulty(where: str, proxy: LoopbackProxy, connection: ClientConnection) -> Iterator[None]:
     """Have an exception raised as a request is parsed, as it is complete or once the driver has it."""
-    accept_request = p.driver.request
+    accept_request = proxy.driver.request
 
     def fail(*requests: ClientRequest) -> str:
         if where == "taken over":
@@ -168,13 +175,13 @@
         if where == "read":
             patch.setattr(connection._http, "next_event", fail)
         else:
-            patch.setattr(p.driver, "request", fail)
+            patch.setattr(proxy.driver, "request", fail)
         yield
 
 
-async def respond_to_latest_attempt(p: LoopbackProxy, b: StandInServer) -> None:
-    await wait_until(lambda: len(b.received) == 2)
-    connection = list(p.driver._attempts.values())[1]._connection
+async def respond_to_latest_attempt(proxy: LoopbackProxy, endpoint: StandInServer) -> None:
+    await wait_until(lambda: len(endpoint.received) == 2)
+    connection = list(proxy.driver._attempts.values())[1]._connection
     assert connection is not None
     connection.data_received(http_response(200))
 
@@ -184,13 +191,13 @@
     where: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The error promises nothing, as the fault may have come after an attempt began."""
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        other, client = Client(p), Client(p)
-        await came(p, other, http_request(request_id="other"))
-        await wait_until(lambda: len(b.received) == 1)
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        other, client = Client(proxy), Client(proxy)
+        await came(proxy, other, http_request(request_id="other"))
+        await wait_until(lambda: len(endpoint.received) == 1)
         request = http_request("mark", request_id="faulty", body=b"xx")
-        connection = await came(p, client, request[:-2])
-        with faulty(where, p, connection):
+        connection = await came(proxy, client, request[:-2])
+        with faulty(where, proxy, connection):
             client.send(request[-2:])
             await wait_until(lambda: connection._is_lingering or connection.transport.is_closing())
         reader, writer = await streams(client)
@@ -198,27 +205,27 @@
         assert response_status(got) == 500
         assert closes_connection(got)
         if where == "taken over":
-            await respond_to_latest_attempt(p, b)  # it comes too late
+            await respond_to_latest_attempt(proxy, endpoint)  # it comes too late
         assert await reader.read() == b""
         writer.close()
         assert caplog.text.count("Traceback") == 1
-        assert p.clients.open_request_ids == {b"other"}
-        attempt_connection(p).data_received(http_response(200, b"x"))
+        assert proxy.clients.open_request_ids == {b"other"}
+        attempt_connection(proxy).data_received(http_response(200, b"x"))
         assert await other.read(1) == [200]
-        await wait_until(lambda: not p.clients.open_connections)
-        assert p.driver.idle
+        await wait_until(lambda: not proxy.clients.open_connections)
+        assert proxy.driver.idle
 
 
 async def test_request_completed_after_the_shutdown_deadline_is_answered_503() -> None:
     """The shutdown has ended all requests by then; there is no time left for one more."""
 
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        client, request = Client(p), http_request(request_id="late")
-        await came(p, client, request[:40])
-        p.listener.stop_listening()
-        p.listener.close_idle_connections()
-        p.driver.stop_within(0.0)
-        p.driver.give_up()
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        client, request = Client(proxy), http_request(request_id="late")
+        await came(proxy, client, request[:40])
+        proxy.listener.stop_listening()
+        proxy.listener.close_idle_connections()
+        proxy.driver.stop_within(0.0)
+        proxy.driver.give_up()
         client.send(request[40:])
         reader, writer = await streams(client)
         got = await read_http_message(reader)
@@ -226,10 +233,10 @@
         assert closes_connection(got)
         assert await reader.read() == b""
         writer.close()
-        await wait_until(lambda: p.listener.is_drained)
-        assert not b.received
-        assert not b.connection_count
-        assert p.driver.idle
+        await wait_until(lambda: proxy.listener.is_drained)
+        assert not endpoint.received
+        assert not endpoint.connection_count
+        assert proxy.driver.idle
 
 
 async def test_eviction_examines_a_bounded_number_of_partial_requests(
@@ -245,30 +252,33 @@
         looked_at += 1
         return bool(began(connection))
 
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=crowd) as p:
-        clients = [Client(p) for _ in range(crowd)]
+    async with (
+        SilentEndpoint() as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), max_connections=crowd) as proxy,
+    ):
+        clients = [Client(proxy) for _ in range(crowd)]
         for client in clients:
-            await came(p, client, http_request()[:40])
+            await came(proxy, client, http_request()[:40])
         monkeypatch.setattr(ClientConnection, "has_unanswered_request", property(counted))
-        newcomer = Client(p)
+        newcomer = Client(proxy)
         await wait_until(
-            lambda: len(p.clients.open_connections) == crowd and p.clients.descriptor_count == crowd
+            lambda: len(proxy.clients.open_connections) == crowd and proxy.clients.descriptor_count == crowd
         )
         await wait_until(lambda: looked_at > 0)
         assert looked_at <= client_limits.MAX_SILENT_CANDIDATES + 1  # and the one that makes room
         for client in [*clients, newcomer]:
             client.leave("RST")
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
 
 
 @pytest.mark.parametrize("stop", ["in the first line", "in the body", "between chunks"])
 async def test_partial_request_gets_an_error_when_the_process_is_terminated(
     stop: str, tmp_path: Path
 ) -> None:
-    async with StandInEndpoint(http_response(200, b"x")) as b:
+    async with StandInEndpoint(http_response(200, b"x")) as endpoint:
         lane = {"name": "mark", "idempotency": "keyed", "onTimeUs": 200_000, "deadlineUs": 300_000}
         told = raw_settings(lanes=[{**lane, "repeatWindowUs": 100_000}], limits=LIMITS)
-        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told))
+        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", endpoint.port)), settings=told))
         async with process(env) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
             writer.write(STOPS[stop])
@@ -279,4 +289,4 @@
             assert await reader.read() == b""
             writer.close()
             assert await made.wait() == 0
-            assert not b.received
+            assert not endpoint.received
--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -16,16 +16,16 @@
 from tests.support.stepped_clock import SteppedClock, wait_until
 
 
-def record_times_left(p: LoopbackProxy, monkeypatch: pytest.MonkeyPatch) -> list[float]:
+def record_times_left(proxy: LoopbackProxy, monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """Collect the seconds left to each request as the driver gets it."""
     times_left_s: list[float] = []
-    accept_request = p.driver.request
+    accept_request = proxy.driver.request
 
     def record(request: ClientRequest) -> str:
         times_left_s.append(request.time_left_us / 1e6)
         return accept_request(request)
 
-    monkeypatch.setattr(p.driver, "request", record)
+    monkeypatch.setattr(proxy.driver, "request", record)
     return times_left_s
 
 
@@ -34,15 +34,18 @@
 ) -> None:
     """However long it waited behind others, and whenever these came."""
     clock, delayed = SteppedClock(), DelayedEndpoint()
-    async with StandInServer(delayed.handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        times_left_s = record_times_left(p, monkeypatch)
-        reader, writer = await p.connect()
+    async with (
+        StandInServer(delayed.handle) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
+        times_left_s = record_times_left(proxy, monkeypatch)
+        reader, writer = await proxy.connect()
         writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
         await wait_until(lambda: len(delayed.request_ids) == 1)
         clock.advance(1.0)
         third = http_request(request_id="r3")
         writer.write(third[:-9])
-        [connection] = p.clients.open_connections
+        [connection] = proxy.clients.open_connections
         await wait_until(lambda: connection._http.received.size_bytes == len(third) - 9)
         clock.advance(0.5)
         writer.write(third[-9:])
@@ -58,10 +61,12 @@
 
 async def test_pipelined_requests_are_answered_in_order() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"1"), http_response(200, b"2"), http_response(200, b"3")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(
+            http_response(200, b"1"), http_response(200, b"2"), http_response(200, b"3")
+        ) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        reader, writer = await p.connect()
+        reader, writer = await proxy.connect()
         writer.write(
             http_request(request_id="a") + http_request(request_id="b") + http_request(request_id="c")
         )
@@ -72,18 +77,18 @@
 @pytest.mark.parametrize("size", [20_000, 65_536])
 async def test_pipelined_request_waits_for_a_slowly_read_response(size: int) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x" * size)) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x" * size)) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        narrow(p)
-        reader, writer = await slow_reader(p)
+        narrow(proxy)
+        reader, writer = await slow_reader(proxy)
         writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
-        await wait_until(lambda: bool(p.clients.open_connections))
-        [connection] = p.clients.open_connections
+        await wait_until(lambda: bool(proxy.clients.open_connections))
+        [connection] = proxy.clients.open_connections
         await wait_until(lambda: connection.transport.get_write_buffer_size() > 0)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.received) == 1  # what is not read holds the next one back: guards memory
+        assert len(endpoint.received) == 1  # what is not read holds the next one back: guards memory
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(2):
             assert len((await read_http_message(reader))[2]) == size
--- a/tests/net/client/test_policy_faults.py
+++ b/tests/net/client/test_policy_faults.py
@@ -16,16 +16,19 @@
 async def test_policy_exception_is_logged_and_its_request_answered_502(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200)) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
 
         def fault(now: int, event: messages.Event) -> list[messages.Action]:
             raise ZeroDivisionError("a fault")
 
         with monkeypatch.context() as patch:
-            patch.setattr(p.driver._balancer, "handle", fault)
-            assert response_status(await p.send_request(http_request())) == 502
+            patch.setattr(proxy.driver._balancer, "handle", fault)
+            assert response_status(await proxy.send_request(http_request())) == 502
         assert "ZeroDivisionError: a fault" in caplog.text
-        assert response_status(await p.send_request(http_request())) == 200
+        assert response_status(await proxy.send_request(http_request())) == 200
 
 
 async def test_policy_exception_over_an_outcome_is_answered_502(
@@ -34,40 +37,43 @@
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
-    async with StandInServer(silent) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        handle = p.driver._balancer.handle
+    async with (
+        StandInServer(silent) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
+        handle = proxy.driver._balancer.handle
 
         def faulty(now: int, event: messages.Event) -> list[messages.Action]:
             if isinstance(event, messages.TimerFired | messages.AttemptEnded):
                 raise RuntimeError("a fault")
             return handle(now, event)
 
-        monkeypatch.setattr(p.driver._balancer, "handle", faulty)
-        assert response_status(await p.send_request(http_request(Req_Deadline="0.6"))) == 502
-        assert p.driver.idle
-        assert not p.driver._balancer.requests.requests
+        monkeypatch.setattr(proxy.driver._balancer, "handle", faulty)
+        assert response_status(await proxy.send_request(http_request(Req_Deadline="0.6"))) == 502
+        assert proxy.driver.idle
+        assert not proxy.driver._balancer.requests.requests
 
 
 async def test_failed_action_does_not_prevent_the_next_actions(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
         monkeypatch.setattr(
-            p.driver._balancer,
+            proxy.driver._balancer,
             "handle",
             lambda now, e: [messages.StartAttempt("x", 1, 1), messages.Reject(e.id)],
         )
-        monkeypatch.setattr(p.driver, "_start_attempt", None)  # can't be called
-        assert response_status(await p.send_request(http_request())) == 503
+        monkeypatch.setattr(proxy.driver, "_start_attempt", None)  # can't be called
+        assert response_status(await proxy.send_request(http_request())) == 503
 
 
 async def test_request_is_answered_502_when_the_policy_never_decides(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with running_proxy(endpoint_entry("s-1", 9)) as p:
-        monkeypatch.setattr(p.driver._balancer, "handle", lambda now, event: [])
-        assert response_status(await p.send_request(http_request(Req_Deadline="0.1"))) == 502
-        assert p.driver.idle
+    async with running_proxy(endpoint_entry("s-1", 9)) as proxy:
+        monkeypatch.setattr(proxy.driver._balancer, "handle", lambda now, event: [])
+        assert response_status(await proxy.send_request(http_request(Req_Deadline="0.1"))) == 502
+        assert proxy.driver.idle
--- a/tests/net/client/test_request_forwarding.py
+++ b/tests/net/client/test_request_forwarding.py
@@ -24,13 +24,13 @@
 
 async def test_request_is_forwarded_complete_and_its_response_returned() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"\x00body")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"\x00body")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
         sent = http_request("mark", "id7", "/api?sid=ab%20c", b"payload", Idempotency_Key="k1")
-        got = await p.send_request(sent)
+        got = await proxy.send_request(sent)
         assert (response_status(got), got[2]) == (200, b"\x00body")
-        first, headers, body = b.received[0]
+        first, headers, body = endpoint.received[0]
         assert first == "POST /api?sid=ab%20c HTTP/1.1"
         assert (headers["req-id"], headers["idempotency-key"], body) == ("id7", "k1", b"payload")
         assert 0 < float(headers["req-deadline"]) <= 4.0
@@ -40,78 +40,80 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        reader, writer = await p.connect()
-        for n in range(5):
-            writer.write(http_request(request_id=f"r{n}"))
+        reader, writer = await proxy.connect()
+        for number in range(5):
+            writer.write(http_request(request_id=f"r{number}"))
             assert response_status(await read_http_message(reader)) == 200
         writer.close()
-        assert b.connection_count == 1
+        assert endpoint.connection_count == 1
 
 
 async def test_ready_only_while_an_endpoint_is_in_service() -> None:
     ready = http_request(path="/ready")
-    async with running_proxy() as p:
-        assert response_status(await p.send_request(ready)) == 503
-    async with running_proxy(endpoint_entry("s-1", 9, "terminating")) as p:
-        assert response_status(await p.send_request(ready)) == 503
-    async with running_proxy(endpoint_entry("s-1", 9)) as p:
-        assert response_status(await p.send_request(ready)) == 200
+    async with running_proxy() as proxy:
+        assert response_status(await proxy.send_request(ready)) == 503
+    async with running_proxy(endpoint_entry("s-1", 9, "terminating")) as proxy:
+        assert response_status(await proxy.send_request(ready)) == 503
+    async with running_proxy(endpoint_entry("s-1", 9)) as proxy:
+        assert response_status(await proxy.send_request(ready)) == 200
 
 
 async def test_long_claimed_deadline_does_not_affect_other_requests() -> None:
     """No client waits longer than its class allows, and none tells how old another's request is."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        assert response_status(await p.send_request(http_request(Req_Deadline="3600"))) == 200
-        assert response_status(await p.send_request(http_request(request_id="a2"))) == 200
+        assert response_status(await proxy.send_request(http_request(Req_Deadline="3600"))) == 200
+        assert response_status(await proxy.send_request(http_request(request_id="a2"))) == 200
 
 
 async def test_retry_header_marks_a_request_as_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
         asked: list[bool] = []
-        take = p.driver.request
+        take = proxy.driver.request
 
         def listen(caller: ClientRequest) -> str:
             asked.append(caller.is_retry)
             return take(caller)
 
-        monkeypatch.setattr(p.driver, "request", listen)
-        assert response_status(await p.send_request(http_request())) == 200
-        assert response_status(await p.send_request(http_request(Req_Retry="1"))) == 200
-        assert response_status(await p.send_request(http_request(Req_Retry="0"))) == 200
+        monkeypatch.setattr(proxy.driver, "request", listen)
+        assert response_status(await proxy.send_request(http_request())) == 200
+        assert response_status(await proxy.send_request(http_request(Req_Retry="1"))) == 200
+        assert response_status(await proxy.send_request(http_request(Req_Retry="0"))) == 200
         assert asked == [False, True, False]
 
 
 async def test_chunked_body_is_forwarded_with_a_content_length() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
         head = http_request("mark", Content_Length="0").replace(
             b"Content-Length: 0", b"Transfer-Encoding: chunked"
         )
-        assert response_status(await p.send_request(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")) == 200
-        assert b.received[0][2] == b"abcde"
+        assert response_status(await proxy.send_request(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")) == 200
+        assert endpoint.received[0][2] == b"abcde"
 
 
 async def test_nagle_is_disabled_on_client_and_endpoint_connections() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        reader, writer = await p.connect()
+        reader, writer = await proxy.connect()
         writer.write(http_request())
         await read_http_message(reader)
-        transports = [c.transport for c in p.clients.open_connections] + [c.transport for c in p.pool._open]
+        transports = [connection.transport for connection in proxy.clients.open_connections] + [
+            connection.transport for connection in proxy.pool._open
+        ]
         assert len(transports) == 2
         for transport in transports:
             sock = transport.get_extra_info("socket")
@@ -127,13 +129,13 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        assert response_status(await p.send_request(http_request(request_id="first"))) == 200
-        assert response_status(await p.send_request(http_request(kind, Idempotency_Key="k"))) == 200
-        assert b.connection_count == 2 - kept
-        assert b.received[1][1]["idempotency-key"] == "k"
+        assert response_status(await proxy.send_request(http_request(request_id="first"))) == 200
+        assert response_status(await proxy.send_request(http_request(kind, Idempotency_Key="k"))) == 200
+        assert endpoint.connection_count == 2 - kept
+        assert endpoint.received[1][1]["idempotency-key"] == "k"
 
 
 @pytest.fixture
@@ -169,19 +171,19 @@
     """The first one and a further one, though the connection of each comes up late."""
     clock = policy_clock()
     async with (
-        StandInEndpoint(http_response(500)) as a,
+        StandInEndpoint(http_response(500)) as endpoint,
         running_proxy(
-            endpoint_entry("s-1", a.port), endpoint_entry("s-2", a.port), connect_timeout_s=60.0
-        ) as p,
+            endpoint_entry("s-1", endpoint.port), endpoint_entry("s-2", endpoint.port), connect_timeout_s=60.0
+        ) as proxy,
     ):
-        connects = HeldConnects(p.pool, monkeypatch)
-        got = asyncio.ensure_future(p.send_request(http_request(Req_Deadline="1.9")))
+        connects = HeldConnects(proxy.pool, monkeypatch)
+        got = asyncio.ensure_future(proxy.send_request(http_request(Req_Deadline="1.9")))
         for number, late in ((1, 0.4), (2, 0.8)):
             await wait_until(lambda number=number: connects.begun_count == number)  # type: ignore[misc]
             clock.advance(late)
             connects.permits.release()
-        await wait_until(lambda: len(a.received) == 2)
-        first, second = (float(headers["req-deadline"]) for _, headers, _ in a.received)
+        await wait_until(lambda: len(endpoint.received) == 2)
+        first, second = (float(headers["req-deadline"]) for _, headers, _ in endpoint.received)
         margin = LAG_MARGIN_US / 1e6
         assert 1.0 < first <= 1.9 - 0.4 - margin
         assert 0.2 < second <= 1.9 - 1.2 - margin
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -38,101 +38,122 @@
     ],
 )
 async def test_malformed_head_is_answered_400_and_not_forwarded(sent: bytes) -> None:
-    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        assert response_status(await p.send_request(sent)) == 400
-        assert b.received == []
-        assert response_status(await p.send_request(http_request())) == 200
+    async with (
+        StandInEndpoint(http_response(200)) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
+        assert response_status(await proxy.send_request(sent)) == 400
+        assert endpoint.received == []
+        assert response_status(await proxy.send_request(http_request())) == 200
 
 
 @pytest.mark.parametrize("method", [b"HEAD", b"POST", b"CONNECT", b"DELETE"])
 async def test_method_that_does_not_match_the_request_class_is_answered_405(method: bytes) -> None:
-    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        assert response_status(await p.send_request(http_request().replace(b"GET", method, 1))) == 405
-        assert b.received == []
+    async with (
+        StandInEndpoint(http_response(200)) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
+        assert response_status(await proxy.send_request(http_request().replace(b"GET", method, 1))) == 405
+        assert endpoint.received == []
 
 
 async def test_body_over_the_limit_is_answered_413() -> None:
-    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        assert response_status(await p.send_request(http_request("mark", body=b"x" * 65536))) == 200
-        assert response_status(await p.send_request(http_request("mark", body=b"x" * 300_000))) == 413
-        assert len(b.received) == 1
+    async with (
+        StandInEndpoint(http_response(200)) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
+        assert response_status(await proxy.send_request(http_request("mark", body=b"x" * 65536))) == 200
+        assert response_status(await proxy.send_request(http_request("mark", body=b"x" * 300_000))) == 413
+        assert len(endpoint.received) == 1
 
 
 async def test_id_of_an_open_request_is_answered_409() -> None:
     delayed = DelayedEndpoint()
-    async with StandInServer(delayed.handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        reader, writer = await p.connect()
+    async with (
+        StandInServer(delayed.handle) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
+        reader, writer = await proxy.connect()
         writer.write(http_request(request_id="same"))
         await wait_until(lambda: bool(delayed.request_ids))
-        assert response_status(await p.send_request(http_request(request_id="same"))) == 409
+        assert response_status(await proxy.send_request(http_request(request_id="same"))) == 409
         delayed.may_respond.set()
         assert response_status(await read_http_message(reader)) == 200
         assert (
-            response_status(await p.send_request(http_request(request_id="same"))) == 200
+            response_status(await proxy.send_request(http_request(request_id="same"))) == 200
         )  # over, so it may come again
         writer.close()
         assert len(delayed.request_ids) == 2
-        assert not p.clients.open_request_ids
+        assert not proxy.clients.open_request_ids
 
 
 async def test_request_smuggled_in_a_body_is_not_forwarded() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
         hidden = http_request(request_id="hidden")
         outer = http_request("mark", Content_Length=str(5 + len(hidden)), Transfer_Encoding="chunked")
-        reader, writer = await p.connect()
+        reader, writer = await proxy.connect()
         writer.write(outer + b"0\r\n\r\n" + hidden)
         first, headers, _ = await read_http_message(reader)
         assert (first.split()[1], headers["connection"]) == ("400", "close")
         assert await reader.read() == b""
         writer.close()
-        assert b.received == []
+        assert endpoint.received == []
 
 
 async def test_content_length_over_the_limit_is_rejected_before_the_body() -> None:
-    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200)) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
         for length in ("60000000", "9" * 18, "9" * 5000):
-            assert response_status(await p.send_request(http_request("mark", Content_Length=length))) in (
+            assert response_status(await proxy.send_request(http_request("mark", Content_Length=length))) in (
                 400,
                 413,
                 431,
             )
-        assert b.received == []
+        assert endpoint.received == []
 
 
 async def test_rejection_carries_retry_after() -> None:
     limits = messages.Limits(max_attempts=1, cancel=True, retry_after_us=2_000_000)
     async with (
-        StandInEndpoint(http_response(503, Srv_Declined="1")) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+        StandInEndpoint(http_response(503, Srv_Declined="1")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port), settings=settings(limits=limits)) as proxy,
     ):
-        got = await p.send_request(http_request("pay"))
+        got = await proxy.send_request(http_request("pay"))
         assert response_status(got) == 503  # it never ran, so even an unsafe one is refused
         assert 0.0 < float(got[1]["retry-after"]) <= 2.0
     async with (
-        StandInEndpoint(http_response(503, Srv_Declined="1")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(503, Srv_Declined="1")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        assert "retry-after" not in (await p.send_request(http_request(Req_Deadline="0.2")))[1]
+        assert "retry-after" not in (await proxy.send_request(http_request(Req_Deadline="0.2")))[1]
 
 
 async def test_request_that_may_have_run_is_answered_502() -> None:
     for said in (None, http_response(500), http_response(503)):
-        async with StandInEndpoint(said) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-            assert response_status(await p.send_request(http_request("pay"))) == 502
-            assert len(b.received) == 1
+        async with (
+            StandInEndpoint(said) as endpoint,
+            running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+        ):
+            assert response_status(await proxy.send_request(http_request("pay"))) == 502
+            assert len(endpoint.received) == 1
 
 
 async def test_endpoint_400_is_not_retried_nor_counted_as_a_failure() -> None:
     """A request that is no good is no good anywhere: trying it elsewhere would lower all backends."""
 
-    async with StandInEndpoint(http_response(400)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(400)) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
         assert (
-            response_status(await p.send_request(http_request())) == 502
+            response_status(await proxy.send_request(http_request())) == 502
         )  # no refusal: coming again would not help
-        assert len(b.received) == 1
-        [server] = p.driver._balancer.endpoints.states.values()
+        assert len(endpoint.received) == 1
+        [server] = proxy.driver._balancer.endpoints.states.values()
         assert server.failure_penalties == []
         assert server.detector.mean == 1.0
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -97,9 +97,9 @@
 
 
 class World:
-    def __init__(self, seed: int, p: LoopbackProxy) -> None:
-        self.seed, self.p = seed, p
-        self.clock: SteppedClock = stepped(p)
+    def __init__(self, seed: int, proxy: LoopbackProxy) -> None:
+        self.seed, self.p = seed, proxy
+        self.clock: SteppedClock = stepped(proxy)
         self.step = 0
         self.news = 0  # counts whatever happens
         self.late = 0  # second answers that are still to come
@@ -190,11 +190,13 @@
         before = asked.visits
         if asked.ended is not None and visit.step > asked.ended:
             self.faults.append(f"{request_id}: sent after its end")
-        if any(v.open for v in before):
-            self.faults.append(f"{request_id}: a second copy, the first being {[v.way for v in before]}")
+        if any(visit_.open for visit_ in before):
+            self.faults.append(
+                f"{request_id}: a second copy, the first being {[visit_.way for visit_ in before]}"
+            )
         if len(before) >= MOST:
             self.faults.append(f"{request_id}: too many attempts")
-        ran = [v for v in before if v.way != "declined"]
+        ran = [visit_ for visit_ in before if visit_.way != "declined"]
         if ran and asked.kind == "pay":
             self.faults.append(f"{request_id}: unsafe, and sent again after {ran[0].way}")
         if ran and asked.kind in ("write", "mark") and visit.at - ran[0].at > WINDOW_S:
@@ -207,8 +209,11 @@
     async def client(self, number: int, requests: int) -> None:
         rng = random.Random(f"{self.seed} client {number}")
         streams = None
-        for n in range(requests):
-            request_id, kind = f"r{number}-{n}", rng.choice([c.name for c in CLASSES])
+        for index in range(requests):
+            request_id, kind = (
+                f"r{number}-{index}",
+                rng.choice([request_class.name for request_class in CLASSES]),
+            )
             body = b"" if kind == "read" else b"b" * rng.randrange(2000)
             leaves = rng.randrange(30) if rng.random() < 0.2 else None
             streams = streams or await self.p.connect()
@@ -242,11 +247,11 @@
     def judge(self, request_id: str, asked: Asked, said: bytes) -> None:
         """The rules, as the final answer comes in. A second one would be taken for the next request's."""
         made = {"answer", "answer twice", "answer, late again", "answer, then end", "answer after a while"}
-        ran = [v for v in asked.visits if v.way != "declined"]
+        ran = [visit_ for visit_ in asked.visits if visit_.way != "declined"]
         match asked.status:
             case 200:
                 if said != request_id.encode() or not any(
-                    v.way in {*made, "no length, end"} for v in asked.visits
+                    visit_.way in {*made, "no length, end"} for visit_ in asked.visits
                 ):
                     self.faults.append(f"{request_id}: served with {said!r}, which no backend made for it")
             case 503:
@@ -258,7 +263,7 @@
                 self.faults.append(f"{request_id}: answered {other}")
 
     async def play(self, clients: int, requests: int) -> None:
-        tasks = [asyncio.ensure_future(self.client(n, requests)) for n in range(clients)]
+        tasks = [asyncio.ensure_future(self.client(index, requests)) for index in range(clients)]
         while not all(task.done() for task in tasks):
             seen, still = self.news, 0
             while still < TURNS:
@@ -288,7 +293,8 @@
         closed.bind(("127.0.0.1", 0))
         endpoints = [await stack.enter_async_context(bare(handler(number % 2))) for number in range(6)]
         entries = [
-            endpoint_entry(f"s-{n}", endpoint.port, pod_group=n % 2) for n, endpoint in enumerate(endpoints)
+            endpoint_entry(f"s-{index}", endpoint.port, pod_group=index % 2)
+            for index, endpoint in enumerate(endpoints)
         ]
         p = await stack.enter_async_context(
             running_proxy(
@@ -314,7 +320,7 @@
         # The world does reach what it is to check.
         every = world.asked.values()
         assert len(every) == 200
-        assert sum(a.status == 200 for a in every) > 40
-        assert sum(len(a.visits) > 1 for a in every) > 5
-        assert sum(a.ended is not None and not a.status for a in every) > 5
-        assert len(Counter(v.way for a in every for v in a.visits)) > 12
+        assert sum(request.status == 200 for request in every) > 40
+        assert sum(len(request.visits) > 1 for request in every) > 5
+        assert sum(request.ended is not None and not request.status for request in every) > 5
+        assert len(Counter(visit.way for request in every for visit in request.visits)) > 12
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -73,10 +73,10 @@
     return not got.startswith((b"HTTP/1.1 1", b"HTTP/1.1 2")) if got else True
 
 
-async def sweep_until_closed(late: Late, p: LoopbackProxy, due_at_s: float, at_shutdown: bool) -> None:
-    while p.clients.open_connections:
+async def sweep_until_closed(late: Late, proxy: LoopbackProxy, due_at_s: float, at_shutdown: bool) -> None:
+    while proxy.clients.open_connections:
         if at_shutdown:
-            p.listener.close_idle_connections()
+            proxy.listener.close_idle_connections()
         await late.sweep()
         assert late.clock.advanced_s <= due_at_s
 
@@ -98,22 +98,22 @@
 ) -> None:
     """Wherever it stops, with each sweep late, and also during the shutdown."""
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        clock, client = SteppedClock(), Client(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        late = Late(p.listener, clock)
+        clock, client = SteppedClock(), Client(proxy)
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        late = Late(proxy.listener, clock)
         opened = await serve_first_request(client, clock) if when == "after a good one" else None
         began = clock.advanced_s - LATE_S  # it was taken in that late
         client.send(STOPS[stop])
-        [connection] = p.clients.open_connections
+        [connection] = proxy.clients.open_connections
         await wait_until(lambda: not connection.is_idle)
         if when == "at the end":
-            p.clients.is_shutting_down = True
-            p.listener.stop_listening()
-            p.listener.close_idle_connections()
-        await sweep_until_closed(late, p, began + DUE_S, at_shutdown=when == "at the end")
+            proxy.clients.is_shutting_down = True
+            proxy.listener.stop_listening()
+            proxy.listener.close_idle_connections()
+        await sweep_until_closed(late, proxy, began + DUE_S, at_shutdown=when == "at the end")
         if opened is None:
             assert error_or_close(client)
         else:
@@ -123,14 +123,14 @@
                 assert b"HTTP/1.1 2" not in await reader.read()
             writer.close()
         client.socket.close()
-        assert len(b.received) == (when == "after a good one")
-        assert not p.clients.open_request_ids
-        assert p.clients.buffered.size_bytes == 0
+        assert len(endpoint.received) == (when == "after a good one")
+        assert not proxy.clients.open_request_ids
+        assert proxy.clients.buffered.size_bytes == 0
         assert not lines(caplog)
 
 
 def dribble(begin: bytes, more: bytes) -> Iterator[bytes]:
-    return itertools.chain([begin], itertools.cycle(more[n : n + 1] for n in range(len(more))))
+    return itertools.chain([begin], itertools.cycle(more[number : number + 1] for number in range(len(more))))
 
 
 DRIBBLES: dict[str, Callable[[], Iterator[bytes]]] = {
@@ -155,23 +155,23 @@
 
 
 @pytest.mark.parametrize("kind", DRIBBLES)
-@pytest.mark.parametrize("first_sweep_s", [n * 0.05 for n in range(8)])
+@pytest.mark.parametrize("first_sweep_s", [number * 0.05 for number in range(8)])
 async def test_client_that_sends_a_byte_at_each_check_is_closed_in_time(
     kind: str, first_sweep_s: float, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Each byte comes between the event loop's last reading and the check, forced; each check is late."""
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        clock, client = SteppedClock(), Client(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        late = Late(p.listener, clock)
+        clock, client = SteppedClock(), Client(proxy)
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        late = Late(proxy.listener, clock)
         began = clock.advanced_s - LATE_S
-        [connection] = p.clients.open_connections
+        [connection] = proxy.clients.open_connections
         send_at_each_check(client, connection, DRIBBLES[kind]())
         clock.advance(first_sweep_s)
-        while p.clients.open_connections:
+        while proxy.clients.open_connections:
             await late.sweep()
             if connection._has_final_check:
                 clock.advance(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
@@ -179,8 +179,8 @@
             assert clock.advanced_s - began <= DUE_S
         assert error_or_close(client)
         client.socket.close()
-        assert not b.received
-        assert p.clients.buffered.size_bytes == 0
+        assert not endpoint.received
+        assert proxy.clients.buffered.size_bytes == 0
         assert not lines(caplog)
 
 
@@ -188,25 +188,25 @@
 async def test_request_that_crosses_the_final_check_is_forwarded(fresh: bool) -> None:
     """It is with the system as the time of its connection is over."""
 
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        clock, client = SteppedClock(), Client(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        late = Late(p.listener, clock)
-        [connection] = p.clients.open_connections
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        clock, client = SteppedClock(), Client(proxy)
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        late = Late(proxy.listener, clock)
+        [connection] = proxy.clients.open_connections
         if not fresh:
             client.send(http_request(path="/ready"))
-            await wait_until(lambda: connection in p.clients.idle_connections)
+            await wait_until(lambda: connection in proxy.clients.idle_connections)
         clock.advance(
             (client_limits.REQUEST_TIMEOUT_S if fresh else client_limits.KEEP_ALIVE_TIMEOUT_S)
             + client_limits.PARTIAL_REQUEST_GRACE_S
         )
         client.send(http_request(request_id="crossing"))
-        connection.check_time_limits(p.listener.loop.time())
+        connection.check_time_limits(proxy.listener.loop.time())
         clock.advance(client_limits.FINAL_CHECK_DELAY_S)
-        await wait_until(lambda: bool(b.received))
+        await wait_until(lambda: bool(endpoint.received))
         for _ in range(5):
             await late.sweep()
-        assert connection in p.clients.open_connections
-        assert p.clients.open_request_ids == {b"crossing"}
+        assert connection in proxy.clients.open_connections
+        assert proxy.clients.open_request_ids == {b"crossing"}
         client.leave("RST")
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -75,12 +75,12 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def all_is_small(d: Discovery, p: LoopbackProxy) -> None:
+def all_is_small(discovery: Discovery, proxy: LoopbackProxy) -> None:
     """Nothing of the calls that failed is left."""
-    assert sum(not call.over.is_set() for call in d.calls) <= 1
+    assert sum(not call.over.is_set() for call in discovery.calls) <= 1
     assert watch_tasks() <= 1
-    assert len(p.driver._balancer.outbox.timers) <= 2
-    assert len(p.driver._timers) <= 2
+    assert len(proxy.driver._balancer.outbox.timers) <= 2
+    assert len(proxy.driver._timers) <= 2
     assert len(asyncio.get_running_loop()._scheduled) < 200  # type: ignore[attr-defined]
 
 
@@ -92,65 +92,71 @@
 ) -> None:
     """Discovery is back just after a call has failed, or with a call out that it never answers."""
 
-    async with watched(setup) as (d, p, clock):
-        await step(clock, lambda: len(d.calls) == 1)
-        d.calls[0].say(WATCH_RESPONSE_HEAD + list_of(1))
-        await step(clock, lambda: p.driver._watch.version == 1)
+    async with watched(setup) as (discovery, proxy, clock):
+        await step(clock, lambda: len(discovery.calls) == 1)
+        discovery.calls[0].say(WATCH_RESPONSE_HEAD + list_of(1))
+        await step(clock, lambda: proxy.driver._watch.version == 1)
         before = descriptors()
-        d.meet = OUTAGES[mood]
+        discovery.meet = OUTAGES[mood]
         caplog.clear()
-        d.calls[0].writer.transport.abort()
+        discovery.calls[0].writer.transport.abort()
         await outage(clock, 60.0 * minutes)
         lines = [r for r in caplog.records if r.levelno >= logging.WARNING]
         assert len(lines) <= LINES_MOST * (60.0 * minutes / BREAK_LOG_WINDOW_S + 1)
         assert not any(r.exc_info for r in lines)
-        assert set(p.driver._balancer.endpoints.states) == {endpoint_number("s-1")}  # the old list serves on
-        all_is_small(d, p)
+        assert set(proxy.driver._balancer.endpoints.states) == {
+            endpoint_number("s-1")
+        }  # the old list serves on
+        all_is_small(discovery, proxy)
         assert descriptors() <= before + 2  # a call that is out: its two ends
-        waited = await next_call(d, clock)  # the last one that fails
-        await step(clock, d.calls[-1].over.is_set)
-        d.meet = lambda call: None
-        waited = await next_call(d, clock) + await served(d, p, clock, setup)
+        waited = await next_call(discovery, clock)  # the last one that fails
+        await step(clock, discovery.calls[-1].over.is_set)
+        discovery.meet = lambda call: None
+        waited = await next_call(discovery, clock) + await served(discovery, proxy, clock, setup)
         assert waited < LIST_DEADLINE_S
-        assert p.driver._balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
+        assert proxy.driver._balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
 
 
 @BOTH
 async def test_change_is_applied_in_time_after_an_hour_of_refused_connections(
     setup: messages.Settings,
 ) -> None:
-    async with watched(setup) as (d, p, clock):
-        await step(clock, lambda: len(d.calls) == 1)
-        assert d.peer is not None
-        assert d.peer.server is not None
-        d.calls[0].writer.transport.abort()
-        d.peer.server.close()
+    async with watched(setup) as (discovery, proxy, clock):
+        await step(clock, lambda: len(discovery.calls) == 1)
+        assert discovery.peer is not None
+        assert discovery.peer.server is not None
+        discovery.calls[0].writer.transport.abort()
+        discovery.peer.server.close()
         await outage(clock, 3_600.0)
-        all_is_small(d, p)
-        tried = watch_starts(p)
-        await step(clock, lambda: len(tried) > 0 and p.driver._watch._task is None)
-        d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
-        assert await next_call(d, clock) + await served(d, p, clock, setup) < LIST_DEADLINE_S
+        all_is_small(discovery, proxy)
+        tried = watch_starts(proxy)
+        await step(clock, lambda: len(tried) > 0 and proxy.driver._watch._task is None)
+        discovery.peer.server = await asyncio.start_server(
+            discovery.peer.accept, "127.0.0.1", discovery.peer.port
+        )
+        assert (
+            await next_call(discovery, clock) + await served(discovery, proxy, clock, setup) < LIST_DEADLINE_S
+        )
 
 
 async def test_each_poll_waits_for_its_turn_at_an_overloaded_discovery() -> None:
     """It tells each call after its turn of 2 s and then drops it, for minutes: no news is left out."""
 
-    async with watched(ASKED) as (d, p, clock):
+    async with watched(ASKED) as (discovery, proxy, clock):
         for rev in range(1, 41):
-            if len(d.calls) < rev:
-                assert await next_call(d, clock) < 1.0
-            assert await served_as(rev, d, p, clock) < TURN_S + 0.5
-            d.calls[-1].writer.transport.abort()
-        assert len(d.calls) == 40
+            if len(discovery.calls) < rev:
+                assert await next_call(discovery, clock) < 1.0
+            assert await served_as(rev, discovery, proxy, clock) < TURN_S + 0.5
+            discovery.calls[-1].writer.transport.abort()
+        assert len(discovery.calls) == 40
 
 
-async def served_as(rev: int, d: Discovery, p: LoopbackProxy, clock: SteppedClock) -> float:
+async def served_as(rev: int, discovery: Discovery, proxy: LoopbackProxy, clock: SteppedClock) -> float:
     """Has the call that is out told this version after its longest time in the queue."""
-    waited = await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
-    d.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(rev))
-    waited += await step(clock, lambda: p.driver._watch.version == rev, 1.0)
-    assert p.driver._watch.version == rev
+    waited = await step(clock, lambda: discovery.calls[-1].over.is_set(), TURN_S)
+    discovery.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(rev))
+    waited += await step(clock, lambda: proxy.driver._watch.version == rev, 1.0)
+    assert proxy.driver._watch.version == rev
     return waited
 
 
@@ -161,16 +167,16 @@
 ) -> None:
     """For minutes: each watch tells one version and stops, some after a beat."""
 
-    async with watched(setup) as (d, p, clock):
+    async with watched(setup) as (discovery, proxy, clock):
         for rev in range(1, 21):
-            await step(clock, lambda rev=rev: len(d.calls) >= rev)  # type: ignore[misc]
-            d.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(rev))
-            await step(clock, lambda rev=rev: p.driver._watch.version == rev, 1.0)  # type: ignore[misc]
+            await step(clock, lambda rev=rev: len(discovery.calls) >= rev)  # type: ignore[misc]
+            discovery.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(rev))
+            await step(clock, lambda rev=rev: proxy.driver._watch.version == rev, 1.0)  # type: ignore[misc]
             if beats:
                 await step(clock, lambda: False, 2.0)
-                d.calls[-1].say(http_chunk("\n"))
-            assert await next_call(d, clock) < LIST_DEADLINE_S - TURN_S
-            all_is_small(d, p)
+                discovery.calls[-1].say(http_chunk("\n"))
+            assert await next_call(discovery, clock) < LIST_DEADLINE_S - TURN_S
+            all_is_small(discovery, proxy)
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
@@ -184,16 +190,19 @@
         asked.set()
         await turn.wait()
         news = endpoint_list(
-            endpoint_entry("a", a.port, "terminating"), endpoint_entry("b", b.port), rev=7, full=False
+            endpoint_entry("a", first_endpoint.port, "terminating"),
+            endpoint_entry("b", second_endpoint.port),
+            rev=7,
+            full=False,
         )
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(news))
         await reader.read()
 
     asked, turn = asyncio.Event(), asyncio.Event()
     async with (
-        StandInEndpoint(http_response(200, b"a")) as a,
-        StandInEndpoint(http_response(200, b"b")) as b,
-        StandInServer(slow) as d,
+        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
+        StandInServer(slow) as discovery,
     ):
         for _ in range(2):  # killed outright and started again, under its name and address
             turn.clear()
@@ -201,8 +210,8 @@
             port = free_port()
             told = config(
                 listen=f"127.0.0.1:{port}",
-                discovery=f"127.0.0.1:{d.port}",
-                known=endpoint_list(endpoint_entry("a", a.port), rev=1),
+                discovery=f"127.0.0.1:{discovery.port}",
+                known=endpoint_list(endpoint_entry("a", first_endpoint.port), rev=1),
                 settings=raw_settings(limits=LIMITS, registryMode=mode),
             )
             async with process(write(tmp_path, told)) as made:
@@ -218,9 +227,9 @@
                     turn.set()
                     while b"is b," not in (line := await made.stderr.readline()):
                         assert line, "it ended"
-                for n in range(10):
+                for number in range(10):
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    writer.write(http_request(request_id=f"r{n}"))
+                    writer.write(http_request(request_id=f"r{number}"))
                     assert (await read_http_message(reader))[2] == b"b"
                     writer.close()
-        assert a.received == []
+        assert first_endpoint.received == []
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -40,10 +40,10 @@
 class Reloads:
     """A configuration file, and a SIGHUP for each discovery that it comes to name."""
 
-    def __init__(self, folder: Path, p: LoopbackProxy, port: int) -> None:
+    def __init__(self, folder: Path, proxy: LoopbackProxy, port: int) -> None:
         self.folder = folder
         source = ConfigSource(write(folder, config(discovery=f"127.0.0.1:{port}")))
-        self.reloader = Reloader(source, source.read(), p.driver)
+        self.reloader = Reloader(source, source.read(), proxy.driver)
 
     def name(self, port: int) -> None:
         write(self.folder, config(discovery=f"127.0.0.1:{port}"))
@@ -178,25 +178,26 @@
     async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(
-            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("b", b.port), rev=2))
+            WATCH_RESPONSE_HEAD
+            + endpoint_list_chunk(endpoint_list(endpoint_entry("b", endpoint.port), rev=2))
         )
         told.set()
         await reader.read()
 
     asked, told = asyncio.Event(), asyncio.Event()
     async with (
-        StandInEndpoint(http_response(200, b"b")) as b,
-        StandInServer(never) as c,
-        StandInServer(never) as d,
-        StandInServer(tell) as e,
+        StandInEndpoint(http_response(200, b"b")) as endpoint,
+        StandInServer(never) as connection,
+        StandInServer(never) as discovery,
+        StandInServer(tell) as new_discovery,
     ):
         known = endpoint_list(endpoint_entry("a", 9), rev=1)
-        file = config(discovery=f"127.0.0.1:{c.port}", known=known)
+        file = config(discovery=f"127.0.0.1:{connection.port}", known=known)
         async with process(write(tmp_path, file)) as made:
             port = await port_of(made)
             await asked.wait()
             descriptors = len(os.listdir(f"/proc/{made.pid}/fd"))
-            for to, got in ((d, asked), (c, asked), (e, told)):
+            for to, got in ((discovery, asked), (connection, asked), (new_discovery, told)):
                 got.clear()
                 part = tmp_path / "part.json"
                 part.write_text(json.dumps({**file, "discovery": f"127.0.0.1:{to.port}"}))
@@ -209,6 +210,10 @@
                 writer.write(http_request())
                 status = (await read_http_message(reader))[2]
                 writer.close()
-            assert (c.connection_count, d.connection_count, e.connection_count) == (2, 1, 1)
+            assert (
+                connection.connection_count,
+                discovery.connection_count,
+                new_discovery.connection_count,
+            ) == (2, 1, 1)
             while len(os.listdir(f"/proc/{made.pid}/fd")) > descriptors + 1:  # one to the backend
                 await asyncio.sleep(0.01)
--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -22,14 +22,19 @@
     def __init__(self, backends: int) -> None:
         self.rev = 1
         self.log: list[tuple[int, dict[str, object]]] = []  # each change and the version that it made
-        self.now = {f"s-{n:08x}": self.row(f"s-{n:08x}", n) for n in range(backends)}
+        self.now = {f"s-{number:08x}": self.row(f"s-{number:08x}", number) for number in range(backends)}
         self.sent = self.whole = 0
         self.open: list[asyncio.StreamWriter] = []
 
     @staticmethod
-    def row(uid: str, n: int, state: str = "in_service") -> dict[str, object]:
-        place = {"uid": uid, "endpoint": f"10.1.{n // 250}.{n % 250}:9000", "az": "a", "model": "m2"}
-        return {**place, "pod_group": n % 7, "state": state, "capacity_hint": 1.0, "boot_ms": 0}
+    def row(uid: str, number: int, state: str = "in_service") -> dict[str, object]:
+        place = {
+            "uid": uid,
+            "endpoint": f"10.1.{number // 250}.{number % 250}:9000",
+            "az": "a",
+            "model": "m2",
+        }
+        return {**place, "pod_group": number % 7, "state": state, "capacity_hint": 1.0, "boot_ms": 0}
 
     def say(self, writer: asyncio.StreamWriter, full: bool, rows: list[dict[str, object]]) -> None:
         news = {"rev": self.rev, "all": full, "targets": rows}
@@ -62,12 +67,12 @@
         for writer in self.open:
             self.say(writer, False, [row])
 
-    def replace(self, n: int) -> None:
+    def replace(self, number: int) -> None:
         """One backend drains and ends, and another comes for it."""
-        old, new = f"s-{n:08x}", f"t-{n:08x}"
-        self.change(self.row(old, n, "terminating"))
-        self.change(self.row(new, n))
-        self.change(self.row(old, n, "terminated"))
+        old, new = f"s-{number:08x}", f"t-{number:08x}"
+        self.change(self.row(old, number, "terminating"))
+        self.change(self.row(new, number))
+        self.change(self.row(old, number, "terminated"))
 
 
 class Follower:
@@ -102,24 +107,26 @@
         follower = Follower((first.port, second.port), fleet)
         follower.watch.start()
         await follower.told()
-        for n in range(backends // 2):
-            fleet.replace(n)
-            if n % 20 == 0:
+        for number in range(backends // 2):
+            fleet.replace(number)
+            if number % 20 == 0:
                 await follower.told()
-            if n in (20, 40):
+            if number in (20, 40):
                 fleet.open[0].transport.abort()
                 await asyncio.sleep(0)
                 await follower.told()
-            elif n == 60:
+            elif number == 60:
                 fleet.open[0].write(b"9\r\nnonsense\n\r\n")
                 await wait_until(lambda: follower.watch._task is None)
                 await follower.told()
-            elif n == 80:  # a new configuration, and the old one again before anything came
+            elif number == 80:  # a new configuration, and the old one again before anything came
                 follower.watch.move(follower.at[1])
                 follower.watch.move(follower.at[0])
                 await follower.told()
         follower.watch.move(follower.at[1])
-        await wait_until(lambda: not any(w.get_extra_info("sockname")[1] == first.port for w in fleet.open))
+        await wait_until(
+            lambda: not any(writer.get_extra_info("sockname")[1] == first.port for writer in fleet.open)
+        )
         await follower.told()
         follower.watch.close()
         return fleet
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -54,9 +54,9 @@
         )
         writer.write(full[20:] + http_chunk("\n") + changed + b"0\r\n\r\n")
 
-    async with StandInServer(handle) as d:
-        w = Watched(d)
-        first, second, end = [await w.news.get() for _ in range(3)]
+    async with StandInServer(handle) as discovery:
+        watched = Watched(discovery)
+        first, second, end = [await watched.news.get() for _ in range(3)]
         assert first
         assert second
         assert end is None
@@ -67,14 +67,14 @@
         )
         assert (second.version, second.is_complete) == (43, False)
         assert second.endpoints[0].status is messages.EndpointStatus.DRAINING
-        w.watch.start()
+        watched.watch.start()
         while len(asked) < 2:
-            await w.news.get()
+            await watched.news.get()
         assert asked == [
             "GET /v1/endpoints?follow=1 HTTP/1.1",
             "GET /v1/endpoints?follow=1&since=43 HTTP/1.1",
         ]
-        w.watch.close()
+        watched.watch.close()
 
 
 @pytest.mark.parametrize(
@@ -94,11 +94,11 @@
         await ask(reader)
         writer.write(said)
 
-    async with StandInServer(handle) as d:
-        w = Watched(d)
-        assert await w.news.get() is None
-        assert w.news.empty()
-        assert d.connection_count == 1
+    async with StandInServer(handle) as discovery:
+        watched = Watched(discovery)
+        assert await watched.news.get() is None
+        assert watched.news.empty()
+        assert discovery.connection_count == 1
         assert "watch on discovery broke" in caplog.text
 
 
@@ -123,19 +123,19 @@
             writer.write(http_chunk(text[at : at + cut]))
         await reader.read()
 
-    async with StandInServer(handle) as d:
-        w = Watched(d)
+    async with StandInServer(handle) as discovery:
+        watched = Watched(discovery)
         # Changes that come in one read are one list, and chance says which ones do.
         got: list[EndpointListMessage] = []
         while not got or got[-1].version < 43:
-            news = await w.news.get()
+            news = await watched.news.get()
             assert news is not None
             got.append(news)
         whole, changes = join_changes(got)
         assert (whole.version, whole.is_complete, len(whole.endpoints)) == (41, True, 2)
         assert changes == join_changes(map(read_list, lists))[1]
         assert (changes.version, len(changes.endpoints)) == (43, 1)
-        w.watch.close()
+        watched.watch.close()
 
 
 async def test_watch_breaks_without_heartbeats_and_stays_open_with_them(
@@ -153,11 +153,11 @@
         await reader.read()  # and says nothing more
 
     clock = SteppedClock()
-    async with StandInServer(handle) as d:
-        w = Watched(d, silence_s=60.0)
-        assert await w.news.get() is not None
+    async with StandInServer(handle) as discovery:
+        watched = Watched(discovery, silence_s=60.0)
+        assert await watched.news.get() is not None
         clock.advance(61.0)
-        assert await w.news.get() is None
+        assert await watched.news.get() is None
         assert "broke: silent" in caplog.text
 
 
@@ -181,15 +181,15 @@
         await reader.read()
 
     clock = SteppedClock()
-    async with StandInServer(handle) as d:
-        w = Watched(d, silence_s=60.0)
-        assert await w.news.get() is not None
+    async with StandInServer(handle) as discovery:
+        watched = Watched(discovery, silence_s=60.0)
+        assert await watched.news.get() is not None
         monkeypatch.setattr(asyncio.StreamReader, "feed_data", note)
-        for n in range(1, 4):
+        for number in range(1, 4):
             clock.advance(25.0)
-            d.writers[0].write(http_chunk("-"))
-            await wait_until(lambda n=n: read.count(b"-") == n or not w.news.empty())  # type: ignore[misc]
-        assert await w.news.get() is None
+            discovery.writers[0].write(http_chunk("-"))
+            await wait_until(lambda number=number: read.count(b"-") == number or not watched.news.empty())  # type: ignore[misc]
+        assert await watched.news.get() is None
 
 
 async def test_list_that_failed_to_apply_is_requested_again() -> None:
@@ -205,18 +205,18 @@
     def fail(news: EndpointListMessage) -> None:
         raise RuntimeError("not taken over")
 
-    async with StandInServer(handle) as d:
-        w = Watched(d)
-        w.watch._on_list = fail
-        assert await w.news.get() is None
-        assert w.watch.version is None
-        w.watch._on_list = w.news.put_nowait
-        w.watch.start()
-        again = await w.news.get()
+    async with StandInServer(handle) as discovery:
+        watched = Watched(discovery)
+        watched.watch._on_list = fail
+        assert await watched.news.get() is None
+        assert watched.watch.version is None
+        watched.watch._on_list = watched.news.put_nowait
+        watched.watch.start()
+        again = await watched.news.get()
         assert again
-        assert again.version == w.watch.version == 41
+        assert again.version == watched.watch.version == 41
         assert asked == ["GET /v1/endpoints?follow=1 HTTP/1.1"] * 2
-        w.watch.close()
+        watched.watch.close()
 
 
 async def step_until(clock: SteppedClock, holds: Callable[[], bool]) -> None:
@@ -255,11 +255,11 @@
     clock = SteppedClock()
     setup = settings(must_subscribe=must_subscribe)
     async with (
-        StandInServer(silent_watches(*silent)) as d,
-        running_proxy(discovery_port=d.port, settings=setup) as p,
+        StandInServer(silent_watches(*silent)) as discovery,
+        running_proxy(discovery_port=discovery.port, settings=setup) as proxy,
     ):
-        await wait_until(lambda: p.driver._watch.version == 1)
-        await step_until(clock, lambda: p.driver._watch.version == 2 + len(silent))
+        await wait_until(lambda: proxy.driver._watch.version == 1)
+        await step_until(clock, lambda: proxy.driver._watch.version == 2 + len(silent))
         assert clock.advanced_s < in_time
 
 
@@ -274,11 +274,11 @@
     async with (
         StandInServer(silent_watches()) as old,
         StandInServer(silent_watches(*silent)) as new,
-        running_proxy(discovery_port=old.port, settings=setup) as p,
+        running_proxy(discovery_port=old.port, settings=setup) as proxy,
     ):
-        await wait_until(lambda: p.driver._watch.version == 1)
-        p.driver.move_discovery(("127.0.0.1", new.port))
-        await step_until(clock, lambda: p.driver._watch.version == 1 + len(silent))
+        await wait_until(lambda: proxy.driver._watch.version == 1)
+        proxy.driver.move_discovery(("127.0.0.1", new.port))
+        await step_until(clock, lambda: proxy.driver._watch.version == 1 + len(silent))
         assert clock.advanced_s < 4.0
 
 
@@ -296,14 +296,14 @@
 
     asked, turn, clock = asyncio.Event(), asyncio.Event(), SteppedClock()
     async with (
-        StandInServer(handle) as d,
-        running_proxy(discovery_port=d.port, settings=settings(must_subscribe=True)) as p,
+        StandInServer(handle) as discovery,
+        running_proxy(discovery_port=discovery.port, settings=settings(must_subscribe=True)) as proxy,
     ):
         await asked.wait()
         await step_until(clock, lambda: clock.advanced_s > 2.2)
         turn.set()
-        await wait_until(lambda: p.driver._watch.version == 7 or d.connection_count > 1)
-        assert d.connection_count == 1
+        await wait_until(lambda: proxy.driver._watch.version == 7 or discovery.connection_count > 1)
+        assert discovery.connection_count == 1
 
 
 @pytest.mark.parametrize(
@@ -325,9 +325,9 @@
         writer.write(said)
 
     go_on = asyncio.Event()
-    async with StandInServer(old) as d, StandInServer(silent_watches()) as e:
-        w = Watched(d)
-        first = await w.news.get()
+    async with StandInServer(old) as discovery, StandInServer(silent_watches()) as new_discovery:
+        watched = Watched(discovery)
+        first = await watched.news.get()
         assert first
         assert first.version == 1
 
@@ -336,23 +336,25 @@
 
             def crossed(reader: asyncio.StreamReader, *data: bytes) -> None:
                 step(reader, *data)
-                if go_on.is_set() and not w.crossed:
-                    w.crossed = True
-                    w.watch.close() if then == "close" else w.watch.move(("127.0.0.1", e.port))
+                if go_on.is_set() and not watched.crossed:
+                    watched.crossed = True
+                    watched.watch.close() if then == "close" else watched.watch.move(
+                        ("127.0.0.1", new_discovery.port)
+                    )
 
             monkeypatch.setattr(asyncio.StreamReader, name, crossed)
 
         cross("feed_data")
         cross("feed_eof")
         go_on.set()
-        await wait_until(lambda: w.crossed)
+        await wait_until(lambda: watched.crossed)
         if then == "move":
-            second = await w.news.get()
+            second = await watched.news.get()
             assert second
-            assert (second.version, e.connection_count) == (1, 1)
-            assert w.watch._task is not None
+            assert (second.version, new_discovery.connection_count) == (1, 1)
+            assert watched.watch._task is not None
         for _ in range(20):
             await asyncio.sleep(0)
-        assert w.news.empty()
-        assert d.connection_count == 1
-        w.watch.close()
+        assert watched.news.empty()
+        assert discovery.connection_count == 1
+        watched.watch.close()
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -39,17 +39,17 @@
     return {endpoint_number(uid) for uid in uids}
 
 
-async def lists_until_the_end(p: LoopbackProxy) -> list[messages.EndpointListUpdate]:
+async def lists_until_the_end(proxy: LoopbackProxy) -> list[messages.EndpointListUpdate]:
     """The lists that reach the module until the watch has ended."""
     taken: list[messages.EndpointListUpdate] = []
-    feed = p.driver._enqueue_event
+    feed = proxy.driver._enqueue_event
 
     def note(event: messages.Event) -> None:
         if isinstance(event, messages.EndpointListUpdate):
             taken.append(event)
         feed(event)
 
-    p.driver._enqueue_event = note  # type: ignore[method-assign]
+    proxy.driver._enqueue_event = note  # type: ignore[method-assign]
     await wait_until(lambda: bool(taken) and taken[-1].kind is messages.EndpointListKind.FAILED)
     return taken[:-1]
 
@@ -63,9 +63,9 @@
         writer.write(WATCH_RESPONSE_HEAD + said)
 
     async def test() -> None:
-        async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
-            taken = await lists_until_the_end(p)
-            result.append((taken, set(p.driver._balancer.endpoints.states), p.driver._watch.version))
+        async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
+            taken = await lists_until_the_end(proxy)
+            result.append((taken, set(proxy.driver._balancer.endpoints.states), proxy.driver._watch.version))
 
     run_in_event_loop(test)
     return result[0]
@@ -73,8 +73,10 @@
 
 def test_changes_of_one_read_reach_the_policy_as_one_event() -> None:
     said = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), endpoint_entry("b", 9), rev=1))
-    for n in range(50):
-        said += endpoint_list_chunk(change(endpoint_entry(f"s-{n}", 9), rev=2 + n)) + http_chunk("\n")
+    for number in range(50):
+        said += endpoint_list_chunk(change(endpoint_entry(f"s-{number}", 9), rev=2 + number)) + http_chunk(
+            "\n"
+        )
     said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminating"), rev=52))
     said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminated"), rev=53))
     taken, known, since = played(said + b"0\r\n\r\n")
@@ -82,7 +84,7 @@
         (messages.EndpointListKind.COMPLETE, 1),
         (messages.EndpointListKind.CHANGES, 53),
     ]
-    assert known == names("b", *(f"s-{n}" for n in range(50)))
+    assert known == names("b", *(f"s-{number}" for number in range(50)))
     assert since == 53
 
 
@@ -107,18 +109,18 @@
         whole, more = endpoint_list(endpoint_entry("a", 9), rev=1), change(endpoint_entry("b", 9), rev=2)
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(whole) + endpoint_list_chunk(more))
 
-    async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
-        take, broken = p.driver._watch._on_list, asyncio.Event()
+    async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
+        take, broken = proxy.driver._watch._on_list, asyncio.Event()
 
         def fail_on_changes(news: EndpointListMessage) -> None:
             if not news.is_complete:
                 raise RuntimeError("a fault")
             take(news)
 
-        p.driver._watch._on_list = fail_on_changes
-        p.driver._watch._on_break = broken.set
+        proxy.driver._watch._on_list = fail_on_changes
+        proxy.driver._watch._on_break = broken.set
         await broken.wait()
-        assert p.driver._watch.version == 1
+        assert proxy.driver._watch.version == 1
 
 
 def test_complete_lists_and_old_changes_are_not_joined() -> None:
@@ -153,19 +155,20 @@
         await taken_over.wait()
         writer.write(later + b"0\r\n\r\n")
 
-    async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
-        await wait_until(lambda: p.driver._watch.version == 12)
+    async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
+        await wait_until(lambda: proxy.driver._watch.version == 12)
         taken_over.set()
-        taken = await lists_until_the_end(p)
+        taken = await lists_until_the_end(proxy)
         assert [news.version for news in taken] == [11, 13]
-        assert set(p.driver._balancer.endpoints.states) == names("a", "b", "c")
+        assert set(proxy.driver._balancer.endpoints.states) == names("a", "b", "c")
 
 
 @pytest.mark.parametrize("away", ["terminating", "terminated"])
 def test_return_of_an_endpoint_is_not_joined_with_its_removal(away: str) -> None:
     """Its kept connections are the old one's."""
     lists = [
-        read_list(change(endpoint_entry("a", 9, state), rev=n)) for n, state in ((2, away), (3, "in_service"))
+        read_list(change(endpoint_entry("a", 9, state), rev=number))
+        for number, state in ((2, away), (3, "in_service"))
     ]
     assert join_changes(lists) == lists
 
@@ -174,7 +177,7 @@
     rng = random.Random(1)
 
     for _ in range(40):
-        lists = [read_list(endpoint_list(*(endpoint_entry(f"s-{n}", 9) for n in range(4)), rev=9))]
+        lists = [read_list(endpoint_list(*(endpoint_entry(f"s-{number}", 9) for number in range(4)), rev=9))]
         for rev in range(10, 20):
             rows = [
                 endpoint_entry(
@@ -190,18 +193,21 @@
             lists.insert(rng.randrange(1, 11), replace(lists[0], version=rng.randrange(5, 15)))
         left = []
         for taken in (lists, join_changes(lists)):
-            async with running_proxy() as p:
+            async with running_proxy() as proxy:
                 for news in taken:
-                    p.driver._on_list(news)
-                servers = p.driver._balancer.endpoints.states
+                    proxy.driver._on_list(news)
+                servers = proxy.driver._balancer.endpoints.states
                 left.append(
                     (
                         # The moment of a start is by the clock of each of the two drivers.
-                        {n: replace(server.endpoint, started_us=None) for n, server in servers.items()},
-                        p.driver._endpoints.by_number,
-                        p.driver._endpoints.up_numbers,
-                        set(p.pool._idle.reuse_from),
-                        p.driver._balancer.endpoints.version,
+                        {
+                            number: replace(server.endpoint, started_us=None)
+                            for number, server in servers.items()
+                        },
+                        proxy.driver._endpoints.by_number,
+                        proxy.driver._endpoints.up_numbers,
+                        set(proxy.pool._idle.reuse_from),
+                        proxy.driver._balancer.endpoints.version,
                     )
                 )
         assert left[0] == left[1]
@@ -216,13 +222,13 @@
         await reader.readuntil(b"\r\n\r\n")
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), rev=1)))
         await taken_over.wait()
-        for n in range(5):
-            writer.write(endpoint_list_chunk(change(endpoint_entry(f"s-{n}", 9), rev=2 + n)))
+        for number in range(5):
+            writer.write(endpoint_list_chunk(change(endpoint_entry(f"s-{number}", 9), rev=2 + number)))
             await asyncio.sleep(0)
         writer.write(b"0\r\n\r\n")
 
-    async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
-        await wait_until(lambda: p.driver._watch.version == 1)
+    async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
+        await wait_until(lambda: proxy.driver._watch.version == 1)
         taken_over.set()
         pieces = 0
         feed_data = asyncio.StreamReader.feed_data
@@ -233,7 +239,7 @@
             feed_data(reader, data)
 
         monkeypatch.setattr(asyncio.StreamReader, "feed_data", note)
-        assert [news.version for news in await lists_until_the_end(p)] == [6]
+        assert [news.version for news in await lists_until_the_end(proxy)] == [6]
         assert pieces == 1  # nor does each one turn the loop
 
 
--- a/tests/net/discovery/test_json_stream.py
+++ b/tests/net/discovery/test_json_stream.py
@@ -16,7 +16,9 @@
 
 
 def whole_list(backends: int, indent: int | None) -> bytes:
-    targets = [endpoint_entry(f"s-{n:08x}", 9_000, model="m2", capacity_hint=1.0) for n in range(backends)]
+    targets = [
+        endpoint_entry(f"s-{number:08x}", 9_000, model="m2", capacity_hint=1.0) for number in range(backends)
+    ]
     return json.dumps(endpoint_list(*targets), indent=indent).encode() + b"\n"
 
 
@@ -63,10 +65,10 @@
     """Guards the processor: read anew from its start with each byte, a megabyte would take hours."""
     splitter = JsonTextSplitter()
     list(splitter.feed(b'{"rev":"'))
-    for n in range(1_000):
+    for number in range(1_000):
         assert not list(splitter.feed(b"x"))
         assert splitter._in_string
-        assert splitter._scanned_bytes == len(splitter._buffer) == 9 + n
+        assert splitter._scanned_bytes == len(splitter._buffer) == 9 + number
 
 
 def test_endless_string_raises_an_error() -> None:
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -71,12 +71,12 @@
 
 
 async def after_failures(
-    d: Discovery, clock: SteppedClock, failure: Callable[[Call], None], many: int = 6
+    discovery: Discovery, clock: SteppedClock, failure: Callable[[Call], None], many: int = 6
 ) -> None:
     """Lets this many calls fail, so that the waits have grown; the last of them has just failed."""
-    d.meet = failure
-    await step(clock, lambda: len(d.calls) == many)
-    d.meet = lambda call: None
+    discovery.meet = failure
+    await step(clock, lambda: len(discovery.calls) == many)
+    discovery.meet = lambda call: None
 
 
 @BOTH
@@ -86,21 +86,21 @@
 ) -> None:
     """However long it lasted: discovery is there from the moment on in which the last of them failed."""
 
-    async with watched(setup) as (d, p, clock):
-        await after_failures(d, clock, FAILURES[failure])
-        waited = await next_call(d, clock) + await served(d, p, clock, setup)
+    async with watched(setup) as (discovery, proxy, clock):
+        await after_failures(discovery, clock, FAILURES[failure])
+        waited = await next_call(discovery, clock) + await served(discovery, proxy, clock, setup)
         assert waited < LIST_DEADLINE_S
 
 
 async def test_call_rejected_after_queueing_is_repeated_in_time() -> None:
     """The waits have grown and the last call has just failed; the next one is refused after 2 s."""
 
-    async with watched(ASKED) as (d, p, clock):
-        await after_failures(d, clock, FAILURES["refused"])
-        waited = await next_call(d, clock)
-        waited += await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
-        FAILURES["refused"](d.calls[-1])
-        waited += await next_call(d, clock) + await served(d, p, clock, ASKED)
+    async with watched(ASKED) as (discovery, proxy, clock):
+        await after_failures(discovery, clock, FAILURES["refused"])
+        waited = await next_call(discovery, clock)
+        waited += await step(clock, lambda: discovery.calls[-1].over.is_set(), TURN_S)
+        FAILURES["refused"](discovery.calls[-1])
+        waited += await next_call(discovery, clock) + await served(discovery, proxy, clock, ASKED)
         assert waited < LIST_DEADLINE_S
 
 
@@ -110,16 +110,16 @@
 ) -> None:
     """It has brought no list since the waits grew: there was nothing to tell."""
 
-    async with watched(setup) as (d, p, clock):
-        await after_failures(d, clock, FAILURES["refused"])
-        await next_call(d, clock)
+    async with watched(setup) as (discovery, proxy, clock):
+        await after_failures(discovery, clock, FAILURES["refused"])
+        await next_call(discovery, clock)
         caplog.clear()
-        d.calls[-1].say(WATCH_RESPONSE_HEAD + http_chunk("\n"))
-        await step(clock, lambda: d.calls[-1].over.is_set(), 1.5)
-        d.calls[-1].say(http_chunk("\n"))  # its last word
-        waited = await next_call(d, clock)
+        discovery.calls[-1].say(WATCH_RESPONSE_HEAD + http_chunk("\n"))
+        await step(clock, lambda: discovery.calls[-1].over.is_set(), 1.5)
+        discovery.calls[-1].say(http_chunk("\n"))  # its last word
+        waited = await next_call(discovery, clock)
         assert "broke: silent" in caplog.text
-        assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
+        assert waited + await served(discovery, proxy, clock, setup) < LIST_DEADLINE_S
 
 
 STOPS = {
@@ -145,33 +145,35 @@
     elif stop == "half a chunk":
         drop = b" "
 
-    async with watched(setup) as (d, p, clock):
-        await after_failures(d, clock, FAILURES["refused"])
-        await next_call(d, clock)
-        first, waited = d.calls[-1], 0.0
+    async with watched(setup) as (discovery, proxy, clock):
+        await after_failures(discovery, clock, FAILURES["refused"])
+        await next_call(discovery, clock)
+        first, waited = discovery.calls[-1], 0.0
         first.say(STOPS[stop])
-        while len(d.calls) == 7:
-            waited += await step(clock, lambda: len(d.calls) > 7, 0.3)
+        while len(discovery.calls) == 7:
+            waited += await step(clock, lambda: len(discovery.calls) > 7, 0.3)
             if dribbles and not first.over.is_set():
                 first.say(drop)
             assert waited < LIST_DEADLINE_S
-        assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
+        assert waited + await served(discovery, proxy, clock, setup) < LIST_DEADLINE_S
 
 
 @BOTH
 async def test_change_is_applied_in_time_after_refused_connections(setup: messages.Settings) -> None:
     """Nobody listens for a while; the address is there again just after a connection was refused."""
 
-    async with watched(setup) as (d, p, clock):
-        await step(clock, lambda: len(d.calls) == 1)
-        assert d.peer is not None
-        assert d.peer.server is not None
-        d.calls[0].writer.transport.abort()
-        d.peer.server.close()
-        tried = watch_starts(p)
-        await step(clock, lambda: len(tried) == 6 and p.driver._watch._task is None)
-        d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
-        waited = await next_call(d, clock) + await served(d, p, clock, setup)
+    async with watched(setup) as (discovery, proxy, clock):
+        await step(clock, lambda: len(discovery.calls) == 1)
+        assert discovery.peer is not None
+        assert discovery.peer.server is not None
+        discovery.calls[0].writer.transport.abort()
+        discovery.peer.server.close()
+        tried = watch_starts(proxy)
+        await step(clock, lambda: len(tried) == 6 and proxy.driver._watch._task is None)
+        discovery.peer.server = await asyncio.start_server(
+            discovery.peer.accept, "127.0.0.1", discovery.peer.port
+        )
+        waited = await next_call(discovery, clock) + await served(discovery, proxy, clock, setup)
         assert waited < LIST_DEADLINE_S
 
 
@@ -247,29 +249,29 @@
     """Nothing of it counts, one line names why, and what comes next is taken."""
     both = endpoint_list(endpoint_entry("s-1", 9), endpoint_entry("s-2", 9), rev=1)
 
-    async with watched(setup) as (d, p, clock):
-        await step(clock, lambda: len(d.calls) == 1)
-        d.calls[0].say(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
-        await step(clock, lambda: p.driver._watch.version == 1)
-        held, up = dict(p.driver._balancer.endpoints.states), set(p.driver._endpoints.up_numbers)
+    async with watched(setup) as (discovery, proxy, clock):
+        await step(clock, lambda: len(discovery.calls) == 1)
+        discovery.calls[0].say(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
+        await step(clock, lambda: proxy.driver._watch.version == 1)
+        held, up = dict(proxy.driver._balancer.endpoints.states), set(proxy.driver._endpoints.up_numbers)
         caplog.clear()
-        d.calls[0].say(said)
-        waited = await next_call(d, clock)
+        discovery.calls[0].say(said)
+        waited = await next_call(discovery, clock)
         assert (
-            p.driver._balancer.endpoints.states,
-            p.driver._endpoints.up_numbers,
-            p.driver._watch.version,
+            proxy.driver._balancer.endpoints.states,
+            proxy.driver._endpoints.up_numbers,
+            proxy.driver._watch.version,
         ) == (
             held,
             up,
             1,
         )
-        [line] = [r for r in caplog.records if r.levelno >= logging.WARNING]
+        [line] = [record for record in caplog.records if record.levelno >= logging.WARNING]
         assert why in line.getMessage()
         assert "\n" not in line.getMessage()
         assert not line.exc_info
-        assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
-        assert set(p.driver._balancer.endpoints.states) == {endpoint_number("s-7")}
+        assert waited + await served(discovery, proxy, clock, setup) < LIST_DEADLINE_S
+        assert set(proxy.driver._balancer.endpoints.states) == {endpoint_number("s-7")}
 
 
 @pytest.mark.parametrize("kind", ["read", "mark", "pay"])
@@ -285,46 +287,51 @@
             except asyncio.IncompleteReadError:
                 closed.set()
                 raise
-            a.received.append(asked)
+            first_endpoint.received.append(asked)
             if asked[1]["req-id"] == "slow":
                 begun.set()
                 await go_on.wait()
             writer.write(http_response(200, b"a"))
 
     async with (
-        StandInServer(serve) as a,
-        StandInEndpoint(http_response(200, b"b")) as b,
-        running_proxy(endpoint_entry("a", a.port)) as p,
+        StandInServer(serve) as first_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
+        running_proxy(endpoint_entry("a", first_endpoint.port)) as proxy,
     ):
-        slow = asyncio.ensure_future(p.send_request(http_request("pay", request_id="slow")))
+        slow = asyncio.ensure_future(proxy.send_request(http_request("pay", request_id="slow")))
         await begun.wait()
-        assert (await p.send_request(http_request("read", request_id="r0")))[2] == b"a"
-        assert sum(map(len, p.pool._idle.by_endpoint.values())) == 1
-        p.driver._on_list(parsed_endpoint_list(endpoint_entry("b", b.port), rev=2))
+        assert (await proxy.send_request(http_request("read", request_id="r0")))[2] == b"a"
+        assert sum(map(len, proxy.pool._idle.by_endpoint.values())) == 1
+        proxy.driver._on_list(parsed_endpoint_list(endpoint_entry("b", second_endpoint.port), rev=2))
         await closed.wait()
-        assert not p.pool._idle.by_endpoint
-        got = [(await p.send_request(http_request(kind, request_id=f"r{n}")))[2] for n in range(1, 9)]
+        assert not proxy.pool._idle.by_endpoint
+        got = [
+            (await proxy.send_request(http_request(kind, request_id=f"r{number}")))[2]
+            for number in range(1, 9)
+        ]
         assert got == [b"b"] * 8
         go_on.set()
         assert (await slow)[2] == b"a"
-        assert len(a.received) == 2
-        assert not any(e.number == endpoint_number("a") for e in p.pool._idle.by_endpoint)
+        assert len(first_endpoint.received) == 2
+        assert not any(e.number == endpoint_number("a") for e in proxy.pool._idle.by_endpoint)
 
 
 @pytest.mark.parametrize("states", [("terminating", "terminated"), ("terminated", "in_service")])
 async def test_later_of_two_entries_for_one_endpoint_is_applied(states: tuple[str, str]) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"a")) as a,
-        running_proxy(endpoint_entry("a", a.port)) as p,
+        StandInEndpoint(http_response(200, b"a")) as endpoint,
+        running_proxy(endpoint_entry("a", endpoint.port)) as proxy,
     ):
-        news = endpoint_list(*(endpoint_entry("a", a.port, state) for state in states), rev=2, full=False)
-        p.driver._on_list(read_list(news))
+        news = endpoint_list(
+            *(endpoint_entry("a", endpoint.port, state) for state in states), rev=2, full=False
+        )
+        proxy.driver._on_list(read_list(news))
         there = states[-1] == "in_service"
         number = endpoint_number("a")
         held = (
-            p.driver._balancer.endpoints.states,
-            p.driver._endpoints.by_number,
-            p.driver._endpoints.up_numbers,
+            proxy.driver._balancer.endpoints.states,
+            proxy.driver._endpoints.by_number,
+            proxy.driver._endpoints.up_numbers,
         )
         assert [number in where for where in held] == [there] * 3
 
@@ -339,11 +346,11 @@
 ) -> None:
     """The waits have grown on the old address; the first call on the new one fails as well."""
 
-    async with watched(setup) as (d, p, clock), AsyncExitStack() as stack:
+    async with watched(setup) as (discovery, proxy, clock), AsyncExitStack() as stack:
         new = Discovery(clock)
         e = await stack.enter_async_context(StandInServer(new.handle))
-        await after_failures(d, clock, FAILURES["refused"])
-        p.driver.move_discovery(("127.0.0.1", e.port))
+        await after_failures(discovery, clock, FAILURES["refused"])
+        proxy.driver.move_discovery(("127.0.0.1", e.port))
         waited = await next_call(new, clock)
         call = new.calls[-1]
         if first == "refused in its turn" and setup is ASKED:
@@ -356,7 +363,7 @@
         new.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(7))
         # Behind a call that was refused, the next one may still have to wait for its turn.
         left = 0.0 if setup is PUSHED or not first.startswith("refused") else 1.0
-        waited += left + await step(clock, lambda: p.driver._watch.version == 7, 1.0)
-        assert p.driver._watch.version == 7
+        waited += left + await step(clock, lambda: proxy.driver._watch.version == 7, 1.0)
+        assert proxy.driver._watch.version == 7
         assert waited < MOVED_S
-        assert len(d.calls) == 6  # nothing more on the old one
+        assert len(discovery.calls) == 6  # nothing more on the old one
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -177,6 +177,6 @@
 
 def test_number_of_remembered_starts_is_bounded() -> None:
     starts = StartTimes(Times().clock())
-    for n in range(MAX_START_TIMES + 10):
-        starts.assign([messages.Endpoint(n, incarnation_us=UNIX)])
+    for number in range(MAX_START_TIMES + 10):
+        starts.assign([messages.Endpoint(number, incarnation_us=UNIX)])
     assert len(starts._start_times_us) == MAX_START_TIMES
--- a/tests/net/discovery/versioned_discovery.py
+++ b/tests/net/discovery/versioned_discovery.py
@@ -104,18 +104,18 @@
 
 
 @contextmanager
-def one_clock(clock: SteppedClock, p: LoopbackProxy) -> Iterator[None]:
+def one_clock(clock: SteppedClock, proxy: LoopbackProxy) -> Iterator[None]:
     """The module's clock goes with the event loop's."""
-    real = p.driver._clock.now_us
-    p.driver._clock.now_us = lambda: real() + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
+    real = proxy.driver._clock.now_us
+    proxy.driver._clock.now_us = lambda: real() + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
     yield
 
 
 class Play:
     """A proxy, the discovery that it follows, and another one."""
 
-    def __init__(self, p: LoopbackProxy, clock: SteppedClock, a: Versions, b: Versions) -> None:
-        self.p, self.clock, self.a, self.b = p, clock, a, b
+    def __init__(self, proxy: LoopbackProxy, clock: SteppedClock, a: Versions, b: Versions) -> None:
+        self.p, self.clock, self.a, self.b = proxy, clock, a, b
         self.ports: dict[str, int] = {}
 
     def holds(self, on: Versions) -> bool:
@@ -137,9 +137,9 @@
     async with (
         StandInServer(a.handle) as pa,
         StandInServer(b.handle) as pb,
-        running_proxy(*known, settings=setup, discovery_port=pa.port) as p,
+        running_proxy(*known, settings=setup, discovery_port=pa.port) as proxy,
     ):
-        with one_clock(clock, p):
-            made = Play(p, clock, a, b)
+        with one_clock(clock, proxy):
+            made = Play(proxy, clock, a, b)
             made.ports = {"a": pa.port, "b": pb.port}
             yield made
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -34,29 +34,33 @@
         writer.write(
             WATCH_RESPONSE_HEAD
             + endpoint_list_chunk(
-                endpoint_list(endpoint_entry("a", a.port), endpoint_entry("b", b.port), rev=1)
+                endpoint_list(
+                    endpoint_entry("a", first_endpoint.port), endpoint_entry("b", second_endpoint.port), rev=1
+                )
             )
         )
         await told.wait()
         writer.write(
-            endpoint_list_chunk(endpoint_list(endpoint_entry("a", a.port, "terminating"), rev=2, full=False))
+            endpoint_list_chunk(
+                endpoint_list(endpoint_entry("a", first_endpoint.port, "terminating"), rev=2, full=False)
+            )
         )
         await reader.read()
 
     async with (
-        StandInEndpoint(http_response(200, b"a")) as a,
-        StandInEndpoint(http_response(200, b"b")) as b,
-        StandInServer(handle) as d,
-        running_proxy(discovery_port=d.port, settings=settings(must_subscribe=True)) as p,
+        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
+        StandInServer(handle) as discovery,
+        running_proxy(discovery_port=discovery.port, settings=settings(must_subscribe=True)) as proxy,
     ):
-        while not p.driver.ready:
+        while not proxy.driver.ready:
             await asyncio.sleep(0)
-        got = {(await p.send_request(http_request(request_id=f"x{n}")))[2] for n in range(40)}
+        got = {(await proxy.send_request(http_request(request_id=f"x{number}")))[2] for number in range(40)}
         assert got == {b"a", b"b"}
         told.set()
-        while len(p.driver._endpoints.up_numbers) == 2:
+        while len(proxy.driver._endpoints.up_numbers) == 2:
             await asyncio.sleep(0)
-        got = {(await p.send_request(http_request(request_id=f"y{n}")))[2] for n in range(40)}
+        got = {(await proxy.send_request(http_request(request_id=f"y{number}")))[2] for number in range(40)}
         assert got == {b"b"}
 
 
@@ -70,13 +74,15 @@
     asked: list[str] = []
     again = asyncio.Event()
     async with (
-        StandInEndpoint(http_response(200, b"a")) as a,
-        StandInServer(handle) as d,
+        StandInEndpoint(http_response(200, b"a")) as endpoint,
+        StandInServer(handle) as discovery,
         running_proxy(
-            endpoint_entry("a", a.port), discovery_port=d.port, settings=settings(must_subscribe=True)
-        ) as p,
+            endpoint_entry("a", endpoint.port),
+            discovery_port=discovery.port,
+            settings=settings(must_subscribe=True),
+        ) as proxy,
     ):
-        assert (await p.send_request(http_request()))[2] == b"a"
+        assert (await proxy.send_request(http_request()))[2] == b"a"
         await again.wait()
         assert asked == ["GET /v1/endpoints?follow=1&since=1 HTTP/1.1"] * 2
 
@@ -93,20 +99,22 @@
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await ask(reader)
         await begun.wait()
-        news = endpoint_list(endpoint_entry("a", a.port, "terminating"), rev=2, full=False)
+        news = endpoint_list(endpoint_entry("a", endpoint.port, "terminating"), rev=2, full=False)
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(news))
         await reader.read()
 
     begun, drained, closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
     async with (
-        StandInServer(serve) as a,
-        StandInServer(handle) as d,
+        StandInServer(serve) as endpoint,
+        StandInServer(handle) as discovery,
         running_proxy(
-            endpoint_entry("a", a.port), discovery_port=d.port, settings=settings(must_subscribe=True)
-        ) as p,
+            endpoint_entry("a", endpoint.port),
+            discovery_port=discovery.port,
+            settings=settings(must_subscribe=True),
+        ) as proxy,
     ):
-        asking = asyncio.ensure_future(p.send_request(http_request()))
-        while p.driver.ready:
+        asking = asyncio.ensure_future(proxy.send_request(http_request()))
+        while proxy.driver.ready:
             await asyncio.sleep(0)
         drained.set()
         assert (await asking)[2] == b"done"
@@ -119,19 +127,19 @@
     state: str, kind: str
 ) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"a")) as a,
-        StandInEndpoint(http_response(200, b"b")) as b,
-        running_proxy(endpoint_entry("a", a.port)) as p,
+        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
+        running_proxy(endpoint_entry("a", first_endpoint.port)) as proxy,
     ):
-        gate = ConnectGate(p.pool)
-        asking = asyncio.ensure_future(p.send_request(http_request(kind)))
+        gate = ConnectGate(proxy.pool)
+        asking = asyncio.ensure_future(proxy.send_request(http_request(kind)))
         await wait_until(lambda: gate.waiting_count == 1)
-        news = [endpoint_entry("b", b.port)]
+        news = [endpoint_entry("b", second_endpoint.port)]
         if state == "moved":
-            news = [endpoint_entry("a", b.port)]
+            news = [endpoint_entry("a", second_endpoint.port)]
         elif state != "absent":
-            news.append(endpoint_entry("a", a.port, state))
-        p.driver._on_list(parsed_endpoint_list(*news, rev=2))
+            news.append(endpoint_entry("a", first_endpoint.port, state))
+        proxy.driver._on_list(parsed_endpoint_list(*news, rev=2))
         gate.opened.set()
         assert (await asking)[2] == b"b"
-        assert a.connection_count == 0
+        assert first_endpoint.connection_count == 0
--- a/tests/net/test_log_limits.py
+++ b/tests/net/test_log_limits.py
@@ -18,23 +18,27 @@
     caplog.set_level(logging.INFO)
 
     def lines() -> list[str]:
-        found = [r.getMessage() for r in caplog.records if "backend" in r.getMessage()]
+        found = [record.getMessage() for record in caplog.records if "backend" in record.getMessage()]
         caplog.clear()
         return found
 
     clock = SteppedClock()
-    async with running_proxy() as p:
-        p.driver._on_list(read_list(endpoint_list(*(endpoint_entry(f"s-{n}", 9) for n in range(500)))))
+    async with running_proxy() as proxy:
+        proxy.driver._on_list(
+            read_list(endpoint_list(*(endpoint_entry(f"s-{number}", 9) for number in range(500))))
+        )
         told = lines()
         assert len(told) == MAX_LOGGED_CHANGES + 1
         assert "is s-0, cell 1, up" in told[0]
         assert told[-1] == f"{500 - MAX_LOGGED_CHANGES} more changes of backends"
-        for n in range(100):
-            change = endpoint_list(endpoint_entry(f"s-{n}", 9, "terminating"), rev=2 + n, full=False)
-            p.driver._on_list(read_list(change))
+        for number in range(100):
+            change = endpoint_list(
+                endpoint_entry(f"s-{number}", 9, "terminating"), rev=2 + number, full=False
+            )
+            proxy.driver._on_list(read_list(change))
         assert not lines()
         clock.advance(CHANGE_LOG_WINDOW_S)
-        p.driver._on_list(
+        proxy.driver._on_list(
             read_list(endpoint_list(endpoint_entry("s-1", 9, "terminated"), rev=200, full=False))
         )
         counted, single = lines()
--- a/tests/net/test_repeated_fault_log.py
+++ b/tests/net/test_repeated_fault_log.py
@@ -24,8 +24,8 @@
 def test_many_faults_in_a_row_are_logged_in_two_lines(
     faults: RepeatedFaultLog, caplog: pytest.LogCaptureFixture
 ) -> None:
-    for n in range(1000):
-        faults.record(10.0 + n / 1000, OSError("first" if n == 0 else "later"))
+    for number in range(1000):
+        faults.record(10.0 + number / 1000, OSError("first" if number == 0 else "later"))
     assert lines(caplog) == [(logging.ERROR, "no descriptor: first")]
     last_at_s = 10.999
     faults.end_if_quiet(last_at_s + QUIET_PERIOD_S)
