--- a/tests/net/upstream/test_answers_without_length.py
+++ b/tests/net/upstream/test_answers_without_length.py
@@ -63,15 +63,15 @@
         else:
             wire.socket.close()
 
-    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+    async with bare(handle) as endpoint, running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy:
         if kept:
-            assert (await p.send_request(http_request(request_id="first")))[2] == b"first"
+            assert (await proxy.send_request(http_request(request_id="first")))[2] == b"first"
             await asyncio.sleep(0.02)  # it has to rest, so that a second answer would show
-        line, _, got = await p.send_request(http_request(request_id="r1"))
+        line, _, got = await proxy.send_request(http_request(request_id="r1"))
         assert line.split()[1] == "200"
         assert got == BODIES[body]
-        assert b.ids.count("r1") == 1
-        assert len(b.wires) == 1
+        assert endpoint.ids.count("r1") == 1
+        assert len(endpoint.wires) == 1
 
 
 @pytest.mark.parametrize("kind", ["read", "write", "mark", "pay"])
@@ -95,14 +95,14 @@
             await wait_until(lambda: len(read) == already + len(said) or wire.closed)
         wire.reset()
 
-    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+    async with bare(handle) as endpoint, running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy:
         if kept:
-            assert (await p.send_request(http_request(request_id="first")))[2] == b"first"
+            assert (await proxy.send_request(http_request(request_id="first")))[2] == b"first"
             await asyncio.sleep(0.02)
-        reader, writer = await p.connect()
+        reader, writer = await proxy.connect()
         writer.write(http_request(kind, request_id="r1"))
         line, _, _ = await read_http_message(reader)
         assert line.split()[1] in ("502", "503")
         if kind == "pay":
             assert line.split()[1] == "502"
-            assert b.ids.count("r1") == 1
+            assert endpoint.ids.count("r1") == 1
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -39,27 +39,27 @@
 ) -> None:
     """HTTP/1.1 ends it there. All of it lies in the system as it is read; a reset after an end comes late."""
 
-    async with bare(says(head + body, *then)) as b:
+    async with bare(says(head + body, *then)) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
         for tries in (1, 2):  # the connection is not kept
-            how, reply = await Out(pool, b.endpoint).end()
+            how, reply = await Out(pool, endpoint.endpoint).end()
             assert how is outcome
             assert reply is not None
             assert reply.body == body
-            assert len(b.wires) == len(b.received) == tries
+            assert len(endpoint.wires) == len(endpoint.received) == tries
         pool.close()
 
 
 async def test_close_delimited_response_is_not_complete_before_the_end_of_the_stream(read: bytearray) -> None:
-    async with bare(says(HEAD + b"all ")) as b:
+    async with bare(says(HEAD + b"all ")) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        out = Out(pool, b.endpoint)
+        out = Out(pool, endpoint.endpoint)
         await wait_until(lambda: len(read) == len(HEAD) + 4)
         assert not out.ends
-        b.wires[0].say(b"of it")
+        endpoint.wires[0].say(b"of it")
         await wait_until(lambda: len(read) == len(HEAD) + 9)
         assert not out.ends
-        b.wires[0].end()
+        endpoint.wires[0].end()
         how, reply = await out.end()
         assert how is Outcome.OK
         assert reply
@@ -75,13 +75,13 @@
     """At each byte and after the last, be it read before the reset comes or with the reset behind it."""
     said = (HEAD + b"whole")[:at]
 
-    async with bare(says(said) if seen_before else says(said, "reset")) as b:
+    async with bare(says(said) if seen_before else says(said, "reset")) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        out = Out(pool, b.endpoint)
+        out = Out(pool, endpoint.endpoint)
         if seen_before:
             await wait_until(lambda: len(read) == len(said))
             assert not out.ends
-            b.wires[0].reset()
+            endpoint.wires[0].reset()
         assert await out.end() == (Outcome.RESET, None)
         pool.close()
 
@@ -95,9 +95,9 @@
         if outcome is Outcome.OK:
             wire.end()
 
-    async with bare(handle) as b:
+    async with bare(handle) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        how, reply = await Out(pool, b.endpoint).end()
+        how, reply = await Out(pool, endpoint.endpoint).end()
         assert how is outcome
         assert reply is None or len(reply.body) == size
         pool.close()
@@ -105,9 +105,9 @@
 
 async def test_close_delimited_response_without_an_end_times_out(read: bytearray) -> None:
     clock = SteppedClock()
-    async with bare(says(HEAD + b"all of it")) as b:
+    async with bare(says(HEAD + b"all of it")) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        out = Out(pool, b.endpoint)
+        out = Out(pool, endpoint.endpoint)
         await wait_until(lambda: read.endswith(b"it"))
         assert not out.ends
         clock.advance(upstream_connection.RESPONSE_COMPLETION_S)
@@ -121,25 +121,25 @@
     interim, good = b"HTTP/1.1 103 x\r\n\r\n", http_response(200, b"ok")
 
     clock = SteppedClock()
-    async with bare(says(interim[:cut])) as b:
+    async with bare(says(interim[:cut])) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        out = Out(pool, b.endpoint)
-        await wait_until(lambda: len(read) == cut and len(b.received) == 1)
-        b.wires[0].say(interim[cut:])
+        out = Out(pool, endpoint.endpoint)
+        await wait_until(lambda: len(read) == cut and len(endpoint.received) == 1)
+        endpoint.wires[0].say(interim[cut:])
         await wait_until(lambda: len(read) == len(interim))
         clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_S)
         for _ in range(20):
             await asyncio.sleep(0)
-        b.wires[0].say(good[:-1])
+        endpoint.wires[0].say(good[:-1])
         await wait_until(lambda: read.endswith(b"o") or bool(out.ends))
         assert not out.ends
         clock.advance(upstream_connection.RESPONSE_COMPLETION_S)  # now its time runs
         assert await out.end() == (Outcome.RESET, None)
-        out = Out(pool, b.endpoint)
-        await wait_until(lambda: len(b.received) == 2)
-        b.wires[1].say(interim[cut:])
+        out = Out(pool, endpoint.endpoint)
+        await wait_until(lambda: len(endpoint.received) == 2)
+        endpoint.wires[1].say(interim[cut:])
         clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_S)
-        b.wires[1].say(good)
+        endpoint.wires[1].say(good)
         assert await out.end() == (Outcome.OK, OK)
         pool.close()
 
@@ -151,11 +151,11 @@
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async with bare(says(b"HTTP/1.1 %d x\r\n%s\r\n" % (status, more))) as b:
+    async with bare(says(b"HTTP/1.1 %d x\r\n%s\r\n" % (status, more))) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
         for _ in range(2):
-            assert (await Out(pool, b.endpoint).end())[0] is Outcome.ERROR
-        assert len(b.wires) == 2 - kept
+            assert (await Out(pool, endpoint.endpoint).end())[0] is Outcome.ERROR
+        assert len(endpoint.wires) == 2 - kept
         pool.close()
 
 
@@ -168,12 +168,12 @@
     async def handle(wire: Wire, got: HttpMessage) -> None:
         await says(HEAD + b"all of it", ends.pop(0))(wire, got)
 
-    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        first, _, body = await p.send_request(http_request(kind))
+    async with bare(handle) as endpoint, running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy:
+        first, _, body = await proxy.send_request(http_request(kind))
         if kind == "pay":
             assert first.split()[1] == "502"
-            assert len(b.received) == 1
-            first, _, body = await p.send_request(http_request(kind, request_id="a2"))
+            assert len(endpoint.received) == 1
+            first, _, body = await proxy.send_request(http_request(kind, request_id="a2"))
         assert first.split()[1] == "200"
         assert body == b"all of it"
-        assert len(b.received) == 2
+        assert len(endpoint.received) == 2
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -29,9 +29,9 @@
 async def test_attempt_without_a_connection_fails_over_in_time(heard: bool, ends: Outcome) -> None:
     """As not sent where the backend is known to be there, as one that can't be reached otherwise."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls, connects = Calls(pool, endpoint), Connects(pool, MOSTLY_QUICK)
         if heard:
             pool.record_activity(calls.endpoint)
         calls.begin("a", failover_within_s=LIMIT_S / 2)
@@ -45,14 +45,14 @@
         calls.begin("b")  # what comes up late is there for another
         connects.let(0)
         await calls.until(a=ends, b=Outcome.OK)
-        assert ids(b) == ["b"]
+        assert ids(endpoint) == ["b"]
         pool.close()
 
 
 async def test_attempt_without_another_endpoint_waits_for_its_connections() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls, connects = Calls(pool, endpoint), Connects(pool, MOSTLY_QUICK)
         calls.begin("a", failover_within_s=500.0)
         await connects.step(600.0)
         for _ in range(20):
@@ -66,22 +66,22 @@
 
 async def test_request_fails_over_to_another_endpoint_when_connects_stall() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as a,
-        StandInEndpoint(http_response(200, b"x")) as b,
+        StandInEndpoint(http_response(200, b"x")) as first_endpoint,
+        StandInEndpoint(http_response(200, b"x")) as second_endpoint,
         running_proxy(
-            endpoint_entry("s-1", a.port),
-            endpoint_entry("s-2", b.port),
+            endpoint_entry("s-1", first_endpoint.port),
+            endpoint_entry("s-2", second_endpoint.port),
             settings=settings(
                 classes=(messages.RequestClass("read", 5_000 * S, 9_000 * S, messages.Idempotency.SAFE),),
                 limits=messages.Limits(max_attempts=2, cancel=True),
             ),
-        ) as p,
+        ) as proxy,
     ):
-        connects = Connects(p.pool, MOSTLY_QUICK)
-        p.pool._pacing.connect_timeout_s = LIMIT_S
-        for endpoint in list(p.pool._idle.reuse_from):
-            p.pool.record_activity(endpoint)
-        asked = asyncio.ensure_future(p.send_request(http_request(Req_Deadline="9000")))
+        connects = Connects(proxy.pool, MOSTLY_QUICK)
+        proxy.pool._pacing.connect_timeout_s = LIMIT_S
+        for endpoint in list(proxy.pool._idle.reuse_from):
+            proxy.pool.record_activity(endpoint)
+        asked = asyncio.ensure_future(proxy.send_request(http_request(Req_Deadline="9000")))
         await connects.begun(1)
         for count in (2, 3, 4):
             await connects.step(11.0)
@@ -89,7 +89,7 @@
         connects.let(3)  # the first to the other backend
         first, _, body = await asked
         assert (first.split()[1], body) == ("200", b"x")
-        assert a.connection_count + b.connection_count == 1
+        assert first_endpoint.connection_count + second_endpoint.connection_count == 1
 
 
 def test_negative_handshake_price_is_rejected() -> None:
--- a/tests/net/upstream/test_connect_latency.py
+++ b/tests/net/upstream/test_connect_latency.py
@@ -50,7 +50,7 @@
 
     monkeypatch.setattr("load_balancer.net.upstream.connect_latency.bisect_right", counted)
     times, most = ConnectLatency(), 80
-    for n in range(WINDOW_SIZE):
-        times.add(0.005 if n % 3 else 0.1 + n / 100)
-    times.expected_saving_s([n / 7000 for n in range(most)], 1.5)
+    for number in range(WINDOW_SIZE):
+        times.add(0.005 if number % 3 else 0.1 + number / 100)
+    times.expected_saving_s([number / 7000 for number in range(most)], 1.5)
     assert 0 < searched <= 2 * most
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -21,9 +21,9 @@
 
 
 async def test_extra_connection_is_opened_for_a_late_one_and_the_first_established_is_used() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls, connects = Calls(pool, endpoint), Connects(pool, MOSTLY_QUICK)
         calls.begin("a")
         await connects.step(9.0)
         assert len(connects.gates) == 1
@@ -31,23 +31,23 @@
         await connects.begun(2)
         connects.let(1)
         await calls.until(a=Outcome.OK)
-        assert b.connection_count == 1
-        assert ids(b) == ["a"]
+        assert endpoint.connection_count == 1
+        assert ids(endpoint) == ["a"]
         await connects.step(1000.0)
         calls.begin("b")  # the one that was used is idle again
         await calls.until(a=Outcome.OK, b=Outcome.OK)
-        assert b.connection_count == 1
+        assert endpoint.connection_count == 1
         assert len(connects.gates) == 2
         connects.let(0)
-        await wait_until(lambda: b.connection_count == 2 and not pool._pending)
+        await wait_until(lambda: endpoint.connection_count == 2 and not pool._pending)
         assert len(pool._idle.by_endpoint[calls.endpoint]) == 1  # the other one is not needed
         pool.close()
 
 
 async def test_surplus_connection_is_reused_by_the_next_attempt() -> None:
-    async with StandInEndpoint(None, http_response(200)) as b:  # the first that is used breaks
+    async with StandInEndpoint(None, http_response(200)) as endpoint:  # the first that is used breaks
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls, connects = Calls(pool, endpoint), Connects(pool, MOSTLY_QUICK)
         calls.begin("a")
         await connects.step(11.0)
         await connects.begun(2)
@@ -58,7 +58,7 @@
         await connects.step(idle_connections.SETTLE_S)
         calls.begin("b")
         await calls.until(a=Outcome.RESET, b=Outcome.OK)
-        assert b.connection_count == 2
+        assert endpoint.connection_count == 2
         assert len(connects.gates) == 2
         pool.close()
 
@@ -66,9 +66,9 @@
 async def test_surplus_connections_are_closed() -> None:
     """Backends hold only so many."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls, connects = Calls(pool, endpoint), Connects(pool, MOSTLY_QUICK)
         calls.begin("a")
         for count in (2, 3):
             await connects.step(11.0)
@@ -76,7 +76,7 @@
         connects.let(2)
         await calls.until(a=Outcome.OK)
         connects.let(0, 1)
-        await wait_until(lambda: b.connection_count == 3 and not pool._pending)
+        await wait_until(lambda: endpoint.connection_count == 3 and not pool._pending)
         await wait_until(lambda: len(pool._open) == 1)
         pool.close()
 
@@ -87,9 +87,9 @@
 async def test_no_extra_connection_is_opened_when_it_saves_too_little(
     usual: list[float], price: float
 ) -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10, price)
-        calls, connects = Calls(pool, b), Connects(pool, usual)
+        calls, connects = Calls(pool, endpoint), Connects(pool, usual)
         calls.begin("a", failover_within_s=LIMIT_S / 2)
         for _ in range(20):
             await connects.step(45.0)
@@ -101,9 +101,9 @@
 
 
 async def test_waiting_attempt_takes_a_connection_that_falls_idle() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, SLOW)
+        calls, connects = Calls(pool, endpoint), Connects(pool, SLOW)
         calls.begin("a")
         calls.begin("once", ONCE)
         calls.begin("b")
@@ -113,18 +113,18 @@
         assert set(calls.ended) == {"a"}  # it rests first: more than its answer may be under way
         await connects.step(idle_connections.SETTLE_S)
         await calls.until(a=Outcome.OK, b=Outcome.OK)
-        assert b.connection_count == 1
-        assert ids(b) == ["a", "b"]
+        assert endpoint.connection_count == 1
+        assert ids(endpoint) == ["a", "b"]
         connects.let(1)  # what must not run twice waits for one of its own
         await calls.until(a=Outcome.OK, b=Outcome.OK, once=Outcome.OK)
-        assert b.connection_count == 2
+        assert endpoint.connection_count == 2
         pool.close()
 
 
 async def test_waiting_attempt_takes_a_connection_that_has_settled() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, SLOW)
+        calls, connects = Calls(pool, endpoint), Connects(pool, SLOW)
         calls.begin("a")
         await connects.begun(1)
         connects.let(0)
@@ -133,14 +133,14 @@
         await connects.begun(2)
         await connects.step(idle_connections.SETTLE_S)
         await calls.until(a=Outcome.OK, b=Outcome.OK)
-        assert b.connection_count == 1
+        assert endpoint.connection_count == 1
         pool.close()
 
 
 async def test_longest_waiting_attempt_takes_the_first_connection_established() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, SLOW)
+        calls, connects = Calls(pool, endpoint), Connects(pool, SLOW)
         calls.begin("a", ONCE)
         calls.begin("b", ONCE)
         await connects.begun(2)
@@ -148,7 +148,7 @@
         await calls.until(a=Outcome.OK)
         connects.let(0)
         await calls.until(a=Outcome.OK, b=Outcome.OK)
-        assert ids(b) == ["a", "b"]
+        assert ids(endpoint) == ["a", "b"]
         pool.close()
 
 
@@ -157,9 +157,9 @@
 ) -> None:
     """A refusal ends that connection alone, and no more are opened where one was refused."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as stand_in:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls, connects = Calls(pool, stand_in), Connects(pool, MOSTLY_QUICK)
         made, number = pool.connect, iter(range(9))
 
         async def refused_second(endpoint: EndpointAddress) -> UpstreamConnection:
@@ -203,9 +203,9 @@
 ) -> None:
     """Also where both stand, and the tasks that waited for them have been woken and have not run yet."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls, connects = Calls(pool, endpoint), Connects(pool, MOSTLY_QUICK)
         out = calls.begin("a")
         await connects.step(11.0)
         await connects.begun(2)
@@ -240,16 +240,16 @@
         assert calls.ended == ({} if ends is None else {"a": ends})
         assert not pool._pending
         assert not pool._idle.by_endpoint
-        assert not b.received
+        assert not endpoint.received
         assert not pool._waiting or how == "end"
         out.cancel_if_unsent()
         pool.close()
 
 
 async def test_cancelled_attempt_leaves_the_connection_to_another_waiting_attempt() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls, connects = Calls(pool, endpoint), Connects(pool, MOSTLY_QUICK)
         calls.begin("a")
         calls.begin("b").cancel_if_unsent()
         await connects.begun(1)
@@ -260,9 +260,9 @@
 
 
 async def test_no_extra_connection_is_opened_at_the_connection_limit() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 1)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls, connects = Calls(pool, endpoint), Connects(pool, MOSTLY_QUICK)
         calls.begin("a")
         for _ in range(5):
             await connects.step(50.0)
@@ -276,9 +276,9 @@
 async def test_attempt_waits_no_longer_than_the_connect_timeout_for_any_connection() -> None:
     """The module counts on it for repeats within a window; what is coming goes on for others."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        calls, connects = Calls(pool, endpoint), Connects(pool, MOSTLY_QUICK)
         calls.begin("a", timeout_s=5 * LIMIT_S)
         await connects.step(59000.0)
         await connects.begun(2)
@@ -287,16 +287,16 @@
         calls.begin("b")
         connects.let(1)
         await calls.until(a=Outcome.NO_CONNECTION, b=Outcome.OK)
-        assert ids(b) == ["b"]
+        assert ids(endpoint) == ["b"]
         pool.close()
 
 
 async def test_connection_goes_to_the_next_attempt_when_the_first_missed_its_deadline_in_a_stall() -> None:
     """The process stood still past the time of one, so that its timer has not fired yet."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, SLOW)
+        calls, connects = Calls(pool, endpoint), Connects(pool, SLOW)
         calls.begin("a", timeout_s=5 * LIMIT_S)
         await connects.step(30000.0)
         calls.begin("b", timeout_s=5 * LIMIT_S)
@@ -308,5 +308,5 @@
         pool._on_connected(pending, connection)
         assert calls.ended == {"a": Outcome.NO_CONNECTION}
         await calls.until(a=Outcome.NO_CONNECTION, b=Outcome.OK)
-        assert ids(b) == ["b"]
+        assert ids(endpoint) == ["b"]
         pool.close()
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -68,7 +68,7 @@
         self.pool = ConnectionPool(0.25, 3.0, chance.choice([3, 8, 30]))
         for _ in range(chance.choice([0, 32])):
             self.pool._pacing.latency.add(0.001 if chance.random() < 0.6 else chance.random())
-        self.endpoints = [EndpointAddress(n, ("127.0.0.1", port)) for n, port in enumerate(ports)]
+        self.endpoints = [EndpointAddress(index, ("127.0.0.1", port)) for index, port in enumerate(ports)]
         self.up = set(self.endpoints)
         for endpoint in self.endpoints:
             self.pool.enable_endpoint(endpoint)
@@ -124,7 +124,7 @@
             self.depth -= 1
 
         attempt = self.pool.start_attempt(
-            self.chance.choice(sorted(self.up, key=lambda e: e.number)),
+            self.chance.choice(sorted(self.up, key=lambda address: address.number)),
             self.chance.choice([SAFE, SAFE, ONCE]),
             self.chance.choice([0.05, 0.4, 2.0]),
             done,
@@ -170,8 +170,8 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     loop, chance = asyncio.get_running_loop(), random.Random(seed)
-    async with fickle(chance) as a, fickle(chance) as b:
-        play = Play(chance, [a.port, b.port])
+    async with fickle(chance) as first_endpoint, fickle(chance) as second_endpoint:
+        play = Play(chance, [first_endpoint.port, second_endpoint.port])
         pool, send = play.pool, UpstreamConnection.send
 
         def checked(
@@ -199,8 +199,10 @@
         assert not pool._idle.by_endpoint
         assert not pool._open
         ours = (UpstreamAttempt, UpstreamConnection, ConnectionPool)
-        timers = [h for h in loop._scheduled if not h.cancelled()]  # type: ignore[attr-defined]
-        assert not [h for h in timers if isinstance(getattr(h._callback, "__self__", None), ours)]
+        timers = [handle for handle in loop._scheduled if not handle.cancelled()]  # type: ignore[attr-defined]
+        assert not [
+            handle for handle in timers if isinstance(getattr(handle._callback, "__self__", None), ours)
+        ]
         for endpoint in play.endpoints:
             pool.disable_endpoint(endpoint)
         assert not pool._idle.reuse_from
@@ -214,7 +216,7 @@
     """It may wait for hundreds of times of what is usual, and each look takes the event loop's time."""
     looks = 0
 
-    async with fickle(random.Random(0)) as b:
+    async with fickle(random.Random(0)) as stand_in:
         pool, clock = ConnectionPool(1.0, 30.0, 10), SteppedClock()
         for _ in range(32):
             pool._pacing.latency.add(0.0001)
@@ -234,7 +236,7 @@
         pool.extra_connection_pays = counted  # type: ignore[method-assign]
         ended: list[Outcome] = []
         pool.start_attempt(
-            EndpointAddress(1, ("127.0.0.1", b.port)), SAFE, 30.0, lambda how, _: ended.append(how)
+            EndpointAddress(1, ("127.0.0.1", stand_in.port)), SAFE, 30.0, lambda how, _: ended.append(how)
         )
         while not ended:
             clock.advance(0.001)
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -27,14 +27,14 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(wire: Wire, got: HttpMessage) -> None:
-        wire.say(http_response(200, b"%d" % len(b.received)))
+        wire.say(http_response(200, b"%d" % len(endpoint.received)))
 
-    async with bare(handle) as b:
+    async with bare(handle) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        assert (await Out(pool, b.endpoint).end())[1] == UpstreamResponse(
+        assert (await Out(pool, endpoint.endpoint).end())[1] == UpstreamResponse(
             200, [(b"content-length", b"1")], b"1"
         )
-        [wire] = b.wires
+        [wire] = endpoint.wires
         if "answer" in what:
             wire.say(http_response(200, b"1"))
         if "end" in what:
@@ -43,11 +43,11 @@
             wire.reset()
         if not unread:
             await wait_until(lambda: not pool._open)
-        how, reply = await Out(pool, b.endpoint).end()
+        how, reply = await Out(pool, endpoint.endpoint).end()
         assert how is Outcome.OK
         assert reply
         assert reply.body == b"2"
-        assert len(b.wires) == len(b.received) == 2
+        assert len(endpoint.wires) == len(endpoint.received) == 2
         pool.close()
 
 
@@ -60,14 +60,14 @@
     looks: list[bool] = []
     look = socket_state.has_unread_bytes
 
-    async with bare(says(http_response(200, b"first"))) as b:
+    async with bare(says(http_response(200, b"first"))) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        assert (await Out(pool, b.endpoint).end())[0] is Outcome.OK
+        assert (await Out(pool, endpoint.endpoint).end())[0] is Outcome.OK
 
         def crossed(transport: asyncio.BaseTransport, unknown: bool = True) -> bool:
             looks.append(look(transport, unknown))
             if len(looks) == 1:
-                [wire] = b.wires
+                [wire] = endpoint.wires
                 {
                     "answer": lambda: wire.say(http_response(200, b"late")),
                     "end": wire.end,
@@ -76,9 +76,9 @@
             return looks[-1]
 
         monkeypatch.setattr(socket_state, "has_unread_bytes", crossed)
-        assert await Out(pool, b.endpoint).end() == (Outcome.NOT_SENT, None)
+        assert await Out(pool, endpoint.endpoint).end() == (Outcome.NOT_SENT, None)
         assert looks == [False, True]
-        assert len(b.received) == 1
+        assert len(endpoint.received) == 1
         assert not pool._idle.by_endpoint
         pool.close()
 
@@ -90,25 +90,25 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", 20.0)
 
     async def handle(wire: Wire, got: HttpMessage) -> None:
-        wire.say(http_response(200, b"%d" % len(b.received)))
+        wire.say(http_response(200, b"%d" % len(endpoint.received)))
 
-    async with bare(handle) as b:
+    async with bare(handle) as endpoint:
         pool, clock = ConnectionPool(0.25, 3000.0, 10), SteppedClock()
-        for n in (b"1", b"2", b"3"):
-            how, reply = await Out(pool, b.endpoint).end()
+        for number in (b"1", b"2", b"3"):
+            how, reply = await Out(pool, endpoint.endpoint).end()
             assert how is Outcome.OK
             assert reply
-            assert reply.body == n
-        assert len(b.wires) == 3
-        for wire in b.wires[:2]:
+            assert reply.body == number
+        assert len(endpoint.wires) == 3
+        for wire in endpoint.wires[:2]:
             wire.say(http_response(200, b"late"))
         clock.advance(20.0)
-        for n in (b"4", b"5"):  # the third one has rested and said nothing more
-            how, reply = await Out(pool, b.endpoint).end()
+        for number in (b"4", b"5"):  # the third one has rested and said nothing more
+            how, reply = await Out(pool, endpoint.endpoint).end()
             assert how is Outcome.OK
             assert reply
-            assert reply.body == n
-        assert len(b.wires) == 4
+            assert reply.body == number
+        assert len(endpoint.wires) == 4
         pool.close()
 
 
@@ -128,9 +128,9 @@
             wire.say(http_response(200, got[1]["req-id"].encode()))
 
     wires: list[Wire] = []
-    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        assert (await p.send_request(http_request(request_id="first")))[2] == b"first"
-        line, _, body = await p.send_request(http_request(kind, request_id="r1"))
+    async with bare(handle) as endpoint, running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy:
+        assert (await proxy.send_request(http_request(request_id="first")))[2] == b"first"
+        line, _, body = await proxy.send_request(http_request(kind, request_id="r1"))
         assert line.split()[1] == "200"
         assert body == b"r1"
-        assert b.ids == (["first", "r1"] if kind == "pay" else ["first", "r1", "r1"])
+        assert endpoint.ids == (["first", "r1"] if kind == "pay" else ["first", "r1", "r1"])
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -21,15 +21,15 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        b.received.append(await read_http_message(reader))
+        endpoint.received.append(await read_http_message(reader))
         writer.write(http_response(200, b"ok"))
-        b.received.append(await read_http_message(reader))  # and then it ends, with nothing said
+        endpoint.received.append(await read_http_message(reader))  # and then it ends, with nothing said
 
-    async with StandInServer(handle) as b:
-        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
+    async with StandInServer(handle) as endpoint:
+        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", endpoint.port)
         got = [(await attempt(pool, address))[0] for _ in range(4)]
         assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
-        assert b.connection_count == 3
+        assert endpoint.connection_count == 3
         assert not pool._idle.by_endpoint
         pool._idle.reuse_from[EndpointAddress(1, address)] -= (
             idle_connections.NO_REUSE_S
@@ -46,16 +46,16 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        b.received.append(await read_http_message(reader))
+        endpoint.received.append(await read_http_message(reader))
         writer.write(http_response(200, b"ok"))
         await read_http_message(reader)  # and then it ends, with nothing said
 
-    async with StandInServer(handle) as b:
-        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
+    async with StandInServer(handle) as endpoint:
+        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", endpoint.port)
         for _ in range(4):
             assert (await attempt(pool, address, ONCE))[0] is Outcome.OK
             assert len(pool._idle.by_endpoint[EndpointAddress(1, address)]) == 1
-        assert b.connection_count == 4
+        assert endpoint.connection_count == 4
         assert (await attempt(pool, address))[0] is Outcome.RESET  # the same on a kept one
         pool.close()
 
@@ -70,21 +70,21 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     good = http_response(200, b"ok")
-    async with StandInEndpoint(good, said, good) as b:
-        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
+    async with StandInEndpoint(good, said, good) as endpoint:
+        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", endpoint.port)
         got = [(await attempt(pool, address))[0] for _ in range(4)]
         assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
-        assert b.connection_count == 2
+        assert endpoint.connection_count == 2
         assert pool._idle.by_endpoint
         pool.close()
 
 
 async def test_new_endpoint_at_an_old_address_does_not_reuse_old_connections() -> None:
-    async with StandInEndpoint(http_response(200, b"ok")) as b:
-        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
+    async with StandInEndpoint(http_response(200, b"ok")) as endpoint:
+        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", endpoint.port)
         assert (await attempt(pool, address, number=1))[0] is Outcome.OK
         assert (await attempt(pool, address, number=2))[0] is Outcome.OK
-        assert b.connection_count == 2
+        assert endpoint.connection_count == 2
         pool.disable_endpoint(EndpointAddress(1, address))  # the old one's end leaves the new one's alone
         assert not pool._idle.by_endpoint.get(EndpointAddress(1, address))
         assert len(pool._idle.by_endpoint[EndpointAddress(2, address)]) == 1
@@ -95,15 +95,15 @@
     go_on = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        b.received.append(await read_http_message(reader))
+        endpoint.received.append(await read_http_message(reader))
         await go_on.wait()
         writer.write(http_response(200, b"ok"))
         await reader.read()
 
-    async with StandInServer(handle) as b:
-        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
+    async with StandInServer(handle) as endpoint:
+        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", endpoint.port)
         out = asyncio.ensure_future(attempt(pool, address))
-        while not b.received:
+        while not endpoint.received:
             await asyncio.sleep(0)
         pool.disable_endpoint(EndpointAddress(1, address))
         go_on.set()
@@ -117,22 +117,22 @@
     ended = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        b.received.append(await read_http_message(reader))
+        endpoint.received.append(await read_http_message(reader))
         writer.write(http_response(200, b"ok"))
-        if b.connection_count == 1:
+        if endpoint.connection_count == 1:
             writer.close()
             ended.set()
         else:
             await reader.read()
 
-    async with StandInServer(handle) as b:
+    async with StandInServer(handle) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        address = ("127.0.0.1", b.port)
+        address = ("127.0.0.1", endpoint.port)
         assert (await attempt(pool, address))[0] is Outcome.OK
         await ended.wait()
         assert (await attempt(pool, address))[0] is Outcome.OK
-        assert b.connection_count == 2
-        assert len(b.received) == 2
+        assert endpoint.connection_count == 2
+        assert len(endpoint.received) == 2
         pool.close()
 
 
@@ -144,8 +144,8 @@
         closed.set()
 
     closed = asyncio.Event()
-    async with StandInServer(handle) as b:
-        pool, address = ConnectionPool(0.25, 0.5, 10), ("127.0.0.1", b.port)
+    async with StandInServer(handle) as endpoint:
+        pool, address = ConnectionPool(0.25, 0.5, 10), ("127.0.0.1", endpoint.port)
         assert (await attempt(pool, address))[0] is Outcome.OK
         timer = pool._idle.by_endpoint[EndpointAddress(1, address)][0].idle_timer
         assert timer
@@ -155,14 +155,14 @@
 
 async def test_full_pool_closes_its_longest_idle_connection_or_sends_nothing() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"ok")) as a,
-        StandInEndpoint(http_response(200, b"ok")) as b,
+        StandInEndpoint(http_response(200, b"ok")) as first_endpoint,
+        StandInEndpoint(http_response(200, b"ok")) as second_endpoint,
     ):
         pool = ConnectionPool(0.25, 30.0, 1)
-        assert (await attempt(pool, ("127.0.0.1", a.port)))[0] is Outcome.OK
-        assert (await attempt(pool, ("127.0.0.1", b.port)))[0] is Outcome.OK
-        assert not pool._idle.by_endpoint.get(EndpointAddress(1, ("127.0.0.1", a.port)))
+        assert (await attempt(pool, ("127.0.0.1", first_endpoint.port)))[0] is Outcome.OK
+        assert (await attempt(pool, ("127.0.0.1", second_endpoint.port)))[0] is Outcome.OK
+        assert not pool._idle.by_endpoint.get(EndpointAddress(1, ("127.0.0.1", first_endpoint.port)))
         pool._max_connections = 0
-        pool.disable_endpoint(EndpointAddress(1, ("127.0.0.1", b.port)))
-        assert (await attempt(pool, ("127.0.0.1", b.port)))[0] is Outcome.NOT_SENT
+        pool.disable_endpoint(EndpointAddress(1, ("127.0.0.1", second_endpoint.port)))
+        assert (await attempt(pool, ("127.0.0.1", second_endpoint.port)))[0] is Outcome.NOT_SENT
         pool.close()
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -30,18 +30,18 @@
     async def handle(wire: Wire, got: HttpMessage) -> None:
         await says(*said.pop(0))(wire, got)
 
-    async with bare(handle) as b:
+    async with bare(handle) as endpoint:
         for at in range(len(whole) + 1):
             said[:] = [*[(http_response(200, b"first"),)] * kept, (whole[:at], how)]
-            pool, before = ConnectionPool(0.25, 30.0, 10), len(b.wires)
+            pool, before = ConnectionPool(0.25, 30.0, 10), len(endpoint.wires)
             for _ in range(kept):
-                assert (await Out(pool, b.endpoint).end())[0] is Outcome.OK
-            got = await Out(pool, b.endpoint).end()
+                assert (await Out(pool, endpoint.endpoint).end())[0] is Outcome.OK
+            got = await Out(pool, endpoint.endpoint).end()
             if at < len(whole):
                 assert got == (Outcome.RESET, None), at
             else:
                 assert got[0] is Outcome.OK
-            assert len(b.wires) == before + 1
+            assert len(endpoint.wires) == before + 1
             pool.close()
 
 
@@ -53,14 +53,16 @@
         await says(*(met.pop() if met else (http_response(200, b"served"),)))(wire, got)
 
     async with (
-        bare(handle) as a,
-        bare(handle) as b,
-        running_proxy(endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port)) as p,
+        bare(handle) as first_endpoint,
+        bare(handle) as second_endpoint,
+        running_proxy(
+            endpoint_entry("s-1", first_endpoint.port), endpoint_entry("s-2", second_endpoint.port)
+        ) as proxy,
     ):
-        line, _, body = await p.send_request(http_request(kind, request_id="r1"))
+        line, _, body = await proxy.send_request(http_request(kind, request_id="r1"))
         status = int(line.split()[1])
         assert (status == 200) is (body == b"served")
-        return status, a.ids + b.ids
+        return status, first_endpoint.ids + second_endpoint.ids
 
 
 def may_have_run(kind: str) -> tuple[int, list[str]]:
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -24,9 +24,9 @@
 ) -> None:
     """Unless the backend refuses, where one more would say nothing new."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as stand_in:
         pool = ConnectionPool(600.0, 300.0, 10)
-        calls, connects = Calls(pool, b), Connects(pool, [])
+        calls, connects = Calls(pool, stand_in), Connects(pool, [])
         gates, number = pool.connect, iter(range(99))
 
         async def first_fail(endpoint: EndpointAddress) -> UpstreamConnection:
@@ -38,7 +38,7 @@
             return connection
 
         monkeypatch.setattr(pool, "connect", first_fail)
-        before = [calls.begin(f"x{n}") for n in range(OTHERS)]
+        before = [calls.begin(f"x{index}") for index in range(OTHERS)]
         await connects.begun(OTHERS)
         for attempt in before:  # they move on, and what is coming goes on for others to use
             attempt.finish(Outcome.NOT_SENT, keep_connecting=True)
@@ -55,5 +55,5 @@
             connects.let(OTHERS)
             await wait_until(lambda: "late" in calls.ended)
             assert calls.ended["late"] is Outcome.OK
-            assert ids(b) == ["late"]
+            assert ids(stand_in) == ["late"]
         pool.close()
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -47,15 +47,15 @@
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
-        bare(says(http_response(200, b"x"))) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+        bare(says(http_response(200, b"x"))) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port), settings=settings(limits=limits)) as proxy,
     ):
-        b.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        endpoint.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         if kept:
-            assert (await p.send_request(http_request("mark", request_id="first")))[2] == b"x"
-        b.reads.clear()
-        clock = stepped(p)
-        reader, writer = await p.connect()
+            assert (await proxy.send_request(http_request("mark", request_id="first")))[2] == b"x"
+        endpoint.reads.clear()
+        clock = stepped(proxy)
+        reader, writer = await proxy.connect()
         writer.write(http_request("mark" if kept else "pay", request_id="big", body=b"x" * 65_536))
         await wait_until(lambda: bool(transports) and transports[-1].get_write_buffer_size() > 0)
         if how == "gone":
@@ -63,15 +63,15 @@
         elif how == "deadline":
             clock.advance(4.0)
         else:
-            p.driver.give_up()
+            proxy.driver.give_up()
         if how != "gone":  # at the end of the proxy the module counts what is out as what may have run
             told = "502" if how == "end" and not kept else "503"
             assert (await read_http_message(reader))[0].split()[1] == told
-        await wait_until(lambda: p.driver.idle)
-        b.reads.set()
-        await wait_until(lambda: bool(b.wires) and b.wires[-1].ended)
-        assert len(b.wires) == 1
-        assert b.ids == ["first"] * kept
+        await wait_until(lambda: proxy.driver.idle)
+        endpoint.reads.set()
+        await wait_until(lambda: bool(endpoint.wires) and endpoint.wires[-1].ended)
+        assert len(endpoint.wires) == 1
+        assert endpoint.ids == ["first"] * kept
         writer.close()
 
 
@@ -84,17 +84,17 @@
             wire.say(b"not http\r\n\r\n")
 
     def done(outcome: Outcome, reply: UpstreamResponse | None) -> None:
-        [wire] = b.wires
+        [wire] = endpoint.wires
         try:
             ended.append(wire.socket.recv(1, socket.MSG_PEEK) == b"")
         except BlockingIOError:
             ended.append(False)
 
     ended: list[bool] = []
-    async with bare(handle) as b:
+    async with bare(handle) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        out = pool.start_attempt(b.endpoint, REQUEST, 60.0, done)
-        await wait_until(lambda: bool(b.received))
+        out = pool.start_attempt(endpoint.endpoint, REQUEST, 60.0, done)
+        await wait_until(lambda: bool(endpoint.received))
         if how == "cancel":
             out.cancel()
         elif how == "time out":
@@ -160,19 +160,19 @@
         if got[0].split()[1] == "/next":
             wire.say(http_response(200, b"next"))
 
-    async with bare(handle) as b:
+    async with bare(handle) as endpoint:
         orders = [order for order in permutations(EVENTS, 4) if order[0] == first]
         for number, order in enumerate(orders):
-            pool, seen = ConnectionPool(0.25, 30.0, 10), len(b.received)
-            out = Out(pool, b.endpoint)
-            await wait_until(lambda seen=seen: len(b.received) > seen)  # type: ignore[misc]
-            wire, transport = b.wires[-1], transports[-1]
+            pool, seen = ConnectionPool(0.25, 30.0, 10), len(endpoint.received)
+            out = Out(pool, endpoint.endpoint)
+            await wait_until(lambda seen=seen: len(endpoint.received) > seen)  # type: ignore[misc]
+            wire, transport = endpoint.wires[-1], transports[-1]
             for event in order:
                 cross(event, pool, out, wire, transport)
             how, reply = await out.end()
             assert how is expected_end(order), order
             assert reply == (OK if how is Outcome.OK else None)
-            got = await Out(pool, b.endpoint, replace(REQUEST, target=b"/next")).end()
+            got = await Out(pool, endpoint.endpoint, replace(REQUEST, target=b"/next")).end()
             assert got[1], (number, order)
             assert got[1].body == b"next", (number, order)
             assert len(out.ends) == 1
@@ -207,16 +207,16 @@
         "drain": Outcome.NOT_SENT,
     }
 
-    async with bare(says(http_response(200, b"ok"))) as b:
+    async with bare(says(http_response(200, b"ok"))) as endpoint:
         for first, second in permutations(outcomes, 2):
             for request in (REQUEST, ONCE):
                 pool = ConnectionPool(0.25, 30.0, 10)
-                out = Out(pool, b.endpoint, replace(request, target=b"/crossed"))
+                out = Out(pool, endpoint.endpoint, replace(request, target=b"/crossed"))
                 ends: dict[str, Callable[[], None]] = {
                     "time out": out.attempt._time_out,
                     "cancel": out.attempt.cancel,
                     "cancel if unsent": out.attempt.cancel_if_unsent,
-                    "drain": partial(pool.disable_endpoint, b.endpoint),
+                    "drain": partial(pool.disable_endpoint, endpoint.endpoint),
                 }
 
                 cross = partial(both, ends[first], ends[second])
@@ -227,7 +227,7 @@
                     crossing.append(cross)
                 assert await out.end() == (outcomes[first], None), (first, second)
                 for _ in range(3):  # what would come of it comes before the end of these
-                    assert (await Out(pool, b.endpoint, request).end())[0] is Outcome.OK
+                    assert (await Out(pool, endpoint.endpoint, request).end())[0] is Outcome.OK
                 assert len(out.ends) == 1
                 pool.close()
-        assert not [first for first, _, _ in b.received if "crossed" in first]
+        assert not [first for first, _, _ in endpoint.received if "crossed" in first]
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -47,15 +47,15 @@
 
     handle = says(http_response(200, b"served"))
     async with (
-        bare(handle, accepts=False) as a,
+        bare(handle, accepts=False) as first_endpoint,
         bare(handle, accepts=False) as b,
-        running_proxy(endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port)) as p,
+        running_proxy(endpoint_entry("s-1", first_endpoint.port), endpoint_entry("s-2", b.port)) as proxy,
     ):
-        backends[:] = [a, b]
-        line, _, body = await p.send_request(http_request(kind, request_id="r1"))
+        backends[:] = [first_endpoint, b]
+        line, _, body = await proxy.send_request(http_request(kind, request_id="r1"))
         assert line.split()[1] == "200"
         assert body == b"served"
-        assert a.ids + b.ids == ["r1"]
+        assert first_endpoint.ids + b.ids == ["r1"]
         if not taken[0].closed:
             assert taken[0].socket.recv(1) == b""  # nothing was written
             taken[0].socket.close()
@@ -67,9 +67,9 @@
     how: str, request_: UpstreamRequest
 ) -> None:
     clock = SteppedClock()
-    async with bare(says(http_response(200, b"ok"))) as b:
+    async with bare(says(http_response(200, b"ok"))) as endpoint:
         pool, held = ConnectionPool(0.25, 30.0, 10), Held()
-        out = Out(pool, b.endpoint, request_, timeout_s=0.2 if how == "time out" else 60.0)
+        out = Out(pool, endpoint.endpoint, request_, timeout_s=0.2 if how == "time out" else 60.0)
         await wait_until(lambda: held.waiting == 1)
         match how:
             case "cancel":
@@ -77,7 +77,7 @@
             case "cancel if unsent":
                 out.attempt.cancel_if_unsent()
             case "drain":
-                pool.disable_endpoint(b.endpoint)
+                pool.disable_endpoint(endpoint.endpoint)
             case "time out":
                 clock.advance(0.21)
             case _:
@@ -85,9 +85,9 @@
         got = (await out.end())[0]
         assert got.never_ran or (how, got) == ("cancel", Outcome.CANCELLED)
         held.opened.set()
-        for n in range(3):  # what would come of the first one comes before the end of these
-            other = replace(request_, target=b"/%d" % n)
-            assert await Out(pool, b.endpoint, other).end() == (Outcome.OK, OK)
-        assert [first.split()[1] for first, _, _ in b.received] == ["/0", "/1", "/2"]
+        for number in range(3):  # what would come of the first one comes before the end of these
+            other = replace(request_, target=b"/%d" % number)
+            assert await Out(pool, endpoint.endpoint, other).end() == (Outcome.OK, OK)
+        assert [first.split()[1] for first, _, _ in endpoint.received] == ["/0", "/1", "/2"]
         assert len(out.ends) == 1
         pool.close()
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -46,8 +46,8 @@
         await reader.readexactly(10)
         writer.transport.abort()
 
-    async with StandInServer(handle) as b:
-        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big)
+    async with StandInServer(handle) as endpoint:
+        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", endpoint.port), big)
         assert got is Outcome.NO_CONNECTION
 
 
@@ -58,8 +58,10 @@
         await never.wait()
 
     never = asyncio.Event()
-    async with StandInServer(handle) as b:
-        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big, timeout_s=0.2)
+    async with StandInServer(handle) as endpoint:
+        got, _ = await attempt(
+            ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", endpoint.port), big, timeout_s=0.2
+        )
         assert got is Outcome.NO_CONNECTION
         never.set()
 
@@ -77,9 +79,9 @@
 
     begun, go_on = asyncio.Event(), asyncio.Event()
     ended: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-    async with StandInServer(handle) as b:
+    async with StandInServer(handle) as endpoint:
         out = ConnectionPool(0.25, 30.0, 10).start_attempt(
-            EndpointAddress(1, ("127.0.0.1", b.port)),
+            EndpointAddress(1, ("127.0.0.1", endpoint.port)),
             replace(ONCE, headers=head, body=b"x" * size),
             5.0,
             lambda how, _: ended.set_result(how),
@@ -97,8 +99,8 @@
 ) -> None:
     """It stands, and the task that waited for it has been woken and has not run yet."""
 
-    async with StandInEndpoint(http_response(200, b"ok")) as b:
-        pool, endpoint = ConnectionPool(0.25, 30.0, 10), EndpointAddress(1, ("127.0.0.1", b.port))
+    async with StandInEndpoint(http_response(200, b"ok")) as stand_in:
+        pool, endpoint = ConnectionPool(0.25, 30.0, 10), EndpointAddress(1, ("127.0.0.1", stand_in.port))
         ended: list[Outcome] = []
         made = UpstreamConnection.connection_made
 
@@ -119,11 +121,11 @@
 
         monkeypatch.setattr(UpstreamConnection, "connection_made", crossed)
         out = pool.start_attempt(endpoint, REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
-        await wait_until(lambda: b.connection_count == 1 and not pool._open and not pool._pending)
+        await wait_until(lambda: stand_in.connection_count == 1 and not pool._open and not pool._pending)
         assert len(ended) == 1
         assert not pool._idle.by_endpoint
         assert not pool._waiting
-        assert b.received == []
+        assert stand_in.received == []
 
 
 async def test_cancel_closes_the_connection() -> None:
@@ -135,10 +137,10 @@
         assert await reader.read() == b""
         closed.set()
 
-    async with StandInServer(handle) as b:
+    async with StandInServer(handle) as endpoint:
         pool, ends = ConnectionPool(0.25, 30.0, 10), []
         out = pool.start_attempt(
-            EndpointAddress(1, ("127.0.0.1", b.port)), REQUEST, 5.0, lambda how, _: ends.append(how)
+            EndpointAddress(1, ("127.0.0.1", endpoint.port)), REQUEST, 5.0, lambda how, _: ends.append(how)
         )
         await begun.wait()
         out.cancel()
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -40,12 +40,12 @@
 )
 async def test_response_determines_the_outcome(said: bytes | None, outcome: Outcome) -> None:
     endless = b"x" * 70_000 if said and b"until" in said else b""
-    async with StandInEndpoint(said + endless if said else said) as b:
+    async with StandInEndpoint(said + endless if said else said) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        got, reply = await attempt(pool, ("127.0.0.1", b.port), timeout_s=0.5)
+        got, reply = await attempt(pool, ("127.0.0.1", endpoint.port), timeout_s=0.5)
         assert got is outcome
         assert got is not Outcome.OK or (reply and reply.body == b"ok")
-        assert len(b.received) == 1  # never sent again from here
+        assert len(endpoint.received) == 1  # never sent again from here
         pool.close()
 
 
@@ -68,9 +68,9 @@
 ) -> None:
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_S", 60.0)
 
-    async with StandInEndpoint(said) as b:
+    async with StandInEndpoint(said) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        assert await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0) == (Outcome.RESET, None)
+        assert await attempt(pool, ("127.0.0.1", endpoint.port), timeout_s=60.0) == (Outcome.RESET, None)
         assert not pool._idle.by_endpoint
         pool.close()
 
@@ -78,18 +78,18 @@
 async def test_response_that_does_not_complete_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_S", 0.05)
 
-    async with StandInEndpoint(b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf") as b:
+    async with StandInEndpoint(b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf") as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
-        assert (await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0))[0] is Outcome.RESET
+        assert (await attempt(pool, ("127.0.0.1", endpoint.port), timeout_s=60.0))[0] is Outcome.RESET
         pool.close()
 
 
 async def test_surplus_bytes_after_a_response_prevent_reuse() -> None:
     good = http_response(200, b"ok", Srv_Load="inflight=?,,=;util")
     for said in (good, good + good, good + b"noise", b"HTTP/1.1 103 x\r\n\r\n" + good):
-        async with StandInEndpoint(said) as b:
+        async with StandInEndpoint(said) as endpoint:
             pool = ConnectionPool(0.25, 30.0, 10)
-            got, reply = await attempt(pool, ("127.0.0.1", b.port))
+            got, reply = await attempt(pool, ("127.0.0.1", endpoint.port))
             assert got is Outcome.OK
             assert reply
             assert reply.body == b"ok"
@@ -104,14 +104,14 @@
     copy = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        b.received.append(await read_http_message(reader))
-        writer.write(http_response(200, b"%d" % len(b.received)))
+        endpoint.received.append(await read_http_message(reader))
+        writer.write(http_response(200, b"%d" % len(endpoint.received)))
         await copy.wait()
         writer.write(http_response(200, b"1"))
         await reader.read()
 
-    async with StandInServer(handle) as b:
-        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
+    async with StandInServer(handle) as endpoint:
+        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", endpoint.port)
         assert (await attempt(pool, address))[1] == UpstreamResponse(200, [(b"content-length", b"1")], b"1")
         later = asyncio.ensure_future(attempt(pool, address))
         await asyncio.sleep(0)
@@ -131,24 +131,24 @@
         writer.write(http_response(200, b"ok"))
         await asyncio.Event().wait()
 
-    async with StandInServer(handle) as b:
+    async with StandInServer(handle) as endpoint:
         body = b"x" * 30_000_000
         big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"%d" % len(body))], body=body)
         pool = ConnectionPool(0.25, 30.0, 10)
-        assert await attempt(pool, ("127.0.0.1", b.port), big) == (Outcome.NO_CONNECTION, None)
+        assert await attempt(pool, ("127.0.0.1", endpoint.port), big) == (Outcome.NO_CONNECTION, None)
 
 
 async def test_deadline_header_holds_the_time_remaining_when_the_request_is_written() -> None:
     """A connection may come up long after the decision to send."""
 
     clock = SteppedClock()
-    async with StandInEndpoint(http_response(200, b"ok")) as b:
+    async with StandInEndpoint(http_response(200, b"ok")) as endpoint:
         pool = ConnectionPool(60.0, 30.0, 10)
         gate = ConnectGate(pool)
-        out = asyncio.ensure_future(attempt(pool, ("127.0.0.1", b.port), timeout_s=4.0))
+        out = asyncio.ensure_future(attempt(pool, ("127.0.0.1", endpoint.port), timeout_s=4.0))
         await wait_until(lambda: gate.waiting_count == 1)
         clock.advance(1.5)
         gate.opened.set()
         assert (await out)[0] is Outcome.OK
-        assert 2.0 < float(b.received[0][1]["req-deadline"]) <= 2.5
+        assert 2.0 < float(endpoint.received[0][1]["req-deadline"]) <= 2.5
         pool.close()
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -92,17 +92,21 @@
     async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(
-            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("b", b.port), rev=2))
+            WATCH_RESPONSE_HEAD
+            + endpoint_list_chunk(endpoint_list(endpoint_entry("b", second_endpoint.port), rev=2))
         )
         asked.set()
         await reader.read()
 
-    async with StandInEndpoint(http_response(200, b"a")) as a, StandInEndpoint(http_response(200, b"b")) as b:
+    async with (
+        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
+    ):
         down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
         down.bind(("127.0.0.1", 0))
         told = config(
             discovery=f"127.0.0.1:{down.getsockname()[1]}",
-            known=endpoint_list(endpoint_entry("a", a.port)),
+            known=endpoint_list(endpoint_entry("a", first_endpoint.port)),
             settings=raw_settings(limits=LIMITS, registryMode="automatic"),
         )
         assert told["limits"]["sockets"] > GIVEN
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -54,8 +54,8 @@
     async def client(self, port: int, number: int) -> None:
         """Calls one after another, until its connection is closed."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        for k in range(100_000):
-            request_id = f"c{number}-{k}"
+        for index in range(100_000):
+            request_id = f"c{number}-{index}"
             self.sent += 1
             with contextlib.suppress(ConnectionError):
                 writer.write(http_request(request_id=request_id, Req_Deadline=str(self.deadline_s)))
@@ -107,12 +107,12 @@
     traffic = Traffic(deadline_s, hangs)
     lane = {"name": "read", "idempotency": "safe", "worth": 1}
     lane |= {"onTimeUs": round(deadline_s * 1e6), "deadlineUs": round(deadline_s * 1e6)}
-    async with StandInServer(traffic.serve) as b:
+    async with StandInServer(traffic.serve) as endpoint:
         told = raw_settings(lanes=[lane], limits=LIMITS)
-        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told))
+        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", endpoint.port)), settings=told))
         async with process(env) as made:
             port = await port_of(made)
-            clients = [asyncio.ensure_future(traffic.client(port, n)) for n in range(CLIENTS)]
+            clients = [asyncio.ensure_future(traffic.client(port, number)) for number in range(CLIENTS)]
             await asyncio.sleep(0.1)
             traffic.stopping.set()
             made.send_signal(signal.SIGTERM)
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -18,19 +18,19 @@
 class ReloadHarness:
     """A running proxy, its configuration file, and what a SIGHUP does to it."""
 
-    def __init__(self, folder: Path, p: LoopbackProxy, caplog: pytest.LogCaptureFixture) -> None:
+    def __init__(self, folder: Path, proxy: LoopbackProxy, caplog: pytest.LogCaptureFixture) -> None:
         env = write(folder, config())
         self.path, self.caplog = folder / "config.json", caplog
         source = ConfigSource(env)
-        self.reloader = Reloader(source, source.read(), p.driver)
+        self.reloader = Reloader(source, source.read(), proxy.driver)
         self.moved: list[tuple[str, int]] = []
-        p.driver.move_discovery = lambda address: self.moved.append(address)  # type: ignore[method-assign]
+        proxy.driver.move_discovery = lambda address: self.moved.append(address)  # type: ignore[method-assign]
 
     def reload(self) -> str:
         """What it logs of trouble, one line."""
         self.caplog.clear()
         self.reloader.reload()
-        [line] = [r for r in self.caplog.records if r.levelno >= logging.ERROR]
+        [line] = [record for record in self.caplog.records if record.levelno >= logging.ERROR]
         assert not line.exc_info
         assert "\n" not in line.getMessage()
         return line.getMessage()
@@ -114,15 +114,15 @@
 async def test_reload_names_a_field_of_the_wrong_type_and_keeps_the_old_configuration(
     tmp_path: Path, path: FieldPath, values: tuple[object, ...], caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with running_proxy() as p:
-        r = ReloadHarness(tmp_path, p, caplog)
+    async with running_proxy() as proxy:
+        harness = ReloadHarness(tmp_path, proxy, caplog)
         for value in values:
             changed = config_with(path, value)
             if path != ("discovery",):
                 changed["discovery"] = "127.0.0.1:2"
-            r.path.write_text(json.dumps(changed))
-            r.refused(f"field {field_name(path)}")
-        r.still_follows()
+            harness.path.write_text(json.dumps(changed))
+            harness.refused(f"field {field_name(path)}")
+        harness.still_follows()
 
 
 FILES: dict[str, tuple[bytes, str]] = {
@@ -141,38 +141,38 @@
 async def test_reload_of_an_invalid_file_changes_nothing(
     tmp_path: Path, content: bytes, named: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with running_proxy() as p:
-        r = ReloadHarness(tmp_path, p, caplog)
-        r.path.write_bytes(content)
-        r.refused(named)
-        r.still_follows()
+    async with running_proxy() as proxy:
+        harness = ReloadHarness(tmp_path, proxy, caplog)
+        harness.path.write_bytes(content)
+        harness.refused(named)
+        harness.still_follows()
 
 
 @pytest.mark.parametrize("way", ["gone", "a folder", "a link to itself"])
 async def test_reload_of_an_unreadable_file_changes_nothing(
     tmp_path: Path, way: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with running_proxy() as p:
-        r = ReloadHarness(tmp_path, p, caplog)
-        r.path.unlink()
+    async with running_proxy() as proxy:
+        harness = ReloadHarness(tmp_path, proxy, caplog)
+        harness.path.unlink()
         if way == "a folder":
-            r.path.mkdir()
+            harness.path.mkdir()
         elif way == "a link to itself":
-            r.path.symlink_to(r.path)
-        r.refused("NODE_CONFIG")
+            harness.path.symlink_to(harness.path)
+        harness.refused("NODE_CONFIG")
         if way == "a folder":
-            r.path.rmdir()
+            harness.path.rmdir()
         else:
-            r.path.unlink(missing_ok=True)
-        r.still_follows()
+            harness.path.unlink(missing_ok=True)
+        harness.still_follows()
 
 
 async def test_reload_with_an_invalid_cached_list_still_moves_discovery(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with running_proxy() as p:
-        r = ReloadHarness(tmp_path, p, caplog)
-        r.path.write_text(json.dumps(config(discovery="127.0.0.1:2", known={"rev": 1})))
-        r.reloader.reload()
-        assert r.moved == [("127.0.0.1", 2)]
+    async with running_proxy() as proxy:
+        harness = ReloadHarness(tmp_path, proxy, caplog)
+        harness.path.write_text(json.dumps(config(discovery="127.0.0.1:2", known={"rev": 1})))
+        harness.reloader.reload()
+        assert harness.moved == [("127.0.0.1", 2)]
         assert "field known.targets" in caplog.text
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -57,8 +57,8 @@
 
     begun, go_on = asyncio.Event(), asyncio.Event()
 
-    async with StandInServer(answers_by_name(begun, go_on)) as b:
-        known = endpoint_list(endpoint_entry("a", b.port))
+    async with StandInServer(answers_by_name(begun, go_on)) as endpoint:
+        known = endpoint_list(endpoint_entry("a", endpoint.port))
         async with process(write(tmp_path, config(known=known))) as made:
             port = await port_of(made)
             kept_reader, kept = await asyncio.open_connection("127.0.0.1", port)
@@ -99,14 +99,14 @@
         moved.set()
         await reader.read()
 
-    async with StandInServer(slow) as b, StandInServer(watch) as d:
-        told = config(known=endpoint_list(endpoint_entry("a", b.port)))
+    async with StandInServer(slow) as endpoint, StandInServer(watch) as discovery:
+        told = config(known=endpoint_list(endpoint_entry("a", endpoint.port)))
         async with process(write(tmp_path, told)) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
             writer.write(http_request())
             await begun.wait()
             made.send_signal(signal.SIGTERM)
-            write(tmp_path, {**told, "discovery": f"127.0.0.1:{d.port}"})
+            write(tmp_path, {**told, "discovery": f"127.0.0.1:{discovery.port}"})
             made.send_signal(signal.SIGHUP)
             await moved.wait()
             made.send_signal(signal.SIGTERM)
@@ -152,10 +152,10 @@
         begun.set()
         await reader.read()
 
-    async with StandInServer(never) as b:
+    async with StandInServer(never) as endpoint:
         lane = {"name": "pay", "idempotency": "unsafe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
         told = raw_settings(lanes=[{**lane, "lateValue": 0.5}], limits=LIMITS)
-        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told))
+        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", endpoint.port)), settings=told))
         async with process(env) as made:
             reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
             writer.write(http_request("pay", Req_Deadline="9.0"))
@@ -175,8 +175,8 @@
 ) -> None:
     """It keeps to the lower limit of the two by itself, and serves beside a crowd that stays."""
 
-    async with StandInEndpoint(http_response(200, b"x")) as b:
-        known = endpoint_list(endpoint_entry("a", b.port))
+    async with StandInEndpoint(http_response(200, b"x")) as endpoint:
+        known = endpoint_list(endpoint_entry("a", endpoint.port))
         env = write(tmp_path, config(known=known, limits={"sockets": told}))
         async with process(env, given) as made:
             said: list[str] = []
@@ -208,20 +208,24 @@
         await reader.readuntil(b"\r\n\r\n")
         asked.set()
         await go_on.wait()
-        now = endpoint_list(endpoint_entry("a", a.port, "terminating"), endpoint_entry("b", b.port), rev=2)
+        now = endpoint_list(
+            endpoint_entry("a", first_endpoint.port, "terminating"),
+            endpoint_entry("b", second_endpoint.port),
+            rev=2,
+        )
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(now))
         await reader.read()
 
     async with (
-        StandInEndpoint(http_response(200, b"a")) as a,
-        StandInEndpoint(http_response(200, b"b")) as b,
-        StandInServer(hold) as d,
+        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
+        StandInServer(hold) as discovery,
     ):
         port = free_port()
         told = config(
             listen=f"127.0.0.1:{port}",
-            discovery=f"127.0.0.1:{d.port}",
-            known=endpoint_list(endpoint_entry("a", a.port), rev=1),
+            discovery=f"127.0.0.1:{discovery.port}",
+            known=endpoint_list(endpoint_entry("a", first_endpoint.port), rev=1),
             settings=raw_settings(limits=LIMITS, registryMode="automatic"),
         )
         async with process(write(tmp_path, told)) as made:
@@ -252,14 +256,15 @@
         asked.set()
         await go_on.wait()
         writer.write(
-            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", a.port), rev=2))
+            WATCH_RESPONSE_HEAD
+            + endpoint_list_chunk(endpoint_list(endpoint_entry("a", endpoint.port), rev=2))
         )
         await reader.read()
 
-    async with StandInEndpoint(http_response(200, b"a")) as a, StandInServer(hold) as d:
-        told = config(discovery=f"127.0.0.1:{d.port}")
+    async with StandInEndpoint(http_response(200, b"a")) as endpoint, StandInServer(hold) as discovery:
+        told = config(discovery=f"127.0.0.1:{discovery.port}")
         if known:
-            told["known"] = endpoint_list(endpoint_entry("a", a.port), rev=1)
+            told["known"] = endpoint_list(endpoint_entry("a", endpoint.port), rev=1)
         async with process(write(tmp_path, told)) as made:
             await asked.wait()
             if not known:
@@ -281,29 +286,32 @@
     async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(
-            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", a.port), rev=100))
+            WATCH_RESPONSE_HEAD
+            + endpoint_list_chunk(endpoint_list(endpoint_entry("a", first_endpoint.port), rev=100))
         )
         await reader.read()
 
     async def new(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1])
         writer.write(
-            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", a.port), rev=3))
+            WATCH_RESPONSE_HEAD
+            + endpoint_list_chunk(endpoint_list(endpoint_entry("a", first_endpoint.port), rev=3))
         )
         second.put_nowait(writer)
         await reader.read()
 
     slow = answers_by_name(begun, go_on)
     async with (
-        StandInServer(slow) as a,
-        StandInEndpoint(http_response(200, b"from b")) as b,
-        StandInServer(old) as d,
-        StandInServer(new) as e,
+        StandInServer(slow) as first_endpoint,
+        StandInEndpoint(http_response(200, b"from b")) as second_endpoint,
+        StandInServer(old) as discovery,
+        StandInServer(new) as new_discovery,
     ):
         file = config(
-            discovery=f"127.0.0.1:{d.port}", known=endpoint_list(endpoint_entry("a", a.port), rev=90)
+            discovery=f"127.0.0.1:{discovery.port}",
+            known=endpoint_list(endpoint_entry("a", first_endpoint.port), rev=90),
         )
-        env = {**write(tmp_path, file), "NODE_DISCOVERY": f"127.0.0.1:{d.port}"}
+        env = {**write(tmp_path, file), "NODE_DISCOVERY": f"127.0.0.1:{discovery.port}"}
         async with process(env) as made:
             assert made.stderr is not None
             port = await port_of(made)
@@ -314,14 +322,17 @@
             made.send_signal(signal.SIGHUP)
             while b"the old one stays" not in (line := await made.stderr.readline()):
                 assert line, "it ended"
-            write(tmp_path, {**file, "discovery": f"127.0.0.1:{e.port}", "name": "other"})
+            write(tmp_path, {**file, "discovery": f"127.0.0.1:{new_discovery.port}", "name": "other"})
             made.send_signal(signal.SIGHUP)
             while b"name needs a restart" not in (line := await made.stderr.readline()):
                 assert line, "it ended"
             watch = await second.get()
             assert asked == ["/v1/endpoints?follow=1"]  # the versions there need not go on from here
             change = endpoint_list(
-                endpoint_entry("a", a.port, "terminated"), endpoint_entry("b", b.port), rev=4, full=False
+                endpoint_entry("a", first_endpoint.port, "terminated"),
+                endpoint_entry("b", second_endpoint.port),
+                rev=4,
+                full=False,
             )
             watch.write(endpoint_list_chunk(change))
             while b"is b," not in (line := await made.stderr.readline()):
@@ -331,4 +342,4 @@
             assert (await read_http_message(other_reader))[2] == b"from b"
             go_on.set()
             assert (await read_http_message(reader))[2] == b"slow"
-            assert a.connection_count == 1
+            assert first_endpoint.connection_count == 1
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -182,10 +182,10 @@
 async def test_ready_with_a_cached_list_while_discovery_is_down(tmp_path: Path, mode: str, mood: str) -> None:
     """Where lists are pushed it first waits for discovery's word, as that counts from the first moment on."""
 
-    async with moody(mood) as d, StandInEndpoint(http_response(200, b"x")) as b:
+    async with moody(mood) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
         port = free_port()
         async with attended(
-            tmp_path, port, told(mode, d.port, endpoint_list(endpoint_entry("a", b.port)))
+            tmp_path, port, told(mode, discovery.port, endpoint_list(endpoint_entry("a", endpoint.port)))
         ) as clock:
             took = await step_until_ready(clock, port, READY_S)
             assert took <= (0.2 if mode == "subscribe" else 2.8 if mood == "only beats" else 1.3)
@@ -199,11 +199,11 @@
 ) -> None:
     """A call that hangs may be given up first, and a wait follows; the last call failed just before."""
 
-    async with moody(mood) as d, StandInEndpoint(http_response(200, b"x")) as b:
+    async with moody(mood) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
         port = free_port()
-        async with attended(tmp_path, port, told(mode, d.port, known)) as clock:
+        async with attended(tmp_path, port, told(mode, discovery.port, known)) as clock:
             assert await step_until_ready(clock, port, 15.0) >= 15.0 - STEP_S  # nothing to send to
-            await d.come_back(endpoint_list(endpoint_entry("a", b.port)))
+            await discovery.come_back(endpoint_list(endpoint_entry("a", endpoint.port)))
             assert await step_until_ready(clock, port, READY_S) <= 4.5
 
 
@@ -228,26 +228,26 @@
     """Discovery is silent at first; those without a list wait for it, the others don't."""
 
     async with (
-        moody("silent") as d,
-        StandInEndpoint(http_response(200, b"x")) as b,
+        moody("silent") as discovery,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
         AsyncExitStack() as stack,
     ):
-        news = endpoint_list(endpoint_entry("a", b.port), rev=2)
+        news = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
         made: list[asyncio.subprocess.Process] = []
         ports = [free_port() for _ in range(3)]
-        for n, known in enumerate(
-            (endpoint_list(endpoint_entry("a", b.port)), None, SPOILT["an odd address"][0])
+        for number, known in enumerate(
+            (endpoint_list(endpoint_entry("a", endpoint.port)), None, SPOILT["an odd address"][0])
         ):
-            folder = tmp_path / str(n)
+            folder = tmp_path / str(number)
             folder.mkdir()
-            env = write(folder, {**told(mode, d.port, known), "listen": f"127.0.0.1:{ports[n]}"})
+            env = write(folder, {**told(mode, discovery.port, known), "listen": f"127.0.0.1:{ports[number]}"})
             made.append(await stack.enter_async_context(process(env)))
         await until_ready(made[0], ports[0])
         assert not await ready(ports[1])
         assert not await ready(ports[2])
-        await d.come_back(news)
-        for n in (1, 2):
-            await until_ready(made[n], ports[n])
+        await discovery.come_back(news)
+        for number in (1, 2):
+            await until_ready(made[number], ports[number])
         assert [await served_by(port) for port in ports] == [b"x"] * 3
 
 
@@ -293,7 +293,8 @@
         if stage == "waiting for discovery":
             await go_on.wait()
         writer.write(
-            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", b.port), rev=2))
+            WATCH_RESPONSE_HEAD
+            + endpoint_list_chunk(endpoint_list(endpoint_entry("a", endpoint.port), rev=2))
         )
         await reader.read()
 
@@ -305,9 +306,9 @@
                 await go_on.wait()
             writer.write(http_response(200, b"x"))
 
-    async with StandInServer(slow) as b, StandInServer(hold) as d:
+    async with StandInServer(slow) as endpoint, StandInServer(hold) as discovery:
         port = free_port()
-        env = write(tmp_path, {**told("automatic", d.port, None), "listen": f"127.0.0.1:{port}"})
+        env = write(tmp_path, {**told("automatic", discovery.port, None), "listen": f"127.0.0.1:{port}"})
         pipe = tmp_path / "pipe"
         os.mkfifo(pipe)
         reading = stage == "reading its configuration"
