--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -26,7 +26,7 @@
 from tests.support.stepped_clock import SteppedClock, wait_until
 
 
-async def test_a_request_is_forwarded_complete_and_its_response_comes_back() -> None:
+async def test_request_is_forwarded_complete_and_its_response_returned() -> None:
     async with (
         StandInEndpoint(http_response(200, b"\x00body")) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
@@ -40,7 +40,7 @@
         assert 0 < float(headers["req-deadline"]) <= 4.0
 
 
-async def test_both_sides_keep_their_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_client_and_endpoint_connections_are_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
@@ -55,7 +55,7 @@
         assert b.connection_count == 1
 
 
-async def test_ready_only_once_a_backend_is_known() -> None:
+async def test_ready_only_while_an_endpoint_is_in_service() -> None:
     ready = http_request(path="/ready")
     async with running_proxy() as p:
         assert response_status(await p.send_request(ready)) == 503
@@ -88,7 +88,7 @@
         http_request("mark", Content_Length="0", Transfer_Encoding="chunked") + b"0\r\n\r\n",
     ],
 )
-async def test_a_malformed_head_is_answered_400_and_not_forwarded(sent: bytes) -> None:
+async def test_malformed_head_is_answered_400_and_not_forwarded(sent: bytes) -> None:
     async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         assert response_status(await p.send_request(sent)) == 400
         assert b.received == []
@@ -96,20 +96,20 @@
 
 
 @pytest.mark.parametrize("method", [b"HEAD", b"POST", b"CONNECT", b"DELETE"])
-async def test_a_method_that_does_not_fit_its_class_is_rejected(method: bytes) -> None:
+async def test_method_that_does_not_match_the_request_class_is_answered_405(method: bytes) -> None:
     async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         assert response_status(await p.send_request(http_request().replace(b"GET", method, 1))) == 405
         assert b.received == []
 
 
-async def test_a_body_over_the_limit_is_answered_413_though_more_of_it_comes() -> None:
+async def test_body_over_the_limit_is_answered_413() -> None:
     async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         assert response_status(await p.send_request(http_request("mark", body=b"x" * 65536))) == 200
         assert response_status(await p.send_request(http_request("mark", body=b"x" * 300_000))) == 413
         assert len(b.received) == 1
 
 
-async def test_the_id_of_an_open_request_is_rejected_and_the_first_one_served() -> None:
+async def test_id_of_an_open_request_is_answered_409() -> None:
     go_on = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -134,7 +134,7 @@
         assert not p.clients.open_request_ids
 
 
-async def test_a_request_inside_the_body_of_another_is_not_forwarded() -> None:
+async def test_request_smuggled_in_a_body_is_not_forwarded() -> None:
     async with (
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
@@ -150,7 +150,7 @@
         assert b.received == []
 
 
-async def test_a_length_over_the_limit_is_rejected_by_its_head_alone() -> None:
+async def test_content_length_over_the_limit_is_rejected_before_the_body() -> None:
     async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         for length in ("60000000", "9" * 18, "9" * 5000):
             assert response_status(await p.send_request(http_request("mark", Content_Length=length))) in (
@@ -161,7 +161,7 @@
         assert b.received == []
 
 
-async def test_one_that_claims_an_hour_does_not_make_others_look_old() -> None:
+async def test_long_claimed_deadline_does_not_affect_other_requests() -> None:
     """No client waits longer than its class allows, and none tells how old another's request is."""
 
     async with (
@@ -172,7 +172,7 @@
         assert response_status(await p.send_request(http_request(request_id="a2"))) == 200
 
 
-async def test_a_retry_is_told_from_a_first_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_retry_header_marks_a_request_as_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
     async with (
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
@@ -200,7 +200,7 @@
         b"POST / HTTP/1.1\r\nA: b\r\n",
     ],
 )
-async def test_a_client_that_sends_no_complete_request_is_closed(
+async def test_incomplete_request_is_answered_408_and_its_connection_closed(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_limits, "REQUEST_TIMEOUT_S", 0.1)
@@ -226,7 +226,7 @@
         assert len(b.received) == 1
 
 
-async def test_a_client_that_does_not_read_its_responses_is_not_read_and_then_closed(
+async def test_client_that_does_not_read_responses_is_paused_then_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_limits, "WRITE_TIMEOUT_S", 0.1)
@@ -254,7 +254,9 @@
         writer.transport.abort()
 
 
-async def test_the_time_of_a_request_counts_from_its_own_last_byte(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_deadline_of_a_pipelined_request_counts_from_its_last_byte(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """However long it waited behind others, and whenever these came."""
 
     go_on, clock = asyncio.Event(), SteppedClock()
@@ -294,7 +296,7 @@
         writer.close()
 
 
-async def test_a_body_in_chunks_goes_on_with_its_length() -> None:
+async def test_chunked_body_is_forwarded_with_a_content_length() -> None:
     async with (
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
@@ -306,7 +308,7 @@
         assert b.received[0][2] == b"abcde"
 
 
-async def test_an_outcome_after_the_final_answer_brings_no_second_one() -> None:
+async def test_late_response_after_the_final_response_is_discarded() -> None:
     """Where attempts are not cancelled, a late answer of a backend must go nowhere."""
 
     late = asyncio.Event()
@@ -336,7 +338,7 @@
         writer.close()
 
 
-async def test_requests_sent_ahead_are_answered_in_turn() -> None:
+async def test_pipelined_requests_are_answered_in_order() -> None:
     async with (
         StandInEndpoint(http_response(200, b"1"), http_response(200, b"2"), http_response(200, b"3")) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
@@ -349,7 +351,7 @@
         writer.close()
 
 
-async def test_a_client_that_leaves_ends_its_attempt() -> None:
+async def test_attempt_is_cancelled_when_its_client_disconnects() -> None:
     gone = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -365,7 +367,7 @@
         assert p.driver.idle
 
 
-async def test_a_request_without_an_answer_is_ended_before_its_deadline(
+async def test_unanswered_request_is_ended_before_its_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -388,7 +390,7 @@
         assert 400_000 < request.time_left_us <= 600_000 - LAG_MARGIN_US
 
 
-async def test_a_refusal_is_given_at_once_and_tells_when_to_come_back() -> None:
+async def test_rejection_carries_retry_after() -> None:
     limits = messages.Limits(max_attempts=1, cancel=True, retry_after_us=2_000_000)
     async with (
         StandInEndpoint(http_response(503, Srv_Declined="1")) as b,
@@ -404,14 +406,14 @@
         assert "retry-after" not in (await p.send_request(http_request(Req_Deadline="0.2")))[1]
 
 
-async def test_what_may_have_run_is_not_refused() -> None:
+async def test_request_that_may_have_run_is_answered_502() -> None:
     for said in (None, http_response(500), http_response(503)):
         async with StandInEndpoint(said) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
             assert response_status(await p.send_request(http_request("pay"))) == 502
             assert len(b.received) == 1
 
 
-async def test_a_fault_in_the_module_is_logged_and_its_request_answered(
+async def test_policy_exception_is_logged_and_its_request_answered_502(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
@@ -426,7 +428,7 @@
         assert response_status(await p.send_request(http_request())) == 200
 
 
-async def test_no_delay_is_set_on_both_sides() -> None:
+async def test_nagle_is_disabled_on_client_and_endpoint_connections() -> None:
     async with (
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
@@ -442,7 +444,7 @@
         writer.close()
 
 
-async def test_what_a_backend_cannot_use_is_not_sent_again_nor_held_against_it() -> None:
+async def test_endpoint_400_is_not_retried_nor_counted_as_a_failure() -> None:
     """A request that is no good is no good anywhere: trying it elsewhere would lower all backends."""
 
     async with StandInEndpoint(http_response(400)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
@@ -455,7 +457,7 @@
         assert server.detector.mean == 1.0
 
 
-async def test_a_fault_over_a_request_still_brings_its_answer_and_spares_the_others(
+async def test_policy_exception_over_an_outcome_is_answered_502(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -475,7 +477,7 @@
         assert not p.driver._balancer.requests.requests
 
 
-async def test_an_action_that_fails_does_not_take_the_next_ones_along(
+async def test_failed_action_does_not_prevent_the_next_actions(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with (
@@ -491,7 +493,7 @@
         assert response_status(await p.send_request(http_request())) == 503
 
 
-async def test_a_module_that_says_nothing_still_leaves_each_request_its_answer(
+async def test_request_is_answered_502_when_the_policy_never_decides(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with running_proxy(endpoint_entry("s-1", 9)) as p:
@@ -502,7 +504,7 @@
 
 @pytest.mark.parametrize("kind", ["read", "pay"])
 @pytest.mark.parametrize("cancel", [True, False])
-async def test_what_waits_for_a_connection_is_not_forwarded_once_its_client_has_left(
+async def test_attempt_awaiting_its_connection_is_not_sent_after_client_disconnects(
     kind: str, cancel: bool
 ) -> None:
     """Settings may forbid to call an attempt off, but this one has not been sent yet."""
@@ -527,7 +529,7 @@
 
 
 @pytest.mark.parametrize("size", [20_000, 65_536])
-async def test_a_request_behind_a_response_that_is_read_slowly_is_answered_in_its_turn(size: int) -> None:
+async def test_pipelined_request_waits_for_a_slowly_read_response(size: int) -> None:
     async with (
         StandInEndpoint(http_response(200, b"x" * size)) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
@@ -547,7 +549,7 @@
         writer.close()
 
 
-async def test_a_request_behind_a_response_is_not_forwarded_once_its_client_has_left(
+async def test_pipelined_request_behind_a_response_is_not_forwarded_after_client_disconnects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The client's end has come, and what is queued for it still goes out: then the next request is read."""
@@ -575,7 +577,7 @@
 
 @pytest.mark.parametrize("paused", [False, True])
 @pytest.mark.parametrize("cancel", [True, False])
-async def test_a_request_behind_another_one_is_not_forwarded_once_its_client_has_left(
+async def test_pipelined_request_behind_an_open_request_is_not_forwarded_after_client_disconnects(
     paused: bool, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its end shows though it stands behind more bytes than are taken in ahead of their turn."""
@@ -613,7 +615,7 @@
         assert p.clients.buffered.size_bytes == 0
 
 
-async def test_a_request_whose_client_left_before_it_was_read_is_not_forwarded(
+async def test_request_read_after_its_client_disconnected_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It waited in the system, as it does while the event loop is busy; a kept connection is at harness."""
@@ -635,7 +637,7 @@
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-async def test_a_connection_is_not_closed_for_standing_still_as_its_request_comes(fresh: bool) -> None:
+async def test_connection_is_not_closed_as_idle_while_its_request_arrives(fresh: bool) -> None:
     async with (
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
@@ -652,7 +654,7 @@
 
 
 @pytest.mark.parametrize(("kind", "kept"), [("pay", 0), ("mark", 1), ("read", 1)])
-async def test_only_the_class_says_whether_a_request_goes_on_a_kept_connection(
+async def test_only_the_request_class_decides_whether_an_idle_connection_is_reused(
     kind: str, kept: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A header does not: a client may give a key to what must not run twice."""
@@ -668,7 +670,7 @@
         assert b.received[1][1]["idempotency-key"] == "k"
 
 
-async def test_each_attempt_tells_its_backend_what_is_left_as_it_is_written(
+async def test_deadline_header_holds_the_time_remaining_when_the_attempt_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The first one and a further one, though the connection of each comes up late."""
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Limits on clients' connections: bytes, events a turn, and descriptors, whatever some clients send."""
+"""Limits on client connections: buffered bytes, work in each turn of the event loop, and descriptors."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
     ],
     ids=["ready", "refused", "chunks"],
 )
-async def test_what_comes_at_once_is_parsed_a_little_in_each_turn(
+async def test_parsing_and_responses_are_bounded_in_each_turn(
     sent: bytes, answers: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with (
@@ -119,7 +119,7 @@
         return accepted, address
 
 
-async def test_a_connection_that_has_ended_as_it_is_accepted_leaves_nothing_behind(
+async def test_connection_that_ends_while_it_is_accepted_leaves_nothing_behind(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with (
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("kind", [*KINDS, "open"])
-async def test_a_flood_of_connections_takes_no_more_descriptors_than_are_reserved_for_clients(
+async def test_connection_flood_uses_no_more_descriptors_than_its_limit(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Also on the way from the accept to a place, and from a close to its end. A client then gets in."""
@@ -192,7 +192,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-async def test_a_lack_of_descriptors_is_logged_as_it_begins_and_when_it_is_over(
+async def test_descriptor_shortage_is_logged_once_when_it_begins_and_ends(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It is met again every 0.05 s while it lasts, and who waits for one is served afterwards."""
@@ -230,7 +230,7 @@
             assert len(lines()) == 2
 
 
-async def test_connections_that_are_lost_before_they_are_accepted_are_logged_once(
+async def test_connections_aborted_before_accept_are_logged_once(
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with (
@@ -254,7 +254,7 @@
         assert response_status(await p.send_request(http_request())) == 200
 
 
-async def test_what_many_clients_send_ahead_at_once_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_bytes_buffered_for_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whatever the system has of each of them: one read each at the most goes over the limit for all."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES", 100_000)
     callers = 40
@@ -279,7 +279,7 @@
         assert p.clients.buffered.size_bytes == 0
 
 
-async def test_a_connection_whose_request_is_parsed_over_some_turns_is_not_closed_to_make_room() -> None:
+async def test_connection_is_not_evicted_while_its_request_is_parsed() -> None:
     """All of it has come by then."""
 
     async with (
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -1,4 +1,4 @@
-"""A client that has left: no attempt begins for it, wherever its request waits."""
+"""After a client has disconnected no attempt begins for it, wherever its request waits."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("cancel", [True, False])
-async def test_no_retry_begins_though_the_close_is_not_read_yet(way: str, cancel: bool) -> None:
+async def test_retry_is_not_sent_after_client_disconnects(way: str, cancel: bool) -> None:
     """The attempt fails in the very turn in which its client leaves, and is read first."""
 
     async with (
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-async def test_a_retry_begins_for_a_client_that_stays(cancel: bool) -> None:
+async def test_retry_is_sent_while_client_stays_connected(cancel: bool) -> None:
     async with (
         SilentEndpoint() as a,
         SilentEndpoint() as b,
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("cancel", [True, False])
-async def test_a_queued_request_is_not_forwarded_though_the_close_is_not_read_yet(
+async def test_queued_request_is_not_forwarded_after_client_disconnects(
     way: str, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A backend comes free in the very turn in which the client of a held request leaves."""
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize("where", WHERE)
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("paused", [True, False])
-async def test_a_client_that_has_left_is_noticed_well_before_an_attempt_may_begin_no_more(
+async def test_client_disconnect_is_noticed_before_another_attempt_can_begin(
     way: str, where: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """At once, or where it is not read with half of the time kept for an event loop that is late.
@@ -190,7 +190,7 @@
         await wait_until(lambda: not p.clients.open_connections)
 
 
-async def test_only_connections_that_are_not_read_are_polled(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_only_paused_connections_are_polled_for_a_disconnect(monkeypatch: pytest.MonkeyPatch) -> None:
     """An idle connection costs nothing, nor does one with a request open that is read."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     asked: list[asyncio.BaseTransport] = []
@@ -231,7 +231,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("paused", [True, False])
-async def test_a_request_behind_an_unread_response_is_not_forwarded_once_its_client_has_left(
+async def test_request_behind_an_unread_response_is_not_forwarded_after_client_disconnects(
     way: str, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -1,4 +1,4 @@
-"""A client that leaves just before its attempt is written: nothing is written, however late that is seen."""
+"""An attempt is not written when its client disconnects just before the write."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize("path", PATHS)
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("paused", [True, False])
-async def test_an_attempt_is_not_written_for_a_client_that_left_since_it_was_decided(
+async def test_attempt_is_not_written_when_client_disconnects_after_the_decision(
     way: str, path: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The process is held up at the last clock that is read before the write, and the client leaves there.
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-async def test_what_is_not_written_takes_no_connection_from_another_that_waits(way: str) -> None:
+async def test_unwritten_attempt_leaves_its_connection_to_another_waiting_attempt(way: str) -> None:
     """Two wait for connections to one backend, and the first of them leaves as they come up."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -1,4 +1,4 @@
-"""A request of which a part has been read gets an answer, whatever ends its connection."""
+"""A request that was read in part gets an error response, whatever ends its connection."""
 
 from __future__ import annotations
 
@@ -45,9 +45,7 @@
 
 @pytest.mark.parametrize("stop", STOPS)
 @pytest.mark.parametrize("reason", REASONS)
-async def test_a_request_that_has_come_in_part_gets_an_error_as_its_connection_is_ended(
-    stop: str, reason: str
-) -> None:
+async def test_partial_request_gets_an_error_when_its_connection_is_closed(stop: str, reason: str) -> None:
     """Its client can read it though it goes on sending."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=1) as p:
@@ -80,7 +78,7 @@
         assert p.clients.descriptor_count == 0
 
 
-async def test_connections_that_have_sent_nothing_are_closed_first_to_make_room() -> None:
+async def test_unused_connection_is_evicted_before_one_with_a_partial_request() -> None:
     """Before those that have brought a part of a request, though these came earlier."""
 
     async with (
@@ -103,7 +101,7 @@
 
 
 @pytest.mark.parametrize("stop", STOPS)
-async def test_a_connection_with_a_later_incomplete_request_is_not_closed_to_make_room(stop: str) -> None:
+async def test_connection_with_a_later_partial_request_is_not_evicted(stop: str) -> None:
     """Its connection has served its client before."""
 
     async with (
@@ -123,7 +121,7 @@
         await wait_until(lambda: not p.clients.open_connections)
 
 
-async def test_a_request_that_is_open_is_not_refused_as_the_process_ends() -> None:
+async def test_open_request_is_not_answered_503_at_exit() -> None:
     """It may have run. One whose client still writes is: nothing of it was sent on."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
@@ -142,7 +140,7 @@
 
 
 @pytest.mark.parametrize("where", ["read", "whole", "taken over"])
-async def test_a_fault_over_a_request_brings_it_an_error_and_spares_the_others(
+async def test_exception_over_a_request_is_answered_500_and_spares_other_requests(
     where: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The error promises nothing, as the fault may have come after an attempt began."""
@@ -189,7 +187,7 @@
         assert p.driver.idle
 
 
-async def test_a_request_that_is_complete_after_the_last_moment_is_answered_503_and_not_forwarded() -> None:
+async def test_request_completed_after_the_shutdown_deadline_is_answered_503() -> None:
     """The shutdown has ended all requests by then; there is no time left for one more."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
@@ -212,7 +210,7 @@
         assert p.driver.idle
 
 
-async def test_not_all_of_many_incomplete_requests_are_looked_at_for_each_new_connection(
+async def test_eviction_examines_a_bounded_number_of_partial_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its connections are as many as there are descriptors, and newcomers may be as many a second."""
@@ -242,7 +240,7 @@
 
 
 @pytest.mark.parametrize("stop", ["in the first line", "in the body", "between chunks"])
-async def test_a_request_that_has_come_in_part_gets_an_error_as_the_real_process_ends(
+async def test_partial_request_gets_an_error_when_the_process_is_terminated(
     stop: str, tmp_path: Path
 ) -> None:
     async with StandInEndpoint(http_response(200, b"x")) as b:
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -1,7 +1,7 @@
-"""The whole proxy among backends that misbehave and clients that leave, judged from outside by the protocol.
+"""The whole proxy between faulty endpoints and clients that disconnect, checked from outside.
 
-What a backend does with a request hangs on the seed and the request alone. Times are long, and a hand moves
-the clock on where all stand still: the real time that passes counts for nothing.
+How an endpoint treats a request depends on the seed and the request alone. Times are long, and the test steps
+the clock whenever nothing else happens: the real time that passes does not matter.
 """
 
 from __future__ import annotations
@@ -271,7 +271,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-async def test_each_request_gets_one_answer_and_no_copy_that_the_rules_forbid(
+async def test_each_request_gets_one_response_and_no_forbidden_retry(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", 4 * STEP_S)
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -1,4 +1,4 @@
-"""Long outages of discovery: how soon changes come after them, and that nothing accumulates meanwhile."""
+"""Long outages of discovery: changes are applied soon after them, and nothing accumulates meanwhile."""
 
 from __future__ import annotations
 
@@ -87,7 +87,7 @@
 @BOTH
 @pytest.mark.parametrize("minutes", [2, 60])
 @pytest.mark.parametrize("mood", OUTAGES)
-async def test_a_change_comes_in_time_after_a_long_outage_and_nothing_accumulates(
+async def test_change_is_applied_in_time_after_a_long_outage_and_nothing_accumulates(
     setup: messages.Settings, mood: str, minutes: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Discovery is back just after a call has failed, or with a call out that it never answers."""
@@ -116,7 +116,9 @@
 
 
 @BOTH
-async def test_a_change_comes_in_time_after_an_hour_of_refused_connections(setup: messages.Settings) -> None:
+async def test_change_is_applied_in_time_after_an_hour_of_refused_connections(
+    setup: messages.Settings,
+) -> None:
     async with watched(setup) as (d, p, clock):
         await step(clock, lambda: len(d.calls) == 1)
         assert d.peer is not None
@@ -131,7 +133,7 @@
         assert await next_call(d, clock) + await served(d, p, clock, setup) < LIST_DEADLINE_S
 
 
-async def test_a_crowded_discovery_is_waited_for_each_time() -> None:
+async def test_each_poll_waits_for_its_turn_at_an_overloaded_discovery() -> None:
     """It tells each call after its turn of 2 s and then drops it, for minutes: no news is left out."""
 
     async with watched(ASKED) as (d, p, clock):
@@ -154,7 +156,7 @@
 
 @pytest.mark.parametrize("beats", [False, True], ids=["silent", "beating"])
 @BOTH
-async def test_a_watch_that_falls_silent_again_and_again_misses_nothing_for_long(
+async def test_watch_that_falls_silent_repeatedly_is_replaced_in_time(
     setup: messages.Settings, beats: bool
 ) -> None:
     """For minutes: each watch tells one version and stops, some after a beat."""
@@ -172,7 +174,7 @@
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
-async def test_a_proxy_restarted_with_a_cached_list_applies_a_drain_among_the_first_changes(
+async def test_restart_with_a_cached_list_applies_a_drain_before_the_first_request(
     tmp_path: Path, mode: str
 ) -> None:
     """Its list knows `a` alone. Discovery is slow, then tells that `a` drains and that `b` is there."""
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -1,4 +1,4 @@
-"""A stepped wall clock makes no endpoint older or younger."""
+"""A step of the wall clock does not change the age of an endpoint."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.simulated_fleet import MS, S
 
 
-async def test_a_start_that_clocks_agree_on_keeps_its_age() -> None:
+async def test_endpoint_age_follows_its_start_when_clocks_agree() -> None:
     fed = HandFedDriver()
     now = fed.times.wall()
     fed.list(("old", now - 2 * S), ("odd", now - HOUR), full=True)
@@ -24,7 +24,7 @@
 
 
 @STEPS
-async def test_a_start_after_a_step_of_all_clocks_has_its_true_age(step: int) -> None:
+async def test_start_after_a_step_of_all_clocks_has_its_true_age(step: int) -> None:
     """On the standing watch, and on a whole list after a silence that was longer than a slow start."""
 
     for silence, full in ((0, False), (60 * S, True)):
@@ -42,7 +42,7 @@
 
 
 @STEPS
-async def test_a_start_stated_before_a_step_and_received_after_it_has_its_true_age(step: int) -> None:
+async def test_start_stated_before_a_clock_step_and_received_after_it_has_its_true_age(step: int) -> None:
     """After a silence: nothing but the clock's own step tells how old it is."""
 
     fed = HandFedDriver()
@@ -58,7 +58,7 @@
 
 @STEPS
 @pytest.mark.parametrize("kind", ["changes", "full"])
-async def test_a_start_by_a_wrong_clock_counts_from_when_it_was_received(step: int, kind: str) -> None:
+async def test_start_by_a_wrong_clock_counts_from_its_receipt(step: int, kind: str) -> None:
     """Only the clock of the backend or of discovery is wrong, or ours was as the process started."""
 
     fed = HandFedDriver()
@@ -73,7 +73,7 @@
 
 
 @STEPS
-async def test_a_complete_list_after_a_silence_brings_no_start_from_before_it(step: int) -> None:
+async def test_complete_list_after_a_broken_watch_bounds_new_starts(step: int) -> None:
     fed = HandFedDriver()
     fed.list(("a", 0), full=True)
     fed.times.advance(2 * S)
@@ -86,9 +86,7 @@
 
 @STEPS
 @pytest.mark.parametrize("first", ["changes", "full"])
-async def test_at_a_start_with_an_old_list_the_first_answer_is_taken_by_the_clock_of_then(
-    step: int, first: str
-) -> None:
+async def test_first_list_after_a_cached_one_is_read_by_the_clock_of_its_time(step: int, first: str) -> None:
     """What is known may be of any age, so it bounds no start; one that it knew stays as it was."""
 
     times = Times()
@@ -106,7 +104,7 @@
     assert fed.age("c") == 0  # from here on the list is known
 
 
-async def test_an_old_list_that_was_not_confirmed_makes_no_endpoint_younger() -> None:
+async def test_unconfirmed_cached_list_makes_no_endpoint_younger() -> None:
     """The first watch answer may bring what had been warm for long before this process began."""
 
     times = Times()
@@ -117,7 +115,7 @@
 
 
 @STEPS
-async def test_a_stated_start_names_an_incarnation_whatever_the_clocks_do(step: int) -> None:
+async def test_stated_start_identifies_an_incarnation_whatever_the_clocks_do(step: int) -> None:
     fed = HandFedDriver()
     first, number = fed.times.wall() - 1 * S, endpoint_number("a")
     balancer = fed.driver._balancer
@@ -143,7 +141,7 @@
         assert (after.share, after.endpoint.incarnation_us) == (1.0, later // 1000 * 1000)
 
 
-async def test_a_warm_endpoint_that_was_cut_off_returns_warm() -> None:
+async def test_warm_endpoint_that_was_removed_returns_warm() -> None:
     fed = HandFedDriver()
     start = fed.times.wall() - HOUR
     fed.list(("a", start), ("b", 0), full=True)
@@ -157,7 +155,7 @@
     assert fed.capacity("a") == pytest.approx(0.2)
 
 
-async def test_a_start_of_long_ago_stays_one() -> None:
+async def test_endpoint_without_a_start_time_is_warm() -> None:
     fed = HandFedDriver()
     fed.list(("a", 0), full=True)
     fed.times.advance(2 * S)
@@ -165,7 +163,7 @@
     assert fed.capacity("a") == fed.capacity("b") == 1.0
 
 
-def test_a_start_is_no_start_of_long_ago_where_the_wall_clock_is_near_zero() -> None:
+def test_start_is_not_taken_for_unknown_when_the_wall_clock_is_near_zero() -> None:
     """A machine without a battery begins at 1970."""
     times = Times(ahead=-999 * S)
     [placed] = StartTimes(times.clock()).assign([messages.Endpoint(1, incarnation_us=1)])
@@ -177,7 +175,7 @@
     assert placed.started_us > 0
 
 
-def test_the_number_of_remembered_starts_is_bounded() -> None:
+def test_number_of_remembered_starts_is_bounded() -> None:
     starts = StartTimes(Times().clock())
     for n in range(MAX_START_TIMES + 10):
         starts.assign([messages.Endpoint(n, incarnation_us=UNIX)])
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -1,4 +1,4 @@
-"""What the endpoint list changes for requests, over real sockets."""
+"""What changes of the endpoint list mean for requests, over real sockets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
 
 
-async def test_a_change_reaches_the_policy_before_the_next_attempt() -> None:
+async def test_list_change_reaches_the_policy_before_the_next_attempt() -> None:
     told = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -60,7 +60,7 @@
         assert got == {b"b"}
 
 
-async def test_a_broken_watch_is_reopened_and_the_old_list_stays_in_use() -> None:
+async def test_broken_watch_is_reopened_and_the_old_list_stays_in_use() -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         asked.append(await ask(reader))
         if len(asked) == 2:
@@ -81,7 +81,7 @@
         assert asked == ["GET /v1/endpoints?follow=1&since=1 HTTP/1.1"] * 2
 
 
-async def test_a_draining_endpoint_finishes_the_requests_in_flight() -> None:
+async def test_draining_endpoint_finishes_the_requests_in_flight() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_http_message(reader)
         begun.set()
@@ -115,7 +115,7 @@
 
 @pytest.mark.parametrize("state", ["terminating", "terminated", "absent", "moved"])
 @pytest.mark.parametrize("kind", ["read", "pay"])
-async def test_a_request_whose_connection_is_opening_as_its_endpoint_drains_goes_elsewhere(
+async def test_request_moves_to_another_endpoint_when_its_endpoint_drains_during_connect(
     state: str, kind: str
 ) -> None:
     async with (
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -1,4 +1,4 @@
-"""Where connections to a backend stay away, the attempt ends in time for another backend."""
+"""When connects to an endpoint stall, its attempt ends in time to fail over to another endpoint."""
 
 from __future__ import annotations
 
@@ -26,9 +26,7 @@
 
 
 @pytest.mark.parametrize(("heard", "ends"), [(True, Outcome.NOT_SENT), (False, Outcome.NO_CONNECTION)])
-async def test_where_connections_stay_away_the_attempt_ends_in_time_for_another_backend(
-    heard: bool, ends: Outcome
-) -> None:
+async def test_attempt_without_a_connection_fails_over_in_time(heard: bool, ends: Outcome) -> None:
     """As not sent where the backend is known to be there, as one that can't be reached otherwise."""
 
     async with StandInEndpoint(http_response(200)) as b:
@@ -51,7 +49,7 @@
         pool.close()
 
 
-async def test_where_no_other_backend_is_left_the_attempt_waits_for_its_connections() -> None:
+async def test_attempt_without_another_endpoint_waits_for_its_connections() -> None:
     async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
@@ -66,7 +64,7 @@
         pool.close()
 
 
-async def test_a_request_goes_to_another_backend_where_connections_to_the_first_stay_away() -> None:
+async def test_request_fails_over_to_another_endpoint_when_connects_stall() -> None:
     async with (
         StandInEndpoint(http_response(200, b"x")) as a,
         StandInEndpoint(http_response(200, b"x")) as b,
@@ -94,13 +92,13 @@
         assert a.connection_count + b.connection_count == 1
 
 
-def test_a_price_of_handshakes_is_read_and_bound() -> None:
+def test_negative_handshake_price_is_rejected() -> None:
     assert settings(handshake_price=0.03).handshake_price == 0.03
     with pytest.raises(ValueError, match="handshake"):
         settings(handshake_price=-1.0)
 
 
-def test_the_module_says_until_when_a_request_may_move_on() -> None:
+def test_policy_bounds_the_time_to_fail_over() -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=2, cancel=True)), backends=2)
     send = only(harness.request("a"), messages.StartAttempt)[0]
     assert 0 < send.relocate_within_us < send.timeout_us
@@ -111,7 +109,7 @@
     assert only(alone.request("a"), messages.StartAttempt)[0].relocate_within_us == 0
 
 
-def test_what_was_not_sent_is_made_again_though_the_retry_budget_is_spent() -> None:
+def test_unsent_attempt_is_repeated_though_the_retry_budget_is_spent() -> None:
     harness = BalancerHarness(backends=4)
     harness.balancer.requests.retry_budget.balance = 0.0
     send = only(harness.request("a"), messages.StartAttempt)[0]
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -1,4 +1,4 @@
-"""Responses that are cut off or are none: how the attempt ends, and what the client gets."""
+"""Truncated and invalid responses: how the attempt ends, and what the client gets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(
     "whole", [http_response(200, b"ok"), CHUNKED, b"HTTP/1.1 103 x\r\n\r\n" + http_response(200, b"ok")]
 )
-async def test_an_answer_that_is_cut_anywhere_is_none(
+async def test_truncated_response_ends_the_attempt_as_reset(
     whole: bytes, how: str, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
@@ -70,14 +70,14 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("how", ["end", "reset"])
-async def test_what_follows_an_answer_that_is_cut_anywhere(kind: str, how: str) -> None:
+async def test_truncated_response_is_retried_only_if_idempotent(kind: str, how: str) -> None:
     whole = http_response(200, b"served")
     for at in range(len(whole)):
         assert await fares(kind, whole[:at], how) == may_have_run(kind), at
 
 
 @pytest.mark.parametrize("kind", KINDS)
-async def test_what_follows_an_answer_that_is_none(kind: str) -> None:
+async def test_invalid_response_is_retried_only_if_idempotent(kind: str) -> None:
     for said in INVALID_RESPONSES:
         assert await fares(kind, said) == may_have_run(kind), said
 
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("status", [500, 503, 504])
 @pytest.mark.parametrize("declined", ["1", "0", ""])
-async def test_only_what_is_declined_has_surely_not_run(kind: str, status: int, declined: str) -> None:
+async def test_error_is_retried_if_declined_or_idempotent(kind: str, status: int, declined: str) -> None:
     never_ran = declined == "1" and status != 500
     told = (200, ["r1", "r1"]) if never_ran else may_have_run(kind)
     said = http_response(status, Srv_Declined=declined) if declined else http_response(status)
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -1,4 +1,4 @@
-"""How attempts end that are not sent, or not sent completely."""
+"""Outcomes of attempts that are not sent, or not sent completely."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from tests.support.upstream_helpers import ONCE, REQUEST, attempt
 
 
-async def test_a_refused_connection_could_not_connect() -> None:
+async def test_refused_connect_ends_as_no_connection() -> None:
     with socket.socket() as closed:
         closed.bind(("127.0.0.1", 0))
         got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), closed.getsockname())
         assert got is Outcome.NO_CONNECTION
 
 
-async def test_a_connection_that_never_comes_up_could_not_connect() -> None:
+async def test_connect_that_never_completes_ends_as_no_connection() -> None:
     with socket.socket() as full:
         full.bind(("127.0.0.1", 0))
         full.listen(0)
@@ -39,7 +39,7 @@
             filler.close()
 
 
-async def test_a_request_that_is_not_written_whole_has_never_run() -> None:
+async def test_reset_before_the_request_is_written_ends_as_no_connection() -> None:
     big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -51,7 +51,7 @@
         assert got is Outcome.NO_CONNECTION
 
 
-async def test_giving_up_while_the_request_is_not_written_whole_is_no_time_out() -> None:
+async def test_timeout_before_the_request_is_written_ends_as_no_connection() -> None:
     big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("written", [False, True])
-async def test_only_what_is_not_written_completely_is_cancelled_if_unsent(written: bool) -> None:
+async def test_cancel_if_unsent_ends_only_an_incompletely_written_attempt(written: bool) -> None:
     size = 2 if written else 30_000_000
     head = [(b"host", b"x"), (b"content-length", b"%d" % size)]
 
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("how", ["cancel", "cancel if unsent", "disable", "time out"])
-async def test_giving_up_as_the_connection_has_just_come_up_leaves_none_open(
+async def test_attempt_ended_as_its_connection_is_established_leaves_none_open(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It stands, and the task that waited for it has been woken and has not run yet."""
@@ -126,7 +126,7 @@
         assert b.received == []
 
 
-async def test_a_cancel_closes_the_connection() -> None:
+async def test_cancel_closes_the_connection() -> None:
     begun, closed = asyncio.Event(), asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -147,7 +147,7 @@
         await closed.wait()
 
 
-async def test_a_lack_of_descriptors_is_not_held_against_the_backend(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_descriptor_shortage_ends_as_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     pool = ConnectionPool(0.25, 30.0, 10)
 
     async def connect(endpoint: EndpointAddress) -> None:
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -1,4 +1,4 @@
-"""The proxy as the deploy file starts it: configuration, readiness, limits and its end."""
+"""The proxy as a process: configuration, readiness, descriptor limits and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from tests.support.stand_in_server import StandInEndpoint, StandInServer, StreamHandler
 
 
-async def test_a_bad_configuration_ends_it_with_one_line_and_code_2(tmp_path: Path) -> None:
+async def test_invalid_configuration_exits_with_one_line_and_code_2(tmp_path: Path) -> None:
     async with process(write(tmp_path, config(listen=5))) as made:
         out, err = await made.communicate()
         assert (out, made.returncode) == (b"", 2)
@@ -52,7 +52,7 @@
     return serve
 
 
-async def test_sigterm_ends_it_with_all_answered(tmp_path: Path) -> None:
+async def test_sigterm_answers_every_request_before_exit(tmp_path: Path) -> None:
     """What is out is answered, new connections and open ones are served for a while, then it ends."""
 
     begun, go_on = asyncio.Event(), asyncio.Event()
@@ -83,7 +83,7 @@
             assert await made.wait() == 0
 
 
-async def test_signals_during_its_end_change_nothing_but_where_discovery_is(tmp_path: Path) -> None:
+async def test_signals_during_shutdown_only_move_discovery(tmp_path: Path) -> None:
     """A second SIGTERM, and a new configuration while what is out is still answered."""
 
     begun, go_on, moved = asyncio.Event(), asyncio.Event(), asyncio.Event()
@@ -131,7 +131,7 @@
 """
 
 
-async def test_a_signal_in_its_very_last_moment_does_not_kill_it(tmp_path: Path) -> None:
+async def test_signal_after_the_event_loop_has_closed_does_not_kill_the_process(tmp_path: Path) -> None:
     """The event loop is closed by then, and with it the handlers are gone."""
 
     env = {**os.environ, **write(tmp_path, config())}
@@ -144,7 +144,7 @@
     assert await made.wait() == 0
 
 
-async def test_what_cannot_be_answered_in_time_at_the_end_is_still_answered(tmp_path: Path) -> None:
+async def test_request_still_unanswered_at_the_shutdown_deadline_is_answered_502(tmp_path: Path) -> None:
     begun = asyncio.Event()
 
     async def never(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize(("told", "given"), [(64, 1024), (1024, 64)])
-async def test_it_lives_on_where_callers_want_more_descriptors_than_it_has(
+async def test_process_survives_clients_that_exhaust_its_descriptors(
     tmp_path: Path, told: int, given: int
 ) -> None:
     """It keeps to the lower limit of the two by itself, and serves beside a crowd that stays."""
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("then", ["list", "silence", "SIGTERM"])
-async def test_it_listens_once_discovery_has_said_what_there_is(tmp_path: Path, then: str) -> None:
+async def test_pushed_list_is_awaited_before_listening(tmp_path: Path, then: str) -> None:
     """What its agent has counts as told from the first moment on, and what was known before may be old.
 
     Where discovery is silent, what is known has to do, and an end that comes meanwhile is one.
@@ -242,9 +242,7 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-async def test_where_lists_are_asked_for_only_one_that_knows_none_waits_for_the_first(
-    tmp_path: Path, known: bool
-) -> None:
+async def test_polled_list_is_awaited_only_without_a_cached_list(tmp_path: Path, known: bool) -> None:
     """Nothing counts as told there before it has come, and the call may wait for its turn."""
 
     asked, go_on = asyncio.Event(), asyncio.Event()
@@ -273,7 +271,7 @@
             assert (await read_http_message(reader))[2] == b"a"
 
 
-async def test_sighup_moves_the_watch_and_keeps_the_rest(tmp_path: Path) -> None:
+async def test_sighup_moves_the_watch_and_keeps_open_requests(tmp_path: Path) -> None:
     """A bad file changes nothing; a good one's discovery is followed though its versions are lower."""
 
     begun, go_on = asyncio.Event(), asyncio.Event()
