--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -13,7 +13,8 @@
 
 from load_balancer.errors import ConfigError
 from load_balancer.process.config import ConfigSource
-from load_balancer.process.server import exit_on_early_signals, serve
+from load_balancer.process.server import serve
+from load_balancer.process.signals import exit_on_early_signals
 
 
 def main() -> int:
--- a/tests/net/discovery/test_discovery_moves.py
+++ b/tests/net/discovery/test_discovery_moves.py
@@ -17,7 +17,7 @@
 from load_balancer import messages
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.process.config import ConfigSource
-from load_balancer.process.server import Reloader
+from load_balancer.process.reload import Reloader
 from tests.support.balancer_harness import S, settings
 from tests.support.discovery_helpers import watch_tasks
 from tests.support.loopback import (
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from load_balancer.process.server import FLUSH_S, accept_time_s
+from load_balancer.process.graceful_shutdown import FLUSH_S, accept_time_s
 from tests.support.loopback import answer, call, entry, listing, peer, read_message, run
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
 
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -9,7 +9,7 @@
 import pytest
 
 from load_balancer.process.config import ConfigSource
-from load_balancer.process.server import Reloader
+from load_balancer.process.reload import Reloader
 from tests.support.config_fields import FIRST_LANE, NUMBER_FIELDS, FieldPath, config_with, field_name
 from tests.support.loopback import Proxy, proxy, run
 from tests.support.proxy_process import config, write
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -37,7 +37,7 @@
 from load_balancer.policy.change_detector import PRIOR_SAMPLES
 from load_balancer.policy.endpoint_state import COOL_DOWN_US
 from load_balancer.policy.retry import MAX_SAVED_RETRIES
-from load_balancer.process.server import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
+from load_balancer.process.reload import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
 from tests.process.test_reload import ReloadHarness
 from tests.process.test_startup import attended
 from tests.support.balancer_harness import MS, BalancerHarness, S, only
