--- a/load_balancer/errors.py
+++ b/load_balancer/errors.py
@@ -15,6 +15,30 @@
     """A message or file from outside cannot be understood."""
 
 
+class NotUtf8Error(WireError):
+    """Bytes from outside are no text in UTF-8."""
+
+    def __init__(self, error: UnicodeDecodeError) -> None:
+        """Tell the first byte that does not belong to a text."""
+        super().__init__(f"not UTF-8: {error.reason} at byte {error.start}")
+
+
+class NotJsonError(WireError):
+    """A text from outside is not JSON."""
+
+    def __init__(self, error: ValueError | RecursionError) -> None:
+        """Repeat what the JSON parser says."""
+        super().__init__(f"not JSON: {error}")
+
+
+class NotJsonObjectError(WireError):
+    """A text from outside is JSON, but no object."""
+
+    def __init__(self) -> None:
+        """Say so."""
+        super().__init__("not a JSON object")
+
+
 class FieldError(WireError):
     """One field of a message or file cannot be used.
 
@@ -48,5 +72,17 @@
     """The process configuration cannot be used; the message names the field."""
 
 
+class UnsetVariableError(ConfigError):
+    """An environment variable that the process needs is not set."""
+
+    def __init__(self, variable: str) -> None:
+        """Name the variable."""
+        super().__init__(f"{variable} is not set")
+
+
 class UnreadableConfigError(ConfigError):
     """The file cannot be read or holds no JSON: it may be in the middle of being written or replaced."""
+
+    def __init__(self, variable: str, error: OSError | ValueError | RecursionError) -> None:
+        """Name the environment variable that leads to the file, and repeat what went wrong."""
+        super().__init__(f"{variable}: {error}")
--- a/load_balancer/process/config.py
+++ b/load_balancer/process/config.py
@@ -14,7 +14,13 @@
 from pathlib import Path
 
 from load_balancer import messages
-from load_balancer.errors import ConfigError, InvalidFieldError, UnreadableConfigError, WireError
+from load_balancer.errors import (
+    ConfigError,
+    InvalidFieldError,
+    UnreadableConfigError,
+    UnsetVariableError,
+    WireError,
+)
 from load_balancer.net.addresses import Address
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, read_address, read_list
 from load_balancer.settings import JsonObject, optional_field, read_settings, required_field
@@ -42,28 +48,24 @@
 
 
 class ConfigSource:
-    """Where the configuration comes from: the file, and what the environment overrides.
+    """The file that holds the configuration, and the environment variables that override some of its keys.
 
-    The environment counts where it differed from the file at the start. Elsewhere it is a copy of that
-    file, and would hide a later change of it.
+    A variable overrides its key only where it differed from the file at the start. Elsewhere it is a copy of
+    that file, and would hide a later change of it.
     """
 
     def __init__(self, environment: Mapping[str, str]) -> None:
         """Find the file and the overrides.
 
         Raises:
-            ConfigError: `NODE_CONFIG` is not set, or its file cannot be read.
+            UnsetVariableError: `NODE_CONFIG` is not set.
+            UnreadableConfigError: Its file cannot be read or holds no JSON.
         """
         path = environment.get(CONFIG_VARIABLE, "")
         if not path:
-            raise ConfigError(f"{CONFIG_VARIABLE} is not set")
+            raise UnsetVariableError(CONFIG_VARIABLE)
         self._path = Path(path)
-        from_file = self._load()
-        self._overrides = {
-            key: environment[variable]
-            for key, variable in OVERRIDE_VARIABLES.items()
-            if environment.get(variable) and environment[variable] != from_file.get(key)
-        }
+        self._overrides = _find_overrides(environment, self._load())
 
     def read(self) -> Config:
         """Return the configuration as the file has it now.
@@ -79,15 +81,33 @@
             raise ConfigError(str(error)) from None
 
     def _load(self) -> JsonObject:
+        """Return the keys of the file, none where its JSON is no object.
+
+        Raises:
+            UnreadableConfigError: The file cannot be read or holds no JSON.
+        """
         try:
             raw = json.loads(self._path.read_bytes())
         except (OSError, ValueError, RecursionError) as error:
-            raise UnreadableConfigError(f"{CONFIG_VARIABLE}: {error}") from None
+            raise UnreadableConfigError(CONFIG_VARIABLE, error) from None
         return raw if isinstance(raw, dict) else {}
 
 
+def _find_overrides(environment: Mapping[str, str], from_file: JsonObject) -> dict[str, str]:
+    """Return what the environment says otherwise than the file, by the file's keys."""
+    return {
+        key: environment[variable]
+        for key, variable in OVERRIDE_VARIABLES.items()
+        if environment.get(variable) and environment[variable] != from_file.get(key)
+    }
+
+
 def read_config(fields: JsonObject) -> Config:
-    """Read a configuration from the keys of its file. Raises WireError naming the field."""
+    """Read a configuration from the keys of its file.
+
+    Raises:
+        WireError: A field is missing or cannot be used; the message names it.
+    """
     settings = required_field(fields, "settings", dict)
     limits = required_field(settings, "limits", dict, "settings.")
     connect_timeout_us = required_field(limits, "connectTimeoutUs", int, "settings.limits.")
@@ -111,16 +131,20 @@
 
 
 def check_minimum(field: str, value: int, minimum: int) -> None:
-    """Raise InvalidFieldError where the value is below its minimum."""
+    """Check a whole number against the least that is allowed.
+
+    Raises:
+        InvalidFieldError: The value is below its minimum.
+    """
     if value < minimum:
         raise InvalidFieldError(field, f"is below {minimum}: {value}")
 
 
 def read_cached_list(raw: object) -> EndpointListMessage | None:
-    """Read the endpoint list as last known; none where it is absent or cannot be used.
+    """Read the endpoint list as last known; return none where it is absent or cannot be used.
 
-    A proxy that ended over a malformed one could not start until somebody mended the file, though discovery
-    tells what there is.
+    A process that ended over a malformed list could not start until somebody mended the file, though
+    discovery tells which endpoints there are.
     """
     try:
         return read_list(raw, "known.") if raw else None
@@ -130,7 +154,11 @@
 
 
 def read_seed(fields: JsonObject) -> int:
-    """Read the seed of the random numbers: a whole number of any size, or a hexadecimal text."""
+    """Read the seed of the random numbers: a whole number of any size, or a hexadecimal text.
+
+    Raises:
+        FieldError: The seed is missing or neither of these.
+    """
     seed = fields.get("seed")
     if type(seed) is int:  # not checked against a range: no float or timer takes it
         return seed
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -16,42 +16,54 @@
 
 JsonObject = dict[str, Any]
 
-NUMBER_LIMIT = (
-    2**64
-)  # numbers lie below it on both sides: an integer without end makes float() and timers fail
-DEFAULT_POLL_LIMIT_US = 10_000_000  # the longest time between polls where the settings don't say
+NUMBER_KINDS = (int, float)
+# Numbers are below this and above its negative: float() and timers fail on an integer without end.
+NUMBER_LIMIT = 2**64
+DEFAULT_MAX_POLL_INTERVAL_US = 10_000_000  # where the settings don't say
 
 
-def required_field(fields: Any, key: str, kind: type | tuple[type, ...], where: str = "") -> Any:
-    """Return a required value of a kind. `where` is the path to `fields`, as in "settings.limits.".
+def required_field(fields: Any, key: str, kind: type | tuple[type, ...], prefix: str = "") -> Any:
+    """Return the value of a required key.
+
+    Args:
+        fields: The JSON object that should have the key.
+        key: The key.
+        kind: What the value has to be an instance of.
+        prefix: The path to `fields`, for the error, as in "settings.limits.".
 
     Raises:
-        MissingFieldError: It is absent or null, or `fields` is no object.
-        InvalidFieldError: It is of another kind or out of range.
+        MissingFieldError: The value is absent or null, or `fields` is no object.
+        InvalidFieldError: The value is of another kind or out of range.
     """
     value = fields.get(key) if isinstance(fields, dict) else None
     if value is None:
-        raise MissingFieldError(where + key)
-    return checked_value(value, kind, where + key)
+        raise MissingFieldError(prefix + key)
+    return checked_value(value, kind, prefix + key)
+
 
+def optional_field(fields: JsonObject, key: str, default: Any, prefix: str = "") -> Any:
+    """Return the value of an optional key, which is of the default's kind, or the default where it is null.
 
-def optional_field(fields: JsonObject, key: str, default: Any, where: str = "") -> Any:
-    """Return a value of the default's kind, or the default where it is absent or null.
+    Args:
+        fields: The JSON object that may have the key.
+        key: The key.
+        default: What is returned where the key is absent or null.
+        prefix: The path to `fields`, for the error, as in "settings.limits.".
 
     Raises:
-        InvalidFieldError: It is of another kind or out of range.
+        InvalidFieldError: The value is of another kind or out of range.
     """
     value = fields.get(key)
     if value is None:
         return default
-    return checked_value(value, (int, float) if isinstance(default, float) else type(default), where + key)
+    return checked_value(value, (int, float) if isinstance(default, float) else type(default), prefix + key)
 
 
 def checked_value(value: Any, kind: type | tuple[type, ...], field: str) -> Any:
-    """Return the value where it is of this kind and in range, a whole float as an int where one is wanted.
+    """Return a value that is of the kind wanted and in range, a float with no fraction as an int.
 
     Raises:
-        InvalidFieldError: It is of another kind or out of range.
+        InvalidFieldError: The value is of another kind or out of range.
     """
     if kind is int and isinstance(value, float) and value.is_integer():
         value = int(value)  # JSON has one kind of number: 5.0 would keep the proxy from starting
@@ -64,9 +76,8 @@
     return value
 
 
-NUMBER = (int, float)
-
-WIRE_NAMES = {  # of the messages' fields in the form that is read; the others have the same name there
+# The messages' fields by the names that they have in JSON; all others are called the same there.
+WIRE_NAMES = {
     "latency_objective_us": "onTimeUs",
     "deadline_us": "deadlineUs",
     "deduplication_window_us": "repeatWindowUs",
@@ -92,7 +103,7 @@
 
 
 @contextmanager
-def settings_field_names(where: str) -> Iterator[None]:
+def settings_field_names(prefix: str) -> Iterator[None]:
     """Turn the ValueError of a value that the messages do not take into one with the field as it was read.
 
     Raises:
@@ -102,71 +113,78 @@
         yield
     except ValueError as error:
         name, _, problem = str(error).partition(" ")
-        raise InvalidFieldError(where + WIRE_NAMES.get(name, name), problem) from None
+        raise InvalidFieldError(prefix + WIRE_NAMES.get(name, name), problem) from None
 
 
 EnumType = TypeVar("EnumType", bound=Enum)
 
 
 def parse_enum(kind: type[EnumType], value: str, field: str) -> EnumType:
-    """Return the member with this value. Raises InvalidFieldError where there is none."""
+    """Return the member with this value.
+
+    Raises:
+        InvalidFieldError: There is none.
+    """
     try:
         return kind(value)
     except ValueError:
         raise InvalidFieldError(field, f"has an unknown value: {value!r:.60}") from None
 
 
-def read_class(lane: Any, where: str) -> messages.RequestClass:
+def read_class(lane: Any, prefix: str) -> messages.RequestClass:
     """Read one entry of `lanes`. Raises FieldError."""
     idempotency = parse_enum(
-        messages.Idempotency, required_field(lane, "idempotency", str, where), where + "idempotency"
+        messages.Idempotency, required_field(lane, "idempotency", str, prefix), prefix + "idempotency"
     )
     key_scope = parse_enum(
-        messages.KeyScope, optional_field(lane, "keyScope", "all", where), where + "keyScope"
+        messages.KeyScope, optional_field(lane, "keyScope", "all", prefix), prefix + "keyScope"
     )
-    with settings_field_names(where):
+    with settings_field_names(prefix):
         return messages.RequestClass(
-            name=required_field(lane, "name", str, where),
-            latency_objective_us=required_field(lane, "onTimeUs", int, where),
-            deadline_us=required_field(lane, "deadlineUs", int, where),
+            name=required_field(lane, "name", str, prefix),
+            latency_objective_us=required_field(lane, "onTimeUs", int, prefix),
+            deadline_us=required_field(lane, "deadlineUs", int, prefix),
             idempotency=idempotency,
             key_scope=key_scope,
-            deduplication_window_us=optional_field(lane, "repeatWindowUs", 0, where),
-            priority_weight=optional_field(lane, "worth", 1.0, where),
-            late_weight=optional_field(lane, "lateValue", 0.0, where),
+            deduplication_window_us=optional_field(lane, "repeatWindowUs", 0, prefix),
+            priority_weight=optional_field(lane, "worth", 1.0, prefix),
+            late_weight=optional_field(lane, "lateValue", 0.0, prefix),
         )
 
 
-def read_tenant(tenant: Any, where: str) -> messages.Tenant:
+def read_tenant(tenant: Any, prefix: str) -> messages.Tenant:
     """Read one entry of `tenants`. Raises FieldError."""
-    with settings_field_names(where):
+    with settings_field_names(prefix):
         return messages.Tenant(
-            required_field(tenant, "name", str, where), required_field(tenant, "quotaPerS", NUMBER, where)
+            required_field(tenant, "name", str, prefix),
+            required_field(tenant, "quotaPerS", NUMBER_KINDS, prefix),
         )
 
 
-def read_rules(contract: JsonObject, where: str) -> messages.Rules:
+def read_rules(contract: JsonObject, prefix: str) -> messages.Rules:
     """Read `contract`, the platform's promises. Raises FieldError."""
-    with settings_field_names(where):
+    with settings_field_names(prefix):
         return messages.Rules(
-            start_capacity=required_field(contract, "startCapacity", NUMBER, where),
-            slow_start_us=required_field(contract, "coldUs", int, where),
-            overload_multiple=required_field(contract, "fallMultiple", NUMBER, where),
-            overload_window_us=required_field(contract, "fallUs", int, where),
-            max_poll_interval_us=optional_field(contract, "mustAskInUs", DEFAULT_POLL_LIMIT_US, where),
+            start_capacity=required_field(contract, "startCapacity", NUMBER_KINDS, prefix),
+            slow_start_us=required_field(contract, "coldUs", int, prefix),
+            overload_multiple=required_field(contract, "fallMultiple", NUMBER_KINDS, prefix),
+            overload_window_us=required_field(contract, "fallUs", int, prefix),
+            max_poll_interval_us=optional_field(
+                contract, "mustAskInUs", DEFAULT_MAX_POLL_INTERVAL_US, prefix
+            ),
         )
 
 
-def read_limits(limits: JsonObject, where: str) -> messages.Limits:
+def read_limits(limits: JsonObject, prefix: str) -> messages.Limits:
     """Read `limits`, what the site allows. Raises FieldError."""
-    advice = optional_field(limits, "retryAfter", False, where)
-    with settings_field_names(where):
+    may_advise_retry = optional_field(limits, "retryAfter", default=False, prefix=prefix)
+    with settings_field_names(prefix):
         return messages.Limits(
-            max_attempts=required_field(limits, "maxAttempts", int, where),
-            cancel=optional_field(limits, "cancel", False, where),
-            health_checks=optional_field(limits, "probing", False, where),
-            retry_after_us=optional_field(limits, "maxRetryAfterUs", 0, where) if advice else 0,
-            connect_timeout_us=optional_field(limits, "connectTimeoutUs", 0, where),
+            max_attempts=required_field(limits, "maxAttempts", int, prefix),
+            cancel=optional_field(limits, "cancel", default=False, prefix=prefix),
+            health_checks=optional_field(limits, "probing", default=False, prefix=prefix),
+            retry_after_us=optional_field(limits, "maxRetryAfterUs", 0, prefix) if may_advise_retry else 0,
+            connect_timeout_us=optional_field(limits, "connectTimeoutUs", 0, prefix),
         )
 
 
@@ -178,27 +196,32 @@
     Raises:
         FieldError: A setting is missing or cannot be used; the message names it in full.
     """
-    top = "settings."
-    lanes = required_field(raw, "lanes", list, top)
-    contract = required_field(raw, "contract", dict, top)
-    limits = required_field(raw, "limits", dict, top)
-    prices = optional_field(raw, "deductions", {}, top)
-    tenants = optional_field(raw, "tenants", [], top)
-    with settings_field_names(top):
+    prefix = "settings."
+    lanes = required_field(raw, "lanes", list, prefix)
+    contract = required_field(raw, "contract", dict, prefix)
+    limits = required_field(raw, "limits", dict, prefix)
+    prices = optional_field(raw, "deductions", {}, prefix)
+    tenants = optional_field(raw, "tenants", [], prefix)
+    with settings_field_names(prefix):
         return messages.Settings(
-            classes=tuple(read_class(lane, f"{top}lanes[{n}].") for n, lane in enumerate(lanes)),
-            rules=read_rules(contract, top + "contract."),
-            limits=read_limits(limits, top + "limits."),
-            tenants=tuple(read_tenant(t, f"{top}tenants[{n}].") for n, t in enumerate(tenants)),
-            over_quota_weight=optional_field(raw, "overShareWorth", 1.0, top),
-            worst_class_weight=optional_field(
-                optional_field(raw, "resultMix", {}, top), "worstClass", 0.0, top + "resultMix."
-            ),
-            instances=optional_field(raw, "instances", 1, top),
-            index=optional_field(raw, "index", 0, top),
-            zone=optional_field(raw, "zone", "", top),
-            cross_zone_price=optional_field(prices, "crossZone", 0.0, top + "deductions."),
-            handshake_price=optional_field(prices, "handshake", 0.0, top + "deductions."),
-            must_subscribe=optional_field(raw, "registryMode", "automatic", top) == "subscribe",
-            tick_us=optional_field(raw, "tickUs", 1_000, top),
+            classes=tuple(read_class(lane, f"{prefix}lanes[{n}].") for n, lane in enumerate(lanes)),
+            rules=read_rules(contract, prefix + "contract."),
+            limits=read_limits(limits, prefix + "limits."),
+            tenants=tuple(read_tenant(tenant, f"{prefix}tenants[{n}].") for n, tenant in enumerate(tenants)),
+            over_quota_weight=optional_field(raw, "overShareWorth", 1.0, prefix),
+            worst_class_weight=read_worst_class_weight(raw, prefix),
+            instances=optional_field(raw, "instances", 1, prefix),
+            index=optional_field(raw, "index", 0, prefix),
+            zone=optional_field(raw, "zone", "", prefix),
+            cross_zone_price=optional_field(prices, "crossZone", 0.0, prefix + "deductions."),
+            handshake_price=optional_field(prices, "handshake", 0.0, prefix + "deductions."),
+            must_subscribe=optional_field(raw, "registryMode", "automatic", prefix) == "subscribe",
+            tick_us=optional_field(raw, "tickUs", 1_000, prefix),
         )
+
+
+def read_worst_class_weight(raw: JsonObject, prefix: str) -> float:
+    """Read the weight of the worst class out of `resultMix`. Raises FieldError."""
+    result_mix = optional_field(raw, "resultMix", {}, prefix)
+    weight: float = optional_field(result_mix, "worstClass", 0.0, prefix + "resultMix.")
+    return weight
