--- a/load_balancer/simulator.py
+++ b/load_balancer/simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: events in, actions out. Translation only; it decides nothing.
+"""The simulator's wire: reads events, writes actions. It only translates and decides nothing.
 
 Started as `python -B -m load_balancer.simulator`. One process hosts many balancers that share nothing. Each
 line on standard input is a batch of events, each line on standard output the reply to it. Times are
@@ -16,11 +16,17 @@
 from typing import Any, TextIO
 
 from load_balancer import messages
-from load_balancer.errors import InvalidFieldError, WireError
+from load_balancer.errors import (
+    InvalidFieldError,
+    NotJsonError,
+    NotJsonObjectError,
+    NotUtf8Error,
+    WireError,
+)
 from load_balancer.policy.balancer import Balancer
 from load_balancer.settings import JsonObject, optional_field, read_settings, required_field
 
-OUTCOMES = {
+OUTCOMES = {  # by an attempt's `ending`
     10: messages.Outcome.OK,
     20: messages.Outcome.ERROR,
     30: messages.Outcome.REJECTED,
@@ -30,13 +36,13 @@
     70: messages.Outcome.CANCELLED,
     80: messages.Outcome.NOT_SENT,
 }
-CLIENT_RETRY_BIT = 2  # of a request's bit field: the client has tried before
-CONDITIONS = {
+CLIENT_RETRY_BIT = 2  # of a request's `bitmap`: the client has sent this request before
+STATUSES = {  # by a list's `condition`
     "IN": messages.EndpointStatus.UP,
     "LAME": messages.EndpointStatus.DRAINING,
     "OUT": messages.EndpointStatus.REMOVED,
 }
-FORMS = {
+LIST_KINDS = {  # by an event's `form`
     "changes": messages.EndpointListKind.CHANGES,
     "all": messages.EndpointListKind.COMPLETE,
     "remembered": messages.EndpointListKind.CACHED,
@@ -44,17 +50,25 @@
 }
 
 
-def read_backend(row: Any, where: str) -> messages.Endpoint:
-    """Read one row of a list. Raises FieldError."""
-    status = CONDITIONS.get(required_field(row, "condition", str, where))
+class InvalidLineError(WireError):
+    """A line of the input cannot be understood."""
+
+    def __init__(self, line_number: int, error: WireError) -> None:
+        """Put the line's number, counted from 1, before what is wrong with it."""
+        super().__init__(f"line {line_number}: {error}")
+
+
+def read_endpoint(row: Any, prefix: str) -> messages.Endpoint:
+    """Read one row of an endpoint list. Raises FieldError."""
+    status = STATUSES.get(required_field(row, "condition", str, prefix))
     if status is None:
-        raise InvalidFieldError(f"{where}condition", f"has an unknown value: {row['condition']!r:.60}")
+        raise InvalidFieldError(f"{prefix}condition", f"has an unknown value: {row['condition']!r:.60}")
     return messages.Endpoint(
-        id=required_field(row, "backend", int, where),
+        id=required_field(row, "backend", int, prefix),
         status=status,
-        zone=optional_field(row, "campus", "", where),
-        cell=optional_field(row, "bay", 0, where),
-        incarnation_us=optional_field(row, "sinceUs", 0, where),
+        zone=optional_field(row, "campus", "", prefix),
+        cell=optional_field(row, "bay", 0, prefix),
+        incarnation_us=optional_field(row, "sinceUs", 0, prefix),
     )
 
 
@@ -72,27 +86,27 @@
 
 def read_attempt_end(event: JsonObject) -> messages.AttemptEnded:
     """Read an ATTEMPT_END event. Raises FieldError."""
-    where = "ATTEMPT_END."
+    prefix = "ATTEMPT_END."
     return messages.AttemptEnded(
-        request=required_field(event, "msgId", str, where),
-        attempt=required_field(event, "attempt", int, where),
-        endpoint_id=required_field(event, "backend", int, where),
-        outcome=OUTCOMES.get(required_field(event, "ending", int, where), messages.Outcome.UNKNOWN),
-        took_us=required_field(event, "rttUs", int, where),
-        last=optional_field(event, "last", False, where),
+        request=required_field(event, "msgId", str, prefix),
+        attempt=required_field(event, "attempt", int, prefix),
+        endpoint_id=required_field(event, "backend", int, prefix),
+        outcome=OUTCOMES.get(required_field(event, "ending", int, prefix), messages.Outcome.UNKNOWN),
+        took_us=required_field(event, "rttUs", int, prefix),
+        last=optional_field(event, "last", default=False, prefix=prefix),
     )
 
 
 def read_health_check_end(event: JsonObject) -> messages.HealthCheckEnded:
     """Read a SAMPLED event, the end of a health check. Raises FieldError."""
-    ending = OUTCOMES.get(required_field(event, "ending", int, "SAMPLED."))
-    alive = ending not in (messages.Outcome.TIMEOUT, messages.Outcome.NO_CONNECTION)
+    outcome = OUTCOMES.get(required_field(event, "ending", int, "SAMPLED."))
+    is_alive = outcome not in (messages.Outcome.TIMEOUT, messages.Outcome.NO_CONNECTION)
     gauge = event.get("gauge")
-    holds = gauge.get("busy_reqs") if isinstance(gauge, dict) else None
+    busy_requests = gauge.get("busy_reqs") if isinstance(gauge, dict) else None
     return messages.HealthCheckEnded(
         required_field(event, "backend", int, "SAMPLED."),
-        alive,
-        holds if isinstance(holds, int | float) else None,
+        is_alive,
+        busy_requests if isinstance(busy_requests, int | float) else None,
     )
 
 
@@ -155,98 +169,121 @@
 
 
 class SimulatorSession:
-    """The balancers of one process by instance number, and the lists that were sent to them."""
+    """The balancers of one process by instance, and the endpoint lists that were sent, by their number."""
 
     def __init__(self) -> None:
-        """Start without any."""
-        self.balancers: dict[int, Balancer] = {}
-        self.lists: dict[int, tuple[messages.Endpoint, ...]] = {}  # by number; a later one replaces it
+        """Start with no balancer and no list."""
+        self._balancers: dict[int, Balancer] = {}
+        self._lists: dict[int, tuple[messages.Endpoint, ...]] = {}  # a later one replaces an earlier one
 
     def handle_batch(self, batch: JsonObject) -> JsonObject:
         """Return the reply to one batch. Raises WireError."""
-        now, number = required_field(batch, "tUs", int), required_field(batch, "n", int)
+        now_us = required_field(batch, "tUs", int)
+        number = required_field(batch, "n", int)
         replies = []
-        for at, group in enumerate(required_field(batch, "proxys", list)):
-            where = f"proxys[{at}]."
-            instance = required_field(group, "proxy", int, where)
-            actions: list[messages.Action] = []
-            for event in required_field(group, "events", list, where):
-                actions += self.handle_event(now, instance, event)
-            decisions = [written for action in actions if (written := write_action(action))]
-            if decisions:
-                replies.append({"proxy": instance, "decisions": decisions})
+        for index, group in enumerate(required_field(batch, "proxys", list)):
+            reply = self._handle_group(now_us, group, f"proxys[{index}].")
+            if reply["decisions"]:
+                replies.append(reply)
         return {"n": number, "proxys": replies}
 
-    def handle_event(self, now: int, instance: int, event: JsonObject) -> list[messages.Action]:
-        """Handle one event of one instance. Events of a kind not known here are ignored. Raises WireError."""
-        kind = required_field(event, "msg", str)
-        if kind == "MANIFEST":
-            rows = required_field(event, "rows", list, "MANIFEST.")
-            backends = tuple(read_backend(row, f"MANIFEST.rows[{at}].") for at, row in enumerate(rows))
-            self.lists[required_field(event, "bank", int, "MANIFEST.")] = backends
-            return []
-        if kind == "CONFIGURE":
-            settings = read_settings(required_field(event, "settings", dict, "CONFIGURE."))
-            balancer = Balancer(settings, required_field(event, "rngSeed", int, "CONFIGURE."))
-            self.balancers[instance] = balancer
-            return balancer.start(now)
-        if kind == "DOWN":
-            self.balancers.pop(instance, None)
-            return []
-        running = self.balancers.get(instance)
-        if running is None:
-            return []
-        if kind == "ANNOUNCE":
-            return running.handle(now, self.read_list_event(event))
-        reader = EVENT_READERS.get(kind)
-        return running.handle(now, reader(event)) if reader else []
-
-    def read_list_event(self, event: JsonObject) -> messages.EndpointListUpdate:
-        """Read an ANNOUNCE event, which names a list by its number. Raises FieldError."""
-        kind = FORMS.get(required_field(event, "form", str, "ANNOUNCE."))
+    def _handle_group(self, now_us: int, group: Any, prefix: str) -> JsonObject:
+        """Return the reply to the events of one instance. Raises WireError."""
+        instance = required_field(group, "proxy", int, prefix)
+        actions: list[messages.Action] = []
+        for event in required_field(group, "events", list, prefix):
+            actions += self._handle_event(now_us, instance, event)
+        return {
+            "proxy": instance,
+            "decisions": [written for action in actions if (written := write_action(action))],
+        }
+
+    def _handle_event(self, now_us: int, instance: int, event: JsonObject) -> list[messages.Action]:
+        """Handle one event of one instance.
+
+        Events of a kind that is not known here are ignored, and so are those of an instance that was never
+        configured or is down.
+
+        Raises:
+            WireError: The event cannot be understood.
+        """
+        match required_field(event, "msg", str):
+            case "MANIFEST":
+                self._store_list(event)
+                return []
+            case "CONFIGURE":
+                return self._start_balancer(now_us, instance, event)
+            case "DOWN":
+                self._balancers.pop(instance, None)
+                return []
+            case kind:
+                balancer = self._balancers.get(instance)
+                reader = self._event_reader(kind)
+                if balancer is None or reader is None:
+                    return []
+                return balancer.handle(now_us, reader(event))
+
+    def _event_reader(self, kind: str) -> Callable[[JsonObject], messages.Event] | None:
+        return self._read_list_event if kind == "ANNOUNCE" else EVENT_READERS.get(kind)
+
+    def _store_list(self, event: JsonObject) -> None:
+        """Store the endpoint list of a MANIFEST event. Raises FieldError."""
+        rows = required_field(event, "rows", list, "MANIFEST.")
+        endpoints = tuple(read_endpoint(row, f"MANIFEST.rows[{index}].") for index, row in enumerate(rows))
+        self._lists[required_field(event, "bank", int, "MANIFEST.")] = endpoints
+
+    def _start_balancer(self, now_us: int, instance: int, event: JsonObject) -> list[messages.Action]:
+        """Start an instance anew by a CONFIGURE event. Raises FieldError."""
+        settings = read_settings(required_field(event, "settings", dict, "CONFIGURE."))
+        balancer = Balancer(settings, required_field(event, "rngSeed", int, "CONFIGURE."))
+        self._balancers[instance] = balancer
+        return balancer.start(now_us)
+
+    def _read_list_event(self, event: JsonObject) -> messages.EndpointListUpdate:
+        """Read an ANNOUNCE event, which names a stored list by its number. Raises FieldError."""
+        kind = LIST_KINDS.get(required_field(event, "form", str, "ANNOUNCE."))
         if kind is None:
             raise InvalidFieldError("ANNOUNCE.form", f"has an unknown value: {event['form']!r:.60}")
         if kind is messages.EndpointListKind.FAILED:
             return messages.EndpointListUpdate(kind)
         bank = required_field(event, "bank", int, "ANNOUNCE.")
-        if bank not in self.lists:
+        if bank not in self._lists:
             raise InvalidFieldError("ANNOUNCE.bank", f"names list {bank}, which was never sent")
-        return messages.EndpointListUpdate(
-            kind, optional_field(event, "epoch", 0, "ANNOUNCE."), self.lists[bank]
-        )
+        version = optional_field(event, "epoch", 0, "ANNOUNCE.")
+        return messages.EndpointListUpdate(kind, version, self._lists[bank])
 
 
 def serve(lines: Iterable[bytes], replies: TextIO) -> None:
     """Answer each batch until the input ends.
 
     Raises:
-        WireError: A line cannot be understood; the message tells its number. Earlier ones are answered.
+        InvalidLineError: A line cannot be understood. The earlier ones are answered.
     """
     session = SimulatorSession()
-    for number, line in enumerate(lines, 1):
+    for line_number, line in enumerate(lines, 1):
         try:
             reply = session.handle_batch(parse_batch(line))
         except WireError as error:
-            raise WireError(f"line {number}: {error}") from None
+            raise InvalidLineError(line_number, error) from None
         replies.write(json.dumps(reply, separators=(",", ":")) + "\n")
         replies.flush()
 
 
 def parse_batch(line: bytes) -> JsonObject:
-    """Return the object that a line holds. Raises WireError."""
+    """Return the JSON object that a line holds. Raises WireError."""
     try:
         batch = json.loads(line.decode())
     except UnicodeDecodeError as error:
-        raise WireError(f"not UTF-8: {error.reason} at byte {error.start}") from None
+        raise NotUtf8Error(error) from None
     except (json.JSONDecodeError, RecursionError) as error:
-        raise WireError(f"not JSON: {error}") from None
+        raise NotJsonError(error) from None
     if not isinstance(batch, dict):
-        raise WireError("not a JSON object")
+        raise NotJsonObjectError
     return batch
 
 
 def main() -> int:
-    """Serve standard input. Returns the exit code."""
+    """Answer the batches on standard input, and return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout)
     except WireError as error:
