--- a/load_balancer/net/client/client_listener.py
+++ b/load_balancer/net/client/client_listener.py
@@ -20,7 +20,7 @@
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_registry import ClientRegistry
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
-from load_balancer.net.repeated_fault_log import RepeatedFaultLog
+from load_balancer.net.repeated_log_lines import repeated_fault
 from load_balancer.net.socket_state import DESCRIPTOR_SHORTAGE
 
 log = logging.getLogger(__name__)
@@ -66,9 +66,9 @@
         self._driver = driver
         self._classes = classes
         self._admission_tasks: set[asyncio.Task[None]] = set()
-        self._descriptor_faults = RepeatedFaultLog(log, "no descriptor for a connection")
-        self._lost_connection_faults = RepeatedFaultLog(log, "a connection was lost as it came")
-        self._accept_faults = RepeatedFaultLog(log, "no connection can be taken in")
+        self._descriptor_faults = repeated_fault(log, "no descriptor for a connection")
+        self._lost_connection_faults = repeated_fault(log, "a connection was lost as it came")
+        self._accept_faults = repeated_fault(log, "no connection can be taken in")
         self._listening_socket: socket.socket
         self._is_stopping = False  # the socket is closed once the system's queue is empty
         self._accept_retry_timer: asyncio.TimerHandle | None = None  # set while none can be accepted
--- a/load_balancer/net/discovery/endpoint_watch.py
+++ b/load_balancer/net/discovery/endpoint_watch.py
@@ -17,7 +17,7 @@
 from load_balancer.net.addresses import Address
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, join_changes, read_list
 from load_balancer.net.discovery.json_stream import JsonStreamError, JsonTextSplitter
-from load_balancer.net.log_limits import WindowedLog
+from load_balancer.net.repeated_log_lines import LogLine, RepeatedLogLines, RunLimits
 
 log = logging.getLogger(__name__)
 
@@ -74,13 +74,11 @@
         self._version_source = address  # the discovery that numbered it
         # The highest version since the last complete list: changes with a lower one may follow it.
         self._highest_seen_version = -1
-        self._break_log = WindowedLog(
+        self._break_log = RepeatedLogLines(
             log,
-            logging.WARNING,
-            summary="watch on discovery broke %d more times",
-            window_s=BREAK_LOG_WINDOW_S,
-            max_lines=MAX_LOGGED_BREAKS,
-            logs_repeats=False,
+            line=LogLine(logging.WARNING, "watch on discovery broke: %s"),
+            summary=LogLine(logging.WARNING, "watch on discovery broke %d more times"),
+            limits=RunLimits(window_s=BREAK_LOG_WINDOW_S, max_lines=MAX_LOGGED_BREAKS, logs_repeats=False),
         )
 
     def start(self) -> None:
@@ -127,7 +125,7 @@
             WireError,
         ) as error:
             now_s = asyncio.get_running_loop().time()
-            self._break_log.record(now_s, "watch on discovery broke: %s", str(error) or "silent")
+            self._break_log.record(now_s, str(error) or "silent")
         except Exception:
             # A fault of our own, or of whoever takes the list: the watch is opened anew like after any break.
             log.exception("watch on discovery failed")
--- a/load_balancer/net/driver/endpoint_directory.py
+++ b/load_balancer/net/driver/endpoint_directory.py
@@ -11,7 +11,7 @@
 from load_balancer import messages
 from load_balancer.net.addresses import Address, EndpointAddress
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
-from load_balancer.net.log_limits import WindowedLog
+from load_balancer.net.repeated_log_lines import LogLine, RepeatedLogLines, RunLimits
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 
 log = logging.getLogger(__name__)
@@ -32,12 +32,11 @@
         self._pool = pool
         self.by_number: dict[int, EndpointAddress] = {}
         self.up_numbers: set[int] = set()  # of those in service
-        self._change_log = WindowedLog(
+        self._change_log = RepeatedLogLines(
             log,
-            logging.INFO,
-            summary="%d more changes of backends",
-            window_s=CHANGE_LOG_WINDOW_S,
-            max_lines=MAX_LOGGED_CHANGES,
+            line=LogLine(logging.INFO, "backend %d is %s, cell %d, %s"),
+            summary=LogLine(logging.INFO, "%d more changes of backends"),
+            limits=RunLimits(window_s=CHANGE_LOG_WINDOW_S, max_lines=MAX_LOGGED_CHANGES),
         )
 
     def update(self, now_s: float, message: EndpointListMessage) -> list[EndpointAddress]:
@@ -91,6 +90,4 @@
         known = self.by_number.get(entry.id)
         was_up, is_up = entry.id in self.up_numbers, entry.status is messages.EndpointStatus.UP
         if known is None or known.address != address or is_up != was_up:
-            self._change_log.record(
-                now_s, "backend %d is %s, cell %d, %s", entry.id, uid, entry.cell, entry.status.value
-            )
+            self._change_log.record(now_s, entry.id, uid, entry.cell, entry.status.value)
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from load_balancer.net import repeated_fault_log
+from load_balancer.net import repeated_log_lines
 from load_balancer.net.client import client_limits
 from load_balancer.process.descriptor_limits import RESERVED_DESCRIPTORS
 from tests.support.client_helpers import Client, settled, silent_backend, status, streams
@@ -208,11 +208,11 @@
             client.send(call(path="/ready"))
             reader, writer = await streams(client)
             assert status(await read_message(reader)) == 200
-            clock.step(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
+            clock.step(repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
             await until(lambda: len(lines()) > 1)
             assert lines()[1:] == [f"no descriptor for a connection: over, {met.all} times in all"]
             writer.close()
-            clock.step(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
+            clock.step(repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
             await settled()
             assert len(lines()) == 2
 
--- a/tests/net/test_log_limits.py
+++ b/tests/net/test_log_limits.py
@@ -8,7 +8,7 @@
 
 from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.driver.endpoint_directory import CHANGE_LOG_WINDOW_S, MAX_LOGGED_CHANGES
-from load_balancer.net.log_limits import WindowedLog
+from load_balancer.net.repeated_log_lines import LogLine, RepeatedLogLines, RunLimits
 from tests.support.loopback import SteppedClock, entry, listing, proxy
 
 
@@ -38,23 +38,21 @@
         assert "is s-1, cell 1, gone" in single
 
 
-def windowed_log(*, logs_repeats: bool = True) -> WindowedLog:
-    return WindowedLog(
+def windowed_lines(text: str, *, logs_repeats: bool = True) -> RepeatedLogLines:
+    return RepeatedLogLines(
         logging.getLogger("windowed"),
-        logging.WARNING,
-        summary="%d more",
-        window_s=10.0,
-        max_lines=2,
-        logs_repeats=logs_repeats,
+        line=LogLine(logging.WARNING, text),
+        summary=LogLine(logging.WARNING, "%d more"),
+        limits=RunLimits(window_s=10.0, max_lines=2, logs_repeats=logs_repeats),
     )
 
 
 def test_window_begins_with_the_first_event_after_the_previous_window(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    limited = windowed_log()
+    limited = windowed_lines("at %s")
     for now_s in (5.0, 6.0, 14.9, 15.0, 24.9, 25.0):
-        limited.record(now_s, "at %s", now_s)
+        limited.record(now_s, now_s)
     assert caplog.messages == ["at 5.0", "at 6.0", "1 more", "at 15.0", "at 24.9", "at 25.0"]
     assert {record.levelno for record in caplog.records} == {logging.WARNING}
 
@@ -62,20 +60,20 @@
 def test_repeated_events_are_counted_when_only_distinct_ones_are_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    limited = windowed_log(logs_repeats=False)
+    limited = windowed_lines("broke: %s", logs_repeats=False)
     for reason in ("reset", "reset", "silent", "reset", "status 503"):
-        limited.record(0.0, "broke: %s", reason)
-    limited.record(10.0, "broke: %s", "reset")
+        limited.record(0.0, reason)
+    limited.record(10.0, "reset")
     assert caplog.messages == ["broke: reset", "broke: silent", "3 more", "broke: reset"]
 
 
 def test_summary_is_logged_once_and_only_when_events_were_suppressed(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    limited = windowed_log()
+    limited = windowed_lines("number %d")
     limited.summarize()
     for number in range(5):
-        limited.record(0.0, "number %d", number)
+        limited.record(0.0, number)
     limited.summarize()
     limited.summarize()
     assert caplog.messages == ["number 0", "number 1", "3 more"]
--- a/tests/net/test_repeated_fault_log.py
+++ b/tests/net/test_repeated_fault_log.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from load_balancer.net.repeated_fault_log import QUIET_PERIOD_S, RepeatedFaultLog
+from load_balancer.net.repeated_log_lines import QUIET_PERIOD_S, RepeatedLogLines, repeated_fault
 
 LOG = logging.getLogger("test_repeated_fault_log")
 
 
 @pytest.fixture
-def faults(caplog: pytest.LogCaptureFixture) -> RepeatedFaultLog:
+def faults(caplog: pytest.LogCaptureFixture) -> RepeatedLogLines:
     caplog.set_level(logging.INFO, logger=LOG.name)
-    return RepeatedFaultLog(LOG, "no descriptor")
+    return repeated_fault(LOG, "no descriptor")
 
 
 def lines(caplog: pytest.LogCaptureFixture) -> list[tuple[int, str]]:
@@ -22,7 +22,7 @@
 
 
 def test_many_faults_in_a_row_are_logged_in_two_lines(
-    faults: RepeatedFaultLog, caplog: pytest.LogCaptureFixture
+    faults: RepeatedLogLines, caplog: pytest.LogCaptureFixture
 ) -> None:
     for n in range(1000):
         faults.record(10.0 + n / 1000, OSError("first" if n == 0 else "later"))
@@ -34,7 +34,7 @@
     assert lines(caplog)[1:] == [(logging.INFO, "no descriptor: over, 1000 times in all")]
 
 
-def test_end_of_a_fault_is_logged_once(faults: RepeatedFaultLog, caplog: pytest.LogCaptureFixture) -> None:
+def test_end_of_a_fault_is_logged_once(faults: RepeatedLogLines, caplog: pytest.LogCaptureFixture) -> None:
     faults.end_if_quiet(100.0)
     assert lines(caplog) == []
     faults.record(100.0, OSError("x"))
@@ -44,7 +44,7 @@
 
 
 def test_recurring_fault_is_logged_and_counted_anew(
-    faults: RepeatedFaultLog, caplog: pytest.LogCaptureFixture
+    faults: RepeatedLogLines, caplog: pytest.LogCaptureFixture
 ) -> None:
     for at_s in (100.0, 200.0):
         faults.record(at_s, OSError("x"))
