--- a/tests/net/test_log_limits.py
+++ b/tests/net/test_repeated_log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of one kind are written up to a limit in each window, and counted beyond it."""
+"""Log lines of one kind are written up to a limit in each run of events, and counted beyond it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,13 @@
 
 from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.driver.endpoint_directory import CHANGE_LOG_WINDOW_S, MAX_LOGGED_CHANGES
-from load_balancer.net.repeated_log_lines import LogLine, RepeatedLogLines, RunLimits
+from load_balancer.net.repeated_log_lines import (
+    QUIET_PERIOD_S,
+    LogLine,
+    RepeatedLogLines,
+    RunLimits,
+    repeated_fault,
+)
 from tests.support.loopback import SteppedClock, entry, listing, proxy
 
 
@@ -77,3 +83,48 @@
     limited.summarize()
     limited.summarize()
     assert caplog.messages == ["number 0", "number 1", "3 more"]
+
+
+LOG = logging.getLogger("test_repeated_log_lines")
+
+
+@pytest.fixture
+def faults(caplog: pytest.LogCaptureFixture) -> RepeatedLogLines:
+    caplog.set_level(logging.INFO, logger=LOG.name)
+    return repeated_fault(LOG, "no descriptor")
+
+
+def lines(caplog: pytest.LogCaptureFixture) -> list[tuple[int, str]]:
+    return [(record.levelno, record.getMessage()) for record in caplog.records]
+
+
+def test_many_faults_in_a_row_are_logged_in_two_lines(
+    faults: RepeatedLogLines, caplog: pytest.LogCaptureFixture
+) -> None:
+    for n in range(1000):
+        faults.record(10.0 + n / 1000, OSError("first" if n == 0 else "later"))
+    assert lines(caplog) == [(logging.ERROR, "no descriptor: first")]
+    last_at_s = 10.999
+    faults.end_if_quiet(last_at_s + QUIET_PERIOD_S)
+    assert len(lines(caplog)) == 1
+    faults.end_if_quiet(last_at_s + QUIET_PERIOD_S + 0.001)
+    assert lines(caplog)[1:] == [(logging.INFO, "no descriptor: over, 1000 times in all")]
+
+
+def test_end_of_a_fault_is_logged_once(faults: RepeatedLogLines, caplog: pytest.LogCaptureFixture) -> None:
+    faults.end_if_quiet(100.0)
+    assert lines(caplog) == []
+    faults.record(100.0, OSError("x"))
+    faults.end_if_quiet(200.0)
+    faults.end_if_quiet(300.0)
+    assert len(lines(caplog)) == 2
+
+
+def test_recurring_fault_is_logged_and_counted_anew(
+    faults: RepeatedLogLines, caplog: pytest.LogCaptureFixture
+) -> None:
+    for at_s in (100.0, 200.0):
+        faults.record(at_s, OSError("x"))
+        faults.end_if_quiet(at_s + 50.0)
+    begin, end = (logging.ERROR, "no descriptor: x"), (logging.INFO, "no descriptor: over, 1 times in all")
+    assert lines(caplog) == [begin, end, begin, end]
