--- a/load_balancer/net/upstream/load_report.py
+++ b/load_balancer/net/upstream/load_report.py
@@ -1,4 +1,4 @@
-"""Reads an endpoint's load report: the body of its answer to a health check."""
+"""Reads an endpoint's load report: the body of its response to a health check."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 def read_requests_in_flight(report: bytes) -> float | None:
-    """The requests in flight by a load report, or None where it cannot be read."""
+    """Return the number of requests in flight by a load report, or None if it cannot be read."""
     found = REQUESTS_IN_FLIGHT.search(report)
     return None if found is None else float(found[1])
--- a/load_balancer/net/upstream/upstream_messages.py
+++ b/load_balancer/net/upstream/upstream_messages.py
@@ -14,17 +14,17 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """A request as it goes to a backend.
+    """A request as it is sent to an endpoint.
 
     Attributes:
         method: The HTTP method.
         target: The request target, as the client sent it.
         headers: All headers but the deadline.
-        body: The whole body.
+        body: The complete body.
         is_idempotent: Whether it may run twice. Only such a request may go on a connection that was idle:
             that may turn out closed once the request is written, and whether it ran is then unknown.
         adds_deadline_header: Whether `req-deadline` is added, with the seconds left as it is written.
-        is_awaited: Tells whether anybody still waits for the response at the moment of the call.
+        is_awaited: Returns whether the client still waits for the response at the moment of the call.
     """
 
     method: bytes
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamResponse:
-    """A complete final response of a backend."""
+    """A complete final response of an endpoint."""
 
     status: int
     headers: Headers
@@ -55,5 +55,5 @@
         return Outcome.REJECTED if declined and self.status in (503, 504) else Outcome.ERROR
 
 
-# Called once, at the end of an attempt, with the response where there is one.
+# Called once, at the end of an attempt, with the response if there is one.
 OnOutcome = Callable[[Outcome, UpstreamResponse | None], None]
