--- a/load_balancer/net/upstream/connect_pacing.py
+++ b/load_balancer/net/upstream/connect_pacing.py
@@ -1,6 +1,6 @@
-"""When one more connection to a backend is worth its cost, by how connects have gone so far.
+"""When one more connection to an endpoint is worth its cost, by how earlier connects ended.
 
-The pool tells how each connect ended, and asks before it opens one beside others that are late.
+The connection queue records how each connect ended, and asks before it opens one beside others that are late.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 
 LATE_FACTOR = 2.0  # a connection is late after this many times the median
 MIN_LATE_S = 0.002  # and after this at least: an event loop is not quicker
-# Another one is opened where it saves this share of the time left, as it takes some of a backend's work, and
-# besides what the settings say a handshake costs.
+# One more is opened if it saves this share of the time left, besides what the settings say a handshake costs:
+# it takes some of the endpoint's work.
 MIN_SAVED_SHARE = 0.02
 SHORTAGE_PAUSE_S = 0.05  # for this long after a local shortage none is opened beside others
 
 
 class ConnectPacing:
-    """How connects have gone, to all backends and to each.
+    """How connects have ended, to all endpoints and to each.
 
     Attributes:
         connect_timeout_s: Seconds after which a connect is given up.
         latency: How long connects take.
-        no_extra_until: The backends whose last connect failed at once, and until when no connection is
-            opened beside another one.
+        no_extra_until_s: The endpoints whose last connect failed at once, and until when no connection is
+            opened beside another one, by the event loop's clock.
     """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, connect_timeout_s: float, handshake_cost: float
     ) -> None:
-        """Starts with nothing known.
+        """Start with nothing known.
 
         Args:
             loop: The event loop, whose clock counts.
@@ -46,8 +46,8 @@
         self.connect_timeout_s = connect_timeout_s
         self._min_saved_share = MIN_SAVED_SHARE + handshake_cost
         self.latency = ConnectLatency()
-        self.no_extra_until: dict[EndpointAddress, float] = {}
-        self._shortage_until = -math.inf  # the system may have nothing for one more connection
+        self.no_extra_until_s: dict[EndpointAddress, float] = {}
+        self._shortage_until_s = -math.inf  # the system may have nothing for one more connection
 
     @property
     def late_after_s(self) -> float:
@@ -58,55 +58,55 @@
     @property
     def is_short(self) -> bool:
         """Whether this machine has lately had nothing for one more connection."""
-        return self._loop.time() < self._shortage_until
+        return self._loop.time() < self._shortage_until_s
 
     def extra_pays(self, endpoint: EndpointAddress, ages_s: Sequence[float], time_remaining_s: float) -> bool:
-        """Tells whether one more connection would save enough of the time that an attempt has left.
+        """Return whether one more connection would save enough of the time that an attempt has left.
 
         Args:
-            endpoint: The backend.
-            ages_s: For how long each pending connection to it has been coming.
+            endpoint: The endpoint.
+            ages_s: For how many seconds each connect to it has been pending.
             time_remaining_s: Seconds until the attempt times out.
         """
         saved_s = self.latency.expected_saving_s(ages_s, min(time_remaining_s, self.connect_timeout_s))
-        is_held_off = self._loop.time() < self.no_extra_until.get(endpoint, -math.inf)
+        is_held_off = self._loop.time() < self.no_extra_until_s.get(endpoint, -math.inf)
         return not is_held_off and saved_s > self._min_saved_share * time_remaining_s
 
     def is_failing(self, endpoint: EndpointAddress) -> bool:
-        """Whether the last connect to a backend failed at once."""
-        return endpoint in self.no_extra_until
+        """Return whether the last connect to an endpoint failed at once."""
+        return endpoint in self.no_extra_until_s
 
-    def record_success(self, endpoint: EndpointAddress, seconds: float) -> None:
-        """Notes that a connect succeeded after so many seconds."""
-        self.latency.add(seconds)
-        self.no_extra_until.pop(endpoint, None)
+    def record_success(self, endpoint: EndpointAddress, duration_s: float) -> None:
+        """Record that a connect succeeded after this time."""
+        self.latency.add(duration_s)
+        self.no_extra_until_s.pop(endpoint, None)
 
-    def record_cancelled(self, seconds: float) -> None:
-        """Notes that a connect was cancelled after so many seconds."""
+    def record_cancelled(self, duration_s: float) -> None:
+        """Record that a connect was cancelled after this time."""
         # Late connects mostly end so. Were none of them counted, all would seem to be quick.
-        if seconds > (self.latency.median_s or 0.0):
-            self.latency.add(seconds)
+        if duration_s > (self.latency.median_s or 0.0):
+            self.latency.add(duration_s)
 
-    def record_failure(self, endpoint: EndpointAddress, error: OSError, seconds: float) -> Outcome:
-        """Notes that a connect failed, and returns the outcome of an attempt that ends by it.
+    def record_failure(self, endpoint: EndpointAddress, error: OSError, duration_s: float) -> Outcome:
+        """Record that a connect failed, and return the outcome of an attempt that ends by it.
 
         Args:
-            endpoint: The backend.
+            endpoint: The endpoint.
             error: How the connect failed.
-            seconds: How long it took.
+            duration_s: Seconds that it took.
         """
         if isinstance(error, TimeoutError):
-            self.latency.add(seconds)
+            self.latency.add(duration_s)
             return Outcome.NO_CONNECTION
         if error.errno in LOCAL_SHORTAGE:
-            self._shortage_until = self._loop.time() + SHORTAGE_PAUSE_S
+            self._shortage_until_s = self._loop.time() + SHORTAGE_PAUSE_S
             return Outcome.NOT_SENT
         if error.errno in NO_ROUTE:
-            self.no_extra_until[endpoint] = self._loop.time() + self.connect_timeout_s
+            self.no_extra_until_s[endpoint] = self._loop.time() + self.connect_timeout_s
             return Outcome.UNREACHABLE
-        self.no_extra_until[endpoint] = math.inf
+        self.no_extra_until_s[endpoint] = math.inf
         return Outcome.NO_CONNECTION
 
     def forget(self, endpoint: EndpointAddress) -> None:
-        """Drops what is known of a backend that is gone."""
-        self.no_extra_until.pop(endpoint, None)
+        """Drop what is known of an endpoint that is gone."""
+        self.no_extra_until_s.pop(endpoint, None)
--- /dev/null
+++ b/load_balancer/net/upstream/connection_wait.py
@@ -0,0 +1,95 @@
+"""How one attempt waits for a connection: what it does if the connection is late, and when it gives up.
+
+The attempt owns its wait, begins it once and cancels it when it has a connection or is over.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from load_balancer.messages import Outcome
+from load_balancer.net.upstream.connect_pacing import ConnectPacing
+from load_balancer.net.upstream.connection_queue import ConnectionQueue
+from load_balancer.net.upstream.open_connections import OpenConnections
+from load_balancer.net.upstream.waiting_attempts import WaitingAttempt
+
+# Turns of the event loop from a connection's establishment to its use: three, and two to spare.
+LOOP_TURNS_TO_USE = 5
+
+
+class ConnectionWait:
+    """The timers of an attempt that waits for a connection."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        queue: ConnectionQueue,
+        connections: OpenConnections,
+        pacing: ConnectPacing,
+        attempt: WaitingAttempt,
+        failover_deadline_s: float,
+    ) -> None:
+        """Prepare to wait; `begin` starts the timers.
+
+        Args:
+            loop: The event loop, whose clock counts.
+            queue: Opens further connections for the attempt.
+            connections: Say which endpoints have been active.
+            pacing: Says how long connects usually take.
+            attempt: The attempt, which is ended if the wait is over without a connection.
+            failover_deadline_s: Until when the attempt may end so that another endpoint is tried, by the
+                event loop's clock.
+        """
+        self._loop = loop
+        self._queue = queue
+        self._connections = connections
+        self._pacing = pacing
+        self._attempt = attempt
+        self._failover_deadline_s = failover_deadline_s
+        self._late_timer: asyncio.Handle | None = None
+        self._write_timer: asyncio.TimerHandle | None = None
+
+    def begin(self, write_deadline_s: float) -> None:
+        """Watch the wait, and end the attempt at the write deadline, by the event loop's clock."""
+        self._check_again_after(self._pacing.late_after_s)
+        self._write_timer = self._loop.call_at(write_deadline_s, self.miss_write_deadline)
+
+    def cancel(self) -> None:
+        """Stop the timers; do nothing if they do not run."""
+        for timer in (self._late_timer, self._write_timer):
+            if timer is not None:
+                timer.cancel()
+
+    def miss_write_deadline(self) -> None:
+        """End the attempt, as its request may not be written any more. The connects go on."""
+        self._attempt.finish(Outcome.NO_CONNECTION, keep_connecting=True)
+
+    def _check_again_after(self, seconds: float) -> None:
+        self._late_timer = self._loop.call_later(seconds, self._check, 2.0 * seconds, LOOP_TURNS_TO_USE)
+
+    def _check(self, next_s: float, turns: int) -> None:
+        """Act on a connection that is late.
+
+        Args:
+            next_s: Seconds until the next check, if nothing can be done yet.
+            turns: Turns of the event loop to wait before.
+        """
+        if turns:
+            # If the event loop itself is late, a connection may be up that it has not come to yet. Without
+            # these turns another one would be opened beside it, to no use.
+            self._late_timer = self._loop.call_soon(self._check, next_s, turns - 1)
+        elif not self._queue.extra_connection_pays(self._attempt):
+            self._check_again_after(next_s)
+        elif self._queue.open_extra(self._attempt):
+            self._check_again_after(self._pacing.late_after_s)
+        elif self._loop.time() < self._failover_deadline_s:
+            self._fail_over()
+        else:
+            self._check_again_after(next_s)
+
+    def _fail_over(self) -> None:
+        """Leave this endpoint in time for another. The connects go on, for other attempts to use."""
+        active_since_s = self._loop.time() - self._pacing.connect_timeout_s
+        was_active = self._connections.was_active_since(self._attempt.endpoint, active_since_s)
+        outcome = Outcome.NOT_SENT if was_active else Outcome.NO_CONNECTION
+        self._attempt.finish(outcome, keep_connecting=True)
--- a/load_balancer/net/upstream/idle_connections.py
+++ b/load_balancer/net/upstream/idle_connections.py
@@ -1,7 +1,7 @@
-"""The idle connections to all backends, and which backends may have any.
+"""The idle connections to all endpoints, and which endpoints may have any.
 
-The pool adds a connection that nothing uses any more and takes it for the next request. Used last in, first
-out, so that spare ones age and are closed.
+A connection that nothing uses any more is added here and taken for the next request: the last one in is the
+first one out, so that spare ones age and are closed.
 """
 
 from __future__ import annotations
@@ -14,67 +14,69 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 
-SETTLE_S = 0.01  # a connection rests for this long, so that surplus bytes of its last response show
-NO_REUSE_S = 10.0  # a backend that broke an idle connection under a request gets new ones for this long
-IDLE_MARGIN_SHARE = 0.1  # share of the idle limit by which we close before the backend does
+SETTLE_S = 0.01  # a connection stays unused for this long, so that surplus bytes of its last response show
+NO_REUSE_S = 10.0  # an endpoint that broke an idle connection under a request gets new ones for this long
+IDLE_MARGIN_SHARE = 0.1  # share of the idle limit by which we close before the endpoint does
 # And this at least: the process may be held up for 0.15 s between looking at its clock and writing, and the
 # request has a way to go.
 MIN_IDLE_MARGIN_S = 0.2
 
 
 class IdleConnections:
-    """Idle connections by backend.
+    """The idle connections to each endpoint.
 
     Attributes:
-        by_endpoint: The idle connections of each backend that has any, the longest idle first.
-        reuse_from: The backends that may have idle connections, and from when on.
+        by_endpoint: The idle connections to each endpoint that has any, the longest idle first.
+        reuse_from_s: The endpoints that may have idle connections, and from when on, by the event loop's
+            clock.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, idle_limit_s: float) -> None:
-        """Starts with none.
+        """Start with none.
 
         Args:
             loop: The event loop, whose clock counts.
-            idle_limit_s: Seconds after which a backend closes an idle connection.
+            idle_limit_s: Seconds after which an endpoint closes an idle connection.
         """
         self._loop = loop
         margin_s = max(IDLE_MARGIN_SHARE * idle_limit_s, MIN_IDLE_MARGIN_S)
         self._limit_s = max(0.0, idle_limit_s - margin_s)
         self.by_endpoint: dict[EndpointAddress, list[UpstreamConnection]] = {}
-        self.reuse_from: dict[EndpointAddress, float] = {}
+        self.reuse_from_s: dict[EndpointAddress, float] = {}
+        self._close_timers: dict[UpstreamConnection, asyncio.TimerHandle] = {}  # one for each idle connection
 
     def enable(self, endpoint: EndpointAddress) -> None:
-        """Lets a backend have idle connections from now on."""
-        self.reuse_from.setdefault(endpoint, 0.0)
+        """Let an endpoint have idle connections from now on."""
+        self.reuse_from_s.setdefault(endpoint, 0.0)
 
     def disable(self, endpoint: EndpointAddress) -> None:
-        """Lets a backend have none, and closes those that it has."""
-        self.reuse_from.pop(endpoint, None)
+        """Let an endpoint have no idle connections, and close those that it has."""
+        self.reuse_from_s.pop(endpoint, None)
         self.close_all(endpoint)
 
     def is_enabled(self, endpoint: EndpointAddress) -> bool:
-        """Whether a backend may have idle connections, be it after a while."""
-        return endpoint in self.reuse_from
+        """Return whether an endpoint may have idle connections, be it after a while."""
+        return endpoint in self.reuse_from_s
 
     def suspend(self, endpoint: EndpointAddress) -> None:
-        """Keeps no idle connections to a backend for a while.
+        """Keep no idle connections to an endpoint for a while.
 
-        One that closes idle connections as it likes breaks requests on them, which then may have run;
-        a new connection costs it less than that.
+        An endpoint that closes idle connections at will breaks requests on them, which then may have run; a
+        new connection costs it less than that.
         """
-        if endpoint in self.reuse_from:
-            self.reuse_from[endpoint] = self._loop.time() + NO_REUSE_S
+        if endpoint in self.reuse_from_s:
+            self.reuse_from_s[endpoint] = self._loop.time() + NO_REUSE_S
             self.close_all(endpoint)
 
     def count(self, endpoint: EndpointAddress) -> int:
-        """The number of idle connections to a backend."""
+        """Return the number of idle connections to an endpoint."""
         return len(self.by_endpoint.get(endpoint, ()))
 
     def take(self, endpoint: EndpointAddress) -> UpstreamConnection | None:
-        """Takes an idle connection that has settled and looks alive."""
-        settled = self._loop.time() - SETTLE_S
+        """Remove and return an idle connection that has settled and looks alive, or None."""
+        settled_at_s = self._loop.time() - SETTLE_S
         for connection in reversed(self.by_endpoint.get(endpoint, [])[:]):
-            if connection.idle_since > settled:
+            if connection.idle_since_s > settled_at_s:
                 continue
             self.remove(connection)
             if self._is_usable(connection):
@@ -83,9 +85,9 @@
         return None
 
     def _is_usable(self, connection: UpstreamConnection) -> bool:
-        # The timer that closes it is late itself where the process was held up: the backend may have closed
+        # The timer that closes it is late itself if the process was held up: the endpoint may have closed
         # it, with the end still on its way.
-        if self._loop.time() >= connection.idle_since + self._limit_s:
+        if self._loop.time() >= connection.idle_since_s + self._limit_s:
             return False
         # Its end, or more than its last response, may have come and not been read yet: the next request would
         # be lost, or get a response that isn't its own.
@@ -94,24 +96,29 @@
         )
 
     def add(self, connection: UpstreamConnection) -> bool:
-        """Keeps a connection that nothing uses any more; closes it and returns false where it may not."""
-        reuse_from = self.reuse_from.get(connection.endpoint, math.inf)
-        if connection.transport.is_closing() or self._loop.time() < reuse_from:
+        """Keep a connection that nothing uses any more; close it and return False if it may not be kept."""
+        reuse_from_s = self.reuse_from_s.get(connection.endpoint, math.inf)
+        if connection.transport.is_closing() or self._loop.time() < reuse_from_s:
             connection.close()
             return False
         self.by_endpoint.setdefault(connection.endpoint, []).append(connection)
-        connection.was_idle, connection.idle_since = True, self._loop.time()
-        connection.idle_timer = self._loop.call_later(self._limit_s, self._close, connection)
+        connection.mark_idle()
+        self._close_timers[connection] = self._loop.call_later(self._limit_s, self._close, connection)
         return True
 
-    def settled_at(self, connection: UpstreamConnection) -> float:
-        """When an idle connection can be used again, by the event loop's clock."""
-        return connection.idle_since + SETTLE_S
+    def settled_at_s(self, connection: UpstreamConnection) -> float:
+        """Return when an idle connection can be used again, by the event loop's clock."""
+        return connection.idle_since_s + SETTLE_S
+
+    def closes_at_s(self, connection: UpstreamConnection) -> float:
+        """Return when an idle connection will be closed unless it is used, by the event loop's clock."""
+        return self._close_timers[connection].when()
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Makes sure that a connection is not used again."""
-        if connection.idle_timer is not None:
-            connection.idle_timer.cancel()
+        """Remove a connection, so that it is not used again; do nothing if it is not idle."""
+        timer = self._close_timers.pop(connection, None)
+        if timer is not None:
+            timer.cancel()
         idle = self.by_endpoint.get(connection.endpoint, [])
         with contextlib.suppress(ValueError):
             idle.remove(connection)
@@ -123,23 +130,19 @@
         connection.close()
 
     def close_oldest(self, endpoint: EndpointAddress) -> None:
-        """Closes the connection to a backend that has been idle for longest."""
+        """Close the connection to an endpoint that has been idle for longest; do nothing if there is none."""
         if endpoint in self.by_endpoint:
             self._close(self.by_endpoint[endpoint][0])
 
     def close_oldest_of_all(self) -> bool:
-        """Closes the connection that has been idle for longest; false where there is none."""
+        """Close the connection of all that has been idle for longest; return False if there is none."""
         oldest_by_endpoint = [idle[0] for idle in self.by_endpoint.values() if idle]
         if not oldest_by_endpoint:
             return False
-        self._close(min(oldest_by_endpoint, key=_closes_at))
+        self._close(min(oldest_by_endpoint, key=self.closes_at_s))
         return True
 
     def close_all(self, endpoint: EndpointAddress) -> None:
-        """Closes all idle connections to a backend."""
+        """Close all idle connections to an endpoint."""
         for connection in list(self.by_endpoint.get(endpoint, [])):
             self._close(connection)
-
-
-def _closes_at(connection: UpstreamConnection) -> float:
-    return connection.idle_timer.when() if connection.idle_timer else 0.0
--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -460,7 +460,7 @@
             writer.write(call())
             await read_message(reader)
             transports = [c.transport for c in p.clients.open_connections] + [
-                c.transport for c in p.pool._open
+                c.transport for c in p.pool.connections.open
             ]
             assert len(transports) == 2
             for transport in transports:
@@ -718,7 +718,7 @@
             backend(answer(500)) as a,
             proxy(entry("s-1", a.port), entry("s-2", a.port), connect_s=60.0) as p,
         ):
-            connect = p.pool.connect
+            connect = p.pool.connector.open
 
             async def held(
                 endpoint: EndpointAddress,
@@ -728,7 +728,7 @@
                 await permits.acquire()
                 return await connect(endpoint)
 
-            monkeypatch.setattr(p.pool, "connect", held)
+            monkeypatch.setattr(p.pool.connector, "open", held)
             got = asyncio.ensure_future(p.ask(call(Req_Deadline="1.9")))
             for number, late in ((1, 0.4), (2, 0.8)):
                 await until(lambda number=number: asked == number)  # type: ignore[misc]
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -187,8 +187,8 @@
             assert key not in p.driver._requests
             gate.opened.set()
             for (request, _), attempt in list(p.driver._attempts.items()):
-                assert attempt._connection is not None
-                attempt._connection.data_received(FAILURE if request == key else answer(200, b"x"))
+                assert attempt.connection is not None
+                attempt.connection.data_received(FAILURE if request == key else answer(200, b"x"))
             await settled()
             mine = [headers["req-id"] for _, headers, _ in b.seen if not headers["req-id"].startswith("c")]
             assert mine == (["r0"] if where == "out" else [])
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -8,7 +8,7 @@
 
 from load_balancer.net.client import client_limits
 from load_balancer.net.upstream import idle_connections
-from load_balancer.net.upstream.connection_pool import PendingConnection
+from load_balancer.net.upstream.pending_connects import PendingConnect
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
@@ -73,7 +73,7 @@
                         lambda outcome, reply: None,
                     )
                 await until(lambda: len(a.seen) + len(b.seen) == 2)
-                for idle in list(p.pool._open):
+                for idle in list(p.pool.connections.open):
                     idle.data_received(answer(200, b"x"))
             gate = Gate(p.pool)
             if path in ("connection comes up", "further attempt"):
@@ -106,7 +106,7 @@
             assert nothing_left(p)
             assert not p.driver._attempts
             assert not p.clients.paused_connections
-            assert not p.pool._waiting
+            assert not p.pool.waiting.by_endpoint
 
     run(test)
 
@@ -122,14 +122,14 @@
                 client.send(call(request_id=key))
                 await until(lambda key=key: key.encode() in p.clients.open_request_ids)  # type: ignore[misc]
             await until(lambda: gate.waiting == 2)
-            came_up = p.pool._on_connected
+            came_up = p.pool.queue.connect_succeeded
 
-            def leaving(pending: PendingConnection, connection: UpstreamConnection) -> None:
-                if len(p.pool._waiting[pending.endpoint]) == 2:
+            def leaving(pending: PendingConnect, connection: UpstreamConnection) -> None:
+                if len(p.pool.waiting.by_endpoint[pending.endpoint]) == 2:
                     leaver.leave(way)
                 came_up(pending, connection)
 
-            p.pool._on_connected = leaving  # type: ignore[method-assign]
+            p.pool.queue.connect_succeeded = leaving  # type: ignore[method-assign]
             gate.opened.set()
             await until(lambda: bool(b.seen))
             attempt_connection(p).data_received(answer(200, b"x"))
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -191,7 +191,7 @@
             assert closes(got)
             if where == "taken over":  # a backend's answer comes too late for it
                 await until(lambda: len(b.seen) == 2)
-                late = list(p.driver._attempts.values())[1]._connection
+                late = list(p.driver._attempts.values())[1].connection
                 assert late is not None
                 late.data_received(answer(200))
             assert await reader.read() == b""
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -198,7 +198,7 @@
                             {n: replace(server.endpoint, started_us=None) for n, server in servers.items()},
                             p.driver._endpoints.by_number,
                             p.driver._endpoints.up_numbers,
-                            set(p.pool._idle.reuse_from),
+                            set(p.pool.idle.reuse_from_s),
                             p.driver._balancer.endpoints.version,
                         )
                     )
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -314,16 +314,16 @@
             slow = asyncio.ensure_future(p.ask(call("pay", request_id="slow")))
             await begun.wait()
             assert (await p.ask(call("read", request_id="r0")))[2] == b"a"
-            assert sum(map(len, p.pool._idle.by_endpoint.values())) == 1
+            assert sum(map(len, p.pool.idle.by_endpoint.values())) == 1
             p.driver._on_list(target_list(entry("b", b.port), rev=2))
             await closed.wait()
-            assert not p.pool._idle.by_endpoint
+            assert not p.pool.idle.by_endpoint
             got = [(await p.ask(call(kind, request_id=f"r{n}")))[2] for n in range(1, 9)]
             assert got == [b"b"] * 8
             go_on.set()
             assert (await slow)[2] == b"a"
             assert len(a.seen) == 2
-            assert not any(e.number == endpoint_number("a") for e in p.pool._idle.by_endpoint)
+            assert not any(e.number == endpoint_number("a") for e in p.pool.idle.by_endpoint)
 
     run(test)
 
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -8,7 +8,7 @@
 
 from load_balancer import messages
 from load_balancer.messages import Outcome
-from load_balancer.net.upstream import connection_pool
+from load_balancer.net.upstream import connection_queue
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from tests.support.balancer_harness import BalancerHarness, S, only, settings
 from tests.support.loopback import answer, backend, call, entry, proxy, run
@@ -33,7 +33,7 @@
             pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
             calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
             if heard:
-                pool.record_activity(calls.endpoint)
+                pool.connections.record_activity(calls.endpoint)
             calls.begin("a", failover_within_s=LIMIT_S / 2)
             for count in (2, 3):
                 await connects.step(11.0)
@@ -41,7 +41,7 @@
             assert not calls.ended
             await connects.step(11.0)
             await calls.until(a=ends)
-            assert len(connects.gates) == 1 + connection_pool.MAX_SPARE_CONNECTS
+            assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
             calls.begin("b")  # what comes up late is there for another
             connects.let(0)
             await calls.until(a=ends, b=Outcome.OK)
@@ -61,7 +61,7 @@
             for _ in range(20):
                 await connects.step(50.0)
             assert not calls.ended
-            assert len(connects.gates) == 1 + connection_pool.MAX_SPARE_CONNECTS
+            assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
             connects.let(0)
             await calls.until(a=Outcome.OK)
             pool.close()
@@ -81,12 +81,12 @@
                     classes=(messages.RequestClass("read", 5_000 * S, 9_000 * S, messages.Idempotency.SAFE),),
                     limits=messages.Limits(max_attempts=2, cancel=True),
                 ),
+                connect_s=LIMIT_S,
             ) as p,
         ):
             connects = Connects(p.pool, MOSTLY_QUICK)
-            p.pool._pacing.connect_timeout_s = LIMIT_S
-            for endpoint in list(p.pool._idle.reuse_from):
-                p.pool.record_activity(endpoint)
+            for endpoint in list(p.pool.idle.reuse_from_s):
+                p.pool.connections.record_activity(endpoint)
             asked = asyncio.ensure_future(p.ask(call(Req_Deadline="9000")))
             await connects.begun(1)
             for count in (2, 3, 4):
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -11,6 +11,7 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.connector import Connector
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.loopback import answer, backend, run, until
 from tests.support.upstream_helpers import IDLE_S, LIMIT_S, MOSTLY_QUICK, SAFE, SLOW, Calls, Connects, ids
@@ -38,8 +39,8 @@
             assert b.connections == 1
             assert len(connects.gates) == 2
             connects.let(0)
-            await until(lambda: b.connections == 2 and not pool._pending)
-            assert len(pool._idle.by_endpoint[calls.endpoint]) == 1  # the other one is not needed
+            await until(lambda: b.connections == 2 and not pool.pending.by_endpoint)
+            assert len(pool.idle.by_endpoint[calls.endpoint]) == 1  # the other one is not needed
             pool.close()
 
     run(test)
@@ -56,7 +57,7 @@
             connects.let(1)
             await calls.until(a=Outcome.RESET)
             connects.let(0)
-            await until(lambda: bool(pool._idle.by_endpoint))
+            await until(lambda: bool(pool.idle.by_endpoint))
             await connects.step(idle_connections.SETTLE_S)
             calls.begin("b")
             await calls.until(a=Outcome.RESET, b=Outcome.OK)
@@ -81,8 +82,8 @@
             connects.let(2)
             await calls.until(a=Outcome.OK)
             connects.let(0, 1)
-            await until(lambda: b.connections == 3 and not pool._pending)
-            await until(lambda: len(pool._open) == 1)
+            await until(lambda: b.connections == 3 and not pool.pending.by_endpoint)
+            await until(lambda: len(pool.connections.open) == 1)
             pool.close()
 
     run(test)
@@ -176,7 +177,7 @@
         async with backend(answer(200)) as b:
             pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
             calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-            made, number = pool.connect, iter(range(9))
+            made, number = pool.connector.open, iter(range(9))
 
             async def refused_second(endpoint: EndpointAddress) -> UpstreamConnection:
                 second = next(number) == 1
@@ -186,14 +187,14 @@
                     raise ConnectionRefusedError
                 return connection
 
-            monkeypatch.setattr(pool, "connect", refused_second)
+            monkeypatch.setattr(pool.connector, "open", refused_second)
             calls.begin("a", failover_within_s=LIMIT_S / 2)
             await connects.step(11.0)
             await connects.begun(2)
             connects.let(1)
             await until(
-                lambda: pool._pending[calls.endpoint][0].task is not None
-                and bool(pool._pacing.no_extra_until)
+                lambda: pool.pending.by_endpoint[calls.endpoint][0].task is not None
+                and bool(pool.pacing.no_extra_until_s)
             )
             for _ in range(20):
                 await connects.step(11.0)
@@ -233,10 +234,10 @@
                 "drain": lambda: pool.disable_endpoint(calls.endpoint),
                 "client gone": out.cancel_if_unsent,
                 "cancel": out.cancel,
-                "time-out": out._time_out,
+                "time-out": out.time_out,
                 "end": pool.close,
             }[how]
-            tasks = [pending.task for pending in pool._pending[calls.endpoint]]
+            tasks = [pending.task for pending in pool.pending.by_endpoint[calls.endpoint]]
             if up:
                 crossed: list[bool] = []
                 make = UpstreamConnection.connection_made
@@ -249,7 +250,7 @@
 
                 def cross() -> None:
                     if not crossed:  # they were let at once and go on in step
-                        crossed.append(len(pool._open) == 2 and out._connection is None)
+                        crossed.append(len(pool.connections.open) == 2 and out.connection is None)
                         give_up()
 
                 monkeypatch.setattr(UpstreamConnection, "connection_made", made)
@@ -258,12 +259,12 @@
                 assert crossed == [True]
             else:
                 give_up()
-            await until(lambda: all(task.done() for task in tasks) and not pool._open)
+            await until(lambda: all(task.done() for task in tasks) and not pool.connections.open)
             assert calls.ended == ({} if ends is None else {"a": ends})
-            assert not pool._pending
-            assert not pool._idle.by_endpoint
+            assert not pool.pending.by_endpoint
+            assert not pool.idle.by_endpoint
             assert not b.seen
-            assert not pool._waiting or how == "end"
+            assert not pool.waiting.by_endpoint or how == "end"
             out.cancel_if_unsent()
             pool.close()
 
@@ -280,7 +281,7 @@
             await connects.begun(1)
             connects.let(0)
             await calls.until(a=Outcome.OK, b=Outcome.NOT_SENT)
-            assert not pool._pending
+            assert not pool.pending.by_endpoint
             pool.close()
 
     run(test)
@@ -335,11 +336,11 @@
             await connects.step(30000.0)
             calls.begin("b", timeout_s=5 * LIMIT_S)
             await connects.begun(2)
-            connection = await ConnectionPool.connect(pool, calls.endpoint)
-            pending = pool._pending[calls.endpoint][1]
+            connection = await Connector.open(pool.connector, calls.endpoint)
+            pending = pool.pending.by_endpoint[calls.endpoint][1]
             pending.task.cancel()
             connects.clock.step(31000.0)
-            pool._on_connected(pending, connection)
+            pool.queue.connect_succeeded(pending, connection)
             assert calls.ended == {"a": Outcome.NO_CONNECTION}
             await calls.until(a=Outcome.NO_CONNECTION, b=Outcome.OK)
             assert ids(b) == ["b"]
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -17,11 +17,14 @@
 
 from load_balancer.messages import Outcome
 from load_balancer.net.addresses import EndpointAddress
-from load_balancer.net.upstream import connect_pacing, connection_pool
+from load_balancer.net.upstream import connect_pacing, connection_queue
 from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.connection_reuse import ConnectionReuse
+from load_balancer.net.upstream.connection_wait import ConnectionWait
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
+from load_balancer.net.upstream.waiting_attempts import WaitingAttempt
 from tests.support.loopback import Peer, SteppedClock, answer, peer, read_message, run
 
 SAFE = UpstreamRequest(b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True)
@@ -58,7 +61,7 @@
         self.chance, self.clock = chance, SteppedClock()
         self.pool = ConnectionPool(0.25, 3.0, chance.choice([3, 8, 30]))
         for _ in range(chance.choice([0, 32])):
-            self.pool._pacing.latency.add(0.001 if chance.random() < 0.6 else chance.random())
+            self.pool.pacing.latency.add(0.001 if chance.random() < 0.6 else chance.random())
         self.endpoints = [EndpointAddress(n, ("127.0.0.1", port)) for n, port in enumerate(ports)]
         self.up = set(self.endpoints)
         for endpoint in self.endpoints:
@@ -68,11 +71,11 @@
         self.begun, self.depth = 0, 0
         self.ended: Counter[int] = Counter()
         self.wrong: list[str] = []
-        self._connect, self.pool.connect = self.pool.connect, self.connect  # type: ignore[method-assign]
+        self._connect, self.pool.connector.open = self.pool.connector.open, self.connect  # type: ignore[method-assign]
 
     async def connect(self, endpoint: EndpointAddress) -> UpstreamConnection:
         """It is refused, lacks a descriptor, comes up at once or at the play's word, or never."""
-        async with asyncio.timeout(self.pool.connect_timeout_s):
+        async with asyncio.timeout(self.pool.pacing.connect_timeout_s):
             fate = self.chance.random()
             if fate < 0.13:
                 raise OSError(errno.ECONNREFUSED if fate < 0.1 else errno.EMFILE, "")
@@ -97,7 +100,7 @@
             self.up.add(endpoint)
             self.pool.enable_endpoint(endpoint)
         elif fate < 0.9:
-            self.pool.suspend_reuse(endpoint)
+            self.pool.idle.suspend(endpoint)
 
     def begin(self) -> None:
         if not self.up:
@@ -139,13 +142,13 @@
 
     def check(self) -> None:
         for endpoint in self.endpoints:
-            waiting = self.pool._waiting.get(endpoint, {})
-            coming = self.pool._pending.get(endpoint, [])
+            waiting = self.pool.waiting.by_endpoint.get(endpoint, {})
+            coming = self.pool.pending.by_endpoint.get(endpoint, [])
             assert len(coming) >= len(waiting)
             if endpoint not in self.up:
                 assert not waiting
                 assert not coming
-                assert not self.pool._idle.by_endpoint.get(endpoint)
+                assert not self.pool.idle.by_endpoint.get(endpoint)
         assert not any(out.is_over for out in self.out.values())
         assert not self.wrong
 
@@ -166,9 +169,9 @@
 
             def checked(
                 connection: UpstreamConnection, attempt: UpstreamAttempt, request: UpstreamRequest
-            ) -> None:
+            ) -> Outcome | None:
                 play.check_send(connection, attempt, request)
-                send(connection, attempt, request)
+                return send(connection, attempt, request)
 
             monkeypatch.setattr(UpstreamConnection, "send", checked)
             loop.set_exception_handler(lambda _, context: play.wrong.append(str(context)))
@@ -184,18 +187,18 @@
                 await play.go_on(0.1)
             assert not play.out
             assert play.ended == dict.fromkeys(range(play.begun), 1)
-            assert not pool._waiting
-            assert not pool._pending
-            assert not pool._idle.by_endpoint
-            assert not pool._open
-            ours = (UpstreamAttempt, UpstreamConnection, ConnectionPool)
+            assert not pool.waiting.by_endpoint
+            assert not pool.pending.by_endpoint
+            assert not pool.idle.by_endpoint
+            assert not pool.connections.open
+            ours = (UpstreamAttempt, ConnectionWait, UpstreamConnection, ConnectionReuse, ConnectionPool)
             timers = [h for h in loop._scheduled if not h.cancelled()]  # type: ignore[attr-defined]
             assert not [h for h in timers if isinstance(getattr(h._callback, "__self__", None), ours)]
             for endpoint in play.endpoints:
                 pool.disable_endpoint(endpoint)
-            assert not pool._idle.reuse_from
-            assert not pool._last_activity
-            assert not pool._pacing.no_extra_until
+            assert not pool.idle.reuse_from_s
+            assert not pool.connections.last_activity_at_s
+            assert not pool.pacing.no_extra_until_s
             assert not play.wrong
             loop.set_exception_handler(None)
 
@@ -211,21 +214,21 @@
         async with fickle(random.Random(0)) as b:
             pool, clock = ConnectionPool(1.0, 30.0, 10), SteppedClock()
             for _ in range(32):
-                pool._pacing.latency.add(0.0001)
+                pool.pacing.latency.add(0.0001)
 
             async def never(endpoint: EndpointAddress) -> UpstreamConnection:
                 await asyncio.Event().wait()
                 raise AssertionError
 
-            pool.connect = never  # type: ignore[method-assign]
-            look = pool.extra_connection_pays
+            pool.connector.open = never  # type: ignore[method-assign]
+            look = pool.queue.extra_connection_pays
 
-            def counted(attempt: UpstreamAttempt) -> bool:
+            def counted(attempt: WaitingAttempt) -> bool:
                 nonlocal looks
                 looks += 1
                 return look(attempt)
 
-            pool.extra_connection_pays = counted  # type: ignore[method-assign]
+            pool.queue.extra_connection_pays = counted  # type: ignore[method-assign]
             ended: list[Outcome] = []
             pool.start_attempt(
                 EndpointAddress(1, ("127.0.0.1", b.port)), SAFE, 30.0, lambda how, _: ended.append(how)
@@ -239,4 +242,4 @@
             pool.close()
 
     run(test)
-    assert 1 + connection_pool.MAX_SPARE_CONNECTS <= looks <= 12
+    assert 1 + connection_queue.MAX_SPARE_CONNECTS <= looks <= 12
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -40,7 +40,7 @@
             if what == "reset":
                 wire.reset()
             if not unread:
-                await until(lambda: not pool._open)
+                await until(lambda: not pool.connections.open)
             how, reply = await Out(pool, b.endpoint).end()
             assert how is Outcome.OK
             assert reply
@@ -78,7 +78,7 @@
             assert await Out(pool, b.endpoint).end() == (Outcome.NOT_SENT, None)
             assert looks == [False, True]
             assert len(b.seen) == 1
-            assert not pool._idle.by_endpoint
+            assert not pool.idle.by_endpoint
             pool.close()
 
     run(test)
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -30,12 +30,12 @@
             got = [(await attempt(pool, address))[0] for _ in range(4)]
             assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
             assert b.connections == 3
-            assert not pool._idle.by_endpoint
-            pool._idle.reuse_from[EndpointAddress(1, address)] -= (
+            assert not pool.idle.by_endpoint
+            pool.idle.reuse_from_s[EndpointAddress(1, address)] -= (
                 idle_connections.NO_REUSE_S
             )  # as if that while were over
             assert (await attempt(pool, address))[0] is Outcome.OK
-            assert pool._idle.by_endpoint
+            assert pool.idle.by_endpoint
             pool.close()
 
     run(test)
@@ -55,7 +55,7 @@
             pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
             for _ in range(4):
                 assert (await attempt(pool, address, ONCE))[0] is Outcome.OK
-                assert len(pool._idle.by_endpoint[EndpointAddress(1, address)]) == 1
+                assert len(pool.idle.by_endpoint[EndpointAddress(1, address)]) == 1
             assert b.connections == 4
             assert (await attempt(pool, address))[0] is Outcome.RESET  # the same on a kept one
             pool.close()
@@ -79,7 +79,7 @@
             got = [(await attempt(pool, address))[0] for _ in range(4)]
             assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
             assert b.connections == 2
-            assert pool._idle.by_endpoint
+            assert pool.idle.by_endpoint
             pool.close()
 
     run(test)
@@ -93,8 +93,8 @@
             assert (await attempt(pool, address, number=2))[0] is Outcome.OK
             assert b.connections == 2
             pool.disable_endpoint(EndpointAddress(1, address))  # the old one's end leaves the new one's alone
-            assert not pool._idle.by_endpoint.get(EndpointAddress(1, address))
-            assert len(pool._idle.by_endpoint[EndpointAddress(2, address)]) == 1
+            assert not pool.idle.by_endpoint.get(EndpointAddress(1, address))
+            assert len(pool.idle.by_endpoint[EndpointAddress(2, address)]) == 1
             pool.close()
 
     run(test)
@@ -118,8 +118,8 @@
             pool.disable_endpoint(EndpointAddress(1, address))
             go_on.set()
             assert (await out)[0] is Outcome.OK
-            assert not pool._idle.by_endpoint
-            assert not pool._idle.reuse_from
+            assert not pool.idle.by_endpoint
+            assert not pool.idle.reuse_from_s
             pool.close()
 
     run(test)
@@ -163,9 +163,8 @@
         async with peer(handle) as b:
             pool, address = ConnectionPool(0.25, 0.5, 10), ("127.0.0.1", b.port)
             assert (await attempt(pool, address))[0] is Outcome.OK
-            timer = pool._idle.by_endpoint[EndpointAddress(1, address)][0].idle_timer
-            assert timer
-            assert timer.when() - pool.loop.time() <= 0.45
+            [connection] = pool.idle.by_endpoint[EndpointAddress(1, address)]
+            assert pool.idle.closes_at_s(connection) - pool.loop.time() <= 0.45
             await closed.wait()
 
     run(test)
@@ -177,8 +176,8 @@
             pool = ConnectionPool(0.25, 30.0, 1)
             assert (await attempt(pool, ("127.0.0.1", a.port)))[0] is Outcome.OK
             assert (await attempt(pool, ("127.0.0.1", b.port)))[0] is Outcome.OK
-            assert not pool._idle.by_endpoint.get(EndpointAddress(1, ("127.0.0.1", a.port)))
-            pool._max_connections = 0
+            assert not pool.idle.by_endpoint.get(EndpointAddress(1, ("127.0.0.1", a.port)))
+            pool.connections.max_connections = 0
             pool.disable_endpoint(EndpointAddress(1, ("127.0.0.1", b.port)))
             assert (await attempt(pool, ("127.0.0.1", b.port)))[0] is Outcome.NOT_SENT
             pool.close()
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -8,7 +8,8 @@
 
 from load_balancer.messages import Outcome
 from load_balancer.net.addresses import EndpointAddress
-from load_balancer.net.upstream.connection_pool import MAX_SPARE_CONNECTS, ConnectionPool
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.connection_queue import MAX_SPARE_CONNECTS
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.loopback import answer, backend, run, until
 from tests.support.upstream_helpers import Calls, Connects, ids
@@ -26,7 +27,7 @@
         async with backend(answer(200)) as b:
             pool = ConnectionPool(600.0, 300.0, 10)
             calls, connects = Calls(pool, b), Connects(pool, [])
-            gates, number = pool.connect, iter(range(99))
+            gates, number = pool.connector.open, iter(range(99))
 
             async def first_fail(endpoint: EndpointAddress) -> UpstreamConnection:
                 fails = next(number) < OTHERS
@@ -36,7 +37,7 @@
                     raise ConnectionRefusedError if refused else TimeoutError
                 return connection
 
-            monkeypatch.setattr(pool, "connect", first_fail)
+            monkeypatch.setattr(pool.connector, "open", first_fail)
             before = [calls.begin(f"x{n}") for n in range(OTHERS)]
             await connects.begun(OTHERS)
             for attempt in before:  # they move on, and what is coming goes on for others to use
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -99,7 +99,7 @@
             if how == "cancel":
                 out.cancel()
             elif how == "time out":
-                out._time_out()
+                out.time_out()
             await until(lambda: bool(ended))
             assert ended == [True]
             pool.close()
@@ -126,7 +126,7 @@
             wire.reset()
             transport._read_ready()
         case "time out":
-            out.attempt._time_out()
+            out.attempt.time_out()
         case "cancel":
             out.attempt.cancel()
         case "cancel if unsent":
@@ -218,7 +218,7 @@
                     pool = ConnectionPool(0.25, 30.0, 10)
                     out = Out(pool, b.endpoint, replace(request, target=b"/crossed"))
                     ends: dict[str, Callable[[], None]] = {
-                        "time out": out.attempt._time_out,
+                        "time out": out.attempt.time_out,
                         "cancel": out.attempt.cancel,
                         "cancel if unsent": out.attempt.cancel_if_unsent,
                         "drain": partial(pool.disable_endpoint, b.endpoint),
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -121,22 +121,24 @@
                 pool.loop.call_soon(cross)  # in the next turn, before the task, which this one wakes later
 
             def cross() -> None:
-                assert out._connection is None
+                assert out.connection is None
                 assert not out.is_over
-                assert pool._open
+                assert pool.connections.open
                 {
                     "cancel": out.cancel,
                     "cancel if unsent": out.cancel_if_unsent,
                     "disable": lambda: pool.disable_endpoint(endpoint),
-                    "time out": out._time_out,
+                    "time out": out.time_out,
                 }[how]()
 
             monkeypatch.setattr(UpstreamConnection, "connection_made", crossed)
             out = pool.start_attempt(endpoint, REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
-            await until(lambda: b.connections == 1 and not pool._open and not pool._pending)
+            await until(
+                lambda: b.connections == 1 and not pool.connections.open and not pool.pending.by_endpoint
+            )
             assert len(ended) == 1
-            assert not pool._idle.by_endpoint
-            assert not pool._waiting
+            assert not pool.idle.by_endpoint
+            assert not pool.waiting.by_endpoint
             assert b.seen == []
 
     run(test)
@@ -173,7 +175,7 @@
         async def connect(endpoint: EndpointAddress) -> None:
             raise OSError(24, "Too many open files")
 
-        monkeypatch.setattr(pool, "connect", connect)
+        monkeypatch.setattr(pool.connector, "open", connect)
         assert (await attempt(pool, ("127.0.0.1", 1)))[0] is Outcome.NOT_SENT
 
     run(test)
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -72,7 +72,7 @@
         async with backend(said) as b:
             pool = ConnectionPool(0.25, 30.0, 10)
             assert await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0) == (Outcome.RESET, None)
-            assert not pool._idle.by_endpoint
+            assert not pool.idle.by_endpoint
             pool.close()
 
     run(test)
@@ -100,7 +100,7 @@
                 assert got is Outcome.OK
                 assert reply
                 assert reply.body == b"ok"
-                assert bool(pool._idle.by_endpoint) is (said.endswith(b"ok") and said.count(b"ok") == 1)
+                assert bool(pool.idle.by_endpoint) is (said.endswith(b"ok") and said.count(b"ok") == 1)
                 pool.close()
 
     run(test)
@@ -132,7 +132,7 @@
             assert got is Outcome.OK
             assert reply
             assert reply.body == b"2"
-            while any(pool._idle.by_endpoint.values()):
+            while any(pool.idle.by_endpoint.values()):
                 await asyncio.sleep(0)
             pool.close()
 
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -56,7 +56,7 @@
             connects.let(0)
             await calls.until(a=Outcome.OK)
             await connects.step(idle_connections.SETTLE_S)
-            take = pool.take_idle
+            take = pool.idle.take
 
             def stands_still(endpoint: EndpointAddress) -> UpstreamConnection | None:
                 connection = take(endpoint)
@@ -64,12 +64,12 @@
                 return connection
 
             with monkeypatch.context() as patched:
-                patched.setattr(pool, "take_idle", stands_still)
+                patched.setattr(pool.idle, "take", stands_still)
                 calls.begin("b", timeout_s=300.0)
             await calls.until(a=Outcome.OK, b=Outcome.NO_CONNECTION)
-            assert pool._open == set(pool._idle.by_endpoint.get(calls.endpoint, ()))
+            assert pool.connections.open == set(pool.idle.by_endpoint.get(calls.endpoint, ()))
             await connects.step(31.0)
-            await until(lambda: not pool._open)
+            await until(lambda: not pool.connections.open)
             assert ids(b) == ["a"]
 
     run(test)
@@ -86,15 +86,15 @@
         async with backend(answer(200)) as b:
             pool, clock, begun = ConnectionPool(60.0, 30.0, 10), SteppedClock(), 0
             for _ in range(WINDOW_SIZE):
-                pool._pacing.latency.add(0.001)
-            connect = pool.connect
+                pool.pacing.latency.add(0.001)
+            connect = pool.connector.open
 
             async def counted(endpoint: EndpointAddress) -> UpstreamConnection:
                 nonlocal begun
                 begun += 1
                 return await connect(endpoint)
 
-            pool.connect = counted  # type: ignore[method-assign]
+            pool.connector.open = counted  # type: ignore[method-assign]
             calls = Calls(pool, b)
             calls.begin("a", failover_within_s=30.0)
             slow = turns
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -252,7 +252,7 @@
     await until(lambda: len(b.wires) == count)
     b.reads.set()
     await asyncio.gather(*asking)
-    await until(lambda: sum(map(len, p.pool._idle.by_endpoint.values())) == count)
+    await until(lambda: sum(map(len, p.pool.idle.by_endpoint.values())) == count)
 
 
 ROOMY = settings(limits=messages.Limits(max_attempts=3, cancel=True))
@@ -275,7 +275,7 @@
             clock = await stack.enter_async_context(stepped(p))
             for n in range(40 * many):
                 await p.ask(call(request_id=f"k{n}"))
-            assert sum(map(len, p.pool._idle.by_endpoint.values())) > 4
+            assert sum(map(len, p.pool.idle.by_endpoint.values())) > 4
             forgetful.forget()
             clock.step(3_600.0)
             statuses = []
@@ -327,7 +327,7 @@
             else:
                 clock.step(2.0)
             await out.end()
-            left = len(pool._idle.by_endpoint.get(b.endpoint, ()))
+            left = len(pool.idle.by_endpoint.get(b.endpoint, ()))
             assert left == (0 if silent else 3 if case == "a new connection" else 2)
             pool.close()
 
@@ -385,7 +385,7 @@
             await until(lambda: "left" in b.ids)
             writer.close()
             await until(lambda: not p.driver._attempts)
-            assert sum(map(len, p.pool._idle.by_endpoint.values())) == 2
+            assert sum(map(len, p.pool.idle.by_endpoint.values())) == 2
 
     run(test)
 
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -473,7 +473,7 @@
             assert status(await read_message(reader)) == 200
             assert rule.hits == 1
             assert len(b.seen) == 1
-            assert not p.pool._pacing.no_extra_until
+            assert not p.pool.pacing.no_extra_until_s
             [server] = p.driver._balancer.endpoints.states.values()
             assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
             assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
@@ -501,9 +501,9 @@
                 assert p.driver.idle
             assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
             assert not b.seen
-            assert not p.pool._pending
-            assert not p.pool._open
-            assert not p.pool._waiting
+            assert not p.pool.pending.by_endpoint
+            assert not p.pool.connections.open
+            assert not p.pool.waiting.by_endpoint
             rules.clear()
             writer.write(call(request_id="last"))
             assert status(await read_message(reader)) == 200
@@ -520,7 +520,7 @@
         async with backend(answer(200)) as b:
             pool = ConnectionPool(60.0, 60.0, 10)
             calls, connects = Calls(pool, b), Connects(pool, [0.005] * 10 + [1.0] * 5)
-            made, tried = pool.connect, 0
+            made, tried = pool.connector.open, 0
 
             async def lacks_all_but_the_first(endpoint: EndpointAddress) -> UpstreamConnection:
                 nonlocal tried
@@ -529,7 +529,7 @@
                     raise OSError(errno.EADDRNOTAVAIL, "no local port")
                 return await made(endpoint)
 
-            monkeypatch.setattr(pool, "connect", lacks_all_but_the_first)
+            monkeypatch.setattr(pool.connector, "open", lacks_all_but_the_first)
             calls.begin("a", timeout_s=5.0)
             began = pool.loop.time()
             for _ in range(200):
@@ -578,10 +578,13 @@
             assert lost.share == 1.0
             assert not a.seen
             endpoint = next(e for e in p.driver._endpoints.by_number.values() if e.address[1] == a.port)
-            assert p.pool._pacing.no_extra_until[endpoint] <= p.pool.loop.time() + p.pool.connect_timeout_s
+            assert (
+                p.pool.pacing.no_extra_until_s[endpoint]
+                <= p.pool.loop.time() + p.pool.pacing.connect_timeout_s
+            )
             while not a.seen:
                 await ask()
-            assert not p.pool._pacing.no_extra_until
+            assert not p.pool.pacing.no_extra_until_s
             assert lost.unreachable_backoff_us == 0
 
     run(test)
@@ -990,7 +993,7 @@
             outcome, _ = await attempt(pool, ("127.0.0.1", b.port))
             assert outcome is (Outcome.RESET if when == "written" else Outcome.NO_CONNECTION)
             assert rule.hits == 1
-            await until(lambda: not pool._open)
+            await until(lambda: not pool.connections.open)
             pool.close()
 
     run(test)
@@ -1004,10 +1007,10 @@
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
             assert status(await p.ask(call(request_id="r1"))) == 200
-            await until(lambda: bool(p.pool._idle.by_endpoint))
+            await until(lambda: bool(p.pool.idle.by_endpoint))
             rules.add("recv", to(b.port), error)
             b.writers[0].write(b"H")
-            await until(lambda: not p.pool._idle.by_endpoint and not p.pool._open)
+            await until(lambda: not p.pool.idle.by_endpoint and not p.pool.connections.open)
             assert status(await p.ask(call(request_id="r2"))) == 200
             assert b.connections == 2
             assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
--- a/tests/support/client_helpers.py
+++ b/tests/support/client_helpers.py
@@ -57,8 +57,8 @@
 def attempt_connection(p: Proxy) -> UpstreamConnection:
     """The connection of the longest open attempt."""
     attempt = next(iter(p.driver._attempts.values()))
-    assert attempt._connection is not None
-    return attempt._connection
+    assert attempt.connection is not None
+    return attempt.connection
 
 
 async def settled() -> None:
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -175,14 +175,14 @@
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.opened, self.waiting = asyncio.Event(), 0
-        connect = pool.connect
+        connect = pool.connector.open
 
         async def held(endpoint: EndpointAddress) -> UpstreamConnection:
             self.waiting += 1
             await self.opened.wait()
             return await connect(endpoint)
 
-        pool.connect = held  # type: ignore[method-assign]
+        pool.connector.open = held  # type: ignore[method-assign]
 
 
 @asynccontextmanager
--- a/tests/support/upstream_helpers.py
+++ b/tests/support/upstream_helpers.py
@@ -272,8 +272,8 @@
         self.gates: list[asyncio.Event] = []
         self.clock = SteppedClock()
         for seconds in usual:
-            pool._pacing.latency.add(seconds)
-        connect = pool.connect
+            pool.pacing.latency.add(seconds)
+        connect = pool.connector.open
 
         async def held(endpoint: EndpointAddress) -> UpstreamConnection:
             gate = asyncio.Event()
@@ -281,7 +281,7 @@
             await gate.wait()
             return await connect(endpoint)
 
-        pool.connect = held  # type: ignore[method-assign]
+        pool.connector.open = held  # type: ignore[method-assign]
 
     async def begun(self, count: int) -> None:
         await until(lambda: len(self.gates) == count)
