--- a/tests/net/test_log_limits.py
+++ b/tests/net/test_log_limits.py
@@ -1,4 +1,4 @@
-"""Changes of the list are logged singly up to a bound, and counted beyond."""
+"""Log lines of one kind are written up to a limit in each window, and counted beyond it."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.driver.endpoint_directory import CHANGE_LOG_WINDOW_S, MAX_LOGGED_CHANGES
 from load_balancer.net.log_limits import WindowedLog
-from tests.support.loopback import SteppedClock, entry, listing, proxy, run
+from tests.support.loopback import SteppedClock, entry, listing, proxy
 
 
-def test_a_long_list_and_a_release_are_logged_in_few_lines(caplog: pytest.LogCaptureFixture) -> None:
+async def test_changes_of_a_long_list_are_logged_in_few_lines(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
 
     def lines() -> list[str]:
@@ -20,25 +20,22 @@
         caplog.clear()
         return found
 
-    async def test() -> None:
-        clock = SteppedClock()
-        async with proxy() as p:
-            p.driver._on_list(read_list(listing(*(entry(f"s-{n}", 9) for n in range(500)))))
-            told = lines()
-            assert len(told) == MAX_LOGGED_CHANGES + 1
-            assert "is s-0, cell 1, up" in told[0]
-            assert told[-1] == f"{500 - MAX_LOGGED_CHANGES} more changes of backends"
-            for n in range(100):
-                change = listing(entry(f"s-{n}", 9, "terminating"), rev=2 + n, full=False)
-                p.driver._on_list(read_list(change))
-            assert not lines()
-            clock.step(CHANGE_LOG_WINDOW_S)
-            p.driver._on_list(read_list(listing(entry("s-1", 9, "terminated"), rev=200, full=False)))
-            counted, single = lines()
-            assert counted == "100 more changes of backends"
-            assert "is s-1, cell 1, gone" in single
-
-    run(test)
+    clock = SteppedClock()
+    async with proxy() as p:
+        p.driver._on_list(read_list(listing(*(entry(f"s-{n}", 9) for n in range(500)))))
+        told = lines()
+        assert len(told) == MAX_LOGGED_CHANGES + 1
+        assert "is s-0, cell 1, up" in told[0]
+        assert told[-1] == f"{500 - MAX_LOGGED_CHANGES} more changes of backends"
+        for n in range(100):
+            change = listing(entry(f"s-{n}", 9, "terminating"), rev=2 + n, full=False)
+            p.driver._on_list(read_list(change))
+        assert not lines()
+        clock.step(CHANGE_LOG_WINDOW_S)
+        p.driver._on_list(read_list(listing(entry("s-1", 9, "terminated"), rev=200, full=False)))
+        counted, single = lines()
+        assert counted == "100 more changes of backends"
+        assert "is s-1, cell 1, gone" in single
 
 
 def windowed_log(*, logs_repeats: bool = True) -> WindowedLog:
@@ -52,7 +49,7 @@
     )
 
 
-def test_a_window_begins_with_the_first_event_after_the_last_one_ended(
+def test_window_begins_with_the_first_event_after_the_previous_window(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     limited = windowed_log()
@@ -62,7 +59,7 @@
     assert {record.levelno for record in caplog.records} == {logging.WARNING}
 
 
-def test_repeats_are_counted_where_only_different_events_are_logged(
+def test_repeated_events_are_counted_when_only_distinct_ones_are_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     limited = windowed_log(logs_repeats=False)
@@ -72,7 +69,7 @@
     assert caplog.messages == ["broke: reset", "broke: silent", "3 more", "broke: reset"]
 
 
-def test_a_summary_is_logged_once_and_only_where_something_was_left_out(
+def test_summary_is_logged_once_and_only_when_events_were_suppressed(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     limited = windowed_log()
