--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -393,7 +393,8 @@
         reader, writer = await p.connect()
         writer.write(call())
         await read_message(reader)
-        transports = [c.transport for c in p.clients.open_connections] + [c.transport for c in p.pool._open]
+        transports = [c.transport for c in p.clients.open_connections]
+        transports += [c.transport for c in p.pool.connections.open]
         assert len(transports) == 2
         for transport in transports:
             sock = transport.get_extra_info("socket")
@@ -616,7 +617,7 @@
         backend(answer(500)) as a,
         proxy(entry("s-1", a.port), entry("s-2", a.port), connect_s=60.0) as p,
     ):
-        connect = p.pool.connect
+        connect = p.pool.connector.open
 
         async def held(
             endpoint: EndpointAddress,
@@ -626,7 +627,7 @@
             await permits.acquire()
             return await connect(endpoint)
 
-        monkeypatch.setattr(p.pool, "connect", held)
+        monkeypatch.setattr(p.pool.connector, "open", held)
         got = asyncio.ensure_future(p.ask(call(Req_Deadline="1.9")))
         for number, late in ((1, 0.4), (2, 0.8)):
             await until(lambda number=number: asked == number)  # type: ignore[misc]
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -8,7 +8,7 @@
 
 from load_balancer.net.client import client_limits
 from load_balancer.net.upstream import idle_connections
-from load_balancer.net.upstream.connection_pool import PendingConnection
+from load_balancer.net.upstream.pending_connects import PendingConnect
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
@@ -72,7 +72,7 @@
                     lambda outcome, reply: None,
                 )
             await until(lambda: len(a.seen) + len(b.seen) == 2)
-            for idle in list(p.pool._open):
+            for idle in list(p.pool.connections.open):
                 idle.data_received(answer(200, b"x"))
         gate = Gate(p.pool)
         if path in ("connection comes up", "further attempt"):
@@ -105,7 +105,7 @@
         assert nothing_left(p)
         assert not p.driver._attempts
         assert not p.clients.paused_connections
-        assert not p.pool._waiting
+        assert not p.pool.waiting.by_endpoint
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -118,14 +118,14 @@
             client.send(call(request_id=key))
             await until(lambda key=key: key.encode() in p.clients.open_request_ids)  # type: ignore[misc]
         await until(lambda: gate.waiting == 2)
-        came_up = p.pool._on_connected
+        came_up = p.pool.queue.connect_succeeded
 
-        def leaving(pending: PendingConnection, connection: UpstreamConnection) -> None:
-            if len(p.pool._waiting[pending.endpoint]) == 2:
+        def leaving(pending: PendingConnect, connection: UpstreamConnection) -> None:
+            if len(p.pool.waiting.by_endpoint[pending.endpoint]) == 2:
                 leaver.leave(way)
             came_up(pending, connection)
 
-        p.pool._on_connected = leaving  # type: ignore[method-assign]
+        p.pool.queue.connect_succeeded = leaving  # type: ignore[method-assign]
         gate.opened.set()
         await until(lambda: bool(b.seen))
         attempt_connection(p).data_received(answer(200, b"x"))
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -175,7 +175,7 @@
         assert closes(got)
         if where == "taken over":  # a backend's answer comes too late for it
             await until(lambda: len(b.seen) == 2)
-            late = list(p.driver._attempts.values())[1]._connection
+            late = list(p.driver._attempts.values())[1].connection
             assert late is not None
             late.data_received(answer(200))
         assert await reader.read() == b""
