--- a/load_balancer/net/client/client_connection.py
+++ b/load_balancer/net/client/client_connection.py
@@ -290,7 +290,7 @@
     def _on_request_complete(self) -> None:
         self._clients.mark_active(self)
         if self._is_readiness_check:
-            is_ready = self._driver.ready and not self._clients.is_shutting_down
+            is_ready = self._driver.is_ready and not self._clients.is_shutting_down
             self._respond(ClientResponse(200 if is_ready else 503))
             return
         assert self._head is not None
@@ -310,7 +310,7 @@
             return
         self._clients.open_request_ids.add(head.request_id)
         self._enter(ConnectionState.WAITING_FOR_RESPONSE)
-        key = self._driver.request(caller)
+        key = self._driver.accept_request(caller)
         if self._is_waiting:  # the driver may have responded at once
             self._request_key = key
 
@@ -323,7 +323,7 @@
         waited_s = now_s - self._http.parsed_received_at_s
         return ClientRequest(
             class_name=head.class_name,
-            time_left_us=round(1e6 * max(0.0, head.time_left_s - waited_s)),
+            time_remaining_us=round(1e6 * max(0.0, head.time_left_s - waited_s)),
             measured_at_s=now_s,
             tenant=head.tenant,
             is_retry=head.retry,
--- /dev/null
+++ b/load_balancer/net/driver/attempt_dispatcher.py
@@ -0,0 +1,167 @@
+"""Starts the attempts that the policy decides on, and reports the outcome of each to it.
+
+The dispatcher turns an action into an attempt of the connection pool. It looks once more whether anybody
+still waits for the response, and gives the first good response to the client. Why an endpoint was chosen, and
+whether a retry follows, is the policy's matter.
+"""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Set
+from dataclasses import dataclass
+from functools import partial
+
+from load_balancer import messages
+from load_balancer.net.clock import Clock
+from load_balancer.net.driver.attempt_table import AttemptKey
+from load_balancer.net.driver.client_messages import ClientResponse
+from load_balancer.net.driver.endpoint_directory import EndpointDirectory
+from load_balancer.net.driver.event_queue import EventQueue
+from load_balancer.net.driver.open_requests import OpenRequest, OpenRequests
+from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
+
+log = logging.getLogger(__name__)
+
+OUTCOMES_WITHOUT_RESPONSE = (messages.Outcome.RESET, messages.Outcome.TIMEOUT, messages.Outcome.CANCELLED)
+
+
+@dataclass(frozen=True, slots=True)
+class StartedAttempt:
+    """What an outcome is reported with.
+
+    Attributes:
+        key: The attempt.
+        endpoint_id: The endpoint that it was sent to.
+        started_at_us: When it was started, by the policy's clock.
+    """
+
+    key: AttemptKey
+    endpoint_id: int
+    started_at_us: int
+
+
+class AttemptDispatcher:
+    """Carries out the policy's actions on attempts."""
+
+    def __init__(
+        self,
+        requests: OpenRequests,
+        endpoints: EndpointDirectory,
+        events: EventQueue,
+        pool: ConnectionPool,
+        clock: Clock,
+        unsafe_class_names: Set[str],
+    ) -> None:
+        """Keep the parts that attempts need.
+
+        Args:
+            requests: The open requests and the attempts in flight.
+            endpoints: Where the endpoints are.
+            events: Takes an `AttemptEnded` for each attempt.
+            pool: The connections to endpoints.
+            clock: The policy's clock.
+            unsafe_class_names: The request classes whose requests must not run twice.
+        """
+        self._requests = requests
+        self._attempts = requests.attempts
+        self._endpoints = endpoints
+        self._events = events
+        self._pool = pool
+        self._clock = clock
+        self._unsafe_class_names = unsafe_class_names
+
+    def start(self, action: messages.StartAttempt, decided_at_s: float) -> None:
+        """Start an attempt. It ends with one `AttemptEnded`, at once where it cannot be sent.
+
+        Args:
+            action: The policy's decision.
+            decided_at_s: The event loop's time of the decision, which the limits of the attempt count from.
+        """
+        request = self._requests.get(action.request)
+        endpoint = self._endpoints.find(action.endpoint_id)
+        started_at_us = self._clock.now_us()
+        if request is None or endpoint is None:
+            log.error(
+                "cannot start an attempt of request %s on endpoint %d: the %s is unknown",
+                action.request,
+                action.endpoint_id,
+                "request" if request is None else "endpoint",
+            )
+        if request is None:
+            return
+        key = AttemptKey(request.id, request.attempt_count)
+        request.attempt_count += 1
+        on_outcome = partial(self._finish, StartedAttempt(key, action.endpoint_id, started_at_us))
+        # The end of the client's stream may not have been read yet.
+        if endpoint is None or not self._is_awaited(request):
+            on_outcome(messages.Outcome.NOT_SENT, None)
+            return
+        attempt = self._pool.start_attempt(
+            endpoint,
+            self._to_upstream_request(request),
+            action.timeout_us / 1e6,
+            on_outcome,
+            action.relocate_within_us / 1e6,
+            decided_at_s,
+        )
+        if not attempt.is_over:
+            self._attempts.in_flight[key] = attempt
+
+    def cancel(self, action: messages.CancelAttempt) -> None:
+        """Cancel an attempt; do nothing where it has ended."""
+        attempt = self._attempts.in_flight.get(AttemptKey(action.request, action.attempt))
+        if attempt is None:
+            return
+        if action.request in self._requests:
+            attempt.cancel_unanswered()
+        else:  # nobody waits for it, which says nothing of its endpoint
+            attempt.cancel()
+
+    def _is_awaited(self, request: OpenRequest) -> bool:
+        """Return whether the client still waits for the response; cancel the request where it has left."""
+        if not request.client_request.is_client_connected():
+            self._requests.cancel(request.id)
+        return request.id in self._requests
+
+    def _to_upstream_request(self, request: OpenRequest) -> UpstreamRequest:
+        client_request = request.client_request
+        is_idempotent = client_request.class_name not in self._unsafe_class_names
+        return UpstreamRequest(
+            client_request.method,
+            client_request.target,
+            client_request.headers,
+            client_request.body,
+            # After one idle connection was stale, others that were idle over the same time may be too: they
+            # would use up the last attempts.
+            is_idempotent=is_idempotent and not request.has_met_stale_connection,
+            is_awaited=partial(self._is_awaited, request),
+        )
+
+    def _finish(
+        self, started: StartedAttempt, outcome: messages.Outcome, response: UpstreamResponse | None
+    ) -> None:
+        """Give a good response to the client, and report the outcome to the policy."""
+        key = started.key
+        self._remove_from_flight(key, outcome)
+        took_us = self._clock.now_us() - started.started_at_us
+        if outcome is messages.Outcome.OK and response is not None:
+            self._requests.respond(key.request_id, _to_client_response(response))
+        is_over = key.request_id not in self._requests
+        self._events.put(
+            messages.AttemptEnded(key.request_id, key.number, started.endpoint_id, outcome, took_us, is_over)
+        )
+
+    def _remove_from_flight(self, key: AttemptKey, outcome: messages.Outcome) -> None:
+        """Forget an attempt that has ended, but for what its request learns of idle connections."""
+        attempt = self._attempts.in_flight.pop(key, None)
+        request = self._requests.get(key.request_id)
+        if attempt is not None and request is not None:
+            had_no_response = outcome in OUTCOMES_WITHOUT_RESPONSE
+            request.has_met_stale_connection |= attempt.is_on_long_idle_connection and had_no_response
+
+
+def _to_client_response(response: UpstreamResponse) -> ClientResponse:
+    content_type = tuple((name, value) for name, value in response.headers if name == b"content-type")
+    return ClientResponse(200, response.body, content_type)
--- a/load_balancer/net/driver/client_messages.py
+++ b/load_balancer/net/driver/client_messages.py
@@ -1,42 +1,63 @@
-"""What clients' connections and the event loop's driver hand to each other: a request and its response."""
+"""What client connections and the driver hand to each other: a request and its one final response.
+
+The module holds no state. `net/client` builds requests, the driver builds responses.
+"""
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+
+from load_balancer.net.http_messages import Headers
 
 
 @dataclass(frozen=True, slots=True)
 class ClientResponse:
-    """The one final response to a request."""
+    """The one final response to a request.
+
+    Attributes:
+        status: The HTTP status code.
+        body: The whole body.
+        headers: Further headers, names in lower case; length and connection headers are not among them.
+    """
 
     status: int
     body: bytes = b""
     headers: tuple[tuple[bytes, bytes], ...] = ()
 
 
-@dataclass(slots=True)
-class ClientRequest:
-    """A request as it came in, and what the driver keeps of it while it is open.
+# The request was forwarded, or may have been, and no endpoint's response can be passed on.
+BAD_GATEWAY = ClientResponse(502)
+
 
-    `respond` is called at most once, and never after `EventLoopDriver.cancel_request`.
+@dataclass(frozen=True, slots=True)
+class ClientRequest:
+    """A complete request as a client sent it.
+
+    Attributes:
+        class_name: The request class, one of those in the settings.
+        time_remaining_us: Microseconds for which the client still waited at `measured_at_s`.
+        measured_at_s: The event loop's time at which `time_remaining_us` was measured.
+        tenant: The tenant that the request belongs to, if the client named one.
+        is_retry: Whether the client marked the request as a retry of its own.
+        method: The HTTP method.
+        target: The path with its query.
+        headers: The headers that are forwarded to the endpoint.
+        body: The whole body.
+        respond: Takes the final response. It is called at most once, and never after the request has been
+            cancelled.
+        is_client_connected: Tells whether the client is still connected, by what the system knows at the
+            moment of the call.
     """
 
     class_name: str
-    time_left_us: int  # at `measured_at_s`, of what counts from the moment of its last byte
-    measured_at_s: float  # by the event loop's clock
+    time_remaining_us: int
+    measured_at_s: float
     tenant: str | None
-    is_retry: bool  # of the client's own
+    is_retry: bool
     method: bytes
     target: bytes
-    headers: list[tuple[bytes, bytes]]  # those that are forwarded
+    headers: Headers
     body: bytes
     respond: Callable[[ClientResponse], None]
-    is_client_connected: Callable[[], bool]  # by what the system knows at this moment
-    # Kept by the driver.
-    attempt_count: int = field(default=0, init=False)
-    # An attempt has failed without a response on a connection that had been idle for long.
-    stale_connection_failed: bool = field(default=False, init=False)
-    overdue_timer: asyncio.TimerHandle | None = field(default=None, init=False)
-    deadline_at_s: float = field(default=0.0, init=False)  # by the event loop's clock
+    is_client_connected: Callable[[], bool]
--- a/load_balancer/net/driver/endpoint_directory.py
+++ b/load_balancer/net/driver/endpoint_directory.py
@@ -1,7 +1,7 @@
-"""Where the endpoints are, by the list as it was last applied.
+"""Where the endpoints are, by the endpoint list as it was last applied.
 
-Owned by `EventLoopDriver`. Which of them is better is the policy's matter; this says only where a number's
-connections go to and which numbers may get new ones.
+`endpoint_list_receiver` owns the directory. Which endpoint is better is the policy's matter: the directory
+knows only where an endpoint's connections go to, and which endpoints may get new ones.
 """
 
 from __future__ import annotations
@@ -21,41 +21,50 @@
 
 
 class EndpointDirectory:
-    """The addresses of the endpoints on the list, those that drain among them."""
+    """The addresses of the endpoints on the list.
+
+    Attributes:
+        by_id: Each endpoint, also those that drain, by its id.
+        up_ids: The ids of the endpoints in service.
+    """
 
     def __init__(self, pool: ConnectionPool) -> None:
-        """Starts with an empty list.
+        """Start with an empty list.
 
         Args:
-            pool: Learns of each endpoint that is in service.
+            pool: Keeps idle connections to each endpoint that is in service.
         """
         self._pool = pool
-        self.by_number: dict[int, EndpointAddress] = {}
-        self.up_numbers: set[int] = set()  # of those in service
+        self.by_id: dict[int, EndpointAddress] = {}
+        self.up_ids: set[int] = set()
         self._change_log = WindowedLog(
             log,
             logging.INFO,
-            summary="%d more changes of backends",
+            summary="%d more changes of endpoints",
             window_s=CHANGE_LOG_WINDOW_S,
             max_lines=MAX_LOGGED_CHANGES,
         )
 
+    def find(self, endpoint_id: int) -> EndpointAddress | None:
+        """Return an endpoint, or None where it is not on the list."""
+        return self.by_id.get(endpoint_id)
+
     def update(self, now_s: float, message: EndpointListMessage) -> list[EndpointAddress]:
-        """Applies a list.
+        """Apply a list.
 
         Args:
             now_s: The event loop's time.
             message: A complete list or changes.
 
         Returns:
-            The endpoints, as they were before, that are out of service or elsewhere now.
+            The endpoints that are out of service now or have another address, as they were before.
         """
         # Endpoints that the list leaves as they are need no look: it may name one of thousands.
-        named = message.uids.keys() | (self.by_number.keys() if message.is_complete else ())
-        before = [self.by_number[number] for number in named if number in self.by_number]
+        named = message.uids.keys() | (self.by_id.keys() if message.is_complete else ())
+        before = [self.by_id[endpoint_id] for endpoint_id in named if endpoint_id in self.by_id]
         if message.is_complete:
-            for number in self.by_number.keys() - message.addresses.keys():
-                self._remove(number)
+            for endpoint_id in self.by_id.keys() - message.addresses.keys():
+                self._remove(endpoint_id)
         for entry in message.endpoints:
             address = message.addresses.get(entry.id)
             self._log_change(now_s, entry, message.uids[entry.id], address)
@@ -65,32 +74,32 @@
         return [endpoint for endpoint in before if not self._is_in_service(endpoint)]
 
     def _is_in_service(self, endpoint: EndpointAddress) -> bool:
-        number = endpoint.number
-        return number in self.up_numbers and self.by_number[number] == endpoint
+        endpoint_id = endpoint.number
+        return endpoint_id in self.up_ids and self.by_id[endpoint_id] == endpoint
 
     def _apply(self, entry: messages.Endpoint, address: Address | None) -> None:
         if address is None:
             self._remove(entry.id)
             return
-        self.by_number[entry.id] = endpoint = EndpointAddress(entry.id, address)
+        self.by_id[entry.id] = endpoint = EndpointAddress(entry.id, address)
         if entry.status is messages.EndpointStatus.UP:
-            self.up_numbers.add(entry.id)
+            self.up_ids.add(entry.id)
             self._pool.enable_endpoint(endpoint)
         else:
-            self.up_numbers.discard(entry.id)
+            self.up_ids.discard(entry.id)
 
-    def _remove(self, number: int) -> None:
-        self.up_numbers.discard(number)
-        self.by_number.pop(number, None)
+    def _remove(self, endpoint_id: int) -> None:
+        self.up_ids.discard(endpoint_id)
+        self.by_id.pop(endpoint_id, None)
 
     def _log_change(self, now_s: float, entry: messages.Endpoint, uid: str, address: Address | None) -> None:
-        """Logs an entry that is about to be applied, where it changes something.
+        """Log an entry that is about to be applied, where it changes something.
 
         A watch that ends over and over brings the complete list each time, which would fill the log.
         """
-        known = self.by_number.get(entry.id)
-        was_up, is_up = entry.id in self.up_numbers, entry.status is messages.EndpointStatus.UP
+        known = self.by_id.get(entry.id)
+        was_up, is_up = entry.id in self.up_ids, entry.status is messages.EndpointStatus.UP
         if known is None or known.address != address or is_up != was_up:
             self._change_log.record(
-                now_s, "backend %d is %s, cell %d, %s", entry.id, uid, entry.cell, entry.status.value
+                now_s, "endpoint %d is %s, cell %d, %s", entry.id, uid, entry.cell, entry.status.value
             )
--- /dev/null
+++ b/load_balancer/net/driver/open_requests.py
@@ -0,0 +1,149 @@
+"""The requests that have no final response yet, from their arrival to their response or their client's end.
+
+`OpenRequests` gives each request an id of its own and a deadline, and makes sure that each gets one final
+response. Client connections add and cancel requests through the driver; the actions of the policy and the
+outcomes of attempts end them here.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from dataclasses import dataclass
+
+from load_balancer import messages
+from load_balancer.net.driver.attempt_table import AttemptTable
+from load_balancer.net.driver.client_messages import BAD_GATEWAY, ClientRequest, ClientResponse
+from load_balancer.net.driver.event_queue import EventQueue
+
+log = logging.getLogger(__name__)
+
+LAG_MARGIN_US = 15_000  # kept back from a client's deadline for the way to it and a late event loop
+
+
+@dataclass(slots=True)
+class OpenRequest:
+    """A request that has no final response yet.
+
+    Attributes:
+        id: Its id at the driver and the policy.
+        client_request: The request as the client sent it.
+        deadline_at_s: The event loop's time by which it has its final response.
+        overdue_timer: Ends the request at its deadline where the policy has not.
+        attempt_count: How many attempts it has had.
+        has_met_stale_connection: Whether an attempt failed without a response on a connection that had been
+            idle for long.
+    """
+
+    id: str
+    client_request: ClientRequest
+    deadline_at_s: float
+    overdue_timer: asyncio.TimerHandle
+    attempt_count: int = 0
+    has_met_stale_connection: bool = False
+
+
+class OpenRequests:
+    """The open requests by their id.
+
+    Attributes:
+        attempts: The attempts in flight, also those of requests that have ended.
+    """
+
+    def __init__(self, events: EventQueue) -> None:
+        """Start with no request. To be made in a running event loop.
+
+        Args:
+            events: Takes a `Request` for each request, and a `ClientGone` for one that is cancelled.
+        """
+        self.attempts = AttemptTable()
+        self._events = events
+        self._loop = asyncio.get_running_loop()
+        self._requests: dict[str, OpenRequest] = {}
+        # Requests get ids of our own: a client's id may come twice, and late outcomes must find theirs.
+        self._last_id = 0
+        self._shutdown_deadline_at_s: float | None = None
+
+    def __len__(self) -> int:
+        """Return how many requests are open."""
+        return len(self._requests)
+
+    def __contains__(self, request_id: object) -> bool:
+        """Return whether a request is open."""
+        return request_id in self._requests
+
+    def get(self, request_id: str) -> OpenRequest | None:
+        """Return an open request, or None where it has ended."""
+        return self._requests.get(request_id)
+
+    def accept(self, client_request: ClientRequest) -> str:
+        """Open a request and hand it to the policy, which may respond before this returns.
+
+        Returns:
+            The request's id, for `cancel`.
+        """
+        self._last_id += 1
+        request_id = str(self._last_id)
+        deadline_at_s = self._deadline_at_s(client_request)
+        # The policy's own timer runs out a little earlier. This one is for a fault that loses it: the client
+        # would wait for ever.
+        overdue_timer = self._loop.call_at(deadline_at_s, self._end_overdue, request_id)
+        self._requests[request_id] = OpenRequest(request_id, client_request, deadline_at_s, overdue_timer)
+        self._events.put(
+            messages.Request(
+                request_id,
+                client_request.class_name,
+                client_request.time_remaining_us,
+                client_request.tenant,
+                client_request.is_retry,
+            )
+        )
+        return request_id
+
+    def _deadline_at_s(self, client_request: ClientRequest) -> float:
+        usable_us = client_request.time_remaining_us - LAG_MARGIN_US
+        deadline_at_s = client_request.measured_at_s + usable_us / 1e6
+        if self._shutdown_deadline_at_s is None:
+            return deadline_at_s
+        return min(deadline_at_s, self._shutdown_deadline_at_s)
+
+    def respond(self, request_id: str, response: ClientResponse) -> None:
+        """Give a request its final response and withdraw its attempts; do nothing where it has ended."""
+        request = self._remove(request_id)
+        if request is not None:
+            request.client_request.respond(response)
+            self.attempts.withdraw_unsent(request_id, request.attempt_count)
+
+    def fail(self, request_id: str) -> None:
+        """Respond with 502 to a request that the policy cannot end, and have the policy forget it."""
+        self.respond(request_id, BAD_GATEWAY)
+        self._events.put(messages.ClientGone(request_id))
+
+    def cancel(self, request_id: str) -> None:
+        """End a request whose client has left; do nothing where it has ended."""
+        request = self._remove(request_id)
+        if request is not None:
+            self._events.put(messages.ClientGone(request_id))
+            self.attempts.withdraw_unsent(request_id, request.attempt_count)
+
+    def limit_deadlines(self, within_s: float) -> None:
+        """Let each request that is accepted from now on end within so many seconds from now."""
+        self._shutdown_deadline_at_s = self._loop.time() + within_s
+
+    def time_remaining_us(self, request_id: str) -> int:
+        """Return the microseconds left to a request now: 1 at least, and 1 where it has ended."""
+        request = self._requests.get(request_id)
+        if request is None:
+            return 1
+        return max(1, round((request.deadline_at_s - self._loop.time()) * 1e6))
+
+    def _end_overdue(self, request_id: str) -> None:
+        if request_id in self._requests:
+            log.error("request %s reached its deadline without a decision of the policy", request_id)
+            self.fail(request_id)
+
+    def _remove(self, request_id: str) -> OpenRequest | None:
+        request = self._requests.pop(request_id, None)
+        if request is not None:
+            request.overdue_timer.cancel()
+        return request
--- a/load_balancer/process/server.py
+++ b/load_balancer/process/server.py
@@ -141,7 +141,7 @@
     def announce(self) -> None:
         """Fail the readiness check, so that clients go elsewhere, and cut the deadlines of requests."""
         self._listener.clients.is_shutting_down = True
-        self._driver.stop_within(self._answer_by_s)
+        self._driver.limit_deadlines(self._answer_by_s)
 
     async def keep_accepting(self) -> None:
         """Serve as before, for as long as clients may not know yet or have nobody else.
@@ -162,7 +162,7 @@
 
     async def fail_remaining(self) -> None:
         """End the requests that are still open, and let their answers be written."""
-        self._driver.give_up()
+        self._driver.end_all_requests()
         await self._close_connections(self._loop.time() + FLUSH_S)
 
     def close(self) -> None:
--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -183,12 +183,12 @@
         results: list[list[int]] = []
         for meter in (Steps, Held):
             driver = EventLoopDriver(setup, 1, ConnectionPool(0.25, 30.0, 100), ("127.0.0.1", 1))
-            driver._watch.start = lambda: None  # type: ignore[method-assign]
+            driver.endpoint_list.watch.start = lambda: None  # type: ignore[method-assign]
             driver.start(listing)
             results.append([])
             for news in changes(SIZES[size][0]):
                 with meter() as counted:
-                    driver._on_list(news)
+                    driver.endpoint_list.receive(news)
                     await asyncio.sleep(0)  # what it puts off to the loop's next turn counts as well
                 results[-1].append(counted.count)
             driver.close()
--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -146,7 +146,7 @@
 
         def take() -> None:
             for news in lists:
-                p.driver._on_list(news)
+                p.driver.endpoint_list.receive(news)
 
         return lines_run(take)
 
--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -13,7 +13,7 @@
 from load_balancer.net.client import client_limits
 from load_balancer.net.clock import Clock
 from load_balancer.net.driver.client_messages import ClientRequest
-from load_balancer.net.driver.event_loop_driver import LAG_MARGIN_US
+from load_balancer.net.driver.open_requests import LAG_MARGIN_US
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.balancer_harness import settings
@@ -195,13 +195,13 @@
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
             asked: list[bool] = []
-            take = p.driver.request
+            take = p.driver.accept_request
 
             def listen(caller: ClientRequest) -> str:
                 asked.append(caller.is_retry)
                 return take(caller)
 
-            monkeypatch.setattr(p.driver, "request", listen)
+            monkeypatch.setattr(p.driver, "accept_request", listen)
             assert status(await p.ask(call())) == 200
             assert status(await p.ask(call(Req_Retry="1"))) == 200
             assert status(await p.ask(call(Req_Retry="0"))) == 200
@@ -281,13 +281,13 @@
                 writer.write(answer(200, b"x"))
 
         async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
-            take = p.driver.request
+            take = p.driver.accept_request
 
             def listen(caller: ClientRequest) -> str:
-                patience.append(caller.time_left_us / 1e6)
+                patience.append(caller.time_remaining_us / 1e6)
                 return take(caller)
 
-            monkeypatch.setattr(p.driver, "request", listen)
+            monkeypatch.setattr(p.driver, "accept_request", listen)
             reader, writer = await p.connect()
             writer.write(call(request_id="r1") + call(request_id="r2"))
             await until(lambda: bool(b.seen))
@@ -340,10 +340,10 @@
             writer.write(call(request_id="slow"))
             while b.connections == 0:
                 await asyncio.sleep(0)
-            p.driver.give_up()
+            p.driver.end_all_requests()
             assert status(await read_message(reader)) == 503
             late.set()
-            while p.driver._attempts:
+            while p.driver.requests.attempts.in_flight:
                 await asyncio.sleep(0)
             writer.write(call(request_id="next"))
             assert (await read_message(reader))[2] == b"next"
@@ -380,7 +380,7 @@
             _, client = await p.connect()
             client.write(call())
             await gone.wait()
-            assert p.driver.idle
+            assert p.driver.is_idle
 
     run(test)
 
@@ -392,13 +392,13 @@
 
         async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
             told: list[messages.Event] = []
-            handle_event = p.driver._balancer.handle
+            handle_event = p.driver.balancer.handle
 
             def listen(now: int, event: messages.Event) -> list[messages.Action]:
                 told.append(event)
                 return handle_event(now, event)
 
-            monkeypatch.setattr(p.driver._balancer, "handle", listen)
+            monkeypatch.setattr(p.driver.balancer, "handle", listen)
             loop = asyncio.get_running_loop()
             began = loop.time()
             assert status(await p.ask(call(Req_Deadline="0.6"))) in (502, 503)
@@ -445,7 +445,7 @@
                 raise ZeroDivisionError("a fault")
 
             with monkeypatch.context() as patch:
-                patch.setattr(p.driver._balancer, "handle", fault)
+                patch.setattr(p.driver.balancer, "handle", fault)
                 assert status(await p.ask(call())) == 502
             assert "ZeroDivisionError: a fault" in caplog.text
             assert status(await p.ask(call())) == 200
@@ -478,7 +478,7 @@
         async with backend(answer(400)) as b, proxy(entry("s-1", b.port)) as p:
             assert status(await p.ask(call())) == 502  # no refusal: coming again would not help
             assert len(b.seen) == 1
-            [server] = p.driver._balancer.endpoints.states.values()
+            [server] = p.driver.balancer.endpoints.states.values()
             assert server.failure_penalties == []
             assert server.detector.mean == 1.0
 
@@ -493,17 +493,17 @@
             await reader.read()
 
         async with peer(silent) as b, proxy(entry("s-1", b.port)) as p:
-            handle = p.driver._balancer.handle
+            handle = p.driver.balancer.handle
 
             def faulty(now: int, event: messages.Event) -> list[messages.Action]:
                 if isinstance(event, messages.TimerFired | messages.AttemptEnded):
                     raise RuntimeError("a fault")
                 return handle(now, event)
 
-            monkeypatch.setattr(p.driver._balancer, "handle", faulty)
+            monkeypatch.setattr(p.driver.balancer, "handle", faulty)
             assert status(await p.ask(call(Req_Deadline="0.6"))) == 502
-            assert p.driver.idle
-            assert not p.driver._balancer.requests.requests
+            assert p.driver.is_idle
+            assert not p.driver.balancer.requests.requests
 
     run(test)
 
@@ -512,11 +512,11 @@
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
             monkeypatch.setattr(
-                p.driver._balancer,
+                p.driver.balancer,
                 "handle",
                 lambda now, e: [messages.StartAttempt("x", 1, 1), messages.Reject(e.id)],
             )
-            monkeypatch.setattr(p.driver, "_start_attempt", None)  # can't be called
+            monkeypatch.setattr(p.driver.attempts, "start", None)  # can't be called
             assert status(await p.ask(call())) == 503
 
     run(test)
@@ -527,9 +527,9 @@
 ) -> None:
     async def test() -> None:
         async with proxy(entry("s-1", 9)) as p:
-            monkeypatch.setattr(p.driver._balancer, "handle", lambda now, event: [])
+            monkeypatch.setattr(p.driver.balancer, "handle", lambda now, event: [])
             assert status(await p.ask(call(Req_Deadline="0.1"))) == 502
-            assert p.driver.idle
+            assert p.driver.is_idle
 
     run(test)
 
@@ -552,13 +552,13 @@
             writer.write(call(kind))
             await until(lambda: gate.waiting == 1)
             writer.close()
-            await until(lambda: p.driver.idle)
+            await until(lambda: p.driver.is_idle)
             gate.opened.set()
-            await until(lambda: not p.driver._attempts)
+            await until(lambda: not p.driver.requests.attempts.in_flight)
             assert b.seen == []
             assert b.connections == 0
-            assert not p.driver._balancer.requests.in_flight
-            assert not p.driver._balancer.requests.requests
+            assert not p.driver.balancer.requests.in_flight
+            assert not p.driver.balancer.requests.requests
 
     run(test)
 
@@ -605,7 +605,7 @@
             for _ in range(20):
                 await asyncio.sleep(0)
             assert len(b.seen) == 1
-            assert p.driver.idle
+            assert p.driver.is_idle
 
     run(test)
 
@@ -641,9 +641,9 @@
             for _ in range(100):
                 await asyncio.sleep(0)
             clock.step(client_limits.SWEEP_INTERVAL_S)
-            await until(lambda: p.driver.idle)
+            await until(lambda: p.driver.is_idle)
             go_on.set()
-            await until(lambda: not p.driver._attempts and not p.clients.open_connections)
+            await until(lambda: not p.driver.requests.attempts.in_flight and not p.clients.open_connections)
             assert [headers["req-id"] for _, headers, _ in b.seen] == ["r0"]
             assert p.clients.buffered.size_bytes == 0
 
@@ -666,7 +666,7 @@
             for _ in range(20):
                 await asyncio.sleep(0)
             assert len(b.seen) == 1
-            assert p.driver.idle
+            assert p.driver.is_idle
 
     run(test)
 
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -215,7 +215,7 @@
                 assert await reader.read() == b""
             writer.close()
             assert len(b.seen) == 1
-            assert p.driver.idle
+            assert p.driver.is_idle
             if how == "room":
                 other.leave("FIN")
             await until(lambda: not p.clients.open_connections)
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -269,7 +269,7 @@
                 )
             connections = list(p.clients.open_connections)
             await until(lambda: all(not c.transport.is_reading() for c in connections))
-            assert len(p.driver._requests) == callers  # each with its own request open
+            assert len(p.driver.requests) == callers  # each with its own request open
             assert (
                 100_000 < p.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
             )
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -35,8 +35,8 @@
 
 
 def nothing_left(p: Proxy) -> bool:
-    balancer = p.driver._balancer
-    return p.driver.idle and not (
+    balancer = p.driver.balancer
+    return p.driver.is_idle and not (
         balancer.requests.requests
         or balancer.requests.in_flight
         or balancer.requests.queue
@@ -61,8 +61,8 @@
             failing = attempt_connection(p)
             client.leave(way)
             failing.data_received(FAILURE)
-            assert not p.driver._attempts
-            assert p.driver.idle
+            assert not p.driver.requests.attempts.in_flight
+            assert p.driver.is_idle
             await until(lambda: not p.clients.open_connections)
             await settled()
             assert len(a.seen) + len(b.seen) == 1
@@ -101,18 +101,18 @@
     async def test() -> None:
         async with silent_backend() as b, proxy(entry("b", b.port), setup=limits(cancel)) as p:
             clients: list[Client] = []
-            while not p.driver._balancer.requests.queue:
+            while not p.driver.balancer.requests.queue:
                 clients.append(Client(p))
                 clients[-1].send(call(request_id=f"r{len(clients)}"))
-                await until(lambda: len(p.driver._balancer.requests.requests) == len(clients))
+                await until(lambda: len(p.driver.balancer.requests.requests) == len(clients))
             sent = len(clients) - 1
             await until(lambda: len(b.seen) == sent)
             clients[-1].leave(way)
             attempt_connection(p).data_received(answer(200, b"x"))
-            assert not p.driver._balancer.requests.queue  # its turn came
+            assert not p.driver.balancer.requests.queue  # its turn came
             await until(lambda: len(p.clients.open_connections) == sent)
             await settled()
-            assert len(b.seen) == sent == len(p.driver._balancer.requests.in_flight) + 1
+            assert len(b.seen) == sent == len(p.driver.balancer.requests.in_flight) + 1
             for client in clients[:-1]:
                 client.leave("FIN")
             await until(lambda: not p.clients.open_connections)
@@ -161,12 +161,12 @@
             if where != "connecting":
                 gate.opened.set()
             if where == "held":
-                while not p.driver._balancer.requests.queue:
+                while not p.driver.balancer.requests.queue:
                     crowd.append(Client(p))
                     crowd[-1].send(call(request_id=f"c{len(crowd)}"))
-                    await until(lambda: len(p.driver._balancer.requests.requests) == len(crowd))
+                    await until(lambda: len(p.driver.balancer.requests.requests) == len(crowd))
                 crowd.pop().leave("FIN")
-                await until(lambda: not p.driver._balancer.requests.queue)
+                await until(lambda: not p.driver.balancer.requests.queue)
             client = Client(p)
             connection = await begin(p, client, paused)
             if where == "connecting":
@@ -174,7 +174,7 @@
             elif where == "out":
                 await until(lambda: len(b.seen) == 1)
             else:
-                assert p.driver._balancer.requests.queue
+                assert p.driver.balancer.requests.queue
             key = connection._request_key
             assert key is not None
             client.leave(way)
@@ -184,9 +184,9 @@
                 clock.step(LATEST_S / 2)
                 await settled()
             assert connection not in p.clients.open_connections
-            assert key not in p.driver._requests
+            assert key not in p.driver.requests
             gate.opened.set()
-            for (request, _), attempt in list(p.driver._attempts.items()):
+            for (request, _), attempt in list(p.driver.requests.attempts.in_flight.items()):
                 assert attempt._connection is not None
                 attempt._connection.data_received(FAILURE if request == key else answer(200, b"x"))
             await settled()
@@ -230,7 +230,7 @@
                 await settled()
             assert len(asked) >= 10
             assert set(asked) == {connection.transport}
-            p.driver.give_up()
+            p.driver.end_all_requests()
             await until(lambda: not p.clients.paused_connections)
             for one in (idle, busy, client):
                 one.leave("RST")
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -65,7 +65,7 @@
             proxy(entry("a", a.port), entry("b", b.port), setup=limits(cancel)) as p,
         ):
             if path.startswith("kept connection"):
-                for backend in p.driver._endpoints.by_number.values():  # one idle connection to each
+                for backend in p.driver.endpoint_list.endpoints.by_id.values():  # one idle connection to each
                     p.pool.start_attempt(
                         backend,
                         UpstreamRequest(b"GET", b"/", [(b"host", b"x")], b"", is_idempotent=True),
@@ -104,7 +104,7 @@
             await settled()
             assert len(a.seen) + len(b.seen) == before
             assert nothing_left(p)
-            assert not p.driver._attempts
+            assert not p.driver.requests.attempts.in_flight
             assert not p.clients.paused_connections
             assert not p.pool._waiting
 
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -86,7 +86,7 @@
                 newcomer.leave("RST")
             await until(lambda: not p.clients.open_connections)
             assert not b.seen
-            assert p.driver.idle
+            assert p.driver.is_idle
             assert not p.clients.open_request_ids
             assert p.clients.descriptor_count == 0
 
@@ -169,7 +169,7 @@
             await came(p, other, call(request_id="other"))
             await until(lambda: len(b.seen) == 1)
 
-            take_over = p.driver.request
+            take_over = p.driver.accept_request
 
             def fails(*args: ClientRequest) -> str:
                 if where == "taken over":
@@ -182,7 +182,7 @@
                 if where == "read":
                     patch.setattr(connection._http, "next_event", fails)
                 else:
-                    patch.setattr(p.driver, "request", fails)
+                    patch.setattr(p.driver, "accept_request", fails)
                 client.send(request[-2:])
                 await until(lambda: connection._is_lingering or connection.transport.is_closing())
             reader, writer = await streams(client)
@@ -191,7 +191,7 @@
             assert closes(got)
             if where == "taken over":  # a backend's answer comes too late for it
                 await until(lambda: len(b.seen) == 2)
-                late = list(p.driver._attempts.values())[1]._connection
+                late = list(p.driver.requests.attempts.in_flight.values())[1]._connection
                 assert late is not None
                 late.data_received(answer(200))
             assert await reader.read() == b""
@@ -203,7 +203,7 @@
             assert status(await read_message(reader)) == 200
             writer.close()
             await until(lambda: not p.clients.open_connections)
-            assert p.driver.idle
+            assert p.driver.is_idle
 
     run(test)
 
@@ -217,8 +217,8 @@
             await came(p, client, request[:40])
             p.listener.stop_listening()
             p.listener.close_idle_connections()
-            p.driver.stop_within(0.0)
-            p.driver.give_up()
+            p.driver.limit_deadlines(0.0)
+            p.driver.end_all_requests()
             client.send(request[40:])
             reader, writer = await streams(client)
             got = await read_message(reader)
@@ -229,7 +229,7 @@
             await until(lambda: p.listener.is_drained)
             assert not b.seen
             assert not b.connections
-            assert p.driver.idle
+            assert p.driver.is_idle
 
     run(test)
 
--- a/tests/net/discovery/test_discovery_moves.py
+++ b/tests/net/discovery/test_discovery_moves.py
@@ -116,8 +116,8 @@
 @contextmanager
 def one_clock(clock: SteppedClock, p: Proxy) -> Iterator[None]:
     """The module's clock goes with the event loop's."""
-    real = p.driver._clock.now_us
-    p.driver._clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
+    real = p.driver.clock.now_us
+    p.driver.clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
     yield
 
 
@@ -130,7 +130,7 @@
 
     def holds(self, on: Versions) -> bool:
         """Is the list that of this discovery, and a watch on it open?"""
-        return set(self.p.driver._balancer.endpoints.states) == {endpoint_number(on.uid)} and bool(on.open)
+        return set(self.p.driver.balancer.endpoints.states) == {endpoint_number(on.uid)} and bool(on.open)
 
     async def follows(self, on: Versions) -> float:
         return await pass_until(self.clock, lambda: self.holds(on))
@@ -289,13 +289,16 @@
     async def test() -> None:
         async with play(setup) as made:
             await made.follows(made.a)
-            reloads, task = Reloads(tmp_path, made.p, made.ports["a"]), made.p.driver._watch._task
+            reloads, task = (
+                Reloads(tmp_path, made.p, made.ports["a"]),
+                made.p.driver.endpoint_list.watch._task,
+            )
             for _ in range(3):
                 reloads.name(made.ports["a"])
                 await pass_until(made.clock, lambda: True)
             made.a.change()
             await made.follows(made.a)
-            assert made.p.driver._watch._task is task
+            assert made.p.driver.endpoint_list.watch._task is task
             assert len(made.a.asked) == made.a.whole == 1
 
     run(test)
@@ -376,7 +379,7 @@
             # What the others say by now, be it on a connection that they still hold, is nobody's news.
             await until(lambda: not made.a.open and not any(left.open for left, _ in on_the_way))
             assert watch_tasks() == 1
-            assert made.p.driver._watch._task is not None
+            assert made.p.driver.endpoint_list.watch._task is not None
             calls = [len(left.asked) for left, _ in on_the_way], len(made.a.asked)
             await pass_until(made.clock, lambda: len(last.asked) == 2)  # it has been silent for 3 s since
             assert calls == ([len(left.asked) for left, _ in on_the_way], len(made.a.asked))
@@ -399,10 +402,10 @@
             made.move(made.b)
             left = endpoint_number(made.a.uid)
             await pass_until(made.clock, lambda: len(made.b.asked) == 2)
-            assert left not in made.p.driver._balancer.endpoints.states
+            assert left not in made.p.driver.balancer.endpoints.states
             made.b.silent = False
             await made.follows(made.b)
-            assert left not in made.p.driver._endpoints.by_number
+            assert left not in made.p.driver.endpoint_list.endpoints.by_id
             assert not any(made.a.uid in record.getMessage() for record in caplog.records)
 
     run(test)
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -84,8 +84,8 @@
     """Nothing of the calls that failed is left."""
     assert sum(not call.over.is_set() for call in d.calls) <= 1
     assert watch_tasks() <= 1
-    assert len(p.driver._balancer.outbox.timers) <= 2
-    assert len(p.driver._timers) <= 2
+    assert len(p.driver.balancer.outbox.timers) <= 2
+    assert len(p.driver.timers) <= 2
     assert len(asyncio.get_running_loop()._scheduled) < 200  # type: ignore[attr-defined]
 
 
@@ -101,7 +101,7 @@
         async with watched(setup) as (d, p, clock):
             await step(clock, lambda: len(d.calls) == 1)
             d.calls[0].say(WATCH_HEAD + list_of(1))
-            await step(clock, lambda: p.driver._watch.version == 1)
+            await step(clock, lambda: p.driver.endpoint_list.watch.version == 1)
             before = descriptors()
             d.meet = OUTAGES[mood]
             caplog.clear()
@@ -110,7 +110,7 @@
             lines = [r for r in caplog.records if r.levelno >= logging.WARNING]
             assert len(lines) <= LINES_MOST * (60.0 * minutes / BREAK_LOG_WINDOW_S + 1)
             assert not any(r.exc_info for r in lines)
-            assert set(p.driver._balancer.endpoints.states) == {
+            assert set(p.driver.balancer.endpoints.states) == {
                 endpoint_number("s-1")
             }  # the old list serves on
             all_is_small(d, p)
@@ -120,7 +120,7 @@
             d.meet = lambda call: None
             waited = await next_call(d, clock) + await served(d, p, clock, setup)
             assert waited < LIST_DEADLINE_S
-            assert p.driver._balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
+            assert p.driver.balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
 
     run(test)
 
@@ -137,7 +137,7 @@
             await outage(clock, 3_600.0)
             all_is_small(d, p)
             tried = watch_starts(p)
-            await step(clock, lambda: len(tried) > 0 and p.driver._watch._task is None)
+            await step(clock, lambda: len(tried) > 0 and p.driver.endpoint_list.watch._task is None)
             d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
             assert await next_call(d, clock) + await served(d, p, clock, setup) < LIST_DEADLINE_S
 
@@ -163,8 +163,8 @@
     """Has the call that is out told this version after its longest time in the queue."""
     waited = await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
     d.calls[-1].say(WATCH_HEAD + list_of(rev))
-    waited += await step(clock, lambda: p.driver._watch.version == rev, 1.0)
-    assert p.driver._watch.version == rev
+    waited += await step(clock, lambda: p.driver.endpoint_list.watch.version == rev, 1.0)
+    assert p.driver.endpoint_list.watch.version == rev
     return waited
 
 
@@ -180,7 +180,7 @@
             for rev in range(1, 21):
                 await step(clock, lambda rev=rev: len(d.calls) >= rev)  # type: ignore[misc]
                 d.calls[-1].say(WATCH_HEAD + list_of(rev))
-                await step(clock, lambda rev=rev: p.driver._watch.version == rev, 1.0)  # type: ignore[misc]
+                await step(clock, lambda rev=rev: p.driver.endpoint_list.watch.version == rev, 1.0)  # type: ignore[misc]
                 if beats:
                     await step(clock, lambda: False, 2.0)
                     d.calls[-1].say(chunk("\n"))
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -265,8 +265,8 @@
         clock = SteppedClock()
         setup = settings(must_subscribe=must_subscribe)
         async with peer(silent_watches(*silent)) as d, proxy(discovery=d.port, setup=setup) as p:
-            await until(lambda: p.driver._watch.version == 1)
-            await step_until(clock, lambda: p.driver._watch.version == 2 + len(silent))
+            await until(lambda: p.driver.endpoint_list.watch.version == 1)
+            await step_until(clock, lambda: p.driver.endpoint_list.watch.version == 2 + len(silent))
             assert clock.ahead < in_time
 
     run(test)
@@ -286,9 +286,9 @@
             peer(silent_watches(*silent)) as new,
             proxy(discovery=old.port, setup=setup) as p,
         ):
-            await until(lambda: p.driver._watch.version == 1)
+            await until(lambda: p.driver.endpoint_list.watch.version == 1)
             p.driver.move_discovery(("127.0.0.1", new.port))
-            await step_until(clock, lambda: p.driver._watch.version == 1 + len(silent))
+            await step_until(clock, lambda: p.driver.endpoint_list.watch.version == 1 + len(silent))
             assert clock.ahead < 4.0
 
     run(test)
@@ -310,7 +310,7 @@
             await asked.wait()
             await step_until(clock, lambda: clock.ahead > 2.2)
             turn.set()
-            await until(lambda: p.driver._watch.version == 7 or d.connections > 1)
+            await until(lambda: p.driver.endpoint_list.watch.version == 7 or d.connections > 1)
             assert d.connections == 1
 
     run(test)
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -43,14 +43,14 @@
 async def lists_until_the_end(p: Proxy) -> list[messages.EndpointListUpdate]:
     """The lists that reach the module until the watch has ended."""
     taken: list[messages.EndpointListUpdate] = []
-    feed = p.driver._enqueue_event
+    feed = p.driver.events.put
 
     def note(event: messages.Event) -> None:
         if isinstance(event, messages.EndpointListUpdate):
             taken.append(event)
         feed(event)
 
-    p.driver._enqueue_event = note  # type: ignore[method-assign]
+    p.driver.events.put = note  # type: ignore[method-assign]
     await until(lambda: bool(taken) and taken[-1].kind is messages.EndpointListKind.FAILED)
     return taken[:-1]
 
@@ -66,7 +66,9 @@
     async def test() -> None:
         async with peer(handle) as d, proxy(discovery=d.port) as p:
             taken = await lists_until_the_end(p)
-            result.append((taken, set(p.driver._balancer.endpoints.states), p.driver._watch.version))
+            result.append(
+                (taken, set(p.driver.balancer.endpoints.states), p.driver.endpoint_list.watch.version)
+            )
 
     run(test)
     return result[0]
@@ -106,17 +108,17 @@
 
     async def test() -> None:
         async with peer(handle) as d, proxy(discovery=d.port) as p:
-            take, broken = p.driver._watch._on_list, asyncio.Event()
+            take, broken = p.driver.endpoint_list.watch._on_list, asyncio.Event()
 
             def fail_on_changes(news: EndpointListMessage) -> None:
                 if not news.is_complete:
                     raise RuntimeError("a fault")
                 take(news)
 
-            p.driver._watch._on_list = fail_on_changes
-            p.driver._watch._on_break = broken.set
+            p.driver.endpoint_list.watch._on_list = fail_on_changes
+            p.driver.endpoint_list.watch._on_break = broken.set
             await broken.wait()
-            assert p.driver._watch.version == 1
+            assert p.driver.endpoint_list.watch.version == 1
 
     run(test)
 
@@ -151,11 +153,11 @@
 
     async def test() -> None:
         async with peer(handle) as d, proxy(discovery=d.port) as p:
-            await until(lambda: p.driver._watch.version == 12)
+            await until(lambda: p.driver.endpoint_list.watch.version == 12)
             taken_over.set()
             taken = await lists_until_the_end(p)
             assert [news.version for news in taken] == [11, 13]
-            assert set(p.driver._balancer.endpoints.states) == names("a", "b", "c")
+            assert set(p.driver.balancer.endpoints.states) == names("a", "b", "c")
 
     run(test)
 
@@ -190,16 +192,16 @@
             for taken in (lists, join_changes(lists)):
                 async with proxy() as p:
                     for news in taken:
-                        p.driver._on_list(news)
-                    servers = p.driver._balancer.endpoints.states
+                        p.driver.endpoint_list.receive(news)
+                    servers = p.driver.balancer.endpoints.states
                     left.append(
                         (
                             # The moment of a start is by the clock of each of the two drivers.
                             {n: replace(server.endpoint, started_us=None) for n, server in servers.items()},
-                            p.driver._endpoints.by_number,
-                            p.driver._endpoints.up_numbers,
+                            p.driver.endpoint_list.endpoints.by_id,
+                            p.driver.endpoint_list.endpoints.up_ids,
                             set(p.pool._idle.reuse_from),
-                            p.driver._balancer.endpoints.version,
+                            p.driver.balancer.endpoints.version,
                         )
                     )
             assert left[0] == left[1]
@@ -223,7 +225,7 @@
 
     async def test() -> None:
         async with peer(handle) as d, proxy(discovery=d.port) as p:
-            await until(lambda: p.driver._watch.version == 1)
+            await until(lambda: p.driver.endpoint_list.watch.version == 1)
             taken_over.set()
             pieces = 0
             feed_data = asyncio.StreamReader.feed_data
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -185,7 +185,7 @@
             d.calls[0].writer.transport.abort()
             d.peer.server.close()
             tried = watch_starts(p)
-            await step(clock, lambda: len(tried) == 6 and p.driver._watch._task is None)
+            await step(clock, lambda: len(tried) == 6 and p.driver.endpoint_list.watch._task is None)
             d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
             waited = await next_call(d, clock) + await served(d, p, clock, setup)
             assert waited < LIST_DEADLINE_S
@@ -266,15 +266,15 @@
         async with watched(setup) as (d, p, clock):
             await step(clock, lambda: len(d.calls) == 1)
             d.calls[0].say(WATCH_HEAD + chunk_list(both))
-            await step(clock, lambda: p.driver._watch.version == 1)
-            held, up = dict(p.driver._balancer.endpoints.states), set(p.driver._endpoints.up_numbers)
+            await step(clock, lambda: p.driver.endpoint_list.watch.version == 1)
+            held, up = dict(p.driver.balancer.endpoints.states), set(p.driver.endpoint_list.endpoints.up_ids)
             caplog.clear()
             d.calls[0].say(said)
             waited = await next_call(d, clock)
             assert (
-                p.driver._balancer.endpoints.states,
-                p.driver._endpoints.up_numbers,
-                p.driver._watch.version,
+                p.driver.balancer.endpoints.states,
+                p.driver.endpoint_list.endpoints.up_ids,
+                p.driver.endpoint_list.watch.version,
             ) == (
                 held,
                 up,
@@ -285,7 +285,7 @@
             assert "\n" not in line.getMessage()
             assert not line.exc_info
             assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
-            assert set(p.driver._balancer.endpoints.states) == {endpoint_number("s-7")}
+            assert set(p.driver.balancer.endpoints.states) == {endpoint_number("s-7")}
 
     run(test)
 
@@ -315,7 +315,7 @@
             await begun.wait()
             assert (await p.ask(call("read", request_id="r0")))[2] == b"a"
             assert sum(map(len, p.pool._idle.by_endpoint.values())) == 1
-            p.driver._on_list(target_list(entry("b", b.port), rev=2))
+            p.driver.endpoint_list.receive(target_list(entry("b", b.port), rev=2))
             await closed.wait()
             assert not p.pool._idle.by_endpoint
             got = [(await p.ask(call(kind, request_id=f"r{n}")))[2] for n in range(1, 9)]
@@ -333,13 +333,13 @@
     async def test() -> None:
         async with backend(answer(200, b"a")) as a, proxy(entry("a", a.port)) as p:
             news = listing(*(entry("a", a.port, state) for state in states), rev=2, full=False)
-            p.driver._on_list(read_list(news))
+            p.driver.endpoint_list.receive(read_list(news))
             there = states[-1] == "in_service"
             number = endpoint_number("a")
             held = (
-                p.driver._balancer.endpoints.states,
-                p.driver._endpoints.by_number,
-                p.driver._endpoints.up_numbers,
+                p.driver.balancer.endpoints.states,
+                p.driver.endpoint_list.endpoints.by_id,
+                p.driver.endpoint_list.endpoints.up_ids,
             )
             assert [number in where for where in held] == [there] * 3
 
@@ -374,8 +374,8 @@
             new.calls[-1].say(WATCH_HEAD + list_of(7))
             # Behind a call that was refused, the next one may still have to wait for its turn.
             left = 0.0 if setup is PUSHED or not first.startswith("refused") else 1.0
-            waited += left + await step(clock, lambda: p.driver._watch.version == 7, 1.0)
-            assert p.driver._watch.version == 7
+            waited += left + await step(clock, lambda: p.driver.endpoint_list.watch.version == 7, 1.0)
+            assert p.driver.endpoint_list.watch.version == 7
             assert waited < MOVED_S
             assert len(d.calls) == 6  # nothing more on the old one
 
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -94,7 +94,7 @@
         fed.list(("a", 0), full=True)
         fed.times.advance(2 * S)
         fed.beat()
-        fed.driver._on_watch_break()
+        fed.driver.endpoint_list.watch_broke()
         fed.times.advance(3 * S)
         fed.list(("a", fed.times.wall() + step), full=True)
         assert fed.age("a") == 0
@@ -145,7 +145,7 @@
     async def test() -> None:
         fed = HandFedDriver()
         first, number = fed.times.wall() - 1 * S, endpoint_number("a")
-        balancer = fed.driver._balancer
+        balancer = fed.driver.balancer
         fed.list(("a", first), full=True)
         server = balancer.endpoints.states[number]
         server.warming.tokens, server.share = 0.75, 0.5
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -47,12 +47,12 @@
             peer(handle) as d,
             proxy(discovery=d.port, setup=settings(must_subscribe=True)) as p,
         ):
-            while not p.driver.ready:
+            while not p.driver.is_ready:
                 await asyncio.sleep(0)
             got = {(await p.ask(call(request_id=f"x{n}")))[2] for n in range(40)}
             assert got == {b"a", b"b"}
             told.set()
-            while len(p.driver._endpoints.up_numbers) == 2:
+            while len(p.driver.endpoint_list.endpoints.up_ids) == 2:
                 await asyncio.sleep(0)
             got = {(await p.ask(call(request_id=f"y{n}")))[2] for n in range(40)}
             assert got == {b"b"}
@@ -106,7 +106,7 @@
             proxy(entry("a", a.port), discovery=d.port, setup=settings(must_subscribe=True)) as p,
         ):
             asking = asyncio.ensure_future(p.ask(call()))
-            while p.driver.ready:
+            while p.driver.is_ready:
                 await asyncio.sleep(0)
             drained.set()
             assert (await asking)[2] == b"done"
@@ -134,7 +134,7 @@
                 news = [entry("a", b.port)]
             elif state != "absent":
                 news.append(entry("a", a.port, state))
-            p.driver._on_list(target_list(*news, rev=2))
+            p.driver.endpoint_list.receive(target_list(*news, rev=2))
             gate.opened.set()
             assert (await asking)[2] == b"b"
             assert a.connections == 0
--- a/tests/net/test_log_limits.py
+++ b/tests/net/test_log_limits.py
@@ -16,26 +16,28 @@
     caplog.set_level(logging.INFO)
 
     def lines() -> list[str]:
-        found = [r.getMessage() for r in caplog.records if "backend" in r.getMessage()]
+        found = [r.getMessage() for r in caplog.records if "endpoint" in r.getMessage()]
         caplog.clear()
         return found
 
     async def test() -> None:
         clock = SteppedClock()
         async with proxy() as p:
-            p.driver._on_list(read_list(listing(*(entry(f"s-{n}", 9) for n in range(500)))))
+            p.driver.endpoint_list.receive(read_list(listing(*(entry(f"s-{n}", 9) for n in range(500)))))
             told = lines()
             assert len(told) == MAX_LOGGED_CHANGES + 1
             assert "is s-0, cell 1, up" in told[0]
-            assert told[-1] == f"{500 - MAX_LOGGED_CHANGES} more changes of backends"
+            assert told[-1] == f"{500 - MAX_LOGGED_CHANGES} more changes of endpoints"
             for n in range(100):
                 change = listing(entry(f"s-{n}", 9, "terminating"), rev=2 + n, full=False)
-                p.driver._on_list(read_list(change))
+                p.driver.endpoint_list.receive(read_list(change))
             assert not lines()
             clock.step(CHANGE_LOG_WINDOW_S)
-            p.driver._on_list(read_list(listing(entry("s-1", 9, "terminated"), rev=200, full=False)))
+            p.driver.endpoint_list.receive(
+                read_list(listing(entry("s-1", 9, "terminated"), rev=200, full=False))
+            )
             counted, single = lines()
-            assert counted == "100 more changes of backends"
+            assert counted == "100 more changes of endpoints"
             assert "is s-1, cell 1, gone" in single
 
     run(test)
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -61,11 +61,11 @@
             elif how == "deadline":
                 clock.step(4.0)
             else:
-                p.driver.give_up()
+                p.driver.end_all_requests()
             if how != "gone":  # at the end of the proxy the module counts what is out as what may have run
                 told = "502" if how == "end" and not kept else "503"
                 assert (await read_message(reader))[0].split()[1] == told
-            await until(lambda: p.driver.idle)
+            await until(lambda: p.driver.is_idle)
             b.reads.set()
             await until(lambda: bool(b.wires) and b.wires[-1].ended)
             assert len(b.wires) == 1
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -163,6 +163,6 @@
         ):
             assert (await p.ask(call(request_id="a1")))[2] == b"x"
             assert lost == ["a1"]
-            assert not p.driver._balancer.health.pending
+            assert not p.driver.balancer.health.pending
 
     run(test)
--- a/tests/scenarios/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -82,11 +82,11 @@
             for n in (1, 2):
                 assert (await p.ask(call(request_id=f"r{n}")))[2] == b"a"
                 [[connection]] = p.pool._idle.by_endpoint.values()
-                p.driver._perform_action(messages.CloseIdle(endpoint_number("a")))
+                p.driver.actions.perform(messages.CloseIdle(endpoint_number("a")), 0.0)
                 assert connection.transport.is_closing()
                 assert not p.pool._idle.by_endpoint
                 await asyncio.sleep(0)
             assert a.connections == 2
-            p.driver._perform_action(messages.CloseIdle(12345))  # not on the list any more
+            p.driver.actions.perform(messages.CloseIdle(12345), 0.0)  # not on the list any more
 
     run(test)
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -111,7 +111,7 @@
     many = [entry(f"s{n}", 9) for n in range(100)]
 
     def lines() -> list[str]:
-        return [r.getMessage() for r in caplog.records if "backend" in r.getMessage()]
+        return [r.getMessage() for r in caplog.records if "endpoint" in r.getMessage()]
 
     async def test() -> None:
         lists = 0
@@ -128,12 +128,12 @@
             clock = SteppedClock()
             while lists < 9:
                 await asyncio.sleep(0)
-                if p.driver._watch._task is None:
+                if p.driver.endpoint_list.watch._task is None:
                     clock.step(3.0)
-            singly = [line for line in lines() if line.startswith("backend ")]
+            singly = [line for line in lines() if line.startswith("endpoint ")]
             counted = [line for line in lines() if line not in singly]
             assert len(singly) == 20 + 2
-            assert counted == ["80 more changes of backends"]  # 102 in all
+            assert counted == ["80 more changes of endpoints"]  # 102 in all
             assert sum("draining" in line for line in singly) == 1
 
     run(test)
@@ -158,7 +158,7 @@
             clock = SteppedClock()
             while broke < 250:
                 await asyncio.sleep(0)
-                if p.driver._watch._task is None:
+                if p.driver.endpoint_list.watch._task is None:
                     clock.step(0.1)
             ahead = clock.ahead
 
--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -17,7 +17,21 @@
 def sizes(p: Proxy) -> dict[str, int]:
     """The entries of every collection that lives as long as the process."""
     counted = {}
-    for owner in (p.driver, p.driver._endpoints, p.driver._balancer, p.pool, p.listener, p.clients):
+    driver = p.driver
+    for owner in (
+        driver,
+        driver.events,
+        driver.requests,
+        driver.requests.attempts,
+        driver.attempts,
+        driver.timers,
+        driver.endpoint_list,
+        driver.endpoint_list.endpoints,
+        driver.balancer,
+        p.pool,
+        p.listener,
+        p.clients,
+    ):
         for name, value in vars(owner).items():
             if isinstance(value, Sized) and not isinstance(value, str | bytes):
                 counted[f"{type(owner).__name__}.{name}"] = len(value)
@@ -39,7 +53,7 @@
                 change = listing(
                     entry(f"s-{n}", b.port, "terminated"), entry(f"s-{n + 1}", b.port), rev=n + 2, full=False
                 )
-                p.driver._on_list(read_list(change))
+                p.driver.endpoint_list.receive(read_list(change))
                 reader, writer = await p.connect()  # and a new connection, half of them kept for good
                 writer.write(call(request_id=f"r{n}"))
                 assert (await read_message(reader))[2] == b"x"
--- a/tests/scenarios/test_hold_ups.py
+++ b/tests/scenarios/test_hold_ups.py
@@ -72,10 +72,10 @@
 
 # Where the loop is blocked, and how. The last is between the time told and the write itself.
 LINES: dict[str, Callable[[Held, Patch, Proxy], None]] = {
-    "between the request's time and the driver": lambda h, m, p: h.before(m, p.driver, "request"),
-    "between the driver and its event": lambda h, m, p: h.before(m, p.driver, "_process_event"),
-    "between the event's time and the module": lambda h, m, p: h.before(m, p.driver._balancer, "handle"),
-    "between the module and its actions": lambda h, m, p: h.before(m, p.driver, "_perform_actions"),
+    "between the request's time and the driver": lambda h, m, p: h.before(m, p.driver, "accept_request"),
+    "between the driver and its event": lambda h, m, p: h.before(m, p.driver.events, "put"),
+    "between the event's time and the module": lambda h, m, p: h.before(m, p.driver.balancer, "handle"),
+    "between the module and its actions": lambda h, m, p: h.before(m, p.driver.actions, "perform_all"),
     "between an action and its attempt": lambda h, m, p: h.before(m, p.pool, "start_attempt"),
     "between the attempt and its connection": lambda h, m, p: h.before(m, UpstreamAttempt, "begin"),
     "between the connection and the request": lambda h, m, p: h.before(m, UpstreamAttempt, "send_on"),
@@ -205,14 +205,14 @@
             clock, gate = stepped(p), Gate(p.pool)
             asked = asyncio.ensure_future(p.ask(call()))
             await until(lambda: gate.waiting == 1)
-            [attempt] = p.driver._attempts.values()
+            [attempt] = p.driver.requests.attempts.in_flight.values()
             drains, other = (a, b) if attempt.endpoint.address[1] == a.port else (b, a)
             uid = "s-1" if drains is a else "s-2"
             clock.step(HOLD_UP_S)
             with monkeypatch.context() as patch:
                 Held(clock).before(patch, UpstreamAttempt, line)
                 news = listing(entry(uid, drains.port, "terminating"), rev=2, full=False)
-                p.driver._on_list(read_list(news))
+                p.driver.endpoint_list.receive(read_list(news))
                 gate.opened.set()
                 assert (await asked)[0].split()[1] == "200"
             assert not drains.seen
--- a/tests/scenarios/test_little_time.py
+++ b/tests/scenarios/test_little_time.py
@@ -25,8 +25,8 @@
             assert loop.time() - began < SOON_S
             assert not b.seen
             assert not b.connections
-            assert p.driver.idle
-            assert not p.driver._attempts
+            assert p.driver.is_idle
+            assert not p.driver.requests.attempts.in_flight
 
     run(test)
 
@@ -37,20 +37,20 @@
         ports = [free_port() for _ in range(5)]  # nobody listens there
         async with proxy(*(entry(f"s-{n}", port) for n, port in enumerate(ports))) as p:
             sends: list[messages.StartAttempt] = []
-            original = p.driver._start_attempt
+            original = p.driver.attempts.start
 
-            def counted(send: messages.StartAttempt) -> None:
-                sends.append(send)
-                original(send)
+            def counted(action: messages.StartAttempt, decided_at_s: float) -> None:
+                sends.append(action)
+                original(action, decided_at_s)
 
-            p.driver._start_attempt = counted  # type: ignore[method-assign]
+            p.driver.attempts.start = counted  # type: ignore[method-assign]
             loop = asyncio.get_running_loop()
             began = loop.time()
             got = await p.ask(call(kind))
             assert got[0].split()[1] == "503"
             assert loop.time() - began < 1.0  # of the 2 s that are useful
             assert len(sends) == 3
-            assert p.driver.idle
+            assert p.driver.is_idle
 
     run(test)
 
@@ -67,6 +67,6 @@
             got = await p.ask(call(kind, Req_Deadline="0.5"))
             assert got[0].split()[1] in ("502", "503")
             assert loop.time() - began < 0.5 + SOON_S
-            assert p.driver.idle
+            assert p.driver.is_idle
 
     run(test)
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -62,8 +62,8 @@
 async def stepped(p: Proxy) -> AsyncIterator[SteppedClock]:
     """One clock for the event loop and the module."""
     clock = SteppedClock()
-    real = p.driver._clock.now_us
-    p.driver._clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
+    real = p.driver.clock.now_us
+    p.driver.clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
     yield clock
 
 
@@ -158,13 +158,13 @@
         async with watched(setup) as (d, p, clock):
             await step(clock, lambda: len(d.calls) == 1)
             d.calls[0].say(WATCH_HEAD + chunk_list(listing(entry("s-1", 9))))
-            await step(clock, lambda: p.driver._watch.version == 1)
+            await step(clock, lambda: p.driver.endpoint_list.watch.version == 1)
             for _ in range(round(2 * 3_600 / BEAT_S)):
                 clock.step(BEAT_S)
                 d.calls[0].say(chunk("\n"))
                 await turns(12)
             assert len(d.calls) == 1
-            assert len(p.driver._balancer.outbox.timers) == len(p.driver._timers) == 0
+            assert len(p.driver.balancer.outbox.timers) == len(p.driver.timers) == 0
             waited = await next_call(d, clock)  # it falls silent
             assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
 
@@ -384,7 +384,7 @@
             writer.write(call(request_id="left"))
             await until(lambda: "left" in b.ids)
             writer.close()
-            await until(lambda: not p.driver._attempts)
+            await until(lambda: not p.driver.requests.attempts.in_flight)
             assert sum(map(len, p.pool._idle.by_endpoint.values())) == 2
 
     run(test)
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -474,9 +474,9 @@
             assert rule.hits == 1
             assert len(b.seen) == 1
             assert not p.pool._pacing.no_extra_until
-            [server] = p.driver._balancer.endpoints.states.values()
+            [server] = p.driver.balancer.endpoints.states.values()
             assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
-            assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
             writer.close()
 
     run(test)
@@ -498,8 +498,8 @@
                 writer.write(call(request_id=f"r{answers}"))
                 assert status(await read_message(reader)) == 503
                 assert rule.hits == 3 * answers
-                assert p.driver.idle
-            assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+                assert p.driver.is_idle
+            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
             assert not b.seen
             assert not p.pool._pending
             assert not p.pool._open
@@ -556,12 +556,12 @@
             backend(answer(200, b"b")) as b,
             proxy(entry("a", a.port), entry("b", b.port)) as p,
         ):
-            balancer = p.driver._balancer
+            balancer = p.driver.balancer
             known = {
-                p.driver._endpoints.by_number[n].address[1]: server
+                p.driver.endpoint_list.endpoints.by_id[n].address[1]: server
                 for n, server in balancer.endpoints.states.items()
             }
-            lost, clock = known[a.port], p.driver._clock
+            lost, clock = known[a.port], p.driver.clock
             rule = rules.add("connect", to(a.port), error, times=3)
             asked = 0
 
@@ -577,7 +577,9 @@
             assert lost.detector.first_epoch_count == PRIOR_SAMPLES
             assert lost.share == 1.0
             assert not a.seen
-            endpoint = next(e for e in p.driver._endpoints.by_number.values() if e.address[1] == a.port)
+            endpoint = next(
+                e for e in p.driver.endpoint_list.endpoints.by_id.values() if e.address[1] == a.port
+            )
             assert p.pool._pacing.no_extra_until[endpoint] <= p.pool.loop.time() + p.pool.connect_timeout_s
             while not a.seen:
                 await ask()
@@ -847,7 +849,7 @@
         ):
             sides = {"caller": at(p.port), "backend": to(b.port), "discovery": to(d.port)}
             rule = rules.add(name, sides[side], times=NEVER_ENDING)
-            await until(lambda: p.driver.ready)
+            await until(lambda: p.driver.is_ready)
             for number in range(2):
                 got = await p.ask(call("mark", request_id=f"r{number}", body=b"asked" * 50))
                 assert (status(got), got[2]) == (200, b"said" * 50)
@@ -872,7 +874,7 @@
         ):
             sides = {"caller": at(p.port), "backend": to(b.port), "discovery": to(d.port)}
             rule = rules.add(name, sides[side], errno.EINTR, times=3)
-            await until(lambda: p.driver.ready)
+            await until(lambda: p.driver.is_ready)
             for number in range(3):
                 assert status(await p.ask(call(request_id=f"r{number}"))) == 200
             assert rule.hits == 3
@@ -950,8 +952,8 @@
             await until(lambda: rule.hits == 1 and len(p.clients.open_connections) == 1)
             held["other"].write(answer(200, b"y"))
             assert (await read_message(other_reader))[2] == b"y"
-            assert p.driver.idle
-            assert not p.driver._attempts
+            assert p.driver.is_idle
+            assert not p.driver.requests.attempts.in_flight
             assert not p.clients.open_request_ids
             assert len(held) == 2  # no attempt was made for it again
             other.close()
@@ -1010,7 +1012,7 @@
             await until(lambda: not p.pool._idle.by_endpoint and not p.pool._open)
             assert status(await p.ask(call(request_id="r2"))) == 200
             assert b.connections == 2
-            assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
 
     run(test)
     assert not lines(caplog)
@@ -1090,7 +1092,7 @@
                     clock.step(SETTLE_S)
                 assert b.connections == 3
                 assert failing.asked
-                assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+                assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
                 clock.step(1.0)
                 p.listener.close_idle_connections()
                 p.listener._sweep()
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -83,7 +83,7 @@
     """Its watch doesn't end for silence, however slow the machine is."""
     pool = ConnectionPool(0.25, 30.0, 10)
     driver = EventLoopDriver(settings(rules=COLD), 1, pool, ("127.0.0.1", discovery.port), times.clock())
-    driver._watch._first_list_timeout_s = driver._watch._heartbeat_timeout_s = 900.0
+    driver.endpoint_list.watch._first_list_timeout_s = driver.endpoint_list.watch._heartbeat_timeout_s = 900.0
     return driver
 
 
@@ -100,15 +100,15 @@
             driver.start(None)
             await driver.discovery_reported.wait()
             times.advance(2 * S)
-            confirmed = driver._start_times._confirmed_at_us
+            confirmed = driver.endpoint_list.start_times._confirmed_at_us
             agent.say(chunk("\n"))
-            await until(lambda: driver._start_times._confirmed_at_us != confirmed)
+            await until(lambda: driver.endpoint_list.start_times._confirmed_at_us != confirmed)
             times.advance(700 * MS)
             stated = times.wall() // MS - started_ms
             agent.say(chunk_list(listing(entry("a", 9, boot_ms=stated), rev=2, full=False)))
-            balancer, number = driver._balancer, endpoint_number("a")
+            balancer, number = driver.balancer, endpoint_number("a")
             await until(lambda: balancer.endpoints.states[number].endpoint.incarnation_us > 0)
-            assert driver._clock.now_us() - balancer.endpoints.states[number].started_us == age_ms * MS
+            assert driver.clock.now_us() - balancer.endpoints.states[number].started_us == age_ms * MS
             driver.close()
 
     run(test)
@@ -127,8 +127,8 @@
             driver = driver_on(d, times)
             driver.start(lists(("a", times.wall() - HOUR)))
             await driver.discovery_reported.wait()
-            [server] = driver._balancer.endpoints.states.values()
-            assert driver._clock.now_us() - server.started_us == 2 * S
+            [server] = driver.balancer.endpoints.states.values()
+            assert driver.clock.now_us() - server.started_us == 2 * S
             driver.close()
 
     run(test)
@@ -148,9 +148,9 @@
             await driver.discovery_reported.wait()
             wall.step(step)
             for _ in range(3):
-                beat = driver._start_times._confirmed_at_us
+                beat = driver.endpoint_list.start_times._confirmed_at_us
                 agent.say(chunk("\n"))
-                await until(lambda beat=beat: driver._start_times._confirmed_at_us != beat)  # type: ignore[misc]
+                await until(lambda beat=beat: driver.endpoint_list.start_times._confirmed_at_us != beat)  # type: ignore[misc]
                 clock.step(2.0)
                 await turns()
                 assert len(agent.asked) == 1
@@ -189,7 +189,7 @@
             else:
                 clock.step(0.6)
                 assert int((await asked)[0].split()[1]) in (502, 503)
-                assert p.driver.idle
+                assert p.driver.is_idle
 
     run(test)
 
--- a/tests/support/client_helpers.py
+++ b/tests/support/client_helpers.py
@@ -56,7 +56,7 @@
 
 def attempt_connection(p: Proxy) -> UpstreamConnection:
     """The connection of the longest open attempt."""
-    attempt = next(iter(p.driver._attempts.values()))
+    attempt = next(iter(p.driver.requests.attempts.in_flight.values()))
     assert attempt._connection is not None
     return attempt._connection
 
--- a/tests/support/clock_helpers.py
+++ b/tests/support/clock_helpers.py
@@ -52,29 +52,31 @@
         self.driver = EventLoopDriver(
             settings(rules=COLD), 1, ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", 1), self.times.clock()
         )
-        self.driver._watch.start = lambda: None  # type: ignore[method-assign]
+        self.driver.endpoint_list.watch.start = lambda: None  # type: ignore[method-assign]
         self.driver.start(known)
         self.rev = 1
 
     def list(self, *starts: tuple[str, int], full: bool = False) -> None:
         self.rev += 1
-        self.driver._on_list(lists(*starts, full=full, rev=self.rev))
+        self.driver.endpoint_list.receive(lists(*starts, full=full, rev=self.rev))
 
     def beat(self) -> None:
-        self.driver._watch._has_list = True  # a list has come
-        self.driver._watch._apply_messages([], heartbeat=True)
+        self.driver.endpoint_list.watch._has_list = True  # a list has come
+        self.driver.endpoint_list.watch._apply_messages([], heartbeat=True)
 
     def gone(self, uid: str) -> None:
         self.rev += 1
-        self.driver._on_list(read_list(listing(entry(uid, 9, "terminated"), rev=self.rev, full=False)))
+        self.driver.endpoint_list.receive(
+            read_list(listing(entry(uid, 9, "terminated"), rev=self.rev, full=False))
+        )
 
     def age(self, uid: str) -> int:
-        server = self.driver._balancer.endpoints.states[endpoint_number(uid)]
-        return self.driver._clock.now_us() - server.started_us
+        server = self.driver.balancer.endpoints.states[endpoint_number(uid)]
+        return self.driver.clock.now_us() - server.started_us
 
     def capacity(self, uid: str) -> float:
-        server = self.driver._balancer.endpoints.states[endpoint_number(uid)]
-        return self.driver._balancer.slow_start.capacity(self.driver._clock.now_us(), server)
+        server = self.driver.balancer.endpoints.states[endpoint_number(uid)]
+        return self.driver.balancer.slow_start.capacity(self.driver.clock.now_us(), server)
 
 
 def lists(*starts: tuple[str, int], full: bool = True, rev: int = 1) -> EndpointListMessage:
--- a/tests/support/discovery_helpers.py
+++ b/tests/support/discovery_helpers.py
@@ -79,22 +79,22 @@
     async with peer(discovery.handle) as d:
         discovery.peer = d
         async with proxy(setup=setup, discovery=d.port) as p:
-            real = p.driver._clock.now_us
-            p.driver._clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
-            p.driver._balancer.subscription.jitter.uniform = lambda a, b: b  # type: ignore[method-assign]
+            real = p.driver.clock.now_us
+            p.driver.clock.now_us = lambda: real() + round(clock.ahead * 1e6)  # type: ignore[method-assign]
+            p.driver.balancer.subscription.jitter.uniform = lambda a, b: b  # type: ignore[method-assign]
             yield discovery, p, clock
 
 
 def watch_starts(p: Proxy) -> list[float]:
     """Grows with each call that is begun from now on, whether or not anybody is there."""
     tried: list[float] = []
-    start = p.driver._watch.start
+    start = p.driver.endpoint_list.watch.start
 
     def noted() -> None:
         tried.append(asyncio.get_running_loop().time())
         start()
 
-    p.driver._watch.start = noted  # type: ignore[method-assign]
+    p.driver.endpoint_list.watch.start = noted  # type: ignore[method-assign]
     return tried
 
 
@@ -120,8 +120,8 @@
     if setup is ASKED:
         waited = await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
     d.calls[-1].say(WATCH_HEAD + list_of(7))
-    waited += await step(clock, lambda: p.driver._watch.version == 7, 1.0)
-    assert p.driver._watch.version == 7
+    waited += await step(clock, lambda: p.driver.endpoint_list.watch.version == 7, 1.0)
+    assert p.driver.endpoint_list.watch.version == 7
     return waited
 
 
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -196,10 +196,10 @@
 ) -> AsyncIterator[Proxy]:
     pool = ConnectionPool(connect_s, idle_s, most)
     driver = EventLoopDriver(setup or settings(), 1, pool, ("127.0.0.1", discovery))
-    listener = ClientListener(driver, {c.name: c for c in driver._balancer.settings.classes}, most)
+    listener = ClientListener(driver, {c.name: c for c in driver.balancer.settings.classes}, most)
     _, port = listener.listen(("127.0.0.1", 0))
     if discovery == 1:  # none: the list stays as known
-        driver._watch.start = lambda: None  # type: ignore[method-assign]
+        driver.endpoint_list.watch.start = lambda: None  # type: ignore[method-assign]
     driver.start(target_list(*backends) if backends else None)
     try:
         yield Proxy(driver, listener, pool, port)
--- a/tests/support/upstream_helpers.py
+++ b/tests/support/upstream_helpers.py
@@ -244,8 +244,8 @@
 
 def stepped(p: Proxy) -> SteppedClock:
     """A hand on the loop's clock and the module's."""
-    clock, now_us = SteppedClock(), p.driver._clock.now_us
-    p.driver._clock.now_us = lambda: now_us() + round(clock.ahead * S)  # type: ignore[method-assign]
+    clock, now_us = SteppedClock(), p.driver.clock.now_us
+    p.driver.clock.now_us = lambda: now_us() + round(clock.ahead * S)  # type: ignore[method-assign]
     return clock
 
 
