--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -13,7 +13,7 @@
 from load_balancer.net.client import client_limits
 from load_balancer.net.clock import Clock
 from load_balancer.net.driver.client_messages import ClientRequest
-from load_balancer.net.driver.event_loop_driver import LAG_MARGIN_US
+from load_balancer.net.driver.open_requests import LAG_MARGIN_US
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.balancer_harness import settings
@@ -163,13 +163,13 @@
 async def test_retry_header_marks_a_request_as_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
     async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
         asked: list[bool] = []
-        take = p.driver.request
+        take = p.driver.accept_request
 
         def listen(caller: ClientRequest) -> str:
             asked.append(caller.is_retry)
             return take(caller)
 
-        monkeypatch.setattr(p.driver, "request", listen)
+        monkeypatch.setattr(p.driver, "accept_request", listen)
         assert status(await p.ask(call())) == 200
         assert status(await p.ask(call(Req_Retry="1"))) == 200
         assert status(await p.ask(call(Req_Retry="0"))) == 200
@@ -242,13 +242,13 @@
             writer.write(answer(200, b"x"))
 
     async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
-        take = p.driver.request
+        take = p.driver.accept_request
 
         def listen(caller: ClientRequest) -> str:
-            patience.append(caller.time_left_us / 1e6)
+            patience.append(caller.time_remaining_us / 1e6)
             return take(caller)
 
-        monkeypatch.setattr(p.driver, "request", listen)
+        monkeypatch.setattr(p.driver, "accept_request", listen)
         reader, writer = await p.connect()
         writer.write(call(request_id="r1") + call(request_id="r2"))
         await until(lambda: bool(b.seen))
@@ -293,10 +293,10 @@
         writer.write(call(request_id="slow"))
         while b.connections == 0:
             await asyncio.sleep(0)
-        p.driver.give_up()
+        p.driver.end_all_requests()
         assert status(await read_message(reader)) == 503
         late.set()
-        while p.driver._attempts:
+        while p.driver.requests.attempts.in_flight:
             await asyncio.sleep(0)
         writer.write(call(request_id="next"))
         assert (await read_message(reader))[2] == b"next"
@@ -327,7 +327,7 @@
         _, client = await p.connect()
         client.write(call())
         await gone.wait()
-        assert p.driver.idle
+        assert p.driver.is_idle
 
 
 async def test_unanswered_request_is_ended_before_its_deadline(
@@ -338,13 +338,13 @@
 
     async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
         told: list[messages.Event] = []
-        handle_event = p.driver._balancer.handle
+        handle_event = p.driver.balancer.handle
 
         def listen(now: int, event: messages.Event) -> list[messages.Action]:
             told.append(event)
             return handle_event(now, event)
 
-        monkeypatch.setattr(p.driver._balancer, "handle", listen)
+        monkeypatch.setattr(p.driver.balancer, "handle", listen)
         loop = asyncio.get_running_loop()
         began = loop.time()
         assert status(await p.ask(call(Req_Deadline="0.6"))) in (502, 503)
@@ -382,7 +382,7 @@
             raise ZeroDivisionError("a fault")
 
         with monkeypatch.context() as patch:
-            patch.setattr(p.driver._balancer, "handle", fault)
+            patch.setattr(p.driver.balancer, "handle", fault)
             assert status(await p.ask(call())) == 502
         assert "ZeroDivisionError: a fault" in caplog.text
         assert status(await p.ask(call())) == 200
@@ -408,7 +408,7 @@
     async with backend(answer(400)) as b, proxy(entry("s-1", b.port)) as p:
         assert status(await p.ask(call())) == 502  # no refusal: coming again would not help
         assert len(b.seen) == 1
-        [server] = p.driver._balancer.endpoints.states.values()
+        [server] = p.driver.balancer.endpoints.states.values()
         assert server.failure_penalties == []
         assert server.detector.mean == 1.0
 
@@ -420,17 +420,17 @@
         await reader.read()
 
     async with peer(silent) as b, proxy(entry("s-1", b.port)) as p:
-        handle = p.driver._balancer.handle
+        handle = p.driver.balancer.handle
 
         def faulty(now: int, event: messages.Event) -> list[messages.Action]:
             if isinstance(event, messages.TimerFired | messages.AttemptEnded):
                 raise RuntimeError("a fault")
             return handle(now, event)
 
-        monkeypatch.setattr(p.driver._balancer, "handle", faulty)
+        monkeypatch.setattr(p.driver.balancer, "handle", faulty)
         assert status(await p.ask(call(Req_Deadline="0.6"))) == 502
-        assert p.driver.idle
-        assert not p.driver._balancer.requests.requests
+        assert p.driver.is_idle
+        assert not p.driver.balancer.requests.requests
 
 
 async def test_failed_action_does_not_prevent_the_next_actions(
@@ -438,11 +438,11 @@
 ) -> None:
     async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
         monkeypatch.setattr(
-            p.driver._balancer,
+            p.driver.balancer,
             "handle",
             lambda now, e: [messages.StartAttempt("x", 1, 1), messages.Reject(e.id)],
         )
-        monkeypatch.setattr(p.driver, "_start_attempt", None)  # can't be called
+        monkeypatch.setattr(p.driver.attempts, "start", None)  # can't be called
         assert status(await p.ask(call())) == 503
 
 
@@ -450,9 +450,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with proxy(entry("s-1", 9)) as p:
-        monkeypatch.setattr(p.driver._balancer, "handle", lambda now, event: [])
+        monkeypatch.setattr(p.driver.balancer, "handle", lambda now, event: [])
         assert status(await p.ask(call(Req_Deadline="0.1"))) == 502
-        assert p.driver.idle
+        assert p.driver.is_idle
 
 
 @pytest.mark.parametrize("kind", ["read", "pay"])
@@ -472,13 +472,13 @@
         writer.write(call(kind))
         await until(lambda: gate.waiting == 1)
         writer.close()
-        await until(lambda: p.driver.idle)
+        await until(lambda: p.driver.is_idle)
         gate.opened.set()
-        await until(lambda: not p.driver._attempts)
+        await until(lambda: not p.driver.requests.attempts.in_flight)
         assert b.seen == []
         assert b.connections == 0
-        assert not p.driver._balancer.requests.in_flight
-        assert not p.driver._balancer.requests.requests
+        assert not p.driver.balancer.requests.in_flight
+        assert not p.driver.balancer.requests.requests
 
 
 @pytest.mark.parametrize("size", [20_000, 65_536])
@@ -519,7 +519,7 @@
         for _ in range(20):
             await asyncio.sleep(0)
         assert len(b.seen) == 1
-        assert p.driver.idle
+        assert p.driver.is_idle
 
 
 @pytest.mark.parametrize("paused", [False, True])
@@ -552,9 +552,9 @@
         for _ in range(100):
             await asyncio.sleep(0)
         clock.step(client_limits.SWEEP_INTERVAL_S)
-        await until(lambda: p.driver.idle)
+        await until(lambda: p.driver.is_idle)
         go_on.set()
-        await until(lambda: not p.driver._attempts and not p.clients.open_connections)
+        await until(lambda: not p.driver.requests.attempts.in_flight and not p.clients.open_connections)
         assert [headers["req-id"] for _, headers, _ in b.seen] == ["r0"]
         assert p.clients.buffered.size_bytes == 0
 
@@ -574,7 +574,7 @@
         for _ in range(20):
             await asyncio.sleep(0)
         assert len(b.seen) == 1
-        assert p.driver.idle
+        assert p.driver.is_idle
 
 
 @pytest.mark.parametrize("fresh", [True, False])
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -82,7 +82,7 @@
             newcomer.leave("RST")
         await until(lambda: not p.clients.open_connections)
         assert not b.seen
-        assert p.driver.idle
+        assert p.driver.is_idle
         assert not p.clients.open_request_ids
         assert p.clients.descriptor_count == 0
 
@@ -153,7 +153,7 @@
         await came(p, other, call(request_id="other"))
         await until(lambda: len(b.seen) == 1)
 
-        take_over = p.driver.request
+        take_over = p.driver.accept_request
 
         def fails(*args: ClientRequest) -> str:
             if where == "taken over":
@@ -166,7 +166,7 @@
             if where == "read":
                 patch.setattr(connection._http, "next_event", fails)
             else:
-                patch.setattr(p.driver, "request", fails)
+                patch.setattr(p.driver, "accept_request", fails)
             client.send(request[-2:])
             await until(lambda: connection._is_lingering or connection.transport.is_closing())
         reader, writer = await streams(client)
@@ -175,7 +175,7 @@
         assert closes(got)
         if where == "taken over":  # a backend's answer comes too late for it
             await until(lambda: len(b.seen) == 2)
-            late = list(p.driver._attempts.values())[1].connection
+            late = list(p.driver.requests.attempts.in_flight.values())[1].connection
             assert late is not None
             late.data_received(answer(200))
         assert await reader.read() == b""
@@ -187,7 +187,7 @@
         assert status(await read_message(reader)) == 200
         writer.close()
         await until(lambda: not p.clients.open_connections)
-        assert p.driver.idle
+        assert p.driver.is_idle
 
 
 async def test_request_completed_after_the_shutdown_deadline_is_answered_503() -> None:
@@ -198,8 +198,8 @@
         await came(p, client, request[:40])
         p.listener.stop_listening()
         p.listener.close_idle_connections()
-        p.driver.stop_within(0.0)
-        p.driver.give_up()
+        p.driver.limit_deadlines(0.0)
+        p.driver.end_all_requests()
         client.send(request[40:])
         reader, writer = await streams(client)
         got = await read_message(reader)
@@ -210,7 +210,7 @@
         await until(lambda: p.listener.is_drained)
         assert not b.seen
         assert not b.connections
-        assert p.driver.idle
+        assert p.driver.is_idle
 
 
 async def test_eviction_examines_a_bounded_number_of_partial_requests(
