--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -196,7 +196,7 @@
             assert await reader.read() == b""
         writer.close()
         assert len(b.received) == 1
-        assert p.driver.idle
+        assert p.driver.is_idle
         if how == "room":
             other.leave("FIN")
         await wait_until(lambda: not p.clients.open_connections)
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from load_balancer.net import repeated_fault_log
+from load_balancer.net import repeated_log_lines
 from load_balancer.net.client import client_limits
 from load_balancer.process.descriptor_limits import RESERVED_DESCRIPTORS
 from tests.support.client_helpers import Client, streams
@@ -221,11 +221,11 @@
             client.send(http_request(path="/ready"))
             reader, writer = await streams(client)
             assert response_status(await read_http_message(reader)) == 200
-            clock.advance(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
+            clock.advance(repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
             await wait_until(lambda: len(lines()) > 1)
             assert lines()[1:] == [f"no descriptor for a connection: over, {met.all} times in all"]
             writer.close()
-            clock.advance(repeated_fault_log.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
+            clock.advance(repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
             await run_loop_turns()
             assert len(lines()) == 2
 
@@ -270,7 +270,7 @@
             )
         connections = list(p.clients.open_connections)
         await wait_until(lambda: all(not c.transport.is_reading() for c in connections))
-        assert len(p.driver._requests) == callers  # each with its own request open
+        assert len(p.driver.requests) == callers  # each with its own request open
         assert 100_000 < p.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
         assert p.clients.buffered.size_bytes == sum(c._http.received.size_bytes for c in connections)
         for client in clients:
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -29,8 +29,8 @@
 
 
 def nothing_left(p: LoopbackProxy) -> bool:
-    balancer = p.driver._balancer
-    return p.driver.idle and not (
+    balancer = p.driver.balancer
+    return p.driver.is_idle and not (
         balancer.requests.requests
         or balancer.requests.in_flight
         or balancer.requests.queue
@@ -54,8 +54,8 @@
         failing = attempt_connection(p)
         client.leave(way)
         failing.data_received(FAILURE)
-        assert not p.driver._attempts
-        assert p.driver.idle
+        assert not p.driver.requests.attempts.in_flight
+        assert p.driver.is_idle
         await wait_until(lambda: not p.clients.open_connections)
         await run_loop_turns()
         assert len(a.received) + len(b.received) == 1
@@ -91,18 +91,18 @@
         running_proxy(endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
         clients: list[Client] = []
-        while not p.driver._balancer.requests.queue:
+        while not p.driver.balancer.requests.queue:
             clients.append(Client(p))
             clients[-1].send(http_request(request_id=f"r{len(clients)}"))
-            await wait_until(lambda: len(p.driver._balancer.requests.requests) == len(clients))
+            await wait_until(lambda: len(p.driver.balancer.requests.requests) == len(clients))
         sent = len(clients) - 1
         await wait_until(lambda: len(b.received) == sent)
         clients[-1].leave(way)
         attempt_connection(p).data_received(http_response(200, b"x"))
-        assert not p.driver._balancer.requests.queue  # its turn came
+        assert not p.driver.balancer.requests.queue  # its turn came
         await wait_until(lambda: len(p.clients.open_connections) == sent)
         await run_loop_turns()
-        assert len(b.received) == sent == len(p.driver._balancer.requests.in_flight) + 1
+        assert len(b.received) == sent == len(p.driver.balancer.requests.in_flight) + 1
         for client in clients[:-1]:
             client.leave("FIN")
         await wait_until(lambda: not p.clients.open_connections)
@@ -153,12 +153,12 @@
         if where != "connecting":
             gate.opened.set()
         if where == "held":
-            while not p.driver._balancer.requests.queue:
+            while not p.driver.balancer.requests.queue:
                 crowd.append(Client(p))
                 crowd[-1].send(http_request(request_id=f"c{len(crowd)}"))
-                await wait_until(lambda: len(p.driver._balancer.requests.requests) == len(crowd))
+                await wait_until(lambda: len(p.driver.balancer.requests.requests) == len(crowd))
             crowd.pop().leave("FIN")
-            await wait_until(lambda: not p.driver._balancer.requests.queue)
+            await wait_until(lambda: not p.driver.balancer.requests.queue)
         client = Client(p)
         connection = await begin(p, client, paused)
         if where == "connecting":
@@ -166,7 +166,7 @@
         elif where == "out":
             await wait_until(lambda: len(b.received) == 1)
         else:
-            assert p.driver._balancer.requests.queue
+            assert p.driver.balancer.requests.queue
         key = connection._request_key
         assert key is not None
         client.leave(way)
@@ -176,11 +176,11 @@
             clock.advance(LATEST_S / 2)
             await run_loop_turns()
         assert connection not in p.clients.open_connections
-        assert key not in p.driver._requests
+        assert key not in p.driver.requests
         gate.opened.set()
-        for (request, _), attempt in list(p.driver._attempts.items()):
-            assert attempt._connection is not None
-            attempt._connection.data_received(FAILURE if request == key else http_response(200, b"x"))
+        for (request, _), attempt in list(p.driver.requests.attempts.in_flight.items()):
+            assert attempt.connection is not None
+            attempt.connection.data_received(FAILURE if request == key else http_response(200, b"x"))
         await run_loop_turns()
         mine = [headers["req-id"] for _, headers, _ in b.received if not headers["req-id"].startswith("c")]
         assert mine == (["r0"] if where == "out" else [])
@@ -219,7 +219,7 @@
             await run_loop_turns()
         assert len(asked) >= 10
         assert set(asked) == {connection.transport}
-        p.driver.give_up()
+        p.driver.end_all_requests()
         await wait_until(lambda: not p.clients.paused_connections)
         for one in (idle, busy, client):
             one.leave("RST")
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -49,12 +49,12 @@
         StandInServer(handle) as d,
         running_proxy(discovery_port=d.port, settings=settings(must_subscribe=True)) as p,
     ):
-        while not p.driver.ready:
+        while not p.driver.is_ready:
             await asyncio.sleep(0)
         got = {(await p.send_request(http_request(request_id=f"x{n}")))[2] for n in range(40)}
         assert got == {b"a", b"b"}
         told.set()
-        while len(p.driver._endpoints.up_numbers) == 2:
+        while len(p.driver.endpoint_list.endpoints.up_ids) == 2:
             await asyncio.sleep(0)
         got = {(await p.send_request(http_request(request_id=f"y{n}")))[2] for n in range(40)}
         assert got == {b"b"}
@@ -106,7 +106,7 @@
         ) as p,
     ):
         asking = asyncio.ensure_future(p.send_request(http_request()))
-        while p.driver.ready:
+        while p.driver.is_ready:
             await asyncio.sleep(0)
         drained.set()
         assert (await asking)[2] == b"done"
@@ -131,7 +131,7 @@
             news = [endpoint_entry("a", b.port)]
         elif state != "absent":
             news.append(endpoint_entry("a", a.port, state))
-        p.driver._on_list(parsed_endpoint_list(*news, rev=2))
+        p.driver.endpoint_list.receive(parsed_endpoint_list(*news, rev=2))
         gate.opened.set()
         assert (await asking)[2] == b"b"
         assert a.connection_count == 0
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -8,7 +8,7 @@
 
 from load_balancer import messages
 from load_balancer.messages import Outcome
-from load_balancer.net.upstream import connection_pool
+from load_balancer.net.upstream import connection_queue
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from tests.support.balancer_harness import BalancerHarness, S, only, settings
 from tests.support.endpoint_lists import endpoint_entry
@@ -33,7 +33,7 @@
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
         if heard:
-            pool.record_activity(calls.endpoint)
+            pool.connections.record_activity(calls.endpoint)
         calls.begin("a", failover_within_s=LIMIT_S / 2)
         for count in (2, 3):
             await connects.step(11.0)
@@ -41,7 +41,7 @@
         assert not calls.ended
         await connects.step(11.0)
         await calls.until(a=ends)
-        assert len(connects.gates) == 1 + connection_pool.MAX_SPARE_CONNECTS
+        assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
         calls.begin("b")  # what comes up late is there for another
         connects.let(0)
         await calls.until(a=ends, b=Outcome.OK)
@@ -58,7 +58,7 @@
         for _ in range(20):
             await connects.step(50.0)
         assert not calls.ended
-        assert len(connects.gates) == 1 + connection_pool.MAX_SPARE_CONNECTS
+        assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
         connects.let(0)
         await calls.until(a=Outcome.OK)
         pool.close()
@@ -75,12 +75,12 @@
                 classes=(messages.RequestClass("read", 5_000 * S, 9_000 * S, messages.Idempotency.SAFE),),
                 limits=messages.Limits(max_attempts=2, cancel=True),
             ),
+            connect_timeout_s=LIMIT_S,
         ) as p,
     ):
         connects = Connects(p.pool, MOSTLY_QUICK)
-        p.pool._pacing.connect_timeout_s = LIMIT_S
-        for endpoint in list(p.pool._idle.reuse_from):
-            p.pool.record_activity(endpoint)
+        for endpoint in list(p.pool.idle.reuse_from_s):
+            p.pool.connections.record_activity(endpoint)
         asked = asyncio.ensure_future(p.send_request(http_request(Req_Deadline="9000")))
         await connects.begun(1)
         for count in (2, 3, 4):
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -30,12 +30,12 @@
         got = [(await attempt(pool, address))[0] for _ in range(4)]
         assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
         assert b.connection_count == 3
-        assert not pool._idle.by_endpoint
-        pool._idle.reuse_from[EndpointAddress(1, address)] -= (
+        assert not pool.idle.by_endpoint
+        pool.idle.reuse_from_s[EndpointAddress(1, address)] -= (
             idle_connections.NO_REUSE_S
         )  # as if that while were over
         assert (await attempt(pool, address))[0] is Outcome.OK
-        assert pool._idle.by_endpoint
+        assert pool.idle.by_endpoint
         pool.close()
 
 
@@ -54,7 +54,7 @@
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
         for _ in range(4):
             assert (await attempt(pool, address, ONCE))[0] is Outcome.OK
-            assert len(pool._idle.by_endpoint[EndpointAddress(1, address)]) == 1
+            assert len(pool.idle.by_endpoint[EndpointAddress(1, address)]) == 1
         assert b.connection_count == 4
         assert (await attempt(pool, address))[0] is Outcome.RESET  # the same on a kept one
         pool.close()
@@ -75,7 +75,7 @@
         got = [(await attempt(pool, address))[0] for _ in range(4)]
         assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
         assert b.connection_count == 2
-        assert pool._idle.by_endpoint
+        assert pool.idle.by_endpoint
         pool.close()
 
 
@@ -86,8 +86,8 @@
         assert (await attempt(pool, address, number=2))[0] is Outcome.OK
         assert b.connection_count == 2
         pool.disable_endpoint(EndpointAddress(1, address))  # the old one's end leaves the new one's alone
-        assert not pool._idle.by_endpoint.get(EndpointAddress(1, address))
-        assert len(pool._idle.by_endpoint[EndpointAddress(2, address)]) == 1
+        assert not pool.idle.by_endpoint.get(EndpointAddress(1, address))
+        assert len(pool.idle.by_endpoint[EndpointAddress(2, address)]) == 1
         pool.close()
 
 
@@ -108,8 +108,8 @@
         pool.disable_endpoint(EndpointAddress(1, address))
         go_on.set()
         assert (await out)[0] is Outcome.OK
-        assert not pool._idle.by_endpoint
-        assert not pool._idle.reuse_from
+        assert not pool.idle.by_endpoint
+        assert not pool.idle.reuse_from_s
         pool.close()
 
 
@@ -147,9 +147,8 @@
     async with StandInServer(handle) as b:
         pool, address = ConnectionPool(0.25, 0.5, 10), ("127.0.0.1", b.port)
         assert (await attempt(pool, address))[0] is Outcome.OK
-        timer = pool._idle.by_endpoint[EndpointAddress(1, address)][0].idle_timer
-        assert timer
-        assert timer.when() - pool.loop.time() <= 0.45
+        [connection] = pool.idle.by_endpoint[EndpointAddress(1, address)]
+        assert pool.idle.closes_at_s(connection) - pool.loop.time() <= 0.45
         await closed.wait()
 
 
@@ -161,8 +160,8 @@
         pool = ConnectionPool(0.25, 30.0, 1)
         assert (await attempt(pool, ("127.0.0.1", a.port)))[0] is Outcome.OK
         assert (await attempt(pool, ("127.0.0.1", b.port)))[0] is Outcome.OK
-        assert not pool._idle.by_endpoint.get(EndpointAddress(1, ("127.0.0.1", a.port)))
-        pool._max_connections = 0
+        assert not pool.idle.by_endpoint.get(EndpointAddress(1, ("127.0.0.1", a.port)))
+        pool.connections.max_connections = 0
         pool.disable_endpoint(EndpointAddress(1, ("127.0.0.1", b.port)))
         assert (await attempt(pool, ("127.0.0.1", b.port)))[0] is Outcome.NOT_SENT
         pool.close()
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -71,7 +71,7 @@
     async with StandInEndpoint(said) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         assert await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0) == (Outcome.RESET, None)
-        assert not pool._idle.by_endpoint
+        assert not pool.idle.by_endpoint
         pool.close()
 
 
@@ -93,7 +93,7 @@
             assert got is Outcome.OK
             assert reply
             assert reply.body == b"ok"
-            assert bool(pool._idle.by_endpoint) is (said.endswith(b"ok") and said.count(b"ok") == 1)
+            assert bool(pool.idle.by_endpoint) is (said.endswith(b"ok") and said.count(b"ok") == 1)
             pool.close()
 
 
@@ -120,7 +120,7 @@
         assert got is Outcome.OK
         assert reply
         assert reply.body == b"2"
-        while any(pool._idle.by_endpoint.values()):
+        while any(pool.idle.by_endpoint.values()):
             await asyncio.sleep(0)
         pool.close()
 
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from load_balancer.process.server import FLUSH_S, accept_time_s
+from load_balancer.process.graceful_shutdown import FLUSH_S, accept_time_s
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -57,8 +57,8 @@
 async def stepped(p: LoopbackProxy) -> AsyncIterator[SteppedClock]:
     """One clock for the event loop and the module."""
     clock = SteppedClock()
-    real = p.driver._clock.now_us
-    p.driver._clock.now_us = lambda: real() + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
+    real = p.driver.clock.now_us
+    p.driver.clock.now_us = lambda: real() + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
     yield clock
 
 
@@ -152,13 +152,13 @@
     async with watched(setup) as (d, p, clock):
         await step(clock, lambda: len(d.calls) == 1)
         d.calls[0].say(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9))))
-        await step(clock, lambda: p.driver._watch.version == 1)
+        await step(clock, lambda: p.driver.endpoint_list.watch.version == 1)
         for _ in range(round(2 * 3_600 / BEAT_S)):
             clock.advance(BEAT_S)
             d.calls[0].say(http_chunk("\n"))
             await turns(12)
         assert len(d.calls) == 1
-        assert len(p.driver._balancer.outbox.timers) == len(p.driver._timers) == 0
+        assert len(p.driver.balancer.outbox.timers) == len(p.driver.timers) == 0
         waited = await next_call(d, clock)  # it falls silent
         assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
 
@@ -241,7 +241,7 @@
     await wait_until(lambda: len(b.wires) == count)
     b.reads.set()
     await asyncio.gather(*asking)
-    await wait_until(lambda: sum(map(len, p.pool._idle.by_endpoint.values())) == count)
+    await wait_until(lambda: sum(map(len, p.pool.idle.by_endpoint.values())) == count)
 
 
 ROOMY = settings(limits=messages.Limits(max_attempts=3, cancel=True))
@@ -263,7 +263,7 @@
         clock = await stack.enter_async_context(stepped(p))
         for n in range(40 * many):
             await p.send_request(http_request(request_id=f"k{n}"))
-        assert sum(map(len, p.pool._idle.by_endpoint.values())) > 4
+        assert sum(map(len, p.pool.idle.by_endpoint.values())) > 4
         forgetful.forget()
         clock.advance(3_600.0)
         statuses = []
@@ -314,7 +314,7 @@
         else:
             clock.advance(2.0)
         await out.end()
-        left = len(pool._idle.by_endpoint.get(b.endpoint, ()))
+        left = len(pool.idle.by_endpoint.get(b.endpoint, ()))
         assert left == (0 if silent else 3 if case == "a new connection" else 2)
         pool.close()
 
@@ -367,8 +367,8 @@
         writer.write(http_request(request_id="left"))
         await wait_until(lambda: "left" in b.ids)
         writer.close()
-        await wait_until(lambda: not p.driver._attempts)
-        assert sum(map(len, p.pool._idle.by_endpoint.values())) == 2
+        await wait_until(lambda: not p.driver.requests.attempts.in_flight)
+        assert sum(map(len, p.pool.idle.by_endpoint.values())) == 2
 
 
 @pytest.mark.parametrize("kept", [False, True], ids=["new", "kept"])
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -37,7 +37,7 @@
 from load_balancer.policy.change_detector import PRIOR_SAMPLES
 from load_balancer.policy.endpoint_state import COOL_DOWN_US
 from load_balancer.policy.retry import MAX_SAVED_RETRIES
-from load_balancer.process.server import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
+from load_balancer.process.reload import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
 from tests.process.test_reload import ReloadHarness
 from tests.process.test_startup import attended
 from tests.support.balancer_harness import MS, BalancerHarness, S, only
@@ -467,10 +467,10 @@
             assert response_status(await read_http_message(reader)) == 200
             assert rule.hits == 1
             assert len(b.received) == 1
-            assert not p.pool._pacing.no_extra_until
-            [server] = p.driver._balancer.endpoints.states.values()
+            assert not p.pool.pacing.no_extra_until_s
+            [server] = p.driver.balancer.endpoints.states.values()
             assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
-            assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
             writer.close()
 
     run_in_event_loop(test)
@@ -495,12 +495,12 @@
                 writer.write(http_request(request_id=f"r{answers}"))
                 assert response_status(await read_http_message(reader)) == 503
                 assert rule.hits == 3 * answers
-                assert p.driver.idle
-            assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+                assert p.driver.is_idle
+            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
             assert not b.received
-            assert not p.pool._pending
-            assert not p.pool._open
-            assert not p.pool._waiting
+            assert not p.pool.pending.by_endpoint
+            assert not p.pool.connections.open
+            assert not p.pool.waiting.by_endpoint
             rules.clear()
             writer.write(http_request(request_id="last"))
             assert response_status(await read_http_message(reader)) == 200
@@ -518,7 +518,7 @@
     async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(60.0, 60.0, 10)
         calls, connects = Calls(pool, b), Connects(pool, [0.005] * 10 + [1.0] * 5)
-        made, tried = pool.connect, 0
+        made, tried = pool.connector.open, 0
 
         async def lacks_all_but_the_first(endpoint: EndpointAddress) -> UpstreamConnection:
             nonlocal tried
@@ -527,7 +527,7 @@
                 raise OSError(errno.EADDRNOTAVAIL, "no local port")
             return await made(endpoint)
 
-        monkeypatch.setattr(pool, "connect", lacks_all_but_the_first)
+        monkeypatch.setattr(pool.connector, "open", lacks_all_but_the_first)
         calls.begin("a", timeout_s=5.0)
         began = pool.loop.time()
         for _ in range(200):
@@ -552,12 +552,12 @@
             StandInEndpoint(http_response(200, b"b")) as b,
             running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port)) as p,
         ):
-            balancer = p.driver._balancer
+            balancer = p.driver.balancer
             known = {
-                p.driver._endpoints.by_number[n].address[1]: server
+                p.driver.endpoint_list.endpoints.by_id[n].address[1]: server
                 for n, server in balancer.endpoints.states.items()
             }
-            lost, clock = known[a.port], p.driver._clock
+            lost, clock = known[a.port], p.driver.clock
             rule = rules.add("connect", to(a.port), error, times=3)
             asked = 0
 
@@ -573,11 +573,16 @@
             assert lost.detector.first_epoch_count == PRIOR_SAMPLES
             assert lost.share == 1.0
             assert not a.received
-            endpoint = next(e for e in p.driver._endpoints.by_number.values() if e.address[1] == a.port)
-            assert p.pool._pacing.no_extra_until[endpoint] <= p.pool.loop.time() + p.pool.connect_timeout_s
+            endpoint = next(
+                e for e in p.driver.endpoint_list.endpoints.by_id.values() if e.address[1] == a.port
+            )
+            assert (
+                p.pool.pacing.no_extra_until_s[endpoint]
+                <= p.pool.loop.time() + p.pool.pacing.connect_timeout_s
+            )
             while not a.received:
                 await ask()
-            assert not p.pool._pacing.no_extra_until
+            assert not p.pool.pacing.no_extra_until_s
             assert lost.unreachable_backoff_us == 0
 
     run_in_event_loop(test)
@@ -830,7 +835,7 @@
         ):
             sides = {"caller": at(p.port), "backend": to(b.port), "discovery": to(d.port)}
             rule = rules.add(name, sides[side], times=NEVER_ENDING)
-            await wait_until(lambda: p.driver.ready)
+            await wait_until(lambda: p.driver.is_ready)
             for number in range(2):
                 got = await p.send_request(http_request("mark", request_id=f"r{number}", body=b"asked" * 50))
                 assert (response_status(got), got[2]) == (200, b"said" * 50)
@@ -855,7 +860,7 @@
         ):
             sides = {"caller": at(p.port), "backend": to(b.port), "discovery": to(d.port)}
             rule = rules.add(name, sides[side], errno.EINTR, times=3)
-            await wait_until(lambda: p.driver.ready)
+            await wait_until(lambda: p.driver.is_ready)
             for number in range(3):
                 assert response_status(await p.send_request(http_request(request_id=f"r{number}"))) == 200
             assert rule.hits == 3
@@ -930,8 +935,8 @@
             await wait_until(lambda: rule.hits == 1 and len(p.clients.open_connections) == 1)
             held["other"].write(http_response(200, b"y"))
             assert (await read_http_message(other_reader))[2] == b"y"
-            assert p.driver.idle
-            assert not p.driver._attempts
+            assert p.driver.is_idle
+            assert not p.driver.requests.attempts.in_flight
             assert not p.clients.open_request_ids
             assert len(held) == 2  # no attempt was made for it again
             other.close()
@@ -970,7 +975,7 @@
             outcome, _ = await attempt(pool, ("127.0.0.1", b.port))
             assert outcome is (Outcome.RESET if when == "written" else Outcome.NO_CONNECTION)
             assert rule.hits == 1
-            await wait_until(lambda: not pool._open)
+            await wait_until(lambda: not pool.connections.open)
             pool.close()
 
     run_in_event_loop(test)
@@ -987,13 +992,13 @@
             running_proxy(endpoint_entry("b", b.port)) as p,
         ):
             assert response_status(await p.send_request(http_request(request_id="r1"))) == 200
-            await wait_until(lambda: bool(p.pool._idle.by_endpoint))
+            await wait_until(lambda: bool(p.pool.idle.by_endpoint))
             rules.add("recv", to(b.port), error)
             b.writers[0].write(b"H")
-            await wait_until(lambda: not p.pool._idle.by_endpoint and not p.pool._open)
+            await wait_until(lambda: not p.pool.idle.by_endpoint and not p.pool.connections.open)
             assert response_status(await p.send_request(http_request(request_id="r2"))) == 200
             assert b.connection_count == 2
-            assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
 
     run_in_event_loop(test)
     assert not lines(caplog)
@@ -1076,7 +1081,7 @@
                     clock.advance(SETTLE_S)
                 assert b.connection_count == 3
                 assert failing.asked
-                assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+                assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
                 clock.advance(1.0)
                 p.listener.close_idle_connections()
                 p.listener._sweep()
--- a/tests/support/connect_gates.py
+++ b/tests/support/connect_gates.py
@@ -15,11 +15,11 @@
     def __init__(self, pool: ConnectionPool) -> None:
         self.opened = asyncio.Event()
         self.waiting_count = 0  # connections that have been begun
-        connect = pool.connect
+        connect = pool.connector.open
 
         async def connect_once_opened(endpoint: EndpointAddress) -> UpstreamConnection:
             self.waiting_count += 1
             await self.opened.wait()
             return await connect(endpoint)
 
-        pool.connect = connect_once_opened  # type: ignore[method-assign]
+        pool.connector.open = connect_once_opened  # type: ignore[method-assign]
--- a/tests/support/loopback_proxy.py
+++ b/tests/support/loopback_proxy.py
@@ -64,7 +64,7 @@
     listener = ClientListener(driver, {c.name: c for c in settings.classes}, max_connections)
     _, port = listener.listen(("127.0.0.1", 0))
     if discovery_port == NO_DISCOVERY:  # the list stays as known
-        driver._watch.start = lambda: None  # type: ignore[method-assign]
+        driver.endpoint_list.watch.start = lambda: None  # type: ignore[method-assign]
     driver.start(parsed_endpoint_list(*endpoint_entries) if endpoint_entries else None)
     try:
         yield LoopbackProxy(driver, listener, pool, port)
