--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -6,8 +6,9 @@
 from collections.abc import Callable, Collection, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from load_balancer.policy.endpoint_state import EndpointState
-from load_balancer.policy.request_state import Attempt, ClassState, RequestState
+from load_balancer.policy.class_state import ClassState
+from load_balancer.policy.endpoint_state import EndpointAttempt, EndpointState
+from load_balancer.policy.request_state import RequestState
 
 INITIAL_LIMIT = 4.0  # attempts an endpoint may have in flight before anything is known, of all balancers
 INITIAL_SHARED_LIMIT = 10.0  # the same where many balancers share it, so that each can have up to one
@@ -53,7 +54,7 @@
     def add_answer(
         self,
         now: int,
-        attempt: Attempt,
+        attempt: EndpointAttempt,
         relative_latency: float,
         subset: Sequence[EndpointState],
         total_in_flight: int,
@@ -71,7 +72,7 @@
             self._increase(len(subset))
         self.split(subset)
 
-    def _decrease(self, now: int, attempt: Attempt) -> None:
+    def _decrease(self, now: int, attempt: EndpointAttempt) -> None:
         if attempt.sent_at < self._decreased_at:
             return
         self.attempts = max(MIN_LIMIT / self.sharing_balancers, self.attempts * LIMIT_DECREASE)
--- /dev/null
+++ b/load_balancer/policy/attempt.py
@@ -0,0 +1,55 @@
+"""One attempt of a request: a record that endpoints, requests and health checks share.
+
+It refers to its endpoint without knowing what the policy keeps of endpoints: `endpoint_state` names the type.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum, auto
+from typing import Generic, TypeVar
+
+from load_balancer import messages
+from load_balancer.policy.class_state import ClassState
+
+EndpointT = TypeVar("EndpointT")
+
+
+class LastAttempt(Enum):
+    """How the last attempt at an endpoint ended."""
+
+    NONE = auto()
+    SUCCEEDED = auto()
+    FAILED = auto()
+
+
+@dataclass(frozen=True, slots=True)
+class HangLimit:
+    """When an attempt counts as hanging: after so many usual latencies, and this long at least."""
+
+    usual_latencies: float
+    min_us: int
+
+
+@dataclass(slots=True, eq=False)
+class Attempt(Generic[EndpointT]):
+    """One attempt of a request at one endpoint."""
+
+    request_id: str
+    number: int
+    endpoint: EndpointT
+    request_class: ClassState
+    sent_at: int  # microseconds
+    timeout_us: int
+    outcome: messages.Outcome | None = None  # none while it is in flight
+    abandoned: bool = False  # given up, its end still to come
+
+    def hangs(self, now: int, limit: HangLimit) -> bool:
+        """Tell whether it has been in flight for longer than the limit."""
+        usual_us = int(limit.usual_latencies * self.request_class.usual_latency_us)
+        return now >= self.sent_at + max(limit.min_us, usual_us)
+
+    @property
+    def may_have_run(self) -> bool:
+        """False only where the outcome proves that the endpoint never ran it."""
+        return self.outcome is None or not self.outcome.never_ran
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -11,9 +11,10 @@
 from load_balancer import messages
 from load_balancer.policy.endpoint_list import EndpointList
 from load_balancer.policy.health_check import HealthChecker
-from load_balancer.policy.outbox import HealthScan, Outbox, QueueScan, RequestDeadline, Resubscribe
+from load_balancer.policy.outbox import AttemptScan, Outbox, QueueScan, RequestDeadline, Resubscribe
 from load_balancer.policy.request_handler import RequestHandler
 from load_balancer.policy.router import Router
+from load_balancer.policy.scan_timer import ScanTimer
 from load_balancer.policy.selection import Selector
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.policy.subscription import Subscription
@@ -33,20 +34,24 @@
         self.subscription = Subscription(settings, random.Random(seed + 1), self.outbox)
         self.selector = Selector(settings, seed)
         self.slow_start = SlowStart(settings)
-        self.endpoints = EndpointList(
-            settings, self.outbox, self.selector.is_remote, admitted=self.slow_start.admit
-        )
+        self.endpoints = EndpointList(settings, self.outbox, self.selector.is_remote, self.slow_start)
         self.router = Router(settings, self.endpoints, self.slow_start, self.selector, self.margin_us)
+        self.scan_timer = ScanTimer(settings.limits, self.outbox)
         self.requests = RequestHandler(
-            settings, self.outbox, self.endpoints, self.slow_start, self.router, self.margin_us
+            settings,
+            self.outbox,
+            self.endpoints,
+            self.slow_start,
+            self.router,
+            self.scan_timer,
+            self.margin_us,
         )
         self.health = HealthChecker(
-            settings.limits,
             self.outbox,
+            self.scan_timer,
             may_check=self.slow_start.pay_for_check,
             abandon=self.requests.abandon,
         )
-        self.requests.schedule_scan = self.health.schedule_scan
 
     def start(self, now: int) -> list[messages.Action]:
         """Return the first actions, before any event."""
@@ -84,13 +89,13 @@
                 self.requests.deadline_due(request_id)
             case QueueScan():
                 self.requests.queue_scan_due()
-            case HealthScan():
+            case AttemptScan():
                 self._scan_attempts(now)
             case Resubscribe():
                 self.subscription.subscribe(now)
 
     def _scan_attempts(self, now: int) -> None:
-        self.health.scan_due()
+        self.scan_timer.fired()
         if self.settings.limits.health_checks:
             self.health.check_hanging(now, self.endpoints, self.requests.in_flight.values())
         else:
--- a/load_balancer/policy/endpoint_health.py
+++ b/load_balancer/policy/endpoint_health.py
@@ -2,12 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from typing import TYPE_CHECKING
-
-if TYPE_CHECKING:
-    from load_balancer.policy.request_state import Attempt, HangLimit
-
 MAX_MISSED_CHECKS = 2  # checks without an answer after which it counts as silent: one may meet a pause
 FIRST_BACKOFF_US = 400_000  # before the next check, doubled each time: most attempts that hang are just long
 SILENT_INTERVAL_US = 500_000  # a silent endpoint is asked this often
@@ -28,13 +22,13 @@
         """Tell whether it counts as gone without a word."""
         return self.missed >= MAX_MISSED_CHECKS
 
-    def is_due(self, now: int, attempts: Iterable[Attempt], limit: HangLimit) -> bool:
+    def is_due(self, now: int, *, has_hanging_attempt: bool) -> bool:
         """Tell whether to ask it now what it holds: attempts hang, or it was silent when last asked."""
         if self.pending:
             return False
         if self.is_silent:
             return now >= self.checked_at + SILENT_INTERVAL_US
-        if not any(attempt.hangs(now, limit) for attempt in attempts):
+        if not has_hanging_attempt:
             self.backoff_us = 0
             return False
         return now >= self.checked_at + self.backoff_us
--- a/load_balancer/policy/endpoint_list.py
+++ b/load_balancer/policy/endpoint_list.py
@@ -7,6 +7,7 @@
 from load_balancer import messages
 from load_balancer.policy.endpoint_state import EndpointState
 from load_balancer.policy.outbox import Outbox
+from load_balancer.policy.slow_start import SlowStart
 from load_balancer.policy.subset import Ring
 
 NO_VERSION = -1
@@ -23,12 +24,12 @@
         settings: messages.Settings,
         outbox: Outbox,
         is_remote: Callable[[messages.Endpoint], bool],
-        admitted: Callable[[int, EndpointState], None],
+        slow_start: SlowStart,
     ) -> None:
-        """Start empty; `admitted` is called with the time and each new incarnation, before it can be used."""
+        """Start empty; `slow_start` gives each new incarnation the first part of its budget."""
         self._instances = settings.instances
         self._outbox = outbox
-        self._admitted = admitted
+        self._slow_start = slow_start
         self.ring: Ring[EndpointState] = Ring(
             settings.index, settings.instances, lambda state: is_remote(state.endpoint)
         )
@@ -84,9 +85,8 @@
         if state is not None and state.endpoint.incarnation_us == endpoint.incarnation_us:
             state.endpoint = endpoint
         else:
-            state = EndpointState(endpoint)
+            state = EndpointState(endpoint, self._slow_start.new_warming_state(now, endpoint.id))
             self.states[endpoint.id] = state
-            self._admitted(now, state)
         if state.is_up:
             self.ring.add(state)
 
--- a/load_balancer/policy/endpoint_state.py
+++ b/load_balancer/policy/endpoint_state.py
@@ -2,48 +2,35 @@
 
 from __future__ import annotations
 
-from enum import Enum, auto
-from typing import TYPE_CHECKING
+from typing import TypeAlias
 
 from load_balancer import messages
+from load_balancer.policy.attempt import Attempt, HangLimit, LastAttempt
 from load_balancer.policy.change_detector import ChangeDetector
 from load_balancer.policy.endpoint_health import EndpointHealth
-
-if TYPE_CHECKING:
-    from load_balancer.policy.request_state import Attempt
-    from load_balancer.policy.slow_start import WarmingState
+from load_balancer.policy.subset import mixed_id
+from load_balancer.policy.warming_state import WarmingState
 
 OVERDUE_LATENCIES = 2.0  # an attempt in flight for this many usual latencies counts as two
 FIRST_UNREACHABLE_US = 250_000  # an endpoint without a route is avoided this long, doubled each time
 COOL_DOWN_US = 5_000_000  # one that lost or failed a request of a class is avoided for it this long
-RING_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash: spreads neighbouring ids over the ring
-RING_SIZE = 2**32
-
-
-class LastAttempt(Enum):
-    """How the last attempt at an endpoint ended."""
-
-    NONE = auto()
-    SUCCEEDED = auto()
-    FAILED = auto()
 
 
 class EndpointState:
     """One incarnation of an endpoint. A restart makes a new one. Times are microseconds."""
 
-    def __init__(self, endpoint: messages.Endpoint) -> None:
+    def __init__(self, endpoint: messages.Endpoint, warming: WarmingState) -> None:
         """Start with a full share and nothing in flight."""
         self.endpoint = endpoint
         # Fixed once: no later entry for the same incarnation makes it older or younger. 0: long ago.
         self.started_us = endpoint.incarnation_us if endpoint.started_us is None else endpoint.started_us
-        # Mixed, so that neighbouring ids lie apart; the same at every balancer.
-        self.mixed_id = endpoint.id * RING_MULTIPLIER % RING_SIZE
+        self.mixed_id = mixed_id(endpoint.id)
         self.ring_position = (self.mixed_id, endpoint.id)
         self.detector = ChangeDetector()
         self.health = EndpointHealth()
-        self.warming: WarmingState  # set by slow start as the incarnation is admitted
+        self.warming = warming
         self.share = 1.0  # samples are in units of what is usual, so 1/mean starts at 1
-        self.in_flight: list[Attempt] = []  # of this balancer
+        self.in_flight: list[EndpointAttempt] = []  # of this balancer
         # Own attempts that it may have in flight; below one: the part of the time in which it may have one.
         self.concurrency_limit = 1.0
         self.paused_until = 0  # no further attempt before, where the limit is below one
@@ -73,6 +60,10 @@
             self.failure_penalties = [until for until in self.failure_penalties if until > now]
         return len(self.in_flight) + overdue + len(self.failure_penalties)
 
+    def has_hanging_attempt(self, now: int, limit: HangLimit) -> bool:
+        """Tell whether an own attempt has been in flight for longer than the limit."""
+        return any(attempt.hangs(now, limit) for attempt in self.in_flight)
+
     def add_latency(self, relative_latency: float) -> bool:
         """Take a latency in units of what is usual; true where it opens an epoch, which resets the share."""
         opened = self.detector.add(relative_latency)
@@ -100,3 +91,6 @@
     def is_avoided(self, now: int, class_name: str) -> bool:
         """Tell whether other endpoints are better for this class: it failed it lately, or has no route."""
         return now < max(self.unreachable_until, self.cool_down_until.get(class_name, 0))
+
+
+EndpointAttempt: TypeAlias = Attempt[EndpointState]
--- a/load_balancer/policy/health_check.py
+++ b/load_balancer/policy/health_check.py
@@ -10,56 +10,45 @@
 from collections.abc import Callable, Collection, Iterable
 
 from load_balancer import messages
-from load_balancer.policy.endpoint_state import EndpointState
-from load_balancer.policy.outbox import HealthScan, Outbox
-from load_balancer.policy.request_state import Attempt, HangLimit
+from load_balancer.policy.attempt import HangLimit
+from load_balancer.policy.endpoint_state import EndpointAttempt, EndpointState
+from load_balancer.policy.outbox import Outbox
+from load_balancer.policy.scan_timer import ScanTimer
 
 SUSPECT_LIMIT = HangLimit(3.0, 1_000_000)
 SUSPECT_LIMIT_AFTER_LOSS = HangLimit(2.0, 800_000)  # for a while after an answer was lost
 LOSS_MEMORY_US = 20_000_000  # that while
 REPORT_AGE_US = 700_000  # a load report may be this old
 REPORT_NOISE = 1.2  # and too low by this factor
-SCAN_INTERVAL_US = 100_000  # attempts in flight are looked at this often
 
-MayCheck = Callable[[int, "EndpointState"], bool]
-Abandon = Callable[[int, "Attempt"], None]
+MayCheck = Callable[[int, EndpointState], bool]
+Abandon = Callable[[int, EndpointAttempt], None]
 
 
 class HealthChecker:
     """Looks at attempts in flight now and then, and asks or gives up where they hang."""
 
-    def __init__(
-        self, limits: messages.Limits, outbox: Outbox, may_check: MayCheck, abandon: Abandon
-    ) -> None:
-        """Take what the site allows; `may_check` pays for a check out of the slow-start budget."""
-        self._limits = limits
+    def __init__(self, outbox: Outbox, scan_timer: ScanTimer, may_check: MayCheck, abandon: Abandon) -> None:
+        """Take the parts it uses; `may_check` pays for a check out of the slow-start budget."""
         self._outbox = outbox
         self._may_check = may_check
         self._abandon = abandon
-        self._scan_timer: int | None = None
+        self._scan_timer = scan_timer
         self._answer_lost_at: int | None = None
         self.pending: dict[int, list[EndpointState]] = {}  # by endpoint id: incarnations that are asked
 
-    def schedule_scan(self, now: int) -> None:
-        """Look at the attempts in flight before long, where giving one up is allowed."""
-        if self._scan_timer is None and self._limits.cancel:
-            self._scan_timer = self._outbox.set_timer(now + SCAN_INTERVAL_US, HealthScan())
-
-    def scan_due(self) -> None:
-        """Note that the timer has fired."""
-        self._scan_timer = None
-
     def check_hanging(
-        self, now: int, endpoints: Iterable[EndpointState], in_flight: Collection[Attempt]
+        self, now: int, endpoints: Iterable[EndpointState], in_flight: Collection[EndpointAttempt]
     ) -> None:
         """Ask endpoints whose attempts hang: an answer that was lost on the way never tells by itself."""
         silent = [state for state in endpoints if state.health.is_silent]
         limit = self._hang_limit(now)
         for state in dict.fromkeys([*silent, *(attempt.endpoint for attempt in in_flight)]):
-            if state.health.is_due(now, state.in_flight, limit) and self._may_check(now, state):
+            hangs = state.has_hanging_attempt(now, limit)
+            if state.health.is_due(now, has_hanging_attempt=hangs) and self._may_check(now, state):
                 self._check(now, state)
         if in_flight or silent:
-            self.schedule_scan(now)
+            self._scan_timer.schedule(now)
 
     def check_ended(self, now: int, event: messages.HealthCheckEnded) -> None:
         """Take the result of a check."""
--- a/load_balancer/policy/outbox.py
+++ b/load_balancer/policy/outbox.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HealthScan:
+class AttemptScan:
     """Attempts in flight are to be looked at."""
 
 
@@ -29,7 +29,7 @@
     """Discovery is to be asked for the list again."""
 
 
-TimerPurpose = RequestDeadline | QueueScan | HealthScan | Resubscribe
+TimerPurpose = RequestDeadline | QueueScan | AttemptScan | Resubscribe
 
 
 class Outbox:
--- a/load_balancer/policy/request_handler.py
+++ b/load_balancer/policy/request_handler.py
@@ -2,17 +2,19 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from load_balancer import messages
 from load_balancer.policy.admission import AdmissionQueue, ConcurrencyLimit, request_priority
+from load_balancer.policy.attempt import Attempt, HangLimit, LastAttempt
+from load_balancer.policy.class_state import ClassState
 from load_balancer.policy.endpoint_list import EndpointList
-from load_balancer.policy.endpoint_state import EndpointState, LastAttempt
+from load_balancer.policy.endpoint_state import EndpointAttempt, EndpointState
 from load_balancer.policy.outbox import Outbox, QueueScan, RequestDeadline
-from load_balancer.policy.request_state import Attempt, ClassState, HangLimit, RequestState, TenantQuota
+from load_balancer.policy.request_state import RequestState
 from load_balancer.policy.retry import RetryBudget, is_rejection_harmless
 from load_balancer.policy.router import Choice, Router
+from load_balancer.policy.scan_timer import ScanTimer
 from load_balancer.policy.slow_start import SlowStart
+from load_balancer.policy.tenant_quota import TenantQuota
 
 # A request waits here for a free endpoint for this share of its useful time. With less, what could still be
 # served would be rejected; past half of its time a rejection costs more than the answer may yet earn.
@@ -36,8 +38,6 @@
     messages.Outcome.UNKNOWN,
 )
 
-ScheduleScan = Callable[[int], None]
-
 
 class RequestHandler:
     """All requests that are owed a final answer, and all attempts in flight. Times are microseconds."""
@@ -49,6 +49,7 @@
         endpoints: EndpointList,
         slow_start: SlowStart,
         router: Router,
+        scan_timer: ScanTimer,
         margin_us: int,
     ) -> None:
         """Take the parts that it asks; `margin_us` is kept back from deadlines."""
@@ -57,6 +58,7 @@
         self._endpoints = endpoints
         self._slow_start = slow_start
         self._router = router
+        self._scan_timer = scan_timer
         self._margin_us = margin_us
         self.classes = {settings.name: ClassState(settings) for settings in settings.classes}
         self._tenants = {
@@ -67,8 +69,7 @@
         self.limit = ConcurrencyLimit()
         self.retry_budget = RetryBudget()
         self.requests: dict[str, RequestState] = {}
-        self.in_flight: dict[tuple[str, int], Attempt] = {}
-        self.schedule_scan: ScheduleScan = lambda now: None  # of attempts in flight; set by the balancer
+        self.in_flight: dict[tuple[str, int], EndpointAttempt] = {}
 
     # Requests
 
@@ -190,10 +191,10 @@
                 request.id, choice.endpoint.endpoint.id, timeout_us, choice.draws, relocate_within_us
             )
         )
-        self.schedule_scan(now)
+        self._scan_timer.schedule(now)
         return True
 
-    def _count_at_endpoint(self, now: int, attempt: Attempt) -> None:
+    def _count_at_endpoint(self, now: int, attempt: EndpointAttempt) -> None:
         state = attempt.endpoint
         state.in_flight.append(attempt)
         self._slow_start.attempt_sent(now, state, is_first=attempt.number == 0)
@@ -231,7 +232,7 @@
         else:  # attempts never overlap, so none is in flight
             self._retry(now, request, was_sent=event.outcome is not messages.Outcome.NOT_SENT)
 
-    def _learn(self, now: int, attempt: Attempt, event: messages.AttemptEnded) -> None:
+    def _learn(self, now: int, attempt: EndpointAttempt, event: messages.AttemptEnded) -> None:
         """Take what an outcome says of its endpoint."""
         if event.outcome in UNINFORMATIVE:
             return
@@ -277,7 +278,7 @@
         else:
             self._finish(request)
 
-    def abandon(self, now: int, attempt: Attempt) -> None:
+    def abandon(self, now: int, attempt: EndpointAttempt) -> None:
         """Give up waiting for an answer; what follows waits for the attempt's end."""
         state = attempt.endpoint
         usual_us = attempt.request_class.usual_latency_us
@@ -307,7 +308,7 @@
                 balance -= 1.0
                 self.abandon(now, attempt)
         if self.in_flight:
-            self.schedule_scan(now)
+            self._scan_timer.schedule(now)
 
     def _could_retry(self, now: int, request: RequestState) -> bool:
         in_time = now + request.request_class.usual_latency_us <= request.useful_by
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -9,17 +9,18 @@
 
 import math
 from collections.abc import Sequence
-from dataclasses import dataclass
 
 from load_balancer import messages
-from load_balancer.policy.endpoint_state import EndpointState, LastAttempt
+from load_balancer.policy.attempt import LastAttempt
+from load_balancer.policy.endpoint_state import EndpointState
+from load_balancer.policy.subset import mixed_id
+from load_balancer.policy.warming_state import WarmingState
 
 BUDGET_SAFETY = 0.7  # share of the budget that is used
 # A call that fell due keeps for this share of a window: all that falls due in a window, and all that was kept
 # from before it, then make one budget, however late the balancers come to use it.
 KEPT_WINDOW_SHARE = 1.0 / BUDGET_SAFETY - 1.0
 MAX_KEPT_ATTEMPTS = 2.0  # attempts that may follow each other at once
-MAX_DEBT = -1.0  # an attempt without budget is paid for by the next one that falls due
 FREE_FIRST_ATTEMPTS = 2.0  # first attempts without budget in a window, from all balancers
 FREE_FIRST_ROOTS = (
     2.0  # times the root of the budget: further such ones; this much the rule allows for chance
@@ -31,22 +32,6 @@
 PHASES = 2**32
 
 
-@dataclass(slots=True)
-class WarmingState:
-    """What this balancer may still send to one incarnation of an endpoint. Times are microseconds."""
-
-    phase: float  # this balancer's place, 0 to 1, among all that may send to it
-    known_at: int  # when this balancer heard of it
-    tokens: float  # attempts that have fallen due
-    tokens_at: int
-    returned_until: int = 0  # an answer has made room for one attempt, until then
-
-    def attempt_sent(self) -> None:
-        """Pay for an attempt."""
-        self.returned_until = 0
-        self.tokens = max(MAX_DEBT, self.tokens - 1.0)
-
-
 class AttemptRate:
     """A decaying count of own first attempts: retries tell nothing of what an endpoint takes."""
 
@@ -81,16 +66,17 @@
         # Own first attempts per microsecond as the last warm endpoint of the subset went.
         self.rate_while_warm = 0.0
 
-    def admit(self, now: int, state: EndpointState) -> None:
-        """Give a new incarnation its first part of the budget.
+    def new_warming_state(self, now: int, endpoint_id: int) -> WarmingState:
+        """Return the first part of the budget of a new incarnation.
 
         With places drawn by each balancer for itself, the attempts of several fall due at once. Multiples
         of the golden ratio lie well apart for any run of balancers, and the endpoints of one balancer are
         mixed, or it would come late at all of them.
         """
-        mixed = (state.mixed_id ^ state.mixed_id >> 15) * MIX_MULTIPLIER
+        ring_id = mixed_id(endpoint_id)
+        mixed = (ring_id ^ ring_id >> 15) * MIX_MULTIPLIER
         phase = (self._settings.index * GOLDEN_STEP + mixed) % PHASES / PHASES
-        state.warming = WarmingState(phase=phase, known_at=now, tokens=1.0 - phase, tokens_at=now)
+        return WarmingState(phase=phase, known_at=now, tokens=1.0 - phase, tokens_at=now)
 
     def subset_changed(self, now: int, subset: Sequence[EndpointState], sharing_balancers: float) -> None:
         """Take over the subset, and how many balancers have each endpoint in theirs."""
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -21,12 +21,19 @@
 DESCRIPTOR_GROWTH = 2
 EXTRA_DESCRIPTORS = 40
 MAX_USUAL_FLEET = 200  # endpoints of a fleet of usual size at most: sixteen times as many are 3,200
+RING_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash: spreads neighbouring ids over the ring
+RING_SIZE = 2**32
 MIN_REMOTE = 2  # endpoints of other zones in the subset at least: a zone's own may not carry its traffic
 
 RingPosition = tuple[int, int]  # a mixed id that all balancers agree on, then the id where two are the same
 RING_POSITION = attrgetter("ring_position")
 
 
+def mixed_id(endpoint_id: int) -> int:
+    """Return the id mixed, so that neighbouring ids lie apart. It is the same at every balancer."""
+    return endpoint_id * RING_MULTIPLIER % RING_SIZE
+
+
 class RingMember(Protocol):
     """What can stand on a ring."""
 
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -9,8 +9,8 @@
 
 from load_balancer import messages
 from load_balancer.net.upstream.load_report import read_requests_in_flight
-from load_balancer.policy import health_check
-from load_balancer.policy.request_state import HangLimit
+from load_balancer.policy import health_check, scan_timer
+from load_balancer.policy.attempt import HangLimit
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 from tests.support.loopback import answer, call, entry, peer, proxy, read_message, run
 
@@ -142,7 +142,7 @@
 ) -> None:
     monkeypatch.setattr(health_check, "SUSPECT_LIMIT", HangLimit(0.0, 60 * MS))
     monkeypatch.setattr(health_check, "REPORT_AGE_US", 0)
-    monkeypatch.setattr(health_check, "SCAN_INTERVAL_US", 10 * MS)
+    monkeypatch.setattr(scan_timer, "SCAN_INTERVAL_US", 10 * MS)
     lost: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/policy/test_policy_modules.py
+++ b/tests/policy/test_policy_modules.py
@@ -1,6 +1,7 @@
 """The shape of the modules that decide."""
 
 import ast
+from graphlib import TopologicalSorter
 from pathlib import Path
 
 import pytest
@@ -49,6 +50,17 @@
     assert ast.get_docstring(ast.parse(path.read_text()))
 
 
+def test_modules_import_each_other_without_a_circle_and_none_for_type_checking_alone() -> None:
+    imports = {
+        f"load_balancer.policy.{path.stem}": {
+            name for name in imported_modules(path) if name.startswith("load_balancer.policy.")
+        }
+        for path in MODULES
+    }
+    assert not any("TYPE_CHECKING" in path.read_text() for path in MODULES)
+    list(TopologicalSorter(imports).static_order())  # raises CycleError where modules form a circle
+
+
 def test_the_deploy_file_names_every_module() -> None:
     deploy = (POLICY.parent.parent / "deploy" / "balancer.toml").read_text()
     assert all(f'"load_balancer/policy/{path.name}"' in deploy for path in MODULES)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from load_balancer import messages
-from load_balancer.policy.request_state import Attempt
+from load_balancer.policy.attempt import Attempt
 from load_balancer.policy.selection import REMOTE_PENALTY
 from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -12,7 +12,7 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.policy.endpoint_state import LastAttempt
+from load_balancer.policy.attempt import LastAttempt
 from load_balancer.policy.slow_start import BUDGET_SAFETY, FREE_FIRST_ATTEMPTS, KEPT_WINDOW_SHARE
 from tests.policy.test_slow_start_fleet import RULES, TIGHT, cold_fleet
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
