--- a/load_balancer/policy/admission.py
+++ b/load_balancer/policy/admission.py
@@ -33,7 +33,7 @@
         self.sharing_balancers = 1.0  # balancers that have each endpoint in their subset
         self._found_no_place = False  # since the limit last grew
         self._relative_latency = 0.0  # running mean
-        self._decreased_at = 0
+        self._decreased_at_us = 0
 
     def share_among(self, balancers: float) -> None:
         """Take over the number of balancers that have each endpoint in their subset.
@@ -53,7 +53,7 @@
 
     def add_answer(
         self,
-        now: int,
+        now_us: int,
         attempt: EndpointAttempt,
         relative_latency: float,
         subset: Sequence[EndpointState],
@@ -67,16 +67,16 @@
             MIN_LATENCY_SAMPLES, total_in_flight
         )
         if self._relative_latency > (1.0 if self.attempts > 1.0 else OVERLOAD_LATENCY):
-            self._decrease(now, attempt)
+            self._decrease(now_us, attempt)
         elif self._found_no_place or self._binds(attempt.endpoint):
             self._increase(len(subset))
         self.split(subset)
 
-    def _decrease(self, now: int, attempt: EndpointAttempt) -> None:
-        if attempt.sent_at < self._decreased_at:
+    def _decrease(self, now_us: int, attempt: EndpointAttempt) -> None:
+        if attempt.sent_at_us < self._decreased_at_us:
             return
         self.attempts = max(MIN_LIMIT / self.sharing_balancers, self.attempts * LIMIT_DECREASE)
-        self._decreased_at = now
+        self._decreased_at_us = now_us
 
     def _increase(self, subset_size: int) -> None:
         self.attempts += LIMIT_INCREASE / self.sharing_balancers / max(1.0, self.attempts * subset_size)
@@ -117,7 +117,7 @@
     """A place in the queue: the most valuable request first, then in order of arrival."""
 
     negative_priority: float
-    queued_at: int
+    queued_at_us: int
     sequence: int
     request_id: str = field(compare=False)
 
@@ -139,14 +139,14 @@
         """The ids of the requests that wait, the most valuable first."""
         return [entry.request_id for entry in self._entries]
 
-    def add(self, now: int, request: RequestState) -> None:
+    def add(self, now_us: int, request: RequestState) -> None:
         """Queue a request."""
         self._sequence += 1
-        insort(self._entries, QueueEntry(-request.priority, now, self._sequence, request.id))
+        insort(self._entries, QueueEntry(-request.priority, now_us, self._sequence, request.id))
 
     def work_off(
         self,
-        now: int,
+        now_us: int,
         requests: Mapping[str, RequestState],
         send: Callable[[RequestState], bool],
         finish: Callable[[RequestState], None],
@@ -160,7 +160,7 @@
             request = requests.get(entry.request_id)
             if request is None:
                 continue
-            if now >= request.queued_until:
+            if now_us >= request.queued_until_us:
                 finish(request)
                 continue
             fits = first_attempts_fit and (further_attempts_fit or not request.has_left)
--- a/load_balancer/policy/attempt.py
+++ b/load_balancer/policy/attempt.py
@@ -39,15 +39,15 @@
     number: int
     endpoint: EndpointT
     request_class: ClassState
-    sent_at: int  # microseconds
+    sent_at_us: int  # microseconds
     timeout_us: int
     outcome: messages.Outcome | None = None  # none while it is in flight
     abandoned: bool = False  # given up, its end still to come
 
-    def hangs(self, now: int, limit: HangLimit) -> bool:
+    def hangs(self, now_us: int, limit: HangLimit) -> bool:
         """Tell whether it has been in flight for longer than the limit."""
         usual_us = int(limit.usual_latencies * self.request_class.usual_latency_us)
-        return now >= self.sent_at + max(limit.min_us, usual_us)
+        return now_us >= self.sent_at_us + max(limit.min_us, usual_us)
 
     @property
     def may_have_run(self) -> bool:
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -53,29 +53,29 @@
             abandon=self.requests.abandon,
         )
 
-    def start(self, now: int) -> list[messages.Action]:
+    def start(self, now_us: int) -> list[messages.Action]:
         """Return the first actions, before any event."""
         self.subscription.start()
         return self.outbox.take()
 
-    def handle(self, now: int, event: messages.Event) -> list[messages.Action]:
-        """Take one event and return what is to be done. `now` is microseconds and never goes back."""
-        self._dispatch(now, event)
-        self.requests.work_off_queue(now)
+    def handle(self, now_us: int, event: messages.Event) -> list[messages.Action]:
+        """Take one event and return the actions that it calls for, in order. `now_us` never runs backwards."""
+        self._dispatch(now_us, event)
+        self.requests.work_off_queue(now_us)
         return self.outbox.take()
 
-    def _dispatch(self, now: int, event: messages.Event) -> None:
+    def _dispatch(self, now_us: int, event: messages.Event) -> None:
         match event:
             case messages.Request():
-                self.requests.request_arrived(now, event)
+                self.requests.request_arrived(now_us, event)
             case messages.AttemptEnded():
-                self.requests.attempt_ended(now, event)
+                self.requests.attempt_ended(now_us, event)
             case messages.TimerFired():
-                self._timer_fired(now, event.timer)
+                self._timer_fired(now_us, event.timer)
             case messages.EndpointListUpdate():
-                self._list_updated(now, event)
+                self._list_updated(now_us, event)
             case messages.HealthCheckEnded():
-                self.health.check_ended(now, event)
+                self.health.check_ended(now_us, event)
             case messages.ClientGone():
                 self.requests.client_gone(event.request)
             case messages.ShutdownStarted():
@@ -83,32 +83,32 @@
             case messages.StreamStarted():
                 self.requests.stream_started(event.request)
 
-    def _timer_fired(self, now: int, timer: int) -> None:
+    def _timer_fired(self, now_us: int, timer: int) -> None:
         match self.outbox.timer_fired(timer):
             case RequestDeadline(request_id=request_id):
                 self.requests.deadline_due(request_id)
             case QueueScan():
                 self.requests.queue_scan_due()
             case AttemptScan():
-                self._scan_attempts(now)
+                self._scan_attempts(now_us)
             case Resubscribe():
-                self.subscription.subscribe(now)
+                self.subscription.subscribe(now_us)
 
-    def _scan_attempts(self, now: int) -> None:
+    def _scan_attempts(self, now_us: int) -> None:
         self.scan_timer.fired()
         if self.settings.limits.health_checks:
-            self.health.check_hanging(now, self.endpoints, self.requests.in_flight.values())
+            self.health.check_hanging(now_us, self.endpoints, self.requests.in_flight.values())
         else:
-            self.requests.abandon_silent(now)
+            self.requests.abandon_silent(now_us)
 
-    def _list_updated(self, now: int, update: messages.EndpointListUpdate) -> None:
+    def _list_updated(self, now_us: int, update: messages.EndpointListUpdate) -> None:
         if update.kind is messages.EndpointListKind.FAILED:
-            self.subscription.failed(now)
+            self.subscription.failed(now_us)
             return
         if update.kind is not messages.EndpointListKind.CACHED:
             self.subscription.list_came()
-        self.endpoints.apply(now, update)
+        self.endpoints.apply(now_us, update)
         sharing_balancers = self.endpoints.sharing_balancers
-        self.slow_start.subset_changed(now, self.endpoints.subset, sharing_balancers)
+        self.slow_start.subset_changed(now_us, self.endpoints.subset, sharing_balancers)
         self.requests.limit.share_among(sharing_balancers)
         self.requests.limit.split(self.endpoints.subset)
--- a/load_balancer/policy/endpoint_health.py
+++ b/load_balancer/policy/endpoint_health.py
@@ -13,7 +13,7 @@
     def __init__(self) -> None:
         """Start unchecked."""
         self.pending = False
-        self.checked_at = 0
+        self.checked_at_us = 0
         self.backoff_us = 0
         self.missed = 0  # checks without an answer, in a row
 
@@ -22,19 +22,19 @@
         """Tell whether it counts as gone without a word."""
         return self.missed >= MAX_MISSED_CHECKS
 
-    def is_due(self, now: int, *, has_hanging_attempt: bool) -> bool:
+    def is_due(self, now_us: int, *, has_hanging_attempt: bool) -> bool:
         """Tell whether to ask it now what it holds: attempts hang, or it was silent when last asked."""
         if self.pending:
             return False
         if self.is_silent:
-            return now >= self.checked_at + SILENT_INTERVAL_US
+            return now_us >= self.checked_at_us + SILENT_INTERVAL_US
         if not has_hanging_attempt:
             self.backoff_us = 0
             return False
-        return now >= self.checked_at + self.backoff_us
+        return now_us >= self.checked_at_us + self.backoff_us
 
-    def start(self, now: int) -> None:
+    def start(self, now_us: int) -> None:
         """Count a check as sent."""
         self.pending = True
-        self.checked_at = now
+        self.checked_at_us = now_us
         self.backoff_us = max(FIRST_BACKOFF_US, 2 * self.backoff_us)
--- a/load_balancer/policy/endpoint_list.py
+++ b/load_balancer/policy/endpoint_list.py
@@ -51,14 +51,14 @@
         """The number of balancers that have each endpoint in their subset, on average and at least one."""
         return max(1.0, self._instances * len(self.subset) / max(1, len(self.ring)))
 
-    def apply(self, now: int, update: messages.EndpointListUpdate) -> None:
+    def apply(self, now_us: int, update: messages.EndpointListUpdate) -> None:
         """Take over an update that is no failure."""
         is_complete = update.kind is not messages.EndpointListKind.CHANGES
         is_stale = not is_complete and update.version < self.version
         if is_complete:
             self.ring.clear()
         for endpoint in update.endpoints:
-            self._apply_entry(now, endpoint, is_stale)
+            self._apply_entry(now_us, endpoint, is_stale)
         if is_complete:
             self._keep_only({endpoint.id for endpoint in update.endpoints})
         # A complete list sets the version anew, also a lower one: otherwise the changes of a new discovery
@@ -66,18 +66,18 @@
         self.version = max(self.version, update.version) if is_stale else update.version
         self._choose_subset()
 
-    def _apply_entry(self, now: int, endpoint: messages.Endpoint, is_stale: bool) -> None:
+    def _apply_entry(self, now_us: int, endpoint: messages.Endpoint, is_stale: bool) -> None:
         # A stale change may still take an endpoint away, never bring one back.
         known_drains = endpoint.status is messages.EndpointStatus.DRAINING and endpoint.id in self.states
         if endpoint.status is messages.EndpointStatus.REMOVED:
             self._remove(endpoint.id)
         elif not is_stale or known_drains:
-            self._admit(now, endpoint)
+            self._admit(now_us, endpoint)
 
     def _keep_only(self, listed: set[int]) -> None:
         self.states = {number: state for number, state in self.states.items() if number in listed}
 
-    def _admit(self, now: int, endpoint: messages.Endpoint) -> None:
+    def _admit(self, now_us: int, endpoint: messages.Endpoint) -> None:
         """Take over an entry. An endpoint that has restarted under its id starts afresh."""
         state = self.states.get(endpoint.id)
         if state is not None:
@@ -85,7 +85,7 @@
         if state is not None and state.endpoint.incarnation_us == endpoint.incarnation_us:
             state.endpoint = endpoint
         else:
-            state = EndpointState(endpoint, self._slow_start.new_warming_state(now, endpoint.id))
+            state = EndpointState(endpoint, self._slow_start.new_warming_state(now_us, endpoint.id))
             self.states[endpoint.id] = state
         if state.is_up:
             self.ring.add(state)
--- a/load_balancer/policy/endpoint_state.py
+++ b/load_balancer/policy/endpoint_state.py
@@ -33,12 +33,12 @@
         self.in_flight: list[EndpointAttempt] = []  # of this balancer
         # Own attempts that it may have in flight; below one: the part of the time in which it may have one.
         self.concurrency_limit = 1.0
-        self.paused_until = 0  # no further attempt before, where the limit is below one
-        self.failure_penalties: list[int] = []  # until when failed attempts still count as in flight
-        self.cool_down_until: dict[str, int] = {}  # by class, of which it lost or failed a request
-        self.unreachable_until = 0  # avoided, as there was no route to it
+        self.paused_until_us = 0  # no further attempt before, where the limit is below one
+        self.failure_penalty_ends_us: list[int] = []  # until when failed attempts still count as in flight
+        self.cool_down_until_us: dict[str, int] = {}  # by class, of which it lost or failed a request
+        self.unreachable_until_us = 0  # avoided, as there was no route to it
         self.unreachable_backoff_us = 0
-        self.responded_at = 0  # when it last answered anything
+        self.responded_at_us = 0  # when it last answered anything
         self.last_attempt = LastAttempt.NONE
 
     @property
@@ -46,23 +46,25 @@
         """Tell whether it may be sent new attempts, by the endpoint list."""
         return self.endpoint.status is messages.EndpointStatus.UP
 
-    def load(self, now: int) -> int:
+    def load(self, now_us: int) -> int:
         """Return own attempts in flight, overdue ones twice, failed ones as long as is usual for their class.
 
         The missing answers of an endpoint that hangs so tell before their time-outs. One that fails at
         once would otherwise always look idle and draw every request that waits.
         """
         overdue = sum(
-            now - attempt.sent_at > OVERDUE_LATENCIES * attempt.request_class.usual_latency_us
+            now_us - attempt.sent_at_us > OVERDUE_LATENCIES * attempt.request_class.usual_latency_us
             for attempt in self.in_flight
         )
-        if self.failure_penalties:
-            self.failure_penalties = [until for until in self.failure_penalties if until > now]
-        return len(self.in_flight) + overdue + len(self.failure_penalties)
+        if self.failure_penalty_ends_us:
+            self.failure_penalty_ends_us = [
+                until_us for until_us in self.failure_penalty_ends_us if until_us > now_us
+            ]
+        return len(self.in_flight) + overdue + len(self.failure_penalty_ends_us)
 
-    def has_hanging_attempt(self, now: int, limit: HangLimit) -> bool:
+    def has_hanging_attempt(self, now_us: int, limit: HangLimit) -> bool:
         """Tell whether an own attempt has been in flight for longer than the limit."""
-        return any(attempt.hangs(now, limit) for attempt in self.in_flight)
+        return any(attempt.hangs(now_us, limit) for attempt in self.in_flight)
 
     def add_latency(self, relative_latency: float) -> bool:
         """Take a latency in units of what is usual; true where it opens an epoch, which resets the share."""
@@ -71,26 +73,28 @@
             self.share = 1.0 / self.detector.epoch_mean
         return opened
 
-    def unreachable(self, now: int) -> None:
+    def unreachable(self, now_us: int) -> None:
         """Avoid it for a while. Its share stays: the route to it has failed, perhaps for a moment."""
-        if now < self.unreachable_until:  # one more of the attempts that were in flight when the route failed
+        if (
+            now_us < self.unreachable_until_us
+        ):  # one more of the attempts that were in flight when the route failed
             return
         backoff_us = max(FIRST_UNREACHABLE_US, 2 * self.unreachable_backoff_us)
         self.unreachable_backoff_us = min(COOL_DOWN_US, backoff_us)
-        self.unreachable_until = now + self.unreachable_backoff_us
+        self.unreachable_until_us = now_us + self.unreachable_backoff_us
 
-    def responded(self, now: int) -> None:
+    def responded(self, now_us: int) -> None:
         """It has answered something: it is there, and so is the route to it."""
-        self.responded_at = now
+        self.responded_at_us = now_us
         self.unreachable_backoff_us = 0
 
-    def cool_down(self, now: int, class_name: str) -> None:
+    def cool_down(self, now_us: int, class_name: str) -> None:
         """Avoid it for a while for requests of a class, of which it has lost or failed one."""
-        self.cool_down_until[class_name] = now + COOL_DOWN_US
+        self.cool_down_until_us[class_name] = now_us + COOL_DOWN_US
 
-    def is_avoided(self, now: int, class_name: str) -> bool:
+    def is_avoided(self, now_us: int, class_name: str) -> bool:
         """Tell whether other endpoints are better for this class: it failed it lately, or has no route."""
-        return now < max(self.unreachable_until, self.cool_down_until.get(class_name, 0))
+        return now_us < max(self.unreachable_until_us, self.cool_down_until_us.get(class_name, 0))
 
 
 EndpointAttempt: TypeAlias = Attempt[EndpointState]
--- a/load_balancer/policy/health_check.py
+++ b/load_balancer/policy/health_check.py
@@ -34,67 +34,69 @@
         self._may_check = may_check
         self._abandon = abandon
         self._scan_timer = scan_timer
-        self._answer_lost_at: int | None = None
+        self._answer_lost_at_us: int | None = None
         self.pending: dict[int, list[EndpointState]] = {}  # by endpoint id: incarnations that are asked
 
     def check_hanging(
-        self, now: int, endpoints: Iterable[EndpointState], in_flight: Collection[EndpointAttempt]
+        self, now_us: int, endpoints: Iterable[EndpointState], in_flight: Collection[EndpointAttempt]
     ) -> None:
         """Ask endpoints whose attempts hang: an answer that was lost on the way never tells by itself."""
         silent = [state for state in endpoints if state.health.is_silent]
-        limit = self._hang_limit(now)
+        limit = self._hang_limit(now_us)
         for state in dict.fromkeys([*silent, *(attempt.endpoint for attempt in in_flight)]):
-            hangs = state.has_hanging_attempt(now, limit)
-            if state.health.is_due(now, has_hanging_attempt=hangs) and self._may_check(now, state):
-                self._check(now, state)
+            hangs = state.has_hanging_attempt(now_us, limit)
+            if state.health.is_due(now_us, has_hanging_attempt=hangs) and self._may_check(now_us, state):
+                self._check(now_us, state)
         if in_flight or silent:
-            self._scan_timer.schedule(now)
+            self._scan_timer.schedule(now_us)
 
-    def check_ended(self, now: int, event: messages.HealthCheckEnded) -> None:
+    def check_ended(self, now_us: int, event: messages.HealthCheckEnded) -> None:
         """Take the result of a check."""
         for state in self.pending.pop(event.endpoint_id, []):
             state.health.pending = False
             if event.alive:
                 state.health.missed = 0
                 if event.in_flight is not None:
-                    self._compare(now, state, event.in_flight)
+                    self._compare(now_us, state, event.in_flight)
             else:
-                self._missed(now, state)
+                self._missed(now_us, state)
 
-    def _hang_limit(self, now: int) -> HangLimit:
-        lost_lately = self._answer_lost_at is not None and now < self._answer_lost_at + LOSS_MEMORY_US
+    def _hang_limit(self, now_us: int) -> HangLimit:
+        lost_lately = (
+            self._answer_lost_at_us is not None and now_us < self._answer_lost_at_us + LOSS_MEMORY_US
+        )
         return SUSPECT_LIMIT_AFTER_LOSS if lost_lately else SUSPECT_LIMIT
 
-    def _check(self, now: int, state: EndpointState) -> None:
-        state.health.start(now)
+    def _check(self, now_us: int, state: EndpointState) -> None:
+        state.health.start(now_us)
         self.pending.setdefault(state.endpoint.id, []).append(state)
         self._outbox.add(messages.CheckHealth(state.endpoint.id))
 
-    def _missed(self, now: int, state: EndpointState) -> None:
+    def _missed(self, now_us: int, state: EndpointState) -> None:
         state.health.missed += 1
-        if not state.health.is_silent and self._may_check(now, state):
-            self._check(now, state)
+        if not state.health.is_silent and self._may_check(now_us, state):
+            self._check(now_us, state)
         elif state.health.is_silent:
             # It may have vanished: then its connections stay open and never bring anything.
             for attempt in list(state.in_flight):
-                self._abandon(now, attempt)
+                self._abandon(now_us, attempt)
 
-    def _compare(self, now: int, state: EndpointState, reported: float) -> None:
+    def _compare(self, now_us: int, state: EndpointState, reported: float) -> None:
         """Give up the attempts that an endpoint no longer holds, by its load report over all balancers."""
         old = [
             attempt
             for attempt in state.in_flight
-            if attempt.sent_at <= state.health.checked_at - REPORT_AGE_US
+            if attempt.sent_at_us <= state.health.checked_at_us - REPORT_AGE_US
         ]
         lost = len(old) - math.ceil(REPORT_NOISE * reported - (REPORT_NOISE - 1.0))
-        limit = self._hang_limit(now)
+        limit = self._hang_limit(now_us)
         hanging = sorted(
-            (attempt for attempt in old if attempt.hangs(now, limit)),
-            key=lambda attempt: attempt.request_class.usual_latency_us / (now - attempt.sent_at),
+            (attempt for attempt in old if attempt.hangs(now_us, limit)),
+            key=lambda attempt: attempt.request_class.usual_latency_us / (now_us - attempt.sent_at_us),
         )
         if lost > 0 and hanging:
             text = f"{state.endpoint.id} holds {reported:.1f} and we wait for {len(old)}: answers are lost"
             self._outbox.add(messages.Log(text))
-            self._answer_lost_at = now
+            self._answer_lost_at_us = now_us
         for attempt in hanging[: max(0, lost)]:
-            self._abandon(now, attempt)
+            self._abandon(now_us, attempt)
--- a/load_balancer/policy/request_state.py
+++ b/load_balancer/policy/request_state.py
@@ -18,12 +18,12 @@
     id: str
     request_class: ClassState
     priority: float  # what an answer adds to the goal for each microsecond of work
-    deadline: int
-    useful_by: int  # past this an answer earns nothing
+    deadline_us: int
+    useful_until_us: int  # past this an answer earns nothing
     deadline_timer: int = 0
-    queued_until: int = 0
+    queued_until_us: int = 0
     max_wait_us: int = 0  # in the admission queue at once
-    half_way: int = 0  # past this a rejection costs if nothing was written
+    free_rejection_until_us: int = 0  # past this a rejection costs if nothing was written
     streaming: bool = False  # the answer has begun: the client has it, and no deadline runs
     attempts: list[EndpointAttempt] = field(default_factory=list)
 
--- a/load_balancer/policy/router.py
+++ b/load_balancer/policy/router.py
@@ -46,7 +46,7 @@
         self._selector = selector
         self._margin_us = margin_us
 
-    def legal_endpoints(self, now: int, request: RequestState) -> Iterable[EndpointState]:
+    def legal_endpoints(self, now_us: int, request: RequestState) -> Iterable[EndpointState]:
         """Return where the request may go without having an effect twice, by rule 2 of the wire."""
         settings = request.request_class.settings
         ran = [attempt for attempt in request.attempts if attempt.may_have_run]
@@ -55,8 +55,8 @@
         if settings.idempotency is messages.Idempotency.UNSAFE:
             return ()
         # It is written only once a connection stands, and must still fall within what endpoints remember.
-        written_by = now + self._margin_us + self._settings.limits.connect_timeout_us + HOLD_UP_US
-        if written_by >= ran[0].sent_at + settings.deduplication_window_us:
+        written_by_us = now_us + self._margin_us + self._settings.limits.connect_timeout_us + HOLD_UP_US
+        if written_by_us >= ran[0].sent_at_us + settings.deduplication_window_us:
             return ()
         if settings.key_scope is messages.KeyScope.ALL:
             return self._endpoints.subset
@@ -88,27 +88,27 @@
         count = min(len(others), max(0, MAX_RETRY_CANDIDATES - len(known)))
         return known + self._selector.random.sample(others, count)
 
-    def is_open(self, now: int, state: EndpointState, is_retry: bool) -> bool:
+    def is_open(self, now_us: int, state: EndpointState, is_retry: bool) -> bool:
         """Tell whether this endpoint may be sent an attempt now."""
         if not state.is_up or state.health.is_silent:
             return False
-        if state.load(now) >= state.concurrency_limit or now < state.paused_until:
+        if state.load(now_us) >= state.concurrency_limit or now_us < state.paused_until_us:
             return False
-        return self._slow_start.admits(now, state, is_retry)
+        return self._slow_start.admits(now_us, state, is_retry)
 
-    def has_open_alternative(self, now: int, request: RequestState, current: EndpointState) -> bool:
+    def has_open_alternative(self, now_us: int, request: RequestState, current: EndpointState) -> bool:
         """Tell whether a retry of the request could go to another endpoint now."""
         return any(
-            state is not current and self.is_open(now, state, is_retry=True)
-            for state in self.legal_endpoints(now, request)
+            state is not current and self.is_open(now_us, state, is_retry=True)
+            for state in self.legal_endpoints(now_us, request)
         )
 
-    def choose(self, now: int, request: RequestState) -> Choice | None:
+    def choose(self, now_us: int, request: RequestState) -> Choice | None:
         """Return the endpoint for the request's next attempt; none where no endpoint is open."""
         candidates = [
             state
-            for state in self.legal_endpoints(now, request)
-            if self.is_open(now, state, request.has_left)
+            for state in self.legal_endpoints(now_us, request)
+            if self.is_open(now_us, state, request.has_left)
         ]
         if not candidates:
             return None
@@ -119,6 +119,6 @@
         ]
         # An endpoint may spoil one class alone, while its other answers keep its share up.
         name = request.request_class.settings.name
-        sound = [state for state in untried if not state.is_avoided(now, name)]
-        chosen, draws = self._selector.pick(now, sound or untried or candidates)
+        sound = [state for state in untried if not state.is_avoided(now_us, name)]
+        chosen, draws = self._selector.pick(now_us, sound or untried or candidates)
         return Choice(chosen, draws, has_alternative=any(state is not chosen for state in untried))
--- a/load_balancer/policy/scan_timer.py
+++ b/load_balancer/policy/scan_timer.py
@@ -17,11 +17,11 @@
         self._outbox = outbox
         self._is_set = False
 
-    def schedule(self, now: int) -> None:
+    def schedule(self, now_us: int) -> None:
         """Set the timer, unless it is set already or no attempt may be given up."""
         if not self._is_set and self._limits.cancel:
             self._is_set = True
-            self._outbox.set_timer(now + SCAN_INTERVAL_US, AttemptScan())
+            self._outbox.set_timer(now_us + SCAN_INTERVAL_US, AttemptScan())
 
     def fired(self) -> None:
         """Note that the timer has fired."""
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -25,7 +25,7 @@
         return self._settings.cross_zone_price > 0.0 and endpoint.zone != self._settings.zone
 
     def pick(
-        self, now: int, candidates: Sequence[EndpointState]
+        self, now_us: int, candidates: Sequence[EndpointState]
     ) -> tuple[EndpointState, tuple[messages.Draw, ...]]:
         """Return, of two draws by share, the one with fewer own attempts in flight, and both draws.
 
@@ -35,12 +35,12 @@
         drawn = [first]
         if len(candidates) > 1:
             drawn.append(self.draw([state for state in candidates if state is not first]))
-            drawn.sort(key=lambda state: self._comparable_load(now, state))
-        reasons = tuple(messages.Draw(state.endpoint.id, state.share, state.load(now)) for state in drawn)
+            drawn.sort(key=lambda state: self._comparable_load(now_us, state))
+        reasons = tuple(messages.Draw(state.endpoint.id, state.share, state.load(now_us)) for state in drawn)
         return drawn[0], reasons
 
-    def _comparable_load(self, now: int, state: EndpointState) -> int:
-        return state.load(now) + REMOTE_PENALTY * self.is_remote(state.endpoint)
+    def _comparable_load(self, now_us: int, state: EndpointState) -> int:
+        return state.load(now_us) + REMOTE_PENALTY * self.is_remote(state.endpoint)
 
     def _weight(self, state: EndpointState) -> float:
         return state.share * (REMOTE_WEIGHT if self.is_remote(state.endpoint) else 1.0)
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -38,17 +38,17 @@
     def __init__(self) -> None:
         """Start at zero."""
         self._count = 0.0
-        self._updated_at = 0
+        self._updated_at_us = 0
 
-    def per_us(self, now: int) -> float:
+    def per_us(self, now_us: int) -> float:
         """Return first attempts per microsecond of late."""
-        self._count *= math.exp((self._updated_at - now) / RATE_MEMORY_US)
-        self._updated_at = now
+        self._count *= math.exp((self._updated_at_us - now_us) / RATE_MEMORY_US)
+        self._updated_at_us = now_us
         return self._count / RATE_MEMORY_US
 
-    def add(self, now: int) -> None:
+    def add(self, now_us: int) -> None:
         """Count a first attempt."""
-        self.per_us(now)
+        self.per_us(now_us)
         self._count += 1.0
 
 
@@ -62,11 +62,11 @@
         self.first_attempts = AttemptRate()
         self._subset: Sequence[EndpointState] = ()
         self._sharing_balancers = 1.0
-        self.all_warming_until = 0  # then the first endpoint of the subset is warm
+        self.first_warm_at_us = 0  # then the first endpoint of the subset is warm
         # Own first attempts per microsecond as the last warm endpoint of the subset went.
         self.rate_while_warm = 0.0
 
-    def new_warming_state(self, now: int, endpoint_id: int) -> WarmingState:
+    def new_warming_state(self, now_us: int, endpoint_id: int) -> WarmingState:
         """Return the first part of the budget of a new incarnation.
 
         With places drawn by each balancer for itself, the attempts of several fall due at once. Multiples
@@ -76,20 +76,22 @@
         ring_id = mixed_id(endpoint_id)
         mixed = (ring_id ^ ring_id >> 15) * MIX_MULTIPLIER
         phase = (self._settings.index * GOLDEN_STEP + mixed) % PHASES / PHASES
-        return WarmingState(phase=phase, known_at=now, tokens=1.0 - phase, tokens_at=now)
+        return WarmingState(
+            phase=phase, admitted_at_us=now_us, tokens=1.0 - phase, tokens_updated_at_us=now_us
+        )
 
-    def subset_changed(self, now: int, subset: Sequence[EndpointState], sharing_balancers: float) -> None:
+    def subset_changed(self, now_us: int, subset: Sequence[EndpointState], sharing_balancers: float) -> None:
         """Take over the subset, and how many balancers have each endpoint in theirs."""
         self._sharing_balancers = sharing_balancers
         if subset == self._subset:  # a start never moves once it is known
             return
         self._subset = subset
-        had_warm = now >= self.all_warming_until
-        self.all_warming_until = min((self.warm_at(state) for state in subset), default=0)
-        if had_warm and now < self.all_warming_until:
-            self.rate_while_warm = self.first_attempts.per_us(now)
+        had_warm = now_us >= self.first_warm_at_us
+        self.first_warm_at_us = min((self.warm_at_us(state) for state in subset), default=0)
+        if had_warm and now_us < self.first_warm_at_us:
+            self.rate_while_warm = self.first_attempts.per_us(now_us)
 
-    def warm_at(self, state: EndpointState) -> int:
+    def warm_at_us(self, state: EndpointState) -> int:
         """Return when an endpoint surely has all of its capacity, microseconds."""
         started_us = state.started_us
         # No start, or one before our clock's zero, says long ago.
@@ -97,49 +99,51 @@
             return 0
         return started_us + self._rules.slow_start_us
 
-    def capacity(self, now: int, state: EndpointState) -> float:
+    def capacity(self, now_us: int, state: EndpointState) -> float:
         """Return the share of its full capacity that it surely has: rising evenly while it warms up."""
-        if now >= self.warm_at(state):
+        if now_us >= self.warm_at_us(state):
             return 1.0
-        age = max(0, now - state.started_us)
+        age_us = max(0, now_us - state.started_us)
         start = self._rules.start_capacity
-        return start + (1.0 - start) * age / self._rules.slow_start_us
+        return start + (1.0 - start) * age_us / self._rules.slow_start_us
 
-    def admits(self, now: int, state: EndpointState, is_retry: bool) -> bool:
+    def admits(self, now_us: int, state: EndpointState, is_retry: bool) -> bool:
         """Tell whether an endpoint may get an attempt now by its budget."""
-        capacity = self.capacity(now, state)
+        capacity = self.capacity(now_us, state)
         if capacity >= 1.0:
             return True
-        if now < self.all_warming_until and state in self._subset:
+        if now_us < self.first_warm_at_us and state in self._subset:
             # No warm one tells what an endpoint takes, and own attempts are all held down by this very
             # budget. So an answer makes room for the next attempt, no faster than the endpoint answers. A
             # failing one answers at any speed, so what follows a failure has to keep to the budget.
             untried = state.last_attempt is LastAttempt.NONE
-            is_first = untried and not is_retry and self.has_free_first_attempt(now, state, capacity)
-            if (is_first or now < state.warming.returned_until) and state.load(now) < 1:
+            is_first = untried and not is_retry and self.has_free_first_attempt(now_us, state, capacity)
+            if (is_first or now_us < state.warming.answer_credit_until_us) and state.load(now_us) < 1:
                 return True
-        return self.due_tokens(now, state) >= 1.0
+        return self.due_tokens(now_us, state) >= 1.0
 
-    def pay_for_check(self, now: int, state: EndpointState) -> bool:
+    def pay_for_check(self, now_us: int, state: EndpointState) -> bool:
         """Take a health check out of the budget, as it counts like an attempt; false where it is too much."""
-        if self.capacity(now, state) >= 1.0:
+        if self.capacity(now_us, state) >= 1.0:
             return True
-        if self.due_tokens(now, state) < 1.0:
+        if self.due_tokens(now_us, state) < 1.0:
             return False
         state.warming.tokens -= 1.0
         return True
 
-    def attempt_sent(self, now: int, state: EndpointState, is_first: bool) -> None:
+    def attempt_sent(self, now_us: int, state: EndpointState, is_first: bool) -> None:
         """Count an attempt."""
         state.warming.attempt_sent()
         if is_first:
-            self.first_attempts.add(now)
+            self.first_attempts.add(now_us)
 
-    def answered(self, now: int, state: EndpointState) -> None:
+    def answered(self, now_us: int, state: EndpointState) -> None:
         """Note a good answer, which makes room for one more attempt for a while."""
-        state.warming.returned_until = now + int(KEPT_WINDOW_SHARE * self._rules.overload_window_us)
+        state.warming.answer_credit_until_us = now_us + int(
+            KEPT_WINDOW_SHARE * self._rules.overload_window_us
+        )
 
-    def has_free_first_attempt(self, now: int, state: EndpointState, capacity: float) -> bool:
+    def has_free_first_attempt(self, now_us: int, state: EndpointState, capacity: float) -> bool:
         """Tell whether it is this balancer's turn for a first attempt without budget.
 
         Without turns all balancers would send one at once. They take turns by their phases, so that those
@@ -147,22 +151,22 @@
         """
         window_us = self._rules.overload_window_us
         # Without the attempts of a burst that has come since, as that raises no capacity.
-        rate = self.rate_while_warm or self.first_attempts.per_us(now)
+        rate = self.rate_while_warm or self.first_attempts.per_us(now_us)
         rate *= self._sharing_balancers / max(1, len(self._subset))  # an endpoint's, from all balancers
         budget = rate * window_us * self._rules.overload_multiple * capacity
         turns = (FREE_FIRST_ATTEMPTS + FREE_FIRST_ROOTS * math.sqrt(budget)) / 2.0  # that begin in a window
         # Many turns that wait unused would make a burst together: one ends after a window, and comes again.
-        windows = 1.0 + (now - state.warming.known_at) / window_us
+        windows = 1.0 + (now_us - state.warming.admitted_at_us) / window_us
         begun = turns * windows - state.warming.phase * self._sharing_balancers
         return turns >= self._sharing_balancers or begun % self._sharing_balancers < turns
 
-    def due_tokens(self, now: int, state: EndpointState) -> float:
+    def due_tokens(self, now_us: int, state: EndpointState) -> float:
         """Return the attempts that have fallen due and not lapsed."""
         window_us = self._rules.overload_window_us
-        rate = self._token_rate(now, state)
+        rate = self._token_rate(now_us, state)
         warming = state.warming
-        warming.tokens += (now - warming.tokens_at) * rate
-        warming.tokens_at = now
+        warming.tokens += (now_us - warming.tokens_updated_at_us) * rate
+        warming.tokens_updated_at_us = now_us
         # Many balancers that have each saved up an attempt would send it together: what was not used soon
         # lapses. Where a whole attempt is more than a balancer's part, the fraction that it was given at
         # the start says when it has one.
@@ -170,20 +174,20 @@
         warming.tokens -= max(0, math.ceil(warming.tokens - 1.0 - kept))
         return warming.tokens
 
-    def _token_rate(self, now: int, state: EndpointState) -> float:
+    def _token_rate(self, now_us: int, state: EndpointState) -> float:
         """Return the attempts per microsecond that this balancer may send to an endpoint."""
         window_us = self._rules.overload_window_us
         # A least rate of each balancer would be too much of them all: together it is one attempt a window.
         least = 1.0 / (self._sharing_balancers * window_us)
-        rate = max(self._known_rate(now) / max(1, len(self._subset)), least)
+        rate = max(self._known_rate(now_us) / max(1, len(self._subset)), least)
         if state not in self._subset:  # it gets retries only, but from all balancers
             rate *= RETRY_SHARE * self._sharing_balancers / max(1, self._settings.instances)
-        return rate * (BUDGET_SAFETY * self._rules.overload_multiple * self.capacity(now, state))
+        return rate * (BUDGET_SAFETY * self._rules.overload_multiple * self.capacity(now_us, state))
 
-    def _known_rate(self, now: int) -> float:
+    def _known_rate(self, now_us: int) -> float:
         """Return own first attempts per microsecond.
 
         While all of the subset warms up it counts no less than before: the budget holds it down.
         """
-        rate = self.first_attempts.per_us(now)
-        return max(rate, self.rate_while_warm) if now < self.all_warming_until else rate
+        rate = self.first_attempts.per_us(now_us)
+        return max(rate, self.rate_while_warm) if now_us < self.first_warm_at_us else rate
--- a/load_balancer/policy/subscription.py
+++ b/load_balancer/policy/subscription.py
@@ -32,7 +32,7 @@
         self._must_subscribe = settings.must_subscribe
         self.jitter = jitter
         self._outbox = outbox
-        self._subscribed_at = 0
+        self._subscribed_at_us = 0
         self._timer = 0
         self.backoff_us = FIRST_BACKOFF_US
         longest = int(MAX_BACKOFF_SHARE * settings.rules.max_poll_interval_us)
@@ -43,28 +43,30 @@
         if self._must_subscribe:
             self._outbox.add(messages.Subscribe())
 
-    def subscribe(self, now: int) -> None:
+    def subscribe(self, now_us: int) -> None:
         """Open the watch."""
-        self._subscribed_at = now
+        self._subscribed_at_us = now_us
         self._outbox.add(messages.Subscribe())
 
     def list_came(self) -> None:
         """Discovery has answered: the next failure is a first one again."""
         self.backoff_us = FIRST_BACKOFF_US
 
-    def failed(self, now: int) -> None:
+    def failed(self, now_us: int) -> None:
         """Plan the next subscription. Which question failed is not told, so asks again in any case."""
         if not self._must_subscribe:
             # What has been pushed counts as notified though no watch stands, and opening one is free.
-            self._subscribe_at(max(now, self._subscribed_at + PUSHED_INTERVAL_US))
+            self._schedule_subscription(max(now_us, self._subscribed_at_us + PUSHED_INTERVAL_US))
             return
         # Jitter keeps the balancers from asking all at the same moment when discovery is back. A call that
         # stood long has spared discovery by that, so the backoff counts from its beginning.
         part = self.jitter.uniform(1.0 - BACKOFF_JITTER, 1.0)
-        at = max(now + int(part * FIRST_BACKOFF_US), self._subscribed_at + int(part * self.backoff_us))
-        self._subscribe_at(at)
+        at_us = max(
+            now_us + int(part * FIRST_BACKOFF_US), self._subscribed_at_us + int(part * self.backoff_us)
+        )
+        self._schedule_subscription(at_us)
         self.backoff_us = min(2 * self.backoff_us, self._max_backoff_us)
 
-    def _subscribe_at(self, at: int) -> None:
+    def _schedule_subscription(self, at_us: int) -> None:
         self._outbox.drop_timer(self._timer)
-        self._timer = self._outbox.set_timer(at, Resubscribe())
+        self._timer = self._outbox.set_timer(at_us, Resubscribe())
--- a/load_balancer/policy/tenant_quota.py
+++ b/load_balancer/policy/tenant_quota.py
@@ -11,13 +11,13 @@
         self._tokens_per_us = quota_per_s / max(1, instances) / 1e6
         self._max_tokens = max(1.0, self._tokens_per_us * 1e6)
         self._tokens = self._max_tokens
-        self._updated_at = 0
+        self._updated_at_us = 0
 
-    def take(self, now: int) -> bool:
+    def take(self, now_us: int) -> bool:
         """Take one request out of the quota; false where it is used up."""
-        earned = (now - self._updated_at) * self._tokens_per_us
+        earned = (now_us - self._updated_at_us) * self._tokens_per_us
         self._tokens = min(self._max_tokens, self._tokens + earned)
-        self._updated_at = now
+        self._updated_at_us = now_us
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/load_balancer/policy/warming_state.py
+++ b/load_balancer/policy/warming_state.py
@@ -12,12 +12,12 @@
     """What this balancer may still send to one incarnation of an endpoint. Times are microseconds."""
 
     phase: float  # this balancer's place, 0 to 1, among all that may send to it
-    known_at: int  # when this balancer heard of it
+    admitted_at_us: int  # when this balancer heard of it
     tokens: float  # attempts that have fallen due
-    tokens_at: int
-    returned_until: int = 0  # an answer has made room for one attempt, until then
+    tokens_updated_at_us: int
+    answer_credit_until_us: int = 0  # an answer has made room for one attempt, until then
 
     def attempt_sent(self) -> None:
         """Pay for an attempt."""
-        self.returned_until = 0
+        self.answer_credit_until_us = 0
         self.tokens = max(MAX_DEBT, self.tokens - 1.0)
--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -129,8 +129,8 @@
         assert balancer.endpoints.sharing_balancers == max(
             1.0, instances * len(balancer.endpoints.subset) / max(1, ups)
         )
-        warm = (balancer.slow_start.warm_at(s) for s in balancer.endpoints.subset)
-        assert balancer.slow_start.all_warming_until == min(warm, default=0)
+        warm = (balancer.slow_start.warm_at_us(s) for s in balancer.endpoints.subset)
+        assert balancer.slow_start.first_warm_at_us == min(warm, default=0)
 
 
 async def driver_change_cost(backends: int, instances: int) -> int:
--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -479,7 +479,7 @@
             assert status(await p.ask(call())) == 502  # no refusal: coming again would not help
             assert len(b.seen) == 1
             [server] = p.driver._balancer.endpoints.states.values()
-            assert server.failure_penalties == []
+            assert server.failure_penalty_ends_us == []
             assert server.detector.mean == 1.0
 
     run(test)
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -167,7 +167,7 @@
     harness = waiting(30, 0, 6, replace(RULES, slow_start_us=600 * S))
     server = harness.balancer.endpoints.subset[0]
     server.last_attempt = LastAttempt.SUCCEEDED
-    server.warming.returned_until = harness.now + S
+    server.warming.answer_credit_until_us = harness.now + S
     server.warming.tokens = -1.0
     assert harness.balancer.router.is_open(harness.now, server, is_retry=False)
     assert not harness.balancer.router.is_open(harness.now + S, server, is_retry=False)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -290,7 +290,7 @@
     )
     earned = []
     for server in (ours, other):
-        server.warming.tokens, server.warming.tokens_at = 0.0, harness.now - 100 * MS
+        server.warming.tokens, server.warming.tokens_updated_at_us = 0.0, harness.now - 100 * MS
         earned.append(harness.balancer.slow_start.due_tokens(harness.now, server))
     assert 0 < earned[1] * 40 <= 0.21 * earned[0] * harness.balancer.endpoints.sharing_balancers
 
@@ -352,7 +352,7 @@
     harness.request("r")
     harness.pass_time(950 * MS)
     harness.balancer.endpoints.states[0].warming.tokens = 1.0  # keeps for a part of the window only
-    harness.balancer.endpoints.states[0].warming.tokens_at = harness.now
+    harness.balancer.endpoints.states[0].warming.tokens_updated_at_us = harness.now
     probes = only(harness.pass_time(250 * MS), messages.CheckHealth)
     assert len(probes) == 1
     harness.balancer.endpoints.states[0].warming.tokens = 0.0
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -572,7 +572,7 @@
 
             while rule.hits < 3:
                 await ask()
-                if clock.now_us() < lost.unreachable_until:
+                if clock.now_us() < lost.unreachable_until_us:
                     clock._ahead_us += COOL_DOWN_US
             assert lost.detector.first_epoch_count == PRIOR_SAMPLES
             assert lost.share == 1.0
@@ -610,8 +610,8 @@
     server = harness.balancer.endpoints.states[0]
     for _ in range(30):
         ask(False)
-    assert server.unreachable_until
-    harness.now = server.unreachable_until
+    assert server.unreachable_until_us
+    harness.now = server.unreachable_until_us
     assert server.share > 0.8
     assert 60 < sum(ask(True) == 0 for _ in range(400)) < 140
 
