--- a/load_balancer/net/addresses.py
+++ b/load_balancer/net/addresses.py
@@ -11,12 +11,12 @@
 class EndpointAddress:
     """An endpoint and where it is now.
 
-    The number keeps apart two endpoints that had the same address one after the other.
+    The id keeps apart two endpoints that had the same address one after the other.
 
     Attributes:
-        number: The endpoint's id in the decision module.
-        address: Its host and port.
+        id: The endpoint's id, as in the policy.
+        address: The host and port that its connections go to.
     """
 
-    number: int
+    id: int
     address: Address
--- a/load_balancer/net/client/client_connection.py
+++ b/load_balancer/net/client/client_connection.py
@@ -24,7 +24,7 @@
 from load_balancer.net.driver.client_messages import ClientRequest, ClientResponse
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.http_messages import MAX_BODY_BYTES
-from load_balancer.net.socket_state import has_unread_bytes, peer_has_ended
+from load_balancer.net.socket_state import has_unread_bytes, is_closed_by_remote
 
 log = logging.getLogger(__name__)
 
@@ -96,7 +96,7 @@
         """Whether more of a request has come, from a client that is still there."""
         if self._is_lingering or not (self._is_processing_scheduled or has_unread_bytes(self.transport)):
             return False
-        return not peer_has_ended(self.transport)
+        return not is_closed_by_remote(self.transport)
 
     def can_be_closed(self, now_s: float) -> bool:
         """Whether no request is here, nor its first one likely on its way.
@@ -110,7 +110,7 @@
 
     def is_client_present(self) -> bool:
         """Whether the client is still there, by what the system knows now; closes the connection if not."""
-        if not self.transport.is_closing() and peer_has_ended(self.transport):
+        if not self.transport.is_closing() and is_closed_by_remote(self.transport):
             self.transport.abort()
         return not self.transport.is_closing()
 
--- a/load_balancer/net/client/client_listener.py
+++ b/load_balancer/net/client/client_listener.py
@@ -21,7 +21,7 @@
 from load_balancer.net.client.client_registry import ClientRegistry
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.repeated_log_lines import repeated_fault
-from load_balancer.net.socket_state import DESCRIPTOR_SHORTAGE
+from load_balancer.net.socket_state import DESCRIPTOR_SHORTAGE_ERRNOS
 
 log = logging.getLogger(__name__)
 
@@ -156,7 +156,9 @@
         except BlockingIOError:
             return True
         except OSError as error:
-            faults = self._descriptor_faults if error.errno in DESCRIPTOR_SHORTAGE else self._accept_faults
+            faults = (
+                self._descriptor_faults if error.errno in DESCRIPTOR_SHORTAGE_ERRNOS else self._accept_faults
+            )
             faults.record(self.loop.time(), error)
             has_accepted = False
         if not has_accepted:  # the socket may stay readable: the event loop would come back here at once
--- a/load_balancer/net/discovery/start_times.py
+++ b/load_balancer/net/discovery/start_times.py
@@ -73,7 +73,7 @@
         endpoint in slow start for as long, one too old would count it as warm at once. Where it is only
         discovery that was late, the endpoint counts as colder than it is for as long as discovery took.
         """
-        start_time_us = self._clock.moment_us(stated_us)
+        start_time_us = self._clock.from_unix_us(stated_us)
         if self._confirmed_at_us is not None and start_time_us < self._confirmed_at_us:
             start_time_us = self._clock.now_us()
         return max(1, start_time_us)  # 0 would mean long ago
--- a/load_balancer/net/driver/endpoint_directory.py
+++ b/load_balancer/net/driver/endpoint_directory.py
@@ -64,7 +64,7 @@
         return [endpoint for endpoint in before if not self._is_in_service(endpoint)]
 
     def _is_in_service(self, endpoint: EndpointAddress) -> bool:
-        number = endpoint.number
+        number = endpoint.id
         return number in self.up_numbers and self.by_number[number] == endpoint
 
     def _apply(self, entry: messages.Endpoint, address: Address | None) -> None:
--- a/load_balancer/net/http_messages.py
+++ b/load_balancer/net/http_messages.py
@@ -1,4 +1,4 @@
-"""What HTTP messages on both sides of the proxy share: the form of headers and the limit on a body."""
+"""What HTTP messages share on both sides of the proxy: the form of headers and the limit on a body."""
 
 from __future__ import annotations
 
--- a/load_balancer/net/upstream/connect_pacing.py
+++ b/load_balancer/net/upstream/connect_pacing.py
@@ -11,7 +11,7 @@
 
 from load_balancer.messages import Outcome
 from load_balancer.net.addresses import EndpointAddress
-from load_balancer.net.socket_state import LOCAL_SHORTAGE, NO_ROUTE
+from load_balancer.net.socket_state import LOCAL_SHORTAGE_ERRNOS, NO_ROUTE_ERRNOS
 from load_balancer.net.upstream.connect_latency import ConnectLatency
 
 LATE_FACTOR = 2.0  # a connection is late after this many times the median
@@ -98,10 +98,10 @@
         if isinstance(error, TimeoutError):
             self.latency.add(seconds)
             return Outcome.NO_CONNECTION
-        if error.errno in LOCAL_SHORTAGE:
+        if error.errno in LOCAL_SHORTAGE_ERRNOS:
             self._shortage_until = self._loop.time() + SHORTAGE_PAUSE_S
             return Outcome.NOT_SENT
-        if error.errno in NO_ROUTE:
+        if error.errno in NO_ROUTE_ERRNOS:
             self.no_extra_until[endpoint] = self._loop.time() + self.connect_timeout_s
             return Outcome.UNREACHABLE
         self.no_extra_until[endpoint] = math.inf
--- a/load_balancer/net/upstream/connection_pool.py
+++ b/load_balancer/net/upstream/connection_pool.py
@@ -13,7 +13,7 @@
 
 from load_balancer.messages import Outcome
 from load_balancer.net.addresses import EndpointAddress
-from load_balancer.net.socket_state import never_connected
+from load_balancer.net.socket_state import has_never_connected
 from load_balancer.net.upstream.connect_pacing import ConnectPacing
 from load_balancer.net.upstream.idle_connections import IdleConnections
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
@@ -252,7 +252,7 @@
             transport, connection = await self.loop.create_connection(
                 lambda: UpstreamConnection(self, endpoint), *endpoint.address
             )
-        if never_connected(transport):
+        if has_never_connected(transport):
             connection.close()
             raise BlockingIOError(errno.EAGAIN, "the system has no means for a connection")
         return connection
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -191,13 +191,13 @@
     """An idle connection costs nothing, nor does one with a request open that is read."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     asked: list[asyncio.BaseTransport] = []
-    hung_up = socket_state.peer_has_ended
+    hung_up = socket_state.is_closed_by_remote
 
     def counted(transport: asyncio.BaseTransport) -> bool:
         asked.append(transport)
         return hung_up(transport)
 
-    monkeypatch.setattr(client_connection, "peer_has_ended", counted)
+    monkeypatch.setattr(client_connection, "is_closed_by_remote", counted)
 
     async with silent_backend() as b, proxy(entry("b", b.port)) as p:
         clock, idle, busy = SteppedClock(), Client(p), Client(p)
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -305,7 +305,7 @@
         go_on.set()
         assert (await slow)[2] == b"a"
         assert len(a.seen) == 2
-        assert not any(e.number == endpoint_number("a") for e in p.pool._idle.by_endpoint)
+        assert not any(e.id == endpoint_number("a") for e in p.pool._idle.by_endpoint)
 
 
 @pytest.mark.parametrize("states", [("terminating", "terminated"), ("terminated", "in_service")])
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -42,7 +42,7 @@
     if before:
         times.step(step)
     times.advance(1 * S)
-    assert clock.moment_us(stated) == moment
+    assert clock.from_unix_us(stated) == moment
 
 
 def test_ambiguous_wall_time_is_converted_to_the_later_moment() -> None:
@@ -52,7 +52,7 @@
     times.advance(6 * S)
     times.step(-5 * S)
     times.advance(10 * S)
-    assert clock.moment_us(shown + 3 * S) == clock.now_us() - 8 * S
+    assert clock.from_unix_us(shown + 3 * S) == clock.now_us() - 8 * S
 
 
 def test_slewed_wall_clock_is_followed_and_the_number_of_remembered_steps_is_bounded() -> None:
@@ -62,13 +62,13 @@
         times.advance(2 * S)
         times.step(1 * MS)
         clock.observe()
-    assert len(clock._offsets) == 1
-    assert clock.moment_us(times.wall() - 2 * S) == clock.now_us() - 2 * S
+    assert clock.remembered_offsets == 1
+    assert clock.from_unix_us(times.wall() - 2 * S) == clock.now_us() - 2 * S
     for _ in range(3 * MAX_OFFSETS):
         times.step(HOUR)
         clock.observe()
-    assert len(clock._offsets) == MAX_OFFSETS
-    assert clock.moment_us(times.wall() - 2 * S) == clock.now_us() - 2 * S
+    assert clock.remembered_offsets == MAX_OFFSETS
+    assert clock.from_unix_us(times.wall() - 2 * S) == clock.now_us() - 2 * S
 
 
 def test_no_other_module_reads_a_wall_clock() -> None:
--- a/tests/net/upstream/test_connect_pacing.py
+++ b/tests/net/upstream/test_connect_pacing.py
@@ -10,7 +10,7 @@
 
 from load_balancer.messages import Outcome
 from load_balancer.net.addresses import EndpointAddress
-from load_balancer.net.socket_state import LOCAL_SHORTAGE, NO_ROUTE
+from load_balancer.net.socket_state import LOCAL_SHORTAGE_ERRNOS, NO_ROUTE_ERRNOS
 from load_balancer.net.upstream.connect_latency import MIN_SAMPLES
 from load_balancer.net.upstream.connect_pacing import MIN_LATE_S, SHORTAGE_PAUSE_S, ConnectPacing
 
@@ -68,8 +68,8 @@
     [
         (TimeoutError(), Outcome.NO_CONNECTION),
         (ConnectionRefusedError(errno.ECONNREFUSED, ""), Outcome.NO_CONNECTION),
-        *((OSError(number, ""), Outcome.NOT_SENT) for number in LOCAL_SHORTAGE),
-        *((OSError(number, ""), Outcome.UNREACHABLE) for number in NO_ROUTE),
+        *((OSError(number, ""), Outcome.NOT_SENT) for number in LOCAL_SHORTAGE_ERRNOS),
+        *((OSError(number, ""), Outcome.UNREACHABLE) for number in NO_ROUTE_ERRNOS),
     ],
     ids=repr,
 )
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -116,7 +116,7 @@
             self.depth -= 1
 
         attempt = self.pool.start_attempt(
-            self.chance.choice(sorted(self.up, key=lambda e: e.number)),
+            self.chance.choice(sorted(self.up, key=lambda e: e.id)),
             self.chance.choice([SAFE, SAFE, ONCE]),
             self.chance.choice([0.05, 0.4, 2.0]),
             done,
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -62,7 +62,7 @@
         assert (await Out(pool, b.endpoint).end())[0] is Outcome.OK
 
         def crossed(transport: asyncio.BaseTransport, unknown: bool = True) -> bool:
-            looks.append(look(transport, unknown))
+            looks.append(look(transport, unknown=unknown))
             if len(looks) == 1:
                 [wire] = b.wires
                 {"answer": lambda: wire.say(answer(200, b"late")), "end": wire.end, "reset": wire.reset}[
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -529,7 +529,9 @@
         pool.close()
 
 
-NO_WAY = pytest.mark.parametrize("error", socket_state.NO_ROUTE, ids=lambda number: errno.errorcode[number])
+NO_WAY = pytest.mark.parametrize(
+    "error", socket_state.NO_ROUTE_ERRNOS, ids=lambda number: errno.errorcode[number]
+)
 
 
 @NO_WAY
@@ -988,7 +990,7 @@
     assert not lines(caplog)
 
 
-OF_A_CONNECT = [*socket_state.NO_ROUTE, errno.ETIMEDOUT, errno.EADDRNOTAVAIL, errno.EAGAIN]
+OF_A_CONNECT = [*socket_state.NO_ROUTE_ERRNOS, errno.ETIMEDOUT, errno.EADDRNOTAVAIL, errno.EAGAIN]
 WATCH_FAILURES = [
     *(("recv", error) for error in STANDING),
     *(("send", error) for error in STANDING),
