--- a/load_balancer/net/clock.py
+++ b/load_balancer/net/clock.py
@@ -63,7 +63,7 @@
         return self._monotonic_us() + self._ahead_us
 
     @property
-    def remembered_offsets(self) -> int:
+    def remembered_offset_count(self) -> int:
         """The number of the wall clock's offsets that are remembered, one more than the steps seen."""
         return len(self._offsets)
 
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -62,12 +62,12 @@
         times.advance(2 * S)
         times.step(1 * MS)
         clock.observe()
-    assert clock.remembered_offsets == 1
+    assert clock.remembered_offset_count == 1
     assert clock.from_unix_us(times.wall() - 2 * S) == clock.now_us() - 2 * S
     for _ in range(3 * MAX_OFFSETS):
         times.step(HOUR)
         clock.observe()
-    assert clock.remembered_offsets == MAX_OFFSETS
+    assert clock.remembered_offset_count == MAX_OFFSETS
     assert clock.from_unix_us(times.wall() - 2 * S) == clock.now_us() - 2 * S
 
 
