--- a/benchmarks/clients.py
+++ b/benchmarks/clients.py
@@ -14,7 +14,7 @@
     """Callers that keep their connections, have one call at a time on each and open more if all are busy."""
 
     def __init__(self, port: int, deadline_s: float) -> None:
-        """Sets them up without a connection.
+        """Set them up without a connection.
 
         Args:
             port: Where the proxy listens, on 127.0.0.1.
@@ -26,7 +26,7 @@
         self._idle: list[Streams] = []
 
     async def start(self) -> None:
-        """Opens the first connections.
+        """Open the first connections.
 
         Raises:
             OSError: The proxy does not accept one.
@@ -38,7 +38,7 @@
         return await asyncio.open_connection("127.0.0.1", self._port)
 
     async def call(self) -> None:
-        """Makes one call and counts it as served where the answer is 200 and comes before its deadline."""
+        """Make one call and count it as served where the answer is 200 and comes before its deadline."""
         due_by = asyncio.get_running_loop().time() + self._deadline_s
         try:
             async with asyncio.timeout_at(due_by):
@@ -48,7 +48,7 @@
         self.served += status == 200  # not over an `await`: other calls may end meanwhile
 
     async def _ask(self, due_by: float) -> int:
-        """The status of the answer to one call. A connection on which none came is closed."""
+        """Return the status of the answer to one call. A connection on which none came is closed."""
         reader, writer = self._idle.pop(0) if self._idle else await self._connect()
         try:
             writer.write(self._request(due_by))
@@ -72,13 +72,13 @@
         return "\r\n".join(lines).encode() + HEAD_END
 
     def close(self) -> None:
-        """Resets the idle connections; calls that are still in flight keep theirs."""
+        """Reset the idle connections; calls that are still in flight keep theirs."""
         for _, writer in self._idle:
             writer.transport.abort()
 
 
 async def read_status(reader: asyncio.StreamReader) -> int:
-    """Reads one answer to its end and returns its status.
+    """Read one answer to its end and return its status.
 
     Raises:
         asyncio.IncompleteReadError: The connection ended first.
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -40,11 +40,19 @@
 WATCH_TIMEOUT_S = 15.0  # the longest wait for a watch that has to be opened anew
 
 
+class WatchNotOpenedError(ProxyEndedError):
+    """The proxy has not opened its watch anew in time."""
+
+    def __init__(self) -> None:
+        """Say so."""
+        super().__init__("it has not opened its watch anew")
+
+
 class Fleet:
     """The backends of a play and what discovery says of them."""
 
     def __init__(self, scenario: Scenario) -> None:
-        """Sets up the stand-ins of a scenario; nothing listens yet."""
+        """Set up the stand-ins of a scenario; nothing listens yet."""
         self._scenario = scenario
         self.endpoints = Backends(scenario.service_s)
         self.discovery = Discovery()
@@ -59,7 +67,7 @@
         return uid, address, self._serial // CELL
 
     async def start(self) -> None:
-        """Starts the backends that are there from the beginning.
+        """Start the backends that are there from the beginning.
 
         Raises:
             OSError: One cannot listen, as for want of a descriptor.
@@ -68,7 +76,7 @@
             self.discovery.add(*await self._start_backend())
 
     async def replace(self) -> None:
-        """Has the oldest backend drain and a new one join, each told as a change of its own.
+        """Have the oldest backend drain and a new one join, each sent as a change of its own.
 
         Raises:
             OSError: The new one cannot listen.
@@ -80,7 +88,7 @@
         self.discovery.join(*await self._start_backend())
 
     def remove(self) -> None:
-        """Ends the backend that has drained longest.
+        """End the backend that has drained longest.
 
         Raises:
             IndexError: None is draining.
@@ -90,7 +98,7 @@
         self.endpoints.stop(address)
 
     def stop(self) -> None:
-        """Ends discovery and all backends."""
+        """End discovery and all backends."""
         self.discovery.stop()
         self.endpoints.stop_all()
 
@@ -99,7 +107,7 @@
     """One scenario with one proxy."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
-        """Sets up a play that has not begun.
+        """Set up a play that has not begun.
 
         Args:
             scenario: What happens in it.
@@ -113,7 +121,7 @@
         self._watches_due = 0  # by the end of the play
 
     async def run(self) -> Result:
-        """Plays it through, once.
+        """Play the scenario through, once.
 
         Raises:
             ProxyEndedError: The proxy has ended, does not listen or does not open its watch anew.
@@ -129,7 +137,7 @@
                 await asyncio.gather(*self._calls)
                 await self._until_watched()
                 settled = self._scenario.seconds is None or await proxy.until_quiet(SETTLE_TIMEOUT_S)
-                result = self._result(proxy, clients, settled)
+                result = self._result(proxy, clients, settled=settled)
                 clients.close()
                 return result
         finally:
@@ -183,7 +191,7 @@
             self._calls.append(asyncio.create_task(clients.call()))
 
     async def _until_watched(self) -> None:
-        """Waits for the watch that has to be opened anew.
+        """Wait for the watch that has to be opened anew.
 
         Raises:
             ProxyEndedError: It has not been opened within 15 s.
@@ -192,10 +200,10 @@
         give_up_at = loop.time() + WATCH_TIMEOUT_S
         while self._fleet.discovery.watches < self._watches_due:
             if loop.time() > give_up_at:
-                raise ProxyEndedError("it has not opened its watch anew")
+                raise WatchNotOpenedError
             await asyncio.sleep(POLL_S)
 
-    def _result(self, proxy: ProxyProcess, clients: Clients, settled: bool) -> Result:
+    def _result(self, proxy: ProxyProcess, clients: Clients, *, settled: bool) -> Result:
         discovery = self._fleet.discovery
         figures = Figures(
             cpu_s=proxy.cpu_s,
@@ -217,7 +225,7 @@
 
 
 def play(scenario: Scenario) -> Result:
-    """Plays one row, in a folder of its own.
+    """Play one row, in a folder of its own.
 
     Raises:
         ProxyEndedError: The proxy has ended, does not listen or does not open its watch anew.
@@ -229,7 +237,7 @@
 
 
 def play_mean(scenario: Scenario, proxies: int) -> Result:
-    """Plays one row with several proxies, one after another, and returns the mean figures.
+    """Play one row with several proxies, one after another, and return the mean figures.
 
     Raises:
         ProxyEndedError: As `play`; the plays that are over are lost.
@@ -249,7 +257,7 @@
 
 
 def raise_descriptor_limit() -> None:
-    """Makes room for thousands of listeners, as far as the system lets us."""
+    """Make room for thousands of listeners, as far as the system lets us."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     wanted = DESCRIPTORS_WANTED if hard == resource.RLIM_INFINITY else min(DESCRIPTORS_WANTED, hard)
     if soft != resource.RLIM_INFINITY and soft < wanted:
@@ -257,7 +265,7 @@
 
 
 def read_row(text: str) -> tuple[int, int]:
-    """Reads `backends/balancers`.
+    """Read `backends/balancers`.
 
     Raises:
         ValueError: One of them is no number, or is under 1.
@@ -269,7 +277,7 @@
 
 
 def read_arguments() -> argparse.Namespace:
-    """Reads the command line; a wrong one ends the program with code 2 and the usage."""
+    """Read the command line; a wrong one ends the program with code 2 and the usage."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--play", choices=PLAYS, default="steady", help="what happens besides replacements")
     parser.add_argument("--rows", nargs="+", type=read_row, default=ROWS, help="backends/balancers")
@@ -281,7 +289,7 @@
 
 
 def main() -> int:
-    """Plays the rows, prints the table and the broken limits, and returns the exit code."""
+    """Play the rows, print the table and the broken limits, and return the exit code."""
     asked = read_arguments()
     scenario = replace(PLAYS[asked.play], seconds=asked.seconds, calls=round(asked.calls * asked.seconds))
     described = machine()
--- a/benchmarks/growth_limits.py
+++ b/benchmarks/growth_limits.py
@@ -33,12 +33,12 @@
     limit: float
 
     def __str__(self) -> str:
-        """The figure, what was measured and the limit, in the figure's own unit."""
+        """Name the figure, what was measured and the limit, in the figure's own unit."""
         return f"{self.name}: {self.measured:.6g} is beyond {self.limit:.6g}"
 
 
 def limits(base: Figures, backends: int) -> Figures:
-    """The limits for a fleet of that many backends; `base` was measured on one of the usual size."""
+    """Return the limits for a fleet of that many backends; `base` was measured on one of the usual size."""
     thousands = backends / 1_000
     return Figures(
         cpu_s=1.4 * base.cpu_s + 0.02 + 0.12 * thousands,
@@ -51,7 +51,7 @@
 
 
 def broken(measured: Figures, limit: Figures, but: frozenset[str] = frozenset()) -> list[Broken]:
-    """The figures beyond their limits, but for those named."""
+    """Return the figures beyond their limits, but for those named."""
     result = []
     for field, value, bound in zip(fields(Figures), astuple(measured), astuple(limit), strict=True):
         within = value >= bound if field.name == "share_served" else value <= bound
--- a/benchmarks/proxy_process.py
+++ b/benchmarks/proxy_process.py
@@ -22,18 +22,42 @@
 
 
 class ProxyEndedError(Exception):
-    """The proxy is gone, or never came up; the text has the end of its log."""
+    """The proxy is gone, or does not do what the play waits for; the message says what."""
+
+
+class NotListeningError(ProxyEndedError):
+    """The proxy has ended or did not come up in time."""
+
+    def __init__(self, last_lines: str) -> None:
+        """Repeat the end of the proxy's log."""
+        super().__init__(f"it does not listen\n{last_lines}")
+
+
+class NoMemoryFigureError(ProxyEndedError):
+    """The proxy has ended, and the system reports no figure of its memory any more."""
+
+    def __init__(self) -> None:
+        """Say so."""
+        super().__init__("the system tells nothing of its memory")
+
+
+class NotExecutedError(ValueError):
+    """The deploy file's `run` does not replace its shell by the process: a signal would miss the proxy."""
+
+    def __init__(self, words: list[str]) -> None:
+        """Repeat the words of the command."""
+        super().__init__(f"`run` does not end in one process: {words}")
 
 
 def run_command() -> list[str]:
-    """The deploy file's `run`; where its environment has not been built, with this interpreter.
+    """Return the deploy file's `run`, with this interpreter where its environment has not been built.
 
     Raises:
-        ValueError: `run` does not replace its shell by the process, so a signal would miss the proxy.
+        NotExecutedError: `run` does not replace its shell by the process.
     """
     words = str(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]).split()
     if words[0] != "exec":
-        raise ValueError(f"`run` does not end in one process: {words}")
+        raise NotExecutedError(words)
     python, *rest = words[1:]
     return [python if (ROOT / python).exists() else sys.executable, *rest]
 
@@ -42,7 +66,7 @@
     """A running proxy. Its log is a file: whoever reads a pipe would take part in what is measured."""
 
     def __init__(self, process: asyncio.subprocess.Process, log: Path) -> None:
-        """Takes over a process that has been started.
+        """Take over a process that has been started.
 
         Args:
             process: The process, which need not listen yet.
@@ -53,7 +77,7 @@
         self.port = 0
 
     async def until_listening(self) -> None:
-        """Waits for the line that names its port.
+        """Wait for the line that names its port.
 
         Raises:
             ProxyEndedError: It has ended, or has not listened within 30 s.
@@ -62,16 +86,16 @@
         give_up_at = loop.time() + READY_S
         while (said := LISTENS.search(self._log.read_text())) is None:
             if self._process.returncode is not None or loop.time() > give_up_at:
-                raise ProxyEndedError(f"it does not listen\n{self.last_lines()}")
+                raise NotListeningError(self.last_lines())
             await asyncio.sleep(POLL_S)
         self.port = int(said[1])
 
     def last_lines(self) -> str:
-        """The end of its log."""
+        """Return the end of its log."""
         return "".join(self._log.read_text().splitlines(keepends=True)[-TOLD_LAST:])
 
     def signal(self, number: int) -> None:
-        """Sends it a signal.
+        """Send the proxy a signal.
 
         Raises:
             ProcessLookupError: It has ended.
@@ -100,7 +124,7 @@
         for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
             if line.startswith("VmHWM:"):
                 return int(line.split()[1]) * 1024
-        raise ProxyEndedError("the system tells nothing of its memory")
+        raise NoMemoryFigureError
 
     @property
     def descriptors(self) -> int:
@@ -112,7 +136,7 @@
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
     async def until_quiet(self, timeout_s: float) -> bool:
-        """Waits until it has worked off what it was sent, which shows as next to no CPU time.
+        """Wait until the proxy has processed what it was sent, which shows as next to no CPU time.
 
         Args:
             timeout_s: The longest wait, in seconds.
@@ -130,7 +154,7 @@
         return False
 
     async def end(self) -> None:
-        """Kills it if it still runs, and waits until the system has taken it back."""
+        """Kill the proxy if it still runs, and wait until the system has taken it back."""
         if self._process.returncode is None:
             self._process.kill()
         await self._process.wait()
@@ -138,7 +162,7 @@
 
 @asynccontextmanager
 async def proxy_process(folder: Path) -> AsyncIterator[ProxyProcess]:
-    """A proxy that listens, by the `config.json` of a folder; it is killed at the end.
+    """Start a proxy by the `config.json` of a folder, yield it once it listens, and kill it at the end.
 
     Raises:
         ProxyEndedError: It has ended, or has not listened within 30 s.
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -27,7 +27,7 @@
 
 
 def machine() -> dict[str, object]:
-    """What the figures depend on besides the program."""
+    """Return what the figures depend on besides the program."""
     models = (
         line.partition(":")[2].strip()
         for line in Path("/proc/cpuinfo").read_text().splitlines()
@@ -43,14 +43,14 @@
 
 
 def shown(name: str, value: float) -> str:
-    """A figure as the table shows it, in the unit that people read."""
+    """Return a figure as the table shows it, in the unit that people read."""
     unit, word = UNITS.get(name, (1, ""))
     places = 0 if name in ("descriptors", "connections") else 3 if name == "share_served" else 2
     return f"{value / unit:.{places}f}{' ' * bool(word)}{word}"
 
 
 def table(results: list[Result]) -> str:
-    """Each figure, and in brackets its limit by the base, which is the first row."""
+    """Return each figure, and in brackets its limit by the base, which is the first row."""
     names = [field.name for field in fields(Figures)]
     lines = ["| " + " | ".join(["backends/balancers", *names, "whole lists", "watches"]) + " |"]
     lines.append("| --- " * (len(names) + 3) + "|")
@@ -65,7 +65,7 @@
 
 
 def breaks(results: list[Result], but: frozenset[str] = frozenset()) -> dict[str, list[Broken]]:
-    """By row, the figures beyond the limits of the first one."""
+    """Return the figures beyond the limits of the first row, by row."""
     base, *rows = results
     found = {r.scenario.name: broken(r.figures, limits(base.figures, r.scenario.backends), but) for r in rows}
     return {name: wrong for name, wrong in found.items() if wrong}
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -45,7 +45,7 @@
         return f"{self.backends}/{self.balancers}"
 
     def steps(self) -> list[tuple[float, Step]]:
-        """All steps in order, each with its place in the play, from 0 to 1."""
+        """Return all steps in order, each with its place in the play, from 0 to 1."""
         replaced = round(REPLACED_SHARE * self.backends)
         drained = [(n + 0.5) / replaced * (1.0 - DRAIN_SHARE) for n in range(replaced)]
         steps = [((n + 0.5) / self.calls, Step.CALL) for n in range(self.calls)]
@@ -60,7 +60,7 @@
 
 
 def settings(scenario: Scenario) -> dict[str, object]:
-    """The site's settings as one proxy of the fleet is given them, in the configuration's JSON form."""
+    """Return the settings that one proxy of the fleet is given, in the configuration's JSON form."""
     lane = {"name": "read", "idempotency": "safe", "worth": 1.0, "lateValue": 0.0}
     times = {
         "onTimeUs": round(LATENCY_OBJECTIVE_SHARE * scenario.deadline_s * S),
--- a/benchmarks/stand_ins.py
+++ b/benchmarks/stand_ins.py
@@ -19,7 +19,7 @@
 
 
 def loopback_hosts() -> Iterator[str]:
-    """Addresses of this machine alone: one for each listener, so that their ports never run out."""
+    """Yield addresses of this machine alone: one for each listener, so that ports never run out."""
     for third in range(1, 255):
         for fourth in range(1, 255):
             yield f"127.77.{third}.{fourth}"
@@ -29,19 +29,19 @@
     """Answers each request with 200, a short while after its head; requests have no body here."""
 
     def __init__(self, backends: Backends) -> None:
-        """Answers for one of these backends, which count what comes and set the time that a call takes."""
+        """Answer for one of these backends, which count what comes and set the time that a call takes."""
         self._backends = backends
         self._read = b""
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Counts a connection that the system has accepted."""
+        """Count a connection that the system has accepted."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self._backends.accepted += 1
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of requests, whole heads or parts of them, and has each whole head answered later."""
+        """Take bytes of requests, complete heads or parts of them, and have each complete head answered later."""
         self._read += data
         while HEAD_END in self._read:
             _, _, self._read = self._read.partition(HEAD_END)
@@ -57,7 +57,7 @@
     """Many backends in one process, each a listener of its own."""
 
     def __init__(self, service_s: float) -> None:
-        """Sets them up with no backend yet.
+        """Set them up with no backend yet.
 
         Args:
             service_s: The time from a request's head to its answer, in seconds.
@@ -70,7 +70,7 @@
         self._connections: dict[str, list[BackendConnection]] = {}
 
     async def start(self) -> str:
-        """Starts one more backend and returns its address, `host:port`.
+        """Start one more backend and return its address, `host:port`.
 
         Raises:
             OSError: It cannot listen, as for want of a descriptor.
@@ -88,7 +88,7 @@
         return address
 
     def stop(self, address: str) -> None:
-        """Ends a backend; its connections are reset, as when a process dies.
+        """End a backend; its connections are reset, as when a process dies.
 
         Raises:
             KeyError: There is no backend at this address.
@@ -98,7 +98,7 @@
             connection.transport.abort()
 
     def stop_all(self) -> None:
-        """Ends all backends that are still there."""
+        """End all backends that are still there."""
         for address in list(self._servers):
             self.stop(address)
 
@@ -114,7 +114,7 @@
     silent: bool = False
 
     def tell(self, text: bytes) -> None:
-        """Writes one line of the list's stream as a chunk of its own."""
+        """Write one line of the list's stream as a chunk of its own."""
         self.writer.write(b"%x\r\n%s\r\n" % (len(text), text))
 
 
@@ -133,7 +133,7 @@
     _heart: asyncio.Task[None] | None = None
 
     async def listen(self) -> str:
-        """Listens at one more address, and returns it: discovery that is moved has the same list.
+        """Listen at one more address, and return it: discovery that is moved has the same list.
 
         Raises:
             OSError: It cannot listen, as for want of a descriptor.
@@ -145,7 +145,7 @@
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     def stop(self) -> None:
-        """Stops listening and beating, and resets all watches."""
+        """Stop listening and beating, and reset all watches."""
         if self._heart is not None:
             self._heart.cancel()
         for server in self._servers:
@@ -154,16 +154,16 @@
             watcher.writer.transport.abort()
 
     def add(self, uid: str, address: str, cell: int) -> None:
-        """One of the backends that are there from the start; nobody is told."""
+        """Add one of the backends that are there from the start; no watch is notified."""
         self._entries[uid] = (self.rev, entry(uid, address, cell, boot_ms=0))
 
     def whole(self) -> dict[str, object]:
-        """The list as it is now, in the protocol's form."""
+        """Return the list as it is now, in the protocol's form."""
         there = [e for _, e in self._entries.values() if e["state"] != "terminated"]
         return {"rev": self.rev, "all": True, "targets": there}
 
     def change(self, uid: str, state: str) -> None:
-        """Changes a backend's state and tells all watches that are not silent.
+        """Change a backend's state and notify all watches that are not silent.
 
         Raises:
             KeyError: The list has no backend of this uid.
@@ -171,11 +171,11 @@
         self._push({**self._entries[uid][1], "state": state})
 
     def join(self, uid: str, address: str, cell: int) -> None:
-        """A backend that has just started comes in."""
+        """Add a backend that has just started, and notify all watches that are not silent."""
         self._push(entry(uid, address, cell, boot_ms=time.time_ns() // 1_000_000))
 
     def fall_silent(self) -> None:
-        """All watches that are open now stay open and say nothing more."""
+        """Have all watches that are open now stay open and send nothing more."""
         for watcher in self._watchers:
             watcher.silent = True
 
@@ -226,7 +226,7 @@
 
 
 def entry(uid: str, address: str, cell: int, boot_ms: int) -> Entry:
-    """One backend in discovery's list, in service."""
+    """Return one backend of discovery's list, in service."""
     return {
         "uid": uid,
         "endpoint": address,
