--- a/benchmarks/clients.py
+++ b/benchmarks/clients.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the callers of a proxy, over real connections."""
+"""Stand-ins for the clients of a proxy, over real connections."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from benchmarks.stand_ins import HEAD_END
 
-CLIENTS = 4  # connections of callers at the start
+CLIENTS = 4  # connections of clients at the start
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class Clients:
-    """Callers that keep their connections, have one call at a time on each and open more if all are busy."""
+    """Clients that keep their connections, have one call at a time on each and open more if all are busy."""
 
     def __init__(self, port: int, deadline_s: float) -> None:
         """Set them up without a connection.
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -1,4 +1,4 @@
-"""What one proxy needs while half of a fleet's backends are replaced, at the usual size and at sixteen times.
+"""What one proxy needs while half of a fleet's endpoints are replaced, at the usual size and at 16 times.
 
     python -m benchmarks.fleet_growth                 # the steady plays, 10 s each
     python -m benchmarks.fleet_growth --play move     # discovery moves (SIGHUP) and a watch falls silent
@@ -6,8 +6,8 @@
     python -m benchmarks.fleet_growth --rows 200/34 3200/544 --seconds 5 --json result.json
 
 The first row is the base from which the limits of the others are worked out (`growth_limits.py`). The proxy
-is one real process; backends and discovery are stand-ins in this one. Backends of the rows are equal: what
-one proxy sees of the rest of its fleet is only the number of balancers in its settings. The exit code is 1
+is one real process; endpoints and discovery are stand-ins in this one. All endpoints of a row are equal. What
+one proxy sees of the rest of its fleet is only the number of instances in its settings. The exit code is 1
 where a limit is broken and 2 where a row could not be played.
 """
 
@@ -30,10 +30,10 @@
 from benchmarks.proxy_process import ProxyEndedError, ProxyProcess, proxy_process
 from benchmarks.report import Result, breaks, machine, table
 from benchmarks.scenarios import PLAYS, ROWS, Scenario, Step, settings
-from benchmarks.stand_ins import Backends, Discovery
+from benchmarks.stand_ins import Discovery, EndpointStandIns
 
 SEED = 0x8C1F30D27A5BE964
-CELL = 8  # backends in a cell
+CELL = 8  # endpoints in a cell
 DESCRIPTORS_WANTED = 16_384  # for listeners and both ends of all connections, in this process
 SETTLE_TIMEOUT_S = 60.0  # a proxy that still works on the play this long after its end is measured as it is
 POLL_S = 0.02
@@ -49,46 +49,46 @@
 
 
 class Fleet:
-    """The backends of a play and what discovery says of them."""
+    """The endpoints of a play and what discovery says of them."""
 
     def __init__(self, scenario: Scenario) -> None:
         """Set up the stand-ins of a scenario; nothing listens yet."""
         self._scenario = scenario
-        self.endpoints = Backends(scenario.service_s)
+        self.endpoints = EndpointStandIns(scenario.service_s)
         self.discovery = Discovery()
         self._serial = 0
         self._up: deque[tuple[str, str]] = deque()  # uid and address, the oldest first
         self._draining: deque[tuple[str, str]] = deque()
 
-    async def _start_backend(self) -> tuple[str, str, int]:
+    async def _start_endpoint(self) -> tuple[str, str, int]:
         self._serial += 1
         uid, address = f"s-{self._serial:08x}", await self.endpoints.start()
         self._up.append((uid, address))
         return uid, address, self._serial // CELL
 
     async def start(self) -> None:
-        """Start the backends that are there from the beginning.
+        """Start the endpoints that are there from the beginning.
 
         Raises:
             OSError: One cannot listen, as for want of a descriptor.
         """
-        for _ in range(self._scenario.backends):
-            self.discovery.add(*await self._start_backend())
+        for _ in range(self._scenario.endpoints):
+            self.discovery.add(*await self._start_endpoint())
 
     async def replace(self) -> None:
-        """Have the oldest backend drain and a new one join, each sent as a change of its own.
+        """Have the oldest endpoint drain and a new one join, each sent as a change of its own.
 
         Raises:
             OSError: The new one cannot listen.
-            IndexError: No backend is left that is not draining.
+            IndexError: No endpoint is left that is not draining.
         """
         old = self._up.popleft()
         self._draining.append(old)
         self.discovery.change(old[0], "terminating")
-        self.discovery.join(*await self._start_backend())
+        self.discovery.join(*await self._start_endpoint())
 
     def remove(self) -> None:
-        """End the backend that has drained longest.
+        """End the endpoint that has drained longest.
 
         Raises:
             IndexError: None is draining.
@@ -98,7 +98,7 @@
         self.endpoints.stop(address)
 
     def stop(self) -> None:
-        """End discovery and all backends."""
+        """End discovery and all endpoints."""
         self.discovery.stop()
         self.endpoints.stop_all()
 
@@ -153,7 +153,7 @@
             "settings": settings(self._scenario),
         }
         if self._scenario.knows_list:
-            config["known"] = self._fleet.discovery.whole()
+            config["known"] = self._fleet.discovery.complete_list()
         (self._folder / "config.json").write_text(json.dumps(config))
 
     async def _play(self, proxy: ProxyProcess, clients: Clients) -> None:
@@ -216,8 +216,8 @@
         return Result(
             self._scenario,
             figures,
-            discovery.whole_lists,
-            discovery.whole_bytes,
+            discovery.complete_lists,
+            discovery.complete_list_bytes,
             discovery.watches,
             clients.served,
             settled,
@@ -248,8 +248,8 @@
     return Result(
         scenario,
         Figures(*means),
-        whole_lists=sum(r.whole_lists for r in results),
-        whole_bytes=sum(r.whole_bytes for r in results),
+        complete_lists=sum(r.complete_lists for r in results),
+        complete_list_bytes=sum(r.complete_list_bytes for r in results),
         watches=sum(r.watches for r in results),
         calls_served=sum(r.calls_served for r in results),
         settled=all(r.settled for r in results),
@@ -265,22 +265,22 @@
 
 
 def read_row(text: str) -> tuple[int, int]:
-    """Read `backends/balancers`.
+    """Read `endpoints/instances`.
 
     Raises:
         ValueError: One of them is no number, or is under 1.
     """
-    backends, _, balancers = text.partition("/")
-    if int(backends) < 1 or int(balancers) < 1:
+    endpoints, _, instances = text.partition("/")
+    if int(endpoints) < 1 or int(instances) < 1:
         raise ValueError(text)
-    return int(backends), int(balancers)
+    return int(endpoints), int(instances)
 
 
 def read_arguments() -> argparse.Namespace:
     """Read the command line; a wrong one ends the program with code 2 and the usage."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--play", choices=PLAYS, default="steady", help="what happens besides replacements")
-    parser.add_argument("--rows", nargs="+", type=read_row, default=ROWS, help="backends/balancers")
+    parser.add_argument("--rows", nargs="+", type=read_row, default=ROWS, help="endpoints/instances")
     parser.add_argument("--seconds", type=float, default=10.0, help="length of a play")
     parser.add_argument("--calls", type=float, default=30.0, help="a second")
     parser.add_argument("--proxies", type=int, default=1, help="played one after another, for the mean")
@@ -294,7 +294,7 @@
     scenario = replace(PLAYS[asked.play], seconds=asked.seconds, calls=round(asked.calls * asked.seconds))
     described = machine()
     try:
-        rows = [replace(scenario, backends=n, balancers=m) for n, m in asked.rows]
+        rows = [replace(scenario, endpoints=n, instances=m) for n, m in asked.rows]
         results = [play_mean(row, asked.proxies) for row in rows]
     except ProxyEndedError as error:
         print(error, file=sys.stderr)
--- a/benchmarks/growth_limits.py
+++ b/benchmarks/growth_limits.py
@@ -1,7 +1,7 @@
 """How much more a proxy may need in a large fleet than in one of the usual size.
 
-The limits are those that the operators set for a fleet with up to sixteen times the backends, where the
-traffic of a proxy, its limits and the capacity of all backends, counted for each proxy, stay the same.
+The limits are those that the operators set for a fleet with up to sixteen times the endpoints, where the
+traffic of a proxy, its limits and the capacity of all endpoints, counted for each proxy, stay the same.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
     cpu_s: float  # user and system time since its start
     peak_memory: float  # bytes, resident
     descriptors: float  # the most that were open at once
-    connections: float  # made to backends
-    list_bytes: float  # that discovery wrote to it, whole lists and changes
+    connections: float  # made to endpoints
+    list_bytes: float  # that discovery wrote to it, complete lists and changes
     share_served: float  # of the calls, those answered with 200 in time
 
 
@@ -37,9 +37,9 @@
         return f"{self.name}: {self.measured:.6g} is beyond {self.limit:.6g}"
 
 
-def limits(base: Figures, backends: int) -> Figures:
-    """Return the limits for a fleet of that many backends; `base` was measured on one of the usual size."""
-    thousands = backends / 1_000
+def limits(base: Figures, endpoints: int) -> Figures:
+    """Return the limits for a fleet of that many endpoints; `base` was measured on one of the usual size."""
+    thousands = endpoints / 1_000
     return Figures(
         cpu_s=1.4 * base.cpu_s + 0.02 + 0.12 * thousands,
         peak_memory=1.5 * base.peak_memory + 8 * MB + 4 * MB * thousands,
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -19,8 +19,8 @@
 
     scenario: Scenario
     figures: Figures
-    whole_lists: int
-    whole_bytes: int
+    complete_lists: int
+    complete_list_bytes: int
     watches: int
     calls_served: int
     settled: bool  # the proxy had worked off all that it was sent when it was measured; by no clock, unasked
@@ -52,14 +52,14 @@
 def table(results: list[Result]) -> str:
     """Return each figure, and in brackets its limit by the base, which is the first row."""
     names = [field.name for field in fields(Figures)]
-    lines = ["| " + " | ".join(["backends/balancers", *names, "whole lists", "watches"]) + " |"]
+    lines = ["| " + " | ".join(["endpoints/instances", *names, "complete lists", "watches"]) + " |"]
     lines.append("| --- " * (len(names) + 3) + "|")
     for number, result in enumerate(results):
-        limit = limits(results[0].figures, result.scenario.backends)
+        limit = limits(results[0].figures, result.scenario.endpoints)
         cells = [result.scenario.name]
         for name, value, bound in zip(names, astuple(result.figures), astuple(limit), strict=True):
             cells.append(shown(name, value) + (f" ({shown(name, bound)})" if number else ""))
-        whole = f"{result.whole_lists} of {shown('list_bytes', result.whole_bytes)}"
+        whole = f"{result.complete_lists} of {shown('list_bytes', result.complete_list_bytes)}"
         lines.append("| " + " | ".join([*cells, whole, str(result.watches)]) + " |")
     return "\n".join(lines)
 
@@ -67,5 +67,7 @@
 def breaks(results: list[Result], but: frozenset[str] = frozenset()) -> dict[str, list[Broken]]:
     """Return the figures beyond the limits of the first row, by row."""
     base, *rows = results
-    found = {r.scenario.name: broken(r.figures, limits(base.figures, r.scenario.backends), but) for r in rows}
+    found = {
+        r.scenario.name: broken(r.figures, limits(base.figures, r.scenario.endpoints), but) for r in rows
+    }
     return {name: wrong for name, wrong in found.items() if wrong}
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -10,14 +10,14 @@
 SLOW_START_US = 5 * S
 DRAIN_SHARE = 0.1  # of the play, the time from `terminating` to `terminated`
 MISSED_SHARE = 0.2  # of the play, what a silent watch misses where no clock tells it
-REPLACED_SHARE = 0.5  # of the backends, over the play
+REPLACED_SHARE = 0.5  # of the endpoints, over the play
 
 
 class Step(Enum):
     """What happens next in a play."""
 
     CALL = "call"
-    REPLACE = "replace"  # a backend begins to drain, and a new one is in service
+    REPLACE = "replace"  # an endpoint begins to drain, and a new one is in service
     REMOVE = "remove"  # the one that has drained longest is gone
     MOVE = "move"  # discovery is at another address, told by SIGHUP
     SILENCE = "silence"  # the open watch says nothing any more
@@ -28,8 +28,8 @@
 class Scenario:
     """One row: a fleet and what happens in it."""
 
-    backends: int
-    balancers: int
+    endpoints: int
+    instances: int
     number: int = 0  # which proxy of the fleet, counted from the middle one; each has another seed
     calls: int = 300
     seconds: float | None = 10.0  # None: by no clock, each step once the one before is over
@@ -37,16 +37,16 @@
     moves_at: tuple[float, ...] = ()  # as shares of the play
     silence_at: float | None = None
     deadline_s: float = 2.0
-    service_s: float = 0.01  # that a backend takes for a call
+    service_s: float = 0.01  # that an endpoint takes for a call
 
     @property
     def name(self) -> str:
-        """The row's name in tables and messages, `backends/balancers`."""
-        return f"{self.backends}/{self.balancers}"
+        """The row's name in tables and messages, `endpoints/instances`."""
+        return f"{self.endpoints}/{self.instances}"
 
     def steps(self) -> list[tuple[float, Step]]:
         """Return all steps in order, each with its place in the play, from 0 to 1."""
-        replaced = round(REPLACED_SHARE * self.backends)
+        replaced = round(REPLACED_SHARE * self.endpoints)
         drained = [(n + 0.5) / replaced * (1.0 - DRAIN_SHARE) for n in range(replaced)]
         steps = [((n + 0.5) / self.calls, Step.CALL) for n in range(self.calls)]
         steps += [(at, Step.REPLACE) for at in drained]
@@ -74,8 +74,8 @@
         "limits": {"maxAttempts": 3, "cancel": True, "connectTimeoutUs": 250_000, "connIdleUs": 30 * S},
         "registryMode": "automatic",
         "tickUs": 5_000,
-        "instances": scenario.balancers,
-        "index": (scenario.balancers // 2 + scenario.number) % scenario.balancers,
+        "instances": scenario.instances,
+        "index": (scenario.instances // 2 + scenario.number) % scenario.instances,
     }
 
 
--- a/benchmarks/stand_ins.py
+++ b/benchmarks/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what a proxy talks to: backends and discovery, on loopback, by the protocol."""
+"""Stand-ins for what a proxy talks to: endpoints and discovery, on loopback, by the protocol."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
             yield f"127.77.{third}.{fourth}"
 
 
-class BackendConnection(asyncio.Protocol):
+class EndpointConnection(asyncio.Protocol):
     """Answers each request with 200, a short while after its head; requests have no body here."""
 
-    def __init__(self, backends: Backends) -> None:
-        """Answer for one of these backends, which count what comes and set the time that a call takes."""
-        self._backends = backends
+    def __init__(self, endpoints: EndpointStandIns) -> None:
+        """Answer for one of these endpoints, which count what comes and set the time that a call takes."""
+        self._endpoints = endpoints
         self._read = b""
         self.transport: asyncio.Transport
 
@@ -38,47 +38,47 @@
         """Count a connection that the system has accepted."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self._backends.accepted += 1
+        self._endpoints.accepted += 1
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of requests, complete heads or parts of them, and have each complete head answered later."""
+        """Take bytes of requests, and have each head that is complete answered later."""
         self._read += data
         while HEAD_END in self._read:
             _, _, self._read = self._read.partition(HEAD_END)
-            self._backends.requests += 1
-            asyncio.get_running_loop().call_later(self._backends.service_s, self._answer)
+            self._endpoints.requests += 1
+            asyncio.get_running_loop().call_later(self._endpoints.service_s, self._answer)
 
     def _answer(self) -> None:
         if not self.transport.is_closing():
             self.transport.write(ANSWER)
 
 
-class Backends:
-    """Many backends in one process, each a listener of its own."""
+class EndpointStandIns:
+    """Many endpoints in one process, each a listener of its own."""
 
     def __init__(self, service_s: float) -> None:
-        """Set them up with no backend yet.
+        """Set them up with no endpoint yet.
 
         Args:
             service_s: The time from a request's head to its answer, in seconds.
         """
         self.service_s = service_s
-        self.accepted = 0  # connections, over all backends
+        self.accepted = 0  # connections, over all endpoints
         self.requests = 0
         self._hosts = loopback_hosts()
         self._servers: dict[str, asyncio.Server] = {}
-        self._connections: dict[str, list[BackendConnection]] = {}
+        self._connections: dict[str, list[EndpointConnection]] = {}
 
     async def start(self) -> str:
-        """Start one more backend and return its address, `host:port`.
+        """Start one more endpoint and return its address, `host:port`.
 
         Raises:
             OSError: It cannot listen, as for want of a descriptor.
         """
-        taken: list[BackendConnection] = []
+        taken: list[EndpointConnection] = []
 
-        def take() -> BackendConnection:
-            taken.append(connection := BackendConnection(self))
+        def take() -> EndpointConnection:
+            taken.append(connection := EndpointConnection(self))
             return connection
 
         host = next(self._hosts)
@@ -88,17 +88,17 @@
         return address
 
     def stop(self, address: str) -> None:
-        """End a backend; its connections are reset, as when a process dies.
+        """End an endpoint; its connections are reset, as when a process dies.
 
         Raises:
-            KeyError: There is no backend at this address.
+            KeyError: There is no endpoint at this address.
         """
         self._servers.pop(address).close()
         for connection in self._connections.pop(address):
             connection.transport.abort()
 
     def stop_all(self) -> None:
-        """End all backends that are still there."""
+        """End all endpoints that are still there."""
         for address in list(self._servers):
             self.stop(address)
 
@@ -124,8 +124,8 @@
 
     rev: int = 1
     list_bytes: int = 0  # of all lists written, without framing and heartbeats
-    whole_lists: int = 0
-    whole_bytes: int = 0  # the part of `list_bytes` that was of whole lists
+    complete_lists: int = 0
+    complete_list_bytes: int = 0  # the part of `list_bytes` that was of complete lists
     watches: int = 0  # that were opened
     _entries: dict[str, tuple[int, Entry]] = field(default_factory=dict)  # by uid, each with its version
     _watchers: set[Watcher] = field(default_factory=set)
@@ -154,24 +154,24 @@
             watcher.writer.transport.abort()
 
     def add(self, uid: str, address: str, cell: int) -> None:
-        """Add one of the backends that are there from the start; no watch is notified."""
+        """Add one of the endpoints that are there from the start; no watch is notified."""
         self._entries[uid] = (self.rev, entry(uid, address, cell, boot_ms=0))
 
-    def whole(self) -> dict[str, object]:
+    def complete_list(self) -> dict[str, object]:
         """Return the list as it is now, in the protocol's form."""
         there = [e for _, e in self._entries.values() if e["state"] != "terminated"]
         return {"rev": self.rev, "all": True, "targets": there}
 
     def change(self, uid: str, state: str) -> None:
-        """Change a backend's state and notify all watches that are not silent.
+        """Change an endpoint's state and notify all watches that are not silent.
 
         Raises:
-            KeyError: The list has no backend of this uid.
+            KeyError: The list has no endpoint of this uid.
         """
         self._push({**self._entries[uid][1], "state": state})
 
     def join(self, uid: str, address: str, cell: int) -> None:
-        """Add a backend that has just started, and notify all watches that are not silent."""
+        """Add an endpoint that has just started, and notify all watches that are not silent."""
         self._push(entry(uid, address, cell, boot_ms=time.time_ns() // 1_000_000))
 
     def fall_silent(self) -> None:
@@ -196,8 +196,8 @@
         text = json.dumps(news, separators=(",", ":")).encode() + b"\n"
         self.list_bytes += len(text)
         if news["all"]:
-            self.whole_lists += 1
-            self.whole_bytes += len(text)
+            self.complete_lists += 1
+            self.complete_list_bytes += len(text)
         watcher.tell(text)
 
     async def _watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -207,7 +207,7 @@
             since = SINCE.search(head.partition("\r\n")[0])
             self.watches += 1
             writer.write(WATCH_HEAD)
-            self._tell(watcher, self.whole() if since is None else self._since(int(since[1])))
+            self._tell(watcher, self.complete_list() if since is None else self._since(int(since[1])))
             self._watchers.add(watcher)
             await reader.read()
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -226,7 +226,7 @@
 
 
 def entry(uid: str, address: str, cell: int, boot_ms: int) -> Entry:
-    """Return one backend of discovery's list, in service."""
+    """Return one endpoint of discovery's list, in service."""
     return {
         "uid": uid,
         "endpoint": address,
--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -86,7 +86,7 @@
 
 @cache
 def played(scenario: Scenario, fleet: tuple[int, int]) -> Result:
-    return play(replace(scenario, backends=fleet[0], balancers=fleet[1]))
+    return play(replace(scenario, endpoints=fleet[0], instances=fleet[1]))
 
 
 @pytest.mark.parametrize("fleet", LARGE)
@@ -95,7 +95,7 @@
     base, large = played(PLAY, USUAL), played(PLAY, fleet)
     assert not breaks([base, large], but=TIMES)
     assert base.figures.share_served == 1.0  # else the large one's limit were nothing
-    assert (base.whole_lists, large.whole_lists) == (0, 0)  # as both know the list at their start
+    assert (base.complete_lists, large.complete_lists) == (0, 0)  # as both know the list at their start
 
 
 def test_a_move_of_discovery_costs_one_whole_list_and_a_silent_watch_none() -> None:
@@ -103,7 +103,7 @@
     assert not breaks([base, large], but=TIMES)
     for result in (base, large):
         assert result.watches >= 3  # the first, after the move and after the silence
-        assert result.whole_lists == 1
+        assert result.complete_lists == 1
 
 
 # Work, by count
