--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -8,7 +8,7 @@
 
 from load_balancer.net.client import client_limits
 from load_balancer.net.upstream import idle_connections
-from load_balancer.net.upstream.connection_pool import PendingConnection
+from load_balancer.net.upstream.pending_connects import PendingConnect
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
@@ -64,7 +64,7 @@
         proxy(entry("a", a.port), entry("b", b.port), setup=limits(cancel)) as p,
     ):
         if path.startswith("kept connection"):
-            for backend in p.driver._endpoints.by_number.values():  # one idle connection to each
+            for backend in p.driver.endpoint_list.endpoints.by_id.values():  # one idle connection to each
                 p.pool.start_attempt(
                     backend,
                     UpstreamRequest(b"GET", b"/", [(b"host", b"x")], b"", is_idempotent=True),
@@ -72,7 +72,7 @@
                     lambda outcome, reply: None,
                 )
             await until(lambda: len(a.seen) + len(b.seen) == 2)
-            for idle in list(p.pool._open):
+            for idle in list(p.pool.connections.open):
                 idle.data_received(answer(200, b"x"))
         gate = Gate(p.pool)
         if path in ("connection comes up", "further attempt"):
@@ -103,9 +103,9 @@
         await settled()
         assert len(a.seen) + len(b.seen) == before
         assert nothing_left(p)
-        assert not p.driver._attempts
+        assert not p.driver.requests.attempts.in_flight
         assert not p.clients.paused_connections
-        assert not p.pool._waiting
+        assert not p.pool.waiting.by_endpoint
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -118,14 +118,14 @@
             client.send(call(request_id=key))
             await until(lambda key=key: key.encode() in p.clients.open_request_ids)  # type: ignore[misc]
         await until(lambda: gate.waiting == 2)
-        came_up = p.pool._on_connected
+        came_up = p.pool.queue.connect_succeeded
 
-        def leaving(pending: PendingConnection, connection: UpstreamConnection) -> None:
-            if len(p.pool._waiting[pending.endpoint]) == 2:
+        def leaving(pending: PendingConnect, connection: UpstreamConnection) -> None:
+            if len(p.pool.waiting.by_endpoint[pending.endpoint]) == 2:
                 leaver.leave(way)
             came_up(pending, connection)
 
-        p.pool._on_connected = leaving  # type: ignore[method-assign]
+        p.pool.queue.connect_succeeded = leaving  # type: ignore[method-assign]
         gate.opened.set()
         await until(lambda: bool(b.seen))
         attempt_connection(p).data_received(answer(200, b"x"))
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -78,7 +78,7 @@
     fed.list(("a", 0), full=True)
     fed.times.advance(2 * S)
     fed.beat()
-    fed.driver._on_watch_break()
+    fed.driver.endpoint_list.watch_broke()
     fed.times.advance(3 * S)
     fed.list(("a", fed.times.wall() + step), full=True)
     assert fed.age("a") == 0
@@ -118,7 +118,7 @@
 async def test_stated_start_identifies_an_incarnation_whatever_the_clocks_do(step: int) -> None:
     fed = HandFedDriver()
     first, number = fed.times.wall() - 1 * S, endpoint_number("a")
-    balancer = fed.driver._balancer
+    balancer = fed.driver.balancer
     fed.list(("a", first), full=True)
     server = balancer.endpoints.states[number]
     server.warming.tokens, server.share = 0.75, 0.5
--- a/tests/support/client_helpers.py
+++ b/tests/support/client_helpers.py
@@ -56,9 +56,9 @@
 
 def attempt_connection(p: Proxy) -> UpstreamConnection:
     """The connection of the longest open attempt."""
-    attempt = next(iter(p.driver._attempts.values()))
-    assert attempt._connection is not None
-    return attempt._connection
+    attempt = next(iter(p.driver.requests.attempts.in_flight.values()))
+    assert attempt.connection is not None
+    return attempt.connection
 
 
 async def settled() -> None:
--- a/tests/support/upstream_helpers.py
+++ b/tests/support/upstream_helpers.py
@@ -244,8 +244,8 @@
 
 def stepped(p: Proxy) -> SteppedClock:
     """A hand on the loop's clock and the module's."""
-    clock, now_us = SteppedClock(), p.driver._clock.now_us
-    p.driver._clock.now_us = lambda: now_us() + round(clock.ahead * S)  # type: ignore[method-assign]
+    clock, now_us = SteppedClock(), p.driver.clock.now_us
+    p.driver.clock.now_us = lambda: now_us() + round(clock.ahead * S)  # type: ignore[method-assign]
     return clock
 
 
@@ -272,8 +272,8 @@
         self.gates: list[asyncio.Event] = []
         self.clock = SteppedClock()
         for seconds in usual:
-            pool._pacing.latency.add(seconds)
-        connect = pool.connect
+            pool.pacing.latency.add(seconds)
+        connect = pool.connector.open
 
         async def held(endpoint: EndpointAddress) -> UpstreamConnection:
             gate = asyncio.Event()
@@ -281,7 +281,7 @@
             await gate.wait()
             return await connect(endpoint)
 
-        pool.connect = held  # type: ignore[method-assign]
+        pool.connector.open = held  # type: ignore[method-assign]
 
     async def begun(self, count: int) -> None:
         await until(lambda: len(self.gates) == count)
