--- a/load_balancer/process/descriptor_limits.py
+++ b/load_balancer/process/descriptor_limits.py
@@ -13,7 +13,7 @@
 log = logging.getLogger("load_balancer")
 
 RESERVED_DESCRIPTORS = 32  # for all that is neither a client's connection nor one to an endpoint
-CLIENT_SHARE = 0.6  # of the other descriptors, those for clients' connections
+CLIENT_SHARE = 0.6  # of the other descriptors, for clients' connections
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,12 +24,15 @@
     upstream_connections: int
 
 
-def usable_descriptors(configured: int) -> int:
-    """Return how many descriptors this process may have, and raise its own soft limit towards that.
+def raise_descriptor_limit(configured: int) -> int:
+    """Raise the process's own soft limit towards what is configured, and return what it may have then.
 
     That is as many as were configured, or fewer where the system's limit is lower. With the configured number
     alone, clients would be given a share of descriptors that do not exist, and could take all that do: no
     connection to an endpoint or to discovery could be opened then.
+
+    Args:
+        configured: The number of descriptors in the configuration.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     available = hard if hard != resource.RLIM_INFINITY else configured
@@ -45,7 +48,11 @@
 
 
 def divide_descriptors(configured: int) -> DescriptorLimits:
-    """Divide what this process may have between clients and endpoints, one connection each at least."""
-    connections = max(2, usable_descriptors(configured) - RESERVED_DESCRIPTORS)
+    """Divide what this process may have between clients and endpoints, one connection each at least.
+
+    Args:
+        configured: The number of descriptors in the configuration.
+    """
+    connections = max(2, raise_descriptor_limit(configured) - RESERVED_DESCRIPTORS)
     client_connections = max(1, int(CLIENT_SHARE * connections))
     return DescriptorLimits(client_connections, connections - client_connections)
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from load_balancer.process.descriptor_limits import usable_descriptors
+from load_balancer.process.descriptor_limits import raise_descriptor_limit
 from tests.support.loopback import (
     WATCH_HEAD,
     Peer,
@@ -41,7 +41,7 @@
     told: int, soft: int, hard: int, have: int, soft_then: int, limits: dict[str, tuple[int, int]]
 ) -> None:
     limits["now"] = (soft, hard)
-    assert usable_descriptors(told) == have
+    assert raise_descriptor_limit(told) == have
     assert limits["now"] == (soft_then, hard)
 
 
@@ -54,16 +54,16 @@
 
     monkeypatch.setattr(resource, "setrlimit", fails)
     limits["now"] = (64, 1024)
-    assert usable_descriptors(1024) == 64
+    assert raise_descriptor_limit(1024) == 64
 
 
 def test_configured_limit_is_used_when_the_system_has_none(limits: dict[str, tuple[int, int]]) -> None:
     none = resource.RLIM_INFINITY
     limits["now"] = (none, none)
-    assert usable_descriptors(128) == 128
+    assert raise_descriptor_limit(128) == 128
     assert limits["now"] == (none, none)
     limits["now"] = (64, none)
-    assert usable_descriptors(128) == 128
+    assert raise_descriptor_limit(128) == 128
     assert limits["now"] == (128, none)
 
 
