--- a/load_balancer/net/upstream/pending_connects.py
+++ b/load_balancer/net/upstream/pending_connects.py
@@ -70,9 +70,7 @@
         except Exception:
             # Any other error, as of a host name that cannot be encoded, would end this task unseen: the
             # attempt would wait until it times out, and the connect would count as pending for good.
-            log.exception(
-                "connect to endpoint %d at %s:%d failed", self.endpoint.number, *self.endpoint.address
-            )
+            log.exception("connect to endpoint %d at %s:%d failed", self.endpoint.id, *self.endpoint.address)
             self._observer.connect_crashed(self)
         else:
             self._observer.connect_succeeded(self, connection)
