--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -34,8 +34,8 @@
 
 
 def nothing_left(p: Proxy) -> bool:
-    balancer = p.driver._balancer
-    return p.driver.idle and not (
+    balancer = p.driver.balancer
+    return p.driver.is_idle and not (
         balancer.requests.requests
         or balancer.requests.in_flight
         or balancer.requests.queue
@@ -59,8 +59,8 @@
         failing = attempt_connection(p)
         client.leave(way)
         failing.data_received(FAILURE)
-        assert not p.driver._attempts
-        assert p.driver.idle
+        assert not p.driver.requests.attempts.in_flight
+        assert p.driver.is_idle
         await until(lambda: not p.clients.open_connections)
         await settled()
         assert len(a.seen) + len(b.seen) == 1
@@ -93,18 +93,18 @@
 
     async with silent_backend() as b, proxy(entry("b", b.port), setup=limits(cancel)) as p:
         clients: list[Client] = []
-        while not p.driver._balancer.requests.queue:
+        while not p.driver.balancer.requests.queue:
             clients.append(Client(p))
             clients[-1].send(call(request_id=f"r{len(clients)}"))
-            await until(lambda: len(p.driver._balancer.requests.requests) == len(clients))
+            await until(lambda: len(p.driver.balancer.requests.requests) == len(clients))
         sent = len(clients) - 1
         await until(lambda: len(b.seen) == sent)
         clients[-1].leave(way)
         attempt_connection(p).data_received(answer(200, b"x"))
-        assert not p.driver._balancer.requests.queue  # its turn came
+        assert not p.driver.balancer.requests.queue  # its turn came
         await until(lambda: len(p.clients.open_connections) == sent)
         await settled()
-        assert len(b.seen) == sent == len(p.driver._balancer.requests.in_flight) + 1
+        assert len(b.seen) == sent == len(p.driver.balancer.requests.in_flight) + 1
         for client in clients[:-1]:
             client.leave("FIN")
         await until(lambda: not p.clients.open_connections)
@@ -150,12 +150,12 @@
         if where != "connecting":
             gate.opened.set()
         if where == "held":
-            while not p.driver._balancer.requests.queue:
+            while not p.driver.balancer.requests.queue:
                 crowd.append(Client(p))
                 crowd[-1].send(call(request_id=f"c{len(crowd)}"))
-                await until(lambda: len(p.driver._balancer.requests.requests) == len(crowd))
+                await until(lambda: len(p.driver.balancer.requests.requests) == len(crowd))
             crowd.pop().leave("FIN")
-            await until(lambda: not p.driver._balancer.requests.queue)
+            await until(lambda: not p.driver.balancer.requests.queue)
         client = Client(p)
         connection = await begin(p, client, paused)
         if where == "connecting":
@@ -163,7 +163,7 @@
         elif where == "out":
             await until(lambda: len(b.seen) == 1)
         else:
-            assert p.driver._balancer.requests.queue
+            assert p.driver.balancer.requests.queue
         key = connection._request_key
         assert key is not None
         client.leave(way)
@@ -173,9 +173,9 @@
             clock.step(LATEST_S / 2)
             await settled()
         assert connection not in p.clients.open_connections
-        assert key not in p.driver._requests
+        assert key not in p.driver.requests
         gate.opened.set()
-        for (request, _), attempt in list(p.driver._attempts.items()):
+        for (request, _), attempt in list(p.driver.requests.attempts.in_flight.items()):
             assert attempt.connection is not None
             attempt.connection.data_received(FAILURE if request == key else answer(200, b"x"))
         await settled()
@@ -216,7 +216,7 @@
             await settled()
         assert len(asked) >= 10
         assert set(asked) == {connection.transport}
-        p.driver.give_up()
+        p.driver.end_all_requests()
         await until(lambda: not p.clients.paused_connections)
         for one in (idle, busy, client):
             one.leave("RST")
