--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -409,7 +409,7 @@
         assert status(await p.ask(call())) == 502  # no refusal: coming again would not help
         assert len(b.seen) == 1
         [server] = p.driver.balancer.endpoints.states.values()
-        assert server.failure_penalties == []
+        assert server.failure_penalty_ends_us == []
         assert server.detector.mean == 1.0
 
 
