--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -245,6 +245,15 @@
             wire.end()
 
 
+async def open_idle_connections(p: Proxy, monkeypatch: pytest.MonkeyPatch, count: int) -> None:
+    """Leave so many idle connections: while none of them settles, each request opens another one."""
+    with monkeypatch.context() as patch:
+        patch.setattr(idle_connections, "SETTLE_S", 1e6)
+        for n in range(count):
+            await p.ask(call(request_id=f"k{n}"))
+    assert sum(map(len, p.pool._idle.by_endpoint.values())) >= count
+
+
 async def kept_by(p: Proxy, b: Bare, count: int) -> None:
     """So many idle connections to it, each of which has carried a request."""
     b.reads.clear()
@@ -262,7 +271,7 @@
 @pytest.mark.parametrize("how", ["reset", "end", "silence"])
 @pytest.mark.parametrize("kind", KINDS)
 def test_a_backend_that_has_forgotten_its_idle_connections_is_found_out_by_one_request(
-    kind: str, how: str, many: int
+    kind: str, how: str, many: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is made again on a new connection, and the next ones use none that was kept there."""
 
@@ -271,10 +280,9 @@
         async with AsyncExitStack() as stack:
             made = [await stack.enter_async_context(bare(forgetful.handle)) for _ in range(many)]
             entries = [entry(f"s-{n}", b.port) for n, b in enumerate(made)]
-            p = await stack.enter_async_context(proxy(*entries, setup=ROOMY, idle_s=1e6))
+            p = await stack.enter_async_context(proxy(*entries, setup=ROOMY, idle_s=1e6, most=200))
             clock = await stack.enter_async_context(stepped(p))
-            for n in range(40 * many):
-                await p.ask(call(request_id=f"k{n}"))
+            await open_idle_connections(p, monkeypatch, 40 * many)
             assert sum(map(len, p.pool._idle.by_endpoint.values())) > 4
             forgetful.forget()
             clock.step(3_600.0)
