--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Fewer descriptors from the system than the settings say: backends and discovery get theirs."""
+"""With fewer descriptors than configured, endpoints and discovery still get theirs."""
 
 from __future__ import annotations
 
@@ -21,7 +21,6 @@
     entry,
     listing,
     read_message,
-    run,
 )
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
 
@@ -38,7 +37,7 @@
         (1024, 128, 128, 128, 128),
     ],
 )
-def test_the_lower_of_the_two_limits_counts(
+def test_lower_of_configured_and_system_limits_is_used(
     told: int, soft: int, hard: int, have: int, soft_then: int, limits: dict[str, tuple[int, int]]
 ) -> None:
     limits["now"] = (soft, hard)
@@ -47,7 +46,7 @@
 
 
 @pytest.mark.parametrize("error", [OSError, ValueError])
-def test_a_limit_that_cannot_be_raised_counts_as_it_is(
+def test_limit_that_cannot_be_raised_is_used_as_it_is(
     error: type[Exception], limits: dict[str, tuple[int, int]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def fails(*args: object) -> None:
@@ -58,7 +57,7 @@
     assert usable_descriptors(1024) == 64
 
 
-def test_no_limit_of_the_system_leaves_the_one_of_the_settings(limits: dict[str, tuple[int, int]]) -> None:
+def test_configured_limit_is_used_when_the_system_has_none(limits: dict[str, tuple[int, int]]) -> None:
     none = resource.RLIM_INFINITY
     limits["now"] = (none, none)
     assert usable_descriptors(128) == 128
@@ -78,7 +77,9 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /api HTTP/1.1\r\nHost: x\r\n", call(path="/ready")])
-def test_idle_callers_leave_backends_and_discovery_their_descriptors(sent: bytes, tmp_path: Path) -> None:
+async def test_idle_clients_leave_descriptors_for_endpoints_and_discovery(
+    sent: bytes, tmp_path: Path
+) -> None:
     """A real process under a low limit, whose crowd stays: it serves, and hears of a new backend."""
 
     async def ask(port: int, request_id: str) -> bytes:
@@ -89,47 +90,44 @@
         finally:
             writer.close()
 
-    async def test() -> None:
-        asked = asyncio.Event()
-
-        async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await reader.readuntil(b"\r\n\r\n")
-            writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
-            asked.set()
-            await reader.read()
-
-        async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b:
-            down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
-            down.bind(("127.0.0.1", 0))
-            told = config(
-                discovery=f"127.0.0.1:{down.getsockname()[1]}",
-                known=listing(entry("a", a.port)),
-                settings=raw_settings(limits=LIMITS, registryMode="automatic"),
-            )
-            assert told["limits"]["sockets"] > GIVEN
-            async with process(write(tmp_path, told), GIVEN) as made:
-                port = await port_of(made)
-                assert made.stderr is not None
-                reading = asyncio.create_task(made.stderr.read())
-                crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(CROWD)]
-                for one in crowd:
-                    one.sendall(sent)
-                # Refused while all of the crowd are just bringing what they send.
-                while await ask(port, "r0") != b"a":
-                    pass
-                back = Peer(watch)
-                back.server = await asyncio.start_server(back.accept, sock=down)
-                await asked.wait()
-                while await ask(port, "r1") != b"b":
-                    pass
-                assert len(os.listdir(f"/proc/{made.pid}/fd")) < GIVEN
-                made.terminate()
-                for one in crowd:
-                    one.close()
-                assert await made.wait() == 0
-                back.stop()
-                said = (await reading).decode()
-                assert "descriptor for" not in said
-                assert "Traceback" not in said
-
-    run(test)
+    asked = asyncio.Event()
+
+    async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(WATCH_HEAD + chunk_list(listing(entry("b", b.port), rev=2)))
+        asked.set()
+        await reader.read()
+
+    async with backend(answer(200, b"a")) as a, backend(answer(200, b"b")) as b:
+        down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
+        down.bind(("127.0.0.1", 0))
+        told = config(
+            discovery=f"127.0.0.1:{down.getsockname()[1]}",
+            known=listing(entry("a", a.port)),
+            settings=raw_settings(limits=LIMITS, registryMode="automatic"),
+        )
+        assert told["limits"]["sockets"] > GIVEN
+        async with process(write(tmp_path, told), GIVEN) as made:
+            port = await port_of(made)
+            assert made.stderr is not None
+            reading = asyncio.create_task(made.stderr.read())
+            crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(CROWD)]
+            for one in crowd:
+                one.sendall(sent)
+            # Refused while all of the crowd are just bringing what they send.
+            while await ask(port, "r0") != b"a":
+                pass
+            back = Peer(watch)
+            back.server = await asyncio.start_server(back.accept, sock=down)
+            await asked.wait()
+            while await ask(port, "r1") != b"b":
+                pass
+            assert len(os.listdir(f"/proc/{made.pid}/fd")) < GIVEN
+            made.terminate()
+            for one in crowd:
+                one.close()
+            assert await made.wait() == 0
+            back.stop()
+            said = (await reading).decode()
+            assert "descriptor for" not in said
+            assert "Traceback" not in said
