--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -253,7 +253,7 @@
             )
         connections = list(p.clients.open_connections)
         await until(lambda: all(not c.transport.is_reading() for c in connections))
-        assert len(p.driver._requests) == callers  # each with its own request open
+        assert len(p.driver.requests) == callers  # each with its own request open
         assert 100_000 < p.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
         assert p.clients.buffered.size_bytes == sum(c._http.received.size_bytes for c in connections)
         for client in clients:
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -248,8 +248,8 @@
     clock = SteppedClock()
     setup = settings(must_subscribe=must_subscribe)
     async with peer(silent_watches(*silent)) as d, proxy(discovery=d.port, setup=setup) as p:
-        await until(lambda: p.driver._watch.version == 1)
-        await step_until(clock, lambda: p.driver._watch.version == 2 + len(silent))
+        await until(lambda: p.driver.endpoint_list.watch.version == 1)
+        await step_until(clock, lambda: p.driver.endpoint_list.watch.version == 2 + len(silent))
         assert clock.ahead < in_time
 
 
@@ -266,9 +266,9 @@
         peer(silent_watches(*silent)) as new,
         proxy(discovery=old.port, setup=setup) as p,
     ):
-        await until(lambda: p.driver._watch.version == 1)
+        await until(lambda: p.driver.endpoint_list.watch.version == 1)
         p.driver.move_discovery(("127.0.0.1", new.port))
-        await step_until(clock, lambda: p.driver._watch.version == 1 + len(silent))
+        await step_until(clock, lambda: p.driver.endpoint_list.watch.version == 1 + len(silent))
         assert clock.ahead < 4.0
 
 
@@ -287,7 +287,7 @@
         await asked.wait()
         await step_until(clock, lambda: clock.ahead > 2.2)
         turn.set()
-        await until(lambda: p.driver._watch.version == 7 or d.connections > 1)
+        await until(lambda: p.driver.endpoint_list.watch.version == 7 or d.connections > 1)
         assert d.connections == 1
 
 
