--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -225,13 +225,13 @@
 def polled_transports(monkeypatch: pytest.MonkeyPatch) -> list[asyncio.BaseTransport]:
     """Collect the transports whose sockets are polled for the end of their client."""
     polled: list[asyncio.BaseTransport] = []
-    peer_has_ended = socket_state.peer_has_ended
+    is_closed_by_remote = socket_state.is_closed_by_remote
 
     def collect(transport: asyncio.BaseTransport) -> bool:
         polled.append(transport)
-        return peer_has_ended(transport)
+        return is_closed_by_remote(transport)
 
-    monkeypatch.setattr(client_connection, "peer_has_ended", collect)
+    monkeypatch.setattr(client_connection, "is_closed_by_remote", collect)
     return polled
 
 
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -127,7 +127,7 @@
             self.depth -= 1
 
         attempt = self.pool.start_attempt(
-            self.chance.choice(sorted(self.up, key=lambda address: address.number)),
+            self.chance.choice(sorted(self.up, key=lambda address: address.id)),
             self.chance.choice([SAFE, SAFE, ONCE]),
             self.chance.choice([0.05, 0.4, 2.0]),
             done,
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -65,7 +65,7 @@
         assert (await Out(pool, endpoint.endpoint).end())[0] is Outcome.OK
 
         def crossed(transport: asyncio.BaseTransport, unknown: bool = True) -> bool:
-            looks.append(look(transport, unknown))
+            looks.append(look(transport, unknown=unknown))
             if len(looks) == 1:
                 [wire] = endpoint.wires
                 {
