--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -9,7 +9,7 @@
 from tests.support.http_messages import http_request, http_response
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import StandInEndpoint
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, wait_until
 
 
 async def test_connections_in_the_accept_queue_are_served_after_listening_ends() -> None:
@@ -39,7 +39,7 @@
         if not fresh:
             client.send(http_request(request_id="r1"))
             await wait_until(lambda: len(proxy.clients.idle_connections) == 1)
-        clock = SteppedClock()
+        clock = FrozenClock()
         clock.advance(1.0)  # neither has just come
         client.send(http_request(request_id="r2"))
         proxy.listener.close_idle_connections()
@@ -55,7 +55,7 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        clock, client, silent = SteppedClock(), Client(proxy), Client(proxy)
+        clock, client, silent = FrozenClock(), Client(proxy), Client(proxy)
         proxy.listener.stop_listening()
         proxy.listener.close_idle_connections()
         await wait_until(lambda: len(proxy.clients.open_connections) == 2)
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -19,7 +19,7 @@
 )
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
+from tests.support.stepped_clock import FrozenClock, run_loop_turns, wait_until
 
 
 @pytest.mark.parametrize("behind", [1, 3])
@@ -159,7 +159,7 @@
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
         narrow(proxy)
-        clock = SteppedClock()
+        clock = FrozenClock()
         reader, writer = await slow_reader(proxy)
         writer.write(http_request(request_id="slow", Connection="close" if last else "keep-alive"))
         await wait_until(
@@ -218,7 +218,7 @@
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        clock, client = SteppedClock(), Client(proxy)
+        clock, client = FrozenClock(), Client(proxy)
         connection = await idle_connection(proxy, endpoint, client)
         clock.advance(1.0)
         other = await close_idle_connection(proxy, connection, how)
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -20,7 +20,7 @@
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
-from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
+from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 
 
 class Turns:
@@ -232,7 +232,7 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        clock = SteppedClock()
+        clock = FrozenClock()
         for _ in range(2):  # a second spell is told of again
             caplog.clear()
             client = Client(proxy)
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -18,7 +18,7 @@
 from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import SilentEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
+from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 from tests.support.upstream_helpers import ids
 
 WAYS = ["FIN", "half", "RST"]
@@ -187,7 +187,7 @@
         running_proxy(endpoint_entry("b", endpoint.port), settings=limits(cancel)) as proxy,
     ):
         proxy.listener._sweep_timer.cancel()
-        gate, clock = ConnectGate(proxy.pool), SteppedClock()
+        gate, clock = ConnectGate(proxy.pool), FrozenClock()
         if where != "connecting":
             gate.opened.set()
         crowd = await fill_endpoint(proxy) if where == "held" else []
@@ -241,7 +241,7 @@
     """An idle connection costs nothing, nor does one with a request open that is read."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        clock, idle, busy = SteppedClock(), Client(proxy), Client(proxy)
+        clock, idle, busy = FrozenClock(), Client(proxy), Client(proxy)
         busy.send(http_request(request_id="busy"))
         await wait_until(lambda: len(endpoint.received) == 1 and len(proxy.clients.open_connections) == 2)
         polled_transports.clear()
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -18,7 +18,7 @@
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, run_loop_turns, wait_until
 
 
 async def test_attempt_is_cancelled_when_its_client_disconnects() -> None:
@@ -100,15 +100,16 @@
     """Its end shows though it stands behind more bytes than are taken in ahead of their turn."""
     if paused:
         monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
-    clock, delayed = SteppedClock(), DelayedEndpoint()
+    clock, delayed = FrozenClock(), DelayedEndpoint()
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
         StandInServer(delayed.handle) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port), settings=settings(limits=limits)) as proxy,
     ):
         _, writer = await proxy.connect()
-        # Read in more than one go, so that the pause holds some of it back.
-        body = b"x" * 60_000
+        # Read in more than one go, so that the pause holds some of it back; the rest and the end of the
+        # stream fit into the system's receive buffer, so that the end can be seen.
+        body = b"x" * 12_000
         writer.write(
             b"".join(http_request("mark", request_id=f"r{number}", body=body) for number in range(6))
         )
@@ -118,8 +119,10 @@
         writer.close()
         for _ in range(100):
             await asyncio.sleep(0)
-        clock.advance(client_limits.SWEEP_INTERVAL_S)
-        await wait_until(lambda: proxy.driver.is_idle)
+        while not proxy.driver.is_idle:
+            clock.advance(client_limits.PRESENCE_POLL_INTERVAL_S)
+            await run_loop_turns()
+        assert clock.advanced_s < 1.0  # the request's deadline has not ended it
         delayed.may_respond.set()
         await wait_until(
             lambda: not proxy.driver.requests.attempts.in_flight and not proxy.clients.open_connections
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -15,7 +15,7 @@
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
-from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
+from tests.support.stepped_clock import FrozenClock, run_loop_turns, wait_until
 
 DUE_S = 3.0  # after its connect such a peer has got an error or a close
 LATE_S = 0.15  # of this, kept for an event loop that is late
@@ -125,7 +125,7 @@
         StandInEndpoint(http_response(200)) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        clock, client, gave = SteppedClock(), Client(proxy), STILL[kind]()
+        clock, client, gave = FrozenClock(), Client(proxy), STILL[kind]()
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         while proxy.clients.open_connections and clock.advanced_s <= DUE_S - LATE_S:
             with contextlib.suppress(ConnectionError):
@@ -154,7 +154,7 @@
         StandInEndpoint(http_response(200)) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        clock = SteppedClock()
+        clock = FrozenClock()
         reader, writer = await proxy.connect()
         sent = head + (b"4000000\r\n" if head is CHUNKED else b"")
         got = asyncio.create_task(read_http_message(reader))
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -27,7 +27,7 @@
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
+from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 
 REASONS = {"time": 408, "room": 503, "exit": 503}
 
@@ -80,7 +80,7 @@
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        clock, client = SteppedClock(), Client(proxy)
+        clock, client = FrozenClock(), Client(proxy)
         connection = await came(proxy, client, STOPS[stop])
         newcomer = await close_for(reason, proxy, clock, connection)
         with contextlib.suppress(ConnectionError):
--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -13,7 +13,7 @@
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, wait_until
 
 
 def record_times_left(proxy: LoopbackProxy, monkeypatch: pytest.MonkeyPatch) -> list[float]:
@@ -33,7 +33,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """However long it waited behind others, and whenever these came."""
-    clock, delayed = SteppedClock(), DelayedEndpoint()
+    clock, delayed = FrozenClock(), DelayedEndpoint()
     async with (
         StandInServer(delayed.handle) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
--- a/tests/net/client/test_request_forwarding.py
+++ b/tests/net/client/test_request_forwarding.py
@@ -19,7 +19,7 @@
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import StandInEndpoint
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, SteppedClock, wait_until
 
 
 async def test_request_is_forwarded_complete_and_its_response_returned() -> None:
@@ -143,7 +143,7 @@
     """Return what makes the stepped clock of the running loop, which the policy's clock follows as well."""
 
     def make() -> SteppedClock:
-        clock, now_us = SteppedClock(), Clock.now_us
+        clock, now_us = FrozenClock(), Clock.now_us
         monkeypatch.setattr(Clock, "now_us", lambda self: now_us(self) + round(clock.advanced_s * 1e6))
         return clock
 
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -23,7 +23,7 @@
 )
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
-from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
+from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 
 DUE_S = 3.0  # from its connect, or from the first byte of a later request, to an error or a close
 LATE_S = 0.15  # the event loop is late by so much, as it takes a client in and whenever it checks it
@@ -101,7 +101,7 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        clock, client = SteppedClock(), Client(proxy)
+        clock, client = FrozenClock(), Client(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         late = Late(proxy.listener, clock)
         opened = await serve_first_request(client, clock) if when == "after a good one" else None
@@ -164,13 +164,13 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        clock, client = SteppedClock(), Client(proxy)
+        clock, client = FrozenClock(), Client(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         late = Late(proxy.listener, clock)
         began = clock.advanced_s - LATE_S
         [connection] = proxy.clients.open_connections
         send_at_each_check(client, connection, DRIBBLES[kind]())
-        clock.advance(first_sweep_s)
+        clock.advance(first_sweep_s + 0.001)  # no check comes just as a time limit ends
         while proxy.clients.open_connections:
             await late.sweep()
             if connection._has_final_check:
@@ -189,7 +189,7 @@
     """It is with the system as the time of its connection is over."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        clock, client = SteppedClock(), Client(proxy)
+        clock, client = FrozenClock(), Client(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         late = Late(proxy.listener, clock)
         [connection] = proxy.clients.open_connections
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -21,7 +21,7 @@
 from tests.support.http_messages import http_chunk, http_response
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import StandInServer, StreamHandler
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, SteppedClock, wait_until
 
 
 async def ask(reader: asyncio.StreamReader) -> str:
@@ -152,9 +152,10 @@
         writer.write(endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9))))
         await reader.read()  # and says nothing more
 
-    clock = SteppedClock()
+    clock = FrozenClock()
     async with StandInServer(handle) as discovery:
         watched = Watched(discovery, silence_s=60.0)
+        await step_until(clock, lambda: not watched.news.empty())  # reading pauses for a moment
         assert await watched.news.get() is not None
         clock.advance(61.0)
         assert await watched.news.get() is None
@@ -180,7 +181,7 @@
         )
         await reader.read()
 
-    clock = SteppedClock()
+    clock = FrozenClock()
     async with StandInServer(handle) as discovery:
         watched = Watched(discovery, silence_s=60.0)
         assert await watched.news.get() is not None
@@ -252,7 +253,7 @@
 ) -> None:
     """What it misses counts as told 6 s after it fell silent."""
 
-    clock = SteppedClock()
+    clock = FrozenClock()
     setup = settings(must_subscribe=must_subscribe)
     async with (
         StandInServer(silent_watches(*silent)) as discovery,
@@ -269,7 +270,7 @@
 ) -> None:
     """After SIGHUP whatever discovery has to tell counts as told 4 s later."""
 
-    clock = SteppedClock()
+    clock = FrozenClock()
     setup = settings(must_subscribe=must_subscribe)
     async with (
         StandInServer(silent_watches()) as old,
@@ -294,7 +295,7 @@
         )
         await reader.read()
 
-    asked, turn, clock = asyncio.Event(), asyncio.Event(), SteppedClock()
+    asked, turn, clock = asyncio.Event(), asyncio.Event(), FrozenClock()
     async with (
         StandInServer(handle) as discovery,
         running_proxy(discovery_port=discovery.port, settings=settings(must_subscribe=True)) as proxy,
--- a/tests/net/discovery/versioned_discovery.py
+++ b/tests/net/discovery/versioned_discovery.py
@@ -21,7 +21,7 @@
 from tests.support.http_messages import http_chunk
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInServer
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import FrozenClock, SteppedClock
 
 STEP_S = 0.05
 
@@ -106,8 +106,8 @@
 @contextmanager
 def one_clock(clock: SteppedClock, proxy: LoopbackProxy) -> Iterator[None]:
     """The module's clock goes with the event loop's."""
-    real = proxy.driver.clock.now_us
-    proxy.driver.clock.now_us = lambda: real() + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
+    started_at_us = proxy.driver.clock.now_us()
+    proxy.driver.clock.now_us = lambda: started_at_us + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
     yield
 
 
@@ -131,7 +131,7 @@
 
 @asynccontextmanager
 async def play(setup: messages.Settings, *known: dict[str, object]) -> AsyncIterator[Play]:
-    clock, a, b = SteppedClock(), Versions("a", 1), Versions("b", 3)
+    clock, a, b = FrozenClock(), Versions("a", 1), Versions("b", 3)
     if known:
         a.rev = 2
     async with (
--- a/tests/net/test_repeated_log_lines.py
+++ b/tests/net/test_repeated_log_lines.py
@@ -17,7 +17,7 @@
 )
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.loopback_proxy import running_proxy
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import FrozenClock
 
 
 async def test_changes_of_a_long_list_are_logged_in_few_lines(caplog: pytest.LogCaptureFixture) -> None:
@@ -28,7 +28,7 @@
         caplog.clear()
         return found
 
-    clock = SteppedClock()
+    clock = FrozenClock()
     async with running_proxy() as p:
         p.driver.endpoint_list.receive(
             read_list(endpoint_list(*(endpoint_entry(f"s-{n}", 9) for n in range(500))))
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -12,7 +12,7 @@
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response
 from tests.support.loopback_proxy import running_proxy
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, wait_until
 from tests.support.upstream_helpers import HEAD, OK, Out, Wire, bare, read, says
 
 __all__ = ["read"]  # a fixture
@@ -104,7 +104,7 @@
 
 
 async def test_close_delimited_response_without_an_end_times_out(read: bytearray) -> None:
-    clock = SteppedClock()
+    clock = FrozenClock()
     async with bare(says(HEAD + b"all of it")) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
         out = Out(pool, endpoint.endpoint)
@@ -120,7 +120,7 @@
     """Only the answer itself has to come whole soon after its first byte, as the work is done by then."""
     interim, good = b"HTTP/1.1 103 x\r\n\r\n", http_response(200, b"ok")
 
-    clock = SteppedClock()
+    clock = FrozenClock()
     async with bare(says(interim[:cut])) as endpoint:
         pool = ConnectionPool(0.25, 30.0, 10)
         out = Out(pool, endpoint.endpoint)
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -28,7 +28,7 @@
 from load_balancer.net.upstream.waiting_attempts import WaitingAttempt
 from tests.support.http_messages import http_response, read_http_message
 from tests.support.stand_in_server import StandInServer
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import FrozenClock
 
 SAFE = UpstreamRequest(b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True)
 ONCE = replace(SAFE, is_idempotent=False)
@@ -67,7 +67,7 @@
     """Attempts on two backends, and what chance does to them."""
 
     def __init__(self, chance: random.Random, ports: list[int]) -> None:
-        self.chance, self.clock = chance, SteppedClock()
+        self.chance, self.clock = chance, FrozenClock()
         self.pool = ConnectionPool(0.25, 3.0, chance.choice([3, 8, 30]))
         for _ in range(chance.choice([0, 32])):
             self.pool.pacing.latency.add(0.001 if chance.random() < 0.6 else chance.random())
@@ -220,7 +220,7 @@
     looks = 0
 
     async with fickle(random.Random(0)) as stand_in:
-        pool, clock = ConnectionPool(1.0, 30.0, 10), SteppedClock()
+        pool, clock = ConnectionPool(1.0, 30.0, 10), FrozenClock()
         for _ in range(32):
             pool.pacing.latency.add(0.0001)
 
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -14,7 +14,7 @@
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response
 from tests.support.loopback_proxy import running_proxy
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, wait_until
 from tests.support.upstream_helpers import KINDS, Out, Wire, bare, says
 
 
@@ -93,7 +93,7 @@
         wire.say(http_response(200, b"%d" % len(endpoint.received)))
 
     async with bare(handle) as endpoint:
-        pool, clock = ConnectionPool(0.25, 3000.0, 10), SteppedClock()
+        pool, clock = ConnectionPool(0.25, 3000.0, 10), FrozenClock()
         for number in (b"1", b"2", b"3"):
             how, reply = await Out(pool, endpoint.endpoint).end()
             assert how is Outcome.OK
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -14,7 +14,7 @@
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response
 from tests.support.loopback_proxy import running_proxy
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, wait_until
 from tests.support.upstream_helpers import KINDS, OK, ONCE, REQUEST, Bare, Held, Out, Wire, bare, says
 
 
@@ -66,7 +66,7 @@
 async def test_connection_established_after_its_attempt_carries_no_request(
     how: str, request_: UpstreamRequest
 ) -> None:
-    clock = SteppedClock()
+    clock = FrozenClock()
     async with bare(says(http_response(200, b"ok"))) as endpoint:
         pool, held = ConnectionPool(0.25, 30.0, 10), Held()
         out = Out(pool, endpoint.endpoint, request_, timeout_s=0.2 if how == "time out" else 60.0)
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -14,7 +14,7 @@
 from tests.support.connect_gates import ConnectGate
 from tests.support.http_messages import http_response, read_http_message
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, wait_until
 from tests.support.upstream_helpers import ONCE, attempt
 
 
@@ -141,7 +141,7 @@
 async def test_deadline_header_holds_the_time_remaining_when_the_request_is_written() -> None:
     """A connection may come up long after the decision to send."""
 
-    clock = SteppedClock()
+    clock = FrozenClock()
     async with StandInEndpoint(http_response(200, b"ok")) as endpoint:
         pool = ConnectionPool(60.0, 30.0, 10)
         gate = ConnectGate(pool)
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -25,7 +25,7 @@
 from tests.support.http_messages import StreamPair, http_chunk, http_request, http_response, read_http_message
 from tests.support.proxy_process import LIMITS, config, free_port, process, raw_settings, write
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import FrozenClock, SteppedClock
 
 READY_S = 10.0  # by the terms, for nine in ten
 STEP_S = 0.05
@@ -150,7 +150,7 @@
 async def attended(folder: Path, port: int, told: dict[str, Any]) -> AsyncIterator[SteppedClock]:
     """A proxy in this process, as it starts, on a stepped clock."""
     source = ConfigSource(write(folder, {**told, "listen": f"127.0.0.1:{port}"}))
-    clock = SteppedClock()
+    clock = FrozenClock()
     attending = asyncio.ensure_future(serve_until_stopped(source.read(), source))
     await asyncio.sleep(0)
     try:
--- a/tests/support/discovery_helpers.py
+++ b/tests/support/discovery_helpers.py
@@ -19,7 +19,7 @@
 )
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInServer
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import FrozenClock, SteppedClock
 
 LIST_DEADLINE_S, TURN_S = 6.0, 2.0  # by the protocol
 STEP_S = 0.02
@@ -72,13 +72,13 @@
 @asynccontextmanager
 async def watched(setup: messages.Settings) -> AsyncIterator[tuple[Discovery, LoopbackProxy, SteppedClock]]:
     """A proxy on a discovery, on one stepped clock: the event loop's and the module's."""
-    clock = SteppedClock()
+    clock = FrozenClock()
     discovery = Discovery(clock)
     async with StandInServer(discovery.handle) as d:
         discovery.peer = d
         async with running_proxy(settings=setup, discovery_port=d.port) as p:
-            real = p.driver.clock.now_us
-            p.driver.clock.now_us = lambda: real() + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
+            started_at_us = p.driver.clock.now_us()
+            p.driver.clock.now_us = lambda: started_at_us + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
             p.driver.balancer.subscription.jitter.uniform = lambda a, b: b  # type: ignore[method-assign]
             yield discovery, p, clock
 
--- a/tests/support/stepped_clock.py
+++ b/tests/support/stepped_clock.py
@@ -20,6 +20,16 @@
         self.advanced_s += seconds
 
 
+class FrozenClock(SteppedClock):
+    """A stepped clock for which real time does not count: the same on a busy machine as on an idle one."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        loop = asyncio.get_running_loop()
+        frozen_at_s = loop.time()
+        loop.time = lambda: frozen_at_s + self.advanced_s  # type: ignore[method-assign]
+
+
 async def wait_until(condition: Callable[[], bool]) -> None:
     """Let the event loop run until the condition holds; the test's bound in time is the only limit."""
     while not condition():
