--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.time_limit import limited
 
 
@@ -16,3 +17,17 @@
     if isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.obj):
         item.obj = limited(item.obj)
     return (yield)
+
+
+@pytest.fixture
+def bytes_from_endpoints(monkeypatch: pytest.MonkeyPatch) -> bytearray:
+    """All that the proxy has read from endpoints so far."""
+    read = bytearray()
+    data_received = UpstreamConnection.data_received
+
+    def record_and_receive(connection: UpstreamConnection, data: bytes) -> None:
+        read.extend(data)
+        data_received(connection, data)
+
+    monkeypatch.setattr(UpstreamConnection, "data_received", record_and_receive)
+    return read
--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -17,11 +17,11 @@
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.balancer_harness import settings
-from tests.support.client_helpers import Client, narrow, slow_reader
-from tests.support.connect_gates import ConnectGate
+from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
+from tests.support.socket_client import SocketClient, connect_paused_client
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock, wait_until
 
@@ -515,13 +515,13 @@
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
     ):
-        gate = ConnectGate(p.pool)
+        gate = ConnectGates(p.pool)
         _, writer = await p.connect()
         writer.write(http_request(kind))
-        await wait_until(lambda: gate.waiting_count == 1)
+        await wait_until(lambda: gate.started_count == 1)
         writer.close()
         await wait_until(lambda: p.driver.is_idle)
-        gate.opened.set()
+        gate.open_all()
         await wait_until(lambda: not p.driver.requests.attempts.in_flight)
         assert b.received == []
         assert b.connection_count == 0
@@ -535,8 +535,8 @@
         StandInEndpoint(http_response(200, b"x" * size)) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
     ):
-        narrow(p)
-        reader, writer = await slow_reader(p)
+        p.limit_send_buffers()
+        reader, writer = await connect_paused_client(p)
         writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
         await wait_until(lambda: bool(p.clients.open_connections))
         [connection] = p.clients.open_connections
@@ -560,8 +560,8 @@
         StandInEndpoint(http_response(200, b"x" * 65_536)) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
     ):
-        narrow(p)
-        _, writer = await slow_reader(p)
+        p.limit_send_buffers()
+        _, writer = await connect_paused_client(p)
         writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
         await wait_until(lambda: bool(p.clients.open_connections))
         [connection] = p.clients.open_connections
@@ -643,7 +643,7 @@
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
     ):
-        client = Client(p)
+        client = SocketClient(p)
         await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         if not fresh:
@@ -651,7 +651,7 @@
             await wait_until(lambda: connection in p.clients.idle_connections)
         client.send(http_request(request_id="r2"))
         connection.check_time_limits(p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
-        assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
+        assert await client.read_statuses(1 if fresh else 2) == ([200] if fresh else [200, 200])
 
 
 @pytest.mark.parametrize(("kind", "kept"), [("pay", 0), ("mark", 1), ("read", 1)])
--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -7,10 +7,10 @@
 import pytest
 
 from load_balancer.net.client.client_connection import ClientConnection
-from tests.support.client_helpers import Client
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import wait_until
 
@@ -91,7 +91,7 @@
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("s-1", b.port), max_connections=1) as p,
     ):
-        client = Client(p)
+        client = SocketClient(p)
         await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         if not fresh:
@@ -105,7 +105,7 @@
 
         monkeypatch.setattr(p.clients, "add", crossed)
         assert response_status(await p.send_request(http_request(request_id="r3"))) == 503
-        assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
+        assert await client.read_statuses(1 if fresh else 2) == ([200] if fresh else [200, 200])
 
 
 async def test_connection_is_evicted_when_its_client_has_just_disconnected(
@@ -117,7 +117,7 @@
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("s-1", b.port), max_connections=1) as p,
     ):
-        client = Client(p)
+        client = SocketClient(p)
         await wait_until(lambda: len(p.clients.open_connections) == 1)
         add = p.clients.add
 
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -8,7 +8,6 @@
 
 from load_balancer.net.client import client_limits
 from load_balancer.net.client.client_connection import ClientConnection
-from tests.support.client_helpers import Client, attempt_connection, narrow, slow_reader, streams
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import (
     closes_connection,
@@ -18,6 +17,7 @@
     response_status,
 )
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.socket_client import SocketClient, connect_paused_client
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
@@ -28,7 +28,7 @@
     """Only the last answer ends the connection, be what follows read or still with the system."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        client = Client(p)
+        client = SocketClient(p)
         client.send(http_request(request_id="r0"))
         await wait_until(lambda: len(b.received) == 1)
         p.listener.close_idle_connections()
@@ -39,8 +39,8 @@
         for n in range(1 + behind):
             await wait_until(lambda n=n: len(b.received) == n + 1)  # type: ignore[misc]
             assert not p.listener.is_drained
-            attempt_connection(p).data_received(http_response(200, b"%d" % n))
-        reader, writer = await streams(client)
+            p.oldest_attempt_connection().data_received(http_response(200, b"%d" % n))
+        reader, writer = await client.streams()
         got = [await read_http_message(reader) for _ in range(1 + behind)]
         assert [g[2] for g in got] == [b"%d" % n for n in range(1 + behind)]
         assert [closes_connection(g) for g in got] == [False] * behind + [True]
@@ -51,20 +51,20 @@
 
 async def test_each_request_on_a_surplus_connection_is_answered_503() -> None:
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=1) as p:
-        busy, surplus = Client(p), Client(p)
+        busy, surplus = SocketClient(p), SocketClient(p)
         busy.send(http_request(request_id="busy"))
         await wait_until(lambda: len(b.received) == 1)
         surplus.send(
             http_request(request_id="r1") + http_request(request_id="r2") + http_request(request_id="r3")
         )
-        reader, writer = await streams(surplus)
+        reader, writer = await surplus.streams()
         got = [await read_http_message(reader) for _ in range(3)]
         assert [response_status(g) for g in got] == [503] * 3
         assert [closes_connection(g) for g in got] == [False, False, True]
         assert await reader.read() == b""
         writer.close()
         assert len(b.received) == 1
-        busy.leave("FIN")
+        busy.disconnect("FIN")
         await wait_until(lambda: not p.clients.open_connections)
 
 
@@ -73,11 +73,11 @@
     """The connection is shut by then; it is read on only so that its end resets nothing."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=1) as p:
-        busy = Client(p)
+        busy = SocketClient(p)
         if why == "surplus":
             busy.send(http_request(request_id="busy"))
             await wait_until(lambda: len(b.received) == 1)
-        client = busy if why != "surplus" else Client(p)
+        client = busy if why != "surplus" else SocketClient(p)
         first = {"asked": http_request(Connection="close"), "bad": http_request(request_id="")}.get(
             why, http_request()
         )
@@ -85,14 +85,14 @@
         if why in ("closing", "asked"):
             await wait_until(lambda: len(b.received) == 1)
             p.clients.is_draining = why == "closing"
-            attempt_connection(p).data_received(http_response(200, b"x"))
+            p.oldest_attempt_connection().data_received(http_response(200, b"x"))
         [connection] = [c for c in await shut(p) if c._is_lingering]
         sent = len(b.received)
         client.send(http_request(request_id="late1"))
         await run_loop_turns()
         client.send(http_request(request_id="late2") + http_request(request_id="late3"))
         await run_loop_turns()
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         got = await read_http_message(reader)
         assert response_status(got) == {"surplus": 503, "bad": 400}.get(why, 200)
         assert closes_connection(got)
@@ -119,8 +119,8 @@
         StandInEndpoint(http_response(200, b"x" * 65_536)) as b,
         running_proxy(endpoint_entry("b", b.port), max_connections=1) as p,
     ):
-        narrow(p)
-        reader, writer = await slow_reader(p)
+        p.limit_send_buffers()
+        reader, writer = await connect_paused_client(p)
         writer.write(http_request(request_id="slow", Connection="close" if last else "keep-alive"))
         await wait_until(lambda: any(c.is_writing for c in p.clients.open_connections))
         assert response_status(await p.send_request(http_request(request_id="new"))) == 503
@@ -138,9 +138,9 @@
         StandInEndpoint(http_response(200, b"x" * 65_536)) as b,
         running_proxy(endpoint_entry("b", b.port)) as p,
     ):
-        narrow(p)
+        p.limit_send_buffers()
         clock = SteppedClock()
-        reader, writer = await slow_reader(p)
+        reader, writer = await connect_paused_client(p)
         writer.write(http_request(request_id="slow", Connection="close" if last else "keep-alive"))
         await wait_until(lambda: any(c.is_writing for c in p.clients.open_connections))
         [connection] = p.clients.open_connections
@@ -169,10 +169,10 @@
     """It comes after the last look at the connection: the client sends it once more on a new one."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=1) as p:
-        clock, client = SteppedClock(), Client(p)
+        clock, client = SteppedClock(), SocketClient(p)
         client.send(http_request(request_id="first"))
         await wait_until(lambda: len(b.received) == 1)
-        attempt_connection(p).data_received(http_response(200, b"first"))
+        p.oldest_attempt_connection().data_received(http_response(200, b"first"))
         await wait_until(lambda: bool(p.clients.idle_connections))
         [connection] = p.clients.open_connections
         clock.advance(1.0)
@@ -181,7 +181,7 @@
         elif how == "end":
             p.listener.close_idle_connections()
         else:
-            other = Client(p)
+            other = SocketClient(p)
             await wait_until(lambda: connection.transport.is_closing())
         assert connection.transport.is_closing()
         if later:
@@ -190,7 +190,7 @@
             client.send(http_request(request_id="crossing"))
             client.send(http_request(request_id="another"))
         await run_loop_turns()
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         assert (await read_http_message(reader))[2] == b"first"  # it was not taken along
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
@@ -198,7 +198,7 @@
         assert len(b.received) == 1
         assert p.driver.is_idle
         if how == "room":
-            other.leave("FIN")
+            other.disconnect("FIN")
         await wait_until(lambda: not p.clients.open_connections)
 
 
@@ -247,14 +247,14 @@
     """Also where the rest comes only while the first one is open."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        client = Client(p)
+        client = SocketClient(p)
         client.send(b"".join(sent) if whole else sent[0])
         for n in range(on):
             await wait_until(lambda n=n: len(b.received) == n + 1)  # type: ignore[misc]
             if n == 0 and not whole:
                 client.send(b"".join(sent[1:]))
-            attempt_connection(p).data_received(http_response(200, b"%d" % n))
-        reader, writer = await streams(client)
+            p.oldest_attempt_connection().data_received(http_response(200, b"%d" % n))
+        reader, writer = await client.streams()
         got = [await read_http_message(reader) for _ in statuses]
         assert [response_status(g) for g in got] == statuses
         await run_loop_turns()
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -15,10 +15,10 @@
 from load_balancer.net import repeated_log_lines
 from load_balancer.net.client import client_limits
 from load_balancer.process.descriptor_limits import RESERVED_DESCRIPTORS
-from tests.support.client_helpers import Client, streams
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
@@ -71,13 +71,13 @@
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("b", b.port)) as p,
     ):
-        client = Client(p)
+        client = SocketClient(p)
         await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         events, answered = Turns(), Turns()
         counted(monkeypatch, connection._http, "next_event", events)
         counted(monkeypatch, connection, "_respond", answered)
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         writer.write(sent)
         got = [response_status(await read_http_message(reader)) for _ in range(answers)]
         assert set(got) <= {200, 502, 503}
@@ -128,7 +128,7 @@
     ):
         with monkeypatch.context() as patch:
             patch.setattr(p.listener, "_listening_socket", Broken(p.listener._listening_socket))
-            clients = [Client(p) for _ in range(40)]
+            clients = [SocketClient(p) for _ in range(40)]
             for client in clients:
                 client.socket.setblocking(False)
                 assert await p.listener.loop.sock_recv(client.socket, 1) == b""
@@ -155,7 +155,7 @@
             return admit(connection)
 
         monkeypatch.setattr(p.listener, "_admit", listen)
-        clients = [Client(p) for _ in range(400)]
+        clients = [SocketClient(p) for _ in range(400)]
         for n, client in enumerate(clients):
             client.send(KINDS[kind] if kind != "open" else http_request(request_id=f"r{n}"))
         most = 0
@@ -173,7 +173,7 @@
             ready, _, _ = await p.send_request(http_request(path="/ready"))
             assert ready.split()[1] == "200"
         for client in clients:
-            client.leave("RST")
+            client.disconnect("RST")
         await wait_until(lambda: not p.clients.open_connections)
         await run_loop_turns()
         assert p.clients.descriptor_count == 0
@@ -210,7 +210,7 @@
         clock = SteppedClock()
         for _ in range(2):  # a second spell is told of again
             caplog.clear()
-            met, client = Turns(), Client(p)
+            met, client = Turns(), SocketClient(p)
             with pytest.MonkeyPatch.context() as patch, no_descriptors():
                 counted(patch, p.listener._descriptor_faults, "record", met)
                 for n in range(30):
@@ -219,7 +219,7 @@
             met.stop()
             assert lines() == ["no descriptor for a connection: [Errno 24] Too many open files"]
             client.send(http_request(path="/ready"))
-            reader, writer = await streams(client)
+            reader, writer = await client.streams()
             assert response_status(await read_http_message(reader)) == 200
             clock.advance(repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
             await wait_until(lambda: len(lines()) > 1)
@@ -243,7 +243,7 @@
 
         with monkeypatch.context() as patch:
             patch.setattr(p.listener.loop, "connect_accepted_socket", fails)
-            clients = [Client(p) for _ in range(100)]
+            clients = [SocketClient(p) for _ in range(100)]
             for client in clients:
                 client.socket.setblocking(False)
                 with contextlib.suppress(ConnectionError):
@@ -260,7 +260,7 @@
     callers = 40
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        clients = [Client(p) for _ in range(callers)]
+        clients = [SocketClient(p) for _ in range(callers)]
         await wait_until(lambda: len(p.clients.open_connections) == callers)
         for n, client in enumerate(clients):  # all of it before any is read
             client.socket.setblocking(False)
@@ -274,7 +274,7 @@
         assert 100_000 < p.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
         assert p.clients.buffered.size_bytes == sum(c._http.received.size_bytes for c in connections)
         for client in clients:
-            client.leave("RST")
+            client.disconnect("RST")
         await wait_until(lambda: not p.clients.open_connections)
         assert p.clients.buffered.size_bytes == 0
 
@@ -286,18 +286,18 @@
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("b", b.port), max_connections=1) as p,
     ):
-        client = Client(p)
+        client = SocketClient(p)
         await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         client.send(chunks(2_500))  # in one read, and in 25 turns
         await wait_until(lambda: connection._is_processing_scheduled)
-        other = Client(p)
+        other = SocketClient(p)
         other.send(http_request(request_id="other"))
         await wait_until(lambda: len(p.clients.open_connections) == 2)
         assert connection._is_processing_scheduled
         assert connection in p.clients.unused_connections
         for one, expected in ((client, 200), (other, 503)):
-            reader, writer = await streams(one)
+            reader, writer = await one.streams()
             assert response_status(await read_http_message(reader)) == expected
             writer.close()
         assert [headers["req-id"] for _, headers, _ in b.received] == ["chunks"]
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -12,11 +12,11 @@
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.upstream import idle_connections
 from tests.support.balancer_harness import settings
-from tests.support.client_helpers import Client, attempt_connection, narrow
-from tests.support.connect_gates import ConnectGate
+from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint
 from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
@@ -48,11 +48,11 @@
         SilentEndpoint() as b,
         running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
-        client = Client(p)
+        client = SocketClient(p)
         client.send(http_request())
         await wait_until(lambda: len(a.received) + len(b.received) == 1)
-        failing = attempt_connection(p)
-        client.leave(way)
+        failing = p.oldest_attempt_connection()
+        client.disconnect(way)
         failing.data_received(FAILURE)
         assert not p.driver.requests.attempts.in_flight
         assert p.driver.is_idle
@@ -70,10 +70,10 @@
         SilentEndpoint() as b,
         running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
-        client = Client(p)
+        client = SocketClient(p)
         client.send(http_request())
         await wait_until(lambda: len(a.received) + len(b.received) == 1)
-        attempt_connection(p).data_received(FAILURE)
+        p.oldest_attempt_connection().data_received(FAILURE)
         await wait_until(lambda: len(a.received) + len(b.received) == 2)
         client.socket.close()
 
@@ -90,21 +90,21 @@
         SilentEndpoint() as b,
         running_proxy(endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
-        clients: list[Client] = []
+        clients: list[SocketClient] = []
         while not p.driver.balancer.requests.queue:
-            clients.append(Client(p))
+            clients.append(SocketClient(p))
             clients[-1].send(http_request(request_id=f"r{len(clients)}"))
             await wait_until(lambda: len(p.driver.balancer.requests.requests) == len(clients))
         sent = len(clients) - 1
         await wait_until(lambda: len(b.received) == sent)
-        clients[-1].leave(way)
-        attempt_connection(p).data_received(http_response(200, b"x"))
+        clients[-1].disconnect(way)
+        p.oldest_attempt_connection().data_received(http_response(200, b"x"))
         assert not p.driver.balancer.requests.queue  # its turn came
         await wait_until(lambda: len(p.clients.open_connections) == sent)
         await run_loop_turns()
         assert len(b.received) == sent == len(p.driver.balancer.requests.in_flight) + 1
         for client in clients[:-1]:
-            client.leave("FIN")
+            client.disconnect("FIN")
         await wait_until(lambda: not p.clients.open_connections)
         if cancel:
             assert nothing_left(p)
@@ -114,7 +114,7 @@
 WHERE = ["held", "connecting", "out"]
 
 
-async def begin(p: LoopbackProxy, client: Client, paused: bool) -> ClientConnection:
+async def begin(p: LoopbackProxy, client: SocketClient, paused: bool) -> ClientConnection:
     """The client's request, and where it pauses so much behind it that the proxy ceases to read."""
     before = set(p.clients.open_connections)
     client.socket.setblocking(False)
@@ -148,28 +148,28 @@
         running_proxy(endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
         p.listener._sweep_timer.cancel()
-        gate, clock = ConnectGate(p.pool), SteppedClock()
-        crowd: list[Client] = []
+        gate, clock = ConnectGates(p.pool), SteppedClock()
+        crowd: list[SocketClient] = []
         if where != "connecting":
-            gate.opened.set()
+            gate.open_all()
         if where == "held":
             while not p.driver.balancer.requests.queue:
-                crowd.append(Client(p))
+                crowd.append(SocketClient(p))
                 crowd[-1].send(http_request(request_id=f"c{len(crowd)}"))
                 await wait_until(lambda: len(p.driver.balancer.requests.requests) == len(crowd))
-            crowd.pop().leave("FIN")
+            crowd.pop().disconnect("FIN")
             await wait_until(lambda: not p.driver.balancer.requests.queue)
-        client = Client(p)
+        client = SocketClient(p)
         connection = await begin(p, client, paused)
         if where == "connecting":
-            await wait_until(lambda: gate.waiting_count == 1)
+            await wait_until(lambda: gate.started_count == 1)
         elif where == "out":
             await wait_until(lambda: len(b.received) == 1)
         else:
             assert p.driver.balancer.requests.queue
         key = connection._request_key
         assert key is not None
-        client.leave(way)
+        client.disconnect(way)
         await run_loop_turns()
         if paused:  # the event loop does not see it
             assert connection in p.clients.open_connections
@@ -177,7 +177,7 @@
             await run_loop_turns()
         assert connection not in p.clients.open_connections
         assert key not in p.driver.requests
-        gate.opened.set()
+        gate.open_all()
         for (request, _), attempt in list(p.driver.requests.attempts.in_flight.items()):
             assert attempt.connection is not None
             attempt.connection.data_received(FAILURE if request == key else http_response(200, b"x"))
@@ -186,7 +186,7 @@
         assert mine == (["r0"] if where == "out" else [])
         assert not p.clients.paused_connections
         for other in crowd:
-            other.leave("FIN")
+            other.disconnect("FIN")
         await wait_until(lambda: not p.clients.open_connections)
 
 
@@ -203,7 +203,7 @@
     monkeypatch.setattr(client_connection, "peer_has_ended", counted)
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        clock, idle, busy = SteppedClock(), Client(p), Client(p)
+        clock, idle, busy = SteppedClock(), SocketClient(p), SocketClient(p)
         busy.send(http_request(request_id="busy"))
         await wait_until(lambda: len(b.received) == 1 and len(p.clients.open_connections) == 2)
         asked.clear()
@@ -212,7 +212,7 @@
             await run_loop_turns()
         assert not asked
         assert p.clients._presence_timer is None
-        client = Client(p)
+        client = SocketClient(p)
         connection = await begin(p, client, True)
         for _ in range(10):
             clock.advance(0.05)
@@ -222,7 +222,7 @@
         p.driver.end_all_requests()
         await wait_until(lambda: not p.clients.paused_connections)
         for one in (idle, busy, client):
-            one.leave("RST")
+            one.disconnect("RST")
         await wait_until(lambda: not p.clients.open_connections)
         clock.advance(0.05)
         await run_loop_turns()
@@ -239,17 +239,17 @@
         monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        narrow(p)
-        client = Client(p, 4096)
+        p.limit_send_buffers()
+        client = SocketClient(p, 4096)
         connection = await begin(p, client, paused)
         await wait_until(lambda: len(b.received) == 1)
         if not paused:
             client.send(http_request(request_id="behind"))
             await wait_until(lambda: connection._http.received.size_bytes > 0)
-        attempt_connection(p).data_received(http_response(200, b"x" * 65_536))
+        p.oldest_attempt_connection().data_received(http_response(200, b"x" * 65_536))
         assert connection.is_writing
         assert connection._http.has_unparsed_bytes
-        client.leave(way)
+        client.disconnect(way)
         await run_loop_turns()
         if way == "half":  # it may still read, and what goes on then is the answer alone
             client.socket.setblocking(False)
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -13,11 +13,11 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from tests.net.client.test_departed_client_attempts import FAILURE, WAYS, limits, nothing_left
-from tests.support.client_helpers import Client, attempt_connection
-from tests.support.connect_gates import ConnectGate
+from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.loopback_proxy import running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint
 from tests.support.stepped_clock import run_loop_turns, wait_until
 
@@ -79,11 +79,11 @@
             await wait_until(lambda: len(a.received) + len(b.received) == 2)
             for idle in list(p.pool.connections.open):
                 idle.data_received(http_response(200, b"x"))
-        gate = ConnectGate(p.pool)
+        gate = ConnectGates(p.pool)
         if path in ("connection comes up", "further attempt"):
-            gate.opened.set()
-        client = Client(p)
-        hold.meanwhile = lambda: None if way == "stays" else client.leave(way)  # type: ignore[method-assign]
+            gate.open_all()
+        client = SocketClient(p)
+        hold.meanwhile = lambda: None if way == "stays" else client.disconnect(way)  # type: ignore[method-assign]
         hold.armed = path != "further attempt"
         before = len(a.received) + len(b.received)
         await wait_until(lambda: len(p.clients.open_connections) == 1)
@@ -95,16 +95,16 @@
             await wait_until(lambda: len(a.received) + len(b.received) == 1)
             await wait_until(lambda: connection.transport.is_reading() is not paused)
             hold.armed = True
-            attempt_connection(p).data_received(FAILURE)
+            p.oldest_attempt_connection().data_received(FAILURE)
             before = 1
         await wait_until(lambda: hold.held == 1)
         if way == "stays":
             await wait_until(lambda: len(a.received) + len(b.received) == before + 1)
-            client.leave("RST")
+            client.disconnect("RST")
             await wait_until(lambda: not p.clients.open_connections)
             return
         await wait_until(lambda: connection not in p.clients.open_connections)
-        gate.opened.set()
+        gate.open_all()
         await run_loop_turns()
         assert len(a.received) + len(b.received) == before
         assert nothing_left(p)
@@ -118,22 +118,22 @@
     """Two wait for connections to one backend, and the first of them leaves as they come up."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        gate, leaver, stayer = ConnectGate(p.pool), Client(p), Client(p)
+        gate, leaver, stayer = ConnectGates(p.pool), SocketClient(p), SocketClient(p)
         for client, key in ((leaver, "leaves"), (stayer, "stays")):
             client.send(http_request(request_id=key))
             await wait_until(lambda key=key: key.encode() in p.clients.open_request_ids)  # type: ignore[misc]
-        await wait_until(lambda: gate.waiting_count == 2)
+        await wait_until(lambda: gate.started_count == 2)
         came_up = p.pool.queue.connect_succeeded
 
         def leaving(pending: PendingConnect, connection: UpstreamConnection) -> None:
             if len(p.pool.waiting.by_endpoint[pending.endpoint]) == 2:
-                leaver.leave(way)
+                leaver.disconnect(way)
             came_up(pending, connection)
 
         p.pool.queue.connect_succeeded = leaving  # type: ignore[method-assign]
-        gate.opened.set()
+        gate.open_all()
         await wait_until(lambda: bool(b.received))
-        attempt_connection(p).data_received(http_response(200, b"x"))
+        p.oldest_attempt_connection().data_received(http_response(200, b"x"))
         stayer.socket.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=stayer.socket)
         assert (await read_http_message(reader))[2] == b"x"
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -10,10 +10,10 @@
 import pytest
 
 from load_balancer.net.client import client_limits
-from tests.support.client_helpers import Client, attempt_connection, streams
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
@@ -115,7 +115,7 @@
     """However it keeps its bytes coming; the clock is stepped, a byte or a line each 0.05 s."""
 
     async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        clock, client, gave = SteppedClock(), Client(p), STILL[kind]()
+        clock, client, gave = SteppedClock(), SocketClient(p), STILL[kind]()
         await wait_until(lambda: len(p.clients.open_connections) == 1)
         while p.clients.open_connections and clock.advanced_s <= DUE_S - LATE_S:
             with contextlib.suppress(ConnectionError):
@@ -178,7 +178,7 @@
 
     second = FORMS[kind].replace(b"f1", b"f2")
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        client = Client(p)
+        client = SocketClient(p)
         sent = FORMS[kind] + second
         for at in range(0, len(sent), cut):
             client.send(sent[at : at + cut])
@@ -186,8 +186,8 @@
             await asyncio.sleep(0)
         for n in (1, 2):
             await wait_until(lambda n=n: len(b.received) == n)  # type: ignore[misc]
-            attempt_connection(p).data_received(http_response(200, b"%d" % n))
-        reader, writer = await streams(client)
+            p.oldest_attempt_connection().data_received(http_response(200, b"%d" % n))
+        reader, writer = await client.streams()
         assert [(await read_http_message(reader))[2] for _ in range(2)] == [b"1", b"2"]
         for n, (first, headers, body) in enumerate(b.received):
             assert (first, headers["req-id"], body) == ("POST /api?a=b HTTP/1.1", f"f{n + 1}", b"hello")
@@ -199,10 +199,10 @@
     """They bring no answer, and the connection rests as if they had not come."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        client = Client(p)
+        client = SocketClient(p)
         client.send(http_request() + (b"\r\n\r\n" if ahead else b""))
         await wait_until(lambda: len(b.received) == 1)
-        attempt_connection(p).data_received(http_response(200, b"x"))
+        p.oldest_attempt_connection().data_received(http_response(200, b"x"))
         await wait_until(lambda: bool(p.clients.idle_connections))
         [connection] = p.clients.idle_connections
         since = connection._last_progress_at_s
@@ -215,7 +215,7 @@
         assert connection._last_progress_at_s == since
         assert p.clients.buffered.size_bytes == 0
         client.send(b"\r\n" + http_request(path="/ready", Connection="close"))
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         assert [response_status(await read_http_message(reader)) for _ in range(2)] == [200, 200]
         assert await reader.read() == b""
         writer.close()
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -12,7 +12,6 @@
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.driver.client_messages import ClientRequest
 from tests.net.client.test_stalled_clients import STOPS
-from tests.support.client_helpers import Client, attempt_connection, streams
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.http_messages import (
     closes_connection,
@@ -23,13 +22,14 @@
 )
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
 REASONS = {"time": 408, "room": 503, "exit": 503}
 
 
-async def came(p: LoopbackProxy, client: Client, sent: bytes) -> ClientConnection:
+async def came(p: LoopbackProxy, client: SocketClient, sent: bytes) -> ClientConnection:
     """The connection of a client, once what it sent has been read."""
     client.send(sent)
     name = client.socket.getsockname()
@@ -49,12 +49,12 @@
     """Its client can read it though it goes on sending."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=1) as p:
-        clock, client = SteppedClock(), Client(p)
+        clock, client = SteppedClock(), SocketClient(p)
         connection = await came(p, client, STOPS[stop])
         if reason == "time":
             clock.advance(client_limits.REQUEST_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
         elif reason == "room":
-            newcomer = Client(p)
+            newcomer = SocketClient(p)
         else:
             p.listener.close()
         await wait_until(lambda: connection.transport.is_closing())
@@ -62,7 +62,7 @@
         with contextlib.suppress(ConnectionError):
             client.send(b"x")
             client.send(b"x")
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         got = await read_http_message(reader)
         if got[0].split()[1] == "100":
             got = await read_http_message(reader)
@@ -70,7 +70,7 @@
         assert closes_connection(got)
         writer.close()
         if reason == "room":
-            newcomer.leave("RST")
+            newcomer.disconnect("RST")
         await wait_until(lambda: not p.clients.open_connections)
         assert not b.received
         assert p.driver.is_idle
@@ -85,7 +85,7 @@
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("b", b.port), max_connections=2) as p,
     ):
-        half, nothing = Client(p), Client(p)
+        half, nothing = SocketClient(p), SocketClient(p)
         request = http_request()
         begun = await came(p, half, request[:40])
         await wait_until(lambda: len(p.clients.open_connections) == 2)
@@ -94,7 +94,7 @@
         assert begun in p.clients.open_connections
         assert idle not in p.clients.open_connections
         half.send(request[40:])
-        reader, writer = await streams(half)
+        reader, writer = await half.streams()
         assert response_status(await read_http_message(reader)) == 200
         writer.close()
         nothing.socket.close()
@@ -108,7 +108,7 @@
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("b", b.port), max_connections=1) as p,
     ):
-        client = Client(p)
+        client = SocketClient(p)
         await came(p, client, http_request(request_id="first"))
         await wait_until(lambda: bool(p.clients.idle_connections))
         [connection] = p.clients.open_connections
@@ -125,16 +125,16 @@
     """It may have run. One whose client still writes is: nothing of it was sent on."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        busy, half = Client(p), Client(p)
+        busy, half = SocketClient(p), SocketClient(p)
         await came(p, busy, http_request(request_id="open"))
         await wait_until(lambda: len(b.received) == 1)
         await came(p, half, http_request()[:40])
         p.listener.close()
         await wait_until(lambda: not p.clients.open_connections)
-        reader, writer = await streams(busy)
+        reader, writer = await busy.streams()
         assert await reader.read() == b""
         writer.close()
-        reader, writer = await streams(half)
+        reader, writer = await half.streams()
         assert response_status(await read_http_message(reader)) == 503
         writer.close()
 
@@ -146,7 +146,7 @@
     """The error promises nothing, as the fault may have come after an attempt began."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        other, client = Client(p), Client(p)
+        other, client = SocketClient(p), SocketClient(p)
         await came(p, other, http_request(request_id="other"))
         await wait_until(lambda: len(b.received) == 1)
 
@@ -166,7 +166,7 @@
                 patch.setattr(p.driver, "accept_request", fails)
             client.send(request[-2:])
             await wait_until(lambda: connection._is_lingering or connection.transport.is_closing())
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         got = await read_http_message(reader)
         assert response_status(got) == 500
         assert closes_connection(got)
@@ -179,8 +179,8 @@
         writer.close()
         assert caplog.text.count("Traceback") == 1
         assert p.clients.open_request_ids == {b"other"}
-        attempt_connection(p).data_received(http_response(200, b"x"))
-        reader, writer = await streams(other)
+        p.oldest_attempt_connection().data_received(http_response(200, b"x"))
+        reader, writer = await other.streams()
         assert response_status(await read_http_message(reader)) == 200
         writer.close()
         await wait_until(lambda: not p.clients.open_connections)
@@ -191,14 +191,14 @@
     """The shutdown has ended all requests by then; there is no time left for one more."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        client, request = Client(p), http_request(request_id="late")
+        client, request = SocketClient(p), http_request(request_id="late")
         await came(p, client, request[:40])
         p.listener.stop_listening()
         p.listener.close_idle_connections()
         p.driver.limit_deadlines(0.0)
         p.driver.end_all_requests()
         client.send(request[40:])
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         got = await read_http_message(reader)
         assert response_status(got) == 503
         assert closes_connection(got)
@@ -224,18 +224,18 @@
         return bool(began(connection))
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=crowd) as p:
-        clients = [Client(p) for _ in range(crowd)]
+        clients = [SocketClient(p) for _ in range(crowd)]
         for client in clients:
             await came(p, client, http_request()[:40])
         monkeypatch.setattr(ClientConnection, "has_unanswered_request", property(counted))
-        newcomer = Client(p)
+        newcomer = SocketClient(p)
         await wait_until(
             lambda: len(p.clients.open_connections) == crowd and p.clients.descriptor_count == crowd
         )
         await wait_until(lambda: looked_at > 0)
         assert looked_at <= client_limits.MAX_SILENT_CANDIDATES + 1  # and the one that makes room
         for client in [*clients, newcomer]:
-            client.leave("RST")
+            client.disconnect("RST")
         await wait_until(lambda: not p.clients.open_connections)
 
 
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -18,12 +18,13 @@
 
 from load_balancer import messages
 from load_balancer.net.upstream import idle_connections
+from tests.support.attempts import HEAD_WITHOUT_LENGTH, INVALID_RESPONSES
 from tests.support.balancer_harness import S, settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.raw_endpoint import ConnectionHandler, EndpointConnection, RawEndpoint
 from tests.support.stepped_clock import SteppedClock
-from tests.support.upstream_helpers import HEAD, INVALID_RESPONSES, Bare, Handle, Wire, bare, stepped
 
 STEP_S = 5.0
 WINDOW_S = 60.0
@@ -69,13 +70,13 @@
     step: int
     cell: int
     way: str
-    wire: Wire
+    wire: EndpointConnection
     over: bool = False  # the backend has said its last word on it
 
     @property
     def open(self) -> bool:
         """Is it still out, on a connection that is still open?"""
-        if self.over or self.wire.closed:
+        if self.over or self.wire.is_closed:
             return False
         try:
             return self.wire.socket.recv(1, socket.MSG_PEEK) != b""
@@ -98,7 +99,7 @@
 class World:
     def __init__(self, seed: int, p: LoopbackProxy) -> None:
         self.seed, self.p = seed, p
-        self.clock: SteppedClock = stepped(p)
+        self.clock: SteppedClock = p.step_clocks()
         self.step = 0
         self.news = 0  # counts whatever happens
         self.late = 0  # second answers that are still to come
@@ -110,8 +111,8 @@
 
     # Backends
 
-    def backend(self, cell: int) -> Handle:
-        async def handle(wire: Wire, got: HttpMessage) -> None:
+    def backend(self, cell: int) -> ConnectionHandler:
+        async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
             self.news += 1
             request_id = got[1].get("req-id", "none")
             asked = self.asked.get(request_id)
@@ -141,48 +142,48 @@
         if way.startswith("answer"):
             await self.respond_well(rng, visit, good)
         else:
-            self.respond_badly(rng, visit, good, HEAD + request_id.encode())
+            self.respond_badly(rng, visit, good, HEAD_WITHOUT_LENGTH + request_id.encode())
 
     async def respond_well(self, rng: random.Random, visit: Visit, good: bytes) -> None:
         wire = visit.wire
         match visit.way:
             case "answer" | "answer after a while":
-                wire.say(good)
+                wire.send(good)
             case "answer twice":
-                wire.say(good + good)
+                wire.send(good + good)
             case "answer, late again":
-                wire.say(good)
+                wire.send(good)
                 self.late += 1
                 for _ in range(rng.randrange(TURNS)):
                     await asyncio.sleep(0)
                 self.late -= 1
-                wire.say(good)
+                wire.send(good)
             case "answer, then end":
-                wire.say(good)
-                wire.end()
+                wire.send(good)
+                wire.end_sending()
 
     def respond_badly(self, rng: random.Random, visit: Visit, good: bytes, without_length: bytes) -> None:
         wire, way = visit.wire, visit.way
         match way:
             case "no length, end":
-                wire.say(without_length)
-                wire.end()
+                wire.send(without_length)
+                wire.end_sending()
             case "no length, reset":
-                wire.say(without_length)
+                wire.send(without_length)
                 wire.reset()
             case "500" | "503":
-                wire.say(http_response(int(way), b"x"))
+                wire.send(http_response(int(way), b"x"))
             case "declined":
-                wire.say(http_response(rng.choice((503, 504)), Srv_Declined="1"))
+                wire.send(http_response(rng.choice((503, 504)), Srv_Declined="1"))
             case "cut, end" | "cut, reset":
-                wire.say(good[: rng.randrange(1, len(good))])
-                wire.end() if way == "cut, end" else wire.reset()
+                wire.send(good[: rng.randrange(1, len(good))])
+                wire.end_sending() if way == "cut, end" else wire.reset()
             case "invalid":
-                wire.say(rng.choice(INVALID_RESPONSES))
+                wire.send(rng.choice(INVALID_RESPONSES))
             case "reset" | "silent, then reset":
                 wire.reset()
             case "end":
-                wire.end()
+                wire.end_sending()
 
     def check(self, request_id: str, asked: Asked, visit: Visit) -> None:
         """The rules, as a further attempt comes in."""
@@ -282,13 +283,15 @@
         closed.bind(("127.0.0.1", 0))
         worlds: list[World] = []
 
-        def handle(cell: int) -> Handle:
-            async def handle(wire: Wire, got: HttpMessage) -> None:
+        def handle(cell: int) -> ConnectionHandler:
+            async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
                 await worlds[0].backend(cell)(wire, got)
 
             return handle
 
-        backends: list[Bare] = [await stack.enter_async_context(bare(handle(n % 2))) for n in range(6)]
+        backends: list[RawEndpoint] = [
+            await stack.enter_async_context(RawEndpoint(handle(n % 2))) for n in range(6)
+        ]
         entries = [endpoint_entry(f"s-{n}", b.port, pod_group=n % 2) for n, b in enumerate(backends)]
         p = await stack.enter_async_context(
             running_proxy(
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -11,10 +11,10 @@
 from load_balancer.net.client import client_limits
 from load_balancer.net.client.client_listener import ClientListener
 from tests.net.client.test_malformed_requests import CHUNKED, lines
-from tests.support.client_helpers import Client, streams
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
@@ -53,7 +53,7 @@
         await run_loop_turns()
 
 
-def error_or_close(client: Client) -> bool:
+def error_or_close(client: SocketClient) -> bool:
     """Has the client got an error, an end or a reset? An interim answer is none."""
     client.socket.setblocking(False)
     try:
@@ -77,12 +77,12 @@
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("b", b.port)) as p,
     ):
-        clock, client = SteppedClock(), Client(p)
+        clock, client = SteppedClock(), SocketClient(p)
         await wait_until(lambda: len(p.clients.open_connections) == 1)
         late = Late(p.listener, clock)
         if when == "after a good one":
             client.send(http_request(request_id="good"))
-            reader, writer = await streams(client)
+            reader, writer = await client.streams()
             assert response_status(await read_http_message(reader)) == 200
             clock.advance(5.0)  # an idle one may stay for longer
             await run_loop_turns()
@@ -137,7 +137,7 @@
         StandInEndpoint(http_response(200, b"x")) as b,
         running_proxy(endpoint_entry("b", b.port)) as p,
     ):
-        clock, client = SteppedClock(), Client(p)
+        clock, client = SteppedClock(), SocketClient(p)
         await wait_until(lambda: len(p.clients.open_connections) == 1)
         late = Late(p.listener, clock)
         began = clock.advanced_s - LATE_S
@@ -170,7 +170,7 @@
     """It is with the system as the time of its connection is over."""
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        clock, client = SteppedClock(), Client(p)
+        clock, client = SteppedClock(), SocketClient(p)
         await wait_until(lambda: len(p.clients.open_connections) == 1)
         late = Late(p.listener, clock)
         [connection] = p.clients.open_connections
@@ -189,5 +189,5 @@
             await late.sweep()
         assert connection in p.clients.open_connections
         assert p.clients.open_request_ids == {b"crossing"}
-        client.leave("RST")
+        client.disconnect("RST")
         await wait_until(lambda: not p.clients.open_connections)
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -47,20 +47,20 @@
 
 
 def half_a_list_and_reset(call: Call) -> None:
-    call.say(WATCH_RESPONSE_HEAD + list_of(6)[:30])
+    call.send(WATCH_RESPONSE_HEAD + list_of(6)[:30])
     call.writer.transport.abort()
 
 
 OUTAGES: dict[str, Callable[[Call], None]] = {
-    "turned away": lambda call: call.say(http_response(503), end=True),
+    "turned away": lambda call: call.send(http_response(503), end=True),
     "reset": lambda call: call.writer.transport.abort(),
-    "ends at once": lambda call: call.say(b"", end=True),
+    "ends at once": lambda call: call.send(b"", end=True),
     "silent": lambda call: None,
-    "a head": lambda call: call.say(WATCH_RESPONSE_HEAD),
-    "half a head": lambda call: call.say(WATCH_RESPONSE_HEAD[:20]),
-    "half a list": lambda call: call.say(WATCH_RESPONSE_HEAD + list_of(6)[:30]),
+    "a head": lambda call: call.send(WATCH_RESPONSE_HEAD),
+    "half a head": lambda call: call.send(WATCH_RESPONSE_HEAD[:20]),
+    "half a list": lambda call: call.send(WATCH_RESPONSE_HEAD + list_of(6)[:30]),
     "half a list, then reset": half_a_list_and_reset,
-    "noise": lambda call: call.say(b"\x00\xff\r\n\r\n"),
+    "noise": lambda call: call.send(b"\x00\xff\r\n\r\n"),
 }
 
 
@@ -94,7 +94,7 @@
 
     async with watched(setup) as (d, p, clock):
         await step(clock, lambda: len(d.calls) == 1)
-        d.calls[0].say(WATCH_RESPONSE_HEAD + list_of(1))
+        d.calls[0].send(WATCH_RESPONSE_HEAD + list_of(1))
         await step(clock, lambda: p.driver.endpoint_list.watch.version == 1)
         before = descriptors()
         d.meet = OUTAGES[mood]
@@ -148,7 +148,7 @@
 async def served_as(rev: int, d: Discovery, p: LoopbackProxy, clock: SteppedClock) -> float:
     """Has the call that is out told this version after its longest time in the queue."""
     waited = await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
-    d.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(rev))
+    d.calls[-1].send(WATCH_RESPONSE_HEAD + list_of(rev))
     waited += await step(clock, lambda: p.driver.endpoint_list.watch.version == rev, 1.0)
     assert p.driver.endpoint_list.watch.version == rev
     return waited
@@ -164,11 +164,11 @@
     async with watched(setup) as (d, p, clock):
         for rev in range(1, 21):
             await step(clock, lambda rev=rev: len(d.calls) >= rev)  # type: ignore[misc]
-            d.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(rev))
+            d.calls[-1].send(WATCH_RESPONSE_HEAD + list_of(rev))
             await step(clock, lambda rev=rev: p.driver.endpoint_list.watch.version == rev, 1.0)  # type: ignore[misc]
             if beats:
                 await step(clock, lambda: False, 2.0)
-                d.calls[-1].say(http_chunk("\n"))
+                d.calls[-1].send(http_chunk("\n"))
             assert await next_call(d, clock) < LIST_DEADLINE_S - TURN_S
             all_is_small(d, p)
 
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -63,10 +63,10 @@
 
 
 FAILURES: dict[str, Callable[[Call], None]] = {
-    "refused": lambda call: call.say(http_response(503), end=True),
+    "refused": lambda call: call.send(http_response(503), end=True),
     "reset": lambda call: call.writer.transport.abort(),
-    "ended": lambda call: call.say(WATCH_RESPONSE_HEAD + b"0\r\n\r\n", end=True),
-    "spoilt": lambda call: call.say(WATCH_RESPONSE_HEAD + http_chunk("nonsense\n")),
+    "ended": lambda call: call.send(WATCH_RESPONSE_HEAD + b"0\r\n\r\n", end=True),
+    "spoilt": lambda call: call.send(WATCH_RESPONSE_HEAD + http_chunk("nonsense\n")),
 }
 
 
@@ -114,9 +114,9 @@
         await after_failures(d, clock, FAILURES["refused"])
         await next_call(d, clock)
         caplog.clear()
-        d.calls[-1].say(WATCH_RESPONSE_HEAD + http_chunk("\n"))
+        d.calls[-1].send(WATCH_RESPONSE_HEAD + http_chunk("\n"))
         await step(clock, lambda: d.calls[-1].over.is_set(), 1.5)
-        d.calls[-1].say(http_chunk("\n"))  # its last word
+        d.calls[-1].send(http_chunk("\n"))  # its last word
         waited = await next_call(d, clock)
         assert "broke: silent" in caplog.text
         assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
@@ -149,11 +149,11 @@
         await after_failures(d, clock, FAILURES["refused"])
         await next_call(d, clock)
         first, waited = d.calls[-1], 0.0
-        first.say(STOPS[stop])
+        first.send(STOPS[stop])
         while len(d.calls) == 7:
             waited += await step(clock, lambda: len(d.calls) > 7, 0.3)
             if dribbles and not first.over.is_set():
-                first.say(drop)
+                first.send(drop)
             assert waited < LIST_DEADLINE_S
         assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
 
@@ -249,11 +249,11 @@
 
     async with watched(setup) as (d, p, clock):
         await step(clock, lambda: len(d.calls) == 1)
-        d.calls[0].say(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
+        d.calls[0].send(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
         await step(clock, lambda: p.driver.endpoint_list.watch.version == 1)
         held, up = dict(p.driver.balancer.endpoints.states), set(p.driver.endpoint_list.endpoints.up_ids)
         caplog.clear()
-        d.calls[0].say(said)
+        d.calls[0].send(said)
         waited = await next_call(d, clock)
         assert (
             p.driver.balancer.endpoints.states,
@@ -351,9 +351,9 @@
         if first.startswith("refused"):
             FAILURES["refused"](call)
         elif first == "half a line":
-            call.say(STOPS["half a line"])
+            call.send(STOPS["half a line"])
         waited += await next_call(new, clock)
-        new.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(7))
+        new.calls[-1].send(WATCH_RESPONSE_HEAD + list_of(7))
         # Behind a call that was refused, the next one may still have to wait for its turn.
         left = 0.0 if setup is PUSHED or not first.startswith("refused") else 1.0
         waited += left + await step(clock, lambda: p.driver.endpoint_list.watch.version == 7, 1.0)
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.support.balancer_harness import settings
-from tests.support.connect_gates import ConnectGate
+from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -123,15 +123,15 @@
         StandInEndpoint(http_response(200, b"b")) as b,
         running_proxy(endpoint_entry("a", a.port)) as p,
     ):
-        gate = ConnectGate(p.pool)
+        gate = ConnectGates(p.pool)
         asking = asyncio.ensure_future(p.send_request(http_request(kind)))
-        await wait_until(lambda: gate.waiting_count == 1)
+        await wait_until(lambda: gate.started_count == 1)
         news = [endpoint_entry("b", b.port)]
         if state == "moved":
             news = [endpoint_entry("a", b.port)]
         elif state != "absent":
             news.append(endpoint_entry("a", a.port, state))
         p.driver.endpoint_list.receive(parsed_endpoint_list(*news, rev=2))
-        gate.opened.set()
+        gate.open_all()
         assert (await asking)[2] == b"b"
         assert a.connection_count == 0
--- a/tests/net/upstream/test_answers_without_length.py
+++ b/tests/net/upstream/test_answers_without_length.py
@@ -11,10 +11,8 @@
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import running_proxy
+from tests.support.raw_endpoint import EndpointConnection, RawEndpoint
 from tests.support.stepped_clock import wait_until
-from tests.support.upstream_helpers import Wire, bare, read
-
-__all__ = ["read"]  # a fixture
 
 HEADS = {
     f"{version}{', close' if close else ''}": f"HTTP/{version} 200 x\r\n{close}\r\n".encode()
@@ -27,7 +25,7 @@
 }
 
 
-async def say(wire: Wire, said: bytes, more: bool = False) -> None:
+async def say(wire: EndpointConnection, said: bytes, more: bool = False) -> None:
     """Hands all of it to the system, which holds the last of it back while more is to come."""
     while said:
         try:
@@ -44,34 +42,34 @@
 @pytest.mark.parametrize("body", BODIES)
 @pytest.mark.parametrize("head", HEADS)
 async def test_close_delimited_response_is_forwarded_complete(
-    head: str, body: str, end: str, kept: bool, shut: str, read: bytearray
+    head: str, body: str, end: str, kept: bool, shut: str, bytes_from_endpoints: bytearray
 ) -> None:
     """All of them, where half are owed."""
     said = HEADS[head] + BODIES[body]
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         if got[1]["req-id"] == "first":
-            wire.say(http_response(200, b"first"))
+            wire.send(http_response(200, b"first"))
             return
-        already = len(read)
+        already = len(bytes_from_endpoints)
         await say(wire, said, more=not ENDS[end])
         if ENDS[end]:
-            await wait_until(lambda: len(read) == already + len(said))
+            await wait_until(lambda: len(bytes_from_endpoints) == already + len(said))
             await asyncio.sleep(ENDS[end])
         if shut == "shutdown":
-            wire.end()
+            wire.end_sending()
         else:
             wire.socket.close()
 
-    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+    async with RawEndpoint(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         if kept:
             assert (await p.send_request(http_request(request_id="first")))[2] == b"first"
             await asyncio.sleep(0.02)  # it has to rest, so that a second answer would show
         line, _, got = await p.send_request(http_request(request_id="r1"))
         assert line.split()[1] == "200"
         assert got == BODIES[body]
-        assert b.ids.count("r1") == 1
-        assert len(b.wires) == 1
+        assert b.request_ids.count("r1") == 1
+        assert len(b.accepted) == 1
 
 
 @pytest.mark.parametrize("kind", ["read", "write", "mark", "pay"])
@@ -80,22 +78,22 @@
 @pytest.mark.parametrize("body", BODIES)
 @pytest.mark.parametrize("head", ["1.0", "1.1, close"])
 async def test_reset_close_delimited_response_is_not_forwarded(
-    head: str, body: str, end: str, kept: bool, kind: str, read: bytearray
+    head: str, body: str, end: str, kept: bool, kind: str, bytes_from_endpoints: bytearray
 ) -> None:
     """After its last byte all the same: the client gets no answer that might be cut."""
     said = HEADS[head] + BODIES[body]
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         if got[1]["req-id"] == "first":
-            wire.say(http_response(200, b"first"))
+            wire.send(http_response(200, b"first"))
             return
-        already = len(read)
+        already = len(bytes_from_endpoints)
         await say(wire, said)
         if ENDS[end]:
-            await wait_until(lambda: len(read) == already + len(said) or wire.closed)
+            await wait_until(lambda: len(bytes_from_endpoints) == already + len(said) or wire.is_closed)
         wire.reset()
 
-    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+    async with RawEndpoint(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         if kept:
             assert (await p.send_request(http_request(request_id="first")))[2] == b"first"
             await asyncio.sleep(0.02)
@@ -105,4 +103,4 @@
         assert line.split()[1] in ("502", "503")
         if kind == "pay":
             assert line.split()[1] == "502"
-            assert b.ids.count("r1") == 1
+            assert b.request_ids.count("r1") == 1
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -9,25 +9,24 @@
 from load_balancer.messages import Outcome
 from load_balancer.net.upstream import idle_connections, upstream_connection
 from load_balancer.net.upstream.connection_pool import ConnectionPool
+from tests.support.attempts import HEAD_WITHOUT_LENGTH, OK_RESPONSE, RecordedAttempt
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response
 from tests.support.loopback_proxy import running_proxy
+from tests.support.raw_endpoint import EndpointConnection, RawEndpoint, respond_with
 from tests.support.stepped_clock import SteppedClock, wait_until
-from tests.support.upstream_helpers import HEAD, OK, Out, Wire, bare, read, says
-
-__all__ = ["read"]  # a fixture
 
 
 @pytest.mark.parametrize("then", [("end",), ("end", "reset")])
 @pytest.mark.parametrize(
     ("head", "outcome"),
     [
-        (HEAD, Outcome.OK),
+        (HEAD_WITHOUT_LENGTH, Outcome.OK),
         (b"HTTP/1.0 200 x\r\n\r\n", Outcome.OK),
         (b"HTTP/1.1 200 x\r\nConnection: close\r\n\r\n", Outcome.OK),
         (b"HTTP/1.1 200 x\r\nConnection: keep-alive\r\n\r\n", Outcome.OK),
         (b"HTTP/1.0 200 x\r\nConnection: keep-alive\r\n\r\n", Outcome.OK),
-        (b"HTTP/1.1 103 x\r\n\r\n" + HEAD, Outcome.OK),
+        (b"HTTP/1.1 103 x\r\n\r\n" + HEAD_WITHOUT_LENGTH, Outcome.OK),
         (b"HTTP/1.1 500 x\r\n\r\n", Outcome.ERROR),
         (b"HTTP/1.1 503 x\r\n\r\n", Outcome.ERROR),
         (b"HTTP/1.1 503 x\r\nSrv-Declined: 1\r\n\r\n", Outcome.REJECTED),
@@ -39,50 +38,52 @@
 ) -> None:
     """HTTP/1.1 ends it there. All of it lies in the system as it is read; a reset after an end comes late."""
 
-    async with bare(says(head + body, *then)) as b:
+    async with RawEndpoint(respond_with(head + body, *then)) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         for tries in (1, 2):  # the connection is not kept
-            how, reply = await Out(pool, b.endpoint).end()
+            how, reply = await RecordedAttempt(pool, b.endpoint).result()
             assert how is outcome
             assert reply is not None
             assert reply.body == body
-            assert len(b.wires) == len(b.received) == tries
+            assert len(b.accepted) == len(b.received) == tries
         pool.close()
 
 
-async def test_close_delimited_response_is_not_complete_before_the_end_of_the_stream(read: bytearray) -> None:
-    async with bare(says(HEAD + b"all ")) as b:
+async def test_close_delimited_response_is_not_complete_before_the_end_of_the_stream(
+    bytes_from_endpoints: bytearray,
+) -> None:
+    async with RawEndpoint(respond_with(HEAD_WITHOUT_LENGTH + b"all ")) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
-        out = Out(pool, b.endpoint)
-        await wait_until(lambda: len(read) == len(HEAD) + 4)
-        assert not out.ends
-        b.wires[0].say(b"of it")
-        await wait_until(lambda: len(read) == len(HEAD) + 9)
-        assert not out.ends
-        b.wires[0].end()
-        how, reply = await out.end()
+        out = RecordedAttempt(pool, b.endpoint)
+        await wait_until(lambda: len(bytes_from_endpoints) == len(HEAD_WITHOUT_LENGTH) + 4)
+        assert not out.results
+        b.accepted[0].send(b"of it")
+        await wait_until(lambda: len(bytes_from_endpoints) == len(HEAD_WITHOUT_LENGTH) + 9)
+        assert not out.results
+        b.accepted[0].end_sending()
+        how, reply = await out.result()
         assert how is Outcome.OK
         assert reply
         assert reply.body == b"all of it"
         pool.close()
 
 
-@pytest.mark.parametrize("at", range(1, len(HEAD) + 6))
+@pytest.mark.parametrize("at", range(1, len(HEAD_WITHOUT_LENGTH) + 6))
 @pytest.mark.parametrize("seen_before", [False, True])
 async def test_reset_does_not_complete_a_close_delimited_response(
-    at: int, seen_before: bool, read: bytearray
+    at: int, seen_before: bool, bytes_from_endpoints: bytearray
 ) -> None:
     """At each byte and after the last, be it read before the reset comes or with the reset behind it."""
-    said = (HEAD + b"whole")[:at]
+    said = (HEAD_WITHOUT_LENGTH + b"whole")[:at]
 
-    async with bare(says(said) if seen_before else says(said, "reset")) as b:
+    async with RawEndpoint(respond_with(said) if seen_before else respond_with(said, "reset")) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
-        out = Out(pool, b.endpoint)
+        out = RecordedAttempt(pool, b.endpoint)
         if seen_before:
-            await wait_until(lambda: len(read) == len(said))
-            assert not out.ends
-            b.wires[0].reset()
-        assert await out.end() == (Outcome.RESET, None)
+            await wait_until(lambda: len(bytes_from_endpoints) == len(said))
+            assert not out.results
+            b.accepted[0].reset()
+        assert await out.result() == (Outcome.RESET, None)
         pool.close()
 
 
@@ -90,57 +91,59 @@
 async def test_close_delimited_response_over_the_limit_is_rejected(size: int, outcome: Outcome) -> None:
     """One byte more is known at once for no answer, though its connection stays open."""
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
-        await asyncio.get_running_loop().sock_sendall(wire.socket, HEAD + b"x" * size)
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
+        await asyncio.get_running_loop().sock_sendall(wire.socket, HEAD_WITHOUT_LENGTH + b"x" * size)
         if outcome is Outcome.OK:
-            wire.end()
+            wire.end_sending()
 
-    async with bare(handle) as b:
+    async with RawEndpoint(handle) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
-        how, reply = await Out(pool, b.endpoint).end()
+        how, reply = await RecordedAttempt(pool, b.endpoint).result()
         assert how is outcome
         assert reply is None or len(reply.body) == size
         pool.close()
 
 
-async def test_close_delimited_response_without_an_end_times_out(read: bytearray) -> None:
+async def test_close_delimited_response_without_an_end_times_out(bytes_from_endpoints: bytearray) -> None:
     clock = SteppedClock()
-    async with bare(says(HEAD + b"all of it")) as b:
+    async with RawEndpoint(respond_with(HEAD_WITHOUT_LENGTH + b"all of it")) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
-        out = Out(pool, b.endpoint)
-        await wait_until(lambda: read.endswith(b"it"))
-        assert not out.ends
+        out = RecordedAttempt(pool, b.endpoint)
+        await wait_until(lambda: bytes_from_endpoints.endswith(b"it"))
+        assert not out.results
         clock.advance(upstream_connection.RESPONSE_COMPLETION_S)
-        assert await out.end() == (Outcome.RESET, None)
+        assert await out.result() == (Outcome.RESET, None)
         pool.close()
 
 
 @pytest.mark.parametrize("cut", [0, 12])
-async def test_interim_response_does_not_start_the_completion_timeout(cut: int, read: bytearray) -> None:
+async def test_interim_response_does_not_start_the_completion_timeout(
+    cut: int, bytes_from_endpoints: bytearray
+) -> None:
     """Only the answer itself has to come whole soon after its first byte, as the work is done by then."""
     interim, good = b"HTTP/1.1 103 x\r\n\r\n", http_response(200, b"ok")
 
     clock = SteppedClock()
-    async with bare(says(interim[:cut])) as b:
+    async with RawEndpoint(respond_with(interim[:cut])) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
-        out = Out(pool, b.endpoint)
-        await wait_until(lambda: len(read) == cut and len(b.received) == 1)
-        b.wires[0].say(interim[cut:])
-        await wait_until(lambda: len(read) == len(interim))
+        out = RecordedAttempt(pool, b.endpoint)
+        await wait_until(lambda: len(bytes_from_endpoints) == cut and len(b.received) == 1)
+        b.accepted[0].send(interim[cut:])
+        await wait_until(lambda: len(bytes_from_endpoints) == len(interim))
         clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_S)
         for _ in range(20):
             await asyncio.sleep(0)
-        b.wires[0].say(good[:-1])
-        await wait_until(lambda: read.endswith(b"o") or bool(out.ends))
-        assert not out.ends
+        b.accepted[0].send(good[:-1])
+        await wait_until(lambda: bytes_from_endpoints.endswith(b"o") or bool(out.results))
+        assert not out.results
         clock.advance(upstream_connection.RESPONSE_COMPLETION_S)  # now its time runs
-        assert await out.end() == (Outcome.RESET, None)
-        out = Out(pool, b.endpoint)
+        assert await out.result() == (Outcome.RESET, None)
+        out = RecordedAttempt(pool, b.endpoint)
         await wait_until(lambda: len(b.received) == 2)
-        b.wires[1].say(interim[cut:])
+        b.accepted[1].send(interim[cut:])
         clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_S)
-        b.wires[1].say(good)
-        assert await out.end() == (Outcome.OK, OK)
+        b.accepted[1].send(good)
+        assert await out.result() == (Outcome.OK, OK_RESPONSE)
         pool.close()
 
 
@@ -151,11 +154,11 @@
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async with bare(says(b"HTTP/1.1 %d x\r\n%s\r\n" % (status, more))) as b:
+    async with RawEndpoint(respond_with(b"HTTP/1.1 %d x\r\n%s\r\n" % (status, more))) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         for _ in range(2):
-            assert (await Out(pool, b.endpoint).end())[0] is Outcome.ERROR
-        assert len(b.wires) == 2 - kept
+            assert (await RecordedAttempt(pool, b.endpoint).result())[0] is Outcome.ERROR
+        assert len(b.accepted) == 2 - kept
         pool.close()
 
 
@@ -165,10 +168,10 @@
 
     ends = ["reset", "end"]
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
-        await says(HEAD + b"all of it", ends.pop(0))(wire, got)
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
+        await respond_with(HEAD_WITHOUT_LENGTH + b"all of it", ends.pop(0))(wire, got)
 
-    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+    async with RawEndpoint(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         first, _, body = await p.send_request(http_request(kind))
         if kind == "pay":
             assert first.split()[1] == "502"
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -10,19 +10,18 @@
 from load_balancer.messages import Outcome
 from load_balancer.net.upstream import connection_queue
 from load_balancer.net.upstream.connection_pool import ConnectionPool
+from tests.support.attempts import (
+    LONG_CONNECT_TIMEOUT_S,
+    LONG_IDLE_TIMEOUT_S,
+    MOSTLY_FAST_CONNECTS_S,
+    RecordedAttempts,
+)
 from tests.support.balancer_harness import BalancerHarness, S, only, settings
+from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import StandInEndpoint
-from tests.support.upstream_helpers import (
-    IDLE_S,
-    LIMIT_S,
-    MOSTLY_QUICK,
-    Calls,
-    Connects,
-    ids,
-)
 
 
 @pytest.mark.parametrize(("heard", "ends"), [(True, Outcome.NOT_SENT), (False, Outcome.NO_CONNECTION)])
@@ -30,37 +29,37 @@
     """As not sent where the backend is known to be there, as one that can't be reached otherwise."""
 
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         if heard:
             pool.connections.record_activity(calls.endpoint)
-        calls.begin("a", failover_within_s=LIMIT_S / 2)
+        calls.begin("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
         for count in (2, 3):
-            await connects.step(11.0)
-            await connects.begun(count)
-        assert not calls.ended
-        await connects.step(11.0)
-        await calls.until(a=ends)
+            await connects.advance(11.0)
+            await connects.wait_for(count)
+        assert not calls.outcomes
+        await connects.advance(11.0)
+        await calls.wait_for_outcomes(a=ends)
         assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
         calls.begin("b")  # what comes up late is there for another
-        connects.let(0)
-        await calls.until(a=ends, b=Outcome.OK)
-        assert ids(b) == ["b"]
+        connects.open(0)
+        await calls.wait_for_outcomes(a=ends, b=Outcome.OK)
+        assert b.request_ids == ["b"]
         pool.close()
 
 
 async def test_attempt_without_another_endpoint_waits_for_its_connections() -> None:
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a", failover_within_s=500.0)
-        await connects.step(600.0)
+        await connects.advance(600.0)
         for _ in range(20):
-            await connects.step(50.0)
-        assert not calls.ended
+            await connects.advance(50.0)
+        assert not calls.outcomes
         assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
-        connects.let(0)
-        await calls.until(a=Outcome.OK)
+        connects.open(0)
+        await calls.wait_for_outcomes(a=Outcome.OK)
         pool.close()
 
 
@@ -75,18 +74,18 @@
                 classes=(messages.RequestClass("read", 5_000 * S, 9_000 * S, messages.Idempotency.SAFE),),
                 limits=messages.Limits(max_attempts=2, cancel=True),
             ),
-            connect_timeout_s=LIMIT_S,
+            connect_timeout_s=LONG_CONNECT_TIMEOUT_S,
         ) as p,
     ):
-        connects = Connects(p.pool, MOSTLY_QUICK)
+        connects = ConnectGates(p.pool, MOSTLY_FAST_CONNECTS_S)
         for endpoint in list(p.pool.idle.reuse_from_s):
             p.pool.connections.record_activity(endpoint)
         asked = asyncio.ensure_future(p.send_request(http_request(Req_Deadline="9000")))
-        await connects.begun(1)
+        await connects.wait_for(1)
         for count in (2, 3, 4):
-            await connects.step(11.0)
-            await connects.begun(count)
-        connects.let(3)  # the first to the other backend
+            await connects.advance(11.0)
+            await connects.wait_for(count)
+        connects.open(3)  # the first to the other backend
         first, _, body = await asked
         assert (first.split()[1], body) == ("200", b"x")
         assert a.connection_count + b.connection_count == 1
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -13,33 +13,41 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.connector import Connector
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from tests.support.attempts import (
+    LONG_CONNECT_TIMEOUT_S,
+    LONG_IDLE_TIMEOUT_S,
+    MOSTLY_FAST_CONNECTS_S,
+    SAFE_REQUEST,
+    SLOW_CONNECTS_S,
+    RecordedAttempts,
+)
+from tests.support.connect_gates import ConnectGates
 from tests.support.http_messages import http_response
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import wait_until
-from tests.support.upstream_helpers import IDLE_S, LIMIT_S, MOSTLY_QUICK, SAFE, SLOW, Calls, Connects, ids
 
-ONCE = replace(SAFE, is_idempotent=False)
+ONCE = replace(SAFE_REQUEST, is_idempotent=False)
 
 
 async def test_extra_connection_is_opened_for_a_late_one_and_the_first_established_is_used() -> None:
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a")
-        await connects.step(9.0)
+        await connects.advance(9.0)
         assert len(connects.gates) == 1
-        await connects.step(2.0)
-        await connects.begun(2)
-        connects.let(1)
-        await calls.until(a=Outcome.OK)
+        await connects.advance(2.0)
+        await connects.wait_for(2)
+        connects.open(1)
+        await calls.wait_for_outcomes(a=Outcome.OK)
         assert b.connection_count == 1
-        assert ids(b) == ["a"]
-        await connects.step(1000.0)
+        assert b.request_ids == ["a"]
+        await connects.advance(1000.0)
         calls.begin("b")  # the one that was used is idle again
-        await calls.until(a=Outcome.OK, b=Outcome.OK)
+        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
         assert b.connection_count == 1
         assert len(connects.gates) == 2
-        connects.let(0)
+        connects.open(0)
         await wait_until(lambda: b.connection_count == 2 and not pool.pending.by_endpoint)
         assert len(pool.idle.by_endpoint[calls.endpoint]) == 1  # the other one is not needed
         pool.close()
@@ -47,18 +55,18 @@
 
 async def test_surplus_connection_is_reused_by_the_next_attempt() -> None:
     async with StandInEndpoint(None, http_response(200)) as b:  # the first that is used breaks
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a")
-        await connects.step(11.0)
-        await connects.begun(2)
-        connects.let(1)
-        await calls.until(a=Outcome.RESET)
-        connects.let(0)
+        await connects.advance(11.0)
+        await connects.wait_for(2)
+        connects.open(1)
+        await calls.wait_for_outcomes(a=Outcome.RESET)
+        connects.open(0)
         await wait_until(lambda: bool(pool.idle.by_endpoint))
-        await connects.step(idle_connections.SETTLE_S)
+        await connects.advance(idle_connections.SETTLE_S)
         calls.begin("b")
-        await calls.until(a=Outcome.RESET, b=Outcome.OK)
+        await calls.wait_for_outcomes(a=Outcome.RESET, b=Outcome.OK)
         assert b.connection_count == 2
         assert len(connects.gates) == 2
         pool.close()
@@ -68,88 +76,90 @@
     """Backends hold only so many."""
 
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a")
         for count in (2, 3):
-            await connects.step(11.0)
-            await connects.begun(count)
-        connects.let(2)
-        await calls.until(a=Outcome.OK)
-        connects.let(0, 1)
+            await connects.advance(11.0)
+            await connects.wait_for(count)
+        connects.open(2)
+        await calls.wait_for_outcomes(a=Outcome.OK)
+        connects.open(0, 1)
         await wait_until(lambda: b.connection_count == 3 and not pool.pending.by_endpoint)
         await wait_until(lambda: len(pool.connections.open) == 1)
         pool.close()
 
 
 @pytest.mark.parametrize(
-    ("usual", "price"), [(SLOW, 0.0), (MOSTLY_QUICK, 1.0), ([], 0.0)], ids=["all slow", "dear", "unknown"]
+    ("usual", "price"),
+    [(SLOW_CONNECTS_S, 0.0), (MOSTLY_FAST_CONNECTS_S, 1.0), ([], 0.0)],
+    ids=["all slow", "dear", "unknown"],
 )
 async def test_no_extra_connection_is_opened_when_it_saves_too_little(
     usual: list[float], price: float
 ) -> None:
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10, price)
-        calls, connects = Calls(pool, b), Connects(pool, usual)
-        calls.begin("a", failover_within_s=LIMIT_S / 2)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10, price)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, usual)
+        calls.begin("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
         for _ in range(20):
-            await connects.step(45.0)
+            await connects.advance(45.0)
         assert len(connects.gates) == 1
-        assert not calls.ended
-        connects.let(0)
-        await calls.until(a=Outcome.OK)
+        assert not calls.outcomes
+        connects.open(0)
+        await calls.wait_for_outcomes(a=Outcome.OK)
         pool.close()
 
 
 async def test_waiting_attempt_takes_a_connection_that_falls_idle() -> None:
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, SLOW)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, SLOW_CONNECTS_S)
         calls.begin("a")
         calls.begin("once", ONCE)
         calls.begin("b")
-        await connects.begun(3)
-        connects.let(0)
-        await wait_until(lambda: "a" in calls.ended)
-        assert set(calls.ended) == {"a"}  # it rests first: more than its answer may be under way
-        await connects.step(idle_connections.SETTLE_S)
-        await calls.until(a=Outcome.OK, b=Outcome.OK)
+        await connects.wait_for(3)
+        connects.open(0)
+        await wait_until(lambda: "a" in calls.outcomes)
+        assert set(calls.outcomes) == {"a"}  # it rests first: more than its answer may be under way
+        await connects.advance(idle_connections.SETTLE_S)
+        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
         assert b.connection_count == 1
-        assert ids(b) == ["a", "b"]
-        connects.let(1)  # what must not run twice waits for one of its own
-        await calls.until(a=Outcome.OK, b=Outcome.OK, once=Outcome.OK)
+        assert b.request_ids == ["a", "b"]
+        connects.open(1)  # what must not run twice waits for one of its own
+        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK, once=Outcome.OK)
         assert b.connection_count == 2
         pool.close()
 
 
 async def test_waiting_attempt_takes_a_connection_that_has_settled() -> None:
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, SLOW)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, SLOW_CONNECTS_S)
         calls.begin("a")
-        await connects.begun(1)
-        connects.let(0)
-        await calls.until(a=Outcome.OK)
+        await connects.wait_for(1)
+        connects.open(0)
+        await calls.wait_for_outcomes(a=Outcome.OK)
         calls.begin("b")
-        await connects.begun(2)
-        await connects.step(idle_connections.SETTLE_S)
-        await calls.until(a=Outcome.OK, b=Outcome.OK)
+        await connects.wait_for(2)
+        await connects.advance(idle_connections.SETTLE_S)
+        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
         assert b.connection_count == 1
         pool.close()
 
 
 async def test_longest_waiting_attempt_takes_the_first_connection_established() -> None:
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, SLOW)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, SLOW_CONNECTS_S)
         calls.begin("a", ONCE)
         calls.begin("b", ONCE)
-        await connects.begun(2)
-        connects.let(1)
-        await calls.until(a=Outcome.OK)
-        connects.let(0)
-        await calls.until(a=Outcome.OK, b=Outcome.OK)
-        assert ids(b) == ["a", "b"]
+        await connects.wait_for(2)
+        connects.open(1)
+        await calls.wait_for_outcomes(a=Outcome.OK)
+        connects.open(0)
+        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
+        assert b.request_ids == ["a", "b"]
         pool.close()
 
 
@@ -159,8 +169,8 @@
     """A refusal ends that connection alone, and no more are opened where one was refused."""
 
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         made, number = pool.connector.open, iter(range(9))
 
         async def refused_second(endpoint: EndpointAddress) -> UpstreamConnection:
@@ -172,20 +182,20 @@
             return connection
 
         monkeypatch.setattr(pool.connector, "open", refused_second)
-        calls.begin("a", failover_within_s=LIMIT_S / 2)
-        await connects.step(11.0)
-        await connects.begun(2)
-        connects.let(1)
+        calls.begin("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
+        await connects.advance(11.0)
+        await connects.wait_for(2)
+        connects.open(1)
         await wait_until(
             lambda: pool.pending.by_endpoint[calls.endpoint][0].task is not None
             and bool(pool.pacing.no_extra_until_s)
         )
         for _ in range(20):
-            await connects.step(11.0)
-        assert not calls.ended
+            await connects.advance(11.0)
+        assert not calls.outcomes
         assert len(connects.gates) == 2
-        connects.let(0)
-        await calls.until(a=Outcome.OK)
+        connects.open(0)
+        await calls.wait_for_outcomes(a=Outcome.OK)
         pool.close()
 
 
@@ -206,11 +216,11 @@
     """Also where both stand, and the tasks that waited for them have been woken and have not run yet."""
 
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         out = calls.begin("a")
-        await connects.step(11.0)
-        await connects.begun(2)
+        await connects.advance(11.0)
+        await connects.wait_for(2)
         give_up = {
             "drain": lambda: pool.disable_endpoint(calls.endpoint),
             "client gone": out.cancel_if_unsent,
@@ -233,13 +243,13 @@
                     give_up()
 
             monkeypatch.setattr(UpstreamConnection, "connection_made", made)
-            connects.let(0, 1)
+            connects.open(0, 1)
             await wait_until(lambda: bool(crossed))
             assert crossed == [True]
         else:
             give_up()
         await wait_until(lambda: all(task.done() for task in tasks) and not pool.connections.open)
-        assert calls.ended == ({} if ends is None else {"a": ends})
+        assert calls.outcomes == ({} if ends is None else {"a": ends})
         assert not pool.pending.by_endpoint
         assert not pool.idle.by_endpoint
         assert not b.received
@@ -250,28 +260,28 @@
 
 async def test_cancelled_attempt_leaves_the_connection_to_another_waiting_attempt() -> None:
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a")
         calls.begin("b").cancel_if_unsent()
-        await connects.begun(1)
-        connects.let(0)
-        await calls.until(a=Outcome.OK, b=Outcome.NOT_SENT)
+        await connects.wait_for(1)
+        connects.open(0)
+        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.NOT_SENT)
         assert not pool.pending.by_endpoint
         pool.close()
 
 
 async def test_no_extra_connection_is_opened_at_the_connection_limit() -> None:
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 1)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 1)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a")
         for _ in range(5):
-            await connects.step(50.0)
+            await connects.advance(50.0)
         assert len(connects.gates) == 1
         calls.begin("b")
-        connects.let(0)
-        await calls.until(a=Outcome.OK, b=Outcome.NOT_SENT)
+        connects.open(0)
+        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.NOT_SENT)
         pool.close()
 
 
@@ -279,17 +289,17 @@
     """The module counts on it for repeats within a window; what is coming goes on for others."""
 
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-        calls.begin("a", timeout_s=5 * LIMIT_S)
-        await connects.step(59000.0)
-        await connects.begun(2)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        calls.begin("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
+        await connects.advance(59000.0)
+        await connects.wait_for(2)
         connects.clock.advance(1100.0)  # the first is given up by its own limit, the second is a second old
-        await calls.until(a=Outcome.NO_CONNECTION)
+        await calls.wait_for_outcomes(a=Outcome.NO_CONNECTION)
         calls.begin("b")
-        connects.let(1)
-        await calls.until(a=Outcome.NO_CONNECTION, b=Outcome.OK)
-        assert ids(b) == ["b"]
+        connects.open(1)
+        await calls.wait_for_outcomes(a=Outcome.NO_CONNECTION, b=Outcome.OK)
+        assert b.request_ids == ["b"]
         pool.close()
 
 
@@ -297,18 +307,18 @@
     """The process stood still past the time of one, so that its timer has not fired yet."""
 
     async with StandInEndpoint(http_response(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, SLOW)
-        calls.begin("a", timeout_s=5 * LIMIT_S)
-        await connects.step(30000.0)
-        calls.begin("b", timeout_s=5 * LIMIT_S)
-        await connects.begun(2)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, SLOW_CONNECTS_S)
+        calls.begin("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
+        await connects.advance(30000.0)
+        calls.begin("b", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
+        await connects.wait_for(2)
         connection = await Connector.open(pool.connector, calls.endpoint)
         pending = pool.pending.by_endpoint[calls.endpoint][1]
         pending.task.cancel()
         connects.clock.advance(31000.0)
         pool.queue.connect_succeeded(pending, connection)
-        assert calls.ended == {"a": Outcome.NO_CONNECTION}
-        await calls.until(a=Outcome.NO_CONNECTION, b=Outcome.OK)
-        assert ids(b) == ["b"]
+        assert calls.outcomes == {"a": Outcome.NO_CONNECTION}
+        await calls.wait_for_outcomes(a=Outcome.NO_CONNECTION, b=Outcome.OK)
+        assert b.request_ids == ["b"]
         pool.close()
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -11,11 +11,12 @@
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
+from tests.support.attempts import REQUEST_KINDS, RecordedAttempt
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response
 from tests.support.loopback_proxy import running_proxy
+from tests.support.raw_endpoint import EndpointConnection, RawEndpoint, respond_with
 from tests.support.stepped_clock import SteppedClock, wait_until
-from tests.support.upstream_helpers import KINDS, Out, Wire, bare, says
 
 
 @pytest.mark.parametrize("what", ["answer", "end", "reset", "answer and end"])
@@ -26,28 +27,28 @@
     """Be it that it lies unread as the next request begins, in the same turn, or was read before."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
-        wire.say(http_response(200, b"%d" % len(b.received)))
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
+        wire.send(http_response(200, b"%d" % len(b.received)))
 
-    async with bare(handle) as b:
+    async with RawEndpoint(handle) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
-        assert (await Out(pool, b.endpoint).end())[1] == UpstreamResponse(
+        assert (await RecordedAttempt(pool, b.endpoint).result())[1] == UpstreamResponse(
             200, [(b"content-length", b"1")], b"1"
         )
-        [wire] = b.wires
+        [wire] = b.accepted
         if "answer" in what:
-            wire.say(http_response(200, b"1"))
+            wire.send(http_response(200, b"1"))
         if "end" in what:
-            wire.end()
+            wire.end_sending()
         if what == "reset":
             wire.reset()
         if not unread:
             await wait_until(lambda: not pool.connections.open)
-        how, reply = await Out(pool, b.endpoint).end()
+        how, reply = await RecordedAttempt(pool, b.endpoint).result()
         assert how is Outcome.OK
         assert reply
         assert reply.body == b"2"
-        assert len(b.wires) == len(b.received) == 2
+        assert len(b.accepted) == len(b.received) == 2
         pool.close()
 
 
@@ -60,23 +61,23 @@
     looks: list[bool] = []
     look = socket_state.has_unread_bytes
 
-    async with bare(says(http_response(200, b"first"))) as b:
+    async with RawEndpoint(respond_with(http_response(200, b"first"))) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
-        assert (await Out(pool, b.endpoint).end())[0] is Outcome.OK
+        assert (await RecordedAttempt(pool, b.endpoint).result())[0] is Outcome.OK
 
         def crossed(transport: asyncio.BaseTransport, unknown: bool = True) -> bool:
             looks.append(look(transport, unknown))
             if len(looks) == 1:
-                [wire] = b.wires
+                [wire] = b.accepted
                 {
-                    "answer": lambda: wire.say(http_response(200, b"late")),
-                    "end": wire.end,
+                    "answer": lambda: wire.send(http_response(200, b"late")),
+                    "end": wire.end_sending,
                     "reset": wire.reset,
                 }[what]()
             return looks[-1]
 
         monkeypatch.setattr(socket_state, "has_unread_bytes", crossed)
-        assert await Out(pool, b.endpoint).end() == (Outcome.NOT_SENT, None)
+        assert await RecordedAttempt(pool, b.endpoint).result() == (Outcome.NOT_SENT, None)
         assert looks == [False, True]
         assert len(b.received) == 1
         assert not pool.idle.by_endpoint
@@ -89,30 +90,30 @@
     """However often it is wanted meanwhile; the second answer comes in the rest's last moment."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 20.0)
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
-        wire.say(http_response(200, b"%d" % len(b.received)))
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
+        wire.send(http_response(200, b"%d" % len(b.received)))
 
-    async with bare(handle) as b:
+    async with RawEndpoint(handle) as b:
         pool, clock = ConnectionPool(0.25, 3000.0, 10), SteppedClock()
         for n in (b"1", b"2", b"3"):
-            how, reply = await Out(pool, b.endpoint).end()
+            how, reply = await RecordedAttempt(pool, b.endpoint).result()
             assert how is Outcome.OK
             assert reply
             assert reply.body == n
-        assert len(b.wires) == 3
-        for wire in b.wires[:2]:
-            wire.say(http_response(200, b"late"))
+        assert len(b.accepted) == 3
+        for wire in b.accepted[:2]:
+            wire.send(http_response(200, b"late"))
         clock.advance(20.0)
         for n in (b"4", b"5"):  # the third one has rested and said nothing more
-            how, reply = await Out(pool, b.endpoint).end()
+            how, reply = await RecordedAttempt(pool, b.endpoint).result()
             assert how is Outcome.OK
             assert reply
             assert reply.body == n
-        assert len(b.wires) == 4
+        assert len(b.accepted) == 4
         pool.close()
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", REQUEST_KINDS)
 @pytest.mark.parametrize("how", ["end", "reset"])
 async def test_request_survives_the_break_of_a_reused_connection(
     kind: str, how: str, monkeypatch: pytest.MonkeyPatch
@@ -120,17 +121,17 @@
     """The break crosses the write, so it may have run: what must not run twice uses no kept one."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         if len(wires) == 1 and wire is wires[0]:
-            await says(how)(wire, got)
+            await respond_with(how)(wire, got)
         else:
             wires.append(wire)
-            wire.say(http_response(200, got[1]["req-id"].encode()))
+            wire.send(http_response(200, got[1]["req-id"].encode()))
 
-    wires: list[Wire] = []
-    async with bare(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+    wires: list[EndpointConnection] = []
+    async with RawEndpoint(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         assert (await p.send_request(http_request(request_id="first")))[2] == b"first"
         line, _, body = await p.send_request(http_request(kind, request_id="r1"))
         assert line.split()[1] == "200"
         assert body == b"r1"
-        assert b.ids == (["first", "r1"] if kind == "pay" else ["first", "r1", "r1"])
+        assert b.request_ids == (["first", "r1"] if kind == "pay" else ["first", "r1", "r1"])
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -10,9 +10,9 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
+from tests.support.attempts import UNSAFE_REQUEST, run_attempt
 from tests.support.http_messages import http_response, read_http_message
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.upstream_helpers import ONCE, attempt
 
 
 async def test_endpoint_that_breaks_an_idle_connection_gets_new_connections_for_a_while(
@@ -27,14 +27,14 @@
 
     async with StandInServer(handle) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
-        got = [(await attempt(pool, address))[0] for _ in range(4)]
+        got = [(await run_attempt(pool, address))[0] for _ in range(4)]
         assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
         assert b.connection_count == 3
         assert not pool.idle.by_endpoint
         pool.idle.reuse_from_s[EndpointAddress(1, address)] -= (
             idle_connections.NO_REUSE_S
         )  # as if that while were over
-        assert (await attempt(pool, address))[0] is Outcome.OK
+        assert (await run_attempt(pool, address))[0] is Outcome.OK
         assert pool.idle.by_endpoint
         pool.close()
 
@@ -53,10 +53,10 @@
     async with StandInServer(handle) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
         for _ in range(4):
-            assert (await attempt(pool, address, ONCE))[0] is Outcome.OK
+            assert (await run_attempt(pool, address, UNSAFE_REQUEST))[0] is Outcome.OK
             assert len(pool.idle.by_endpoint[EndpointAddress(1, address)]) == 1
         assert b.connection_count == 4
-        assert (await attempt(pool, address))[0] is Outcome.RESET  # the same on a kept one
+        assert (await run_attempt(pool, address))[0] is Outcome.RESET  # the same on a kept one
         pool.close()
 
 
@@ -72,7 +72,7 @@
     good = http_response(200, b"ok")
     async with StandInEndpoint(good, said, good) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
-        got = [(await attempt(pool, address))[0] for _ in range(4)]
+        got = [(await run_attempt(pool, address))[0] for _ in range(4)]
         assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
         assert b.connection_count == 2
         assert pool.idle.by_endpoint
@@ -82,8 +82,8 @@
 async def test_new_endpoint_at_an_old_address_does_not_reuse_old_connections() -> None:
     async with StandInEndpoint(http_response(200, b"ok")) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
-        assert (await attempt(pool, address, number=1))[0] is Outcome.OK
-        assert (await attempt(pool, address, number=2))[0] is Outcome.OK
+        assert (await run_attempt(pool, address, number=1))[0] is Outcome.OK
+        assert (await run_attempt(pool, address, number=2))[0] is Outcome.OK
         assert b.connection_count == 2
         pool.disable_endpoint(EndpointAddress(1, address))  # the old one's end leaves the new one's alone
         assert not pool.idle.by_endpoint.get(EndpointAddress(1, address))
@@ -102,7 +102,7 @@
 
     async with StandInServer(handle) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
-        out = asyncio.ensure_future(attempt(pool, address))
+        out = asyncio.ensure_future(run_attempt(pool, address))
         while not b.received:
             await asyncio.sleep(0)
         pool.disable_endpoint(EndpointAddress(1, address))
@@ -128,9 +128,9 @@
     async with StandInServer(handle) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
         address = ("127.0.0.1", b.port)
-        assert (await attempt(pool, address))[0] is Outcome.OK
+        assert (await run_attempt(pool, address))[0] is Outcome.OK
         await ended.wait()
-        assert (await attempt(pool, address))[0] is Outcome.OK
+        assert (await run_attempt(pool, address))[0] is Outcome.OK
         assert b.connection_count == 2
         assert len(b.received) == 2
         pool.close()
@@ -146,7 +146,7 @@
     closed = asyncio.Event()
     async with StandInServer(handle) as b:
         pool, address = ConnectionPool(0.25, 0.5, 10), ("127.0.0.1", b.port)
-        assert (await attempt(pool, address))[0] is Outcome.OK
+        assert (await run_attempt(pool, address))[0] is Outcome.OK
         [connection] = pool.idle.by_endpoint[EndpointAddress(1, address)]
         assert pool.idle.closes_at_s(connection) - pool.loop.time() <= 0.45
         await closed.wait()
@@ -158,10 +158,10 @@
         StandInEndpoint(http_response(200, b"ok")) as b,
     ):
         pool = ConnectionPool(0.25, 30.0, 1)
-        assert (await attempt(pool, ("127.0.0.1", a.port)))[0] is Outcome.OK
-        assert (await attempt(pool, ("127.0.0.1", b.port)))[0] is Outcome.OK
+        assert (await run_attempt(pool, ("127.0.0.1", a.port)))[0] is Outcome.OK
+        assert (await run_attempt(pool, ("127.0.0.1", b.port)))[0] is Outcome.OK
         assert not pool.idle.by_endpoint.get(EndpointAddress(1, ("127.0.0.1", a.port)))
         pool.connections.max_connections = 0
         pool.disable_endpoint(EndpointAddress(1, ("127.0.0.1", b.port)))
-        assert (await attempt(pool, ("127.0.0.1", b.port)))[0] is Outcome.NOT_SENT
+        assert (await run_attempt(pool, ("127.0.0.1", b.port)))[0] is Outcome.NOT_SENT
         pool.close()
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -7,10 +7,11 @@
 from load_balancer.messages import Outcome
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
+from tests.support.attempts import INVALID_RESPONSES, REQUEST_KINDS, RecordedAttempt
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response
 from tests.support.loopback_proxy import running_proxy
-from tests.support.upstream_helpers import INVALID_RESPONSES, KINDS, Out, Wire, bare, says
+from tests.support.raw_endpoint import EndpointConnection, RawEndpoint, respond_with
 
 CHUNKED = b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n3\r\nall\r\n0\r\n\r\n"
 
@@ -27,21 +28,21 @@
 
     said: list[tuple[bytes | str, ...]] = []
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
-        await says(*said.pop(0))(wire, got)
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
+        await respond_with(*said.pop(0))(wire, got)
 
-    async with bare(handle) as b:
+    async with RawEndpoint(handle) as b:
         for at in range(len(whole) + 1):
             said[:] = [*[(http_response(200, b"first"),)] * kept, (whole[:at], how)]
-            pool, before = ConnectionPool(0.25, 30.0, 10), len(b.wires)
+            pool, before = ConnectionPool(0.25, 30.0, 10), len(b.accepted)
             for _ in range(kept):
-                assert (await Out(pool, b.endpoint).end())[0] is Outcome.OK
-            got = await Out(pool, b.endpoint).end()
+                assert (await RecordedAttempt(pool, b.endpoint).result())[0] is Outcome.OK
+            got = await RecordedAttempt(pool, b.endpoint).result()
             if at < len(whole):
                 assert got == (Outcome.RESET, None), at
             else:
                 assert got[0] is Outcome.OK
-            assert len(b.wires) == before + 1
+            assert len(b.accepted) == before + 1
             pool.close()
 
 
@@ -49,18 +50,18 @@
     """What a client gets, and the ids that backends saw, where the first of two sends is met with this."""
     met = [first]
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
-        await says(*(met.pop() if met else (http_response(200, b"served"),)))(wire, got)
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
+        await respond_with(*(met.pop() if met else (http_response(200, b"served"),)))(wire, got)
 
     async with (
-        bare(handle) as a,
-        bare(handle) as b,
+        RawEndpoint(handle) as a,
+        RawEndpoint(handle) as b,
         running_proxy(endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port)) as p,
     ):
         line, _, body = await p.send_request(http_request(kind, request_id="r1"))
         status = int(line.split()[1])
         assert (status == 200) is (body == b"served")
-        return status, a.ids + b.ids
+        return status, a.request_ids + b.request_ids
 
 
 def may_have_run(kind: str) -> tuple[int, list[str]]:
@@ -68,7 +69,7 @@
     return (502, ["r1"]) if kind == "pay" else (200, ["r1", "r1"])
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", REQUEST_KINDS)
 @pytest.mark.parametrize("how", ["end", "reset"])
 async def test_truncated_response_is_retried_only_if_idempotent(kind: str, how: str) -> None:
     whole = http_response(200, b"served")
@@ -76,13 +77,13 @@
         assert await fares(kind, whole[:at], how) == may_have_run(kind), at
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", REQUEST_KINDS)
 async def test_invalid_response_is_retried_only_if_idempotent(kind: str) -> None:
     for said in INVALID_RESPONSES:
         assert await fares(kind, said) == may_have_run(kind), said
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", REQUEST_KINDS)
 @pytest.mark.parametrize("status", [500, 503, 504])
 @pytest.mark.parametrize("declined", ["1", "0", ""])
 async def test_error_is_retried_if_declined_or_idempotent(kind: str, status: int, declined: str) -> None:
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -11,10 +11,11 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.connection_queue import MAX_SPARE_CONNECTS
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from tests.support.attempts import RecordedAttempts
+from tests.support.connect_gates import ConnectGates
 from tests.support.http_messages import http_response
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import wait_until
-from tests.support.upstream_helpers import Calls, Connects, ids
 
 OTHERS = 1 + MAX_SPARE_CONNECTS
 
@@ -27,7 +28,7 @@
 
     async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(600.0, 300.0, 10)
-        calls, connects = Calls(pool, b), Connects(pool, [])
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, [])
         gates, number = pool.connector.open, iter(range(99))
 
         async def first_fail(endpoint: EndpointAddress) -> UpstreamConnection:
@@ -40,21 +41,21 @@
 
         monkeypatch.setattr(pool.connector, "open", first_fail)
         before = [calls.begin(f"x{n}") for n in range(OTHERS)]
-        await connects.begun(OTHERS)
+        await connects.wait_for(OTHERS)
         for attempt in before:  # they move on, and what is coming goes on for others to use
             attempt.finish(Outcome.NOT_SENT, keep_connecting=True)
         calls.begin("late")
         await asyncio.sleep(0)
         assert len(connects.gates) == OTHERS  # as many as may are coming
-        connects.let(*range(OTHERS))
+        connects.open(*range(OTHERS))
         if refused:
-            await wait_until(lambda: "late" in calls.ended)
-            assert calls.ended["late"] is Outcome.NO_CONNECTION
+            await wait_until(lambda: "late" in calls.outcomes)
+            assert calls.outcomes["late"] is Outcome.NO_CONNECTION
             assert len(connects.gates) == OTHERS
         else:
-            await connects.begun(OTHERS + 1)
-            connects.let(OTHERS)
-            await wait_until(lambda: "late" in calls.ended)
-            assert calls.ended["late"] is Outcome.OK
-            assert ids(b) == ["late"]
+            await connects.wait_for(OTHERS + 1)
+            connects.open(OTHERS)
+            await wait_until(lambda: "late" in calls.outcomes)
+            assert calls.outcomes["late"] is Outcome.OK
+            assert b.request_ids == ["late"]
         pool.close()
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -18,12 +18,13 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
+from tests.support.attempts import KEYED_REQUEST, OK_RESPONSE, UNSAFE_REQUEST, RecordedAttempt
 from tests.support.balancer_harness import settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import running_proxy
+from tests.support.raw_endpoint import EndpointConnection, RawEndpoint, respond_with
 from tests.support.stepped_clock import wait_until
-from tests.support.upstream_helpers import OK, ONCE, REQUEST, Out, Wire, bare, says, stepped
 
 
 # After the final answer
@@ -47,14 +48,14 @@
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
-        bare(says(http_response(200, b"x"))) as b,
+        RawEndpoint(respond_with(http_response(200, b"x"))) as b,
         running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
     ):
         b.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         if kept:
             assert (await p.send_request(http_request("mark", request_id="first")))[2] == b"x"
-        b.reads.clear()
-        clock = stepped(p)
+        b.reading.clear()
+        clock = p.step_clocks()
         reader, writer = await p.connect()
         writer.write(http_request("mark" if kept else "pay", request_id="big", body=b"x" * 65_536))
         await wait_until(lambda: bool(transports) and transports[-1].get_write_buffer_size() > 0)
@@ -68,10 +69,10 @@
             told = "502" if how == "end" and not kept else "503"
             assert (await read_http_message(reader))[0].split()[1] == told
         await wait_until(lambda: p.driver.is_idle)
-        b.reads.set()
-        await wait_until(lambda: bool(b.wires) and b.wires[-1].ended)
-        assert len(b.wires) == 1
-        assert b.ids == ["first"] * kept
+        b.reading.set()
+        await wait_until(lambda: bool(b.accepted) and b.accepted[-1].has_remote_ended)
+        assert len(b.accepted) == 1
+        assert b.request_ids == ["first"] * kept
         writer.close()
 
 
@@ -79,21 +80,21 @@
 async def test_abandoned_attempt_has_ended_at_its_endpoint_before_its_outcome(how: str) -> None:
     """The next one may be written in the same turn, on a kept connection: it must be no second copy."""
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         if how == "invalid":
-            wire.say(b"not http\r\n\r\n")
+            wire.send(b"not http\r\n\r\n")
 
     def done(outcome: Outcome, reply: UpstreamResponse | None) -> None:
-        [wire] = b.wires
+        [wire] = b.accepted
         try:
             ended.append(wire.socket.recv(1, socket.MSG_PEEK) == b"")
         except BlockingIOError:
             ended.append(False)
 
     ended: list[bool] = []
-    async with bare(handle) as b:
+    async with RawEndpoint(handle) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
-        out = pool.start_attempt(b.endpoint, REQUEST, 60.0, done)
+        out = pool.start_attempt(b.endpoint, KEYED_REQUEST, 60.0, done)
         await wait_until(lambda: bool(b.received))
         if how == "cancel":
             out.cancel()
@@ -113,11 +114,13 @@
 }
 
 
-def cross(event: str, pool: ConnectionPool, out: Out, wire: Wire, transport: Any) -> None:
+def cross(
+    event: str, pool: ConnectionPool, out: RecordedAttempt, wire: EndpointConnection, transport: Any
+) -> None:
     """Lets one event happen, within this turn of the loop."""
     match event:
-        case "answer" if not wire.closed:
-            wire.say(http_response(200, b"ok"))
+        case "answer" if not wire.is_closed:
+            wire.send(http_response(200, b"ok"))
             transport._read_ready()  # the loop's reading, in this very turn
         case "reset":
             wire.reset()
@@ -156,26 +159,26 @@
 
     monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made)
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         if got[0].split()[1] == "/next":
-            wire.say(http_response(200, b"next"))
+            wire.send(http_response(200, b"next"))
 
-    async with bare(handle) as b:
+    async with RawEndpoint(handle) as b:
         orders = [order for order in permutations(EVENTS, 4) if order[0] == first]
         for number, order in enumerate(orders):
             pool, seen = ConnectionPool(0.25, 30.0, 10), len(b.received)
-            out = Out(pool, b.endpoint)
+            out = RecordedAttempt(pool, b.endpoint)
             await wait_until(lambda seen=seen: len(b.received) > seen)  # type: ignore[misc]
-            wire, transport = b.wires[-1], transports[-1]
+            wire, transport = b.accepted[-1], transports[-1]
             for event in order:
                 cross(event, pool, out, wire, transport)
-            how, reply = await out.end()
+            how, reply = await out.result()
             assert how is expected_end(order), order
-            assert reply == (OK if how is Outcome.OK else None)
-            got = await Out(pool, b.endpoint, replace(REQUEST, target=b"/next")).end()
+            assert reply == (OK_RESPONSE if how is Outcome.OK else None)
+            got = await RecordedAttempt(pool, b.endpoint, replace(KEYED_REQUEST, target=b"/next")).result()
             assert got[1], (number, order)
             assert got[1].body == b"next", (number, order)
-            assert len(out.ends) == 1
+            assert len(out.results) == 1
             pool.close()
 
 
@@ -207,11 +210,11 @@
         "drain": Outcome.NOT_SENT,
     }
 
-    async with bare(says(http_response(200, b"ok"))) as b:
+    async with RawEndpoint(respond_with(http_response(200, b"ok"))) as b:
         for first, second in permutations(outcomes, 2):
-            for request in (REQUEST, ONCE):
+            for request in (KEYED_REQUEST, UNSAFE_REQUEST):
                 pool = ConnectionPool(0.25, 30.0, 10)
-                out = Out(pool, b.endpoint, replace(request, target=b"/crossed"))
+                out = RecordedAttempt(pool, b.endpoint, replace(request, target=b"/crossed"))
                 ends: dict[str, Callable[[], None]] = {
                     "time out": out.attempt.time_out,
                     "cancel": out.attempt.cancel,
@@ -225,9 +228,9 @@
                     cross()
                 else:
                     crossing.append(cross)
-                assert await out.end() == (outcomes[first], None), (first, second)
+                assert await out.result() == (outcomes[first], None), (first, second)
                 for _ in range(3):  # what would come of it comes before the end of these
-                    assert (await Out(pool, b.endpoint, request).end())[0] is Outcome.OK
-                assert len(out.ends) == 1
+                    assert (await RecordedAttempt(pool, b.endpoint, request).result())[0] is Outcome.OK
+                assert len(out.results) == 1
                 pool.close()
         assert not [first for first, _, _ in b.received if "crossed" in first]
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -12,16 +12,16 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from tests.support.attempts import KEYED_REQUEST, UNSAFE_REQUEST, run_attempt
 from tests.support.http_messages import http_response, read_http_message
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import wait_until
-from tests.support.upstream_helpers import ONCE, REQUEST, attempt
 
 
 async def test_refused_connect_ends_as_no_connection() -> None:
     with socket.socket() as closed:
         closed.bind(("127.0.0.1", 0))
-        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), closed.getsockname())
+        got, _ = await run_attempt(ConnectionPool(0.25, 30.0, 10), closed.getsockname())
         assert got is Outcome.NO_CONNECTION
 
 
@@ -33,33 +33,37 @@
         for filler in fillers:  # until the queue takes no more, the system says nothing
             filler.setblocking(False)
             filler.connect_ex(full.getsockname())
-        got, _ = await attempt(ConnectionPool(0.1, 30.0, 10), full.getsockname())
+        got, _ = await run_attempt(ConnectionPool(0.1, 30.0, 10), full.getsockname())
         assert got is Outcome.NO_CONNECTION
         for filler in fillers:
             filler.close()
 
 
 async def test_reset_before_the_request_is_written_ends_as_no_connection() -> None:
-    big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000)
+    big = replace(
+        UNSAFE_REQUEST, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000
+    )
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(10)
         writer.transport.abort()
 
     async with StandInServer(handle) as b:
-        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big)
+        got, _ = await run_attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big)
         assert got is Outcome.NO_CONNECTION
 
 
 async def test_timeout_before_the_request_is_written_ends_as_no_connection() -> None:
-    big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000)
+    big = replace(
+        UNSAFE_REQUEST, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000
+    )
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await never.wait()
 
     never = asyncio.Event()
     async with StandInServer(handle) as b:
-        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big, timeout_s=0.2)
+        got, _ = await run_attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big, timeout_s=0.2)
         assert got is Outcome.NO_CONNECTION
         never.set()
 
@@ -80,7 +84,7 @@
     async with StandInServer(handle) as b:
         out = ConnectionPool(0.25, 30.0, 10).start_attempt(
             EndpointAddress(1, ("127.0.0.1", b.port)),
-            replace(ONCE, headers=head, body=b"x" * size),
+            replace(UNSAFE_REQUEST, headers=head, body=b"x" * size),
             5.0,
             lambda how, _: ended.set_result(how),
         )
@@ -118,7 +122,7 @@
             }[how]()
 
         monkeypatch.setattr(UpstreamConnection, "connection_made", crossed)
-        out = pool.start_attempt(endpoint, REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
+        out = pool.start_attempt(endpoint, KEYED_REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
         await wait_until(
             lambda: b.connection_count == 1 and not pool.connections.open and not pool.pending.by_endpoint
         )
@@ -140,7 +144,7 @@
     async with StandInServer(handle) as b:
         pool, ends = ConnectionPool(0.25, 30.0, 10), []
         out = pool.start_attempt(
-            EndpointAddress(1, ("127.0.0.1", b.port)), REQUEST, 5.0, lambda how, _: ends.append(how)
+            EndpointAddress(1, ("127.0.0.1", b.port)), KEYED_REQUEST, 5.0, lambda how, _: ends.append(how)
         )
         await begun.wait()
         out.cancel()
@@ -156,4 +160,4 @@
         raise OSError(24, "Too many open files")
 
     monkeypatch.setattr(pool.connector, "open", connect)
-    assert (await attempt(pool, ("127.0.0.1", 1)))[0] is Outcome.NOT_SENT
+    assert (await run_attempt(pool, ("127.0.0.1", 1)))[0] is Outcome.NOT_SENT
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -11,11 +11,11 @@
 from load_balancer.net.upstream import idle_connections, upstream_connection
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
-from tests.support.connect_gates import ConnectGate
+from tests.support.attempts import UNSAFE_REQUEST, run_attempt
+from tests.support.connect_gates import ConnectGates
 from tests.support.http_messages import http_response, read_http_message
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock, wait_until
-from tests.support.upstream_helpers import ONCE, attempt
 
 
 @pytest.mark.parametrize(
@@ -42,7 +42,7 @@
     endless = b"x" * 70_000 if said and b"until" in said else b""
     async with StandInEndpoint(said + endless if said else said) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
-        got, reply = await attempt(pool, ("127.0.0.1", b.port), timeout_s=0.5)
+        got, reply = await run_attempt(pool, ("127.0.0.1", b.port), timeout_s=0.5)
         assert got is outcome
         assert got is not Outcome.OK or (reply and reply.body == b"ok")
         assert len(b.received) == 1  # never sent again from here
@@ -70,7 +70,7 @@
 
     async with StandInEndpoint(said) as b:
         pool = ConnectionPool(0.25, 30.0, 10)
-        assert await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0) == (Outcome.RESET, None)
+        assert await run_attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0) == (Outcome.RESET, None)
         assert not pool.idle.by_endpoint
         pool.close()
 
@@ -80,7 +80,7 @@
 
     async with StandInEndpoint(b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf") as b:
         pool = ConnectionPool(0.25, 30.0, 10)
-        assert (await attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0))[0] is Outcome.RESET
+        assert (await run_attempt(pool, ("127.0.0.1", b.port), timeout_s=60.0))[0] is Outcome.RESET
         pool.close()
 
 
@@ -89,7 +89,7 @@
     for said in (good, good + good, good + b"noise", b"HTTP/1.1 103 x\r\n\r\n" + good):
         async with StandInEndpoint(said) as b:
             pool = ConnectionPool(0.25, 30.0, 10)
-            got, reply = await attempt(pool, ("127.0.0.1", b.port))
+            got, reply = await run_attempt(pool, ("127.0.0.1", b.port))
             assert got is Outcome.OK
             assert reply
             assert reply.body == b"ok"
@@ -112,8 +112,10 @@
 
     async with StandInServer(handle) as b:
         pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port)
-        assert (await attempt(pool, address))[1] == UpstreamResponse(200, [(b"content-length", b"1")], b"1")
-        later = asyncio.ensure_future(attempt(pool, address))
+        assert (await run_attempt(pool, address))[1] == UpstreamResponse(
+            200, [(b"content-length", b"1")], b"1"
+        )
+        later = asyncio.ensure_future(run_attempt(pool, address))
         await asyncio.sleep(0)
         copy.set()
         got, reply = await later
@@ -133,9 +135,11 @@
 
     async with StandInServer(handle) as b:
         body = b"x" * 30_000_000
-        big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"%d" % len(body))], body=body)
+        big = replace(
+            UNSAFE_REQUEST, headers=[(b"host", b"x"), (b"content-length", b"%d" % len(body))], body=body
+        )
         pool = ConnectionPool(0.25, 30.0, 10)
-        assert await attempt(pool, ("127.0.0.1", b.port), big) == (Outcome.NO_CONNECTION, None)
+        assert await run_attempt(pool, ("127.0.0.1", b.port), big) == (Outcome.NO_CONNECTION, None)
 
 
 async def test_deadline_header_holds_the_time_remaining_when_the_request_is_written() -> None:
@@ -144,11 +148,11 @@
     clock = SteppedClock()
     async with StandInEndpoint(http_response(200, b"ok")) as b:
         pool = ConnectionPool(60.0, 30.0, 10)
-        gate = ConnectGate(pool)
-        out = asyncio.ensure_future(attempt(pool, ("127.0.0.1", b.port), timeout_s=4.0))
-        await wait_until(lambda: gate.waiting_count == 1)
+        gate = ConnectGates(pool)
+        out = asyncio.ensure_future(run_attempt(pool, ("127.0.0.1", b.port), timeout_s=4.0))
+        await wait_until(lambda: gate.started_count == 1)
         clock.advance(1.5)
-        gate.opened.set()
+        gate.open_all()
         assert (await out)[0] is Outcome.OK
         assert 2.0 < float(b.received[0][1]["req-deadline"]) <= 2.5
         pool.close()
--- a/tests/scenarios/test_deduplication_window.py
+++ b/tests/scenarios/test_deduplication_window.py
@@ -9,12 +9,14 @@
 import pytest
 
 from load_balancer import messages
+from tests.support.attempts import REQUEST_KINDS
 from tests.support.balancer_harness import S, settings
+from tests.support.connect_gates import SystemConnectGate
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.raw_endpoint import EndpointConnection, RawEndpoint, respond_with
 from tests.support.stepped_clock import wait_until
-from tests.support.upstream_helpers import KINDS, Bare, Held, Wire, bare, says, stepped
 
 # Short windows. All times are long, so that the real time that passes meanwhile counts for nothing.
 CONNECT_S = 25.0
@@ -36,9 +38,9 @@
 class Keyed:
     """A keyed request through the proxy: its first attempt is out, and the test's hand is on the clock."""
 
-    def __init__(self, p: LoopbackProxy, backends: list[Bare]) -> None:
+    def __init__(self, p: LoopbackProxy, backends: list[RawEndpoint]) -> None:
         self.p, self.endpoints = p, backends
-        self.clock = stepped(p)
+        self.clock = p.step_clocks()
         self.asked = asyncio.ensure_future(
             p.send_request(http_request("mark", request_id="r1", Req_Deadline="900"))
         )
@@ -52,18 +54,20 @@
 
 
 @asynccontextmanager
-async def keyed_request(window_s: float) -> AsyncIterator[tuple[Keyed, list[tuple[float, Wire]]]]:
+async def keyed_request(
+    window_s: float,
+) -> AsyncIterator[tuple[Keyed, list[tuple[float, EndpointConnection]]]]:
     """And when backends saw it, by their own clock."""
-    seen: list[tuple[float, Wire]] = []
+    seen: list[tuple[float, EndpointConnection]] = []
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         seen.append((asyncio.get_running_loop().time(), wire))
         if len(seen) > 1:
-            wire.say(http_response(200, b"ok"))
+            wire.send(http_response(200, b"ok"))
 
     async with (
-        bare(handle) as a,
-        bare(handle) as b,
+        RawEndpoint(handle) as a,
+        RawEndpoint(handle) as b,
         running_proxy(
             endpoint_entry("s-1", a.port),
             endpoint_entry("s-2", b.port),
@@ -89,14 +93,14 @@
     """Also where its connection comes up as late as it may, or could come up later than the window's end."""
 
     async with keyed_request(window_s) as (request, seen):
-        held = Held()
+        held = SystemConnectGate()
         request.clock.advance(after_s)
         if how == "500":
-            seen[0][1].say(http_response(500))
+            seen[0][1].send(http_response(500))
         else:
-            await says(how)(seen[0][1], HttpMessage("", {}, b""))
+            await respond_with(how)(seen[0][1], HttpMessage("", {}, b""))
         if again:
-            await wait_until(lambda: held.waiting == 1)
+            await wait_until(lambda: held.waiting_count == 1)
             request.clock.advance(late_s)
             held.opened.set()
         assert await request.status() == (200 if again else 503)
@@ -106,21 +110,21 @@
 
 async def test_a_keyed_repeat_whose_connection_does_not_come_up_in_time_is_not_sent() -> None:
     async with keyed_request(100.0) as (request, seen):
-        held = Held()
+        held = SystemConnectGate()
         request.clock.advance(60.0)
         seen[0][1].reset()
-        await wait_until(lambda: held.waiting == 1)
+        await wait_until(lambda: held.waiting_count == 1)
         request.clock.advance(CONNECT_S + 0.1)  # a further one could come up after the window
         assert await request.status() == 503
         held.opened.set()
         request.clock.advance(50.0)
         other = await request.p.send_request(http_request("mark", request_id="r2", Req_Deadline="900"))
         assert other[0].split()[1] == "200"
-        assert [i for b in request.endpoints for i in b.ids if i == "r1"] == ["r1"]
+        assert [i for b in request.endpoints for i in b.request_ids if i == "r1"] == ["r1"]
 
 
 # Resets under requests that have begun
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", REQUEST_KINDS)
 @pytest.mark.parametrize("after_s", [0.0, 10.0, 60.0])
 async def test_a_reset_under_a_request_that_has_begun(kind: str, after_s: float) -> None:
     """It may have run, however long after: what must not run twice ends, what has a key keeps its window."""
@@ -141,19 +145,19 @@
     )
     limits = messages.Limits(max_attempts=3, connect_timeout_us=S)
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         wires.append(wire)
         if len(wires) > 1:
-            wire.say(http_response(200, b"served"))
+            wire.send(http_response(200, b"served"))
 
-    wires: list[Wire] = []
+    wires: list[EndpointConnection] = []
     async with AsyncExitStack() as stack:
-        backends = [await stack.enter_async_context(bare(handle)) for _ in range(8)]
+        backends = [await stack.enter_async_context(RawEndpoint(handle)) for _ in range(8)]
         entries = [endpoint_entry(f"s-{n}", b.port, pod_group=n % 4) for n, b in enumerate(backends)]
         p = await stack.enter_async_context(
             running_proxy(*entries, settings=settings(classes=classes, limits=limits))
         )
-        clock = stepped(p)
+        clock = p.step_clocks()
         asked = asyncio.ensure_future(p.send_request(http_request(kind, request_id="r1", Req_Deadline="900")))
         await wait_until(lambda: len(wires) == 1)
         clock.advance(after_s)
--- a/tests/scenarios/test_hold_ups.py
+++ b/tests/scenarios/test_hold_ups.py
@@ -16,14 +16,14 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from tests.support.attempts import RecordedAttempts
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
-from tests.support.connect_gates import ConnectGate
+from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.http_messages import http_request, http_response
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, wait_until
-from tests.support.upstream_helpers import Calls, Connects, ids, stepped
 
 HOLD_UP_S = 0.15  # by the terms
 SLACK_S = 0.15  # by the terms, of the time that a backend is told
@@ -113,7 +113,7 @@
         StandInEndpoint(*[http_response(200)] * kept, http_response(500), http_response(200)) as a,
         running_proxy(endpoint_entry("s-1", a.port), connect_timeout_s=5.0) as p,
     ):
-        clock = stepped(p)
+        clock = p.step_clocks()
         if kept:
             await p.send_request(http_request(request_id="before"))
             clock.advance(1.0)  # its connection has settled
@@ -141,27 +141,27 @@
 
     async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(60.0, 30.0, 10)
-        calls, connects = Calls(pool, b), Connects(pool, [])
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, [])
         if kept:
             calls.begin("before")
-            await connects.begun(1)
-            connects.let(0)
-            await calls.until(before=Outcome.OK)
-            await connects.step(idle_connections.SETTLE_S)
+            await connects.wait_for(1)
+            connects.open(0)
+            await calls.wait_for_outcomes(before=Outcome.OK)
+            await connects.advance(idle_connections.SETTLE_S)
         owner = {"send_on": UpstreamAttempt, "send": UpstreamConnection}[at]
         with monkeypatch.context() as patch:
             Held(connects.clock, 0.03).before(patch, owner, at)
             calls.begin("a", timeout_s=0.02)
             if not kept:
-                await connects.begun(1)
-                connects.let(0)
-            await wait_until(lambda: "a" in calls.ended)
-        assert calls.ended["a"] is Outcome.NOT_SENT  # it says nothing of the backend
+                await connects.wait_for(1)
+                connects.open(0)
+            await wait_until(lambda: "a" in calls.outcomes)
+        assert calls.outcomes["a"] is Outcome.NOT_SENT  # it says nothing of the backend
         calls.begin("b")
-        await connects.begun(2)
-        connects.let(1)
-        await wait_until(lambda: "b" in calls.ended)
-        assert ids(b) == ["before"] * kept + ["b"]
+        await connects.wait_for(2)
+        connects.open(1)
+        await wait_until(lambda: "b" in calls.outcomes)
+        assert b.request_ids == ["before"] * kept + ["b"]
         pool.close()
 
 
@@ -192,9 +192,9 @@
             endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port), connect_timeout_s=5.0
         ) as p,
     ):
-        clock, gate = stepped(p), ConnectGate(p.pool)
+        clock, gate = p.step_clocks(), ConnectGates(p.pool)
         asked = asyncio.ensure_future(p.send_request(http_request()))
-        await wait_until(lambda: gate.waiting_count == 1)
+        await wait_until(lambda: gate.started_count == 1)
         [attempt] = p.driver.requests.attempts.in_flight.values()
         drains, other = (a, b) if attempt.endpoint.address[1] == a.port else (b, a)
         uid = "s-1" if drains is a else "s-2"
@@ -203,7 +203,7 @@
             Held(clock).before(patch, UpstreamAttempt, line)
             news = endpoint_list(endpoint_entry(uid, drains.port, "terminating"), rev=2, full=False)
             p.driver.endpoint_list.receive(read_list(news))
-            gate.opened.set()
+            gate.open_all()
             assert (await asked)[0].split()[1] == "200"
         assert not drains.received
         assert len(other.received) == 1
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -15,10 +15,11 @@
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.scenarios.test_deduplication_window import keyed_request
+from tests.support.attempts import RecordedAttempts
+from tests.support.connect_gates import ConnectGates
 from tests.support.http_messages import http_response
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, wait_until
-from tests.support.upstream_helpers import Calls, Connects, ids
 
 
 async def test_a_keyed_repeat_is_not_late_where_the_proxy_stands_still_before_it_connects(
@@ -48,12 +49,12 @@
 
     async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(60.0, 30.0, 10)
-        calls, connects = Calls(pool, b), Connects(pool, [])
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, [])
         calls.begin("a")
-        await connects.begun(1)
-        connects.let(0)
-        await calls.until(a=Outcome.OK)
-        await connects.step(idle_connections.SETTLE_S)
+        await connects.wait_for(1)
+        connects.open(0)
+        await calls.wait_for_outcomes(a=Outcome.OK)
+        await connects.advance(idle_connections.SETTLE_S)
         take = pool.idle.take
 
         def stands_still(endpoint: EndpointAddress) -> UpstreamConnection | None:
@@ -64,11 +65,11 @@
         with monkeypatch.context() as patched:
             patched.setattr(pool.idle, "take", stands_still)
             calls.begin("b", timeout_s=300.0)
-        await calls.until(a=Outcome.OK, b=Outcome.NO_CONNECTION)
+        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.NO_CONNECTION)
         assert pool.connections.open == set(pool.idle.by_endpoint.get(calls.endpoint, ()))
-        await connects.step(31.0)
+        await connects.advance(31.0)
         await wait_until(lambda: not pool.connections.open)
-        assert ids(b) == ["a"]
+        assert b.request_ids == ["a"]
 
 
 @pytest.mark.parametrize("turn_s", [0.003, 0.01, 0.05])
@@ -90,13 +91,13 @@
             return await connect(endpoint)
 
         pool.connector.open = counted  # type: ignore[method-assign]
-        calls = Calls(pool, b)
+        calls = RecordedAttempts(pool, b)
         calls.begin("a", failover_within_s=30.0)
         slow = turns
-        while not calls.ended:
+        while not calls.outcomes:
             await asyncio.sleep(0)
             if slow:
                 clock.advance(turn_s)
                 slow -= 1
-        assert (calls.ended, begun) == ({"a": Outcome.OK}, 1)
+        assert (calls.outcomes, begun) == ({"a": Outcome.OK}, 1)
         pool.close()
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -14,6 +14,7 @@
 from load_balancer.net.upstream import idle_connections, upstream_attempt
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
+from tests.support.attempts import KEYED_REQUEST, UNSAFE_REQUEST, RecordedAttempt
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 from tests.support.discovery_helpers import (
     BOTH,
@@ -31,8 +32,8 @@
 )
 from tests.support.http_messages import HttpMessage, http_chunk, http_request, http_response
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.raw_endpoint import ConnectionHandler, EndpointConnection, RawEndpoint
 from tests.support.stepped_clock import SteppedClock, wait_until
-from tests.support.upstream_helpers import ONCE, REQUEST, Bare, Handle, Out, Wire, bare
 
 KINDS = ["read", "write", "mark", "pay"]
 HOURS = 10
@@ -41,9 +42,9 @@
 GET = UpstreamRequest(b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True)
 
 
-def answers_as(name: bytes) -> Handle:
-    async def handle(wire: Wire, got: HttpMessage) -> None:
-        wire.say(http_response(200, name))
+def answers_as(name: bytes) -> ConnectionHandler:
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
+        wire.send(http_response(200, name))
 
     return handle
 
@@ -151,11 +152,11 @@
 ) -> None:
     async with watched(setup) as (d, p, clock):
         await step(clock, lambda: len(d.calls) == 1)
-        d.calls[0].say(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9))))
+        d.calls[0].send(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9))))
         await step(clock, lambda: p.driver.endpoint_list.watch.version == 1)
         for _ in range(round(2 * 3_600 / BEAT_S)):
             clock.advance(BEAT_S)
-            d.calls[0].say(http_chunk("\n"))
+            d.calls[0].send(http_chunk("\n"))
             await turns(12)
         assert len(d.calls) == 1
         assert len(p.driver.balancer.outbox.timers) == len(p.driver.timers) == 0
@@ -168,18 +169,18 @@
 
 async def test_after_a_quiet_time_the_first_request_finds_no_connection_that_the_backend_has_closed() -> None:
     async with (
-        bare(answers_as(b"x")) as b,
+        RawEndpoint(answers_as(b"x")) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
         stepped(p) as clock,
     ):
         assert (await p.send_request(http_request(request_id="r0")))[2] == b"x"
         for n in range(1, 5):
             clock.advance(HOURS * 3_600.0)
-            await wait_until(lambda n=n: b.wires[n - 1].ended)  # type: ignore[misc]
+            await wait_until(lambda n=n: b.accepted[n - 1].has_remote_ended)  # type: ignore[misc]
             assert (await p.send_request(http_request(request_id=f"r{n}")))[2] == b"x"
-            assert len(b.wires) == n + 1
-            assert not any(w.read for w in b.wires)
-        assert b.ids == [f"r{n}" for n in range(5)]
+            assert len(b.accepted) == n + 1
+            assert not any(w.unparsed for w in b.accepted)
+        assert b.request_ids == [f"r{n}" for n in range(5)]
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.15, 3_600.0])
@@ -189,12 +190,12 @@
     """The process was held up: a request is read in the very turn in which the timer is due."""
 
     clock = SteppedClock()
-    async with bare(answers_as(b"x")) as b:
+    async with RawEndpoint(answers_as(b"x")) as b:
         pool = ConnectionPool(0.25, IDLE_S, 10)
-        assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
+        assert (await RecordedAttempt(pool, b.endpoint, GET).result())[0] is Outcome.OK
         clock.advance(IDLE_S * (1.0 - idle_connections.IDLE_MARGIN_SHARE) + late_s)
-        assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
-        assert len(b.wires) == 2
+        assert (await RecordedAttempt(pool, b.endpoint, GET).result())[0] is Outcome.OK
+        assert len(b.accepted) == 2
         pool.close()
 
 
@@ -203,13 +204,13 @@
     """For 0.15 s between reading its clock and writing: the backend may have closed by then."""
 
     clock = SteppedClock()
-    async with bare(answers_as(b"x")) as b:
+    async with RawEndpoint(answers_as(b"x")) as b:
         pool = ConnectionPool(0.25, idle_s, 10)
-        assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
+        assert (await RecordedAttempt(pool, b.endpoint, GET).result())[0] is Outcome.OK
         await turns()
         clock.advance(max(0.0, idle_s - 0.15))
-        assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
-        assert len(b.wires) == 2
+        assert (await RecordedAttempt(pool, b.endpoint, GET).result())[0] is Outcome.OK
+        assert len(b.accepted) == 2
         pool.close()
 
 
@@ -218,28 +219,28 @@
 
     def __init__(self, how: str) -> None:
         self.how = how
-        self.known: set[Wire] = set()
-        self.forgotten: set[Wire] = set()
+        self.known: set[EndpointConnection] = set()
+        self.forgotten: set[EndpointConnection] = set()
 
     def forget(self) -> None:
         self.forgotten = set(self.known)
 
-    async def handle(self, wire: Wire, got: HttpMessage) -> None:
+    async def handle(self, wire: EndpointConnection, got: HttpMessage) -> None:
         if wire not in self.forgotten:
             self.known.add(wire)
-            wire.say(http_response(200, got[1]["req-id"].encode()))
+            wire.send(http_response(200, got[1]["req-id"].encode()))
         elif self.how == "reset":
             wire.reset()
         elif self.how == "end":
-            wire.end()
+            wire.end_sending()
 
 
-async def kept_by(p: LoopbackProxy, b: Bare, count: int) -> None:
+async def kept_by(p: LoopbackProxy, b: RawEndpoint, count: int) -> None:
     """So many idle connections to it, each of which has carried a request."""
-    b.reads.clear()
+    b.reading.clear()
     asking = [asyncio.ensure_future(p.send_request(http_request(request_id=f"k{n}"))) for n in range(count)]
-    await wait_until(lambda: len(b.wires) == count)
-    b.reads.set()
+    await wait_until(lambda: len(b.accepted) == count)
+    b.reading.set()
     await asyncio.gather(*asking)
     await wait_until(lambda: sum(map(len, p.pool.idle.by_endpoint.values())) == count)
 
@@ -257,7 +258,7 @@
 
     forgetful = Forgetful(how)
     async with AsyncExitStack() as stack:
-        made = [await stack.enter_async_context(bare(forgetful.handle)) for _ in range(many)]
+        made = [await stack.enter_async_context(RawEndpoint(forgetful.handle)) for _ in range(many)]
         entries = [endpoint_entry(f"s-{n}", b.port) for n, b in enumerate(made)]
         p = await stack.enter_async_context(running_proxy(*entries, settings=ROOMY, idle_timeout_s=1e6))
         clock = await stack.enter_async_context(stepped(p))
@@ -288,32 +289,32 @@
     """Not as a client leaves, nor for a new connection, nor where the backend answers others meanwhile."""
     silent = case in ("time out", "given up")
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         if got[0].startswith("GET"):
-            wire.say(http_response(200, b"x"))
+            wire.send(http_response(200, b"x"))
 
     clock = SteppedClock()
-    async with bare(handle) as b:
+    async with RawEndpoint(handle) as b:
         pool = ConnectionPool(0.25, 1e6, 10)
-        b.reads.clear()
-        rested = [Out(pool, b.endpoint, GET) for _ in range(3)]
-        await wait_until(lambda: len(b.wires) == 3)
-        b.reads.set()
+        b.reading.clear()
+        rested = [RecordedAttempt(pool, b.endpoint, GET) for _ in range(3)]
+        await wait_until(lambda: len(b.accepted) == 3)
+        b.reading.set()
         for out in rested:
-            await out.end()
+            await out.result()
         clock.advance(60.0)
-        request = ONCE if case == "a new connection" else REQUEST
-        out = Out(pool, b.endpoint, request, 2.0)
+        request = UNSAFE_REQUEST if case == "a new connection" else KEYED_REQUEST
+        out = RecordedAttempt(pool, b.endpoint, request, 2.0)
         await wait_until(lambda: len(b.received) == 4)
         if case == "it answers others":
-            assert (await Out(pool, b.endpoint, GET).end())[0] is Outcome.OK
+            assert (await RecordedAttempt(pool, b.endpoint, GET).result())[0] is Outcome.OK
         if case == "given up":
             out.attempt.cancel_unanswered()
         elif case == "cancelled":
             out.attempt.cancel()
         else:
             clock.advance(2.0)
-        await out.end()
+        await out.result()
         left = len(pool.idle.by_endpoint.get(b.endpoint, ()))
         assert left == (0 if silent else 3 if case == "a new connection" else 2)
         pool.close()
@@ -326,38 +327,38 @@
     """A backend that breaks a busy connection tells nothing of those to other backends."""
     monkeypatch.setattr(upstream_attempt, "LONG_IDLE_S", 1_000.0)  # no busy machine comes near by itself
 
-    async def handle(wire: Wire, got: HttpMessage) -> None:
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         if got[1]["req-id"] == "r1" and not broken:
             broken.append(wire)
             wire.reset()
         else:
-            wire.say(http_response(200, b"x"))
+            wire.send(http_response(200, b"x"))
 
-    broken: list[Wire] = []
+    broken: list[EndpointConnection] = []
     async with (
-        bare(handle) as a,
-        bare(handle) as b,
+        RawEndpoint(handle) as a,
+        RawEndpoint(handle) as b,
         running_proxy(
             endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port), settings=ROOMY, idle_timeout_s=1e6
         ) as p,
         stepped(p) as clock,
     ):
-        while not (a.wires and b.wires):
+        while not (a.accepted and b.accepted):
             await asyncio.gather(*(p.send_request(http_request(request_id=f"k{n}")) for n in range(8)))
         clock.advance(rest_s)
-        before = len(a.wires) + len(b.wires)
+        before = len(a.accepted) + len(b.accepted)
         assert (await p.send_request(http_request(request_id="r1")))[2] == b"x"
-        assert (a.ids + b.ids).count("r1") == 2
-        assert len(a.wires) + len(b.wires) - before == made
+        assert (a.request_ids + b.request_ids).count("r1") == 2
+        assert len(a.accepted) + len(b.accepted) - before == made
 
 
 async def test_a_client_that_leaves_costs_its_backend_no_idle_connection() -> None:
-    async def handle(wire: Wire, got: HttpMessage) -> None:
+    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         if got[1]["req-id"] != "left":
-            wire.say(http_response(200, b"x"))
+            wire.send(http_response(200, b"x"))
 
     async with (
-        bare(handle) as b,
+        RawEndpoint(handle) as b,
         running_proxy(endpoint_entry("s-1", b.port), settings=ROOMY, idle_timeout_s=1e6) as p,
         stepped(p) as clock,
     ):
@@ -365,7 +366,7 @@
         clock.advance(60.0)
         _, writer = await p.connect()
         writer.write(http_request(request_id="left"))
-        await wait_until(lambda: "left" in b.ids)
+        await wait_until(lambda: "left" in b.request_ids)
         writer.close()
         await wait_until(lambda: not p.driver.requests.attempts.in_flight)
         assert sum(map(len, p.pool.idle.by_endpoint.values())) == 2
@@ -379,12 +380,12 @@
 ) -> None:
     """Within half a second after its time, whatever is left of it."""
 
-    async def drop(wire: Wire, got: HttpMessage) -> None:
+    async def drop(wire: EndpointConnection, got: HttpMessage) -> None:
         if got[1]["req-id"].startswith("k"):
-            wire.say(http_response(200, b"k"))
+            wire.send(http_response(200, b"k"))
 
     async with (
-        bare(drop) as b,
+        RawEndpoint(drop) as b,
         running_proxy(endpoint_entry("s-1", b.port), idle_timeout_s=1e6) as p,
         stepped(p) as clock,
     ):
@@ -392,11 +393,11 @@
             await kept_by(p, b, 1)
             clock.advance(60.0)
         asking = asyncio.ensure_future(p.send_request(http_request(kind, request_id="r1", Req_Deadline=left)))
-        await wait_until(lambda: "r1" in b.ids or asking.done())
+        await wait_until(lambda: "r1" in b.request_ids or asking.done())
         began = clock.advanced_s
         while not asking.done():
             assert clock.advanced_s - began < float(left) + 0.5, "no final answer"
             clock.advance(0.01)
             await turns()
         assert (await asking)[0].split()[1] in ("502", "503")
-        assert b.ids.count("r1") <= (1 if kind == "pay" else 3)
+        assert b.request_ids.count("r1") <= (1 if kind == "pay" else 3)
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -40,7 +40,9 @@
 from load_balancer.process.reload import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
 from tests.process.test_reload import ReloadHarness
 from tests.process.test_startup import attended
+from tests.support.attempts import RecordedAttempts, run_attempt
 from tests.support.balancer_harness import MS, BalancerHarness, S, only
+from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -59,7 +61,6 @@
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock, wait_until
 from tests.support.time_limit import run_in_event_loop
-from tests.support.upstream_helpers import Calls, Connects, attempt
 
 Side = Callable[[socket.socket], bool]
 
@@ -517,7 +518,7 @@
 
     async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(60.0, 60.0, 10)
-        calls, connects = Calls(pool, b), Connects(pool, [0.005] * 10 + [1.0] * 5)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, [0.005] * 10 + [1.0] * 5)
         made, tried = pool.connector.open, 0
 
         async def lacks_all_but_the_first(endpoint: EndpointAddress) -> UpstreamConnection:
@@ -531,8 +532,8 @@
         calls.begin("a", timeout_s=5.0)
         began = pool.loop.time()
         for _ in range(200):
-            await connects.step(0.003)
-        assert not calls.ended
+            await connects.advance(0.003)
+        assert not calls.outcomes
         assert 1 < tried <= 2 + (pool.loop.time() - began) / SHORTAGE_PAUSE_S
         pool.close()
 
@@ -899,7 +900,7 @@
         pool = ConnectionPool(5.0, 30.0, 10)
         rules.add("send", to(b.port), times=len(whole) - all_but)
         rules.add("send", to(b.port), errno.EAGAIN, times=NEVER_ENDING)
-        outcome, _ = await attempt(pool, ("127.0.0.1", b.port), request)
+        outcome, _ = await run_attempt(pool, ("127.0.0.1", b.port), request)
         assert outcome is (Outcome.NO_CONNECTION if all_but else Outcome.RESET)
         pool.close()
 
@@ -972,7 +973,7 @@
                 rules.add("send", side, errno.EAGAIN, times=NEVER_ENDING)
             reads = when in ("half written, read", "written")
             rule = rules.add("recv" if reads else "send", side, error)
-            outcome, _ = await attempt(pool, ("127.0.0.1", b.port))
+            outcome, _ = await run_attempt(pool, ("127.0.0.1", b.port))
             assert outcome is (Outcome.RESET if when == "written" else Outcome.NO_CONNECTION)
             assert rule.hits == 1
             await wait_until(lambda: not pool.connections.open)
--- a/tests/support/connect_gates.py
+++ b/tests/support/connect_gates.py
@@ -3,23 +3,79 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable, Iterable
 
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
 
-class ConnectGate:
-    """Holds all connections of a pool just before they are made, until `opened` is set."""
+class ConnectGates:
+    """Holds each connection of a pool just before it is made; the limits on connects don't run meanwhile.
 
-    def __init__(self, pool: ConnectionPool) -> None:
-        self.opened = asyncio.Event()
-        self.waiting_count = 0  # connections that have been begun
+    Attributes:
+        gates: One for each connect, in the order of their start.
+        clock: The event loop's clock, which `advance` moves.
+    """
+
+    def __init__(self, pool: ConnectionPool, earlier_connects_s: Iterable[float] = ()) -> None:
+        self.gates: list[asyncio.Event] = []
+        self.clock = SteppedClock()
+        self._are_all_open = False
+        for duration_s in earlier_connects_s:
+            pool.pacing.latency.add(duration_s)
         connect = pool.connector.open
 
-        async def connect_once_opened(endpoint: EndpointAddress) -> UpstreamConnection:
+        async def connect_behind_gate(endpoint: EndpointAddress) -> UpstreamConnection:
+            gate = asyncio.Event()
+            self.gates.append(gate)
+            if not self._are_all_open:
+                await gate.wait()
+            return await connect(endpoint)
+
+        pool.connector.open = connect_behind_gate  # type: ignore[method-assign]
+
+    @property
+    def started_count(self) -> int:
+        """How many connects have been started."""
+        return len(self.gates)
+
+    async def wait_for(self, count: int) -> None:
+        """Wait until exactly so many connects have been started."""
+        await wait_until(lambda: len(self.gates) == count)
+
+    def open(self, *numbers: int) -> None:
+        """Let these connects go on, counted from 0."""
+        for number in numbers:
+            self.gates[number].set()
+
+    def open_all(self) -> None:
+        """Let all connects go on, those to come as well."""
+        self._are_all_open = True
+        for gate in self.gates:
+            gate.set()
+
+    async def advance(self, seconds: float) -> None:
+        """Move the clock on, and let all that falls due then run."""
+        self.clock.advance(seconds)
+        await run_loop_turns(12)
+
+
+class SystemConnectGate:
+    """Holds all connects of the event loop until `opened` is set; the limits on connects run meanwhile."""
+
+    def __init__(self) -> None:
+        self.opened = asyncio.Event()
+        self.waiting_count = 0
+        loop = asyncio.get_running_loop()
+        connect = loop.create_connection
+
+        async def connect_once_opened(
+            protocol_factory: Callable[[], asyncio.Protocol], host: str, port: int
+        ) -> object:
             self.waiting_count += 1
             await self.opened.wait()
-            return await connect(endpoint)
+            return await connect(protocol_factory, host, port)
 
-        pool.connector.open = connect_once_opened  # type: ignore[method-assign]
+        loop.create_connection = connect_once_opened  # type: ignore[method-assign, assignment]
--- a/tests/support/discovery_helpers.py
+++ b/tests/support/discovery_helpers.py
@@ -44,8 +44,8 @@
     writer: asyncio.StreamWriter
     over: asyncio.Event = field(default_factory=asyncio.Event)  # the proxy has given it up
 
-    def say(self, said: bytes, end: bool = False) -> None:
-        self.writer.write(said)
+    def send(self, data: bytes, end: bool = False) -> None:
+        self.writer.write(data)
         if end:
             self.writer.close()
 
@@ -117,7 +117,7 @@
     waited = 0.0
     if setup is ASKED:
         waited = await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
-    d.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(7))
+    d.calls[-1].send(WATCH_RESPONSE_HEAD + list_of(7))
     waited += await step(clock, lambda: p.driver.endpoint_list.watch.version == 7, 1.0)
     assert p.driver.endpoint_list.watch.version == 7
     return waited
--- a/tests/support/loopback_proxy.py
+++ b/tests/support/loopback_proxy.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
@@ -11,15 +12,34 @@
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_listener import ClientListener
 from load_balancer.net.client.client_registry import ClientRegistry
+from load_balancer.net.clock import Clock, monotonic_us
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.balancer_harness import settings as default_settings
 from tests.support.endpoint_lists import parsed_endpoint_list
 from tests.support.http_messages import HttpMessage, StreamPair, read_http_message
+from tests.support.stepped_clock import SteppedClock
 
+SECOND_US = 1_000_000
 NO_DISCOVERY = 1  # no server listens on this port
 
 
+class PolicyClockOffset:
+    """How far the policy's clock is moved on, as a test has stepped the event loop's clock."""
+
+    def __init__(self) -> None:
+        self.stepped_clock: SteppedClock | None = None
+
+    def clock(self) -> Clock:
+        """Return a clock for the policy that is moved on with the event loop's clock."""
+        return Clock(monotonic_us=self._now_us)
+
+    def _now_us(self) -> int:
+        advanced_s = self.stepped_clock.advanced_s if self.stepped_clock is not None else 0.0
+        return monotonic_us() + round(advanced_s * SECOND_US)
+
+
 @dataclass
 class LoopbackProxy:
     """A proxy that listens on a port of its own; `running_proxy` makes it and ends it."""
@@ -28,12 +48,18 @@
     listener: ClientListener
     pool: ConnectionPool
     port: int
+    _policy_clock_offset: PolicyClockOffset
 
     @property
     def clients(self) -> ClientRegistry[ClientConnection]:
         """The connections of clients."""
         return self.listener.clients
 
+    def step_clocks(self) -> SteppedClock:
+        """Return a clock that moves the event loop's time and the policy's together."""
+        self._policy_clock_offset.stepped_clock = SteppedClock()
+        return self._policy_clock_offset.stepped_clock
+
     async def connect(self) -> StreamPair:
         """Open a client's connection."""
         return await asyncio.open_connection("127.0.0.1", self.port)
@@ -47,6 +73,16 @@
         finally:
             writer.close()
 
+    def oldest_attempt_connection(self) -> UpstreamConnection:
+        """Return the connection of the open attempt that was begun first."""
+        attempt = next(iter(self.driver.requests.attempts.in_flight.values()))
+        assert attempt.connection is not None
+        return attempt.connection
+
+    def limit_send_buffers(self, size_bytes: int = 4096) -> None:
+        """Let connections accepted from now on buffer little, so that responses wait for their client."""
+        self.listener._listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size_bytes)
+
 
 @asynccontextmanager
 async def running_proxy(
@@ -60,14 +96,16 @@
     """Run a proxy that knows these endpoints, and follows discovery where its port is given."""
     settings = settings or default_settings()
     pool = ConnectionPool(connect_timeout_s, idle_timeout_s, max_connections)
-    driver = EventLoopDriver(settings, 1, pool, ("127.0.0.1", discovery_port))
+    clock_offset = PolicyClockOffset()
+    discovery = ("127.0.0.1", discovery_port)
+    driver = EventLoopDriver(settings, 1, pool, discovery, clock_offset.clock())
     listener = ClientListener(driver, {c.name: c for c in settings.classes}, max_connections)
     _, port = listener.listen(("127.0.0.1", 0))
     if discovery_port == NO_DISCOVERY:  # the list stays as known
         driver.endpoint_list.watch.start = lambda: None  # type: ignore[method-assign]
     driver.start(parsed_endpoint_list(*endpoint_entries) if endpoint_entries else None)
     try:
-        yield LoopbackProxy(driver, listener, pool, port)
+        yield LoopbackProxy(driver, listener, pool, port, clock_offset)
     finally:
         listener.stop_listening()
         listener.close()
--- a/tests/support/stand_in_server.py
+++ b/tests/support/stand_in_server.py
@@ -26,6 +26,11 @@
         self.writers: list[asyncio.StreamWriter] = []  # of all connections accepted so far
         self.server: asyncio.Server | None = None
 
+    @property
+    def request_ids(self) -> list[str]:
+        """The ids of the requests received so far."""
+        return [message.headers["req-id"] for message in self.received]
+
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Hand one connection to the handler, and close the connection afterwards."""
         self.connection_count += 1
