--- a/load_balancer/net/driver/endpoint_directory.py
+++ b/load_balancer/net/driver/endpoint_directory.py
@@ -73,7 +73,7 @@
         return [endpoint for endpoint in before if not self._is_in_service(endpoint)]
 
     def _is_in_service(self, endpoint: EndpointAddress) -> bool:
-        endpoint_id = endpoint.number
+        endpoint_id = endpoint.id
         return endpoint_id in self.up_ids and self.by_id[endpoint_id] == endpoint
 
     def _apply(self, entry: messages.Endpoint, address: Address | None) -> None:
--- /dev/null
+++ b/tests/net/client/test_pipelined_requests.py
@@ -0,0 +1,91 @@
+"""Requests that a client sends ahead: each waits for its turn, with its own deadline."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from load_balancer.net.driver.client_messages import ClientRequest
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.loopback_proxy import running_proxy
+from tests.support.socket_client import connect_paused_client
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock, wait_until
+
+
+async def test_deadline_of_a_pipelined_request_counts_from_its_last_byte(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """However long it waited behind others, and whenever these came."""
+
+    go_on, clock = asyncio.Event(), SteppedClock()
+    patience: list[float] = []
+
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            b.received.append(await read_http_message(reader))
+            await go_on.wait()
+            writer.write(http_response(200, b"x"))
+
+    async with StandInServer(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+        take = p.driver.accept_request
+
+        def listen(caller: ClientRequest) -> str:
+            patience.append(caller.time_remaining_us / 1e6)
+            return take(caller)
+
+        monkeypatch.setattr(p.driver, "accept_request", listen)
+        reader, writer = await p.connect()
+        writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
+        await wait_until(lambda: bool(b.received))
+        clock.advance(1.0)
+        third = http_request(request_id="r3")
+        writer.write(third[:-9])
+        [connection] = p.clients.open_connections
+        await wait_until(lambda: connection._http.received.size_bytes == len(third) - 9)
+        clock.advance(0.5)
+        writer.write(third[-9:])
+        await wait_until(lambda: connection._http.received.size_bytes == len(third))
+        go_on.set()
+        for _ in range(3):
+            assert response_status(await read_http_message(reader)) == 200
+        assert 3.0 < patience[0] <= 4.0
+        assert patience[1] <= 2.5
+        assert 3.0 < patience[2] <= 4.0
+        writer.close()
+
+
+async def test_pipelined_requests_are_answered_in_order() -> None:
+    async with (
+        StandInEndpoint(http_response(200, b"1"), http_response(200, b"2"), http_response(200, b"3")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        reader, writer = await p.connect()
+        writer.write(
+            http_request(request_id="a") + http_request(request_id="b") + http_request(request_id="c")
+        )
+        assert [(await read_http_message(reader))[2] for _ in range(3)] == [b"1", b"2", b"3"]
+        writer.close()
+
+
+@pytest.mark.parametrize("size", [20_000, 65_536])
+async def test_pipelined_request_waits_for_a_slowly_read_response(size: int) -> None:
+    async with (
+        StandInEndpoint(http_response(200, b"x" * size)) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        p.limit_send_buffers()
+        reader, writer = await connect_paused_client(p)
+        writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
+        await wait_until(lambda: bool(p.clients.open_connections))
+        [connection] = p.clients.open_connections
+        await wait_until(lambda: connection.transport.get_write_buffer_size() > 0)
+        for _ in range(20):
+            await asyncio.sleep(0)
+        assert len(b.received) == 1  # what is not read holds the next one back: guards memory
+        writer.transport.resume_reading()  # type: ignore[attr-defined]
+        for _ in range(2):
+            assert len((await read_http_message(reader))[2]) == size
+        writer.close()
