--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 import inspect
-from collections.abc import Generator
+import socket
+from collections.abc import Generator, Iterator
 
 import pytest
 
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from tests.support.failing_sockets import FailingSocket, SocketFailures
 from tests.support.time_limit import limited
 
 
@@ -31,3 +33,16 @@
 
     monkeypatch.setattr(UpstreamConnection, "data_received", record_and_receive)
     return read
+
+
+@pytest.fixture
+def socket_failures(monkeypatch: pytest.MonkeyPatch) -> Iterator[SocketFailures]:
+    """Failures of system calls that the test adds; they concern all sockets made from now on."""
+    in_force = SocketFailures()
+
+    class SocketOfThisTest(FailingSocket):  # one that outlives its test never asks the next one's failures
+        failures = in_force
+
+    monkeypatch.setattr(socket, "socket", SocketOfThisTest)
+    yield in_force
+    in_force.clear()
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -12,6 +12,7 @@
 from load_balancer.net.client import client_limits
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.log_lines import info_lines
 from tests.support.loopback_proxy import running_proxy
 from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
@@ -58,10 +59,6 @@
 }
 
 
-def lines(caplog: pytest.LogCaptureFixture) -> list[str]:
-    return [r.getMessage() for r in caplog.records if r.levelname != "DEBUG"]
-
-
 @pytest.mark.parametrize("sent", BAD.values(), ids=BAD.keys())
 @pytest.mark.parametrize("cut", [0, 1])
 async def test_malformed_request_gets_an_error_and_a_close(
@@ -82,7 +79,7 @@
         assert await reader.read() == b""
         writer.close()
         assert b.received == []
-        assert not lines(caplog)
+        assert not info_lines(caplog)
         assert response_status(await p.send_request(http_request())) == 200
 
 
@@ -128,7 +125,7 @@
         assert b.received == []
         assert not p.clients.open_request_ids
         assert p.clients.buffered.size_bytes == 0
-        assert not lines(caplog)
+        assert not info_lines(caplog)
         client.socket.close()
 
 
@@ -156,7 +153,7 @@
         await wait_until(lambda: not p.clients.open_connections)
         writer.transport.abort()
         assert b.received == []
-        assert not lines(caplog)
+        assert not info_lines(caplog)
 
 
 FORMS = {
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -10,9 +10,10 @@
 
 from load_balancer.net.client import client_limits
 from load_balancer.net.client.client_listener import ClientListener
-from tests.net.client.test_malformed_requests import CHUNKED, lines
+from tests.net.client.test_malformed_requests import CHUNKED
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.log_lines import info_lines
 from tests.support.loopback_proxy import running_proxy
 from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
@@ -110,7 +111,7 @@
         assert len(b.received) == (when == "after a good one")
         assert not p.clients.open_request_ids
         assert p.clients.buffered.size_bytes == 0
-        assert not lines(caplog)
+        assert not info_lines(caplog)
 
 
 def dribble(begin: bytes, more: bytes) -> Iterator[bytes]:
@@ -162,7 +163,7 @@
         client.socket.close()
         assert not b.received
         assert p.clients.buffered.size_bytes == 0
-        assert not lines(caplog)
+        assert not info_lines(caplog)
 
 
 @pytest.mark.parametrize("fresh", [True, False])
--- a/tests/net/discovery/test_discovery_moves.py
+++ b/tests/net/discovery/test_discovery_moves.py
@@ -19,7 +19,6 @@
 from load_balancer.process.config import ConfigSource
 from load_balancer.process.reload import Reloader
 from tests.support.balancer_harness import S, settings
-from tests.support.discovery_helpers import watch_tasks
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -29,6 +28,7 @@
 from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.proxy_process import config, port_of, process, write
+from tests.support.stand_in_discovery import running_watch_count
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock, wait_until
 
@@ -359,7 +359,7 @@
         assert len(last.asked) == 1
         # What the others say by now, be it on a connection that they still hold, is nobody's news.
         await wait_until(lambda: not made.a.open and not any(left.open for left, _ in on_the_way))
-        assert watch_tasks() == 1
+        assert running_watch_count() == 1
         assert made.p.driver.endpoint_list.watch._task is not None
         calls = [len(left.asked) for left, _ in on_the_way], len(made.a.asked)
         await pass_until(made.clock, lambda: len(last.asked) == 2)  # it has been silent for 3 s since
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -13,21 +13,6 @@
 from load_balancer import messages
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.net.discovery.endpoint_watch import BREAK_LOG_WINDOW_S
-from tests.support.discovery_helpers import (
-    ASKED,
-    BOTH,
-    LIST_DEADLINE_S,
-    TURN_S,
-    Call,
-    Discovery,
-    list_of,
-    next_call,
-    served,
-    step,
-    watch_starts,
-    watch_tasks,
-    watched,
-)
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -37,6 +22,21 @@
 from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy
 from tests.support.proxy_process import LIMITS, config, free_port, port_of, process, raw_settings, write
+from tests.support.stand_in_discovery import (
+    EACH_SUBSCRIPTION,
+    LIST_DEADLINE_S,
+    POLL_QUEUE_S,
+    POLLED_SETTINGS,
+    DiscoveryCall,
+    StandInDiscovery,
+    advance_to_next_call,
+    advance_until,
+    answer_latest_call,
+    list_chunk_of_version,
+    record_watch_starts,
+    running_watch_count,
+    watching_proxy,
+)
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock
 
@@ -46,19 +46,19 @@
 )
 
 
-def half_a_list_and_reset(call: Call) -> None:
-    call.send(WATCH_RESPONSE_HEAD + list_of(6)[:30])
+def half_a_list_and_reset(call: DiscoveryCall) -> None:
+    call.send(WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30])
     call.writer.transport.abort()
 
 
-OUTAGES: dict[str, Callable[[Call], None]] = {
+OUTAGES: dict[str, Callable[[DiscoveryCall], None]] = {
     "turned away": lambda call: call.send(http_response(503), end=True),
     "reset": lambda call: call.writer.transport.abort(),
     "ends at once": lambda call: call.send(b"", end=True),
     "silent": lambda call: None,
     "a head": lambda call: call.send(WATCH_RESPONSE_HEAD),
     "half a head": lambda call: call.send(WATCH_RESPONSE_HEAD[:20]),
-    "half a list": lambda call: call.send(WATCH_RESPONSE_HEAD + list_of(6)[:30]),
+    "half a list": lambda call: call.send(WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30]),
     "half a list, then reset": half_a_list_and_reset,
     "noise": lambda call: call.send(b"\x00\xff\r\n\r\n"),
 }
@@ -75,16 +75,16 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def all_is_small(d: Discovery, p: LoopbackProxy) -> None:
+def all_is_small(d: StandInDiscovery, p: LoopbackProxy) -> None:
     """Nothing of the calls that failed is left."""
-    assert sum(not call.over.is_set() for call in d.calls) <= 1
-    assert watch_tasks() <= 1
+    assert sum(not call.closed_by_proxy.is_set() for call in d.calls) <= 1
+    assert running_watch_count() <= 1
     assert len(p.driver.balancer.outbox.timers) <= 2
     assert len(p.driver.timers) <= 2
     assert len(asyncio.get_running_loop()._scheduled) < 200  # type: ignore[attr-defined]
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 @pytest.mark.parametrize("minutes", [2, 60])
 @pytest.mark.parametrize("mood", OUTAGES)
 async def test_change_is_applied_in_time_after_a_long_outage_and_nothing_accumulates(
@@ -92,12 +92,12 @@
 ) -> None:
     """Discovery is back just after a call has failed, or with a call out that it never answers."""
 
-    async with watched(setup) as (d, p, clock):
-        await step(clock, lambda: len(d.calls) == 1)
-        d.calls[0].send(WATCH_RESPONSE_HEAD + list_of(1))
-        await step(clock, lambda: p.driver.endpoint_list.watch.version == 1)
+    async with watching_proxy(setup) as (d, p, clock):
+        await advance_until(clock, lambda: len(d.calls) == 1)
+        d.calls[0].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(1))
+        await advance_until(clock, lambda: p.driver.endpoint_list.watch.version == 1)
         before = descriptors()
-        d.meet = OUTAGES[mood]
+        d.on_call = OUTAGES[mood]
         caplog.clear()
         d.calls[0].writer.transport.abort()
         await outage(clock, 60.0 * minutes)
@@ -107,69 +107,72 @@
         assert set(p.driver.balancer.endpoints.states) == {endpoint_number("s-1")}  # the old list serves on
         all_is_small(d, p)
         assert descriptors() <= before + 2  # a call that is out: its two ends
-        waited = await next_call(d, clock)  # the last one that fails
-        await step(clock, d.calls[-1].over.is_set)
-        d.meet = lambda call: None
-        waited = await next_call(d, clock) + await served(d, p, clock, setup)
+        waited = await advance_to_next_call(d, clock)  # the last one that fails
+        await advance_until(clock, d.calls[-1].closed_by_proxy.is_set)
+        d.on_call = lambda call: None
+        waited = await advance_to_next_call(d, clock) + await answer_latest_call(d, p, clock, setup)
         assert waited < LIST_DEADLINE_S
         assert p.driver.balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 async def test_change_is_applied_in_time_after_an_hour_of_refused_connections(
     setup: messages.Settings,
 ) -> None:
-    async with watched(setup) as (d, p, clock):
-        await step(clock, lambda: len(d.calls) == 1)
-        assert d.peer is not None
-        assert d.peer.server is not None
+    async with watching_proxy(setup) as (d, p, clock):
+        await advance_until(clock, lambda: len(d.calls) == 1)
+        assert d.server is not None
+        assert d.server.server is not None
         d.calls[0].writer.transport.abort()
-        d.peer.server.close()
+        d.server.server.close()
         await outage(clock, 3_600.0)
         all_is_small(d, p)
-        tried = watch_starts(p)
-        await step(clock, lambda: len(tried) > 0 and p.driver.endpoint_list.watch._task is None)
-        d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
-        assert await next_call(d, clock) + await served(d, p, clock, setup) < LIST_DEADLINE_S
+        tried = record_watch_starts(p)
+        await advance_until(clock, lambda: len(tried) > 0 and p.driver.endpoint_list.watch._task is None)
+        d.server.server = await asyncio.start_server(d.server.accept, "127.0.0.1", d.server.port)
+        assert (
+            await advance_to_next_call(d, clock) + await answer_latest_call(d, p, clock, setup)
+            < LIST_DEADLINE_S
+        )
 
 
 async def test_each_poll_waits_for_its_turn_at_an_overloaded_discovery() -> None:
     """It tells each call after its turn of 2 s and then drops it, for minutes: no news is left out."""
 
-    async with watched(ASKED) as (d, p, clock):
+    async with watching_proxy(POLLED_SETTINGS) as (d, p, clock):
         for rev in range(1, 41):
             if len(d.calls) < rev:
-                assert await next_call(d, clock) < 1.0
-            assert await served_as(rev, d, p, clock) < TURN_S + 0.5
+                assert await advance_to_next_call(d, clock) < 1.0
+            assert await served_as(rev, d, p, clock) < POLL_QUEUE_S + 0.5
             d.calls[-1].writer.transport.abort()
         assert len(d.calls) == 40
 
 
-async def served_as(rev: int, d: Discovery, p: LoopbackProxy, clock: SteppedClock) -> float:
+async def served_as(rev: int, d: StandInDiscovery, p: LoopbackProxy, clock: SteppedClock) -> float:
     """Has the call that is out told this version after its longest time in the queue."""
-    waited = await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
-    d.calls[-1].send(WATCH_RESPONSE_HEAD + list_of(rev))
-    waited += await step(clock, lambda: p.driver.endpoint_list.watch.version == rev, 1.0)
+    waited = await advance_until(clock, lambda: d.calls[-1].closed_by_proxy.is_set(), POLL_QUEUE_S)
+    d.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
+    waited += await advance_until(clock, lambda: p.driver.endpoint_list.watch.version == rev, 1.0)
     assert p.driver.endpoint_list.watch.version == rev
     return waited
 
 
 @pytest.mark.parametrize("beats", [False, True], ids=["silent", "beating"])
-@BOTH
+@EACH_SUBSCRIPTION
 async def test_watch_that_falls_silent_repeatedly_is_replaced_in_time(
     setup: messages.Settings, beats: bool
 ) -> None:
     """For minutes: each watch tells one version and stops, some after a beat."""
 
-    async with watched(setup) as (d, p, clock):
+    async with watching_proxy(setup) as (d, p, clock):
         for rev in range(1, 21):
-            await step(clock, lambda rev=rev: len(d.calls) >= rev)  # type: ignore[misc]
-            d.calls[-1].send(WATCH_RESPONSE_HEAD + list_of(rev))
-            await step(clock, lambda rev=rev: p.driver.endpoint_list.watch.version == rev, 1.0)  # type: ignore[misc]
+            await advance_until(clock, lambda rev=rev: len(d.calls) >= rev)  # type: ignore[misc]
+            d.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
+            await advance_until(clock, lambda rev=rev: p.driver.endpoint_list.watch.version == rev, 1.0)  # type: ignore[misc]
             if beats:
-                await step(clock, lambda: False, 2.0)
+                await advance_until(clock, lambda: False, 2.0)
                 d.calls[-1].send(http_chunk("\n"))
-            assert await next_call(d, clock) < LIST_DEADLINE_S - TURN_S
+            assert await advance_to_next_call(d, clock) < LIST_DEADLINE_S - POLL_QUEUE_S
             all_is_small(d, p)
 
 
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -22,21 +22,6 @@
     SLACK_US,
 )
 from tests.support.balancer_harness import S
-from tests.support.discovery_helpers import (
-    ASKED,
-    BOTH,
-    LIST_DEADLINE_S,
-    PUSHED,
-    TURN_S,
-    Call,
-    Discovery,
-    list_of,
-    next_call,
-    served,
-    step,
-    watch_starts,
-    watched,
-)
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -46,13 +31,28 @@
 )
 from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_discovery import (
+    EACH_SUBSCRIPTION,
+    LIST_DEADLINE_S,
+    POLL_QUEUE_S,
+    POLLED_SETTINGS,
+    PUSHED_SETTINGS,
+    DiscoveryCall,
+    StandInDiscovery,
+    advance_to_next_call,
+    advance_until,
+    answer_latest_call,
+    list_chunk_of_version,
+    record_watch_starts,
+    watching_proxy,
+)
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock
 
 
 def test_timeouts_and_backoff_fit_the_notification_deadline() -> None:
-    assert (NOTIFIED_US, DISCOVERY_QUEUE_US) == (LIST_DEADLINE_S * S, TURN_S * S)
-    assert POLLED_LIST_TIMEOUT_S > TURN_S  # a call is not given up before its turn
+    assert (NOTIFIED_US, DISCOVERY_QUEUE_US) == (LIST_DEADLINE_S * S, POLL_QUEUE_S * S)
+    assert POLLED_LIST_TIMEOUT_S > POLL_QUEUE_S  # a call is not given up before its turn
     assert (
         MAX_BACKOFF_US + DISCOVERY_QUEUE_US + FIRST_BACKOFF_US + DISCOVERY_QUEUE_US + SLACK_US <= NOTIFIED_US
     )
@@ -62,7 +62,7 @@
     )
 
 
-FAILURES: dict[str, Callable[[Call], None]] = {
+FAILURES: dict[str, Callable[[DiscoveryCall], None]] = {
     "refused": lambda call: call.send(http_response(503), end=True),
     "reset": lambda call: call.writer.transport.abort(),
     "ended": lambda call: call.send(WATCH_RESPONSE_HEAD + b"0\r\n\r\n", end=True),
@@ -71,68 +71,70 @@
 
 
 async def after_failures(
-    d: Discovery, clock: SteppedClock, failure: Callable[[Call], None], many: int = 6
+    d: StandInDiscovery, clock: SteppedClock, failure: Callable[[DiscoveryCall], None], many: int = 6
 ) -> None:
     """Lets this many calls fail, so that the waits have grown; the last of them has just failed."""
-    d.meet = failure
-    await step(clock, lambda: len(d.calls) == many)
-    d.meet = lambda call: None
+    d.on_call = failure
+    await advance_until(clock, lambda: len(d.calls) == many)
+    d.on_call = lambda call: None
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 @pytest.mark.parametrize("failure", FAILURES)
 async def test_change_is_applied_in_time_after_many_failed_calls(
     setup: messages.Settings, failure: str
 ) -> None:
     """However long it lasted: discovery is there from the moment on in which the last of them failed."""
 
-    async with watched(setup) as (d, p, clock):
+    async with watching_proxy(setup) as (d, p, clock):
         await after_failures(d, clock, FAILURES[failure])
-        waited = await next_call(d, clock) + await served(d, p, clock, setup)
+        waited = await advance_to_next_call(d, clock) + await answer_latest_call(d, p, clock, setup)
         assert waited < LIST_DEADLINE_S
 
 
 async def test_call_rejected_after_queueing_is_repeated_in_time() -> None:
     """The waits have grown and the last call has just failed; the next one is refused after 2 s."""
 
-    async with watched(ASKED) as (d, p, clock):
+    async with watching_proxy(POLLED_SETTINGS) as (d, p, clock):
         await after_failures(d, clock, FAILURES["refused"])
-        waited = await next_call(d, clock)
-        waited += await step(clock, lambda: d.calls[-1].over.is_set(), TURN_S)
+        waited = await advance_to_next_call(d, clock)
+        waited += await advance_until(clock, lambda: d.calls[-1].closed_by_proxy.is_set(), POLL_QUEUE_S)
         FAILURES["refused"](d.calls[-1])
-        waited += await next_call(d, clock) + await served(d, p, clock, ASKED)
+        waited += await advance_to_next_call(d, clock) + await answer_latest_call(
+            d, p, clock, POLLED_SETTINGS
+        )
         assert waited < LIST_DEADLINE_S
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 async def test_watch_with_heartbeats_only_is_replaced_in_time_when_it_falls_silent(
     setup: messages.Settings, caplog: pytest.LogCaptureFixture
 ) -> None:
     """It has brought no list since the waits grew: there was nothing to tell."""
 
-    async with watched(setup) as (d, p, clock):
+    async with watching_proxy(setup) as (d, p, clock):
         await after_failures(d, clock, FAILURES["refused"])
-        await next_call(d, clock)
+        await advance_to_next_call(d, clock)
         caplog.clear()
         d.calls[-1].send(WATCH_RESPONSE_HEAD + http_chunk("\n"))
-        await step(clock, lambda: d.calls[-1].over.is_set(), 1.5)
+        await advance_until(clock, lambda: d.calls[-1].closed_by_proxy.is_set(), 1.5)
         d.calls[-1].send(http_chunk("\n"))  # its last word
-        waited = await next_call(d, clock)
+        waited = await advance_to_next_call(d, clock)
         assert "broke: silent" in caplog.text
-        assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
+        assert waited + await answer_latest_call(d, p, clock, setup) < LIST_DEADLINE_S
 
 
 STOPS = {
     "nothing": b"",
     "half a head": WATCH_RESPONSE_HEAD[:20],
     "a head": WATCH_RESPONSE_HEAD,
-    "half a chunk": WATCH_RESPONSE_HEAD + list_of(6)[:30],
+    "half a chunk": WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30],
     "half a line": WATCH_RESPONSE_HEAD + http_chunk('{"rev":6,"all":true,"targets":[{"uid":"s-6"'),
     "an interim answer": b"HTTP/1.1 100 Continue\r\n\r\n",
 }
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 @pytest.mark.parametrize("dribbles", [False, True], ids=["still", "dribbling"])
 @pytest.mark.parametrize("stop", STOPS)
 async def test_call_whose_response_stops_midway_is_repeated_in_time(
@@ -145,33 +147,33 @@
     elif stop == "half a chunk":
         drop = b" "
 
-    async with watched(setup) as (d, p, clock):
+    async with watching_proxy(setup) as (d, p, clock):
         await after_failures(d, clock, FAILURES["refused"])
-        await next_call(d, clock)
+        await advance_to_next_call(d, clock)
         first, waited = d.calls[-1], 0.0
         first.send(STOPS[stop])
         while len(d.calls) == 7:
-            waited += await step(clock, lambda: len(d.calls) > 7, 0.3)
-            if dribbles and not first.over.is_set():
+            waited += await advance_until(clock, lambda: len(d.calls) > 7, 0.3)
+            if dribbles and not first.closed_by_proxy.is_set():
                 first.send(drop)
             assert waited < LIST_DEADLINE_S
-        assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
+        assert waited + await answer_latest_call(d, p, clock, setup) < LIST_DEADLINE_S
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 async def test_change_is_applied_in_time_after_refused_connections(setup: messages.Settings) -> None:
     """Nobody listens for a while; the address is there again just after a connection was refused."""
 
-    async with watched(setup) as (d, p, clock):
-        await step(clock, lambda: len(d.calls) == 1)
-        assert d.peer is not None
-        assert d.peer.server is not None
+    async with watching_proxy(setup) as (d, p, clock):
+        await advance_until(clock, lambda: len(d.calls) == 1)
+        assert d.server is not None
+        assert d.server.server is not None
         d.calls[0].writer.transport.abort()
-        d.peer.server.close()
-        tried = watch_starts(p)
-        await step(clock, lambda: len(tried) == 6 and p.driver.endpoint_list.watch._task is None)
-        d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
-        waited = await next_call(d, clock) + await served(d, p, clock, setup)
+        d.server.server.close()
+        tried = record_watch_starts(p)
+        await advance_until(clock, lambda: len(tried) == 6 and p.driver.endpoint_list.watch._task is None)
+        d.server.server = await asyncio.start_server(d.server.accept, "127.0.0.1", d.server.port)
+        waited = await advance_to_next_call(d, clock) + await answer_latest_call(d, p, clock, setup)
         assert waited < LIST_DEADLINE_S
 
 
@@ -239,7 +241,7 @@
 }
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 @pytest.mark.parametrize(("said", "why"), SPOILT.values(), ids=SPOILT.keys())
 async def test_invalid_list_keeps_the_old_one_and_reopens_the_watch(
     setup: messages.Settings, said: bytes, why: str, caplog: pytest.LogCaptureFixture
@@ -247,14 +249,14 @@
     """Nothing of it counts, one line names why, and what comes next is taken."""
     both = endpoint_list(endpoint_entry("s-1", 9), endpoint_entry("s-2", 9), rev=1)
 
-    async with watched(setup) as (d, p, clock):
-        await step(clock, lambda: len(d.calls) == 1)
+    async with watching_proxy(setup) as (d, p, clock):
+        await advance_until(clock, lambda: len(d.calls) == 1)
         d.calls[0].send(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
-        await step(clock, lambda: p.driver.endpoint_list.watch.version == 1)
+        await advance_until(clock, lambda: p.driver.endpoint_list.watch.version == 1)
         held, up = dict(p.driver.balancer.endpoints.states), set(p.driver.endpoint_list.endpoints.up_ids)
         caplog.clear()
         d.calls[0].send(said)
-        waited = await next_call(d, clock)
+        waited = await advance_to_next_call(d, clock)
         assert (
             p.driver.balancer.endpoints.states,
             p.driver.endpoint_list.endpoints.up_ids,
@@ -268,7 +270,7 @@
         assert why in line.getMessage()
         assert "\n" not in line.getMessage()
         assert not line.exc_info
-        assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
+        assert waited + await answer_latest_call(d, p, clock, setup) < LIST_DEADLINE_S
         assert set(p.driver.balancer.endpoints.states) == {endpoint_number("s-7")}
 
 
@@ -333,30 +335,30 @@
 
 
 @pytest.mark.parametrize("first", ["refused in its turn", "refused at once", "silent", "half a line"])
-@BOTH
+@EACH_SUBSCRIPTION
 async def test_watch_moved_from_a_failed_discovery_has_its_list_in_time(
     setup: messages.Settings, first: str
 ) -> None:
     """The waits have grown on the old address; the first call on the new one fails as well."""
 
-    async with watched(setup) as (d, p, clock), AsyncExitStack() as stack:
-        new = Discovery(clock)
+    async with watching_proxy(setup) as (d, p, clock), AsyncExitStack() as stack:
+        new = StandInDiscovery(clock)
         e = await stack.enter_async_context(StandInServer(new.handle))
         await after_failures(d, clock, FAILURES["refused"])
         p.driver.move_discovery(("127.0.0.1", e.port))
-        waited = await next_call(new, clock)
+        waited = await advance_to_next_call(new, clock)
         call = new.calls[-1]
-        if first == "refused in its turn" and setup is ASKED:
-            waited += await step(clock, lambda: call.over.is_set(), TURN_S)
+        if first == "refused in its turn" and setup is POLLED_SETTINGS:
+            waited += await advance_until(clock, lambda: call.closed_by_proxy.is_set(), POLL_QUEUE_S)
         if first.startswith("refused"):
             FAILURES["refused"](call)
         elif first == "half a line":
             call.send(STOPS["half a line"])
-        waited += await next_call(new, clock)
-        new.calls[-1].send(WATCH_RESPONSE_HEAD + list_of(7))
+        waited += await advance_to_next_call(new, clock)
+        new.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(7))
         # Behind a call that was refused, the next one may still have to wait for its turn.
-        left = 0.0 if setup is PUSHED or not first.startswith("refused") else 1.0
-        waited += left + await step(clock, lambda: p.driver.endpoint_list.watch.version == 7, 1.0)
+        left = 0.0 if setup is PUSHED_SETTINGS or not first.startswith("refused") else 1.0
+        waited += left + await advance_until(clock, lambda: p.driver.endpoint_list.watch.version == 7, 1.0)
         assert p.driver.endpoint_list.watch.version == 7
         assert waited < MOVED_S
         assert len(d.calls) == 6  # nothing more on the old one
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -16,14 +16,6 @@
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from tests.support.attempts import KEYED_REQUEST, UNSAFE_REQUEST, RecordedAttempt
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
-from tests.support.discovery_helpers import (
-    BOTH,
-    LIST_DEADLINE_S,
-    next_call,
-    served,
-    step,
-    watched,
-)
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -33,6 +25,14 @@
 from tests.support.http_messages import HttpMessage, http_chunk, http_request, http_response
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.raw_endpoint import ConnectionHandler, EndpointConnection, RawEndpoint
+from tests.support.stand_in_discovery import (
+    EACH_SUBSCRIPTION,
+    LIST_DEADLINE_S,
+    advance_to_next_call,
+    advance_until,
+    answer_latest_call,
+    watching_proxy,
+)
 from tests.support.stepped_clock import SteppedClock, wait_until
 
 KINDS = ["read", "write", "mark", "pay"]
@@ -146,22 +146,22 @@
 # The watch
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 async def test_a_watch_that_only_beats_for_hours_stands_and_its_end_is_made_good_in_time(
     setup: messages.Settings,
 ) -> None:
-    async with watched(setup) as (d, p, clock):
-        await step(clock, lambda: len(d.calls) == 1)
+    async with watching_proxy(setup) as (d, p, clock):
+        await advance_until(clock, lambda: len(d.calls) == 1)
         d.calls[0].send(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9))))
-        await step(clock, lambda: p.driver.endpoint_list.watch.version == 1)
+        await advance_until(clock, lambda: p.driver.endpoint_list.watch.version == 1)
         for _ in range(round(2 * 3_600 / BEAT_S)):
             clock.advance(BEAT_S)
             d.calls[0].send(http_chunk("\n"))
             await turns(12)
         assert len(d.calls) == 1
         assert len(p.driver.balancer.outbox.timers) == len(p.driver.timers) == 0
-        waited = await next_call(d, clock)  # it falls silent
-        assert waited + await served(d, p, clock, setup) < LIST_DEADLINE_S
+        waited = await advance_to_next_call(d, clock)  # it falls silent
+        assert waited + await answer_latest_call(d, p, clock, setup) < LIST_DEADLINE_S
 
 
 # Idle connections
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -14,11 +14,8 @@
 import signal
 import socket
 import sys
-from collections.abc import AsyncIterator, Callable, Iterator
-from contextlib import asynccontextmanager
-from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, ClassVar
+from typing import Any
 
 import pytest
 
@@ -49,211 +46,62 @@
     endpoint_list,
     endpoint_list_chunk,
 )
+from tests.support.failing_sockets import (
+    ERRNOS_OF_ONE_CONNECTION,
+    SocketFailures,
+    accepted_on,
+    any_socket,
+    connected_to,
+)
 from tests.support.http_messages import (
-    StreamPair,
     http_request,
     http_response,
     read_http_message,
     response_status,
 )
+from tests.support.log_lines import problem_lines, traceback_lines
 from tests.support.loopback_proxy import running_proxy
 from tests.support.proxy_process import LIMITS, ROOT, config, free_port, port_of, process, raw_settings, write
+from tests.support.socket_client import queue_request, read_status_or_end
+from tests.support.stand_in_discovery import StandInListServer
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock, wait_until
 from tests.support.time_limit import run_in_event_loop
 
-Side = Callable[[socket.socket], bool]
-
-
-def at(port: int) -> Side:
-    """Sockets of the one that listens there: the listener, and the connections that it has accepted."""
-    return lambda made: bool(made.getsockname()[1] == port)
-
-
-def to(port: int) -> Side:
-    """Sockets that are connected to there, or about to be."""
-    return lambda made: bool(getattr(made, "target", None) == port)
-
-
-@dataclass
-class Rule:
-    """What happens to a call on sockets of one side, the next few times."""
-
-    call: str
-    side: Side
-    error: int = 0  # 0: the call comes short
-    times: int = 1
-    hits: int = 0
-
-
-class Rules:
-    """The rules in force. They hold until they are used up, the first that fits."""
-
-    def __init__(self) -> None:
-        self._rules: list[Rule] = []
-
-    def add(self, call: str, side: Side, error: int = 0, times: int = 1) -> Rule:
-        rule = Rule(call, side, error, times)
-        self._rules.append(rule)
-        return rule
-
-    def clear(self) -> None:
-        self._rules.clear()
-
-    def fits(self, call: str, made: socket.socket) -> Rule | None:
-        for rule in self._rules:
-            if rule.call == call and rule.hits < rule.times and rule.side(made):
-                rule.hits += 1
-                return rule
-        return None
-
-
-def failure(rule: Rule) -> OSError:
-    return OSError(rule.error, os.strerror(rule.error))
-
-
-class RuledSocket(socket.socket):
-    """Asks the rules in force before each call."""
-
-    rules: ClassVar[Rules]
-
-    def __init__(self, *args: Any, **named: Any) -> None:
-        super().__init__(*args, **named)
-        if named.get("fileno") is None and (rule := self.rules.fits("socket", self)):
-            self.close()
-            raise failure(rule)
-
-    def accept(self) -> tuple[socket.socket, Any]:
-        if rule := self.rules.fits("accept", self):
-            if rule.error in OF_ONE_CONNECTION:  # the system takes it out of the queue
-                super().accept()[0].close()
-            raise failure(rule)
-        return super().accept()
-
-    def connect(self, address: Any) -> None:
-        self.target = address[1]
-        if rule := self.rules.fits("connect", self):
-            raise failure(rule)
-        super().connect(address)
-
-    def recv(self, size: int, *flags: int) -> bytes:
-        return super().recv(self._asked("recv", size), *flags)
-
-    def recv_into(self, buffer: Any, size: int = 0, *flags: int) -> int:
-        return super().recv_into(buffer, self._asked("recv", size or len(buffer)), *flags)
-
-    def send(self, data: Any, *flags: int) -> int:
-        return super().send(data[: self._asked("send", len(data))], *flags)
-
-    def shutdown(self, how: int) -> None:
-        if rule := self.rules.fits("shutdown", self):
-            raise failure(rule)
-        super().shutdown(how)
-
-    def _asked(self, call: str, size: int) -> int:
-        """Bytes that a call is to move, which a rule may cut to one."""
-        rule = self.rules.fits(call, self)
-        if rule is not None and rule.error:
-            raise failure(rule)
-        return size if rule is None else min(size, 1)
-
-
-@pytest.fixture
-def rules(monkeypatch: pytest.MonkeyPatch) -> Iterator[Rules]:
-    """Sockets are made of a class that asks these rules before each call."""
-    made = Rules()
-
-    class SocketOfThisTest(RuledSocket):  # one that outlives its test never asks the next one's rules
-        rules = made
-
-    monkeypatch.setattr(socket, "socket", SocketOfThisTest)
-    yield made
-    made.clear()
-
-
-PEERS = "StreamReaderProtocol"  # in what asyncio says of the test's own peers as they are stopped
-
-
-def lines(caplog: pytest.LogCaptureFixture) -> list[str]:
-    """What the proxy has logged of trouble, traces among it."""
-    said = [r for r in caplog.records if r.levelno >= logging.WARNING and PEERS not in r.getMessage()]
-    return [r.getMessage() + (" Traceback" if r.exc_info else "") for r in said]
-
-
-def traces(caplog: pytest.LogCaptureFixture) -> list[str]:
-    return [line for line in lines(caplog) if "Traceback" in line]
-
-
-def queued(port: int, request_id: str) -> socket.socket:
-    """A connection that stands in the system's queue, with a request on it."""
-    made = socket.create_connection(("127.0.0.1", port))
-    made.sendall(http_request(request_id=request_id))
-    return made
-
-
-async def streams(made: socket.socket) -> StreamPair:
-    made.setblocking(False)
-    return await asyncio.open_connection(sock=made)
-
-
-async def answered(made: socket.socket) -> int:
-    """The status that comes on it; 0 where it ends without an answer."""
-    reader, writer = await streams(made)
-    try:
-        return response_status(await read_http_message(reader))
-    except (asyncio.IncompleteReadError, ConnectionError):
-        return 0
-    finally:
-        writer.close()
-
-
-OF_ONE_CONNECTION = [
-    errno.ECONNABORTED,
-    errno.EHOSTDOWN,
-    errno.EHOSTUNREACH,
-    errno.ENETDOWN,
-    errno.ENETUNREACH,
-    errno.ENONET,
-    errno.ENOPROTOOPT,
-    errno.EOPNOTSUPP,
-    errno.EPERM,
-    errno.EPROTO,
-    errno.ETIMEDOUT,
-]
 OF_A_LACK = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 OF_NO_CONNECTION = [errno.EINTR, *OF_A_LACK, errno.EINVAL, errno.EIO]  # all behind it stays in the queue
 EACH_ACCEPT = pytest.mark.parametrize(
-    "error", [*OF_ONE_CONNECTION, *OF_NO_CONNECTION], ids=lambda number: errno.errorcode[number]
+    "error", [*ERRNOS_OF_ONE_CONNECTION, *OF_NO_CONNECTION], ids=lambda number: errno.errorcode[number]
 )
 
 
 @EACH_ACCEPT
 def test_an_accept_that_fails_is_logged_once_in_a_while_and_the_next_ones_are_served(
-    error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with (
             StandInEndpoint(http_response(200, b"x")) as b,
             running_proxy(endpoint_entry("b", b.port)) as p,
         ):
-            rule = rules.add("accept", at(p.port), error, times=5)
-            clients = [queued(p.port, f"r{n}") for n in range(8)]
-            lost = 5 if error in OF_ONE_CONNECTION else 0
-            got = await asyncio.gather(*map(answered, clients))
+            rule = socket_failures.add("accept", accepted_on(p.port), error, times=5)
+            clients = [queue_request(p.port, f"r{n}") for n in range(8)]
+            lost = 5 if error in ERRNOS_OF_ONE_CONNECTION else 0
+            got = await asyncio.gather(*map(read_status_or_end, clients))
             assert sorted(got) == [0] * lost + [200] * (8 - lost)
             assert rule.hits == 5
             assert len(b.received) == 8 - lost
 
     run_in_event_loop(test)
-    assert not traces(caplog)
-    assert len([line for line in lines(caplog) if "connection" in line]) <= 1
+    assert not traceback_lines(caplog)
+    assert len([line for line in problem_lines(caplog) if "connection" in line]) <= 1
 
 
 @EACH_ACCEPT
 def test_an_accept_that_fails_at_the_end_ends_nothing_and_drops_nothing_behind_it(
-    error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """What is open is answered, and each connection in the queue but the one that failed."""
+    """What is open is read_status_or_end, and each connection in the queue but the one that failed."""
 
     async def test() -> None:
         async with (
@@ -263,12 +111,14 @@
             reader, writer = await p.connect()
             writer.write(http_request(request_id="open"))
             assert response_status(await read_http_message(reader)) == 200
-            rules.add("accept", at(p.port), error, times=1 if error in OF_ONE_CONNECTION else 3)
-            clients = [queued(p.port, f"r{n}") for n in range(6)]
+            socket_failures.add(
+                "accept", accepted_on(p.port), error, times=1 if error in ERRNOS_OF_ONE_CONNECTION else 3
+            )
+            clients = [queue_request(p.port, f"r{n}") for n in range(6)]
             p.listener.stop_listening()  # as the shutdown calls it, before the event loop has turned
             assert not p.listener.is_drained
-            got = await asyncio.gather(*map(answered, clients))
-            assert sorted(got) == [200 * (error not in OF_ONE_CONNECTION), *[200] * 5]
+            got = await asyncio.gather(*map(read_status_or_end, clients))
+            assert sorted(got) == [200 * (error not in ERRNOS_OF_ONE_CONNECTION), *[200] * 5]
             writer.write(http_request(request_id="again"))
             assert response_status(await read_http_message(reader)) == 200
             writer.close()
@@ -277,19 +127,19 @@
                 await p.connect()
 
     run_in_event_loop(test)
-    assert not traces(caplog)
-    assert len(lines(caplog)) <= 1
+    assert not traceback_lines(caplog)
+    assert len(problem_lines(caplog)) <= 1
 
 
 @pytest.mark.parametrize("error", [errno.EINTR, errno.EMFILE, errno.EINVAL])
 async def test_an_accept_that_goes_on_failing_keeps_no_turn_of_the_event_loop_busy(
-    error: int, rules: Rules, monkeypatch: pytest.MonkeyPatch
+    error: int, socket_failures: SocketFailures, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The listener stays readable all the while. Each wait is one timer, which the test lets run out."""
     waits: list[float] = []
 
     async with running_proxy(endpoint_entry("b", 9)) as p:
-        rule = rules.add("accept", at(p.port), error, times=sys.maxsize)
+        rule = socket_failures.add("accept", accepted_on(p.port), error, times=sys.maxsize)
         call_later = p.listener.loop.call_later
 
         def waited(delay: float, *rest: Any) -> asyncio.TimerHandle:
@@ -298,16 +148,16 @@
             return call_later(delay, *rest)
 
         monkeypatch.setattr(p.listener.loop, "call_later", waited)
-        client = queued(p.port, "r1")
+        client = queue_request(p.port, "r1")
         for _ in range(500):
             await asyncio.sleep(0)
         assert 0 < rule.hits <= client_limits.MAX_ACCEPTS_PER_TURN * len(waits)
         assert set(waits) == {client_limits.ACCEPT_RETRY_DELAY_S}
-        rules.clear()
+        socket_failures.clear()
         client.close()
 
 
-async def test_the_queue_is_taken_in_at_the_end_as_others_leave(rules: Rules) -> None:
+async def test_the_queue_is_taken_in_at_the_end_as_others_leave(socket_failures: SocketFailures) -> None:
     """More wait there than there is room for, and all that have one are still at work."""
 
     begun, go_on = 0, asyncio.Event()
@@ -322,15 +172,15 @@
 
     async with StandInServer(hold) as b, running_proxy(endpoint_entry("b", b.port), max_connections=2) as p:
         room = 2 + 8
-        first = [asyncio.ensure_future(answered(queued(p.port, f"a{n}"))) for n in range(2)]
+        first = [asyncio.ensure_future(read_status_or_end(queue_request(p.port, f"a{n}"))) for n in range(2)]
         await wait_until(lambda: begun == 2)
-        rest = [queued(p.port, f"r{n}") for n in range(2 * room)]
+        rest = [queue_request(p.port, f"r{n}") for n in range(2 * room)]
         p.listener.stop_listening()
         p.listener.close_idle_connections()
         assert p.clients.descriptor_count <= room
         assert not p.listener.is_drained
         go_on.set()
-        got = [asyncio.ensure_future(answered(one)) for one in rest]
+        got = [asyncio.ensure_future(read_status_or_end(one)) for one in rest]
         while not all(one.done() for one in got):
             p.listener.close_idle_connections()
             await asyncio.sleep(0)
@@ -419,9 +269,9 @@
                 await until_logged(made, b"Too many open files")
             made.send_signal(signal.SIGTERM)
             await until_logged(made, b"about to stop listening")
-            clients = [queued(port, f"r{n}") for n in range(6)]
+            clients = [queue_request(port, f"r{n}") for n in range(6)]
             made.stdin.write(b"\n")
-            got = await asyncio.gather(*map(answered, clients))
+            got = await asyncio.gather(*map(read_status_or_end, clients))
             go_on.set()
             assert response_status(await read_http_message(reader)) == 200
             writer.close()
@@ -448,13 +298,9 @@
 )
 
 
-def anyone(made: socket.socket) -> bool:
-    return True
-
-
 @EACH_LACK
 def test_a_lack_of_this_machine_says_nothing_of_a_backend_and_costs_no_retry(
-    name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with (
@@ -463,7 +309,7 @@
         ):
             reader, writer = await p.connect()
             await wait_until(lambda: len(p.clients.open_connections) == 1)
-            rule = rules.add(name, anyone, error)
+            rule = socket_failures.add(name, any_socket, error)
             writer.write(http_request())
             assert response_status(await read_http_message(reader)) == 200
             assert rule.hits == 1
@@ -475,12 +321,12 @@
             writer.close()
 
     run_in_event_loop(test)
-    assert not traces(caplog)
+    assert not traceback_lines(caplog)
 
 
 @EACH_LACK
 def test_a_lack_of_this_machine_that_lasts_ends_a_request_at_once_with_a_refusal(
-    name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """After as many tries as the settings allow, which cost no retry, and none of them goes on."""
 
@@ -491,7 +337,7 @@
         ):
             reader, writer = await p.connect()
             await wait_until(lambda: len(p.clients.open_connections) == 1)
-            rule = rules.add(name, anyone, error, times=sys.maxsize)
+            rule = socket_failures.add(name, any_socket, error, times=sys.maxsize)
             for answers in range(1, 31):
                 writer.write(http_request(request_id=f"r{answers}"))
                 assert response_status(await read_http_message(reader)) == 503
@@ -502,13 +348,13 @@
             assert not p.pool.pending.by_endpoint
             assert not p.pool.connections.open
             assert not p.pool.waiting.by_endpoint
-            rules.clear()
+            socket_failures.clear()
             writer.write(http_request(request_id="last"))
             assert response_status(await read_http_message(reader)) == 200
             writer.close()
 
     run_in_event_loop(test)
-    assert not traces(caplog)
+    assert not traceback_lines(caplog)
 
 
 async def test_beside_a_late_connection_a_lack_is_not_met_again_and_again(
@@ -545,7 +391,7 @@
 
 @NO_WAY
 def test_a_backend_that_could_not_be_reached_keeps_its_share_and_is_used_again(
-    error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The requests that met it are served elsewhere. What its own refusal says is another matter."""
 
@@ -561,7 +407,7 @@
                 for n, server in balancer.endpoints.states.items()
             }
             lost, clock = known[a.port], p.driver.clock
-            rule = rules.add("connect", to(a.port), error, times=3)
+            rule = socket_failures.add("connect", connected_to(a.port), error, times=3)
             asked = 0
 
             async def ask() -> None:
@@ -589,7 +435,7 @@
             assert lost.unreachable_backoff_us == 0
 
     run_in_event_loop(test)
-    assert not traces(caplog)
+    assert not traceback_lines(caplog)
 
 
 def test_a_way_that_is_gone_for_a_moment_costs_a_backend_a_moment() -> None:
@@ -694,12 +540,12 @@
         for _ in range(12):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
         assert not r.moved
-        assert len(lines(caplog)) == 1
+        assert len(problem_lines(caplog)) == 1
         file.error = 0
         r.path.write_text(SOUND)
         await step(clock, RELOAD_RETRY_INTERVAL_S)
         assert r.moved == [("127.0.0.1", 2)]
-        assert len(lines(caplog)) == 1
+        assert len(problem_lines(caplog)) == 1
         reads = file.reads
         await step(clock, 10.0)
         assert file.reads == reads
@@ -718,7 +564,7 @@
         for _ in range(100):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
         assert not r.moved
-        assert len(lines(caplog)) == 1
+        assert len(problem_lines(caplog)) == 1
         assert file.reads == 1 + MAX_RELOAD_RETRIES
         file.error = 0
         r.still_follows()  # at the next signal
@@ -741,8 +587,8 @@
         elif then == "another fault":  # it can be read, and cannot be used
             r.path.write_text("[1]")
             await step(clock, RELOAD_RETRY_INTERVAL_S)
-            assert "field settings" in lines(caplog)[-1]
-            assert len(lines(caplog)) == 2
+            assert "field settings" in problem_lines(caplog)[-1]
+            assert len(problem_lines(caplog)) == 2
         else:
             r.still_follows()
         reads = file.reads
@@ -811,33 +657,23 @@
 EACH_STANDING = pytest.mark.parametrize("error", STANDING, ids=lambda number: errno.errorcode[number])
 
 
-@asynccontextmanager
-async def discovery(*lists: dict[str, object]) -> AsyncIterator[StandInServer]:
-    """Tells each watch the next of these, the last one for ever; the watch stands."""
-    left = list(lists)
-
-    async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(left.pop(0) if len(left) > 1 else left[0]))
-        await reader.read()
-
-    async with StandInServer(watch) as made:
-        yield made
-
-
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("name", ["recv", "send"])
 def test_whatever_comes_or_goes_byte_by_byte_is_read_and_written_whole(
-    name: str, side: str, rules: Rules, caplog: pytest.LogCaptureFixture
+    name: str, side: str, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with (
             StandInEndpoint(http_response(200, b"said" * 50)) as b,
-            discovery(endpoint_list(endpoint_entry("b", b.port))) as d,
+            StandInListServer(endpoint_list(endpoint_entry("b", b.port))) as d,
             running_proxy(discovery_port=d.port) as p,
         ):
-            sides = {"caller": at(p.port), "backend": to(b.port), "discovery": to(d.port)}
-            rule = rules.add(name, sides[side], times=NEVER_ENDING)
+            sides = {
+                "caller": accepted_on(p.port),
+                "backend": connected_to(b.port),
+                "discovery": connected_to(d.port),
+            }
+            rule = socket_failures.add(name, sides[side], times=NEVER_ENDING)
             await wait_until(lambda: p.driver.is_ready)
             for number in range(2):
                 got = await p.send_request(http_request("mark", request_id=f"r{number}", body=b"asked" * 50))
@@ -847,22 +683,28 @@
             assert d.connection_count == 1
 
     run_in_event_loop(test)
-    assert not lines(caplog)
+    assert not problem_lines(caplog)
 
 
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("name", ["recv", "send"])
-def test_a_call_that_a_signal_interrupts_is_made_again(name: str, side: str, rules: Rules) -> None:
+def test_a_call_that_a_signal_interrupts_is_made_again(
+    name: str, side: str, socket_failures: SocketFailures
+) -> None:
     """As it is told, though Python makes most such calls again by itself; and waits are, by real signals."""
 
     async def test() -> None:
         async with (
             StandInEndpoint(http_response(200, b"x")) as b,
-            discovery(endpoint_list(endpoint_entry("b", b.port))) as d,
+            StandInListServer(endpoint_list(endpoint_entry("b", b.port))) as d,
             running_proxy(discovery_port=d.port) as p,
         ):
-            sides = {"caller": at(p.port), "backend": to(b.port), "discovery": to(d.port)}
-            rule = rules.add(name, sides[side], errno.EINTR, times=3)
+            sides = {
+                "caller": accepted_on(p.port),
+                "backend": connected_to(b.port),
+                "discovery": connected_to(d.port),
+            }
+            rule = socket_failures.add(name, sides[side], errno.EINTR, times=3)
             await wait_until(lambda: p.driver.is_ready)
             for number in range(3):
                 assert response_status(await p.send_request(http_request(request_id=f"r{number}"))) == 200
@@ -887,7 +729,9 @@
 
 
 @pytest.mark.parametrize("all_but", [0, 1, 40])
-async def test_a_request_counts_as_sent_with_its_last_byte(all_but: int, rules: Rules) -> None:
+async def test_a_request_counts_as_sent_with_its_last_byte(
+    all_but: int, socket_failures: SocketFailures
+) -> None:
     """The system takes a byte at a time, and then no more for now; the backend reads all that and breaks."""
     request = UpstreamRequest(
         b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True, adds_deadline_header=False
@@ -900,8 +744,8 @@
 
     async with StandInServer(handle) as b:
         pool = ConnectionPool(5.0, 30.0, 10)
-        rules.add("send", to(b.port), times=len(whole) - all_but)
-        rules.add("send", to(b.port), errno.EAGAIN, times=NEVER_ENDING)
+        socket_failures.add("send", connected_to(b.port), times=len(whole) - all_but)
+        socket_failures.add("send", connected_to(b.port), errno.EAGAIN, times=NEVER_ENDING)
         outcome, _ = await run_attempt(pool, ("127.0.0.1", b.port), request)
         assert outcome is (Outcome.NO_CONNECTION if all_but else Outcome.RESET)
         pool.close()
@@ -910,7 +754,7 @@
 @EACH_STANDING
 @pytest.mark.parametrize("name", ["recv", "send"])
 def test_a_callers_connection_that_fails_ends_what_is_out_for_it_and_nothing_else(
-    name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         held: dict[str, asyncio.StreamWriter] = {}
@@ -929,7 +773,9 @@
             writer.write(http_request(request_id="lost"))
             await wait_until(lambda: len(held) == 2)
             mine = writer.get_extra_info("sockname")
-            rule = rules.add(name, lambda made: at(p.port)(made) and made.getpeername() == mine, error)
+            rule = socket_failures.add(
+                name, lambda made: accepted_on(p.port)(made) and made.getpeername() == mine, error
+            )
             if name == "recv":
                 writer.write(b"G")  # what comes makes it read
                 await wait_until(lambda: ended == ["lost"])
@@ -946,13 +792,13 @@
             writer.close()
 
     run_in_event_loop(test)
-    assert not lines(caplog)
+    assert not problem_lines(caplog)
 
 
 @EACH_STANDING
 @pytest.mark.parametrize("when", ["at the first byte", "half written", "half written, read", "written"])
 def test_a_backends_connection_that_fails_tells_by_the_last_byte_whether_the_request_may_have_run(
-    when: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    when: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     half = 10  # bytes
 
@@ -968,13 +814,13 @@
 
         async with StandInServer(handle) as b:
             pool = ConnectionPool(5.0, 30.0, 10)
-            side = to(b.port)
+            side = connected_to(b.port)
             if "half" in when:
-                rules.add("send", side, times=half)
+                socket_failures.add("send", side, times=half)
             if when == "half written, read":
-                rules.add("send", side, errno.EAGAIN, times=NEVER_ENDING)
+                socket_failures.add("send", side, errno.EAGAIN, times=NEVER_ENDING)
             reads = when in ("half written, read", "written")
-            rule = rules.add("recv" if reads else "send", side, error)
+            rule = socket_failures.add("recv" if reads else "send", side, error)
             outcome, _ = await run_attempt(pool, ("127.0.0.1", b.port))
             assert outcome is (Outcome.RESET if when == "written" else Outcome.NO_CONNECTION)
             assert rule.hits == 1
@@ -982,12 +828,12 @@
             pool.close()
 
     run_in_event_loop(test)
-    assert not lines(caplog)
+    assert not problem_lines(caplog)
 
 
 @EACH_STANDING
 def test_a_resting_connection_to_a_backend_that_fails_is_not_used_again(
-    error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with (
@@ -996,7 +842,7 @@
         ):
             assert response_status(await p.send_request(http_request(request_id="r1"))) == 200
             await wait_until(lambda: bool(p.pool.idle.by_endpoint))
-            rules.add("recv", to(b.port), error)
+            socket_failures.add("recv", connected_to(b.port), error)
             b.writers[0].write(b"H")
             await wait_until(lambda: not p.pool.idle.by_endpoint and not p.pool.connections.open)
             assert response_status(await p.send_request(http_request(request_id="r2"))) == 200
@@ -1004,7 +850,7 @@
             assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
 
     run_in_event_loop(test)
-    assert not lines(caplog)
+    assert not problem_lines(caplog)
 
 
 OF_A_CONNECT = [*socket_state.NO_ROUTE_ERRNOS, errno.ETIMEDOUT, errno.EADDRNOTAVAIL, errno.EAGAIN]
@@ -1019,13 +865,15 @@
 
 @pytest.mark.parametrize(("name", "error"), WATCH_FAILURES, ids=WATCH_FAILURE_IDS)
 def test_a_watch_that_fails_is_opened_anew_and_that_is_logged_once(
-    name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Three times in a row; what discovery has then comes."""
 
     async def test() -> None:
-        async with discovery(endpoint_list(endpoint_entry("b", 9), rev=7)) as d:
-            rule = rules.add(name, anyone if name == "socket" else to(d.port), error, times=3)
+        async with StandInListServer(endpoint_list(endpoint_entry("b", 9), rev=7)) as d:
+            rule = socket_failures.add(
+                name, any_socket if name == "socket" else connected_to(d.port), error, times=3
+            )
             news: asyncio.Queue[EndpointListMessage | None] = asyncio.Queue()
             watch = EndpointWatch(
                 ("127.0.0.1", d.port), news.put_nowait, lambda: news.put_nowait(None), 60.0, 60.0
@@ -1041,7 +889,7 @@
             watch.close()
 
     run_in_event_loop(test)
-    [line] = lines(caplog)
+    [line] = problem_lines(caplog)
     assert "watch on discovery broke: " in line
     assert "Traceback" not in line
 
@@ -1096,18 +944,18 @@
             idle.close()
 
     run_in_event_loop(test)
-    assert not lines(caplog)
+    assert not problem_lines(caplog)
 
 
 def test_a_connection_that_is_reset_as_we_end_our_sending_is_no_trouble(
-    rules: Rules, caplog: pytest.LogCaptureFixture
+    socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with (
             StandInEndpoint(http_response(200, b"x")) as b,
             running_proxy(endpoint_entry("b", b.port)) as p,
         ):
-            rule = rules.add("shutdown", at(p.port), errno.ENOTCONN)
+            rule = socket_failures.add("shutdown", accepted_on(p.port), errno.ENOTCONN)
             reader, writer = await p.connect()
             writer.write(http_request() + b"nonsense\r\n\r\n")
             assert [response_status(await read_http_message(reader)) for _ in range(2)] == [200, 400]
@@ -1118,4 +966,4 @@
             assert len(b.received) == 2
 
     run_in_event_loop(test)
-    assert not lines(caplog)
+    assert not problem_lines(caplog)
--- a/tests/support/loopback_proxy.py
+++ b/tests/support/loopback_proxy.py
@@ -57,8 +57,13 @@
 
     def step_clocks(self) -> SteppedClock:
         """Return a clock that moves the event loop's time and the policy's together."""
-        self._policy_clock_offset.stepped_clock = SteppedClock()
-        return self._policy_clock_offset.stepped_clock
+        clock = SteppedClock()
+        self.step_policy_clock_with(clock)
+        return clock
+
+    def step_policy_clock_with(self, clock: SteppedClock) -> None:
+        """Move the policy's time on together with this clock of the event loop."""
+        self._policy_clock_offset.stepped_clock = clock
 
     async def connect(self) -> StreamPair:
         """Open a client's connection."""
--- a/tests/support/socket_client.py
+++ b/tests/support/socket_client.py
@@ -6,7 +6,7 @@
 import socket
 import struct
 
-from tests.support.http_messages import StreamPair, read_http_message, response_status
+from tests.support.http_messages import StreamPair, http_request, read_http_message, response_status
 from tests.support.loopback_proxy import LoopbackProxy
 
 SMALL_BUFFER_BYTES = 4096
@@ -27,8 +27,7 @@
 
     async def streams(self) -> StreamPair:
         """Return streams of the event loop on this client's connection."""
-        self.socket.setblocking(False)
-        return await asyncio.open_connection(sock=self.socket)
+        return await stream_pair(self.socket)
 
     async def read_statuses(self, count: int) -> list[int]:
         """Return the status of each of so many responses, and disconnect."""
@@ -61,3 +60,27 @@
     reader, writer = await asyncio.open_connection(sock=client)
     writer.transport.pause_reading()  # type: ignore[attr-defined]
     return reader, writer
+
+
+def queue_request(port: int, request_id: str) -> socket.socket:
+    """Return a connection in the system's queue of accepted ones, with a request on it."""
+    client = socket.create_connection(("127.0.0.1", port))
+    client.sendall(http_request(request_id=request_id))
+    return client
+
+
+async def stream_pair(client: socket.socket) -> StreamPair:
+    """Return streams of the event loop on this connection."""
+    client.setblocking(False)
+    return await asyncio.open_connection(sock=client)
+
+
+async def read_status_or_end(client: socket.socket) -> int:
+    """Return the status of the response; 0 where the connection ends without one."""
+    reader, writer = await stream_pair(client)
+    try:
+        return response_status(await read_http_message(reader))
+    except (asyncio.IncompleteReadError, ConnectionError):
+        return 0
+    finally:
+        writer.close()
--- /dev/null
+++ b/tests/support/stand_in_discovery.py
@@ -0,0 +1,166 @@
+"""Servers that stand in for discovery, and a proxy that watches one while its time is stepped."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager
+from dataclasses import dataclass, field
+
+import pytest
+
+from load_balancer import messages
+from tests.support.balancer_harness import S, settings
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
+)
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stand_in_server import StandInServer
+from tests.support.stepped_clock import SteppedClock, run_loop_turns
+
+# By the protocol: how soon a change must be applied, and how long a poll may wait in the queue.
+LIST_DEADLINE_S = 6.0
+POLL_QUEUE_S = 2.0
+
+STEP_S = 0.02
+TURNS_BETWEEN_STEPS = 40  # far more than a call and its response take on loopback
+
+POLLED_SETTINGS = settings(
+    must_subscribe=True, rules=messages.Rules(0.4, 5 * S, 3.0, S, max_poll_interval_us=3_600 * S)
+)
+PUSHED_SETTINGS = settings(rules=messages.Rules(0.4, 5 * S, 3.0, S, max_poll_interval_us=3_600 * S))
+EACH_SUBSCRIPTION = pytest.mark.parametrize(
+    "setup", [POLLED_SETTINGS, PUSHED_SETTINGS], ids=["asked", "pushed"]
+)
+
+
+def list_chunk_of_version(rev: int) -> bytes:
+    """Return a complete list of this version with one endpoint, as a chunk of a watch's response."""
+    return endpoint_list_chunk(endpoint_list(endpoint_entry(f"s-{rev}", 9), rev=rev))
+
+
+class StandInListServer(StandInServer):
+    """Sends each watch the next of some lists, the last one for ever, and keeps the watch open."""
+
+    def __init__(self, *lists: dict[str, object]) -> None:
+        super().__init__(self._send_list)
+        self._remaining = list(lists)
+
+    async def _send_list(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        message = self._remaining.pop(0) if len(self._remaining) > 1 else self._remaining[0]
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(message))
+        await reader.read()
+
+
+@dataclass
+class DiscoveryCall:
+    """One call to discovery, open until the test or the proxy ends it."""
+
+    received_at_s: float  # stepped seconds
+    writer: asyncio.StreamWriter
+    closed_by_proxy: asyncio.Event = field(default_factory=asyncio.Event)
+
+    def send(self, data: bytes, end: bool = False) -> None:
+        """Send the bytes, and end the connection where told to."""
+        self.writer.write(data)
+        if end:
+            self.writer.close()
+
+
+class StandInDiscovery:
+    """Leaves each call open for the test to answer, after `on_call` has had it.
+
+    Attributes:
+        calls: All calls so far, in order.
+        on_call: Gets each call as it comes.
+        server: Where it listens.
+    """
+
+    def __init__(self, clock: SteppedClock) -> None:
+        self.clock = clock
+        self.calls: list[DiscoveryCall] = []
+        self.on_call: Callable[[DiscoveryCall], None] = lambda call: None
+        self.server = StandInServer(self.handle)
+
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Receive one call, and note when the proxy ends it."""
+        await reader.readuntil(b"\r\n\r\n")
+        call = DiscoveryCall(self.clock.advanced_s, writer)
+        self.calls.append(call)
+        self.on_call(call)
+        try:
+            await reader.read()
+        finally:
+            call.closed_by_proxy.set()
+
+
+@asynccontextmanager
+async def watching_proxy(
+    setup: messages.Settings,
+) -> AsyncIterator[tuple[StandInDiscovery, LoopbackProxy, SteppedClock]]:
+    """Run a proxy that watches a stand-in, on one stepped clock; its random waits last their longest."""
+    discovery = StandInDiscovery(SteppedClock())
+    async with (
+        discovery.server,
+        running_proxy(settings=setup, discovery_port=discovery.server.port) as proxy,
+    ):
+        proxy.step_policy_clock_with(discovery.clock)
+        proxy.driver.balancer.subscription.jitter.uniform = lambda a, b: b  # type: ignore[method-assign]
+        yield discovery, proxy, discovery.clock
+
+
+def record_watch_starts(proxy: LoopbackProxy) -> list[float]:
+    """Return a list that grows with each call begun from now on, whether or not discovery listens."""
+    started_at_s: list[float] = []
+    watch = proxy.driver.endpoint_list.watch
+    start = watch.start
+
+    def record_and_start() -> None:
+        started_at_s.append(asyncio.get_running_loop().time())
+        start()
+
+    watch.start = record_and_start  # type: ignore[method-assign]
+    return started_at_s
+
+
+async def advance_until(clock: SteppedClock, condition: Callable[[], bool], max_s: float = 60.0) -> float:
+    """Step time until the condition holds, at most this long; return the seconds that it took."""
+    began_s = clock.advanced_s
+    while not condition() and clock.advanced_s - began_s < max_s:
+        clock.advance(STEP_S)
+        await run_loop_turns(TURNS_BETWEEN_STEPS)
+    return clock.advanced_s - began_s
+
+
+async def advance_to_next_call(discovery: StandInDiscovery, clock: SteppedClock) -> float:
+    """Step time until a further call comes; return the seconds that it took."""
+    before = len(discovery.calls)
+    return await advance_until(clock, lambda: len(discovery.calls) > before)
+
+
+async def answer_latest_call(
+    discovery: StandInDiscovery, proxy: LoopbackProxy, clock: SteppedClock, setup: messages.Settings
+) -> float:
+    """Send a list of version 7 to the latest call, a poll after its longest wait in the queue.
+
+    Returns:
+        The seconds until the proxy has applied the list.
+    """
+    waited_s = 0.0
+    if setup is POLLED_SETTINGS:
+        waited_s = await advance_until(clock, discovery.calls[-1].closed_by_proxy.is_set, POLL_QUEUE_S)
+    discovery.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(7))
+    waited_s += await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 7, 1.0)
+    assert proxy.driver.endpoint_list.watch.version == 7
+    return waited_s
+
+
+def running_watch_count() -> int:
+    """Return how many watches run, whether or not anything still refers to them."""
+    return sum(
+        "EndpointWatch._run" in str(task.get_coro()) for task in asyncio.all_tasks() if not task.done()
+    )
