--- a/load_balancer/net/client/client_listener.py
+++ b/load_balancer/net/client/client_listener.py
@@ -18,7 +18,9 @@
 from load_balancer.net.addresses import Address
 from load_balancer.net.client import client_limits as limits
 from load_balancer.net.client.client_connection import ClientConnection
+from load_balancer.net.client.client_protocol import ClientProtocol
 from load_balancer.net.client.client_registry import ClientRegistry
+from load_balancer.net.client.connection_time_limits import ConnectionTimeLimits
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.repeated_fault_log import RepeatedFaultLog
 from load_balancer.net.socket_state import DESCRIPTOR_SHORTAGE
@@ -49,6 +51,8 @@
     Attributes:
         loop: The event loop, whose time the limits are measured in.
         clients: The open connections.
+        time_limits: Closes connections on which nothing has moved for too long.
+        sweep_timer: Runs until the next `sweep`.
     """
 
     def __init__(
@@ -63,6 +67,7 @@
         """
         self.loop = asyncio.get_running_loop()
         self.clients: ClientRegistry[ClientConnection] = ClientRegistry(max_connections)
+        self.time_limits = ConnectionTimeLimits()
         self._driver = driver
         self._classes = classes
         self._admission_tasks: set[asyncio.Task[None]] = set()
@@ -72,7 +77,7 @@
         self._listening_socket: socket.socket
         self._is_stopping = False  # the socket is closed once the system's queue is empty
         self._accept_retry_timer: asyncio.TimerHandle | None = None  # set while none can be accepted
-        self._sweep_timer = self.loop.call_later(limits.SWEEP_INTERVAL_S, self._sweep)
+        self.sweep_timer = self.loop.call_later(limits.SWEEP_INTERVAL_S, self.sweep)
 
     def listen(self, address: Address) -> Address:
         """Accepts connections from now on.
@@ -128,7 +133,7 @@
     def close(self) -> None:
         """Closes the socket and all connections at once; an incomplete request gets a 503."""
         self._close_socket()
-        self._sweep_timer.cancel()
+        self.sweep_timer.cancel()
         self.clients.abort_all()
 
     def _close_socket(self) -> None:
@@ -196,19 +201,20 @@
         try:
             # asyncio sets this only where it made the socket itself, as it does for endpoints.
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            await self.loop.connect_accepted_socket(self._make_connection, accepted)
+            await self.loop.connect_accepted_socket(self._make_protocol, accepted)
         except OSError as error:
             self._lost_connection_faults.record(self.loop.time(), error)
             accepted.close()
             self.clients.descriptor_count -= 1
 
-    def _make_connection(self) -> ClientConnection:
-        return ClientConnection(self.clients, self._driver, self._classes)
+    def _make_protocol(self) -> ClientProtocol:
+        return ClientProtocol(self.clients, self._driver, self._classes)
 
-    def _sweep(self) -> None:
-        self._sweep_timer = self.loop.call_later(limits.SWEEP_INTERVAL_S, self._sweep)
+    def sweep(self) -> None:
+        """Check the time limits of all connections, now and again after `SWEEP_INTERVAL_S`."""
+        self.sweep_timer = self.loop.call_later(limits.SWEEP_INTERVAL_S, self.sweep)
         now_s = self.loop.time()
         for faults in (self._descriptor_faults, self._lost_connection_faults, self._accept_faults):
             faults.end_if_quiet(now_s)
         for connection in list(self.clients.open_connections):
-            connection.check_time_limits(now_s)
+            self.time_limits.check(connection, now_s)
--- /dev/null
+++ b/load_balancer/net/client/connection_time_limits.py
@@ -0,0 +1,60 @@
+"""The time limits of clients' connections: closes each on which nothing has moved for too long.
+
+`client_listener` checks all connections at regular intervals. The limits themselves stand in
+`client_limits`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from load_balancer.net.client import client_limits as limits
+from load_balancer.net.client.client_connection import ClientConnection
+from load_balancer.net.client.http_response import REQUEST_TIMEOUT
+
+
+class ConnectionTimeLimits:
+    """Checks one connection at a time; the times that it goes by are the connections' own."""
+
+    def __init__(self) -> None:
+        """Keep the event loop that runs now, whose time counts."""
+        self._loop = asyncio.get_running_loop()
+
+    def check(self, connection: ClientConnection, now_s: float) -> None:
+        """Close a connection if nothing has moved on it for too long.
+
+        Args:
+            connection: The connection.
+            now_s: The event loop's time.
+        """
+        if connection.is_waiting:
+            return  # the driver ends each request in time
+        still_s = now_s - connection.last_progress_at_s
+        limit_s = _time_limit_s(connection)
+        if still_s <= limit_s:
+            connection.has_final_check = False
+            return
+        if connection.has_unprocessed_bytes:
+            if not connection.is_idle and still_s <= limit_s + limits.PARTIAL_REQUEST_GRACE_S:
+                return
+            # A request may just have come. Not more than once: a client that sends empty lines now and then
+            # would keep its connection for ever.
+            if connection.is_idle and not connection.has_final_check:
+                connection.has_final_check = True
+                self._loop.call_later(limits.FINAL_CHECK_DELAY_S, self._run_final_check, connection)
+                return
+        connection.abort(REQUEST_TIMEOUT)
+
+    def _run_final_check(self, connection: ClientConnection) -> None:
+        if not connection.transport.is_closing():
+            self.check(connection, self._loop.time())
+
+
+def _time_limit_s(connection: ClientConnection) -> float:
+    if connection.is_writing:
+        return limits.WRITE_TIMEOUT_S
+    if connection.is_lingering:
+        return limits.LINGER_TIMEOUT_S
+    if connection.is_idle and connection.has_responded:
+        return limits.KEEP_ALIVE_TIMEOUT_S
+    return limits.REQUEST_TIMEOUT_S
--- a/load_balancer/net/client/http_request.py
+++ b/load_balancer/net/client/http_request.py
@@ -51,9 +51,9 @@
     Attributes:
         request_id: The value of `Req-Id`.
         class_name: The request class, one of those in the settings.
-        time_left_s: The time that the client waits, in seconds from the last byte of the request.
+        time_remaining_s: The time that the client waits, in seconds from the last byte of the request.
         tenant: The value of `Req-Owner`, if there is one.
-        retry: Whether the client says that this is a retry.
+        is_retry: Whether the client says that this is a retry.
         method: GET or POST, as the class wants it.
         target: The path with its query.
         headers: Those that are forwarded to the endpoint.
@@ -61,9 +61,9 @@
 
     request_id: bytes
     class_name: str
-    time_left_s: float
+    time_remaining_s: float
     tenant: str | None
-    retry: bool
+    is_retry: bool
     method: bytes
     target: bytes
     headers: Headers
@@ -131,9 +131,9 @@
     return RequestHead(
         request_id=request_id,
         class_name=request_class.name,
-        time_left_s=_read_time_left_s(fields, request_class),
+        time_remaining_s=_read_time_remaining_s(fields, request_class),
         tenant=None if owner is None else owner.decode("latin-1"),
-        retry=fields.get(b"req-retry") == b"1",
+        is_retry=fields.get(b"req-retry") == b"1",
         method=request.method,
         target=request.target,
         headers=_forwarded_headers(request, fields),
@@ -155,7 +155,7 @@
     return request_class
 
 
-def _read_time_left_s(fields: Mapping[bytes, bytes], request_class: messages.RequestClass) -> float:
+def _read_time_remaining_s(fields: Mapping[bytes, bytes], request_class: messages.RequestClass) -> float:
     deadline = fields.get(b"req-deadline")
     if deadline is not None and not DEADLINE_PATTERN.fullmatch(deadline):
         raise BadRequestError(400, "Req-Deadline is not a number")
--- a/load_balancer/net/client/http_server_protocol.py
+++ b/load_balancer/net/client/http_server_protocol.py
@@ -92,7 +92,7 @@
             return b""
         return self._http.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
-    def final_response(self, response: ClientResponse, is_last: bool) -> bytes:
+    def final_response(self, response: ClientResponse, *, is_last: bool) -> bytes:
         """Returns the bytes of the final response to the present request.
 
         Args:
--- /dev/null
+++ b/load_balancer/net/client/request_processor.py
@@ -0,0 +1,217 @@
+"""From the bytes of one connection to requests for the driver, and from its responses back to the client.
+
+A connection has one request open at a time; what comes behind it waits in its `http_server_protocol`.
+`client_protocol` calls the processor with bytes, the driver with responses.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Mapping
+
+import h11
+
+from load_balancer import messages
+from load_balancer.net.client import client_limits as limits
+from load_balancer.net.client.client_connection import ClientConnection
+from load_balancer.net.client.client_connection_state import ConnectionState
+from load_balancer.net.client.client_registry import ClientRegistry
+from load_balancer.net.client.http_request import BadRequestError, RequestHead
+from load_balancer.net.client.http_response import INTERNAL_SERVER_ERROR, SERVICE_UNAVAILABLE
+from load_balancer.net.client.http_server_protocol import ParsedEvent
+from load_balancer.net.client.incoming_request import IncomingRequest
+from load_balancer.net.driver.client_messages import ClientRequest, ClientResponse
+from load_balancer.net.driver.event_loop_driver import EventLoopDriver
+
+log = logging.getLogger(__name__)
+
+
+class RequestProcessor:
+    """Reads the requests of one connection one after the other, and sees that each gets one response."""
+
+    def __init__(
+        self,
+        connection: ClientConnection,
+        clients: ClientRegistry[ClientConnection],
+        driver: EventLoopDriver,
+        classes: Mapping[str, messages.RequestClass],
+    ) -> None:
+        """Start before the first request.
+
+        Args:
+            connection: The client's connection.
+            clients: All open connections.
+            driver: Takes the requests.
+            classes: The request classes of the settings, by name.
+        """
+        self._connection = connection
+        self._transport = connection.transport
+        self._http = connection.http
+        self._clients = clients
+        self._driver = driver
+        self._incoming = IncomingRequest(classes)
+        self._loop = asyncio.get_running_loop()
+
+    def receive(self, data: memoryview) -> None:
+        """Take what one read brought; the bytes are copied before this returns."""
+        connection = self._connection
+        if connection.is_lingering or self._transport.is_closing():
+            return
+        now_s = self._loop.time()
+        was_idle = connection.is_idle
+        if not self._http.receive(now_s, bytes(data)):
+            return
+        if was_idle and connection.has_responded:
+            connection.last_progress_at_s = now_s
+            self._clients.mark_active(connection)
+        if not connection.is_processing_scheduled:
+            self.process()
+
+    def process(self) -> None:
+        """Parse what has come, up to the end of a request.
+
+        No more than one request is handled in one turn of the event loop: a client may send thousands of
+        requests or chunks at once, and all others would wait for them.
+        """
+        if self._transport.is_closing():  # the client has left: what it sent ahead is not forwarded
+            return
+        try:
+            self._parse_events()
+        except h11.RemoteProtocolError as error:
+            self._reject(ClientResponse(error.error_status_hint))
+        except BadRequestError as error:
+            self._reject(ClientResponse(error.status))
+        except Exception:  # else the request would be lost: the event loop would close without a response
+            log.exception("processing a request failed")
+            self._reject(INTERNAL_SERVER_ERROR)
+        if self._transport.is_closing():
+            return
+        connection = self._connection
+        if connection.is_idle and connection.has_responded and not connection.is_writing:
+            self._clients.mark_idle(connection)  # nothing but empty lines had come ahead
+        self._pause_or_resume_reading()
+
+    def withdraw(self) -> None:
+        """End the open request of a client whose connection is lost."""
+        if not self._connection.is_waiting:
+            return
+        self._finish_request()
+        if self._connection.forwarded_request_id is not None:
+            self._driver.cancel_request(self._connection.forwarded_request_id)
+
+    def _parse_events(self) -> None:
+        for _ in range(limits.MAX_EVENTS_PER_TURN):
+            # A response that is not read holds the next request back: its response would fill our memory.
+            if self._connection.state is not ConnectionState.READING or self._connection.is_writing:
+                return
+            if not self._handle_event(self._http.next_event()):
+                return
+        self._schedule_processing()
+
+    def _handle_event(self, event: ParsedEvent) -> bool:
+        """Handle one event of h11's, and return whether to go on with the next one."""
+        match event:
+            case h11.Request():
+                self._incoming.begin(event)
+                if interim := self._http.interim_response():
+                    self._transport.write(interim)
+                return True
+            case h11.Data():
+                self._incoming.add_body(event.data)
+                return True
+            case h11.EndOfMessage():
+                self._on_request_complete()
+                return False
+            case h11.NEED_DATA:
+                return self._http.feed()
+            case _:
+                return False
+
+    def _schedule_processing(self) -> None:
+        if not self._connection.is_processing_scheduled:
+            self._connection.is_processing_scheduled = True
+            self._loop.call_soon(self._run_scheduled_processing)
+
+    def _run_scheduled_processing(self) -> None:
+        self._connection.is_processing_scheduled = False
+        self.process()
+
+    def _pause_or_resume_reading(self) -> None:
+        if self._http.received.is_over_limit:
+            self._transport.pause_reading()
+        else:
+            self._transport.resume_reading()
+        if self._connection.is_waiting and not self._transport.is_reading():
+            self._clients.watch_presence(self._connection)
+        else:
+            self._clients.unwatch_presence(self._connection)
+
+    def _on_request_complete(self) -> None:
+        self._clients.mark_active(self._connection)
+        head = self._incoming.head
+        if head is None:  # a readiness check
+            is_ready = self._driver.is_ready and not self._clients.is_shutting_down
+            self._respond(ClientResponse(200 if is_ready else 503))
+            return
+        if self._connection.is_over_limit:
+            self._respond(SERVICE_UNAVAILABLE)
+            return
+        if head.request_id in self._clients.open_request_ids:
+            # An endpoint would take this one for a retry of the open request, and might drop it.
+            raise BadRequestError(409, "the id of an open request")
+        self._forward(head)
+
+    def _forward(self, head: RequestHead) -> None:
+        """Hand a complete request to the driver."""
+        connection = self._connection
+        client_request = self._to_client_request(head)
+        if not connection.is_client_present():
+            return
+        self._clients.open_request_ids.add(head.request_id)
+        connection.enter(ConnectionState.WAITING_FOR_RESPONSE)
+        request_id = self._driver.accept_request(client_request)
+        if connection.is_waiting:  # the driver may have responded at once
+            connection.forwarded_request_id = request_id
+
+    def _to_client_request(self, head: RequestHead) -> ClientRequest:
+        headers = self._incoming.forwarded_headers(head)
+        # The time remaining counts from when the last byte came, however long it waited behind another.
+        now_s = self._loop.time()
+        waited_s = now_s - self._http.parsed_received_at_s
+        return ClientRequest(
+            class_name=head.class_name,
+            time_remaining_us=round(1e6 * max(0.0, head.time_remaining_s - waited_s)),
+            measured_at_s=now_s,
+            tenant=head.tenant,
+            is_retry=head.is_retry,
+            method=head.method,
+            target=head.target,
+            headers=headers,
+            body=bytes(self._incoming.body),
+            respond=self._respond,
+            is_client_connected=self._connection.is_client_present,
+        )
+
+    def _respond(self, response: ClientResponse) -> None:
+        """Write the one final response to the present request."""
+        self._finish_request()
+        self._connection.forwarded_request_id = None
+        if self._connection.write_response(response):
+            self._schedule_processing()
+
+    def _reject(self, response: ClientResponse) -> None:
+        """Respond to what is not HTTP, too large or not to be served, and linger."""
+        self._finish_request()
+        self._connection.forwarded_request_id = None
+        self._connection.reject(response)
+
+    def _finish_request(self) -> None:
+        """End the present request: it is no longer open."""
+        head = self._incoming.head
+        if self._connection.is_waiting:
+            if head is not None:
+                self._clients.open_request_ids.discard(head.request_id)
+            self._connection.enter(ConnectionState.READING)
+        self._incoming.clear()
+        self._clients.unwatch_presence(self._connection)
--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -220,7 +220,7 @@
             await asyncio.sleep(0.01)
             assert connection.transport.get_write_buffer_size() <= 2 * 65536 + 1024
             assert (
-                connection._http.received.size_bytes
+                connection.http.received.size_bytes
                 <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION + 256 * 1024
             )  # the limit and one read
         assert len(b.seen) < 2000
@@ -256,10 +256,10 @@
         third = call(request_id="r3")
         writer.write(third[:-9])
         [connection] = p.clients.open_connections
-        await until(lambda: connection._http.received.size_bytes == len(third) - 9)
+        await until(lambda: connection.http.received.size_bytes == len(third) - 9)
         clock.step(0.5)
         writer.write(third[-9:])
-        await until(lambda: connection._http.received.size_bytes == len(third))
+        await until(lambda: connection.http.received.size_bytes == len(third))
         go_on.set()
         for _ in range(3):
             assert status(await read_message(reader)) == 200
@@ -586,7 +586,9 @@
             client.send(call(request_id="r1"))
             await until(lambda: connection in p.clients.idle_connections)
         client.send(call(request_id="r2"))
-        connection.check_time_limits(p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
+        p.listener.time_limits.check(
+            connection, p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0
+        )
         assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
 
 
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -45,7 +45,7 @@
         client.send(b"".join(call(request_id=f"r{n + 1}") for n in range(behind)))
         if read:
             [connection] = p.clients.open_connections
-            await until(lambda: connection._http.received.size_bytes > 0)
+            await until(lambda: connection.http.received.size_bytes > 0)
         for n in range(1 + behind):
             await until(lambda n=n: len(b.seen) == n + 1)  # type: ignore[misc]
             assert not p.listener.is_drained
@@ -92,7 +92,7 @@
             await until(lambda: len(b.seen) == 1)
             p.clients.is_draining = why == "closing"
             attempt_connection(p).data_received(answer(200, b"x"))
-        [connection] = [c for c in await shut(p) if c._is_lingering]
+        [connection] = [c for c in await shut(p) if c.is_lingering]
         sent = len(b.seen)
         client.send(call(request_id="late1"))
         await settled()
@@ -104,7 +104,7 @@
         assert closes(got)
         assert await reader.read() == b""
         assert connection in p.clients.open_connections
-        assert not connection._http.received
+        assert not connection.http.received
         assert len(b.seen) == sent
         writer.close()
         await until(lambda: connection not in p.clients.open_connections)
@@ -113,7 +113,7 @@
 
 async def shut(p: Proxy) -> list[ClientConnection]:
     """The connections, once one of them has been shut."""
-    await until(lambda: any(c._is_lingering for c in p.clients.open_connections))
+    await until(lambda: any(c.is_lingering for c in p.clients.open_connections))
     return list(p.clients.open_connections)
 
 
@@ -151,7 +151,7 @@
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert len((await read_message(reader))[2]) == 65_536
         await until(lambda: not connection.is_writing)
-        connection.check_time_limits(p.listener.loop.time())
+        p.listener.time_limits.check(connection, p.listener.loop.time())
         assert connection in p.clients.open_connections
         assert not connection.transport.is_closing()
         if last:
@@ -177,7 +177,9 @@
         [connection] = p.clients.open_connections
         clock.step(1.0)
         if how == "expiry":
-            connection.check_time_limits(p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
+            p.listener.time_limits.check(
+                connection, p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0
+            )
         elif how == "end":
             p.listener.close_idle_connections()
         else:
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -68,8 +68,8 @@
         await until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         events, answered = Turns(), Turns()
-        counted(monkeypatch, connection._http, "next_event", events)
-        counted(monkeypatch, connection, "_respond", answered)
+        counted(monkeypatch, connection.http, "next_event", events)
+        counted(monkeypatch, connection, "write_response", answered)
         reader, writer = await streams(client)
         writer.write(sent)
         got = [status(await read_message(reader)) for _ in range(answers)]
@@ -255,7 +255,7 @@
         await until(lambda: all(not c.transport.is_reading() for c in connections))
         assert len(p.driver.requests) == callers  # each with its own request open
         assert 100_000 < p.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
-        assert p.clients.buffered.size_bytes == sum(c._http.received.size_bytes for c in connections)
+        assert p.clients.buffered.size_bytes == sum(c.http.received.size_bytes for c in connections)
         for client in clients:
             client.leave("RST")
         await until(lambda: not p.clients.open_connections)
@@ -270,11 +270,11 @@
         await until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         client.send(chunks(2_500))  # in one read, and in 25 turns
-        await until(lambda: connection._is_processing_scheduled)
+        await until(lambda: connection.is_processing_scheduled)
         other = Client(p)
         other.send(call(request_id="other"))
         await until(lambda: len(p.clients.open_connections) == 2)
-        assert connection._is_processing_scheduled
+        assert connection.is_processing_scheduled
         assert connection in p.clients.unused_connections
         for one, expected in ((client, 200), (other, 503)):
             reader, writer = await streams(one)
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -125,7 +125,8 @@
     await until(lambda: len(p.clients.open_connections - before) == 1)
     [connection] = p.clients.open_connections - before
     await until(
-        lambda: connection._request_key is not None and connection.transport.is_reading() is not paused
+        lambda: connection.forwarded_request_id is not None
+        and connection.transport.is_reading() is not paused
     )
     return connection
 
@@ -144,7 +145,7 @@
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
 
     async with silent_backend() as b, proxy(entry("b", b.port), setup=limits(cancel)) as p:
-        p.listener._sweep_timer.cancel()
+        p.listener.sweep_timer.cancel()
         gate, clock = Gate(p.pool), SteppedClock()
         crowd: list[Client] = []
         if where != "connecting":
@@ -164,7 +165,7 @@
             await until(lambda: len(b.seen) == 1)
         else:
             assert p.driver.balancer.requests.queue
-        key = connection._request_key
+        key = connection.forwarded_request_id
         assert key is not None
         client.leave(way)
         await settled()
@@ -242,10 +243,10 @@
         await until(lambda: len(b.seen) == 1)
         if not paused:
             client.send(call(request_id="behind"))
-            await until(lambda: connection._http.received.size_bytes > 0)
+            await until(lambda: connection.http.received.size_bytes > 0)
         attempt_connection(p).data_received(answer(200, b"x" * 65_536))
         assert connection.is_writing
-        assert connection._http.has_unparsed_bytes
+        assert connection.http.has_unparsed_bytes
         client.leave(way)
         await settled()
         if way == "half":  # it may still read, and what goes on then is the answer alone
--- a/tests/net/client/test_http_request.py
+++ b/tests/net/client/test_http_request.py
@@ -37,9 +37,9 @@
     assert head(fields, target="/api?x=1") == RequestHead(
         request_id=b"a1",
         class_name="read",
-        time_left_s=4.0,
+        time_remaining_s=4.0,
         tenant="t1",
-        retry=True,
+        is_retry=True,
         method=b"GET",
         target=b"/api?x=1",
         headers=[(b"host", b"x"), (b"req-id", b"a1"), (b"content-type", b"a/b")],
@@ -51,15 +51,15 @@
 
 
 @pytest.mark.parametrize(
-    ("deadline", "time_left_s"), [(None, 5.0), ("0", 0.0), ("1.5", 1.5), ("5", 5.0), ("3600", 5.0)]
+    ("deadline", "time_remaining_s"), [(None, 5.0), ("0", 0.0), ("1.5", 1.5), ("5", 5.0), ("3600", 5.0)]
 )
 def test_time_remaining_is_capped_by_the_deadline_of_the_class(
-    deadline: str | None, time_left_s: float
+    deadline: str | None, time_remaining_s: float
 ) -> None:
     fields = without(READ, "Req-Deadline")
     if deadline is not None:
         fields["Req-Deadline"] = deadline
-    assert head(fields).time_left_s == time_left_s
+    assert head(fields).time_remaining_s == time_remaining_s
 
 
 @pytest.mark.parametrize("deadline", ["-1", "inf", "nan", "1_0", "1e3", "", "1.", ".5", "1234567"])
--- a/tests/net/client/test_http_server_protocol.py
+++ b/tests/net/client/test_http_server_protocol.py
@@ -89,7 +89,7 @@
 ) -> None:
     protocol.receive(1.0, call())
     read_request(protocol)
-    sent = protocol.final_response(ClientResponse(503, b"no", ((b"retry-after", b"1"),)), is_last)
+    sent = protocol.final_response(ClientResponse(503, b"no", ((b"retry-after", b"1"),)), is_last=is_last)
     head, _, body = sent.partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 503 ")
     assert b"retry-after: 1" in head.lower()
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -204,14 +204,14 @@
         attempt_connection(p).data_received(answer(200, b"x"))
         await until(lambda: bool(p.clients.idle_connections))
         [connection] = p.clients.idle_connections
-        since = connection._last_progress_at_s
+        since = connection.last_progress_at_s
         if not ahead:
             for empty in (b"\r\n", b"\r", b"\n\r\n"):
                 client.send(empty)
                 await settled()
         assert connection.is_idle
         assert connection in p.clients.idle_connections
-        assert connection._last_progress_at_s == since
+        assert connection.last_progress_at_s == since
         assert p.clients.buffered.size_bytes == 0
         client.send(b"\r\n" + call(path="/ready", Connection="close"))
         reader, writer = await streams(client)
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -164,11 +164,11 @@
         connection = await came(p, client, request[:-2])
         with monkeypatch.context() as patch:
             if where == "read":
-                patch.setattr(connection._http, "next_event", fails)
+                patch.setattr(connection.http, "next_event", fails)
             else:
                 patch.setattr(p.driver, "accept_request", fails)
             client.send(request[-2:])
-            await until(lambda: connection._is_lingering or connection.transport.is_closing())
+            await until(lambda: connection.is_lingering or connection.transport.is_closing())
         reader, writer = await streams(client)
         got = await read_message(reader)
         assert status(got) == 500
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -9,6 +9,7 @@
 import pytest
 
 from load_balancer.net.client import client_limits
+from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_listener import ClientListener
 from tests.net.client.test_malformed_requests import CHUNKED, lines
 from tests.support.client_helpers import Client, settled, silent_backend, status, streams
@@ -40,12 +41,12 @@
 
     def __init__(self, listener: ClientListener, clock: SteppedClock) -> None:
         self._listener, self._clock = listener, clock
-        listener._sweep_timer.cancel()
+        listener.sweep_timer.cancel()
 
     async def sweep(self) -> None:
         self._clock.step(client_limits.SWEEP_INTERVAL_S + LATE_S)
-        self._listener._sweep()
-        self._listener._sweep_timer.cancel()
+        self._listener.sweep()
+        self._listener.sweep_timer.cancel()
         await settled()
 
 
@@ -132,19 +133,19 @@
         late = Late(p.listener, clock)
         began = clock.ahead - LATE_S
         [connection] = p.clients.open_connections
-        check = connection.check_time_limits
+        check = p.listener.time_limits.check
 
-        def crossed(now_s: float) -> None:
+        def crossed(connection: ClientConnection, now_s: float) -> None:
             with contextlib.suppress(ConnectionError):
                 client.send(next(sent))
-            check(now_s)
+            check(connection, now_s)
 
-        connection.check_time_limits = crossed  # type: ignore[method-assign]
+        p.listener.time_limits.check = crossed  # type: ignore[method-assign]
         clock.step(first_sweep_s)
         sent = DRIBBLES[kind]()
         while p.clients.open_connections:
             await late.sweep()
-            if connection._has_final_check:
+            if connection.has_final_check:
                 clock.step(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
                 await settled()
             assert clock.ahead - began <= DUE_S
@@ -172,7 +173,7 @@
             + client_limits.PARTIAL_REQUEST_GRACE_S
         )
         client.send(call(request_id="crossing"))
-        connection.check_time_limits(p.listener.loop.time())
+        p.listener.time_limits.check(connection, p.listener.loop.time())
         clock.step(client_limits.FINAL_CHECK_DELAY_S)
         await until(lambda: bool(b.seen))
         for _ in range(5):
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -1067,7 +1067,7 @@
                 assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
                 clock.step(1.0)
                 p.listener.close_idle_connections()
-                p.listener._sweep()
+                p.listener.sweep()
                 assert len(p.clients.open_connections) == 2
                 assert not p.listener.is_drained
             p.listener.close_idle_connections()  # it can tell again
