--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -177,8 +177,8 @@
         assert key not in p.driver.requests
         gate.opened.set()
         for (request, _), attempt in list(p.driver.requests.attempts.in_flight.items()):
-            assert attempt._connection is not None
-            attempt._connection.data_received(FAILURE if request == key else answer(200, b"x"))
+            assert attempt.connection is not None
+            attempt.connection.data_received(FAILURE if request == key else answer(200, b"x"))
         await settled()
         mine = [headers["req-id"] for _, headers, _ in b.seen if not headers["req-id"].startswith("c")]
         assert mine == (["r0"] if where == "out" else [])
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -193,7 +193,7 @@
                         {n: replace(server.endpoint, started_us=None) for n, server in servers.items()},
                         p.driver.endpoint_list.endpoints.by_id,
                         p.driver.endpoint_list.endpoints.up_ids,
-                        set(p.pool._idle.reuse_from),
+                        set(p.pool.idle.reuse_from_s),
                         p.driver.balancer.endpoints.version,
                     )
                 )
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -11,6 +11,7 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.connector import Connector
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.loopback import answer, backend, until
 from tests.support.upstream_helpers import IDLE_S, LIMIT_S, MOSTLY_QUICK, SAFE, SLOW, Calls, Connects, ids
@@ -37,8 +38,8 @@
         assert b.connections == 1
         assert len(connects.gates) == 2
         connects.let(0)
-        await until(lambda: b.connections == 2 and not pool._pending)
-        assert len(pool._idle.by_endpoint[calls.endpoint]) == 1  # the other one is not needed
+        await until(lambda: b.connections == 2 and not pool.pending.by_endpoint)
+        assert len(pool.idle.by_endpoint[calls.endpoint]) == 1  # the other one is not needed
         pool.close()
 
 
@@ -52,7 +53,7 @@
         connects.let(1)
         await calls.until(a=Outcome.RESET)
         connects.let(0)
-        await until(lambda: bool(pool._idle.by_endpoint))
+        await until(lambda: bool(pool.idle.by_endpoint))
         await connects.step(idle_connections.SETTLE_S)
         calls.begin("b")
         await calls.until(a=Outcome.RESET, b=Outcome.OK)
@@ -74,8 +75,8 @@
         connects.let(2)
         await calls.until(a=Outcome.OK)
         connects.let(0, 1)
-        await until(lambda: b.connections == 3 and not pool._pending)
-        await until(lambda: len(pool._open) == 1)
+        await until(lambda: b.connections == 3 and not pool.pending.by_endpoint)
+        await until(lambda: len(pool.connections.open) == 1)
         pool.close()
 
 
@@ -158,7 +159,7 @@
     async with backend(answer(200)) as b:
         pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
         calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
-        made, number = pool.connect, iter(range(9))
+        made, number = pool.connector.open, iter(range(9))
 
         async def refused_second(endpoint: EndpointAddress) -> UpstreamConnection:
             second = next(number) == 1
@@ -168,13 +169,14 @@
                 raise ConnectionRefusedError
             return connection
 
-        monkeypatch.setattr(pool, "connect", refused_second)
+        monkeypatch.setattr(pool.connector, "open", refused_second)
         calls.begin("a", failover_within_s=LIMIT_S / 2)
         await connects.step(11.0)
         await connects.begun(2)
         connects.let(1)
         await until(
-            lambda: pool._pending[calls.endpoint][0].task is not None and bool(pool._pacing.no_extra_until)
+            lambda: pool.pending.by_endpoint[calls.endpoint][0].task is not None
+            and bool(pool.pacing.no_extra_until_s)
         )
         for _ in range(20):
             await connects.step(11.0)
@@ -211,10 +213,10 @@
             "drain": lambda: pool.disable_endpoint(calls.endpoint),
             "client gone": out.cancel_if_unsent,
             "cancel": out.cancel,
-            "time-out": out._time_out,
+            "time-out": out.time_out,
             "end": pool.close,
         }[how]
-        tasks = [pending.task for pending in pool._pending[calls.endpoint]]
+        tasks = [pending.task for pending in pool.pending.by_endpoint[calls.endpoint]]
         if up:
             crossed: list[bool] = []
             make = UpstreamConnection.connection_made
@@ -225,7 +227,7 @@
 
             def cross() -> None:
                 if not crossed:  # they were let at once and go on in step
-                    crossed.append(len(pool._open) == 2 and out._connection is None)
+                    crossed.append(len(pool.connections.open) == 2 and out.connection is None)
                     give_up()
 
             monkeypatch.setattr(UpstreamConnection, "connection_made", made)
@@ -234,12 +236,12 @@
             assert crossed == [True]
         else:
             give_up()
-        await until(lambda: all(task.done() for task in tasks) and not pool._open)
+        await until(lambda: all(task.done() for task in tasks) and not pool.connections.open)
         assert calls.ended == ({} if ends is None else {"a": ends})
-        assert not pool._pending
-        assert not pool._idle.by_endpoint
+        assert not pool.pending.by_endpoint
+        assert not pool.idle.by_endpoint
         assert not b.seen
-        assert not pool._waiting or how == "end"
+        assert not pool.waiting.by_endpoint or how == "end"
         out.cancel_if_unsent()
         pool.close()
 
@@ -253,7 +255,7 @@
         await connects.begun(1)
         connects.let(0)
         await calls.until(a=Outcome.OK, b=Outcome.NOT_SENT)
-        assert not pool._pending
+        assert not pool.pending.by_endpoint
         pool.close()
 
 
@@ -299,11 +301,11 @@
         await connects.step(30000.0)
         calls.begin("b", timeout_s=5 * LIMIT_S)
         await connects.begun(2)
-        connection = await ConnectionPool.connect(pool, calls.endpoint)
-        pending = pool._pending[calls.endpoint][1]
+        connection = await Connector.open(pool.connector, calls.endpoint)
+        pending = pool.pending.by_endpoint[calls.endpoint][1]
         pending.task.cancel()
         connects.clock.step(31000.0)
-        pool._on_connected(pending, connection)
+        pool.queue.connect_succeeded(pending, connection)
         assert calls.ended == {"a": Outcome.NO_CONNECTION}
         await calls.until(a=Outcome.NO_CONNECTION, b=Outcome.OK)
         assert ids(b) == ["b"]
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -95,7 +95,7 @@
         if how == "cancel":
             out.cancel()
         elif how == "time out":
-            out._time_out()
+            out.time_out()
         await until(lambda: bool(ended))
         assert ended == [True]
         pool.close()
@@ -120,7 +120,7 @@
             wire.reset()
             transport._read_ready()
         case "time out":
-            out.attempt._time_out()
+            out.attempt.time_out()
         case "cancel":
             out.attempt.cancel()
         case "cancel if unsent":
@@ -210,7 +210,7 @@
                 pool = ConnectionPool(0.25, 30.0, 10)
                 out = Out(pool, b.endpoint, replace(request, target=b"/crossed"))
                 ends: dict[str, Callable[[], None]] = {
-                    "time out": out.attempt._time_out,
+                    "time out": out.attempt.time_out,
                     "cancel": out.attempt.cancel,
                     "cancel if unsent": out.attempt.cancel_if_unsent,
                     "drain": partial(pool.disable_endpoint, b.endpoint),
