--- a/load_balancer/net/client/client_connection.py
+++ b/load_balancer/net/client/client_connection.py
@@ -149,7 +149,7 @@
 
     def reject(self, response: ClientResponse) -> None:
         """Respond to what is not HTTP, too large or not to be served, and linger."""
-        self._clients.unwatch_presence(self)
+        self._clients.presence.unwatch(self)
         if self.http.can_respond:
             self.write_response(response, is_last=True)
         self.linger()
--- a/load_balancer/net/client/client_listener.py
+++ b/load_balancer/net/client/client_listener.py
@@ -1,48 +1,30 @@
-"""Accepts clients' connections, checks their time limits, and closes them as the process ends.
+"""The process's side of clients' connections: where it listens, their time limits, and their end.
 
-The listener owns the listening socket and its place among the descriptors: it accepts no more than
-`client_registry` has room for, and backs off while the system has no descriptor left. The entry module
-creates it and takes it through the phases of a graceful shutdown: `is_shutting_down`, `stop_listening`,
-`close_idle_connections` until `is_drained`, `close`.
+The entry module creates the listener and takes it through the phases of a graceful shutdown:
+`stop_listening`, `close_idle_connections` until `is_drained`, `close`. The listener owns the registry of all
+connections and the acceptor of new ones.
 """
 
 from __future__ import annotations
 
 import asyncio
-import errno
-import logging
 import socket
 from collections.abc import Mapping
 
 from load_balancer import messages
+from load_balancer.errors import LoadBalancerError
 from load_balancer.net.addresses import Address
 from load_balancer.net.client import client_limits as limits
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_protocol import ClientProtocol
 from load_balancer.net.client.client_registry import ClientRegistry
+from load_balancer.net.client.connection_acceptor import ConnectionAcceptor
 from load_balancer.net.client.connection_time_limits import ConnectionTimeLimits
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
-from load_balancer.net.repeated_log_lines import repeated_fault
-from load_balancer.net.socket_state import DESCRIPTOR_SHORTAGE
-
-log = logging.getLogger(__name__)
-
-# Failures of an accept that concern the one connection at the head of the queue, by accept(2): what the
-# network had to say of it while it stood there, and what a firewall or a signal has.
-LOST_CONNECTION_ERRNOS = (
-    errno.ECONNABORTED,
-    errno.EHOSTDOWN,
-    errno.EHOSTUNREACH,
-    errno.EINTR,
-    errno.ENETDOWN,
-    errno.ENETUNREACH,
-    errno.ENONET,
-    errno.ENOPROTOOPT,
-    errno.EOPNOTSUPP,
-    errno.EPERM,
-    errno.EPROTO,
-    errno.ETIMEDOUT,
-)
+
+
+class NotListeningError(LoadBalancerError):
+    """The listening socket is asked for before `listen` has made it."""
 
 
 class ClientListener:
@@ -58,7 +40,7 @@
     def __init__(
         self, driver: EventLoopDriver, classes: Mapping[str, messages.RequestClass], max_connections: int
     ) -> None:
-        """Starts to check time limits; accepts nothing before `listen`.
+        """Start to check time limits; accept nothing before `listen`.
 
         Args:
             driver: Takes the requests.
@@ -70,51 +52,48 @@
         self.time_limits = ConnectionTimeLimits()
         self._driver = driver
         self._classes = classes
-        self._admission_tasks: set[asyncio.Task[None]] = set()
-        self._descriptor_faults = repeated_fault(log, "no descriptor for a connection")
-        self._lost_connection_faults = repeated_fault(log, "a connection was lost as it came")
-        self._accept_faults = repeated_fault(log, "no connection can be taken in")
-        self._listening_socket: socket.socket
-        self._is_stopping = False  # the socket is closed once the system's queue is empty
-        self._accept_retry_timer: asyncio.TimerHandle | None = None  # set while none can be accepted
+        self._acceptor: ConnectionAcceptor | None = None  # set once the socket listens
         self.sweep_timer = self.loop.call_later(limits.SWEEP_INTERVAL_S, self.sweep)
 
-    def listen(self, address: Address) -> Address:
-        """Accepts connections from now on.
+    @property
+    def acceptor(self) -> ConnectionAcceptor:
+        """The acceptor of new connections.
 
-        This does without asyncio's server: where it has no descriptor, that logs hundreds of tracebacks at
-        once and then accepts nothing for a second.
+        Raises:
+            NotListeningError: `listen` has not been called.
+        """
+        if self._acceptor is None:
+            raise NotListeningError
+        return self._acceptor
+
+    def listen(self, address: Address) -> Address:
+        """Accept connections from now on.
 
         Args:
             address: Host and port; port 0 stands for any free one.
 
         Returns:
             The host and port of the listening socket.
+
+        Raises:
+            OSError: The address cannot be listened on.
         """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        self._listening_socket = socket.create_server(address, family=family, backlog=limits.ACCEPT_BACKLOG)
-        self._listening_socket.setblocking(False)
-        self.loop.add_reader(self._listening_socket, self._accept_ready)
-        host, port = self._listening_socket.getsockname()[:2]
+        listening_socket = socket.create_server(address, family=family, backlog=limits.ACCEPT_BACKLOG)
+        listening_socket.settimeout(0.0)  # does not block
+        self._acceptor = ConnectionAcceptor(listening_socket, self.clients, self._make_protocol)
+        host, port = listening_socket.getsockname()[:2]
         return host, port
 
     def stop_listening(self) -> None:
-        """Accepts the connections in the system's queue, and then no more: a close would reset those.
-
-        Where they cannot all be accepted now, this goes on as others are closed, until `close` at the latest.
-        """
-        if self._listening_socket.fileno() < 0:
-            return
-        self._is_stopping = True
-        if self._accept_up_to(min(limits.ACCEPT_BACKLOG + 1, self.clients.free_descriptors)):
-            self._close_socket()
-        else:
-            self._pause_accepting()
+        """Accept the connections in the system's queue, and then no more."""
+        self.acceptor.stop()
 
     def close_idle_connections(self) -> None:
-        """Closes connections from now on, each once its request has been answered.
+        """Close connections from now on, each once its request has been answered.
 
-        The caller repeats this until `is_drained`: a request may just be on its way on any connection.
+        The graceful shutdown repeats this until `is_drained`: a request may just be on its way on any
+        connection.
         """
         self.clients.is_draining = True
         now_s = self.loop.time()
@@ -125,96 +104,24 @@
     @property
     def is_drained(self) -> bool:
         """Whether every request has its response, all is written, and no connection waits to be accepted."""
-        has_queue = self._is_stopping and self._listening_socket.fileno() >= 0
-        if has_queue or self._admission_tasks:
+        if self._acceptor is not None and self._acceptor.has_pending_connections:
             return False
         return all(connection.is_finished for connection in self.clients.open_connections)
 
     def close(self) -> None:
-        """Closes the socket and all connections at once; an incomplete request gets a 503."""
-        self._close_socket()
+        """Close the socket and all connections at once; an incomplete request gets a 503."""
+        self.acceptor.close()
         self.sweep_timer.cancel()
         self.clients.abort_all()
 
-    def _close_socket(self) -> None:
-        if self._accept_retry_timer is not None:
-            self._accept_retry_timer.cancel()
-        if self._listening_socket.fileno() >= 0:
-            self.loop.remove_reader(self._listening_socket)
-            self._listening_socket.close()
-
-    def _accept_ready(self) -> None:
-        # A connection takes some turns of the event loop from its accept until it is registered, and so does
-        # the close of the one that makes room for it. Without a bound, a flood would take all descriptors of
-        # the process in between.
-        self._accept_up_to(min(limits.MAX_ACCEPTS_PER_TURN, max(1, self.clients.free_descriptors)))
-
-    def _accept_up_to(self, count: int) -> bool:
-        """Accepts up to `count` connections, and returns whether the system's queue is empty now.
-
-        Never raises: the event loop would write a traceback for each failed accept, and the shutdown end.
-        """
-        has_accepted = False
-        try:
-            for _ in range(count):
-                has_accepted |= self._accept_one()
-        except BlockingIOError:
-            return True
-        except OSError as error:
-            faults = self._descriptor_faults if error.errno in DESCRIPTOR_SHORTAGE else self._accept_faults
-            faults.record(self.loop.time(), error)
-            has_accepted = False
-        if not has_accepted:  # the socket may stay readable: the event loop would come back here at once
-            self._pause_accepting()
-        return False
-
-    def _accept_one(self) -> bool:
-        """Accepts one connection, and returns whether it was not lost. Raises OSError where none can be."""
-        try:
-            accepted, _ = self._listening_socket.accept()
-        except OSError as error:
-            if error.errno not in LOST_CONNECTION_ERRNOS:
-                raise
-            self._lost_connection_faults.record(self.loop.time(), error)
-            return False
-        self.clients.descriptor_count += 1
-        task = self.loop.create_task(self._admit(accepted))
-        self._admission_tasks.add(task)
-        task.add_done_callback(self._admission_tasks.discard)
-        return True
-
-    def _pause_accepting(self) -> None:
-        self.loop.remove_reader(self._listening_socket)
-        if self._accept_retry_timer is None:
-            self._accept_retry_timer = self.loop.call_later(
-                limits.ACCEPT_RETRY_DELAY_S, self._resume_accepting
-            )
-
-    def _resume_accepting(self) -> None:
-        self._accept_retry_timer = None
-        if self._is_stopping:
-            self.stop_listening()
-        else:
-            self.loop.add_reader(self._listening_socket, self._accept_ready)
-
-    async def _admit(self, accepted: socket.socket) -> None:
-        try:
-            # asyncio sets this only where it made the socket itself, as it does for endpoints.
-            accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            await self.loop.connect_accepted_socket(self._make_protocol, accepted)
-        except OSError as error:
-            self._lost_connection_faults.record(self.loop.time(), error)
-            accepted.close()
-            self.clients.descriptor_count -= 1
-
-    def _make_protocol(self) -> ClientProtocol:
-        return ClientProtocol(self.clients, self._driver, self._classes)
-
     def sweep(self) -> None:
         """Check the time limits of all connections, now and again after `SWEEP_INTERVAL_S`."""
         self.sweep_timer = self.loop.call_later(limits.SWEEP_INTERVAL_S, self.sweep)
         now_s = self.loop.time()
-        for faults in (self._descriptor_faults, self._lost_connection_faults, self._accept_faults):
-            faults.end_if_quiet(now_s)
+        if self._acceptor is not None:
+            self._acceptor.end_quiet_faults(now_s)
         for connection in list(self.clients.open_connections):
             self.time_limits.check(connection, now_s)
+
+    def _make_protocol(self) -> ClientProtocol:
+        return ClientProtocol(self.clients, self._driver, self._classes)
--- a/load_balancer/net/client/client_registry.py
+++ b/load_balancer/net/client/client_registry.py
@@ -1,24 +1,24 @@
 """Which client connections are open, which of them may be closed to make room, and what they share.
 
 The registry owns what concerns several connections: the limit on their number, the ids of the open requests,
-the bytes that all of them have buffered, and the polling of those that are not read. `client_listener`
-creates it; each `client_connection` reports its own changes to it.
+the bytes that all of them have buffered, and the poller of those that are not read. `client_listener`
+creates it; each connection reports its own changes to it.
 """
 
 from __future__ import annotations
 
-import asyncio
 from collections.abc import Iterator
 from itertools import chain, islice
 from typing import Generic, Protocol, TypeVar
 
 from load_balancer.net.client import client_limits as limits
 from load_balancer.net.client.http_response import SERVICE_UNAVAILABLE
+from load_balancer.net.client.presence_poller import PolledConnection, PresencePoller
 from load_balancer.net.client.receive_buffer import BufferedTotal
 from load_balancer.net.driver.client_messages import ClientResponse
 
 
-class TrackedConnection(Protocol):
+class TrackedConnection(PolledConnection, Protocol):
     """What the registry needs of a connection."""
 
     @property
@@ -34,10 +34,7 @@
         """Whether the system has not taken all of a response yet."""
 
     def abort(self, response: ClientResponse) -> None:
-        """Closes the connection at once; an incomplete request gets this response."""
-
-    def is_client_present(self) -> bool:
-        """Whether the client is still there; closes the connection of one that is not."""
+        """Close the connection at once; an incomplete request gets this response."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=TrackedConnection)
@@ -53,8 +50,8 @@
             yet or were rejected, the longest waiting first.
         idle_connections: Those that may be closed to make room and that have got a response and may send
             another request, the longest waiting first.
-        paused_connections: Those that have a request open and are not read, so that the event loop does not
-            see their client leave.
+        presence: Polls those that have a request open and are not read, so that the event loop does not see
+            their client leave.
         open_request_ids: The ids of the requests that have no response yet.
         buffered: The bytes in the receive buffers of all connections.
         read_buffer: Where each connection reads into; it copies what it has got before the next one reads.
@@ -64,7 +61,7 @@
     """
 
     def __init__(self, max_connections: int) -> None:
-        """Starts with no connection.
+        """Start with no connection. To be made in a running event loop.
 
         Args:
             max_connections: The limit on open connections.
@@ -74,15 +71,13 @@
         # Dictionaries, as these keep the order in which connections were put in.
         self.unused_connections: dict[ConnectionT, None] = {}
         self.idle_connections: dict[ConnectionT, None] = {}
-        self.paused_connections: set[ConnectionT] = set()
+        self.presence: PresencePoller[ConnectionT] = PresencePoller()
         self.open_request_ids: set[bytes] = set()
         self.buffered = BufferedTotal()
         self.read_buffer = memoryview(bytearray(limits.READ_SIZE_BYTES))
         self.descriptor_count = 0
         self.is_shutting_down = False
         self.is_draining = False
-        self._loop = asyncio.get_running_loop()
-        self._presence_timer: asyncio.TimerHandle | None = None  # set while any connection is paused
 
     @property
     def free_descriptors(self) -> int:
@@ -95,7 +90,7 @@
         return len(self.open_connections) > self.max_connections + limits.MAX_CONNECTIONS_OVER_LIMIT
 
     def add(self, newcomer: ConnectionT) -> bool:
-        """Adds a connection, and closes another one to make room where there is none.
+        """Add a connection, and close another one to make room where there is none.
 
         Returns:
             Whether the newcomer is over the limit, as no other one could be closed.
@@ -114,7 +109,7 @@
                 return
 
     def _candidates_for_closing(self) -> Iterator[ConnectionT]:
-        """Returns the connections that may be closed to make room, the first to close first.
+        """Return the connections that may be closed to make room, the first to close first.
 
         Once unused connections take half of the room, they are a flood, which closes its own and not those of
         usual clients. Below that, one that has just come is left the time to send its request.
@@ -129,47 +124,30 @@
         return chain(unused, self.idle_connections) if is_flood else chain(self.idle_connections, unused)
 
     def remove(self, connection: ConnectionT) -> None:
-        """Forgets a connection that is closed."""
+        """Forget a connection that is closed."""
         self.open_connections.discard(connection)
-        self.paused_connections.discard(connection)
+        self.presence.unwatch(connection)
         self.mark_active(connection)
 
     def mark_active(self, connection: ConnectionT) -> None:
-        """Keeps a connection from being closed to make room: it has a request open, or is closed already."""
+        """Keep a connection from being closed to make room: it has a request open, or is closed already."""
         self.unused_connections.pop(connection, None)
         self.idle_connections.pop(connection, None)
 
     def mark_idle(self, connection: ConnectionT) -> None:
-        """Lets a connection that has got a response be closed to make room, as the last of its kind."""
+        """Let a connection that has got a response be closed to make room, as the last of its kind."""
         self.mark_active(connection)
         if connection in self.open_connections:
             self.idle_connections[connection] = None
 
     def mark_unused(self, connection: ConnectionT) -> None:
-        """Lets a connection that lingers be closed to make room, as the last of its kind."""
+        """Let a connection that lingers be closed to make room, as the last of its kind."""
         self.mark_active(connection)
         if connection in self.open_connections:
             self.unused_connections[connection] = None
 
-    def watch_presence(self, connection: ConnectionT) -> None:
-        """Polls whether the client of a connection that is not read is still there."""
-        self.paused_connections.add(connection)
-        if self._presence_timer is None:
-            self._presence_timer = self._loop.call_later(limits.PRESENCE_POLL_INTERVAL_S, self._poll_presence)
-
-    def unwatch_presence(self, connection: ConnectionT) -> None:
-        """Ends the polling of a connection: it is read again, or its request is no longer open."""
-        self.paused_connections.discard(connection)
-
-    def _poll_presence(self) -> None:
-        self._presence_timer = None
-        for connection in list(self.paused_connections):
-            if connection.is_client_present():
-                self.watch_presence(connection)
-
     def abort_all(self) -> None:
-        """Closes all connections at once; an incomplete request gets a 503."""
-        if self._presence_timer is not None:
-            self._presence_timer.cancel()
+        """Close all connections at once; an incomplete request gets a 503."""
+        self.presence.close()
         for connection in list(self.open_connections):
             connection.abort(SERVICE_UNAVAILABLE)
--- a/load_balancer/net/client/http_request.py
+++ b/load_balancer/net/client/http_request.py
@@ -1,4 +1,4 @@
-"""Parses and checks the head of a client's request, before anything of the request is forwarded.
+"""Parsing and checks of the head of a client's request, before anything of the request is forwarded.
 
 The module holds no state. `client_connection` calls it with each head that h11 has read; the names of the
 headers and their forms are those of the protocol page.
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, status: int, reason: str) -> None:
-        """Keeps the status code of the response and the reason for it."""
+        """Keep the status code of the response and the reason for it."""
         super().__init__(reason)
         self.status = status
 
@@ -70,7 +70,7 @@
 
 
 def check_framing(request: h11.Request) -> dict[bytes, bytes]:
-    """Checks that the body of a request has exactly one beginning and one end.
+    """Check that the body of a request has exactly one beginning and one end.
 
     Args:
         request: The request line and headers as h11 has read them.
@@ -110,7 +110,7 @@
 
 
 def read_head(request: h11.Request, classes: Mapping[str, messages.RequestClass]) -> RequestHead:
-    """Reads the head of a request as the protocol page defines it.
+    """Read the head of a request as the protocol page defines it.
 
     Args:
         request: The request line and headers as h11 has read them.
--- a/load_balancer/net/client/http_server_protocol.py
+++ b/load_balancer/net/client/http_server_protocol.py
@@ -1,7 +1,7 @@
 """HTTP on one client's connection, without I/O: bytes in, h11's events and the bytes of responses out.
 
-It keeps what came before its turn in a `receive_buffer`, skips empty lines between requests, and tells when
-the bytes came that the present request ends with. `client_connection` owns one for each connection.
+The protocol keeps what came before its turn in a `receive_buffer`, skips empty lines between requests, and
+tells when the bytes came that the present request ends with. Each `client_connection` has one.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     """
 
     def __init__(self, total: BufferedTotal, now_s: float) -> None:
-        """Starts before the first request.
+        """Start before the first request.
 
         Args:
             total: The count of the bytes that all connections have buffered.
@@ -56,7 +56,7 @@
         return self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
     def receive(self, now_s: float, data: bytes) -> bool:
-        """Takes what one read brought, and returns whether it was more than empty lines between requests."""
+        """Take what one read brought, and return whether it was more than empty lines between requests."""
         if self.is_between_requests:
             data = data.lstrip(LINE_END_BYTES)
         if data:
@@ -64,12 +64,12 @@
         return bool(data)
 
     def next_event(self) -> ParsedEvent:
-        """Parses the next part of a request. Raises h11.RemoteProtocolError where it is not HTTP."""
+        """Parse the next part of a request. Raise h11.RemoteProtocolError where it is not HTTP."""
         self._skip_empty_lines()
         return self._http.next_event()
 
     def feed(self) -> bool:
-        """Hands h11 the next piece that was received, and returns whether there was one."""
+        """Hand h11 the next piece that was received, and return whether there was one."""
         if not self.received:
             return False
         piece = self.received.pop()
@@ -87,13 +87,13 @@
             self._http.receive_data(rest)
 
     def interim_response(self) -> bytes:
-        """Returns the bytes of a 100 where the client waits for one, otherwise none."""
+        """Return the bytes of a 100 where the client waits for one, otherwise none."""
         if not self._http.they_are_waiting_for_100_continue:
             return b""
         return self._http.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
     def final_response(self, response: ClientResponse, *, is_last: bool) -> bytes:
-        """Returns the bytes of the final response to the present request.
+        """Return the bytes of the final response to the present request.
 
         Args:
             response: The response.
@@ -109,7 +109,7 @@
         return b"".join(part for part in parts if part)
 
     def start_next_request(self) -> bool:
-        """Gets ready for another request, and returns whether one may follow on this connection."""
+        """Get ready for another request, and return whether one may follow on this connection."""
         if self._http.our_state is not h11.DONE or self._http.their_state is not h11.DONE:
             return False
         self._http.start_next_cycle()
--- a/load_balancer/net/client/receive_buffer.py
+++ b/load_balancer/net/client/receive_buffer.py
@@ -1,4 +1,4 @@
-"""Keeps the bytes that a client sent before their turn, together with the time at which they came.
+"""The bytes that a client sent before their turn, together with the time at which they came.
 
 A client may send its next requests before it has the response to the first one. A request's time counts from
 its last byte, however long it waits behind another, so that the time of each read is kept with its bytes.
@@ -36,7 +36,7 @@
     """The pieces that one connection has received and not parsed yet, in order."""
 
     def __init__(self, total: BufferedTotal) -> None:
-        """Starts empty.
+        """Start empty.
 
         Args:
             total: The count over all connections, to which this buffer adds its own bytes.
@@ -46,7 +46,7 @@
         self.size_bytes = 0
 
     def __bool__(self) -> bool:
-        """Whether any piece is buffered."""
+        """Return whether any piece is buffered."""
         return bool(self._pieces)
 
     @property
@@ -57,18 +57,18 @@
         return bool(self) and self._total.size_bytes > limits.MAX_BUFFERED_BYTES
 
     def append(self, received_at_s: float, data: bytes) -> None:
-        """Adds what one read brought."""
+        """Add what one read brought."""
         self._pieces.append(ReceivedPiece(received_at_s, data))
         self._add_size(len(data))
 
     def pop(self) -> ReceivedPiece:
-        """Removes the oldest piece and returns it. Raises IndexError where there is none."""
+        """Remove the oldest piece and return it. Raise IndexError where there is none."""
         piece = self._pieces.popleft()
         self._add_size(-len(piece.data))
         return piece
 
     def clear(self) -> None:
-        """Drops all pieces."""
+        """Drop all pieces."""
         self._pieces.clear()
         self._add_size(-self.size_bytes)
 
--- a/load_balancer/net/client/request_processor.py
+++ b/load_balancer/net/client/request_processor.py
@@ -143,9 +143,9 @@
         else:
             self._transport.resume_reading()
         if self._connection.is_waiting and not self._transport.is_reading():
-            self._clients.watch_presence(self._connection)
+            self._clients.presence.watch(self._connection)
         else:
-            self._clients.unwatch_presence(self._connection)
+            self._clients.presence.unwatch(self._connection)
 
     def _on_request_complete(self) -> None:
         self._clients.mark_active(self._connection)
@@ -214,4 +214,4 @@
                 self._clients.open_request_ids.discard(head.request_id)
             self._connection.enter(ConnectionState.READING)
         self._incoming.clear()
-        self._clients.unwatch_presence(self._connection)
+        self._clients.presence.unwatch(self._connection)
--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -65,7 +65,7 @@
         client.send(request[:30])
         await until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
-        await until(lambda: not connection.is_idle and not p.listener._admission_tasks)
+        await until(lambda: not connection.is_idle and not p.listener.acceptor.admission_tasks)
         p.listener.close_idle_connections()
         assert not p.listener.is_drained
         client.send(request[30:])
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -117,16 +117,18 @@
 ) -> None:
     async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
         with monkeypatch.context() as patch:
-            patch.setattr(p.listener, "_listening_socket", Broken(p.listener._listening_socket))
+            patch.setattr(
+                p.listener.acceptor, "listening_socket", Broken(p.listener.acceptor.listening_socket)
+            )
             clients = [Client(p) for _ in range(40)]
             for client in clients:
                 client.socket.setblocking(False)
                 assert await p.listener.loop.sock_recv(client.socket, 1) == b""
                 client.socket.close()
-            await until(lambda: not p.listener._admission_tasks)
+            await until(lambda: not p.listener.acceptor.admission_tasks)
         assert p.clients.descriptor_count == 0
         assert "Traceback" not in caplog.text
-        assert caplog.text.count("lost as it came") == 1
+        assert caplog.text.count("lost while it was accepted") == 1
         assert status(await p.ask(call())) == 200
 
 
@@ -138,13 +140,13 @@
 
     async with silent_backend() as b, proxy(entry("b", b.port), most=64) as p:
         accepted: list[socket.socket] = []
-        admit = p.listener._admit
+        admit = p.listener.acceptor.admit
 
         def listen(connection: socket.socket) -> Coroutine[None, None, None]:
             accepted.append(connection)
             return admit(connection)
 
-        monkeypatch.setattr(p.listener, "_admit", listen)
+        monkeypatch.setattr(p.listener.acceptor, "admit", listen)
         clients = [Client(p) for _ in range(400)]
         for n, client in enumerate(clients):
             client.send(KINDS[kind] if kind != "open" else call(request_id=f"r{n}"))
@@ -186,11 +188,11 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It is met again every 0.05 s while it lasts, and who waits for one is served afterwards."""
-    caplog.set_level(logging.INFO, logger="load_balancer.net.client.client_listener")
+    caplog.set_level(logging.INFO, logger="load_balancer.net.client.connection_acceptor")
 
     def lines() -> list[str]:
         return [
-            r.getMessage() for r in caplog.records if r.name == "load_balancer.net.client.client_listener"
+            r.getMessage() for r in caplog.records if r.name == "load_balancer.net.client.connection_acceptor"
         ]
 
     async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
@@ -199,7 +201,7 @@
             caplog.clear()
             met, client = Turns(), Client(p)
             with pytest.MonkeyPatch.context() as patch, no_descriptors():
-                counted(patch, p.listener._descriptor_faults, "record", met)
+                counted(patch, p.listener.acceptor.descriptor_faults, "record", met)
                 for n in range(30):
                     await until(lambda n=n, met=met: met.all > n)  # type: ignore[misc]
                     clock.step(client_limits.ACCEPT_RETRY_DELAY_S)
@@ -233,7 +235,7 @@
                 with contextlib.suppress(ConnectionError):
                     assert await p.listener.loop.sock_recv(client.socket, 1) == b""
                 client.socket.close()
-        assert caplog.text.count("lost as it came") == 1
+        assert caplog.text.count("lost while it was accepted") == 1
         assert p.clients.descriptor_count == 0
         assert status(await p.ask(call())) == 200
 
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -182,7 +182,7 @@
         await settled()
         mine = [headers["req-id"] for _, headers, _ in b.seen if not headers["req-id"].startswith("c")]
         assert mine == (["r0"] if where == "out" else [])
-        assert not p.clients.paused_connections
+        assert not p.clients.presence.connections
         for other in crowd:
             other.leave("FIN")
         await until(lambda: not p.clients.open_connections)
@@ -209,7 +209,7 @@
             clock.step(0.05)
             await settled()
         assert not asked
-        assert p.clients._presence_timer is None
+        assert not p.clients.presence.is_scheduled
         client = Client(p)
         connection = await begin(p, client, True)
         for _ in range(10):
@@ -218,13 +218,13 @@
         assert len(asked) >= 10
         assert set(asked) == {connection.transport}
         p.driver.end_all_requests()
-        await until(lambda: not p.clients.paused_connections)
+        await until(lambda: not p.clients.presence.connections)
         for one in (idle, busy, client):
             one.leave("RST")
         await until(lambda: not p.clients.open_connections)
         clock.step(0.05)
         await settled()
-        assert p.clients._presence_timer is None
+        assert not p.clients.presence.is_scheduled
 
 
 @pytest.mark.parametrize("way", WAYS)
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -104,7 +104,7 @@
         assert len(a.seen) + len(b.seen) == before
         assert nothing_left(p)
         assert not p.driver.requests.attempts.in_flight
-        assert not p.clients.paused_connections
+        assert not p.clients.presence.connections
         assert not p.pool.waiting.by_endpoint
 
 
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -269,7 +269,7 @@
             writer.write(call(request_id="again"))
             assert status(await read_message(reader)) == 200
             writer.close()
-            await until(lambda: p.listener._listening_socket.fileno() < 0)
+            await until(lambda: p.listener.acceptor.listening_socket.fileno() < 0)
             with pytest.raises(ConnectionRefusedError):
                 await p.connect()
 
@@ -290,7 +290,7 @@
         call_later = p.listener.loop.call_later
 
         def waited(delay: float, *rest: Any) -> asyncio.TimerHandle:
-            if rest[0] == p.listener._resume_accepting:
+            if rest[0] == p.listener.acceptor.resume:
                 waits.append(delay)
             return call_later(delay, *rest)
 
--- a/tests/support/client_helpers.py
+++ b/tests/support/client_helpers.py
@@ -81,7 +81,7 @@
 
 def narrow(p: Proxy, bytes_each: int = 4096) -> None:
     """Connections from now on take little at once, so that answers have to wait for their client to read."""
-    p.listener._listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, bytes_each)
+    p.listener.acceptor.listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, bytes_each)
 
 
 async def slow_reader(p: Proxy) -> Streams:
