--- a/load_balancer/net/client/client_connection.py
+++ b/load_balancer/net/client/client_connection.py
@@ -1,6 +1,6 @@
 """Where one client's connection stands: its transport, its state, and what may be done with it now.
 
-`client_protocol` makes one for each accepted connection. `request_processor` moves it from state to state,
+`client_protocol` makes one for each accepted connection. `request_forwarder` moves it from state to state,
 `client_registry` asks whether it may be closed to make room, and `client_listener` closes it at its time
 limits and at the end of the process. Responses are written here, requests are read in `request_processor`.
 """
@@ -10,7 +10,6 @@
 import asyncio
 import contextlib
 
-from load_balancer.net.client import client_limits as limits
 from load_balancer.net.client.client_connection_state import TRANSITIONS, ConnectionState
 from load_balancer.net.client.client_registry import ClientRegistry
 from load_balancer.net.client.http_server_protocol import HttpServerProtocol
@@ -100,16 +99,6 @@
             return False
         return not peer_has_ended(self.transport)
 
-    def can_be_closed(self, now_s: float) -> bool:
-        """Return whether no request is here, nor its first one likely to be on its way.
-
-        Args:
-            now_s: The event loop's time.
-        """
-        if not self.is_idle or self.has_unprocessed_bytes:
-            return False
-        return self.has_responded or now_s - self.last_progress_at_s > limits.FIRST_REQUEST_GRACE_S
-
     def is_client_present(self) -> bool:
         """Return whether the client is still there, by what the system knows now; abort if it is not."""
         if not self.transport.is_closing() and peer_has_ended(self.transport):
--- a/load_balancer/net/client/client_listener.py
+++ b/load_balancer/net/client/client_listener.py
@@ -98,7 +98,7 @@
         self.clients.is_draining = True
         now_s = self.loop.time()
         for connection in [*self.clients.unused_connections, *self.clients.idle_connections]:
-            if connection.can_be_closed(now_s):
+            if self.time_limits.can_be_closed(connection, now_s):
                 connection.transport.close()
 
     @property
--- a/load_balancer/net/client/connection_time_limits.py
+++ b/load_balancer/net/client/connection_time_limits.py
@@ -1,4 +1,4 @@
-"""The time limits of clients' connections: closes each on which nothing has moved for too long.
+"""The time limits of clients' connections: those on which nothing has moved for too long are closed.
 
 `client_listener` checks all connections at regular intervals. The limits themselves stand in
 `client_limits`.
@@ -45,6 +45,19 @@
                 return
         connection.abort(REQUEST_TIMEOUT)
 
+    def can_be_closed(self, connection: ClientConnection, now_s: float) -> bool:
+        """Return whether no request is here, nor a connection's first one likely to be on its way.
+
+        Args:
+            connection: The connection.
+            now_s: The event loop's time.
+        """
+        if not connection.is_idle or connection.has_unprocessed_bytes:
+            return False
+        return (
+            connection.has_responded or now_s - connection.last_progress_at_s > limits.FIRST_REQUEST_GRACE_S
+        )
+
     def _run_final_check(self, connection: ClientConnection) -> None:
         if not connection.transport.is_closing():
             self.check(connection, self._loop.time())
--- /dev/null
+++ b/load_balancer/net/client/request_forwarder.py
@@ -0,0 +1,127 @@
+"""From a complete request to the driver, and from the driver's response back to the client.
+
+`request_processor` reads the requests and calls the forwarder with each complete one, the driver with each
+response.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from load_balancer.net.client.client_connection import ClientConnection
+from load_balancer.net.client.client_connection_state import ConnectionState
+from load_balancer.net.client.client_registry import ClientRegistry
+from load_balancer.net.client.http_request import BadRequestError, RequestHead
+from load_balancer.net.client.http_response import SERVICE_UNAVAILABLE
+from load_balancer.net.client.incoming_request import IncomingRequest
+from load_balancer.net.driver.client_messages import ClientRequest, ClientResponse
+from load_balancer.net.driver.event_loop_driver import EventLoopDriver
+
+
+class RequestForwarder:
+    """Sees that each request of one connection gets one final response."""
+
+    def __init__(
+        self,
+        connection: ClientConnection,
+        incoming: IncomingRequest,
+        clients: ClientRegistry[ClientConnection],
+        driver: EventLoopDriver,
+        on_next_request: Callable[[], None],
+    ) -> None:
+        """Start before the first request.
+
+        Args:
+            connection: The client's connection.
+            incoming: The request that is being read on it.
+            clients: All open connections.
+            driver: Takes the requests.
+            on_next_request: Called after a response behind which the next request has come already.
+        """
+        self._connection = connection
+        self._incoming = incoming
+        self._clients = clients
+        self._driver = driver
+        self._on_next_request = on_next_request
+        self._loop = asyncio.get_running_loop()
+
+    def handle_request(self) -> None:
+        """Answer or forward the request, whose last byte has been read.
+
+        Raises:
+            BadRequestError: Another request with its id is open.
+        """
+        self._clients.mark_active(self._connection)
+        head = self._incoming.head
+        if head is None:  # a readiness check
+            is_ready = self._driver.is_ready and not self._clients.is_shutting_down
+            self._respond(ClientResponse(200 if is_ready else 503))
+            return
+        if self._connection.is_over_limit:
+            self._respond(SERVICE_UNAVAILABLE)
+            return
+        if head.request_id in self._clients.open_request_ids:
+            # An endpoint would take this one for a retry of the open request, and might drop it.
+            raise BadRequestError(409, "the id of an open request")
+        self._forward(head)
+
+    def reject(self, response: ClientResponse) -> None:
+        """Respond to what is not HTTP, too large or not to be served, and linger."""
+        self._finish()
+        self._connection.forwarded_request_id = None
+        self._connection.reject(response)
+
+    def withdraw(self) -> None:
+        """End the open request of a client whose connection is lost; do nothing where none is open."""
+        if not self._connection.is_waiting:
+            return
+        self._finish()
+        if self._connection.forwarded_request_id is not None:
+            self._driver.cancel_request(self._connection.forwarded_request_id)
+
+    def _forward(self, head: RequestHead) -> None:
+        connection = self._connection
+        client_request = self._to_client_request(head)
+        if not connection.is_client_present():
+            return
+        self._clients.open_request_ids.add(head.request_id)
+        connection.enter(ConnectionState.WAITING_FOR_RESPONSE)
+        request_id = self._driver.accept_request(client_request)
+        if connection.is_waiting:  # the driver may have responded at once
+            connection.forwarded_request_id = request_id
+
+    def _to_client_request(self, head: RequestHead) -> ClientRequest:
+        # The time remaining counts from when the last byte came, however long it waited behind another.
+        now_s = self._loop.time()
+        waited_s = now_s - self._connection.http.parsed_received_at_s
+        return ClientRequest(
+            class_name=head.class_name,
+            time_remaining_us=round(1e6 * max(0.0, head.time_remaining_s - waited_s)),
+            measured_at_s=now_s,
+            tenant=head.tenant,
+            is_retry=head.is_retry,
+            method=head.method,
+            target=head.target,
+            headers=self._incoming.forwarded_headers(head),
+            body=bytes(self._incoming.body),
+            respond=self._respond,
+            is_client_connected=self._connection.is_client_present,
+        )
+
+    def _respond(self, response: ClientResponse) -> None:
+        """Write the one final response to the present request."""
+        self._finish()
+        self._connection.forwarded_request_id = None
+        if self._connection.write_response(response):
+            self._on_next_request()
+
+    def _finish(self) -> None:
+        """End the present request: it is no longer open."""
+        head = self._incoming.head
+        if self._connection.is_waiting:
+            if head is not None:
+                self._clients.open_request_ids.discard(head.request_id)
+            self._connection.enter(ConnectionState.READING)
+        self._incoming.clear()
+        self._clients.presence.unwatch(self._connection)
--- a/load_balancer/net/client/request_processor.py
+++ b/load_balancer/net/client/request_processor.py
@@ -1,7 +1,7 @@
-"""From the bytes of one connection to requests for the driver, and from its responses back to the client.
+"""From the bytes of one connection to complete requests, one after the other.
 
 A connection has one request open at a time; what comes behind it waits in its `http_server_protocol`.
-`client_protocol` calls the processor with bytes, the driver with responses.
+`client_protocol` calls the processor with bytes; complete requests go to `request_forwarder`.
 """
 
 from __future__ import annotations
@@ -17,18 +17,19 @@
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_connection_state import ConnectionState
 from load_balancer.net.client.client_registry import ClientRegistry
-from load_balancer.net.client.http_request import BadRequestError, RequestHead
-from load_balancer.net.client.http_response import INTERNAL_SERVER_ERROR, SERVICE_UNAVAILABLE
+from load_balancer.net.client.http_request import BadRequestError
+from load_balancer.net.client.http_response import INTERNAL_SERVER_ERROR
 from load_balancer.net.client.http_server_protocol import ParsedEvent
 from load_balancer.net.client.incoming_request import IncomingRequest
-from load_balancer.net.driver.client_messages import ClientRequest, ClientResponse
+from load_balancer.net.client.request_forwarder import RequestForwarder
+from load_balancer.net.driver.client_messages import ClientResponse
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 
 log = logging.getLogger(__name__)
 
 
 class RequestProcessor:
-    """Reads the requests of one connection one after the other, and sees that each gets one response."""
+    """Reads the requests of one connection."""
 
     def __init__(
         self,
@@ -49,8 +50,10 @@
         self._transport = connection.transport
         self._http = connection.http
         self._clients = clients
-        self._driver = driver
         self._incoming = IncomingRequest(classes)
+        self._forwarder = RequestForwarder(
+            connection, self._incoming, clients, driver, on_next_request=self._schedule_processing
+        )
         self._loop = asyncio.get_running_loop()
 
     def receive(self, data: memoryview) -> None:
@@ -79,12 +82,12 @@
         try:
             self._parse_events()
         except h11.RemoteProtocolError as error:
-            self._reject(ClientResponse(error.error_status_hint))
+            self._forwarder.reject(ClientResponse(error.error_status_hint))
         except BadRequestError as error:
-            self._reject(ClientResponse(error.status))
+            self._forwarder.reject(ClientResponse(error.status))
         except Exception:  # else the request would be lost: the event loop would close without a response
             log.exception("processing a request failed")
-            self._reject(INTERNAL_SERVER_ERROR)
+            self._forwarder.reject(INTERNAL_SERVER_ERROR)
         if self._transport.is_closing():
             return
         connection = self._connection
@@ -94,11 +97,7 @@
 
     def withdraw(self) -> None:
         """End the open request of a client whose connection is lost."""
-        if not self._connection.is_waiting:
-            return
-        self._finish_request()
-        if self._connection.forwarded_request_id is not None:
-            self._driver.cancel_request(self._connection.forwarded_request_id)
+        self._forwarder.withdraw()
 
     def _parse_events(self) -> None:
         for _ in range(limits.MAX_EVENTS_PER_TURN):
@@ -121,7 +120,7 @@
                 self._incoming.add_body(event.data)
                 return True
             case h11.EndOfMessage():
-                self._on_request_complete()
+                self._forwarder.handle_request()
                 return False
             case h11.NEED_DATA:
                 return self._http.feed()
@@ -146,72 +145,3 @@
             self._clients.presence.watch(self._connection)
         else:
             self._clients.presence.unwatch(self._connection)
-
-    def _on_request_complete(self) -> None:
-        self._clients.mark_active(self._connection)
-        head = self._incoming.head
-        if head is None:  # a readiness check
-            is_ready = self._driver.is_ready and not self._clients.is_shutting_down
-            self._respond(ClientResponse(200 if is_ready else 503))
-            return
-        if self._connection.is_over_limit:
-            self._respond(SERVICE_UNAVAILABLE)
-            return
-        if head.request_id in self._clients.open_request_ids:
-            # An endpoint would take this one for a retry of the open request, and might drop it.
-            raise BadRequestError(409, "the id of an open request")
-        self._forward(head)
-
-    def _forward(self, head: RequestHead) -> None:
-        """Hand a complete request to the driver."""
-        connection = self._connection
-        client_request = self._to_client_request(head)
-        if not connection.is_client_present():
-            return
-        self._clients.open_request_ids.add(head.request_id)
-        connection.enter(ConnectionState.WAITING_FOR_RESPONSE)
-        request_id = self._driver.accept_request(client_request)
-        if connection.is_waiting:  # the driver may have responded at once
-            connection.forwarded_request_id = request_id
-
-    def _to_client_request(self, head: RequestHead) -> ClientRequest:
-        headers = self._incoming.forwarded_headers(head)
-        # The time remaining counts from when the last byte came, however long it waited behind another.
-        now_s = self._loop.time()
-        waited_s = now_s - self._http.parsed_received_at_s
-        return ClientRequest(
-            class_name=head.class_name,
-            time_remaining_us=round(1e6 * max(0.0, head.time_remaining_s - waited_s)),
-            measured_at_s=now_s,
-            tenant=head.tenant,
-            is_retry=head.is_retry,
-            method=head.method,
-            target=head.target,
-            headers=headers,
-            body=bytes(self._incoming.body),
-            respond=self._respond,
-            is_client_connected=self._connection.is_client_present,
-        )
-
-    def _respond(self, response: ClientResponse) -> None:
-        """Write the one final response to the present request."""
-        self._finish_request()
-        self._connection.forwarded_request_id = None
-        if self._connection.write_response(response):
-            self._schedule_processing()
-
-    def _reject(self, response: ClientResponse) -> None:
-        """Respond to what is not HTTP, too large or not to be served, and linger."""
-        self._finish_request()
-        self._connection.forwarded_request_id = None
-        self._connection.reject(response)
-
-    def _finish_request(self) -> None:
-        """End the present request: it is no longer open."""
-        head = self._incoming.head
-        if self._connection.is_waiting:
-            if head is not None:
-                self._clients.open_request_ids.discard(head.request_id)
-            self._connection.enter(ConnectionState.READING)
-        self._incoming.clear()
-        self._clients.presence.unwatch(self._connection)
--- a/load_balancer/net/driver/attempt_dispatcher.py
+++ b/load_balancer/net/driver/attempt_dispatcher.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Set
+from collections.abc import Iterable
 from dataclasses import dataclass
 from functools import partial
 
@@ -52,7 +52,7 @@
         events: EventQueue,
         pool: ConnectionPool,
         clock: Clock,
-        unsafe_class_names: Set[str],
+        classes: Iterable[messages.RequestClass],
     ) -> None:
         """Keep the parts that attempts need.
 
@@ -62,7 +62,7 @@
             events: Takes an `AttemptEnded` for each attempt.
             pool: The connections to endpoints.
             clock: The policy's clock.
-            unsafe_class_names: The request classes whose requests must not run twice.
+            classes: The request classes of the settings.
         """
         self._requests = requests
         self._attempts = requests.attempts
@@ -70,7 +70,11 @@
         self._events = events
         self._pool = pool
         self._clock = clock
-        self._unsafe_class_names = unsafe_class_names
+        self._unsafe_class_names = {
+            request_class.name
+            for request_class in classes
+            if request_class.idempotency is messages.Idempotency.UNSAFE
+        }
 
     def start(self, action: messages.StartAttempt, decided_at_s: float) -> None:
         """Start an attempt. It ends with one `AttemptEnded`, at once where it cannot be sent.
@@ -82,15 +86,11 @@
         request = self._requests.get(action.request)
         endpoint = self._endpoints.find(action.endpoint_id)
         started_at_us = self._clock.now_us()
-        if request is None or endpoint is None:
-            log.error(
-                "cannot start an attempt of request %s on endpoint %d: the %s is unknown",
-                action.request,
-                action.endpoint_id,
-                "request" if request is None else "endpoint",
-            )
         if request is None:
+            _log_unknown("request", action)
             return
+        if endpoint is None:
+            _log_unknown("endpoint", action)
         key = AttemptKey(request.id, request.attempt_count)
         request.attempt_count += 1
         on_outcome = partial(self._finish, StartedAttempt(key, action.endpoint_id, started_at_us))
@@ -162,6 +162,15 @@
             request.has_met_stale_connection |= attempt.is_on_long_idle_connection and had_no_response
 
 
+def _log_unknown(what: str, action: messages.StartAttempt) -> None:
+    log.error(
+        "cannot start an attempt of request %s on endpoint %d: the %s is unknown",
+        action.request,
+        action.endpoint_id,
+        what,
+    )
+
+
 def _to_client_response(response: UpstreamResponse) -> ClientResponse:
     content_type = tuple((name, value) for name, value in response.headers if name == b"content-type")
     return ClientResponse(200, response.body, content_type)
--- a/load_balancer/net/driver/event_loop_driver.py
+++ b/load_balancer/net/driver/event_loop_driver.py
@@ -69,11 +69,8 @@
         )
         self.timers = PolicyTimers(self.events, self.clock)
         endpoints = self.endpoint_list.endpoints
-        unsafe_class_names = {
-            c.name for c in settings.classes if c.idempotency is messages.Idempotency.UNSAFE
-        }
         self.attempts = AttemptDispatcher(
-            self.requests, endpoints, self.events, pool, self.clock, unsafe_class_names
+            self.requests, endpoints, self.events, pool, self.clock, settings.classes
         )
         self.actions = ActionPerformer(
             self.requests,
