--- a/load_balancer/net/client/client_connection.py
+++ b/load_balancer/net/client/client_connection.py
@@ -14,7 +14,7 @@
 from load_balancer.net.client.client_registry import ClientRegistry
 from load_balancer.net.client.http_server_protocol import HttpServerProtocol
 from load_balancer.net.driver.client_messages import ClientResponse
-from load_balancer.net.socket_state import has_unread_bytes, peer_has_ended
+from load_balancer.net.socket_state import has_unread_bytes, is_closed_by_remote
 
 
 class ClientConnection:
@@ -97,11 +97,11 @@
         """Whether more of a request has come, from a client that is still there."""
         if self.is_lingering or not (self.is_processing_scheduled or has_unread_bytes(self.transport)):
             return False
-        return not peer_has_ended(self.transport)
+        return not is_closed_by_remote(self.transport)
 
     def is_client_present(self) -> bool:
         """Return whether the client is still there, by what the system knows now; abort if it is not."""
-        if not self.transport.is_closing() and peer_has_ended(self.transport):
+        if not self.transport.is_closing() and is_closed_by_remote(self.transport):
             self.transport.abort()
         return not self.transport.is_closing()
 
--- a/load_balancer/net/upstream/upstream_connection.py
+++ b/load_balancer/net/upstream/upstream_connection.py
@@ -150,7 +150,7 @@
             return None
 
     def _log_invalid_request(self, error: h11.LocalProtocolError) -> None:
-        log.error("cannot send a request to endpoint %d: %s", self.endpoint.number, error)
+        log.error("cannot send a request to endpoint %d: %s", self.endpoint.id, error)
 
     def _reason_not_to_write(self, request: UpstreamRequest) -> Outcome | None:
         """Return the outcome of an attempt whose request must not be written now, else None."""
