--- a/tests/support/loopback_proxy.py
+++ b/tests/support/loopback_proxy.py
@@ -86,7 +86,7 @@
 
     def limit_send_buffers(self, size_bytes: int = 4096) -> None:
         """Let connections accepted from now on buffer little, so that responses wait for their client."""
-        self.listener._listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size_bytes)
+        self.listener.acceptor.listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size_bytes)
 
 
 @asynccontextmanager
