--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -59,7 +59,7 @@
         return self.outbox.take()
 
     def handle(self, now_us: int, event: messages.Event) -> list[messages.Action]:
-        """Take one event and return the actions that it calls for, in order. `now_us` never runs backwards."""
+        """Take one event and return the actions to carry out in order. `now_us` never runs backwards."""
         self._dispatch(now_us, event)
         self.requests.work_off_queue(now_us)
         return self.outbox.take()
