--- a/load_balancer/policy/attempt.py
+++ b/load_balancer/policy/attempt.py
@@ -42,7 +42,7 @@
     sent_at_us: int  # microseconds
     timeout_us: int
     outcome: messages.Outcome | None = None  # none while it is in flight
-    abandoned: bool = False  # given up, its end still to come
+    is_abandoned: bool = False  # given up, its end still to come
 
     def hangs(self, now_us: int, limit: HangLimit) -> bool:
         """Tell whether it has been in flight for longer than the limit."""
@@ -51,5 +51,5 @@
 
     @property
     def may_have_run(self) -> bool:
-        """False only where the outcome proves that the endpoint never ran it."""
+        """Return False only where the outcome proves that the endpoint never ran the request."""
         return self.outcome is None or not self.outcome.never_ran
--- /dev/null
+++ b/load_balancer/policy/attempt_dispatcher.py
@@ -0,0 +1,91 @@
+"""The dispatch of attempts: sends requests to endpoints, and owns the attempts in flight."""
+
+from __future__ import annotations
+
+from load_balancer import messages
+from load_balancer.policy.attempt import Attempt, LastAttempt
+from load_balancer.policy.endpoint_state import EndpointAttempt
+from load_balancer.policy.outbox import Outbox
+from load_balancer.policy.request_state import RequestState
+from load_balancer.policy.router import Choice, Router
+from load_balancer.policy.scan_timer import ScanTimer
+from load_balancer.policy.slow_start import SlowStart
+
+
+class AttemptDispatcher:
+    """Starts attempts, gives them up, and keeps those in flight."""
+
+    def __init__(
+        self,
+        limits: messages.Limits,
+        outbox: Outbox,
+        router: Router,
+        slow_start: SlowStart,
+        scan_timer: ScanTimer,
+    ) -> None:
+        """Start without attempts; `scan_timer` is set as attempts go out."""
+        self._limits = limits
+        self._outbox = outbox
+        self._router = router
+        self._slow_start = slow_start
+        self._scan_timer = scan_timer
+        self.in_flight: dict[tuple[str, int], EndpointAttempt] = {}  # by request id and attempt number
+
+    def send(self, now_us: int, request: RequestState) -> bool:
+        """Send the request to an endpoint that it may go to; return False where none is open."""
+        choice = self._router.choose(now_us, request)
+        if choice is None:
+            return False
+        timeout_us = request.useful_until_us - now_us
+        number = len(request.attempts)
+        attempt = Attempt(request.id, number, choice.endpoint, request.request_class, now_us, timeout_us)
+        self.in_flight[request.id, number] = attempt
+        request.attempts.append(attempt)
+        self._count_at_endpoint(now_us, attempt)
+        self._outbox.add(
+            messages.StartAttempt(
+                request.id,
+                choice.endpoint.endpoint.id,
+                timeout_us,
+                choice.draws,
+                self._relocation_time_us(request, choice, timeout_us),
+            )
+        )
+        self._scan_timer.schedule(now_us)
+        return True
+
+    def _count_at_endpoint(self, now_us: int, attempt: EndpointAttempt) -> None:
+        state = attempt.endpoint
+        state.in_flight.append(attempt)
+        self._slow_start.attempt_sent(now_us, state, is_first=attempt.number == 0)
+        # Many balancers could overload an endpoint with one attempt each: a limit below one is kept by a
+        # pause after each attempt, so that by Little's law the mean in flight stays within it.
+        usual_us = attempt.request_class.usual_latency_us
+        limit = state.concurrency_limit
+        state.paused_until_us = now_us + int(usual_us / limit) if limit < 1.0 else 0
+
+    def _relocation_time_us(self, request: RequestState, choice: Choice, timeout_us: int) -> int:
+        """Return within which time the attempt may still be moved to another endpoint; 0 where it can't."""
+        if not (choice.has_untried_alternative and request.has_attempts_left(self._limits.max_attempts)):
+            return 0
+        return max(0, timeout_us - int(request.request_class.usual_latency_us))
+
+    def end(self, event: messages.AttemptEnded) -> EndpointAttempt | None:
+        """Record the outcome of an attempt and return it; none where no such attempt is in flight."""
+        attempt = self.in_flight.pop((event.request, event.attempt), None)
+        if attempt is None:
+            return None
+        attempt.outcome = event.outcome
+        attempt.endpoint.in_flight.remove(attempt)
+        return attempt
+
+    def abandon(self, now_us: int, attempt: EndpointAttempt) -> None:
+        """Give up waiting for an answer. The attempt stays in flight until its end is reported."""
+        state = attempt.endpoint
+        usual_us = attempt.request_class.usual_latency_us
+        state.last_attempt = LastAttempt.FAILED
+        state.add_latency(attempt.timeout_us / usual_us)
+        state.cool_down(now_us, attempt.request_class.settings.name)
+        state.failure_penalty_ends_us.append(now_us + int(usual_us))
+        attempt.is_abandoned = True
+        self._outbox.add(messages.CancelAttempt(attempt.request_id, attempt.number))
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -9,13 +9,21 @@
 import random
 
 from load_balancer import messages
+from load_balancer.policy.admission_queue import AdmissionQueue
+from load_balancer.policy.attempt_dispatcher import AttemptDispatcher
+from load_balancer.policy.concurrency_limit import ConcurrencyLimit
 from load_balancer.policy.endpoint_list import EndpointList
 from load_balancer.policy.health_check import HealthChecker
+from load_balancer.policy.open_requests import OpenRequests
 from load_balancer.policy.outbox import AttemptScan, Outbox, QueueScan, RequestDeadline, Resubscribe
+from load_balancer.policy.outcome_learner import OutcomeLearner
+from load_balancer.policy.request_factory import RequestFactory
 from load_balancer.policy.request_handler import RequestHandler
+from load_balancer.policy.retry import RetryBudget, RetryRule
 from load_balancer.policy.router import Router
 from load_balancer.policy.scan_timer import ScanTimer
 from load_balancer.policy.selection import Selector
+from load_balancer.policy.silent_attempts import SilentAttemptDetector
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.policy.subscription import Subscription
 
@@ -26,43 +34,52 @@
     """One instance. Feed it events with `handle`, carry out the actions it returns, in order."""
 
     def __init__(self, settings: messages.Settings, seed: int) -> None:
-        """Build the parts. The same seed and events give the same actions."""
+        """Build the parts, from what endpoints are to what requests do. Equal seeds and events act alike."""
+        limits = settings.limits
         self.settings = settings
         self.margin_us = MARGIN_TICKS * settings.tick_us
-        self.outbox = Outbox()
+        self.outbox = outbox = Outbox()
         # A random stream of its own: asking discovery again leaves the draws alone.
-        self.subscription = Subscription(settings, random.Random(seed + 1), self.outbox)
+        self.subscription = Subscription(settings, random.Random(seed + 1), outbox)
+
         self.selector = Selector(settings, seed)
         self.slow_start = SlowStart(settings)
-        self.endpoints = EndpointList(settings, self.outbox, self.selector.is_remote, self.slow_start)
+        self.endpoints = EndpointList(settings, outbox, self.selector.is_remote, self.slow_start)
+        self.limit = ConcurrencyLimit()
         self.router = Router(settings, self.endpoints, self.slow_start, self.selector, self.margin_us)
-        self.scan_timer = ScanTimer(settings.limits, self.outbox)
+
+        self.scan_timer = ScanTimer(limits, outbox)
+        self.dispatcher = AttemptDispatcher(limits, outbox, self.router, self.slow_start, self.scan_timer)
+        self.open_requests = OpenRequests(limits, outbox, self.margin_us)
+        self.queue = AdmissionQueue(outbox, self.open_requests, self.dispatcher, self.limit)
+        self.request_factory = RequestFactory(settings, self.margin_us)
+        self.retry_budget = RetryBudget()
         self.requests = RequestHandler(
-            settings,
-            self.outbox,
-            self.endpoints,
-            self.slow_start,
-            self.router,
-            self.scan_timer,
-            self.margin_us,
+            self.request_factory,
+            self.open_requests,
+            self.dispatcher,
+            self.queue,
+            OutcomeLearner(outbox, self.endpoints, self.slow_start, self.limit),
+            RetryRule(limits, self.router, self.retry_budget),
         )
+
         self.health = HealthChecker(
-            self.outbox,
-            self.scan_timer,
-            may_check=self.slow_start.pay_for_check,
-            abandon=self.requests.abandon,
+            outbox, self.scan_timer, may_check=self.slow_start.pay_for_check, abandon=self.dispatcher.abandon
+        )
+        self.silent_attempts = SilentAttemptDetector(
+            limits, self.open_requests, self.dispatcher, self.router, self.retry_budget, self.scan_timer
         )
 
     def start(self, now_us: int) -> list[messages.Action]:
         """Return the first actions, before any event."""
         self.subscription.start()
-        return self.outbox.take()
+        return self.outbox.drain()
 
     def handle(self, now_us: int, event: messages.Event) -> list[messages.Action]:
         """Take one event and return the actions to carry out in order. `now_us` never runs backwards."""
         self._dispatch(now_us, event)
-        self.requests.work_off_queue(now_us)
-        return self.outbox.take()
+        self.queue.dispatch_waiting(now_us)
+        return self.outbox.drain()
 
     def _dispatch(self, now_us: int, event: messages.Event) -> None:
         match event:
@@ -77,18 +94,18 @@
             case messages.HealthCheckEnded():
                 self.health.check_ended(now_us, event)
             case messages.ClientGone():
-                self.requests.client_gone(event.request)
+                self.open_requests.client_gone(event.request)
             case messages.ShutdownStarted():
-                self.requests.finish_all()
+                self.open_requests.finish_all()
             case messages.StreamStarted():
-                self.requests.stream_started(event.request)
+                self.open_requests.stream_started(event.request)
 
     def _timer_fired(self, now_us: int, timer: int) -> None:
         match self.outbox.timer_fired(timer):
             case RequestDeadline(request_id=request_id):
-                self.requests.deadline_due(request_id)
+                self.open_requests.deadline_due(request_id)
             case QueueScan():
-                self.requests.queue_scan_due()
+                self.queue.scan_due()
             case AttemptScan():
                 self._scan_attempts(now_us)
             case Resubscribe():
@@ -97,9 +114,9 @@
     def _scan_attempts(self, now_us: int) -> None:
         self.scan_timer.fired()
         if self.settings.limits.health_checks:
-            self.health.check_hanging(now_us, self.endpoints, self.requests.in_flight.values())
+            self.health.check_hanging(now_us, self.endpoints, self.dispatcher.in_flight.values())
         else:
-            self.requests.abandon_silent(now_us)
+            self.silent_attempts.abandon_silent(now_us)
 
     def _list_updated(self, now_us: int, update: messages.EndpointListUpdate) -> None:
         if update.kind is messages.EndpointListKind.FAILED:
@@ -110,5 +127,5 @@
         self.endpoints.apply(now_us, update)
         sharing_balancers = self.endpoints.sharing_balancers
         self.slow_start.subset_changed(now_us, self.endpoints.subset, sharing_balancers)
-        self.requests.limit.share_among(sharing_balancers)
-        self.requests.limit.split(self.endpoints.subset)
+        self.limit.share_among(sharing_balancers)
+        self.limit.split(self.endpoints.subset)
--- a/load_balancer/policy/class_state.py
+++ b/load_balancer/policy/class_state.py
@@ -43,7 +43,7 @@
             return 0
         return max(0, self.settings.deadline_us - request.time_left_us)
 
-    def add_result(self, served_in_time: bool) -> None:
+    def add_result(self, *, served_in_time: bool) -> None:
         """Count a finished request into the share that is served."""
         self.served_share += SERVED_ALPHA * (served_in_time - self.served_share)
 
--- a/load_balancer/policy/endpoint_list.py
+++ b/load_balancer/policy/endpoint_list.py
@@ -58,7 +58,7 @@
         if is_complete:
             self.ring.clear()
         for endpoint in update.endpoints:
-            self._apply_entry(now_us, endpoint, is_stale)
+            self._apply_entry(now_us, endpoint, is_stale=is_stale)
         if is_complete:
             self._keep_only({endpoint.id for endpoint in update.endpoints})
         # A complete list sets the version anew, also a lower one: otherwise the changes of a new discovery
@@ -66,7 +66,7 @@
         self.version = max(self.version, update.version) if is_stale else update.version
         self._choose_subset()
 
-    def _apply_entry(self, now_us: int, endpoint: messages.Endpoint, is_stale: bool) -> None:
+    def _apply_entry(self, now_us: int, endpoint: messages.Endpoint, *, is_stale: bool) -> None:
         # A stale change may still take an endpoint away, never bring one back.
         known_drains = endpoint.status is messages.EndpointStatus.DRAINING and endpoint.id in self.states
         if endpoint.status is messages.EndpointStatus.REMOVED:
--- a/load_balancer/policy/endpoint_state.py
+++ b/load_balancer/policy/endpoint_state.py
@@ -73,7 +73,7 @@
             self.share = 1.0 / self.detector.epoch_mean
         return opened
 
-    def unreachable(self, now_us: int) -> None:
+    def mark_unreachable(self, now_us: int) -> None:
         """Avoid it for a while. Its share stays: the route to it has failed, perhaps for a moment."""
         if (
             now_us < self.unreachable_until_us
@@ -83,8 +83,8 @@
         self.unreachable_backoff_us = min(COOL_DOWN_US, backoff_us)
         self.unreachable_until_us = now_us + self.unreachable_backoff_us
 
-    def responded(self, now_us: int) -> None:
-        """It has answered something: it is there, and so is the route to it."""
+    def note_response(self, now_us: int) -> None:
+        """Note that it has answered something: it is there, and so is the route to it."""
         self.responded_at_us = now_us
         self.unreachable_backoff_us = 0
 
--- a/load_balancer/policy/outbox.py
+++ b/load_balancer/policy/outbox.py
@@ -45,13 +45,13 @@
         """Append an action."""
         self._actions.append(action)
 
-    def take(self) -> list[messages.Action]:
+    def drain(self) -> list[messages.Action]:
         """Return the actions so far and forget them."""
         actions, self._actions = self._actions, []
         return actions
 
     def set_timer(self, at_us: int, purpose: TimerPurpose) -> int:
-        """Ask for a timer at a time of the module's clock, microseconds; returns its number."""
+        """Ask for a timer at a time of the balancer's clock; return its number."""
         self._last_timer += 1
         self.timers[self._last_timer] = purpose
         self.add(messages.SetTimer(self._last_timer, at_us))
--- /dev/null
+++ b/load_balancer/policy/request_priority.py
@@ -0,0 +1,23 @@
+"""The priority of a request: which of the requests that wait is sent first."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+
+from load_balancer.policy.class_state import ClassState
+
+MIN_MEAN_WEIGHT = 1e-9  # keeps the priority finite where no class has any weight
+
+
+def request_priority(
+    request_class: ClassState, classes: Collection[ClassState], worst_class_weight: float
+) -> float:
+    """Return what an answer adds to the goal for each microsecond of work that it takes."""
+    requests = sum(other.requests for other in classes)
+    mean_weight = sum(other.requests * other.settings.priority_weight for other in classes) / requests
+    value = (1.0 - worst_class_weight) * request_class.settings.priority_weight
+    value /= max(mean_weight, MIN_MEAN_WEIGHT)
+    # Without this one class could go all but unserved where the goal counts the worst one by itself.
+    if request_class.served_share <= min(other.served_share for other in classes):
+        value += worst_class_weight * requests / request_class.requests
+    return value / request_class.usual_latency_us
--- a/load_balancer/policy/retry.py
+++ b/load_balancer/policy/retry.py
@@ -1,9 +1,10 @@
-"""Retries: where a request may still go, and the budget that further attempts are paid from."""
+"""Retries: whether a further attempt may be made, and the budget that it is paid from."""
 
 from __future__ import annotations
 
 from load_balancer import messages
 from load_balancer.policy.request_state import RequestState
+from load_balancer.policy.router import Router
 
 EARNED_PER_REQUEST = 0.2  # further attempts earned by each request: more would feed an overload
 MAX_SAVED_RETRIES = 10.0
@@ -20,23 +21,30 @@
         """Credit one request."""
         self.balance = min(MAX_SAVED_RETRIES, self.balance + EARNED_PER_REQUEST)
 
-    def spend(self, price: float) -> bool:
-        """Pay for a further attempt; false where the balance does not reach."""
+    def try_spend(self, price: float) -> bool:
+        """Pay for a further attempt; return False where the balance does not reach."""
         if self.balance < price:
             return False
         self.balance -= price
         return True
 
 
-def is_rejection_harmless(request: RequestState) -> bool:
-    """Tell whether "not done, trying again is harmless" may be said of a request.
+class RetryRule:
+    """Decides whether a request whose attempts have all failed gets a further one."""
 
-    By rule 2 of the wire: of an idempotent class, of a class with keys that all endpoints share, and
-    of any request that is proved never to have run.
-    """
-    settings = request.request_class.settings
-    if settings.idempotency is messages.Idempotency.SAFE:
-        return True
-    if settings.idempotency is messages.Idempotency.KEYED and settings.key_scope is messages.KeyScope.ALL:
-        return True
-    return not request.may_have_run
+    def __init__(self, limits: messages.Limits, router: Router, budget: RetryBudget) -> None:
+        """Take the site's limit on attempts, and the budget that retries are paid from."""
+        self._limits = limits
+        self._router = router
+        self.budget = budget
+
+    def claim_retry(self, now_us: int, request: RequestState, last_outcome: messages.Outcome) -> bool:
+        """Pay for a retry and return True; return False where none is allowed or affordable.
+
+        The one after an attempt that was not sent costs nothing: there is no work that it would double.
+        Attempts never overlap, so none of the request is in flight here.
+        """
+        is_allowed = any(state.is_up for state in self._router.eligible_endpoints(now_us, request))
+        price = 0.0 if last_outcome is messages.Outcome.NOT_SENT else 1.0
+        has_attempts_left = request.has_attempts_left(self._limits.max_attempts)
+        return is_allowed and has_attempts_left and self.budget.try_spend(price)
--- a/load_balancer/policy/router.py
+++ b/load_balancer/policy/router.py
@@ -12,10 +12,9 @@
 from load_balancer.policy.selection import Selector
 from load_balancer.policy.slow_start import SlowStart
 
-# An attempt may be written this long after the last check that it still may be, microseconds: a busy machine
-# holds a proxy up for so long, by the platform's terms. A keyed retry past what endpoints remember may run
-# twice.
-HOLD_UP_US = 150_000
+# A busy machine stalls a proxy's process for so long, by the platform's terms: an attempt may be written this
+# long after the last check that it still may be. A keyed retry past what endpoints remember may run twice.
+PROCESS_STALL_US = 150_000
 MAX_RETRY_CANDIDATES = 64  # endpoints that a retry looks at, where it may go to more than the subset
 
 
@@ -25,7 +24,7 @@
 
     endpoint: EndpointState
     draws: tuple[messages.Draw, ...]
-    has_alternative: bool  # another endpoint is open that the request has not been sent to
+    has_untried_alternative: bool  # another endpoint is open that the request has not been sent to
 
 
 class Router:
@@ -46,7 +45,7 @@
         self._selector = selector
         self._margin_us = margin_us
 
-    def legal_endpoints(self, now_us: int, request: RequestState) -> Iterable[EndpointState]:
+    def eligible_endpoints(self, now_us: int, request: RequestState) -> Iterable[EndpointState]:
         """Return where the request may go without having an effect twice, by rule 2 of the wire."""
         settings = request.request_class.settings
         ran = [attempt for attempt in request.attempts if attempt.may_have_run]
@@ -55,7 +54,7 @@
         if settings.idempotency is messages.Idempotency.UNSAFE:
             return ()
         # It is written only once a connection stands, and must still fall within what endpoints remember.
-        written_by_us = now_us + self._margin_us + self._settings.limits.connect_timeout_us + HOLD_UP_US
+        written_by_us = now_us + self._margin_us + self._settings.limits.connect_timeout_us + PROCESS_STALL_US
         if written_by_us >= ran[0].sent_at_us + settings.deduplication_window_us:
             return ()
         if settings.key_scope is messages.KeyScope.ALL:
@@ -67,13 +66,15 @@
     ) -> Iterable[EndpointState]:
         """Return the endpoints that drop what this one has run."""
         if key_scope is messages.KeyScope.ZONE:
-            return self._bounded([state for state in self._endpoints if state.endpoint.zone == first.zone])
+            return self._sample_candidates(
+                [state for state in self._endpoints if state.endpoint.zone == first.zone]
+            )
         cell = (first.zone, first.cell)
-        return self._bounded(
+        return self._sample_candidates(
             [state for state in self._endpoints if (state.endpoint.zone, state.endpoint.cell) == cell]
         )
 
-    def _bounded(self, candidates: list[EndpointState]) -> list[EndpointState]:
+    def _sample_candidates(self, candidates: list[EndpointState]) -> list[EndpointState]:
         """Return all of a few endpoints; of many those of the subset and others by chance.
 
         Each look at one has a cost. By chance, as otherwise all balancers would retry at the same ones.
@@ -83,42 +84,42 @@
         # Over thousands of them a call for each would be most of the cost.
         up = [state for state in candidates if state.endpoint.status is messages.EndpointStatus.UP]
         subset = set(self._endpoints.subset)
-        known = [state for state in up if state in subset]
+        in_subset = [state for state in up if state in subset]
         others = [state for state in up if state not in subset]
-        count = min(len(others), max(0, MAX_RETRY_CANDIDATES - len(known)))
-        return known + self._selector.random.sample(others, count)
+        count = min(len(others), max(0, MAX_RETRY_CANDIDATES - len(in_subset)))
+        return in_subset + self._selector.random.sample(others, count)
 
-    def is_open(self, now_us: int, state: EndpointState, is_retry: bool) -> bool:
+    def is_open(self, now_us: int, state: EndpointState, *, is_retry: bool) -> bool:
         """Tell whether this endpoint may be sent an attempt now."""
         if not state.is_up or state.health.is_silent:
             return False
         if state.load(now_us) >= state.concurrency_limit or now_us < state.paused_until_us:
             return False
-        return self._slow_start.admits(now_us, state, is_retry)
+        return self._slow_start.admits(now_us, state, is_retry=is_retry)
 
     def has_open_alternative(self, now_us: int, request: RequestState, current: EndpointState) -> bool:
         """Tell whether a retry of the request could go to another endpoint now."""
         return any(
             state is not current and self.is_open(now_us, state, is_retry=True)
-            for state in self.legal_endpoints(now_us, request)
+            for state in self.eligible_endpoints(now_us, request)
         )
 
     def choose(self, now_us: int, request: RequestState) -> Choice | None:
         """Return the endpoint for the request's next attempt; none where no endpoint is open."""
         candidates = [
             state
-            for state in self.legal_endpoints(now_us, request)
-            if self.is_open(now_us, state, request.has_left)
+            for state in self.eligible_endpoints(now_us, request)
+            if self.is_open(now_us, state, is_retry=request.was_sent)
         ]
         if not candidates:
             return None
-        untried = [
+        not_tried = [
             state
             for state in candidates
             if all(attempt.endpoint is not state for attempt in request.attempts)
         ]
         # An endpoint may spoil one class alone, while its other answers keep its share up.
         name = request.request_class.settings.name
-        sound = [state for state in untried if not state.is_avoided(now_us, name)]
-        chosen, draws = self._selector.pick(now_us, sound or untried or candidates)
-        return Choice(chosen, draws, has_alternative=any(state is not chosen for state in untried))
+        healthy = [state for state in not_tried if not state.is_avoided(now_us, name)]
+        chosen, draws = self._selector.pick(now_us, healthy or not_tried or candidates)
+        return Choice(chosen, draws, has_untried_alternative=any(state is not chosen for state in not_tried))
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -107,7 +107,7 @@
         start = self._rules.start_capacity
         return start + (1.0 - start) * age_us / self._rules.slow_start_us
 
-    def admits(self, now_us: int, state: EndpointState, is_retry: bool) -> bool:
+    def admits(self, now_us: int, state: EndpointState, *, is_retry: bool) -> bool:
         """Tell whether an endpoint may get an attempt now by its budget."""
         capacity = self.capacity(now_us, state)
         if capacity >= 1.0:
@@ -131,7 +131,7 @@
         state.warming.tokens -= 1.0
         return True
 
-    def attempt_sent(self, now_us: int, state: EndpointState, is_first: bool) -> None:
+    def attempt_sent(self, now_us: int, state: EndpointState, *, is_first: bool) -> None:
         """Count an attempt."""
         state.warming.attempt_sent()
         if is_first:
--- a/load_balancer/policy/tenant_quota.py
+++ b/load_balancer/policy/tenant_quota.py
@@ -13,8 +13,8 @@
         self._tokens = self._max_tokens
         self._updated_at_us = 0
 
-    def take(self, now_us: int) -> bool:
-        """Take one request out of the quota; false where it is used up."""
+    def try_spend(self, now_us: int) -> bool:
+        """Take one request out of the quota; return False where it is used up."""
         earned = (now_us - self._updated_at_us) * self._tokens_per_us
         self._tokens = min(self._max_tokens, self._tokens + earned)
         self._updated_at_us = now_us
--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -213,9 +213,11 @@
         harness = BalancerHarness(setup, backends=0, seed=seed)
         harness.news(*(messages.Endpoint(n, zone="a", cell=1) for n in range(backends)))
         [send] = only(harness.request("r", "write"), messages.StartAttempt)
-        [life] = harness.balancer.requests.requests.values()
+        [life] = harness.balancer.open_requests.by_id.values()
         lines = lines_run(lambda: harness.end(send, messages.Outcome.TIMEOUT))
-        legal = {server.endpoint.id for server in harness.balancer.router.legal_endpoints(harness.now, life)}
+        legal = {
+            server.endpoint.id for server in harness.balancer.router.eligible_endpoints(harness.now, life)
+        }
         assert {server.endpoint.id for server in harness.balancer.endpoints.subset} <= legal
         return lines, legal
 
--- a/tests/net/client/test_client_connection.py
+++ b/tests/net/client/test_client_connection.py
@@ -429,7 +429,7 @@
         monkeypatch.setattr(p.driver._balancer, "handle", faulty)
         assert status(await p.ask(call(Req_Deadline="0.6"))) == 502
         assert p.driver.idle
-        assert not p.driver._balancer.requests.requests
+        assert not p.driver._balancer.open_requests.by_id
 
 
 async def test_failed_action_does_not_prevent_the_next_actions(
@@ -476,8 +476,8 @@
         await until(lambda: not p.driver._attempts)
         assert b.seen == []
         assert b.connections == 0
-        assert not p.driver._balancer.requests.in_flight
-        assert not p.driver._balancer.requests.requests
+        assert not p.driver._balancer.dispatcher.in_flight
+        assert not p.driver._balancer.open_requests.by_id
 
 
 @pytest.mark.parametrize("size", [20_000, 65_536])
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -36,9 +36,9 @@
 def nothing_left(p: Proxy) -> bool:
     balancer = p.driver._balancer
     return p.driver.idle and not (
-        balancer.requests.requests
-        or balancer.requests.in_flight
-        or balancer.requests.queue
+        balancer.open_requests.by_id
+        or balancer.dispatcher.in_flight
+        or balancer.queue
         or p.clients.open_request_ids
     )
 
@@ -93,18 +93,18 @@
 
     async with silent_backend() as b, proxy(entry("b", b.port), setup=limits(cancel)) as p:
         clients: list[Client] = []
-        while not p.driver._balancer.requests.queue:
+        while not p.driver._balancer.queue:
             clients.append(Client(p))
             clients[-1].send(call(request_id=f"r{len(clients)}"))
-            await until(lambda: len(p.driver._balancer.requests.requests) == len(clients))
+            await until(lambda: len(p.driver._balancer.open_requests.by_id) == len(clients))
         sent = len(clients) - 1
         await until(lambda: len(b.seen) == sent)
         clients[-1].leave(way)
         attempt_connection(p).data_received(answer(200, b"x"))
-        assert not p.driver._balancer.requests.queue  # its turn came
+        assert not p.driver._balancer.queue  # its turn came
         await until(lambda: len(p.clients.open_connections) == sent)
         await settled()
-        assert len(b.seen) == sent == len(p.driver._balancer.requests.in_flight) + 1
+        assert len(b.seen) == sent == len(p.driver._balancer.dispatcher.in_flight) + 1
         for client in clients[:-1]:
             client.leave("FIN")
         await until(lambda: not p.clients.open_connections)
@@ -150,12 +150,12 @@
         if where != "connecting":
             gate.opened.set()
         if where == "held":
-            while not p.driver._balancer.requests.queue:
+            while not p.driver._balancer.queue:
                 crowd.append(Client(p))
                 crowd[-1].send(call(request_id=f"c{len(crowd)}"))
-                await until(lambda: len(p.driver._balancer.requests.requests) == len(crowd))
+                await until(lambda: len(p.driver._balancer.open_requests.by_id) == len(crowd))
             crowd.pop().leave("FIN")
-            await until(lambda: not p.driver._balancer.requests.queue)
+            await until(lambda: not p.driver._balancer.queue)
         client = Client(p)
         connection = await begin(p, client, paused)
         if where == "connecting":
@@ -163,7 +163,7 @@
         elif where == "out":
             await until(lambda: len(b.seen) == 1)
         else:
-            assert p.driver._balancer.requests.queue
+            assert p.driver._balancer.queue
         key = connection._request_key
         assert key is not None
         client.leave(way)
--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -11,7 +11,7 @@
 def full(setup: messages.Settings | None = None, backends: int = 2) -> BalancerHarness:
     """All backends have as many calls as they may, and one more request is held."""
     harness = BalancerHarness(setup or settings(), backends)
-    while not harness.balancer.requests.queue:
+    while not harness.balancer.queue:
         harness.request(f"c{harness.now}-{len(harness.done)}", "pay")
     return harness
 
@@ -45,7 +45,7 @@
     harness = BalancerHarness(settings(), 2)
     harness.request("first", "read", 5 * S)
     [send] = only(harness.done, messages.StartAttempt)
-    while not harness.balancer.requests.queue:
+    while not harness.balancer.queue:
         harness.request(f"c{len(harness.done)}", "pay")
     harness.pass_time(after)
     draining = messages.Endpoint(
@@ -53,7 +53,7 @@
     )
     harness.news(draining, kind=messages.EndpointListKind.CHANGES, version=2)
     harness.end(send, outcome)
-    assert "first" in harness.balancer.requests.queue.request_ids
+    assert "first" in harness.balancer.queue.request_ids
     return harness
 
 
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -8,28 +8,28 @@
 
 def test_failures_that_are_not_late_leave_the_room_alone() -> None:
     harness = BalancerHarness()
-    room = harness.balancer.requests.limit.attempts
+    room = harness.balancer.limit.attempts
     for n in range(60):
         for send in only(harness.request(f"r{n}", "pay"), messages.StartAttempt):
             harness.end(send, messages.Outcome.ERROR, took=5 * MS)
         harness.now += 1 * S
-    assert harness.balancer.requests.limit.attempts == room
+    assert harness.balancer.limit.attempts == room
 
 
 def test_a_busy_balancer_does_not_close_its_room_over_a_few_late_answers() -> None:
     """With the mean over four answers, four of fifty a second were late together in every round."""
     harness = BalancerHarness(backends=8)
-    room = harness.balancer.requests.limit.attempts
+    room = harness.balancer.limit.attempts
     for n in range(400):
         harness.now += 25 * MS
         harness.request(f"r{n}")
-        busy = list(harness.balancer.requests.in_flight)
+        busy = list(harness.balancer.dispatcher.in_flight)
         if len(busy) >= 20:
             late = n % 40 < 5
             request_id, number = busy[0]
-            backend = harness.balancer.requests.in_flight[busy[0]].endpoint.endpoint.id
+            backend = harness.balancer.dispatcher.in_flight[busy[0]].endpoint.endpoint.id
             took = (1900 if late else 300) * MS
             harness.event(
                 messages.AttemptEnded(request_id, number, backend, messages.Outcome.OK, took, last=True)
             )
-    assert harness.balancer.requests.limit.attempts >= room
+    assert harness.balancer.limit.attempts >= room
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -168,8 +168,8 @@
     [send] = only(harness.request("r"), messages.StartAttempt)
     harness.news()
     harness.end(send, messages.Outcome.OK)
-    assert not harness.balancer.requests.requests
-    assert not harness.balancer.requests.in_flight
+    assert not harness.balancer.open_requests.by_id
+    assert not harness.balancer.dispatcher.in_flight
 
 
 def test_all_draining_refuses_and_sends_nothing() -> None:
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -49,7 +49,7 @@
     for other in others:
         if answers or other.endpoint_id != send.endpoint_id:
             harness.end(other, messages.Outcome.OK, took=1 * MS)
-    norm = harness.balancer.requests.classes[cls].usual_latency_us
+    norm = harness.balancer.request_factory.classes[cls].usual_latency_us
     cancels = [
         c
         for c in only(harness.pass_time(int(3 * norm) + 200 * MS), messages.CancelAttempt)
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -5,7 +5,7 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.policy.admission import INITIAL_LIMIT, INITIAL_SHARED_LIMIT, MIN_LIMIT
+from load_balancer.policy.concurrency_limit import INITIAL_LIMIT, INITIAL_SHARED_LIMIT, MIN_LIMIT
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
@@ -29,7 +29,7 @@
 
 def test_the_room_shrinks_while_answers_come_late_and_grows_back() -> None:
     harness = BalancerHarness()
-    rooms = [harness.balancer.requests.limit.attempts]
+    rooms = [harness.balancer.limit.attempts]
     for phase, took in enumerate((1500 * MS, 50 * MS)):
         open_: list[messages.StartAttempt] = []
         for n in range(400):
@@ -42,7 +42,7 @@
                 open_ += only(
                     harness.end(open_.pop(0), messages.Outcome.OK, took=took), messages.StartAttempt
                 )
-        rooms.append(harness.balancer.requests.limit.attempts)
+        rooms.append(harness.balancer.limit.attempts)
         while open_:
             open_ += only(harness.end(open_.pop(0), messages.Outcome.OK, took=took), messages.StartAttempt)
     assert rooms[1] == 1.0 < rooms[0]
@@ -53,9 +53,9 @@
     """A share of a few lucky samples let one backend choke."""
     harness = BalancerHarness()
     harness.balancer.endpoints.states[0].share = 10.0
-    harness.balancer.requests.limit.split(harness.balancer.endpoints.subset)
+    harness.balancer.limit.split(harness.balancer.endpoints.subset)
     sends = [s for n in range(40) for s in only(harness.request(f"r{n}"), messages.StartAttempt)]
-    assert 0 < sum(s.endpoint_id == 0 for s in sends) <= harness.balancer.requests.limit.attempts
+    assert 0 < sum(s.endpoint_id == 0 for s in sends) <= harness.balancer.limit.attempts
 
 
 def test_held_requests_go_by_worth_and_are_refused_when_the_hold_ends() -> None:
@@ -147,7 +147,7 @@
 def test_the_same_id_twice_is_one_request() -> None:
     harness = BalancerHarness()
     assert len(only(harness.request("r") + harness.request("r"), messages.StartAttempt)) == 1
-    assert harness.balancer.requests.classes["read"].requests == 1
+    assert harness.balancer.request_factory.classes["read"].requests == 1
 
 
 def sends_in(harness: BalancerHarness, seconds: float, took: int) -> int:
@@ -169,12 +169,12 @@
     harness = BalancerHarness(settings(instances=400), backends=40)
     balancer = harness.balancer
     assert balancer.endpoints.sharing_balancers == 400 * len(balancer.endpoints.subset) / 40
-    assert balancer.requests.limit.attempts * balancer.endpoints.sharing_balancers == pytest.approx(
+    assert balancer.limit.attempts * balancer.endpoints.sharing_balancers == pytest.approx(
         INITIAL_SHARED_LIMIT
     )
     sent = sends_in(harness, 10, took=400 * MS)
     # By Little's law: room for each of the subset, over the 400 ms that a call takes.
-    assert 0 < sent <= 1.5 * balancer.requests.limit.attempts * len(balancer.endpoints.subset) * 10 / 0.4
+    assert 0 < sent <= 1.5 * balancer.limit.attempts * len(balancer.endpoints.subset) * 10 / 0.4
 
 
 def test_the_room_falls_below_one_call_only_where_answers_are_far_too_late() -> None:
@@ -182,7 +182,7 @@
     for took in (800 * MS, 1800 * MS):  # later than good; far too late
         harness = BalancerHarness(settings(instances=8), backends=4)
         sends_in(harness, 60, took)
-        rooms.append(harness.balancer.requests.limit.attempts)
+        rooms.append(harness.balancer.limit.attempts)
     assert rooms[0] == pytest.approx(1.0, abs=0.1)
     assert MIN_LIMIT / 8 <= rooms[1] < 0.5
 
@@ -219,11 +219,11 @@
 def test_a_connection_that_does_not_come_up_leaves_the_room_of_the_others() -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=1)))
     for n in range(40):
-        room = harness.balancer.requests.limit.attempts
+        room = harness.balancer.limit.attempts
         [send] = only(harness.request(f"r{n}"), messages.StartAttempt)
         harness.end(send, messages.Outcome.NO_CONNECTION, took=1)
         harness.pass_time(500 * MS)
-        assert harness.balancer.requests.limit.attempts >= room
+        assert harness.balancer.limit.attempts >= room
 
 
 @pytest.mark.parametrize(("waits", "served"), [(0.45, True), (0.55, False)])
@@ -234,7 +234,7 @@
     while len(more := only(harness.request(f"r{len(sends)}"), messages.StartAttempt)) == 1:
         sends += more
     done = harness.pass_time(
-        int(waits * harness.balancer.requests.classes["read"].settings.latency_objective_us)
+        int(waits * harness.balancer.request_factory.classes["read"].settings.latency_objective_us)
     )
     waiting = f"r{len(sends)}"
     assert [a.request for a in only(done, messages.Reject)] == ([] if served else [waiting])
@@ -282,6 +282,6 @@
         actions = harness.end(again[0], messages.Outcome.NOT_SENT, took=0, attempt=sends - 1)
     assert sends == most
     assert [a.request for a in only(actions, messages.Reject)] == ["r"]
-    assert not harness.balancer.requests.requests
-    assert not harness.balancer.requests.in_flight
-    assert not harness.balancer.requests.queue
+    assert not harness.balancer.open_requests.by_id
+    assert not harness.balancer.dispatcher.in_flight
+    assert not harness.balancer.queue
--- a/tests/policy/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -98,4 +98,4 @@
     assert not only(late, messages.Fail)
     assert not only(late, messages.CancelAttempt)
     harness.end(send, messages.Outcome.OK)
-    assert not harness.balancer.requests.requests
+    assert not harness.balancer.open_requests.by_id
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -40,7 +40,7 @@
     harness = BalancerHarness(backends=1)
     [send] = only(harness.request("stuck"), messages.StartAttempt)
     [server] = harness.balancer.endpoints.states.values()
-    usual = int(harness.balancer.requests.classes["read"].usual_latency_us)
+    usual = int(harness.balancer.request_factory.classes["read"].usual_latency_us)
     assert [server.load(harness.now + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
     harness.now += 3 * usual
     harness.end(send, messages.Outcome.OK, took=3 * usual)
@@ -130,9 +130,9 @@
         settings(zone="a", cross_zone_price=price, limits=messages.Limits(max_attempts=3)), backends=0
     )
     harness.news(*ZONES)
-    harness.balancer.requests.limit.attempts = 20.0
-    harness.balancer.requests.limit.split(harness.balancer.endpoints.subset)
-    read = harness.balancer.requests.classes["read"]
+    harness.balancer.limit.attempts = 20.0
+    harness.balancer.limit.split(harness.balancer.endpoints.subset)
+    read = harness.balancer.request_factory.classes["read"]
     for server in harness.balancer.endpoints.states.values():
         if server.endpoint.zone == "a":
             server.in_flight = [Attempt("busy", n, server, read, harness.now, 5 * S) for n in range(busy)]
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -113,8 +113,8 @@
         harness.end(send, messages.Outcome.OK, took=(20 + 200 * (send.endpoint_id == 3)) * MS)
     assert got[3] < min(got[n] for n in range(3))
     assert all(math.isfinite(number) for number in numbers(harness.balancer))
-    assert not harness.balancer.requests.requests
-    assert not harness.balancer.requests.in_flight
+    assert not harness.balancer.open_requests.by_id
+    assert not harness.balancer.dispatcher.in_flight
     assert len(harness.balancer.outbox.timers) <= 2
 
 
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -465,7 +465,7 @@
             assert not p.pool._pacing.no_extra_until
             [server] = p.driver._balancer.endpoints.states.values()
             assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
-            assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver._balancer.retry_budget.balance == MAX_SAVED_RETRIES
             writer.close()
 
     run(test)
@@ -488,7 +488,7 @@
                 assert status(await read_message(reader)) == 503
                 assert rule.hits == 3 * answers
                 assert p.driver.idle
-            assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver._balancer.retry_budget.balance == MAX_SAVED_RETRIES
             assert not b.seen
             assert not p.pool._pending
             assert not p.pool._open
@@ -982,7 +982,7 @@
             await until(lambda: not p.pool._idle.by_endpoint and not p.pool._open)
             assert status(await p.ask(call(request_id="r2"))) == 200
             assert b.connections == 2
-            assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver._balancer.retry_budget.balance == MAX_SAVED_RETRIES
 
     run(test)
     assert not lines(caplog)
@@ -1062,7 +1062,7 @@
                     clock.step(SETTLE_S)
                 assert b.connections == 3
                 assert failing.asked
-                assert p.driver._balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+                assert p.driver._balancer.retry_budget.balance == MAX_SAVED_RETRIES
                 clock.step(1.0)
                 p.listener.close_idle_connections()
                 p.listener._sweep()
