--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -76,7 +76,7 @@
         return self.outbox.drain()
 
     def handle(self, now_us: int, event: messages.Event) -> list[messages.Action]:
-        """Take one event and return the actions to carry out in order. `now_us` never runs backwards."""
+        """Take one event and return the actions to perform, in order. `now_us` never runs backwards."""
         self._dispatch(now_us, event)
         self.queue.dispatch_waiting(now_us)
         return self.outbox.drain()
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -60,11 +60,11 @@
         elif how == "deadline":
             clock.step(4.0)
         else:
-            p.driver.give_up()
+            p.driver.end_all_requests()
         if how != "gone":  # at the end of the proxy the module counts what is out as what may have run
             told = "502" if how == "end" and not kept else "503"
             assert (await read_message(reader))[0].split()[1] == told
-        await until(lambda: p.driver.idle)
+        await until(lambda: p.driver.is_idle)
         b.reads.set()
         await until(lambda: bool(b.wires) and b.wires[-1].ended)
         assert len(b.wires) == 1
@@ -95,7 +95,7 @@
         if how == "cancel":
             out.cancel()
         elif how == "time out":
-            out._time_out()
+            out.time_out()
         await until(lambda: bool(ended))
         assert ended == [True]
         pool.close()
@@ -120,7 +120,7 @@
             wire.reset()
             transport._read_ready()
         case "time out":
-            out.attempt._time_out()
+            out.attempt.time_out()
         case "cancel":
             out.attempt.cancel()
         case "cancel if unsent":
@@ -210,7 +210,7 @@
                 pool = ConnectionPool(0.25, 30.0, 10)
                 out = Out(pool, b.endpoint, replace(request, target=b"/crossed"))
                 ends: dict[str, Callable[[], None]] = {
-                    "time out": out.attempt._time_out,
+                    "time out": out.attempt.time_out,
                     "cancel": out.attempt.cancel,
                     "cancel if unsent": out.attempt.cancel_if_unsent,
                     "drain": partial(pool.disable_endpoint, b.endpoint),
