--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -58,8 +58,8 @@
         await wait_until(lambda: not p.driver.requests.attempts.in_flight)
         assert b.received == []
         assert b.connection_count == 0
-        assert not p.driver.balancer.requests.in_flight
-        assert not p.driver.balancer.requests.requests
+        assert not p.driver.balancer.dispatcher.in_flight
+        assert not p.driver.balancer.open_requests.by_id
 
 
 async def test_pipelined_request_behind_a_response_is_not_forwarded_after_client_disconnects(
