--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from tests.support.client_helpers import Client
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response
 from tests.support.loopback_proxy import running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import FrozenClock, wait_until
 
@@ -16,12 +16,12 @@
     """With more of them than are taken in at once, their requests sent and none of it read."""
 
     async with running_proxy(endpoint_entry("s-1", 9)) as proxy:
-        clients = [Client(proxy) for _ in range(40)]
+        clients = [SocketClient(proxy) for _ in range(40)]
         for client in clients:
             client.send(http_request(path="/ready"))
         proxy.listener.stop_listening()
         assert not proxy.listener.is_drained
-        assert [await client.read(1) for client in clients] == [[200]] * 40
+        assert [await client.read_statuses(1) for client in clients] == [[200]] * 40
         with pytest.raises(ConnectionRefusedError):
             await proxy.connect()
 
@@ -34,7 +34,7 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        client, other = Client(proxy), Client(proxy)
+        client, other = SocketClient(proxy), SocketClient(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 2)
         if not fresh:
             client.send(http_request(request_id="r1"))
@@ -46,7 +46,7 @@
         assert not proxy.listener.is_drained
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)  # the other one is closed
         assert other.socket.recv(1) == b""
-        assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
+        assert await client.read_statuses(1 if fresh else 2) == ([200] if fresh else [200, 200])
         await wait_until(lambda: proxy.listener.is_drained and not proxy.clients.open_connections)
 
 
@@ -55,14 +55,14 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        clock, client, silent = FrozenClock(), Client(proxy), Client(proxy)
+        clock, client, silent = FrozenClock(), SocketClient(proxy), SocketClient(proxy)
         proxy.listener.stop_listening()
         proxy.listener.close_idle_connections()
         await wait_until(lambda: len(proxy.clients.open_connections) == 2)
         proxy.listener.close_idle_connections()
         assert not proxy.listener.is_drained
         client.send(http_request())
-        assert await client.read(1) == [200]
+        assert await client.read_statuses(1) == [200]
         clock.advance(1.0)
         proxy.listener.close_idle_connections()
         await wait_until(lambda: proxy.listener.is_drained and not proxy.clients.open_connections)
@@ -74,13 +74,13 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        client, request = Client(proxy), http_request()
+        client, request = SocketClient(proxy), http_request()
         client.send(request[:30])
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         [connection] = proxy.clients.open_connections
-        await wait_until(lambda: not connection.is_idle and not proxy.listener._admission_tasks)
+        await wait_until(lambda: not connection.is_idle and not proxy.listener.acceptor.admission_tasks)
         proxy.listener.close_idle_connections()
         assert not proxy.listener.is_drained
         client.send(request[30:])
-        assert await client.read(1) == [200]
+        assert await client.read_statuses(1) == [200]
         await wait_until(lambda: proxy.listener.is_drained)
--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -11,10 +11,10 @@
 from load_balancer.net.client import client_limits
 from load_balancer.net.driver.open_requests import LAG_MARGIN_US
 from tests.support.balancer_harness import settings
-from tests.support.client_helpers import Client
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import wait_until
 
@@ -75,7 +75,7 @@
             await asyncio.sleep(0.01)
             assert connection.transport.get_write_buffer_size() <= 2 * 65536 + 1024
             assert (
-                connection._http.received.size_bytes
+                connection.http.received.size_bytes
                 <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION + 256 * 1024
             )  # the limit and one read
         assert len(endpoint.received) < 2000
@@ -144,12 +144,14 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        client = Client(proxy)
+        client = SocketClient(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         [connection] = proxy.clients.open_connections
         if not fresh:
             client.send(http_request(request_id="r1"))
             await wait_until(lambda: connection in proxy.clients.idle_connections)
         client.send(http_request(request_id="r2"))
-        connection.check_time_limits(proxy.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
-        assert await client.read(1 if fresh else 2) == ([200] if fresh else [200, 200])
+        proxy.listener.time_limits.check(
+            connection, proxy.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0
+        )
+        assert await client.read_statuses(1 if fresh else 2) == ([200] if fresh else [200, 200])
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -8,7 +8,6 @@
 
 from load_balancer.net.client import client_limits
 from load_balancer.net.client.client_connection import ClientConnection
-from tests.support.client_helpers import Client, attempt_connection, narrow, slow_reader, streams
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import (
     closes_connection,
@@ -18,6 +17,7 @@
     response_status,
 )
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.socket_client import SocketClient, connect_paused_client
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint, StandInServer
 from tests.support.stepped_clock import FrozenClock, run_loop_turns, wait_until
 
@@ -28,19 +28,19 @@
     """Only the last answer ends the connection, be what follows read or still with the system."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        client = Client(proxy)
+        client = SocketClient(proxy)
         client.send(http_request(request_id="r0"))
         await wait_until(lambda: len(endpoint.received) == 1)
         proxy.listener.close_idle_connections()
         client.send(b"".join(http_request(request_id=f"r{number + 1}") for number in range(behind)))
         if read:
             [connection] = proxy.clients.open_connections
-            await wait_until(lambda: connection._http.received.size_bytes > 0)
+            await wait_until(lambda: connection.http.received.size_bytes > 0)
         for number in range(1 + behind):
             await wait_until(lambda number=number: len(endpoint.received) == number + 1)  # type: ignore[misc]
             assert not proxy.listener.is_drained
-            attempt_connection(proxy).data_received(http_response(200, b"%d" % number))
-        reader, writer = await streams(client)
+            proxy.oldest_attempt_connection().data_received(http_response(200, b"%d" % number))
+        reader, writer = await client.streams()
         got = [await read_http_message(reader) for _ in range(1 + behind)]
         assert [response[2] for response in got] == [b"%d" % number for number in range(1 + behind)]
         assert [closes_connection(response) for response in got] == [False] * behind + [True]
@@ -54,25 +54,25 @@
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        busy, surplus = Client(proxy), Client(proxy)
+        busy, surplus = SocketClient(proxy), SocketClient(proxy)
         busy.send(http_request(request_id="busy"))
         await wait_until(lambda: len(endpoint.received) == 1)
         surplus.send(
             http_request(request_id="r1") + http_request(request_id="r2") + http_request(request_id="r3")
         )
-        reader, writer = await streams(surplus)
+        reader, writer = await surplus.streams()
         got = [await read_http_message(reader) for _ in range(3)]
         assert [response_status(response) for response in got] == [503] * 3
         assert [closes_connection(response) for response in got] == [False, False, True]
         assert await reader.read() == b""
         writer.close()
         assert len(endpoint.received) == 1
-        busy.leave("FIN")
+        busy.disconnect("FIN")
         await wait_until(lambda: not proxy.clients.open_connections)
 
 
 async def send_last_request(
-    proxy: LoopbackProxy, endpoint: StandInServer, client: Client, why: str
+    proxy: LoopbackProxy, endpoint: StandInServer, client: SocketClient, why: str
 ) -> ClientConnection:
     """Send the request whose response is the last one, and return the connection once it lingers."""
     client.send(
@@ -83,14 +83,14 @@
     if why in ("closing", "asked"):
         await wait_until(lambda: len(endpoint.received) == 1)
         proxy.clients.is_draining = why == "closing"
-        attempt_connection(proxy).data_received(http_response(200, b"x"))
+        proxy.oldest_attempt_connection().data_received(http_response(200, b"x"))
     [connection] = [
-        client_connection for client_connection in await shut(proxy) if client_connection._is_lingering
+        client_connection for client_connection in await shut(proxy) if client_connection.is_lingering
     ]
     return connection
 
 
-async def send_late_requests(client: Client) -> None:
+async def send_late_requests(client: SocketClient) -> None:
     client.send(http_request(request_id="late1"))
     await run_loop_turns()
     client.send(http_request(request_id="late2") + http_request(request_id="late3"))
@@ -104,21 +104,21 @@
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        busy = Client(proxy)
+        busy = SocketClient(proxy)
         if why == "surplus":
             busy.send(http_request(request_id="busy"))
             await wait_until(lambda: len(endpoint.received) == 1)
-        client = busy if why != "surplus" else Client(proxy)
+        client = busy if why != "surplus" else SocketClient(proxy)
         connection = await send_last_request(proxy, endpoint, client, why)
         forwarded_count = len(endpoint.received)
         await send_late_requests(client)
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         got = await read_http_message(reader)
         assert response_status(got) == {"surplus": 503, "bad": 400}.get(why, 200)
         assert closes_connection(got)
         assert await reader.read() == b""
         assert connection in proxy.clients.open_connections
-        assert not connection._http.received
+        assert not connection.http.received
         assert len(endpoint.received) == forwarded_count
         writer.close()
         await wait_until(lambda: connection not in proxy.clients.open_connections)
@@ -127,7 +127,7 @@
 
 async def shut(proxy: LoopbackProxy) -> list[ClientConnection]:
     """The connections, once one of them has been shut."""
-    await wait_until(lambda: any(connection._is_lingering for connection in proxy.clients.open_connections))
+    await wait_until(lambda: any(connection.is_lingering for connection in proxy.clients.open_connections))
     return list(proxy.clients.open_connections)
 
 
@@ -139,8 +139,8 @@
         StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        narrow(proxy)
-        reader, writer = await slow_reader(proxy)
+        proxy.limit_send_buffers()
+        reader, writer = await connect_paused_client(proxy)
         writer.write(http_request(request_id="slow", Connection="close" if last else "keep-alive"))
         await wait_until(lambda: any(connection.is_writing for connection in proxy.clients.open_connections))
         assert response_status(await proxy.send_request(http_request(request_id="new"))) == 503
@@ -158,9 +158,9 @@
         StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        narrow(proxy)
+        proxy.limit_send_buffers()
         clock = FrozenClock()
-        reader, writer = await slow_reader(proxy)
+        reader, writer = await connect_paused_client(proxy)
         writer.write(http_request(request_id="slow", Connection="close" if last else "keep-alive"))
         await wait_until(
             lambda: any(client_connection.is_writing for client_connection in proxy.clients.open_connections)
@@ -173,7 +173,7 @@
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert len((await read_http_message(reader))[2]) == 65_536
         await wait_until(lambda: not connection.is_writing)
-        connection.check_time_limits(proxy.listener.loop.time())
+        proxy.listener.time_limits.check(connection, proxy.listener.loop.time())
         assert connection in proxy.clients.open_connections
         assert not connection.transport.is_closing()
         if last:
@@ -183,11 +183,13 @@
         writer.close()
 
 
-async def idle_connection(proxy: LoopbackProxy, endpoint: StandInServer, client: Client) -> ClientConnection:
+async def idle_connection(
+    proxy: LoopbackProxy, endpoint: StandInServer, client: SocketClient
+) -> ClientConnection:
     """Answer the client's first request, and return its connection once that is idle."""
     client.send(http_request(request_id="first"))
     await wait_until(lambda: len(endpoint.received) == 1)
-    attempt_connection(proxy).data_received(http_response(200, b"first"))
+    proxy.oldest_attempt_connection().data_received(http_response(200, b"first"))
     await wait_until(lambda: bool(proxy.clients.idle_connections))
     [connection] = proxy.clients.open_connections
     return connection
@@ -195,14 +197,16 @@
 
 async def close_idle_connection(
     proxy: LoopbackProxy, connection: ClientConnection, how: str
-) -> Client | None:
+) -> SocketClient | None:
     """Have the connection closed in this way, and return the client that it makes room for."""
     if how == "expiry":
-        connection.check_time_limits(proxy.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
+        proxy.listener.time_limits.check(
+            connection, proxy.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0
+        )
     elif how == "end":
         proxy.listener.close_idle_connections()
     else:
-        other = Client(proxy)
+        other = SocketClient(proxy)
         await wait_until(lambda: connection.transport.is_closing())
         return other
     return None
@@ -218,7 +222,7 @@
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        clock, client = FrozenClock(), Client(proxy)
+        clock, client = FrozenClock(), SocketClient(proxy)
         connection = await idle_connection(proxy, endpoint, client)
         clock.advance(1.0)
         other = await close_idle_connection(proxy, connection, how)
@@ -229,7 +233,7 @@
             client.send(http_request(request_id="crossing"))
             client.send(http_request(request_id="another"))
         await run_loop_turns()
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         assert (await read_http_message(reader))[2] == b"first"  # it was not taken along
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
@@ -237,7 +241,7 @@
         assert len(endpoint.received) == 1
         assert proxy.driver.is_idle
         if other is not None:
-            other.leave("FIN")
+            other.disconnect("FIN")
         await wait_until(lambda: not proxy.clients.open_connections)
 
 
@@ -286,14 +290,14 @@
     """Also where the rest comes only while the first one is open."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        client = Client(proxy)
+        client = SocketClient(proxy)
         client.send(b"".join(sent) if whole else sent[0])
         for number in range(on):
             await wait_until(lambda number=number: len(endpoint.received) == number + 1)  # type: ignore[misc]
             if number == 0 and not whole:
                 client.send(b"".join(sent[1:]))
-            attempt_connection(proxy).data_received(http_response(200, b"%d" % number))
-        reader, writer = await streams(client)
+            proxy.oldest_attempt_connection().data_received(http_response(200, b"%d" % number))
+        reader, writer = await client.streams()
         got = [await read_http_message(reader) for _ in statuses]
         assert [response_status(response) for response in got] == statuses
         await run_loop_turns()
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -15,10 +15,10 @@
 from load_balancer.net import repeated_log_lines
 from load_balancer.net.client import client_limits
 from load_balancer.process.descriptor_limits import RESERVED_DESCRIPTORS
-from tests.support.client_helpers import Client, streams
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 
@@ -73,13 +73,13 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        client = Client(proxy)
+        client = SocketClient(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         [connection] = proxy.clients.open_connections
         events, answered = Turns(), Turns()
-        counted(monkeypatch, connection._http, "next_event", events)
-        counted(monkeypatch, connection, "_respond", answered)
-        reader, writer = await streams(client)
+        counted(monkeypatch, connection.http, "next_event", events)
+        counted(monkeypatch, connection, "write_response", answered)
+        reader, writer = await client.streams()
         writer.write(sent)
         got = [response_status(await read_http_message(reader)) for _ in range(answers)]
         assert set(got) <= {200, 502, 503}
@@ -130,16 +130,18 @@
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
         with monkeypatch.context() as patch:
-            patch.setattr(proxy.listener, "_listening_socket", Broken(proxy.listener._listening_socket))
-            clients = [Client(proxy) for _ in range(40)]
+            patch.setattr(
+                proxy.listener.acceptor, "listening_socket", Broken(proxy.listener.acceptor.listening_socket)
+            )
+            clients = [SocketClient(proxy) for _ in range(40)]
             for client in clients:
                 client.socket.setblocking(False)
                 assert await proxy.listener.loop.sock_recv(client.socket, 1) == b""
                 client.socket.close()
-            await wait_until(lambda: not proxy.listener._admission_tasks)
+            await wait_until(lambda: not proxy.listener.acceptor.admission_tasks)
         assert proxy.clients.descriptor_count == 0
         assert "Traceback" not in caplog.text
-        assert caplog.text.count("lost as it came") == 1
+        assert caplog.text.count("lost while it was accepted") == 1
         assert response_status(await proxy.send_request(http_request())) == 200
 
 
@@ -147,9 +149,11 @@
     return sum(connection.fileno() >= 0 for connection in accepted)
 
 
-async def flood(proxy: LoopbackProxy, kind: str, accepted: list[socket.socket]) -> tuple[list[Client], int]:
+async def flood(
+    proxy: LoopbackProxy, kind: str, accepted: list[socket.socket]
+) -> tuple[list[SocketClient], int]:
     """Connect 400 clients; return them and the most descriptors that their connections held at once."""
-    clients = [Client(proxy) for _ in range(FLOOD_SIZE)]
+    clients = [SocketClient(proxy) for _ in range(FLOOD_SIZE)]
     for number, client in enumerate(clients):
         client.send(KINDS[kind] if kind != "open" else http_request(request_id=f"r{number}"))
     most = 0
@@ -169,13 +173,13 @@
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=64) as proxy,
     ):
         accepted: list[socket.socket] = []
-        admit = proxy.listener._admit
+        admit = proxy.listener.acceptor.admit
 
         def listen(connection: socket.socket) -> Coroutine[None, None, None]:
             accepted.append(connection)
             return admit(connection)
 
-        monkeypatch.setattr(proxy.listener, "_admit", listen)
+        monkeypatch.setattr(proxy.listener.acceptor, "admit", listen)
         clients, most = await flood(proxy, kind, accepted)
         assert most - 64 <= RESERVED_DESCRIPTORS - FIXED - WATCHES
         await run_loop_turns()
@@ -184,7 +188,7 @@
             ready, _, _ = await proxy.send_request(http_request(path="/ready"))
             assert ready.split()[1] == "200"
         for client in clients:
-            client.leave("RST")
+            client.disconnect("RST")
         await wait_until(lambda: not proxy.clients.open_connections)
         await run_loop_turns()
         assert proxy.clients.descriptor_count == 0
@@ -207,7 +211,7 @@
     """Have at least so many accepts fail for lack of a descriptor, and return how many have failed."""
     failures = Turns()
     with pytest.MonkeyPatch.context() as patch, no_descriptors():
-        counted(patch, proxy.listener._descriptor_faults, "record", failures)
+        counted(patch, proxy.listener.acceptor.descriptor_faults, "record", failures)
         for number in range(times):
             await wait_until(lambda number=number: failures.all > number)  # type: ignore[misc]
             clock.advance(client_limits.ACCEPT_RETRY_DELAY_S)
@@ -219,13 +223,13 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It is met again every 0.05 s while it lasts, and who waits for one is served afterwards."""
-    caplog.set_level(logging.INFO, logger="load_balancer.net.client.client_listener")
+    caplog.set_level(logging.INFO, logger="load_balancer.net.client.connection_acceptor")
 
     def lines() -> list[str]:
         return [
             record.getMessage()
             for record in caplog.records
-            if record.name == "load_balancer.net.client.client_listener"
+            if record.name == "load_balancer.net.client.connection_acceptor"
         ]
 
     async with (
@@ -235,11 +239,11 @@
         clock = FrozenClock()
         for _ in range(2):  # a second spell is told of again
             caplog.clear()
-            client = Client(proxy)
+            client = SocketClient(proxy)
             failure_count = await fail_to_accept(proxy, clock, times=30)
             assert lines() == ["no descriptor for a connection: [Errno 24] Too many open files"]
             client.send(http_request(path="/ready"))
-            reader, writer = await streams(client)
+            reader, writer = await client.streams()
             assert response_status(await read_http_message(reader)) == 200
             clock.advance(repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
             await wait_until(lambda: len(lines()) > 1)
@@ -263,13 +267,13 @@
 
         with monkeypatch.context() as patch:
             patch.setattr(proxy.listener.loop, "connect_accepted_socket", fails)
-            clients = [Client(proxy) for _ in range(100)]
+            clients = [SocketClient(proxy) for _ in range(100)]
             for client in clients:
                 client.socket.setblocking(False)
                 with contextlib.suppress(ConnectionError):
                     assert await proxy.listener.loop.sock_recv(client.socket, 1) == b""
                 client.socket.close()
-        assert caplog.text.count("lost as it came") == 1
+        assert caplog.text.count("lost while it was accepted") == 1
         assert proxy.clients.descriptor_count == 0
         assert response_status(await proxy.send_request(http_request())) == 200
 
@@ -280,7 +284,7 @@
     callers = 40
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        clients = [Client(proxy) for _ in range(callers)]
+        clients = [SocketClient(proxy) for _ in range(callers)]
         await wait_until(lambda: len(proxy.clients.open_connections) == callers)
         for number, client in enumerate(clients):  # all of it before any is read
             client.socket.setblocking(False)
@@ -295,10 +299,10 @@
             100_000 < proxy.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
         )
         assert proxy.clients.buffered.size_bytes == sum(
-            connection._http.received.size_bytes for connection in connections
+            connection.http.received.size_bytes for connection in connections
         )
         for client in clients:
-            client.leave("RST")
+            client.disconnect("RST")
         await wait_until(lambda: not proxy.clients.open_connections)
         assert proxy.clients.buffered.size_bytes == 0
 
@@ -310,18 +314,18 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        client = Client(proxy)
+        client = SocketClient(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         [connection] = proxy.clients.open_connections
         client.send(chunks(2_500))  # in one read, and in 25 turns
-        await wait_until(lambda: connection._is_processing_scheduled)
-        other = Client(proxy)
+        await wait_until(lambda: connection.is_processing_scheduled)
+        other = SocketClient(proxy)
         other.send(http_request(request_id="other"))
         await wait_until(lambda: len(proxy.clients.open_connections) == 2)
-        assert connection._is_processing_scheduled
+        assert connection.is_processing_scheduled
         assert connection in proxy.clients.unused_connections
         for one, expected in ((client, 200), (other, 503)):
-            reader, writer = await streams(one)
+            reader, writer = await one.streams()
             assert response_status(await read_http_message(reader)) == expected
             writer.close()
         assert [headers["req-id"] for _, headers, _ in endpoint.received] == ["chunks"]
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -12,14 +12,13 @@
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.upstream import idle_connections
 from tests.support.balancer_harness import settings
-from tests.support.client_helpers import Client, attempt_connection, narrow
-from tests.support.connect_gates import ConnectGate
+from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInServer
 from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
-from tests.support.upstream_helpers import ids
 
 WAYS = ["FIN", "half", "RST"]
 FAILURE = http_response(503, Srv_Declined="1")
@@ -32,9 +31,9 @@
 def nothing_left(proxy: LoopbackProxy) -> bool:
     balancer = proxy.driver.balancer
     return proxy.driver.is_idle and not (
-        balancer.requests.requests
-        or balancer.requests.in_flight
-        or balancer.requests.queue
+        balancer.open_requests.by_id
+        or balancer.dispatcher.in_flight
+        or balancer.queue
         or proxy.clients.open_request_ids
     )
 
@@ -53,11 +52,11 @@
             settings=limits(cancel),
         ) as proxy,
     ):
-        client = Client(proxy)
+        client = SocketClient(proxy)
         client.send(http_request())
         await wait_until(lambda: len(first_endpoint.received) + len(second_endpoint.received) == 1)
-        failing = attempt_connection(proxy)
-        client.leave(way)
+        failing = proxy.oldest_attempt_connection()
+        client.disconnect(way)
         failing.data_received(FAILURE)
         assert not proxy.driver.requests.attempts.in_flight
         assert proxy.driver.is_idle
@@ -79,10 +78,10 @@
             settings=limits(cancel),
         ) as proxy,
     ):
-        client = Client(proxy)
+        client = SocketClient(proxy)
         client.send(http_request())
         await wait_until(lambda: len(first_endpoint.received) + len(second_endpoint.received) == 1)
-        attempt_connection(proxy).data_received(FAILURE)
+        proxy.oldest_attempt_connection().data_received(FAILURE)
         await wait_until(lambda: len(first_endpoint.received) + len(second_endpoint.received) == 2)
         client.socket.close()
 
@@ -99,21 +98,21 @@
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), settings=limits(cancel)) as proxy,
     ):
-        clients: list[Client] = []
-        while not proxy.driver.balancer.requests.queue:
-            clients.append(Client(proxy))
+        clients: list[SocketClient] = []
+        while not proxy.driver.balancer.queue:
+            clients.append(SocketClient(proxy))
             clients[-1].send(http_request(request_id=f"r{len(clients)}"))
-            await wait_until(lambda: len(proxy.driver.balancer.requests.requests) == len(clients))
+            await wait_until(lambda: len(proxy.driver.balancer.open_requests.by_id) == len(clients))
         sent = len(clients) - 1
         await wait_until(lambda: len(endpoint.received) == sent)
-        clients[-1].leave(way)
-        attempt_connection(proxy).data_received(http_response(200, b"x"))
-        assert not proxy.driver.balancer.requests.queue  # its turn came
+        clients[-1].disconnect(way)
+        proxy.oldest_attempt_connection().data_received(http_response(200, b"x"))
+        assert not proxy.driver.balancer.queue  # its turn came
         await wait_until(lambda: len(proxy.clients.open_connections) == sent)
         await run_loop_turns()
-        assert len(endpoint.received) == sent == len(proxy.driver.balancer.requests.in_flight) + 1
+        assert len(endpoint.received) == sent == len(proxy.driver.balancer.dispatcher.in_flight) + 1
         for client in clients[:-1]:
-            client.leave("FIN")
+            client.disconnect("FIN")
         await wait_until(lambda: not proxy.clients.open_connections)
         if cancel:
             assert nothing_left(proxy)
@@ -123,7 +122,7 @@
 WHERE = ["held", "connecting", "out"]
 
 
-async def begin(proxy: LoopbackProxy, client: Client, paused: bool) -> ClientConnection:
+async def begin(proxy: LoopbackProxy, client: SocketClient, paused: bool) -> ClientConnection:
     """The client's request, and where it pauses so much behind it that the proxy ceases to read."""
     before = set(proxy.clients.open_connections)
     client.socket.setblocking(False)
@@ -134,32 +133,33 @@
     await wait_until(lambda: len(proxy.clients.open_connections - before) == 1)
     [connection] = proxy.clients.open_connections - before
     await wait_until(
-        lambda: connection._request_key is not None and connection.transport.is_reading() is not paused
+        lambda: connection.forwarded_request_id is not None
+        and connection.transport.is_reading() is not paused
     )
     return connection
 
 
-async def fill_endpoint(proxy: LoopbackProxy) -> list[Client]:
+async def fill_endpoint(proxy: LoopbackProxy) -> list[SocketClient]:
     """Have clients send requests until one more has to wait in the admission queue."""
-    clients: list[Client] = []
-    while not proxy.driver.balancer.requests.queue:
-        clients.append(Client(proxy))
+    clients: list[SocketClient] = []
+    while not proxy.driver.balancer.queue:
+        clients.append(SocketClient(proxy))
         clients[-1].send(http_request(request_id=f"c{len(clients)}"))
-        await wait_until(lambda: len(proxy.driver.balancer.requests.requests) == len(clients))
-    clients.pop().leave("FIN")
-    await wait_until(lambda: not proxy.driver.balancer.requests.queue)
+        await wait_until(lambda: len(proxy.driver.balancer.open_requests.by_id) == len(clients))
+    clients.pop().disconnect("FIN")
+    await wait_until(lambda: not proxy.driver.balancer.queue)
     return clients
 
 
 async def wait_for_request_at(
-    where: str, proxy: LoopbackProxy, endpoint: StandInServer, gate: ConnectGate
+    where: str, proxy: LoopbackProxy, endpoint: StandInServer, gate: ConnectGates
 ) -> None:
     if where == "connecting":
-        await wait_until(lambda: gate.waiting_count == 1)
+        await wait_until(lambda: gate.started_count == 1)
     elif where == "out":
         await wait_until(lambda: len(endpoint.received) == 1)
     else:
-        assert proxy.driver.balancer.requests.queue
+        assert proxy.driver.balancer.queue
 
 
 async def end_all_attempts(proxy: LoopbackProxy, failing_request: str) -> None:
@@ -186,17 +186,17 @@
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), settings=limits(cancel)) as proxy,
     ):
-        proxy.listener._sweep_timer.cancel()
-        gate, clock = ConnectGate(proxy.pool), FrozenClock()
+        proxy.listener.sweep_timer.cancel()
+        gate, clock = ConnectGates(proxy.pool), FrozenClock()
         if where != "connecting":
-            gate.opened.set()
+            gate.open_all()
         crowd = await fill_endpoint(proxy) if where == "held" else []
-        client = Client(proxy)
+        client = SocketClient(proxy)
         connection = await begin(proxy, client, paused)
         await wait_for_request_at(where, proxy, endpoint, gate)
-        key = connection._request_key
+        key = connection.forwarded_request_id
         assert key is not None
-        client.leave(way)
+        client.disconnect(way)
         await run_loop_turns()
         if paused:  # the event loop does not see it
             assert connection in proxy.clients.open_connections
@@ -204,14 +204,14 @@
             await run_loop_turns()
         assert connection not in proxy.clients.open_connections
         assert key not in proxy.driver.requests
-        gate.opened.set()
+        gate.open_all()
         await end_all_attempts(proxy, failing_request=key)
-        assert [request_id for request_id in ids(endpoint) if not request_id.startswith("c")] == (
+        assert [request_id for request_id in endpoint.request_ids if not request_id.startswith("c")] == (
             ["r0"] if where == "out" else []
         )
-        assert not proxy.clients.paused_connections
+        assert not proxy.clients.presence.connections
         for other in crowd:
-            other.leave("FIN")
+            other.disconnect("FIN")
         await wait_until(lambda: not proxy.clients.open_connections)
 
 
@@ -241,26 +241,26 @@
     """An idle connection costs nothing, nor does one with a request open that is read."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        clock, idle, busy = FrozenClock(), Client(proxy), Client(proxy)
+        clock, idle, busy = FrozenClock(), SocketClient(proxy), SocketClient(proxy)
         busy.send(http_request(request_id="busy"))
         await wait_until(lambda: len(endpoint.received) == 1 and len(proxy.clients.open_connections) == 2)
         polled_transports.clear()
         await pass_half_a_second(clock)
         assert not polled_transports
-        assert proxy.clients._presence_timer is None
-        client = Client(proxy)
+        assert not proxy.clients.presence.is_scheduled
+        client = SocketClient(proxy)
         connection = await begin(proxy, client, True)
         await pass_half_a_second(clock)
         assert len(polled_transports) >= 10
         assert set(polled_transports) == {connection.transport}
         proxy.driver.end_all_requests()
-        await wait_until(lambda: not proxy.clients.paused_connections)
+        await wait_until(lambda: not proxy.clients.presence.connections)
         for one in (idle, busy, client):
-            one.leave("RST")
+            one.disconnect("RST")
         await wait_until(lambda: not proxy.clients.open_connections)
         clock.advance(0.05)
         await run_loop_turns()
-        assert proxy.clients._presence_timer is None
+        assert not proxy.clients.presence.is_scheduled
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -273,17 +273,17 @@
         monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        narrow(proxy)
-        client = Client(proxy, 4096)
+        proxy.limit_send_buffers()
+        client = SocketClient(proxy, 4096)
         connection = await begin(proxy, client, paused)
         await wait_until(lambda: len(endpoint.received) == 1)
         if not paused:
             client.send(http_request(request_id="behind"))
-            await wait_until(lambda: connection._http.received.size_bytes > 0)
-        attempt_connection(proxy).data_received(http_response(200, b"x" * 65_536))
+            await wait_until(lambda: connection.http.received.size_bytes > 0)
+        proxy.oldest_attempt_connection().data_received(http_response(200, b"x" * 65_536))
         assert connection.is_writing
-        assert connection._http.has_unparsed_bytes
-        client.leave(way)
+        assert connection.http.has_unparsed_bytes
+        client.disconnect(way)
         await run_loop_turns()
         if way == "half":  # it may still read, and what goes on then is the answer alone
             client.socket.setblocking(False)
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -12,11 +12,11 @@
 from load_balancer.net.upstream import idle_connections
 from tests.net.client.delayed_endpoint import DelayedEndpoint
 from tests.support.balancer_harness import settings
-from tests.support.client_helpers import narrow, slow_reader
-from tests.support.connect_gates import ConnectGate
+from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
+from tests.support.socket_client import connect_paused_client
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import FrozenClock, run_loop_turns, wait_until
 
@@ -52,18 +52,18 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port), settings=settings(limits=limits)) as proxy,
     ):
-        gate = ConnectGate(proxy.pool)
+        gate = ConnectGates(proxy.pool)
         _, writer = await proxy.connect()
         writer.write(http_request(kind))
-        await wait_until(lambda: gate.waiting_count == 1)
+        await wait_until(lambda: gate.started_count == 1)
         writer.close()
         await wait_until(lambda: proxy.driver.is_idle)
-        gate.opened.set()
+        gate.open_all()
         await wait_until(lambda: not proxy.driver.requests.attempts.in_flight)
         assert endpoint.received == []
         assert endpoint.connection_count == 0
-        assert not proxy.driver.balancer.requests.in_flight
-        assert not proxy.driver.balancer.requests.requests
+        assert not proxy.driver.balancer.dispatcher.in_flight
+        assert not proxy.driver.balancer.open_requests.by_id
 
 
 async def test_pipelined_request_behind_a_response_is_not_forwarded_after_client_disconnects(
@@ -76,8 +76,8 @@
         StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        narrow(proxy)
-        _, writer = await slow_reader(proxy)
+        proxy.limit_send_buffers()
+        _, writer = await connect_paused_client(proxy)
         writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
         await wait_until(lambda: bool(proxy.clients.open_connections))
         [connection] = proxy.clients.open_connections
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -17,11 +17,11 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from tests.net.client.test_departed_client_attempts import FAILURE, WAYS, limits, nothing_left
-from tests.support.client_helpers import Client, attempt_connection
-from tests.support.connect_gates import ConnectGate
+from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInServer
 from tests.support.stepped_clock import run_loop_turns, wait_until
 
@@ -64,7 +64,7 @@
         connection.data_received(http_response(200, b"x"))
 
 
-async def send_request(proxy: LoopbackProxy, client: Client, paused: bool) -> ClientConnection:
+async def send_request(proxy: LoopbackProxy, client: SocketClient, paused: bool) -> ClientConnection:
     """Send a request, and behind it where reading is to pause more than is read; return the connection."""
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)
     [connection] = proxy.clients.open_connections
@@ -80,15 +80,15 @@
 
     proxy: LoopbackProxy
     endpoints: tuple[StandInServer, StandInServer]
-    client: Client
+    client: SocketClient
     connection: ClientConnection
-    gate: ConnectGate
+    gate: ConnectGates
     requests_before: int  # that came to the endpoints
 
 
 @asynccontextmanager
 async def held_write(
-    hold: Hold, path: str, cancel: bool, paused: bool, meanwhile: Callable[[Client], None]
+    hold: Hold, path: str, cancel: bool, paused: bool, meanwhile: Callable[[SocketClient], None]
 ) -> AsyncIterator[HeldWrite]:
     """Have a client's attempt written on this path, and `meanwhile` called just before the write."""
     async with (
@@ -103,9 +103,9 @@
         endpoints = (first_endpoint, second_endpoint)
         if path.startswith("kept connection"):
             await open_idle_connections(proxy, endpoints)
-        gate, client = ConnectGate(proxy.pool), Client(proxy)
+        gate, client = ConnectGates(proxy.pool), SocketClient(proxy)
         if path in ("connection comes up", "further attempt"):
-            gate.opened.set()
+            gate.open_all()
         hold.meanwhile = lambda: meanwhile(client)  # type: ignore[method-assign]
         hold.armed = path != "further attempt"
         requests_before = request_count(endpoints)
@@ -114,7 +114,7 @@
             await wait_until(lambda: request_count(endpoints) == 1)
             await wait_until(lambda: connection.transport.is_reading() is not paused)
             hold.armed, requests_before = True, 1
-            attempt_connection(proxy).data_received(FAILURE)
+            proxy.oldest_attempt_connection().data_received(FAILURE)
         await wait_until(lambda: hold.held == 1)
         yield HeldWrite(proxy, endpoints, client, connection, gate, requests_before)
 
@@ -140,15 +140,15 @@
     Its end is with the system by then, behind bytes that are not read where reading is paused; the event
     loop has not seen it.
     """
-    async with held_write(hold, path, cancel, paused, lambda client: client.leave(way)) as held:
+    async with held_write(hold, path, cancel, paused, lambda client: client.disconnect(way)) as held:
         clients = held.proxy.clients
         await wait_until(lambda: held.connection not in clients.open_connections)
-        held.gate.opened.set()
+        held.gate.open_all()
         await run_loop_turns()
         assert request_count(held.endpoints) == held.requests_before
         assert nothing_left(held.proxy)
         assert not held.proxy.driver.requests.attempts.in_flight
-        assert not clients.paused_connections
+        assert not clients.presence.connections
         assert not held.proxy.pool.waiting.by_endpoint
 
 
@@ -160,7 +160,7 @@
 ) -> None:
     async with held_write(hold, path, cancel, paused, lambda client: None) as held:
         await wait_until(lambda: request_count(held.endpoints) == held.requests_before + 1)
-        held.client.leave("RST")
+        held.client.disconnect("RST")
         await wait_until(lambda: not held.proxy.clients.open_connections)
 
 
@@ -169,22 +169,22 @@
     """Two wait for connections to one backend, and the first of them leaves as they come up."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        gate, leaver, stayer = ConnectGate(proxy.pool), Client(proxy), Client(proxy)
+        gate, leaver, stayer = ConnectGates(proxy.pool), SocketClient(proxy), SocketClient(proxy)
         for client, key in ((leaver, "leaves"), (stayer, "stays")):
             client.send(http_request(request_id=key))
             await wait_until(lambda key=key: key.encode() in proxy.clients.open_request_ids)  # type: ignore[misc]
-        await wait_until(lambda: gate.waiting_count == 2)
+        await wait_until(lambda: gate.started_count == 2)
         came_up = proxy.pool.queue.connect_succeeded
 
         def leaving(pending: PendingConnect, connection: UpstreamConnection) -> None:
             if len(proxy.pool.waiting.by_endpoint[pending.endpoint]) == 2:
-                leaver.leave(way)
+                leaver.disconnect(way)
             came_up(pending, connection)
 
         proxy.pool.queue.connect_succeeded = leaving  # type: ignore[method-assign]
-        gate.opened.set()
+        gate.open_all()
         await wait_until(lambda: bool(endpoint.received))
-        attempt_connection(proxy).data_received(http_response(200, b"x"))
+        proxy.oldest_attempt_connection().data_received(http_response(200, b"x"))
         stayer.socket.setblocking(False)
         reader, writer = await asyncio.open_connection(sock=stayer.socket)
         assert (await read_http_message(reader))[2] == b"x"
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -10,10 +10,11 @@
 import pytest
 
 from load_balancer.net.client import client_limits
-from tests.support.client_helpers import Client, attempt_connection, streams
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.log_lines import info_lines
 from tests.support.loopback_proxy import running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import FrozenClock, run_loop_turns, wait_until
 
@@ -58,10 +59,6 @@
 }
 
 
-def lines(caplog: pytest.LogCaptureFixture) -> list[str]:
-    return [record.getMessage() for record in caplog.records if record.levelname != "DEBUG"]
-
-
 @pytest.mark.parametrize("sent", BAD.values(), ids=BAD.keys())
 @pytest.mark.parametrize("cut", [0, 1])
 async def test_malformed_request_gets_an_error_and_a_close(
@@ -87,7 +84,7 @@
         assert await reader.read() == b""
         writer.close()
         assert endpoint.received == []
-        assert not lines(caplog)
+        assert not info_lines(caplog)
         assert response_status(await proxy.send_request(http_request())) == 200
 
 
@@ -125,7 +122,7 @@
         StandInEndpoint(http_response(200)) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        clock, client, gave = FrozenClock(), Client(proxy), STILL[kind]()
+        clock, client, gave = FrozenClock(), SocketClient(proxy), STILL[kind]()
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         while proxy.clients.open_connections and clock.advanced_s <= DUE_S - LATE_S:
             with contextlib.suppress(ConnectionError):
@@ -138,7 +135,7 @@
         assert endpoint.received == []
         assert not proxy.clients.open_request_ids
         assert proxy.clients.buffered.size_bytes == 0
-        assert not lines(caplog)
+        assert not info_lines(caplog)
         client.socket.close()
 
 
@@ -169,7 +166,7 @@
         await wait_until(lambda: not proxy.clients.open_connections)
         writer.transport.abort()
         assert endpoint.received == []
-        assert not lines(caplog)
+        assert not info_lines(caplog)
 
 
 FORMS = {
@@ -191,7 +188,7 @@
 
     second = FORMS[kind].replace(b"f1", b"f2")
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        client = Client(proxy)
+        client = SocketClient(proxy)
         sent = FORMS[kind] + second
         for at in range(0, len(sent), cut):
             client.send(sent[at : at + cut])
@@ -199,8 +196,8 @@
             await asyncio.sleep(0)
         for number in (1, 2):
             await wait_until(lambda number=number: len(endpoint.received) == number)  # type: ignore[misc]
-            attempt_connection(proxy).data_received(http_response(200, b"%d" % number))
-        reader, writer = await streams(client)
+            proxy.oldest_attempt_connection().data_received(http_response(200, b"%d" % number))
+        reader, writer = await client.streams()
         assert [(await read_http_message(reader))[2] for _ in range(2)] == [b"1", b"2"]
         for number, (first, headers, body) in enumerate(endpoint.received):
             assert (first, headers["req-id"], body) == ("POST /api?a=b HTTP/1.1", f"f{number + 1}", b"hello")
@@ -212,23 +209,23 @@
     """They bring no answer, and the connection rests as if they had not come."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        client = Client(proxy)
+        client = SocketClient(proxy)
         client.send(http_request() + (b"\r\n\r\n" if ahead else b""))
         await wait_until(lambda: len(endpoint.received) == 1)
-        attempt_connection(proxy).data_received(http_response(200, b"x"))
+        proxy.oldest_attempt_connection().data_received(http_response(200, b"x"))
         await wait_until(lambda: bool(proxy.clients.idle_connections))
         [connection] = proxy.clients.idle_connections
-        since = connection._last_progress_at_s
+        since = connection.last_progress_at_s
         if not ahead:
             for empty in (b"\r\n", b"\r", b"\n\r\n"):
                 client.send(empty)
                 await run_loop_turns()
         assert connection.is_idle
         assert connection in proxy.clients.idle_connections
-        assert connection._last_progress_at_s == since
+        assert connection.last_progress_at_s == since
         assert proxy.clients.buffered.size_bytes == 0
         client.send(b"\r\n" + http_request(path="/ready", Connection="close"))
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         assert [response_status(await read_http_message(reader)) for _ in range(2)] == [200, 200]
         assert await reader.read() == b""
         writer.close()
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -14,7 +14,6 @@
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.driver.client_messages import ClientRequest
 from tests.net.client.test_stalled_clients import STOPS
-from tests.support.client_helpers import Client, attempt_connection, streams
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.http_messages import (
     HttpMessage,
@@ -26,13 +25,14 @@
 )
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint, StandInServer
 from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 
 REASONS = {"time": 408, "room": 503, "exit": 503}
 
 
-async def came(proxy: LoopbackProxy, client: Client, sent: bytes) -> ClientConnection:
+async def came(proxy: LoopbackProxy, client: SocketClient, sent: bytes) -> ClientConnection:
     """The connection of a client, once what it sent has been read."""
     client.send(sent)
     name = client.socket.getsockname()
@@ -52,13 +52,13 @@
 
 async def close_for(
     reason: str, proxy: LoopbackProxy, clock: SteppedClock, connection: ClientConnection
-) -> Client | None:
+) -> SocketClient | None:
     """Have the connection closed for this reason, and return the client that it makes room for."""
     newcomer = None
     if reason == "time":
         clock.advance(client_limits.REQUEST_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
     elif reason == "room":
-        newcomer = Client(proxy)
+        newcomer = SocketClient(proxy)
     else:
         proxy.listener.close()
     await wait_until(lambda: connection.transport.is_closing())
@@ -80,19 +80,19 @@
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        clock, client = FrozenClock(), Client(proxy)
+        clock, client = FrozenClock(), SocketClient(proxy)
         connection = await came(proxy, client, STOPS[stop])
         newcomer = await close_for(reason, proxy, clock, connection)
         with contextlib.suppress(ConnectionError):
             client.send(b"x")
             client.send(b"x")
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         got = await read_final_response(reader)
         assert response_status(got) == REASONS[reason]
         assert closes_connection(got)
         writer.close()
         if newcomer is not None:
-            newcomer.leave("RST")
+            newcomer.disconnect("RST")
         await wait_until(lambda: not proxy.clients.open_connections)
         assert not endpoint.received
         assert proxy.driver.is_idle
@@ -107,7 +107,7 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=2) as proxy,
     ):
-        half, nothing = Client(proxy), Client(proxy)
+        half, nothing = SocketClient(proxy), SocketClient(proxy)
         request = http_request()
         begun = await came(proxy, half, request[:40])
         await wait_until(lambda: len(proxy.clients.open_connections) == 2)
@@ -116,7 +116,7 @@
         assert begun in proxy.clients.open_connections
         assert idle not in proxy.clients.open_connections
         half.send(request[40:])
-        reader, writer = await streams(half)
+        reader, writer = await half.streams()
         assert response_status(await read_http_message(reader)) == 200
         writer.close()
         nothing.socket.close()
@@ -130,7 +130,7 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        client = Client(proxy)
+        client = SocketClient(proxy)
         await came(proxy, client, http_request(request_id="first"))
         await wait_until(lambda: bool(proxy.clients.idle_connections))
         [connection] = proxy.clients.open_connections
@@ -147,16 +147,16 @@
     """It may have run. One whose client still writes is: nothing of it was sent on."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        busy, half = Client(proxy), Client(proxy)
+        busy, half = SocketClient(proxy), SocketClient(proxy)
         await came(proxy, busy, http_request(request_id="open"))
         await wait_until(lambda: len(endpoint.received) == 1)
         await came(proxy, half, http_request()[:40])
         proxy.listener.close()
         await wait_until(lambda: not proxy.clients.open_connections)
-        reader, writer = await streams(busy)
+        reader, writer = await busy.streams()
         assert await reader.read() == b""
         writer.close()
-        reader, writer = await streams(half)
+        reader, writer = await half.streams()
         assert response_status(await read_http_message(reader)) == 503
         writer.close()
 
@@ -173,7 +173,7 @@
 
     with pytest.MonkeyPatch.context() as patch:
         if where == "read":
-            patch.setattr(connection._http, "next_event", fail)
+            patch.setattr(connection.http, "next_event", fail)
         else:
             patch.setattr(proxy.driver, "accept_request", fail)
         yield
@@ -192,15 +192,15 @@
 ) -> None:
     """The error promises nothing, as the fault may have come after an attempt began."""
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        other, client = Client(proxy), Client(proxy)
+        other, client = SocketClient(proxy), SocketClient(proxy)
         await came(proxy, other, http_request(request_id="other"))
         await wait_until(lambda: len(endpoint.received) == 1)
         request = http_request("mark", request_id="faulty", body=b"xx")
         connection = await came(proxy, client, request[:-2])
         with faulty(where, proxy, connection):
             client.send(request[-2:])
-            await wait_until(lambda: connection._is_lingering or connection.transport.is_closing())
-        reader, writer = await streams(client)
+            await wait_until(lambda: connection.is_lingering or connection.transport.is_closing())
+        reader, writer = await client.streams()
         got = await read_http_message(reader)
         assert response_status(got) == 500
         assert closes_connection(got)
@@ -210,8 +210,8 @@
         writer.close()
         assert caplog.text.count("Traceback") == 1
         assert proxy.clients.open_request_ids == {b"other"}
-        attempt_connection(proxy).data_received(http_response(200, b"x"))
-        assert await other.read(1) == [200]
+        proxy.oldest_attempt_connection().data_received(http_response(200, b"x"))
+        assert await other.read_statuses(1) == [200]
         await wait_until(lambda: not proxy.clients.open_connections)
         assert proxy.driver.is_idle
 
@@ -220,14 +220,14 @@
     """The shutdown has ended all requests by then; there is no time left for one more."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        client, request = Client(proxy), http_request(request_id="late")
+        client, request = SocketClient(proxy), http_request(request_id="late")
         await came(proxy, client, request[:40])
         proxy.listener.stop_listening()
         proxy.listener.close_idle_connections()
         proxy.driver.limit_deadlines(0.0)
         proxy.driver.end_all_requests()
         client.send(request[40:])
-        reader, writer = await streams(client)
+        reader, writer = await client.streams()
         got = await read_http_message(reader)
         assert response_status(got) == 503
         assert closes_connection(got)
@@ -256,18 +256,18 @@
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=crowd) as proxy,
     ):
-        clients = [Client(proxy) for _ in range(crowd)]
+        clients = [SocketClient(proxy) for _ in range(crowd)]
         for client in clients:
             await came(proxy, client, http_request()[:40])
         monkeypatch.setattr(ClientConnection, "has_unanswered_request", property(counted))
-        newcomer = Client(proxy)
+        newcomer = SocketClient(proxy)
         await wait_until(
             lambda: len(proxy.clients.open_connections) == crowd and proxy.clients.descriptor_count == crowd
         )
         await wait_until(lambda: looked_at > 0)
         assert looked_at <= client_limits.MAX_SILENT_CANDIDATES + 1  # and the one that makes room
         for client in [*clients, newcomer]:
-            client.leave("RST")
+            client.disconnect("RST")
         await wait_until(lambda: not proxy.clients.open_connections)
 
 
--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -8,10 +8,10 @@
 
 from load_balancer.net.driver.client_messages import ClientRequest
 from tests.net.client.delayed_endpoint import DelayedEndpoint
-from tests.support.client_helpers import narrow, slow_reader
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.socket_client import connect_paused_client
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import FrozenClock, wait_until
 
@@ -46,10 +46,10 @@
         third = http_request(request_id="r3")
         writer.write(third[:-9])
         [connection] = proxy.clients.open_connections
-        await wait_until(lambda: connection._http.received.size_bytes == len(third) - 9)
+        await wait_until(lambda: connection.http.received.size_bytes == len(third) - 9)
         clock.advance(0.5)
         writer.write(third[-9:])
-        await wait_until(lambda: connection._http.received.size_bytes == len(third))
+        await wait_until(lambda: connection.http.received.size_bytes == len(third))
         delayed.may_respond.set()
         for _ in range(3):
             assert response_status(await read_http_message(reader)) == 200
@@ -80,8 +80,8 @@
         StandInEndpoint(http_response(200, b"x" * size)) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        narrow(proxy)
-        reader, writer = await slow_reader(proxy)
+        proxy.limit_send_buffers()
+        reader, writer = await connect_paused_client(proxy)
         writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
         await wait_until(lambda: bool(proxy.clients.open_connections))
         [connection] = proxy.clients.open_connections
--- a/tests/net/client/test_policy_faults.py
+++ b/tests/net/client/test_policy_faults.py
@@ -51,7 +51,7 @@
         monkeypatch.setattr(proxy.driver.balancer, "handle", faulty)
         assert response_status(await proxy.send_request(http_request(Req_Deadline="0.6"))) == 502
         assert proxy.driver.is_idle
-        assert not proxy.driver.balancer.requests.requests
+        assert not proxy.driver.balancer.open_requests.by_id
 
 
 async def test_failed_action_does_not_prevent_the_next_actions(
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -11,8 +11,7 @@
 from load_balancer.net.client import client_limits
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_listener import ClientListener
-from tests.net.client.test_malformed_requests import CHUNKED, lines
-from tests.support.client_helpers import Client, streams
+from tests.net.client.test_malformed_requests import CHUNKED
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import (
     StreamPair,
@@ -21,7 +20,9 @@
     read_http_message,
     response_status,
 )
+from tests.support.log_lines import info_lines
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 
@@ -51,16 +52,16 @@
 
     def __init__(self, listener: ClientListener, clock: SteppedClock) -> None:
         self._listener, self.clock = listener, clock
-        listener._sweep_timer.cancel()
+        listener.sweep_timer.cancel()
 
     async def sweep(self) -> None:
         self.clock.advance(client_limits.SWEEP_INTERVAL_S + LATE_S)
-        self._listener._sweep()
-        self._listener._sweep_timer.cancel()
+        self._listener.sweep()
+        self._listener.sweep_timer.cancel()
         await run_loop_turns()
 
 
-def error_or_close(client: Client) -> bool:
+def error_or_close(client: SocketClient) -> bool:
     """Has the client got an error, an end or a reset? An interim answer is none."""
     client.socket.setblocking(False)
     try:
@@ -81,10 +82,10 @@
         assert late.clock.advanced_s <= due_at_s
 
 
-async def serve_first_request(client: Client, clock: SteppedClock) -> StreamPair:
+async def serve_first_request(client: SocketClient, clock: SteppedClock) -> StreamPair:
     """Have the client's first request answered, and pass so much time that an idle one may stay."""
     client.send(http_request(request_id="good"))
-    reader, writer = await streams(client)
+    reader, writer = await client.streams()
     assert response_status(await read_http_message(reader)) == 200
     clock.advance(5.0)
     await run_loop_turns()
@@ -101,7 +102,7 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        clock, client = FrozenClock(), Client(proxy)
+        clock, client = FrozenClock(), SocketClient(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         late = Late(proxy.listener, clock)
         opened = await serve_first_request(client, clock) if when == "after a good one" else None
@@ -126,7 +127,7 @@
         assert len(endpoint.received) == (when == "after a good one")
         assert not proxy.clients.open_request_ids
         assert proxy.clients.buffered.size_bytes == 0
-        assert not lines(caplog)
+        assert not info_lines(caplog)
 
 
 def dribble(begin: bytes, more: bytes) -> Iterator[bytes]:
@@ -142,16 +143,17 @@
 }
 
 
-def send_at_each_check(client: Client, connection: ClientConnection, pieces: Iterator[bytes]) -> None:
-    """Have the client send its next piece just before each check of the connection's time limits."""
-    check = connection.check_time_limits
+def send_at_each_check(proxy: LoopbackProxy, client: SocketClient, pieces: Iterator[bytes]) -> None:
+    """Have the client send its next piece just before each check of its connection's time limits."""
+    time_limits = proxy.listener.time_limits
+    check = time_limits.check
 
-    def check_after_next_piece(now_s: float) -> None:
+    def check_after_next_piece(connection: ClientConnection, now_s: float) -> None:
         with contextlib.suppress(ConnectionError):
             client.send(next(pieces))
-        check(now_s)
+        check(connection, now_s)
 
-    connection.check_time_limits = check_after_next_piece  # type: ignore[method-assign]
+    time_limits.check = check_after_next_piece  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("kind", DRIBBLES)
@@ -164,16 +166,16 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        clock, client = FrozenClock(), Client(proxy)
+        clock, client = FrozenClock(), SocketClient(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         late = Late(proxy.listener, clock)
         began = clock.advanced_s - LATE_S
         [connection] = proxy.clients.open_connections
-        send_at_each_check(client, connection, DRIBBLES[kind]())
+        send_at_each_check(proxy, client, DRIBBLES[kind]())
         clock.advance(first_sweep_s + 0.001)  # no check comes just as a time limit ends
         while proxy.clients.open_connections:
             await late.sweep()
-            if connection._has_final_check:
+            if connection.has_final_check:
                 clock.advance(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
                 await run_loop_turns()
             assert clock.advanced_s - began <= DUE_S
@@ -181,7 +183,7 @@
         client.socket.close()
         assert not endpoint.received
         assert proxy.clients.buffered.size_bytes == 0
-        assert not lines(caplog)
+        assert not info_lines(caplog)
 
 
 @pytest.mark.parametrize("fresh", [True, False])
@@ -189,7 +191,7 @@
     """It is with the system as the time of its connection is over."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        clock, client = FrozenClock(), Client(proxy)
+        clock, client = FrozenClock(), SocketClient(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         late = Late(proxy.listener, clock)
         [connection] = proxy.clients.open_connections
@@ -201,12 +203,12 @@
             + client_limits.PARTIAL_REQUEST_GRACE_S
         )
         client.send(http_request(request_id="crossing"))
-        connection.check_time_limits(proxy.listener.loop.time())
+        proxy.listener.time_limits.check(connection, proxy.listener.loop.time())
         clock.advance(client_limits.FINAL_CHECK_DELAY_S)
         await wait_until(lambda: bool(endpoint.received))
         for _ in range(5):
             await late.sweep()
         assert connection in proxy.clients.open_connections
         assert proxy.clients.open_request_ids == {b"crossing"}
-        client.leave("RST")
+        client.disconnect("RST")
         await wait_until(lambda: not proxy.clients.open_connections)
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -13,21 +13,6 @@
 from load_balancer import messages
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.net.discovery.endpoint_watch import BREAK_LOG_WINDOW_S
-from tests.support.discovery_helpers import (
-    ASKED,
-    BOTH,
-    LIST_DEADLINE_S,
-    TURN_S,
-    Call,
-    Discovery,
-    list_of,
-    next_call,
-    served,
-    step,
-    watch_starts,
-    watch_tasks,
-    watched,
-)
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -37,6 +22,21 @@
 from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy
 from tests.support.proxy_process import LIMITS, config, free_port, port_of, process, raw_settings, write
+from tests.support.stand_in_discovery import (
+    EACH_SUBSCRIPTION,
+    LIST_DEADLINE_S,
+    POLL_QUEUE_S,
+    POLLED_SETTINGS,
+    DiscoveryCall,
+    StandInDiscovery,
+    advance_to_next_call,
+    advance_until,
+    answer_latest_call,
+    list_chunk_of_version,
+    record_watch_starts,
+    running_watch_count,
+    watching_proxy,
+)
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock
 
@@ -46,21 +46,21 @@
 )
 
 
-def half_a_list_and_reset(call: Call) -> None:
-    call.say(WATCH_RESPONSE_HEAD + list_of(6)[:30])
+def half_a_list_and_reset(call: DiscoveryCall) -> None:
+    call.send(WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30])
     call.writer.transport.abort()
 
 
-OUTAGES: dict[str, Callable[[Call], None]] = {
-    "turned away": lambda call: call.say(http_response(503), end=True),
+OUTAGES: dict[str, Callable[[DiscoveryCall], None]] = {
+    "turned away": lambda call: call.send(http_response(503), end=True),
     "reset": lambda call: call.writer.transport.abort(),
-    "ends at once": lambda call: call.say(b"", end=True),
+    "ends at once": lambda call: call.send(b"", end=True),
     "silent": lambda call: None,
-    "a head": lambda call: call.say(WATCH_RESPONSE_HEAD),
-    "half a head": lambda call: call.say(WATCH_RESPONSE_HEAD[:20]),
-    "half a list": lambda call: call.say(WATCH_RESPONSE_HEAD + list_of(6)[:30]),
+    "a head": lambda call: call.send(WATCH_RESPONSE_HEAD),
+    "half a head": lambda call: call.send(WATCH_RESPONSE_HEAD[:20]),
+    "half a list": lambda call: call.send(WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30]),
     "half a list, then reset": half_a_list_and_reset,
-    "noise": lambda call: call.say(b"\x00\xff\r\n\r\n"),
+    "noise": lambda call: call.send(b"\x00\xff\r\n\r\n"),
 }
 
 
@@ -75,16 +75,16 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def all_is_small(discovery: Discovery, proxy: LoopbackProxy) -> None:
+def all_is_small(discovery: StandInDiscovery, proxy: LoopbackProxy) -> None:
     """Nothing of the calls that failed is left."""
-    assert sum(not call.over.is_set() for call in discovery.calls) <= 1
-    assert watch_tasks() <= 1
+    assert sum(not call.closed_by_proxy.is_set() for call in discovery.calls) <= 1
+    assert running_watch_count() <= 1
     assert len(proxy.driver.balancer.outbox.timers) <= 2
     assert len(proxy.driver.timers) <= 2
     assert len(asyncio.get_running_loop()._scheduled) < 200  # type: ignore[attr-defined]
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 @pytest.mark.parametrize("minutes", [2, 60])
 @pytest.mark.parametrize("mood", OUTAGES)
 async def test_change_is_applied_in_time_after_a_long_outage_and_nothing_accumulates(
@@ -92,12 +92,12 @@
 ) -> None:
     """Discovery is back just after a call has failed, or with a call out that it never answers."""
 
-    async with watched(setup) as (discovery, proxy, clock):
-        await step(clock, lambda: len(discovery.calls) == 1)
-        discovery.calls[0].say(WATCH_RESPONSE_HEAD + list_of(1))
-        await step(clock, lambda: proxy.driver.endpoint_list.watch.version == 1)
+    async with watching_proxy(setup) as (discovery, proxy, clock):
+        await advance_until(clock, lambda: len(discovery.calls) == 1)
+        discovery.calls[0].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(1))
+        await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1)
         before = descriptors()
-        discovery.meet = OUTAGES[mood]
+        discovery.on_call = OUTAGES[mood]
         caplog.clear()
         discovery.calls[0].writer.transport.abort()
         await outage(clock, 60.0 * minutes)
@@ -109,73 +109,78 @@
         }  # the old list serves on
         all_is_small(discovery, proxy)
         assert descriptors() <= before + 2  # a call that is out: its two ends
-        waited = await next_call(discovery, clock)  # the last one that fails
-        await step(clock, discovery.calls[-1].over.is_set)
-        discovery.meet = lambda call: None
-        waited = await next_call(discovery, clock) + await served(discovery, proxy, clock, setup)
+        waited = await advance_to_next_call(discovery, clock)  # the last one that fails
+        await advance_until(clock, discovery.calls[-1].closed_by_proxy.is_set)
+        discovery.on_call = lambda call: None
+        waited = await advance_to_next_call(discovery, clock) + await answer_latest_call(
+            discovery, proxy, clock, setup
+        )
         assert waited < LIST_DEADLINE_S
         assert proxy.driver.balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 async def test_change_is_applied_in_time_after_an_hour_of_refused_connections(
     setup: messages.Settings,
 ) -> None:
-    async with watched(setup) as (discovery, proxy, clock):
-        await step(clock, lambda: len(discovery.calls) == 1)
-        assert discovery.peer is not None
-        assert discovery.peer.server is not None
+    async with watching_proxy(setup) as (discovery, proxy, clock):
+        await advance_until(clock, lambda: len(discovery.calls) == 1)
+        assert discovery.server.server is not None
         discovery.calls[0].writer.transport.abort()
-        discovery.peer.server.close()
+        discovery.server.server.close()
         await outage(clock, 3_600.0)
         all_is_small(discovery, proxy)
-        tried = watch_starts(proxy)
-        await step(clock, lambda: len(tried) > 0 and proxy.driver.endpoint_list.watch._task is None)
-        discovery.peer.server = await asyncio.start_server(
-            discovery.peer.accept, "127.0.0.1", discovery.peer.port
+        tried = record_watch_starts(proxy)
+        await advance_until(clock, lambda: len(tried) > 0 and proxy.driver.endpoint_list.watch._task is None)
+        discovery.server.server = await asyncio.start_server(
+            discovery.server.accept, "127.0.0.1", discovery.server.port
         )
         assert (
-            await next_call(discovery, clock) + await served(discovery, proxy, clock, setup) < LIST_DEADLINE_S
+            await advance_to_next_call(discovery, clock)
+            + await answer_latest_call(discovery, proxy, clock, setup)
+            < LIST_DEADLINE_S
         )
 
 
 async def test_each_poll_waits_for_its_turn_at_an_overloaded_discovery() -> None:
     """It tells each call after its turn of 2 s and then drops it, for minutes: no news is left out."""
 
-    async with watched(ASKED) as (discovery, proxy, clock):
+    async with watching_proxy(POLLED_SETTINGS) as (discovery, proxy, clock):
         for rev in range(1, 41):
             if len(discovery.calls) < rev:
-                assert await next_call(discovery, clock) < 1.0
-            assert await served_as(rev, discovery, proxy, clock) < TURN_S + 0.5
+                assert await advance_to_next_call(discovery, clock) < 1.0
+            assert await served_as(rev, discovery, proxy, clock) < POLL_QUEUE_S + 0.5
             discovery.calls[-1].writer.transport.abort()
         assert len(discovery.calls) == 40
 
 
-async def served_as(rev: int, discovery: Discovery, proxy: LoopbackProxy, clock: SteppedClock) -> float:
+async def served_as(
+    rev: int, discovery: StandInDiscovery, proxy: LoopbackProxy, clock: SteppedClock
+) -> float:
     """Has the call that is out told this version after its longest time in the queue."""
-    waited = await step(clock, lambda: discovery.calls[-1].over.is_set(), TURN_S)
-    discovery.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(rev))
-    waited += await step(clock, lambda: proxy.driver.endpoint_list.watch.version == rev, 1.0)
+    waited = await advance_until(clock, lambda: discovery.calls[-1].closed_by_proxy.is_set(), POLL_QUEUE_S)
+    discovery.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
+    waited += await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == rev, 1.0)
     assert proxy.driver.endpoint_list.watch.version == rev
     return waited
 
 
 @pytest.mark.parametrize("beats", [False, True], ids=["silent", "beating"])
-@BOTH
+@EACH_SUBSCRIPTION
 async def test_watch_that_falls_silent_repeatedly_is_replaced_in_time(
     setup: messages.Settings, beats: bool
 ) -> None:
     """For minutes: each watch tells one version and stops, some after a beat."""
 
-    async with watched(setup) as (discovery, proxy, clock):
+    async with watching_proxy(setup) as (discovery, proxy, clock):
         for rev in range(1, 21):
-            await step(clock, lambda rev=rev: len(discovery.calls) >= rev)  # type: ignore[misc]
-            discovery.calls[-1].say(WATCH_RESPONSE_HEAD + list_of(rev))
-            await step(clock, lambda rev=rev: proxy.driver.endpoint_list.watch.version == rev, 1.0)  # type: ignore[misc]
+            await advance_until(clock, lambda rev=rev: len(discovery.calls) >= rev)  # type: ignore[misc]
+            discovery.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
+            await advance_until(clock, lambda rev=rev: proxy.driver.endpoint_list.watch.version == rev, 1.0)  # type: ignore[misc]
             if beats:
-                await step(clock, lambda: False, 2.0)
-                discovery.calls[-1].say(http_chunk("\n"))
-            assert await next_call(discovery, clock) < LIST_DEADLINE_S - TURN_S
+                await advance_until(clock, lambda: False, 2.0)
+                discovery.calls[-1].send(http_chunk("\n"))
+            assert await advance_to_next_call(discovery, clock) < LIST_DEADLINE_S - POLL_QUEUE_S
             all_is_small(discovery, proxy)
 
 
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.support.balancer_harness import settings
-from tests.support.connect_gates import ConnectGate
+from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -131,15 +131,15 @@
         StandInEndpoint(http_response(200, b"b")) as second_endpoint,
         running_proxy(endpoint_entry("a", first_endpoint.port)) as proxy,
     ):
-        gate = ConnectGate(proxy.pool)
+        gate = ConnectGates(proxy.pool)
         asking = asyncio.ensure_future(proxy.send_request(http_request(kind)))
-        await wait_until(lambda: gate.waiting_count == 1)
+        await wait_until(lambda: gate.started_count == 1)
         news = [endpoint_entry("b", second_endpoint.port)]
         if state == "moved":
             news = [endpoint_entry("a", second_endpoint.port)]
         elif state != "absent":
             news.append(endpoint_entry("a", first_endpoint.port, state))
         proxy.driver.endpoint_list.receive(parsed_endpoint_list(*news, rev=2))
-        gate.opened.set()
+        gate.open_all()
         assert (await asking)[2] == b"b"
         assert first_endpoint.connection_count == 0
