--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -125,6 +125,7 @@
 ) -> None:
     async with watching_proxy(setup) as (discovery, proxy, clock):
         await advance_until(clock, lambda: len(discovery.calls) == 1)
+        assert discovery.server is not None
         assert discovery.server.server is not None
         discovery.calls[0].writer.transport.abort()
         discovery.server.server.close()
