--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -19,7 +19,8 @@
 from load_balancer.policy.outcome_learner import OutcomeLearner
 from load_balancer.policy.request_factory import RequestFactory
 from load_balancer.policy.request_handler import RequestHandler
-from load_balancer.policy.retry import RetryBudget, RetryRule
+from load_balancer.policy.retry import RetryRule
+from load_balancer.policy.retry_budget import RetryBudget
 from load_balancer.policy.router import Router
 from load_balancer.policy.scan_timer import ScanTimer
 from load_balancer.policy.selection import Selector
--- a/load_balancer/policy/outcome_learner.py
+++ b/load_balancer/policy/outcome_learner.py
@@ -66,7 +66,7 @@
         self._add_latency(state, latency_us / request_class.usual_latency_us)
         if outcome is messages.Outcome.OK:
             state.last_attempt = LastAttempt.SUCCEEDED
-            self._slow_start.answered(now_us, state)
+            self._slow_start.note_answer(now_us, state)
             request_class.add_latency(latency_us)
         else:
             state.last_attempt = LastAttempt.FAILED
--- a/load_balancer/policy/retry.py
+++ b/load_balancer/policy/retry.py
@@ -1,33 +1,12 @@
-"""Retries: whether a further attempt may be made, and the budget that it is paid from."""
+"""Retries: whether a request whose attempts have all failed gets a further one."""
 
 from __future__ import annotations
 
 from load_balancer import messages
 from load_balancer.policy.request_state import RequestState
+from load_balancer.policy.retry_budget import RetryBudget
 from load_balancer.policy.router import Router
 
-EARNED_PER_REQUEST = 0.2  # further attempts earned by each request: more would feed an overload
-MAX_SAVED_RETRIES = 10.0
-
-
-class RetryBudget:
-    """Further attempts that may be made, as in Finagle's retry budget."""
-
-    def __init__(self) -> None:
-        """Start full."""
-        self.balance = MAX_SAVED_RETRIES
-
-    def earn(self) -> None:
-        """Credit one request."""
-        self.balance = min(MAX_SAVED_RETRIES, self.balance + EARNED_PER_REQUEST)
-
-    def try_spend(self, price: float) -> bool:
-        """Pay for a further attempt; return False where the balance does not reach."""
-        if self.balance < price:
-            return False
-        self.balance -= price
-        return True
-
 
 class RetryRule:
     """Decides whether a request whose attempts have all failed gets a further one."""
--- a/load_balancer/policy/silent_attempts.py
+++ b/load_balancer/policy/silent_attempts.py
@@ -10,7 +10,7 @@
 from load_balancer.policy.attempt_dispatcher import AttemptDispatcher
 from load_balancer.policy.endpoint_state import EndpointAttempt
 from load_balancer.policy.open_requests import OpenRequests
-from load_balancer.policy.retry import RetryBudget
+from load_balancer.policy.retry_budget import RetryBudget
 from load_balancer.policy.router import Router
 from load_balancer.policy.scan_timer import ScanTimer
 
@@ -45,7 +45,7 @@
 
     def abandon_silent(self, now_us: int) -> None:
         """Give up attempts at silent endpoints, no more than the retry budget can replace."""
-        affordable_retries = self._retry_budget.balance
+        affordable_retries = self._retry_budget.tokens
         for attempt in list(self._dispatcher.in_flight.values()):
             if affordable_retries < 1.0:
                 break
--- a/load_balancer/policy/warming_state.py
+++ b/load_balancer/policy/warming_state.py
@@ -4,20 +4,21 @@
 
 from dataclasses import dataclass
 
-MAX_DEBT = -1.0  # an attempt without budget is paid for by the next one that falls due
+from load_balancer.policy.token_bucket import TokenBucket
+
+MAX_DEBT = -1.0  # an attempt that was admitted without a token is paid for by the next token
 
 
 @dataclass(slots=True)
 class WarmingState:
-    """What this balancer may still send to one incarnation of an endpoint. Times are microseconds."""
+    """The token bucket of one incarnation of an endpoint at one balancer, with its phase."""
 
-    phase: float  # this balancer's place, 0 to 1, among all that may send to it
-    admitted_at_us: int  # when this balancer heard of it
-    tokens: float  # attempts that have fallen due
-    tokens_updated_at_us: int
+    phase: float  # this balancer's place, 0 to 1, among all that may send to the endpoint
+    admitted_at_us: int  # when this balancer first saw the incarnation in the endpoint list
+    bucket: TokenBucket
     answer_credit_until_us: int = 0  # an answer has made room for one attempt, until then
 
     def attempt_sent(self) -> None:
-        """Pay for an attempt."""
+        """Pay for an attempt, with the answer's credit and with a token."""
         self.answer_credit_until_us = 0
-        self.tokens = max(MAX_DEBT, self.tokens - 1.0)
+        self.bucket.tokens = max(MAX_DEBT, self.bucket.tokens - 1.0)
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -121,7 +121,7 @@
     balancer = fed.driver.balancer
     fed.list(("a", first), full=True)
     server = balancer.endpoints.states[number]
-    server.warming.tokens, server.share = 0.75, 0.5
+    server.warming.bucket.tokens, server.share = 0.75, 0.5
     detector = server.detector
     fed.times.advance(1 * S)
     fed.times.step(step)
@@ -130,7 +130,7 @@
         kept = balancer.endpoints.states[number]
         assert kept is server
         assert kept.detector is detector
-        assert (kept.warming.tokens, kept.share) == (0.75, 0.5)
+        assert (kept.warming.bucket.tokens, kept.share) == (0.75, 0.5)
         assert kept.endpoint.incarnation_us == first // 1000 * 1000
         assert fed.age("a") == 2 * S
     for later in (first + 1 * S, first + 1 * S + step):  # whichever way its own clock went
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -108,7 +108,7 @@
 
 def test_unsent_attempt_is_repeated_though_the_retry_budget_is_spent() -> None:
     harness = BalancerHarness(backends=4)
-    harness.balancer.retry_budget.balance = 0.0
+    harness.balancer.retry_budget.tokens = 0.0
     send = only(harness.request("a"), messages.StartAttempt)[0]
     assert only(harness.end(send, Outcome.NOT_SENT), messages.StartAttempt)
     other = only(harness.request("b"), messages.StartAttempt)[0]
--- a/tests/policy/test_change_detector.py
+++ b/tests/policy/test_change_detector.py
@@ -15,6 +15,7 @@
     siegmund_threshold,
 )
 from load_balancer.policy.endpoint_state import EndpointState
+from load_balancer.policy.token_bucket import TokenBucket
 from load_balancer.policy.warming_state import WarmingState
 
 
@@ -100,7 +101,11 @@
 
 
 def test_shares_move_only_where_an_epoch_opens() -> None:
-    rng, server, moves = random.Random(3), EndpointState(Endpoint(1), WarmingState(0.0, 0, 0.0, 0)), 0
+    rng, server, moves = (
+        random.Random(3),
+        EndpointState(Endpoint(1), WarmingState(0.0, 0, TokenBucket(0.0))),
+        0,
+    )
     for n in range(300):
         before = server.share
         opened = server.add_latency(noisy(rng, 1.0 if n < 150 else 6.0))
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -247,7 +247,7 @@
     harness = BalancerHarness(backends=0)
     harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(3)))
     for server in harness.balancer.endpoints.subset:
-        server.warming.tokens = server.warming.phase = 0.0
+        server.warming.bucket.tokens = server.warming.phase = 0.0
     sends = [send for n in range(3) for send in only(harness.request(f"r{n}", "pay"), messages.StartAttempt)]
     assert len({send.endpoint_id for send in sends}) == 3  # one call to each
     assert not only(harness.request("cheap", "read"), messages.StartAttempt)
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -5,7 +5,7 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.policy.retry import EARNED_PER_REQUEST, MAX_SAVED_RETRIES
+from load_balancer.policy.retry_budget import MAX_SAVED_RETRIES, RETRIES_PER_REQUEST
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
@@ -83,4 +83,4 @@
             )
             attempt += 1
         harness.now += 1 * S
-    assert requests < sends <= requests * (1 + EARNED_PER_REQUEST) + MAX_SAVED_RETRIES
+    assert requests < sends <= requests * (1 + RETRIES_PER_REQUEST) + MAX_SAVED_RETRIES
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -13,7 +13,7 @@
 
 from load_balancer import messages
 from load_balancer.policy.attempt import LastAttempt
-from load_balancer.policy.slow_start import BUDGET_SAFETY, FREE_FIRST_ATTEMPTS, KEPT_WINDOW_SHARE
+from load_balancer.policy.slow_start import BUDGET_SAFETY, TOKEN_EXPIRY_WINDOWS, UNBUDGETED_FIRST_ATTEMPTS
 from tests.policy.test_slow_start_fleet import RULES, TIGHT, cold_fleet
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
@@ -106,11 +106,11 @@
                 for index, harness in enumerate(harnesses)
                 for server in harness.balancer.endpoints.subset
                 if server.endpoint.id == 0
-                and harness.balancer.slow_start.has_free_first_attempt(harness.now, server, 0.34)
+                and harness.balancer.slow_start.is_first_attempt_slot(harness.now, server, 0.34)
             }
         )
     holders = set().union(*turns)
-    assert max(len(turn) for turn in turns) <= FREE_FIRST_ATTEMPTS
+    assert max(len(turn) for turn in turns) <= UNBUDGETED_FIRST_ATTEMPTS
     assert len(holders) == 15  # each balancer with this backend in its subset
 
 
@@ -139,16 +139,16 @@
 def test_a_call_without_budget_is_paid_for_by_the_next_that_falls_due() -> None:
     harness = waiting(1, 0, 1)
     [server] = harness.balancer.endpoints.subset
-    server.warming.tokens = 0.2
+    server.warming.bucket.tokens = 0.2
     assert len(only(harness.request("r"), messages.StartAttempt)) == 1
-    assert math.isclose(server.warming.tokens, -0.8)
+    assert math.isclose(server.warming.bucket.tokens, -0.8)
 
 
 def test_what_falls_due_keeps_for_a_part_of_the_window_only() -> None:
     """With what was kept from before it, a window then brings one budget at the most."""
     harness = waiting(30, 0, 6, replace(RULES, slow_start_us=600 * S))
     server = harness.balancer.endpoints.subset[0]
-    server.warming.tokens, due, step = 0.0, 0, 10 * MS
+    server.warming.bucket.tokens, due, step = 0.0, 0, 10 * MS
     rate = (
         BUDGET_SAFETY
         * RULES.overload_multiple
@@ -157,10 +157,10 @@
     )
     for _ in range(int(1.5 / rate / step)):  # one call falls due
         harness.now += step
-        due += harness.balancer.slow_start.due_tokens(harness.now, server) >= 1.0
+        due += harness.balancer.slow_start.refill(harness.now, server) >= 1.0
     kept = due * step / RULES.overload_window_us
-    assert 0 < kept <= KEPT_WINDOW_SHARE + 0.05
-    assert (1.0 + KEPT_WINDOW_SHARE) * BUDGET_SAFETY <= 1.0 + 1e-9
+    assert 0 < kept <= TOKEN_EXPIRY_WINDOWS + 0.05
+    assert (1.0 + TOKEN_EXPIRY_WINDOWS) * BUDGET_SAFETY <= 1.0 + 1e-9
 
 
 def test_the_room_that_an_answer_makes_ends_if_it_is_not_used() -> None:
@@ -168,6 +168,6 @@
     server = harness.balancer.endpoints.subset[0]
     server.last_attempt = LastAttempt.SUCCEEDED
     server.warming.answer_credit_until_us = harness.now + S
-    server.warming.tokens = -1.0
+    server.warming.bucket.tokens = -1.0
     assert harness.balancer.router.is_open(harness.now, server, is_retry=False)
     assert not harness.balancer.router.is_open(harness.now + S, server, is_retry=False)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -11,8 +11,9 @@
 import pytest
 
 from load_balancer import messages
+from load_balancer.policy.attempt_rate import RATE_MEMORY_US
 from load_balancer.policy.endpoint_state import EndpointState
-from load_balancer.policy.slow_start import FREE_FIRST_ATTEMPTS, RATE_MEMORY_US, SlowStart
+from load_balancer.policy.slow_start import UNBUDGETED_FIRST_ATTEMPTS, SlowStart
 from tests.support.balancer_harness import CLASSES, MS, BalancerHarness, S, only, settings
 from tests.support.simulated_fleet import START, Client, Fleet, Machine
 
@@ -261,7 +262,7 @@
             for send in only(harness.request(f"r{n}"), messages.StartAttempt):
                 harness.end(send, messages.Outcome.OK)
             harness.pass_time(S)
-        saved += int(harness.balancer.slow_start.due_tokens(harness.now, cold))
+        saved += int(harness.balancer.slow_start.refill(harness.now, cold))
         flow += rules.overload_window_us / S / len(harness.balancer.endpoints.subset)
     assert 0 < saved <= rules.overload_multiple * 0.67 * flow
 
@@ -290,8 +291,8 @@
     )
     earned = []
     for server in (ours, other):
-        server.warming.tokens, server.warming.tokens_updated_at_us = 0.0, harness.now - 100 * MS
-        earned.append(harness.balancer.slow_start.due_tokens(harness.now, server))
+        server.warming.bucket.tokens, server.warming.bucket.updated_at_us = 0.0, harness.now - 100 * MS
+        earned.append(harness.balancer.slow_start.refill(harness.now, server))
     assert 0 < earned[1] * 40 <= 0.21 * earned[0] * harness.balancer.endpoints.sharing_balancers
 
 
@@ -322,7 +323,7 @@
                 sent[send.endpoint_id] += 1
     # One call from each came to five a backend, more than the rule allows where a call is all it bears.
     assert sum(sent) > 0
-    assert max(sent) <= FREE_FIRST_ATTEMPTS
+    assert max(sent) <= UNBUDGETED_FIRST_ATTEMPTS
 
 
 def test_a_further_attempt_is_no_free_first_call_where_all_are_cold() -> None:
@@ -351,11 +352,11 @@
     harness.news(messages.Endpoint(0, incarnation_us=since))
     harness.request("r")
     harness.pass_time(950 * MS)
-    harness.balancer.endpoints.states[0].warming.tokens = 1.0  # keeps for a part of the window only
-    harness.balancer.endpoints.states[0].warming.tokens_updated_at_us = harness.now
+    harness.balancer.endpoints.states[0].warming.bucket.tokens = 1.0  # keeps for a part of the window only
+    harness.balancer.endpoints.states[0].warming.bucket.updated_at_us = harness.now
     probes = only(harness.pass_time(250 * MS), messages.CheckHealth)
     assert len(probes) == 1
-    harness.balancer.endpoints.states[0].warming.tokens = 0.0
+    harness.balancer.endpoints.states[0].warming.bucket.tokens = 0.0
     again = only(harness.event(messages.HealthCheckEnded(0, alive=False)), messages.CheckHealth)
     assert len(probes) + len(again) == asks
 
--- a/tests/policy/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from load_balancer import messages
-from load_balancer.policy.slow_start import MAX_KEPT_ATTEMPTS
+from load_balancer.policy.slow_start import MAX_BURST_ATTEMPTS
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
@@ -20,7 +20,7 @@
     harness.balancer.endpoints.states[9].share = 1000.0
     harness.now += 20 * S  # long idle
     sends = [s.endpoint_id for n in range(30) for s in only(harness.request(f"r{n}"), messages.StartAttempt)]
-    assert sends.count(9) <= MAX_KEPT_ATTEMPTS
+    assert sends.count(9) <= MAX_BURST_ATTEMPTS
 
 
 def test_a_start_still_to_come_is_no_cold_one_where_none_are_cold() -> None:
--- a/tests/policy/test_unsent_attempts.py
+++ b/tests/policy/test_unsent_attempts.py
@@ -13,7 +13,7 @@
     harness = BalancerHarness(backends=0)
     harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(3)))
     for server in harness.balancer.endpoints.subset:
-        server.warming.tokens = server.warming.phase = 0.0
+        server.warming.bucket.tokens = server.warming.phase = 0.0
     return harness
 
 
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -36,7 +36,7 @@
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from load_balancer.policy.change_detector import PRIOR_SAMPLES
 from load_balancer.policy.endpoint_state import COOL_DOWN_US
-from load_balancer.policy.retry import MAX_SAVED_RETRIES
+from load_balancer.policy.retry_budget import MAX_SAVED_RETRIES
 from load_balancer.process.reload import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
 from tests.process.test_reload import ReloadHarness
 from tests.process.test_startup import attended
@@ -465,7 +465,7 @@
             assert not p.pool.pacing.no_extra_until_s
             [server] = p.driver.balancer.endpoints.states.values()
             assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
-            assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
             writer.close()
 
     run(test)
@@ -488,7 +488,7 @@
                 assert status(await read_message(reader)) == 503
                 assert rule.hits == 3 * answers
                 assert p.driver.is_idle
-            assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
             assert not b.seen
             assert not p.pool.pending.by_endpoint
             assert not p.pool.connections.open
@@ -987,7 +987,7 @@
             await until(lambda: not p.pool.idle.by_endpoint and not p.pool.connections.open)
             assert status(await p.ask(call(request_id="r2"))) == 200
             assert b.connections == 2
-            assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
 
     run(test)
     assert not lines(caplog)
@@ -1067,7 +1067,7 @@
                     clock.step(SETTLE_S)
                 assert b.connections == 3
                 assert failing.asked
-                assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
+                assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
                 clock.step(1.0)
                 p.listener.close_idle_connections()
                 p.listener._sweep()
