--- a/tests/net/client/test_policy_faults.py
+++ b/tests/net/client/test_policy_faults.py
@@ -7,30 +7,25 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.client_helpers import status
-from tests.support.loopback import (
-    answer,
-    backend,
-    call,
-    entry,
-    peer,
-    proxy,
-)
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, response_status
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 
 async def test_policy_exception_is_logged_and_its_request_answered_502(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
 
         def fault(now: int, event: messages.Event) -> list[messages.Action]:
             raise ZeroDivisionError("a fault")
 
         with monkeypatch.context() as patch:
             patch.setattr(p.driver.balancer, "handle", fault)
-            assert status(await p.ask(call())) == 502
+            assert response_status(await p.send_request(http_request())) == 502
         assert "ZeroDivisionError: a fault" in caplog.text
-        assert status(await p.ask(call())) == 200
+        assert response_status(await p.send_request(http_request())) == 200
 
 
 async def test_policy_exception_over_an_outcome_is_answered_502(
@@ -39,7 +34,7 @@
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
-    async with peer(silent) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInServer(silent) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         handle = p.driver.balancer.handle
 
         def faulty(now: int, event: messages.Event) -> list[messages.Action]:
@@ -48,7 +43,7 @@
             return handle(now, event)
 
         monkeypatch.setattr(p.driver.balancer, "handle", faulty)
-        assert status(await p.ask(call(Req_Deadline="0.6"))) == 502
+        assert response_status(await p.send_request(http_request(Req_Deadline="0.6"))) == 502
         assert p.driver.is_idle
         assert not p.driver.balancer.open_requests.by_id
 
@@ -56,20 +51,23 @@
 async def test_failed_action_does_not_prevent_the_next_actions(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         monkeypatch.setattr(
             p.driver.balancer,
             "handle",
             lambda now, e: [messages.StartAttempt("x", 1, 1), messages.Reject(e.id)],
         )
         monkeypatch.setattr(p.driver.attempts, "start", None)  # can't be called
-        assert status(await p.ask(call())) == 503
+        assert response_status(await p.send_request(http_request())) == 503
 
 
 async def test_request_is_answered_502_when_the_policy_never_decides(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with proxy(entry("s-1", 9)) as p:
+    async with running_proxy(endpoint_entry("s-1", 9)) as p:
         monkeypatch.setattr(p.driver.balancer, "handle", lambda now, event: [])
-        assert status(await p.ask(call(Req_Deadline="0.1"))) == 502
+        assert response_status(await p.send_request(http_request(Req_Deadline="0.1"))) == 502
         assert p.driver.is_idle
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -8,16 +8,10 @@
 
 from load_balancer import messages
 from tests.support.balancer_harness import settings
-from tests.support.client_helpers import status
-from tests.support.loopback import (
-    answer,
-    backend,
-    call,
-    entry,
-    peer,
-    proxy,
-    read_message,
-)
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 
 @pytest.mark.parametrize(
@@ -26,42 +20,42 @@
         b"nonsense\r\n\r\n",
         b"POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
         b"POST /api HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-        call(request_id=""),
-        call(kind=""),
-        call(Req_Deadline="soon"),
-        call(Req_Deadline="nan"),
-        call(Req_Deadline="inf"),
-        call(Req_Deadline="1_0"),
-        call(Req_Deadline="-1"),
-        call(Req_Deadline=""),
-        call("unheard-of"),
-        call("mark", Idempotency_Key=""),
-        call(req_id="other"),
-        call(req_kind="pay"),
-        call("mark", Content_Length="-5"),
-        call(body=b"with GET"),
-        call("mark", Content_Length="0", Transfer_Encoding="chunked") + b"0\r\n\r\n",
+        http_request(request_id=""),
+        http_request(kind=""),
+        http_request(Req_Deadline="soon"),
+        http_request(Req_Deadline="nan"),
+        http_request(Req_Deadline="inf"),
+        http_request(Req_Deadline="1_0"),
+        http_request(Req_Deadline="-1"),
+        http_request(Req_Deadline=""),
+        http_request("unheard-of"),
+        http_request("mark", Idempotency_Key=""),
+        http_request(req_id="other"),
+        http_request(req_kind="pay"),
+        http_request("mark", Content_Length="-5"),
+        http_request(body=b"with GET"),
+        http_request("mark", Content_Length="0", Transfer_Encoding="chunked") + b"0\r\n\r\n",
     ],
 )
 async def test_malformed_head_is_answered_400_and_not_forwarded(sent: bytes) -> None:
-    async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(sent)) == 400
-        assert b.seen == []
-        assert status(await p.ask(call())) == 200
+    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+        assert response_status(await p.send_request(sent)) == 400
+        assert b.received == []
+        assert response_status(await p.send_request(http_request())) == 200
 
 
 @pytest.mark.parametrize("method", [b"HEAD", b"POST", b"CONNECT", b"DELETE"])
 async def test_method_that_does_not_match_the_request_class_is_answered_405(method: bytes) -> None:
-    async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call().replace(b"GET", method, 1))) == 405
-        assert b.seen == []
+    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+        assert response_status(await p.send_request(http_request().replace(b"GET", method, 1))) == 405
+        assert b.received == []
 
 
 async def test_body_over_the_limit_is_answered_413() -> None:
-    async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call("mark", body=b"x" * 65536))) == 200
-        assert status(await p.ask(call("mark", body=b"x" * 300_000))) == 413
-        assert len(b.seen) == 1
+    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+        assert response_status(await p.send_request(http_request("mark", body=b"x" * 65536))) == 200
+        assert response_status(await p.send_request(http_request("mark", body=b"x" * 300_000))) == 413
+        assert len(b.received) == 1
 
 
 async def test_id_of_an_open_request_is_answered_409() -> None:
@@ -69,70 +63,84 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            b.seen.append(await read_message(reader))
+            b.received.append(await read_http_message(reader))
             await go_on.wait()
-            writer.write(answer(200, b"x"))
+            writer.write(http_response(200, b"x"))
 
-    async with peer(handle) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInServer(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         reader, writer = await p.connect()
-        writer.write(call(request_id="same"))
-        while not b.seen:
+        writer.write(http_request(request_id="same"))
+        while not b.received:
             await asyncio.sleep(0)
-        assert status(await p.ask(call(request_id="same"))) == 409
+        assert response_status(await p.send_request(http_request(request_id="same"))) == 409
         go_on.set()
-        assert status(await read_message(reader)) == 200
-        assert status(await p.ask(call(request_id="same"))) == 200  # over, so it may come again
+        assert response_status(await read_http_message(reader)) == 200
+        assert (
+            response_status(await p.send_request(http_request(request_id="same"))) == 200
+        )  # over, so it may come again
         writer.close()
-        assert len(b.seen) == 2
+        assert len(b.received) == 2
         assert not p.clients.open_request_ids
 
 
 async def test_request_smuggled_in_a_body_is_not_forwarded() -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        hidden = call(request_id="hidden")
-        outer = call("mark", Content_Length=str(5 + len(hidden)), Transfer_Encoding="chunked")
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        hidden = http_request(request_id="hidden")
+        outer = http_request("mark", Content_Length=str(5 + len(hidden)), Transfer_Encoding="chunked")
         reader, writer = await p.connect()
         writer.write(outer + b"0\r\n\r\n" + hidden)
-        first, headers, _ = await read_message(reader)
+        first, headers, _ = await read_http_message(reader)
         assert (first.split()[1], headers["connection"]) == ("400", "close")
         assert await reader.read() == b""
         writer.close()
-        assert b.seen == []
+        assert b.received == []
 
 
 async def test_content_length_over_the_limit_is_rejected_before_the_body() -> None:
-    async with backend(answer(200)) as b, proxy(entry("s-1", b.port)) as p:
+    async with StandInEndpoint(http_response(200)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
         for length in ("60000000", "9" * 18, "9" * 5000):
-            assert status(await p.ask(call("mark", Content_Length=length))) in (400, 413, 431)
-        assert b.seen == []
+            assert response_status(await p.send_request(http_request("mark", Content_Length=length))) in (
+                400,
+                413,
+                431,
+            )
+        assert b.received == []
 
 
 async def test_rejection_carries_retry_after() -> None:
     limits = messages.Limits(max_attempts=1, cancel=True, retry_after_us=2_000_000)
     async with (
-        backend(answer(503, Srv_Declined="1")) as b,
-        proxy(entry("s-1", b.port), setup=settings(limits=limits)) as p,
+        StandInEndpoint(http_response(503, Srv_Declined="1")) as b,
+        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
     ):
-        got = await p.ask(call("pay"))
-        assert status(got) == 503  # it never ran, so even an unsafe one is refused
+        got = await p.send_request(http_request("pay"))
+        assert response_status(got) == 503  # it never ran, so even an unsafe one is refused
         assert 0.0 < float(got[1]["retry-after"]) <= 2.0
-    async with backend(answer(503, Srv_Declined="1")) as b, proxy(entry("s-1", b.port)) as p:
-        assert "retry-after" not in (await p.ask(call(Req_Deadline="0.2")))[1]
+    async with (
+        StandInEndpoint(http_response(503, Srv_Declined="1")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        assert "retry-after" not in (await p.send_request(http_request(Req_Deadline="0.2")))[1]
 
 
 async def test_request_that_may_have_run_is_answered_502() -> None:
-    for said in (None, answer(500), answer(503)):
-        async with backend(said) as b, proxy(entry("s-1", b.port)) as p:
-            assert status(await p.ask(call("pay"))) == 502
-            assert len(b.seen) == 1
+    for said in (None, http_response(500), http_response(503)):
+        async with StandInEndpoint(said) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+            assert response_status(await p.send_request(http_request("pay"))) == 502
+            assert len(b.received) == 1
 
 
 async def test_endpoint_400_is_not_retried_nor_counted_as_a_failure() -> None:
     """A request that is no good is no good anywhere: trying it elsewhere would lower all backends."""
 
-    async with backend(answer(400)) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call())) == 502  # no refusal: coming again would not help
-        assert len(b.seen) == 1
+    async with StandInEndpoint(http_response(400)) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
+        assert (
+            response_status(await p.send_request(http_request())) == 502
+        )  # no refusal: coming again would not help
+        assert len(b.received) == 1
         [server] = p.driver.balancer.endpoints.states.values()
         assert server.failure_penalty_ends_us == []
         assert server.detector.mean == 1.0
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -12,14 +12,16 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from tests.support.loopback import answer, backend, peer, read_message, until
-from tests.support.upstream_helpers import ONCE, REQUEST, attempt
+from tests.support.attempts import KEYED_REQUEST, UNSAFE_REQUEST, run_attempt
+from tests.support.http_messages import http_response, read_http_message
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import wait_until
 
 
 async def test_refused_connect_ends_as_no_connection() -> None:
     with socket.socket() as closed:
         closed.bind(("127.0.0.1", 0))
-        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), closed.getsockname())
+        got, _ = await run_attempt(ConnectionPool(0.25, 30.0, 10), closed.getsockname())
         assert got is Outcome.NO_CONNECTION
 
 
@@ -31,33 +33,37 @@
         for filler in fillers:  # until the queue takes no more, the system says nothing
             filler.setblocking(False)
             filler.connect_ex(full.getsockname())
-        got, _ = await attempt(ConnectionPool(0.1, 30.0, 10), full.getsockname())
+        got, _ = await run_attempt(ConnectionPool(0.1, 30.0, 10), full.getsockname())
         assert got is Outcome.NO_CONNECTION
         for filler in fillers:
             filler.close()
 
 
 async def test_reset_before_the_request_is_written_ends_as_no_connection() -> None:
-    big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000)
+    big = replace(
+        UNSAFE_REQUEST, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000
+    )
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(10)
         writer.transport.abort()
 
-    async with peer(handle) as b:
-        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big)
+    async with StandInServer(handle) as b:
+        got, _ = await run_attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big)
         assert got is Outcome.NO_CONNECTION
 
 
 async def test_timeout_before_the_request_is_written_ends_as_no_connection() -> None:
-    big = replace(ONCE, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000)
+    big = replace(
+        UNSAFE_REQUEST, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000
+    )
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await never.wait()
 
     never = asyncio.Event()
-    async with peer(handle) as b:
-        got, _ = await attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big, timeout_s=0.2)
+    async with StandInServer(handle) as b:
+        got, _ = await run_attempt(ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", b.port), big, timeout_s=0.2)
         assert got is Outcome.NO_CONNECTION
         never.set()
 
@@ -71,14 +77,14 @@
         await reader.readuntil(b"\r\n\r\n")
         begun.set()
         await go_on.wait()
-        writer.write(answer(200, b"ok"))
+        writer.write(http_response(200, b"ok"))
 
     begun, go_on = asyncio.Event(), asyncio.Event()
     ended: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         out = ConnectionPool(0.25, 30.0, 10).start_attempt(
             EndpointAddress(1, ("127.0.0.1", b.port)),
-            replace(ONCE, headers=head, body=b"x" * size),
+            replace(UNSAFE_REQUEST, headers=head, body=b"x" * size),
             5.0,
             lambda how, _: ended.set_result(how),
         )
@@ -95,7 +101,7 @@
 ) -> None:
     """It stands, and the task that waited for it has been woken and has not run yet."""
 
-    async with backend(answer(200, b"ok")) as b:
+    async with StandInEndpoint(http_response(200, b"ok")) as b:
         pool, endpoint = ConnectionPool(0.25, 30.0, 10), EndpointAddress(1, ("127.0.0.1", b.port))
         ended: list[Outcome] = []
         made = UpstreamConnection.connection_made
@@ -116,27 +122,29 @@
             }[how]()
 
         monkeypatch.setattr(UpstreamConnection, "connection_made", crossed)
-        out = pool.start_attempt(endpoint, REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
-        await until(lambda: b.connections == 1 and not pool.connections.open and not pool.pending.by_endpoint)
+        out = pool.start_attempt(endpoint, KEYED_REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
+        await wait_until(
+            lambda: b.connection_count == 1 and not pool.connections.open and not pool.pending.by_endpoint
+        )
         assert len(ended) == 1
         assert not pool.idle.by_endpoint
         assert not pool.waiting.by_endpoint
-        assert b.seen == []
+        assert b.received == []
 
 
 async def test_cancel_closes_the_connection() -> None:
     begun, closed = asyncio.Event(), asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_message(reader)
+        await read_http_message(reader)
         begun.set()
         assert await reader.read() == b""
         closed.set()
 
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         pool, ends = ConnectionPool(0.25, 30.0, 10), []
         out = pool.start_attempt(
-            EndpointAddress(1, ("127.0.0.1", b.port)), REQUEST, 5.0, lambda how, _: ends.append(how)
+            EndpointAddress(1, ("127.0.0.1", b.port)), KEYED_REQUEST, 5.0, lambda how, _: ends.append(how)
         )
         await begun.wait()
         out.cancel()
@@ -152,4 +160,4 @@
         raise OSError(24, "Too many open files")
 
     monkeypatch.setattr(pool.connector, "open", connect)
-    assert (await attempt(pool, ("127.0.0.1", 1)))[0] is Outcome.NOT_SENT
+    assert (await run_attempt(pool, ("127.0.0.1", 1)))[0] is Outcome.NOT_SENT
