--- a/load_balancer/net/client/client_connection.py
+++ b/load_balancer/net/client/client_connection.py
@@ -123,7 +123,7 @@
         if self.is_lingering or self.transport.is_closing():
             return False
         if self._clients.is_draining or self.is_over_limit:
-            # A request that has come behind this one is owed its own response.
+            # A request that has come behind this one needs a response of its own.
             is_last = is_last or not (self.http.has_unparsed_bytes or self.has_unprocessed_bytes)
         self.transport.write(self.http.final_response(response, is_last=is_last))
         self.last_progress_at_s = self._loop.time()
@@ -144,7 +144,7 @@
         self.linger()
 
     def linger(self) -> None:
-        """Close our side, and the connection once the client has closed its side.
+        """Close the proxy's side, and the connection once the client has closed its side.
 
         A close over unread bytes resets the connection, and the client may lose the response: the rest is
         read and dropped first.
@@ -156,7 +156,7 @@
         self.transport.resume_reading()
         self._clients.mark_unused(self)
         if self.transport.can_write_eof():
-            with contextlib.suppress(OSError):  # it has been reset just now, which the next read tells
+            with contextlib.suppress(OSError):  # it has just been reset, which the next read reports
                 self.transport.write_eof()
 
     def abort(self, response: ClientResponse) -> None:
--- a/load_balancer/net/client/http_request.py
+++ b/load_balancer/net/client/http_request.py
@@ -16,10 +16,11 @@
 from load_balancer.errors import LoadBalancerError
 from load_balancer.net.http_messages import MAX_BODY_BYTES, Headers
 
-# Not what float() takes besides: inf, 1_0, -1.
+# float() would also take inf, 1_0 and -1.
 DEADLINE_PATTERN = re.compile(rb"[0-9]{1,6}(\.[0-9]{1,9})?")
 ID_PATTERN = re.compile(rb"[!-~]{1,128}")
-# More digits are too long a body by themselves; int() of any number of them would hold up the event loop.
+# A length with more digits is too long in any case, and int() of a very long one would hold up the event
+# loop.
 MAX_CONTENT_LENGTH_DIGITS = 18
 METHOD_OF_CLASS = {
     messages.Idempotency.SAFE: b"GET",
@@ -27,7 +28,7 @@
     messages.Idempotency.UNSAFE: b"POST",
 }
 FORWARDED_HEADERS = (b"host", b"req-id", b"idempotency-key", b"content-type")
-# A request that has one of these twice is malformed; so is one that has any of `Req-*` twice.
+# A request that repeats one of these headers is malformed, and so is one that repeats any `Req-*` header.
 UNREPEATABLE_HEADERS = (*FORWARDED_HEADERS, b"transfer-encoding", b"content-length")
 
 
@@ -88,13 +89,13 @@
         raise BadRequestError(405, "neither GET nor POST")
     if not request.target.startswith(b"/"):
         raise BadRequestError(400, "not a path")
-    # With two lengths, an endpoint could end the body elsewhere than we do, and take the rest of it for a
-    # second request.
+    # With two lengths, an endpoint could end the body elsewhere than the proxy does, and take the rest of it
+    # for a second request.
     if b"transfer-encoding" in fields and (b"content-length" in fields or request.http_version < b"1.1"):
-        raise BadRequestError(400, "two lengths")
+        raise BadRequestError(400, "ambiguous length of the body")
     length = fields.get(b"content-length", b"0")
     if len(length) > MAX_CONTENT_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
-        raise BadRequestError(413, "too long")
+        raise BadRequestError(413, "the body is too long")
     if request.method == b"GET" and (b"transfer-encoding" in fields or int(length) > 0):
         raise BadRequestError(400, "a body with GET")
     return fields
@@ -104,7 +105,7 @@
     fields: dict[bytes, bytes] = {}
     for name, value in request.headers:
         if name in fields and (name in UNREPEATABLE_HEADERS or name.startswith(b"req-")):
-            raise BadRequestError(400, f"{name.decode()} stands twice")
+            raise BadRequestError(400, f"{name.decode()} is repeated")
         fields[name] = value
     return fields
 
@@ -143,12 +144,12 @@
 def _read_class(
     request: h11.Request, fields: Mapping[bytes, bytes], classes: Mapping[str, messages.RequestClass]
 ) -> messages.RequestClass:
-    # The balancer keeps state for each class that it meets: made-up ones would make it grow without an end.
+    # The balancer keeps state for each class that it meets: made-up ones would let it grow without a limit.
     request_class = classes.get(fields.get(b"req-kind", b"").decode("latin-1"))
     if request_class is None:
-        raise BadRequestError(400, "no Req-Kind of ours")
+        raise BadRequestError(400, "unknown Req-Kind")
     if request.method != METHOD_OF_CLASS[request_class.idempotency]:
-        raise BadRequestError(405, "not the method of its class")
+        raise BadRequestError(405, "not the method of the request class")
     has_key = ID_PATTERN.fullmatch(fields.get(b"idempotency-key", b""))
     if request_class.idempotency is messages.Idempotency.KEYED and not has_key:
         raise BadRequestError(400, "no Idempotency-Key")  # endpoints would run each retry of it again
--- a/load_balancer/net/client/incoming_request.py
+++ b/load_balancer/net/client/incoming_request.py
@@ -55,7 +55,7 @@
         """
         self.body += data
         if len(self.body) > MAX_BODY_BYTES:
-            raise BadRequestError(413, "too long")
+            raise BadRequestError(413, "the body is too long")
 
     def forwarded_headers(self, head: RequestHead) -> Headers:
         """Return the headers that go to the endpoint, those of the head and the length of the body."""
--- a/load_balancer/net/client/request_forwarder.py
+++ b/load_balancer/net/client/request_forwarder.py
@@ -63,7 +63,7 @@
             return
         if head.request_id in self._clients.open_request_ids:
             # An endpoint would take this one for a retry of the open request, and might drop it.
-            raise BadRequestError(409, "the id of an open request")
+            raise BadRequestError(409, "Req-Id of an open request")
         self._forward(head)
 
     def reject(self, response: ClientResponse) -> None:
--- a/load_balancer/net/client/request_processor.py
+++ b/load_balancer/net/client/request_processor.py
@@ -101,7 +101,7 @@
 
     def _parse_events(self) -> None:
         for _ in range(limits.MAX_EVENTS_PER_TURN):
-            # A response that is not read holds the next request back: its response would fill our memory.
+            # A response that is not read holds the next request back: more responses would fill the memory.
             if self._connection.state is not ConnectionState.READING or self._connection.is_writing:
                 return
             if not self._handle_event(self._http.next_event()):
@@ -109,7 +109,7 @@
         self._schedule_processing()
 
     def _handle_event(self, event: ParsedEvent) -> bool:
-        """Handle one event of h11's, and return whether to go on with the next one."""
+        """Handle one event of h11, and return whether to go on with the next one."""
         match event:
             case h11.Request():
                 self._incoming.begin(event)
--- a/load_balancer/net/driver/action_performer.py
+++ b/load_balancer/net/driver/action_performer.py
@@ -56,7 +56,7 @@
             try:
                 self.perform(action, decided_at_s)
             except Exception:  # else the timers and the final responses of other requests would be lost
-                log.exception("performing %.200r failed", action)
+                log.exception("an action of the policy failed: %.200r", action)
 
     def perform(self, action: messages.Action, decided_at_s: float) -> None:
         """Carry out one action that was decided no sooner than at `decided_at_s`."""
--- a/load_balancer/net/driver/endpoint_directory.py
+++ b/load_balancer/net/driver/endpoint_directory.py
@@ -39,7 +39,7 @@
         self.up_ids: set[int] = set()
         self._change_log = RepeatedLogLines(
             log,
-            line=LogLine(logging.INFO, "endpoint %d is %s, cell %d, %s"),
+            line=LogLine(logging.INFO, "endpoint %d at %s is %s, cell %d, %s"),
             summary=LogLine(logging.INFO, "%d more changes of endpoints"),
             limits=RunLimits(window_s=CHANGE_LOG_WINDOW_S, max_lines=MAX_LOGGED_CHANGES),
         )
@@ -58,7 +58,7 @@
         Returns:
             The endpoints that are out of service now or have another address, as they were before.
         """
-        # Endpoints that the list leaves as they are need no look: it may name one of thousands.
+        # Endpoints that the list leaves as they are need no check: it may name one of thousands.
         named = message.uids.keys() | (self.by_id.keys() if message.is_complete else ())
         before = [self.by_id[endpoint_id] for endpoint_id in named if endpoint_id in self.by_id]
         if message.is_complete:
@@ -99,4 +99,6 @@
         known = self.by_id.get(entry.id)
         was_up, is_up = entry.id in self.up_ids, entry.status is messages.EndpointStatus.UP
         if known is None or known.address != address or is_up != was_up:
-            self._change_log.record(now_s, entry.id, uid, entry.cell, entry.status.value)
+            last_address = address or (known.address if known is not None else None)
+            shown_address = "no address" if last_address is None else "{}:{}".format(*last_address)
+            self._change_log.record(now_s, entry.id, shown_address, uid, entry.cell, entry.status.value)
--- a/load_balancer/net/driver/event_loop_driver.py
+++ b/load_balancer/net/driver/event_loop_driver.py
@@ -151,7 +151,7 @@
         try:
             actions = self.balancer.handle(now_us, event)
         except Exception:  # one request's fault would end the whole proxy, and all open requests be lost
-            log.exception("handling %.200r failed", event)
+            log.exception("the policy failed to handle %.200r", event)
             self._fail_request_of(event)
             return
         self.actions.perform_all(actions, decided_at_s)
--- a/load_balancer/net/driver/open_requests.py
+++ b/load_balancer/net/driver/open_requests.py
@@ -60,7 +60,7 @@
         self._events = events
         self._loop = asyncio.get_running_loop()
         self._requests: dict[str, OpenRequest] = {}
-        # Requests get ids of our own: a client's id may come twice, and late outcomes must find theirs.
+        # The driver numbers requests itself: a client may use an id twice, and late outcomes have to fit.
         self._last_id = 0
         self._shutdown_deadline_at_s: float | None = None
 
