--- a/load_balancer/net/driver/open_requests.py
+++ b/load_balancer/net/driver/open_requests.py
@@ -60,7 +60,8 @@
         self._events = events
         self._loop = asyncio.get_running_loop()
         self._requests: dict[str, OpenRequest] = {}
-        # The driver numbers requests itself: a client may use an id twice, and late outcomes have to fit.
+        # The driver gives each request an id of its own: a client may use one id twice, and a late outcome
+        # has to find its own request.
         self._last_id = 0
         self._shutdown_deadline_at_s: float | None = None
 
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -10,83 +10,85 @@
 from load_balancer.messages import Outcome
 from load_balancer.net.upstream import connection_queue
 from load_balancer.net.upstream.connection_pool import ConnectionPool
-from tests.support.balancer_harness import BalancerHarness, S, only, settings
-from tests.support.loopback import answer, backend, call, entry, proxy
-from tests.support.upstream_helpers import (
-    IDLE_S,
-    LIMIT_S,
-    MOSTLY_QUICK,
-    Calls,
-    Connects,
-    ids,
+from tests.support.attempts import (
+    LONG_CONNECT_TIMEOUT_S,
+    LONG_IDLE_TIMEOUT_S,
+    MOSTLY_FAST_CONNECTS_S,
+    RecordedAttempts,
 )
+from tests.support.balancer_harness import BalancerHarness, S, only, settings
+from tests.support.connect_gates import ConnectGates
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint
 
 
 @pytest.mark.parametrize(("heard", "ends"), [(True, Outcome.NOT_SENT), (False, Outcome.NO_CONNECTION)])
 async def test_attempt_without_a_connection_fails_over_in_time(heard: bool, ends: Outcome) -> None:
     """As not sent where the backend is known to be there, as one that can't be reached otherwise."""
 
-    async with backend(answer(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+    async with StandInEndpoint(http_response(200)) as b:
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         if heard:
             pool.connections.record_activity(calls.endpoint)
-        calls.begin("a", failover_within_s=LIMIT_S / 2)
+        calls.begin("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
         for count in (2, 3):
-            await connects.step(11.0)
-            await connects.begun(count)
-        assert not calls.ended
-        await connects.step(11.0)
-        await calls.until(a=ends)
+            await connects.advance(11.0)
+            await connects.wait_for(count)
+        assert not calls.outcomes
+        await connects.advance(11.0)
+        await calls.wait_for_outcomes(a=ends)
         assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
         calls.begin("b")  # what comes up late is there for another
-        connects.let(0)
-        await calls.until(a=ends, b=Outcome.OK)
-        assert ids(b) == ["b"]
+        connects.open(0)
+        await calls.wait_for_outcomes(a=ends, b=Outcome.OK)
+        assert b.request_ids == ["b"]
         pool.close()
 
 
 async def test_attempt_without_another_endpoint_waits_for_its_connections() -> None:
-    async with backend(answer(200)) as b:
-        pool = ConnectionPool(LIMIT_S, IDLE_S, 10)
-        calls, connects = Calls(pool, b), Connects(pool, MOSTLY_QUICK)
+    async with StandInEndpoint(http_response(200)) as b:
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a", failover_within_s=500.0)
-        await connects.step(600.0)
+        await connects.advance(600.0)
         for _ in range(20):
-            await connects.step(50.0)
-        assert not calls.ended
+            await connects.advance(50.0)
+        assert not calls.outcomes
         assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
-        connects.let(0)
-        await calls.until(a=Outcome.OK)
+        connects.open(0)
+        await calls.wait_for_outcomes(a=Outcome.OK)
         pool.close()
 
 
 async def test_request_fails_over_to_another_endpoint_when_connects_stall() -> None:
     async with (
-        backend(answer(200, b"x")) as a,
-        backend(answer(200, b"x")) as b,
-        proxy(
-            entry("s-1", a.port),
-            entry("s-2", b.port),
-            setup=settings(
+        StandInEndpoint(http_response(200, b"x")) as a,
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(
+            endpoint_entry("s-1", a.port),
+            endpoint_entry("s-2", b.port),
+            settings=settings(
                 classes=(messages.RequestClass("read", 5_000 * S, 9_000 * S, messages.Idempotency.SAFE),),
                 limits=messages.Limits(max_attempts=2, cancel=True),
             ),
-            connect_s=LIMIT_S,
+            connect_timeout_s=LONG_CONNECT_TIMEOUT_S,
         ) as p,
     ):
-        connects = Connects(p.pool, MOSTLY_QUICK)
+        connects = ConnectGates(p.pool, MOSTLY_FAST_CONNECTS_S)
         for endpoint in list(p.pool.idle.reuse_from_s):
             p.pool.connections.record_activity(endpoint)
-        asked = asyncio.ensure_future(p.ask(call(Req_Deadline="9000")))
-        await connects.begun(1)
+        asked = asyncio.ensure_future(p.send_request(http_request(Req_Deadline="9000")))
+        await connects.wait_for(1)
         for count in (2, 3, 4):
-            await connects.step(11.0)
-            await connects.begun(count)
-        connects.let(3)  # the first to the other backend
+            await connects.advance(11.0)
+            await connects.wait_for(count)
+        connects.open(3)  # the first to the other backend
         first, _, body = await asked
         assert (first.split()[1], body) == ("200", b"x")
-        assert a.connections + b.connections == 1
+        assert a.connection_count + b.connection_count == 1
 
 
 def test_negative_handshake_price_is_rejected() -> None:
