--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -44,7 +44,7 @@
     """The proxy has not opened its watch anew in time."""
 
     def __init__(self) -> None:
-        """Say so."""
+        """Word the message."""
         super().__init__("it has not opened its watch anew")
 
 
--- a/benchmarks/proxy_process.py
+++ b/benchmarks/proxy_process.py
@@ -37,7 +37,7 @@
     """The proxy has ended, and the system reports no figure of its memory any more."""
 
     def __init__(self) -> None:
-        """Say so."""
+        """Word the message."""
         super().__init__("the system tells nothing of its memory")
 
 
--- a/load_balancer/__init__.py
+++ b/load_balancer/__init__.py
@@ -1,4 +1,4 @@
-"""load_balancer: the decisions of a load balancer for services that call services."""
+"""A load-balancing HTTP/1.1 proxy. `Balancer`, its policy, can be used without any socket."""
 
 from load_balancer.policy.balancer import Balancer
 
--- a/load_balancer/errors.py
+++ b/load_balancer/errors.py
@@ -19,7 +19,7 @@
     """Bytes from outside are no text in UTF-8."""
 
     def __init__(self, error: UnicodeDecodeError) -> None:
-        """Tell the first byte that does not belong to a text."""
+        """Name the position of the first byte that cannot be decoded."""
         super().__init__(f"not UTF-8: {error.reason} at byte {error.start}")
 
 
@@ -35,7 +35,7 @@
     """A text from outside is JSON, but no object."""
 
     def __init__(self) -> None:
-        """Say so."""
+        """Word the message."""
         super().__init__("not a JSON object")
 
 
--- a/load_balancer/net/__init__.py
+++ b/load_balancer/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real proxy: sockets round the decision module."""
+"""The network side of the proxy: carries out the decisions of the policy on real sockets."""
--- a/load_balancer/simulator.py
+++ b/load_balancer/simulator.py
@@ -4,8 +4,8 @@
 line on standard input is a batch of events, each line on standard output the reply to it. Times are
 microseconds. The wire's words stay in this module.
 
-Exit codes: 0 at the end of the input, 1 where the reader of the replies is gone, 2 where a line cannot be
-understood, which is told in one line on standard error.
+Exit codes: 0 at the end of the input; 1 where the reader of the replies is gone; 2 where a line cannot be
+understood, with one line on standard error that says why.
 """
 
 from __future__ import annotations
