--- a/load_balancer/net/driver/open_requests.py
+++ b/load_balancer/net/driver/open_requests.py
@@ -60,7 +60,8 @@
         self._events = events
         self._loop = asyncio.get_running_loop()
         self._requests: dict[str, OpenRequest] = {}
-        # Requests get ids of our own: a client's id may come twice, and late outcomes must find theirs.
+        # The driver gives each request an id of its own: a client may use one id twice, and a late outcome
+        # has to find its own request.
         self._last_id = 0
         self._shutdown_deadline_at_s: float | None = None
 
