--- a/load_balancer/net/driver/event_loop_driver.py
+++ b/load_balancer/net/driver/event_loop_driver.py
@@ -14,7 +14,7 @@
 from load_balancer import messages
 from load_balancer.net.addresses import Address
 from load_balancer.net.clock import Clock
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
 from load_balancer.net.driver.action_performer import ActionPerformer
 from load_balancer.net.driver.attempt_dispatcher import AttemptDispatcher
 from load_balancer.net.driver.client_messages import ClientRequest
--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -18,6 +18,7 @@
 from typing import Any
 
 import pytest
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
 
 from benchmarks.fleet_growth import play
 from benchmarks.growth_limits import Figures, broken, limits
@@ -25,7 +26,7 @@
 from benchmarks.scenarios import Scenario, Step, settings
 from benchmarks.stand_ins import entry
 from load_balancer import Balancer, messages
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, read_list
+from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.settings import read_settings
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -11,7 +11,7 @@
 from load_balancer.net.client import client_limits
 from load_balancer.net.upstream import idle_connections
 from tests.net.client.delayed_endpoint import DelayedEndpoint
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
@@ -50,7 +50,9 @@
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
-        running_proxy(endpoint_entry("s-1", endpoint.port), settings=settings(limits=limits)) as proxy,
+        running_proxy(
+            endpoint_entry("s-1", endpoint.port), settings=balancer_settings(limits=limits)
+        ) as proxy,
     ):
         gate = ConnectGates(proxy.pool)
         _, writer = await proxy.connect()
@@ -104,7 +106,9 @@
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
         StandInServer(delayed.handle) as endpoint,
-        running_proxy(endpoint_entry("s-1", endpoint.port), settings=settings(limits=limits)) as proxy,
+        running_proxy(
+            endpoint_entry("s-1", endpoint.port), settings=balancer_settings(limits=limits)
+        ) as proxy,
     ):
         _, writer = await proxy.connect()
         # Read in more than one go, so that the pause holds some of it back; the rest and the end of the
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -26,7 +26,7 @@
 )
 from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy
-from tests.support.proxy_process import config, port_of, process, write
+from tests.support.proxy_process import proxy_config, read_listening_port, running_proxy_process, write_config
 from tests.support.stand_in_discovery import running_watch_count
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import wait_until
@@ -42,11 +42,11 @@
 
     def __init__(self, folder: Path, proxy: LoopbackProxy, port: int) -> None:
         self.folder = folder
-        source = ConfigSource(write(folder, config(discovery=f"127.0.0.1:{port}")))
+        source = ConfigSource(write_config(folder, proxy_config(discovery=f"127.0.0.1:{port}")))
         self.reloader = Reloader(source, source.read(), proxy.driver)
 
     def name(self, port: int) -> None:
-        write(self.folder, config(discovery=f"127.0.0.1:{port}"))
+        write_config(self.folder, proxy_config(discovery=f"127.0.0.1:{port}"))
         self.reloader.reload()
 
 
@@ -140,7 +140,7 @@
         # What the others say by now, be it on a connection that they still hold, is nobody's news.
         await wait_until(lambda: not made.a.open and not any(left.open for left, _ in on_the_way))
         assert running_watch_count() == 1
-        assert made.p.driver.endpoint_list.watch._task is not None
+        assert made.p.driver.endpoint_list.watch.is_running
         calls = [len(left.asked) for left, _ in on_the_way], len(made.a.asked)
         await pass_until(made.clock, lambda: len(last.asked) == 2)  # it has been silent for 3 s since
         assert calls == ([len(left.asked) for left, _ in on_the_way], len(made.a.asked))
@@ -192,9 +192,9 @@
         StandInServer(tell) as new_discovery,
     ):
         known = endpoint_list(endpoint_entry("a", 9), rev=1)
-        file = config(discovery=f"127.0.0.1:{connection.port}", known=known)
-        async with process(write(tmp_path, file)) as made:
-            port = await port_of(made)
+        file = proxy_config(discovery=f"127.0.0.1:{connection.port}", known=known)
+        async with running_proxy_process(write_config(tmp_path, file)) as made:
+            port = await read_listening_port(made)
             await asked.wait()
             descriptors = len(os.listdir(f"/proc/{made.pid}/fd"))
             for to, got in ((discovery, asked), (connection, asked), (new_discovery, told)):
--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -6,7 +6,8 @@
 import json
 import re
 
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
+
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
 from tests.support.endpoint_lists import WATCH_RESPONSE_HEAD
 from tests.support.stand_in_server import StandInServer
@@ -117,7 +118,7 @@
                 await follower.told()
             elif number == 60:
                 fleet.open[0].write(b"9\r\nnonsense\n\r\n")
-                await wait_until(lambda: follower.watch._task is None)
+                await wait_until(lambda: not follower.watch.is_running)
                 await follower.told()
             elif number == 80:  # a new configuration, and the old one again before anything came
                 follower.watch.move(follower.at[1])
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -4,14 +4,14 @@
 
 import asyncio
 import json
-from collections.abc import Callable
 
 import pytest
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage, join_changes
 
 from load_balancer import messages
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, join_changes, read_list
+from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -21,7 +21,7 @@
 from tests.support.http_messages import http_chunk, http_response
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import StandInServer, StreamHandler
-from tests.support.stepped_clock import FrozenClock, SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, advance_until, wait_until
 
 
 async def ask(reader: asyncio.StreamReader) -> str:
@@ -155,7 +155,7 @@
     clock = FrozenClock()
     async with StandInServer(handle) as discovery:
         watched = Watched(discovery, silence_s=60.0)
-        await step_until(clock, lambda: not watched.news.empty())  # reading pauses for a moment
+        await advance_until(clock, lambda: not watched.news.empty())  # reading pauses for a moment
         assert await watched.news.get() is not None
         clock.advance(61.0)
         assert await watched.news.get() is None
@@ -220,14 +220,6 @@
         watched.watch.close()
 
 
-async def step_until(clock: SteppedClock, holds: Callable[[], bool]) -> None:
-    """Moves the clock on in small steps, each with time for what it sets off."""
-    while not holds():
-        clock.advance(0.05)
-        for _ in range(20):
-            await asyncio.sleep(0)
-
-
 def silent_watches(*silent: int) -> StreamHandler:
     """Brings a list to each connection and then no more; those of these numbers get nothing at all."""
     seen: list[str] = []
@@ -254,13 +246,13 @@
     """What it misses counts as told 6 s after it fell silent."""
 
     clock = FrozenClock()
-    setup = settings(must_subscribe=must_subscribe)
+    setup = balancer_settings(must_subscribe=must_subscribe)
     async with (
         StandInServer(silent_watches(*silent)) as discovery,
         running_proxy(discovery_port=discovery.port, settings=setup) as proxy,
     ):
         await wait_until(lambda: proxy.driver.endpoint_list.watch.version == 1)
-        await step_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 2 + len(silent))
+        await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 2 + len(silent))
         assert clock.advanced_s < in_time
 
 
@@ -271,7 +263,7 @@
     """After SIGHUP whatever discovery has to tell counts as told 4 s later."""
 
     clock = FrozenClock()
-    setup = settings(must_subscribe=must_subscribe)
+    setup = balancer_settings(must_subscribe=must_subscribe)
     async with (
         StandInServer(silent_watches()) as old,
         StandInServer(silent_watches(*silent)) as new,
@@ -279,7 +271,7 @@
     ):
         await wait_until(lambda: proxy.driver.endpoint_list.watch.version == 1)
         proxy.driver.move_discovery(("127.0.0.1", new.port))
-        await step_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1 + len(silent))
+        await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1 + len(silent))
         assert clock.advanced_s < 4.0
 
 
@@ -298,10 +290,12 @@
     asked, turn, clock = asyncio.Event(), asyncio.Event(), FrozenClock()
     async with (
         StandInServer(handle) as discovery,
-        running_proxy(discovery_port=discovery.port, settings=settings(must_subscribe=True)) as proxy,
+        running_proxy(
+            discovery_port=discovery.port, settings=balancer_settings(must_subscribe=True)
+        ) as proxy,
     ):
         await asked.wait()
-        await step_until(clock, lambda: clock.advanced_s > 2.2)
+        await advance_until(clock, lambda: clock.advanced_s > 2.2)
         turn.set()
         await wait_until(
             lambda: proxy.driver.endpoint_list.watch.version == 7 or discovery.connection_count > 1
@@ -355,7 +349,7 @@
             second = await watched.news.get()
             assert second
             assert (second.version, new_discovery.connection_count) == (1, 1)
-            assert watched.watch._task is not None
+            assert watched.watch.is_running
         for _ in range(20):
             await asyncio.sleep(0)
         assert watched.news.empty()
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -7,15 +7,11 @@
 from dataclasses import replace
 
 import pytest
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage, join_changes
 
 from load_balancer import messages
 from load_balancer.net.discovery import endpoint_watch
-from load_balancer.net.discovery.endpoint_list_json import (
-    EndpointListMessage,
-    endpoint_number,
-    join_changes,
-    read_list,
-)
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
--- a/tests/net/discovery/versioned_discovery.py
+++ b/tests/net/discovery/versioned_discovery.py
@@ -11,7 +11,7 @@
 
 from load_balancer import messages
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
-from tests.support.balancer_harness import S, settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -22,6 +22,7 @@
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInServer
 from tests.support.stepped_clock import FrozenClock, SteppedClock
+from tests.support.units import SECOND_US
 
 STEP_S = 0.05
 
@@ -29,13 +30,13 @@
 TURNS = 40  # of the event loop between two steps: far more than a call and its answer take on loopback
 
 
-RULES = messages.Rules(0.4, 5 * S, 3.0, S, max_poll_interval_us=3_600 * S)
+RULES = messages.Rules(0.4, 5 * SECOND_US, 3.0, SECOND_US, max_poll_interval_us=3_600 * SECOND_US)
 
 
-ASKED = settings(must_subscribe=True, rules=RULES)
+ASKED = balancer_settings(must_subscribe=True, rules=RULES)
 
 
-PUSHED = settings(rules=RULES)
+PUSHED = balancer_settings(rules=RULES)
 
 
 BOTH = pytest.mark.parametrize("setup", [ASKED, PUSHED], ids=["asked", "pushed"])
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
@@ -51,7 +51,9 @@
         StandInEndpoint(http_response(200, b"a")) as first_endpoint,
         StandInEndpoint(http_response(200, b"b")) as second_endpoint,
         StandInServer(handle) as discovery,
-        running_proxy(discovery_port=discovery.port, settings=settings(must_subscribe=True)) as proxy,
+        running_proxy(
+            discovery_port=discovery.port, settings=balancer_settings(must_subscribe=True)
+        ) as proxy,
     ):
         while not proxy.driver.is_ready:
             await asyncio.sleep(0)
@@ -79,7 +81,7 @@
         running_proxy(
             endpoint_entry("a", endpoint.port),
             discovery_port=discovery.port,
-            settings=settings(must_subscribe=True),
+            settings=balancer_settings(must_subscribe=True),
         ) as proxy,
     ):
         assert (await proxy.send_request(http_request()))[2] == b"a"
@@ -110,7 +112,7 @@
         running_proxy(
             endpoint_entry("a", endpoint.port),
             discovery_port=discovery.port,
-            settings=settings(must_subscribe=True),
+            settings=balancer_settings(must_subscribe=True),
         ) as proxy,
     ):
         asking = asyncio.ensure_future(proxy.send_request(http_request()))
--- a/tests/support/clock_helpers.py
+++ b/tests/support/clock_helpers.py
@@ -5,27 +5,30 @@
 from dataclasses import dataclass
 
 import pytest
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
 
 from load_balancer import messages
 from load_balancer.net.clock import Clock
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, endpoint_number, read_list
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
-from tests.support.simulated_fleet import S
+from tests.support.units import SECOND_US
 
-HOUR = 3600 * S
-UNIX = 1_800_000_000 * S
-STEPS = pytest.mark.parametrize("step", [HOUR, -HOUR, 5 * S, -5 * S], ids=["+1h", "-1h", "+5s", "-5s"])
-COLD = messages.Rules(0.2, 4 * S, 3.0, 1 * S)
+HOUR = 3600 * SECOND_US
+UNIX = 1_800_000_000 * SECOND_US
+STEPS = pytest.mark.parametrize(
+    "step", [HOUR, -HOUR, 5 * SECOND_US, -5 * SECOND_US], ids=["+1h", "-1h", "+5s", "-5s"]
+)
+COLD = messages.Rules(0.2, 4 * SECOND_US, 3.0, 1 * SECOND_US)
 
 
 @dataclass
 class Times:
     """Both clocks of a machine, moved by hand."""
 
-    monotonic: int = 1000 * S
+    monotonic: int = 1000 * SECOND_US
     ahead: int = UNIX  # of the wall clock
 
     def wall(self) -> int:
@@ -47,7 +50,11 @@
     def __init__(self, known: EndpointListMessage | None = None, times: Times | None = None) -> None:
         self.times = times or Times()
         self.driver = EventLoopDriver(
-            settings(rules=COLD), 1, ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", 1), self.times.clock()
+            balancer_settings(rules=COLD),
+            1,
+            ConnectionPool(0.25, 30.0, 10),
+            ("127.0.0.1", 1),
+            self.times.clock(),
         )
         self.driver.endpoint_list.watch.start = lambda: None  # type: ignore[method-assign]
         self.driver.start(known)
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -4,7 +4,9 @@
 
 import json
 
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, read_list
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
+
+from load_balancer.net.discovery.endpoint_list_json import read_list
 from tests.support.http_messages import http_chunk
 
 WATCH_RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/support/loopback_proxy.py
+++ b/tests/support/loopback_proxy.py
@@ -16,7 +16,7 @@
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from tests.support.balancer_harness import settings as default_settings
+from tests.support.balancer_harness import balancer_settings as default_settings
 from tests.support.endpoint_lists import parsed_endpoint_list
 from tests.support.http_messages import HttpMessage, StreamPair, read_http_message
 from tests.support.stepped_clock import FrozenClock, SteppedClock
