--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -17,7 +17,9 @@
 def sizes(p: Proxy) -> dict[str, int]:
     """The entries of every collection that lives as long as the process."""
     counted = {}
-    for owner in (p.driver, p.driver._endpoints, p.driver._balancer, p.pool, p.listener, p.clients):
+    pool_parts = (p.pool.connections, p.pool.idle, p.pool.pending, p.pool.waiting, p.pool.pacing)
+    driver_parts = (p.driver, p.driver._endpoints, p.driver._balancer)
+    for owner in (*driver_parts, p.pool, *pool_parts, p.listener, p.clients):
         for name, value in vars(owner).items():
             if isinstance(value, Sized) and not isinstance(value, str | bytes):
                 counted[f"{type(owner).__name__}.{name}"] = len(value)
