--- a/load_balancer/net/discovery/start_times.py
+++ b/load_balancer/net/discovery/start_times.py
@@ -1,6 +1,6 @@
 """When endpoints started, by the policy's clock, whatever is done to wall clocks.
 
-Owned by `EventLoopDriver`, which passes each list of endpoints through it before the policy sees the list.
+The driver owns one `StartTimes` and passes each endpoint list through it before the policy gets the list.
 """
 
 from __future__ import annotations
@@ -12,27 +12,32 @@
 from load_balancer import messages
 from load_balancer.net.clock import Clock
 
-# Far above the largest fleet. Endpoints that restart come with ever new starts, so without a bound the
+# Far above the largest fleet. Endpoints that restart bring new starts each time, so that without a bound the
 # memory would grow for as long as the process runs.
 MAX_START_TIMES = 20_000
 
 
 class Incarnation(NamedTuple):
-    """One run of one endpoint."""
+    """One run of one endpoint.
+
+    Attributes:
+        endpoint_number: The endpoint's number.
+        stated_us: Its start as discovery states it, Unix time in microseconds.
+    """
 
     endpoint_number: int
-    stated_us: int  # its start as discovery states it, Unix time
+    stated_us: int
 
 
 class StartTimes:
-    """Gives each start that discovery states in Unix time its moment on the policy's clock.
+    """Translates each start that discovery states in Unix time to a moment of the policy's clock.
 
-    The stated start names an incarnation and is left as it is. The moment is fixed when that incarnation
+    The stated start identifies an incarnation and is left as it is. The moment is fixed when that incarnation
     is first seen: no later step of any clock makes it older or younger.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Knows no start yet.
+        """Begin without any known start.
 
         Args:
             clock: The policy's clock.
@@ -42,19 +47,25 @@
         # When discovery last sent or confirmed the list that is held.
         self._confirmed_at_us: int | None = None
 
+    @property
+    def remembered_count(self) -> int:
+        """How many starts are remembered, at most MAX_START_TIMES."""
+        return len(self._start_times_us)
+
     def confirm(self) -> None:
-        """Notes that the list that is held is the one that discovery has at this moment."""
+        """Record that the list that is held is the one that discovery has at this moment."""
         self._clock.observe()
         self._confirmed_at_us = self._clock.now_us()
 
     def assign(self, entries: Iterable[messages.Endpoint]) -> tuple[messages.Endpoint, ...]:
-        """The entries of a list that came now, with the moments of their starts."""
+        """Return the entries of a list that came now, with the moments of their starts."""
         return tuple(
             replace(entry, started_us=self._start_time_us(entry)) if entry.incarnation_us > 0 else entry
             for entry in entries
         )
 
     def _start_time_us(self, entry: messages.Endpoint) -> int:
+        """Return when an incarnation started, by the policy's clock, and remember it as the last one seen."""
         incarnation = Incarnation(entry.id, entry.incarnation_us)
         # Remembered also while the endpoint is off the list: one that was cut off for a while is warm, and
         # would go through slow start at its return.
@@ -67,11 +78,12 @@
         return start_time_us
 
     def _first_seen_us(self, stated_us: int) -> int:
-        """The stated moment where it lies between the last moment without that start and now, else now.
+        """Return the moment of a start that is seen for the first time.
 
-        The wall clock may be wrong, here or where the start was stated: a start to come would keep the
-        endpoint in slow start for as long, one too old would count it as warm at once. Where it is only
-        discovery that was late, the endpoint counts as colder than it is for as long as discovery took.
+        It is the stated moment if that lies between the last moment without that start and now, else now. The
+        wall clock may be wrong, here or where the start was stated: a start in the future would keep the
+        endpoint in slow start for as long, and one too old would make it count as warm at once. If only
+        discovery was late, the endpoint counts as colder than it is for as long as discovery took.
         """
         start_time_us = self._clock.moment_us(stated_us)
         if self._confirmed_at_us is not None and start_time_us < self._confirmed_at_us:
--- a/load_balancer/net/driver/endpoint_directory.py
+++ b/load_balancer/net/driver/endpoint_directory.py
@@ -10,7 +10,7 @@
 
 from load_balancer import messages
 from load_balancer.net.addresses import Address, EndpointAddress
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
 from load_balancer.net.repeated_log_lines import LogLine, RepeatedLogLines, RunLimits
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 
--- a/load_balancer/net/driver/event_loop_driver.py
+++ b/load_balancer/net/driver/event_loop_driver.py
@@ -16,7 +16,7 @@
 from load_balancer import messages
 from load_balancer.net.addresses import Address, EndpointAddress
 from load_balancer.net.clock import Clock
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
 from load_balancer.net.discovery.endpoint_watch import (
     POLLED_LIST_TIMEOUT_S,
     PUSHED_LIST_TIMEOUT_S,
--- a/load_balancer/process/config.py
+++ b/load_balancer/process/config.py
@@ -22,7 +22,8 @@
     WireError,
 )
 from load_balancer.net.addresses import Address
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, read_address, read_list
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
+from load_balancer.net.discovery.endpoint_list_json import read_address, read_list
 from load_balancer.settings import JsonObject, optional_field, read_settings, required_field
 
 log = logging.getLogger("load_balancer")
--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -25,7 +25,8 @@
 from benchmarks.scenarios import Scenario, Step, settings
 from benchmarks.stand_ins import entry
 from load_balancer import Balancer, messages
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, read_list
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
+from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.settings import read_settings
--- a/tests/net/discovery/test_discovery_moves.py
+++ b/tests/net/discovery/test_discovery_moves.py
@@ -365,7 +365,7 @@
         # What the others say by now, be it on a connection that they still hold, is nobody's news.
         await until(lambda: not made.a.open and not any(left.open for left, _ in on_the_way))
         assert watch_tasks() == 1
-        assert made.p.driver._watch._task is not None
+        assert made.p.driver._watch.is_running
         calls = [len(left.asked) for left, _ in on_the_way], len(made.a.asked)
         await pass_until(made.clock, lambda: len(last.asked) == 2)  # it has been silent for 3 s since
         assert calls == ([len(left.asked) for left, _ in on_the_way], len(made.a.asked))
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -132,7 +132,7 @@
         await outage(clock, 3_600.0)
         all_is_small(d, p)
         tried = watch_starts(p)
-        await step(clock, lambda: len(tried) > 0 and p.driver._watch._task is None)
+        await step(clock, lambda: len(tried) > 0 and not p.driver._watch.is_running)
         d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
         assert await next_call(d, clock) + await served(d, p, clock, setup) < LIST_DEADLINE_S
 
--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -6,7 +6,7 @@
 import json
 import re
 
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
 from tests.support.loopback import WATCH_HEAD, peer, until
 
@@ -110,7 +110,7 @@
                 await follower.told()
             elif n == 60:
                 fleet.open[0].write(b"9\r\nnonsense\n\r\n")
-                await until(lambda: follower.watch._task is None)
+                await until(lambda: not follower.watch.is_running)
                 await follower.told()
             elif n == 80:  # a new configuration, and the old one again before anything came
                 follower.watch.move(follower.at[1])
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -9,7 +9,8 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, join_changes, read_list
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage, join_changes
+from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
 from tests.support.balancer_harness import settings
 from tests.support.loopback import (
@@ -330,7 +331,7 @@
             second = await w.news.get()
             assert second
             assert (second.version, e.connections) == (1, 1)
-            assert w.watch._task is not None
+            assert w.watch.is_running
         for _ in range(20):
             await asyncio.sleep(0)
         assert w.news.empty()
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -10,12 +10,8 @@
 
 from load_balancer import messages
 from load_balancer.net.discovery import endpoint_watch
-from load_balancer.net.discovery.endpoint_list_json import (
-    EndpointListMessage,
-    endpoint_number,
-    join_changes,
-    read_list,
-)
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage, join_changes
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
 from tests.support.loopback import (
     WATCH_HEAD,
     Proxy,
--- a/tests/net/discovery/test_json_stream.py
+++ b/tests/net/discovery/test_json_stream.py
@@ -65,8 +65,8 @@
     list(splitter.feed(b'{"rev":"'))
     for n in range(1_000):
         assert not list(splitter.feed(b"x"))
-        assert splitter._in_string
-        assert splitter._scanned_bytes == len(splitter._buffer) == 9 + n
+        assert splitter.is_in_string
+        assert splitter.scanned_bytes == splitter.buffered_bytes == 9 + n
 
 
 def test_endless_string_raises_an_error() -> None:
@@ -81,4 +81,4 @@
     splitter = JsonTextSplitter()
     with pytest.raises(JsonStreamError, match="nested"):
         list(splitter.feed(b"[" * 1_000_000))
-    assert splitter._scanned_bytes <= 100
+    assert splitter.scanned_bytes <= 100
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -173,7 +173,7 @@
         d.calls[0].writer.transport.abort()
         d.peer.server.close()
         tried = watch_starts(p)
-        await step(clock, lambda: len(tried) == 6 and p.driver._watch._task is None)
+        await step(clock, lambda: len(tried) == 6 and not p.driver._watch.is_running)
         d.peer.server = await asyncio.start_server(d.peer.accept, "127.0.0.1", d.peer.port)
         waited = await next_call(d, clock) + await served(d, p, clock, setup)
         assert waited < LIST_DEADLINE_S
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -179,4 +179,4 @@
     starts = StartTimes(Times().clock())
     for n in range(MAX_START_TIMES + 10):
         starts.assign([messages.Endpoint(n, incarnation_us=UNIX)])
-    assert len(starts._start_times_us) == MAX_START_TIMES
+    assert starts.remembered_count == MAX_START_TIMES
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -124,7 +124,7 @@
         clock = SteppedClock()
         while lists < 9:
             await asyncio.sleep(0)
-            if p.driver._watch._task is None:
+            if not p.driver._watch.is_running:
                 clock.step(3.0)
         singly = [line for line in lines() if line.startswith("backend ")]
         counted = [line for line in lines() if line not in singly]
@@ -152,7 +152,7 @@
             clock = SteppedClock()
             while broke < 250:
                 await asyncio.sleep(0)
-                if p.driver._watch._task is None:
+                if not p.driver._watch.is_running:
                     clock.step(0.1)
             ahead = clock.ahead
 
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -27,7 +27,7 @@
 from load_balancer.net import socket_state
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.client import client_limits
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
 from load_balancer.net.upstream.connect_pacing import SHORTAGE_PAUSE_S
 from load_balancer.net.upstream.connection_pool import ConnectionPool
--- a/tests/support/clock_helpers.py
+++ b/tests/support/clock_helpers.py
@@ -8,7 +8,8 @@
 
 from load_balancer import messages
 from load_balancer.net.clock import Clock
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, endpoint_number, read_list
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
+from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from tests.support.balancer_harness import settings
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -13,7 +13,8 @@
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_listener import ClientListener
 from load_balancer.net.client.client_registry import ClientRegistry
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, read_list
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
+from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
