--- a/load_balancer/net/discovery/endpoint_watch.py
+++ b/load_balancer/net/discovery/endpoint_watch.py
@@ -84,9 +84,8 @@
         """The version of the list that is held, or None while there is none."""
         return self._held.version
 
-    @version.setter
-    def version(self, version: int) -> None:
-        """Resume from a list of this version, as last known before the start."""
+    def resume_from(self, version: int) -> None:
+        """Request changes after this version: a list that was cached before the start is held."""
         self._held.version = version
 
     def start(self) -> None:
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -108,7 +108,7 @@
     many = [entry(f"s{n}", 9) for n in range(100)]
 
     def lines() -> list[str]:
-        return [r.getMessage() for r in caplog.records if "backend" in r.getMessage()]
+        return [r.getMessage() for r in caplog.records if "endpoint" in r.getMessage()]
 
     lists = 0
 
@@ -124,12 +124,12 @@
         clock = SteppedClock()
         while lists < 9:
             await asyncio.sleep(0)
-            if not p.driver._watch.is_running:
+            if not p.driver.endpoint_list.watch.is_running:
                 clock.step(3.0)
-        singly = [line for line in lines() if line.startswith("backend ")]
+        singly = [line for line in lines() if line.startswith("endpoint ")]
         counted = [line for line in lines() if line not in singly]
         assert len(singly) == 20 + 2
-        assert counted == ["80 more changes of backends"]  # 102 in all
+        assert counted == ["80 more changes of endpoints"]  # 102 in all
         assert sum("draining" in line for line in singly) == 1
 
 
@@ -152,7 +152,7 @@
             clock = SteppedClock()
             while broke < 250:
                 await asyncio.sleep(0)
-                if not p.driver._watch.is_running:
+                if not p.driver.endpoint_list.watch.is_running:
                     clock.step(0.1)
             ahead = clock.ahead
 
--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -17,9 +17,26 @@
 def sizes(p: Proxy) -> dict[str, int]:
     """The entries of every collection that lives as long as the process."""
     counted = {}
-    pool_parts = (p.pool.connections, p.pool.idle, p.pool.pending, p.pool.waiting, p.pool.pacing)
-    driver_parts = (p.driver, p.driver._endpoints, p.driver._balancer)
-    for owner in (*driver_parts, p.pool, *pool_parts, p.listener, p.clients):
+    driver = p.driver
+    for owner in (
+        driver,
+        driver.events,
+        driver.requests,
+        driver.requests.attempts,
+        driver.attempts,
+        driver.timers,
+        driver.endpoint_list,
+        driver.endpoint_list.endpoints,
+        driver.balancer,
+        p.pool,
+        p.pool.connections,
+        p.pool.idle,
+        p.pool.pending,
+        p.pool.waiting,
+        p.pool.pacing,
+        p.listener,
+        p.clients,
+    ):
         for name, value in vars(owner).items():
             if isinstance(value, Sized) and not isinstance(value, str | bytes):
                 counted[f"{type(owner).__name__}.{name}"] = len(value)
@@ -40,7 +57,7 @@
             change = listing(
                 entry(f"s-{n}", b.port, "terminated"), entry(f"s-{n + 1}", b.port), rev=n + 2, full=False
             )
-            p.driver._on_list(read_list(change))
+            p.driver.endpoint_list.receive(read_list(change))
             reader, writer = await p.connect()  # and a new connection, half of them kept for good
             writer.write(call(request_id=f"r{n}"))
             assert (await read_message(reader))[2] == b"x"
