--- a/load_balancer/net/upstream/connector.py
+++ b/load_balancer/net/upstream/connector.py
@@ -6,7 +6,7 @@
 import errno
 
 from load_balancer.net.addresses import EndpointAddress
-from load_balancer.net.socket_state import never_connected
+from load_balancer.net.socket_state import has_never_connected
 from load_balancer.net.upstream.upstream_connection import ConnectionOwner, UpstreamConnection
 
 
@@ -37,7 +37,7 @@
             transport, connection = await self._loop.create_connection(
                 lambda: UpstreamConnection(self._loop, self._owner, endpoint), *endpoint.address
             )
-        if never_connected(transport):
+        if has_never_connected(transport):
             connection.close()
             raise BlockingIOError(errno.EAGAIN, "the system has no resources for a connection")
         return connection
