--- a/load_balancer/net/upstream/connection_pool.py
+++ b/load_balancer/net/upstream/connection_pool.py
@@ -12,11 +12,12 @@
 from load_balancer.net.upstream.connect_pacing import ConnectPacing
 from load_balancer.net.upstream.connection_queue import ConnectionQueue
 from load_balancer.net.upstream.connection_reuse import ConnectionReuse
+from load_balancer.net.upstream.connection_sources import ConnectionSources
 from load_balancer.net.upstream.connector import Connector
 from load_balancer.net.upstream.idle_connections import IdleConnections
 from load_balancer.net.upstream.open_connections import OpenConnections
 from load_balancer.net.upstream.pending_connects import PendingConnects
-from load_balancer.net.upstream.upstream_attempt import AttemptTimes, ConnectionSources, UpstreamAttempt
+from load_balancer.net.upstream.upstream_attempt import AttemptTimes, UpstreamAttempt
 from load_balancer.net.upstream.upstream_messages import OnOutcome, UpstreamRequest
 from load_balancer.net.upstream.waiting_attempts import WaitingAttempts
 
--- a/load_balancer/net/upstream/connection_wait.py
+++ b/load_balancer/net/upstream/connection_wait.py
@@ -1,6 +1,6 @@
 """How one attempt waits for a connection: what it does if the connection is late, and when it gives up.
 
-The attempt owns its wait, begins it once and cancels it when it has a connection or is over.
+An attempt makes its wait as it enters the connection queue, and cancels it when it leaves the queue.
 """
 
 from __future__ import annotations
@@ -8,9 +8,7 @@
 import asyncio
 
 from load_balancer.messages import Outcome
-from load_balancer.net.upstream.connect_pacing import ConnectPacing
-from load_balancer.net.upstream.connection_queue import ConnectionQueue
-from load_balancer.net.upstream.open_connections import OpenConnections
+from load_balancer.net.upstream.connection_sources import ConnectionSources
 from load_balancer.net.upstream.waiting_attempts import WaitingAttempt
 
 # Turns of the event loop from a connection's establishment to its use: three, and two to spare.
@@ -18,54 +16,43 @@
 
 
 class ConnectionWait:
-    """The timers of an attempt that waits for a connection."""
+    """The timers of one attempt that waits for a connection."""
 
     def __init__(
         self,
-        loop: asyncio.AbstractEventLoop,
-        queue: ConnectionQueue,
-        connections: OpenConnections,
-        pacing: ConnectPacing,
+        sources: ConnectionSources,
         attempt: WaitingAttempt,
+        write_deadline_s: float,
         failover_deadline_s: float,
     ) -> None:
-        """Prepare to wait; `begin` starts the timers.
+        """Start the timers.
 
         Args:
-            loop: The event loop, whose clock counts.
-            queue: Opens further connections for the attempt.
-            connections: Say which endpoints have been active.
-            pacing: Says how long connects usually take.
+            sources: Where the attempt gets its connection.
             attempt: The attempt, which is ended if the wait is over without a connection.
+            write_deadline_s: Until when the request may be written, by the event loop's clock.
             failover_deadline_s: Until when the attempt may end so that another endpoint is tried, by the
                 event loop's clock.
         """
-        self._loop = loop
-        self._queue = queue
-        self._connections = connections
-        self._pacing = pacing
+        self._loop = sources.loop
+        self._queue = sources.queue
+        self._connections = sources.connections
+        self._pacing = sources.pacing
         self._attempt = attempt
         self._failover_deadline_s = failover_deadline_s
-        self._late_timer: asyncio.Handle | None = None
-        self._write_timer: asyncio.TimerHandle | None = None
-
-    def begin(self, write_deadline_s: float) -> None:
-        """Watch the wait, and end the attempt at the write deadline, by the event loop's clock."""
-        self._check_again_after(self._pacing.late_after_s)
-        self._write_timer = self._loop.call_at(write_deadline_s, self.miss_write_deadline)
+        self._late_timer: asyncio.Handle = self._call_check_after(self._pacing.late_after_s)
+        self._write_timer = self._loop.call_at(write_deadline_s, attempt.miss_write_deadline)
 
     def cancel(self) -> None:
-        """Stop the timers; do nothing if they do not run."""
-        for timer in (self._late_timer, self._write_timer):
-            if timer is not None:
-                timer.cancel()
+        """Stop the timers."""
+        self._late_timer.cancel()
+        self._write_timer.cancel()
 
-    def miss_write_deadline(self) -> None:
-        """End the attempt, as its request may not be written any more. The connects go on."""
-        self._attempt.finish(Outcome.NO_CONNECTION, keep_connecting=True)
+    def _call_check_after(self, seconds: float) -> asyncio.TimerHandle:
+        return self._loop.call_later(seconds, self._check, 2.0 * seconds, LOOP_TURNS_TO_USE)
 
     def _check_again_after(self, seconds: float) -> None:
-        self._late_timer = self._loop.call_later(seconds, self._check, 2.0 * seconds, LOOP_TURNS_TO_USE)
+        self._late_timer = self._call_check_after(seconds)
 
     def _check(self, next_s: float, turns: int) -> None:
         """Act on a connection that is late.
--- a/load_balancer/net/upstream/upstream_attempt.py
+++ b/load_balancer/net/upstream/upstream_attempt.py
@@ -6,33 +6,18 @@
 
 from __future__ import annotations
 
-import asyncio
 from dataclasses import dataclass
 
 from load_balancer.messages import Outcome
 from load_balancer.net.addresses import EndpointAddress
-from load_balancer.net.upstream.connect_pacing import ConnectPacing
-from load_balancer.net.upstream.connection_queue import ConnectionQueue
-from load_balancer.net.upstream.connection_reuse import ConnectionReuse
+from load_balancer.net.upstream.connection_sources import ConnectionSources
 from load_balancer.net.upstream.connection_wait import ConnectionWait
-from load_balancer.net.upstream.open_connections import OpenConnections
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import OnOutcome, UpstreamRequest, UpstreamResponse
 
 LONG_IDLE_S = 1.0  # a connection that breaks after less idle time has hardly gone stale by it
 
 
-@dataclass(frozen=True, slots=True)
-class ConnectionSources:
-    """The parts of the pool that attempts get connections from and give them back to."""
-
-    loop: asyncio.AbstractEventLoop
-    connections: OpenConnections
-    reuse: ConnectionReuse
-    queue: ConnectionQueue
-    pacing: ConnectPacing
-
-
 @dataclass(frozen=True, slots=True)
 class AttemptTimes:
     """When an attempt was decided and how long it may take.
@@ -87,14 +72,10 @@
         # forgotten the key, and would run the request a second time.
         self._write_deadline_s = times.decided_at_s + sources.pacing.connect_timeout_s
         self._timer = self._loop.call_at(times.decided_at_s + times.timeout_s, self.time_out)
-        self._wait = ConnectionWait(
-            self._loop,
-            sources.queue,
-            sources.connections,
-            sources.pacing,
-            self,
-            failover_deadline_s=times.decided_at_s + times.failover_within_s,
-        )
+        self._failover_deadline_s = times.decided_at_s + times.failover_within_s
+        # Kept only while it waits: the two refer to each other, and could otherwise be freed by the garbage
+        # collector alone.
+        self._wait: ConnectionWait | None = None
 
     @property
     def is_over(self) -> bool:
@@ -130,7 +111,9 @@
             if not self.send_on(connection):
                 self._sources.reuse.give_back(connection)
         elif self._sources.queue.wait(self):
-            self._wait.begin(self._write_deadline_s)
+            self._wait = ConnectionWait(
+                self._sources, self, self._write_deadline_s, self._failover_deadline_s
+            )
         else:
             self.finish(Outcome.NOT_SENT)  # our own lack of sockets says nothing of the endpoint
 
@@ -138,7 +121,7 @@
         """Send the request on a connection; return False if that is too late, which ends the attempt."""
         # The timer of the write deadline is late itself if the process was held up until now.
         if self._loop.time() > self._write_deadline_s:
-            self._wait.miss_write_deadline()
+            self.miss_write_deadline()
             return False
         self._stop_waiting()
         self.connection, self._assigned_at_s = connection, self._loop.time()
@@ -147,8 +130,14 @@
             self.finish(failure)
         return True
 
+    def miss_write_deadline(self) -> None:
+        """End the attempt, as its request may not be written any more. The connects go on."""
+        self.finish(Outcome.NO_CONNECTION, keep_connecting=True)
+
     def _stop_waiting(self) -> None:
-        self._wait.cancel()
+        if self._wait is not None:
+            self._wait.cancel()
+            self._wait = None
         self._sources.queue.stop_waiting(self)
 
     def time_out(self) -> None:
--- a/load_balancer/net/upstream/upstream_connection.py
+++ b/load_balancer/net/upstream/upstream_connection.py
@@ -8,7 +8,6 @@
 
 import asyncio
 import contextlib
-import logging
 import socket
 from enum import Enum, auto
 from typing import Protocol
@@ -16,13 +15,12 @@
 import h11
 
 from load_balancer.messages import Outcome
-from load_balancer.net import socket_state
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.http_exchange import HttpExchange, InvalidResponseError
+from load_balancer.net.upstream.request_checks import encode_request, reason_not_to_write
+from load_balancer.net.upstream.response_timer import ResponseTimer
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
 
-log = logging.getLogger(__name__)
-
 # Seconds from a response's first byte to its last: the endpoint's work is done by the first.
 RESPONSE_COMPLETION_S = 1.0
 
@@ -102,7 +100,7 @@
         self.idle_since_s = 0.0
         self._exchange = HttpExchange()
         self._state = ExchangeState.IDLE
-        self._response_timer: asyncio.TimerHandle | None = None  # runs while a response is coming
+        self._response_timer = ResponseTimer(loop)
 
     @property
     def has_written_request(self) -> bool:
@@ -128,42 +126,14 @@
             return Outcome.NO_CONNECTION
         self.attempt, self._state = attempt, ExchangeState.WRITING
         self._exchange.begin()
-        data = self._encode(attempt, request)
+        # Read now: the connection may have come up long after the decision to send.
+        time_remaining_s = attempt.time_remaining_s if request.adds_deadline_header else None
+        data = encode_request(self._exchange, request, self.endpoint, time_remaining_s)
         if data is None:
             return Outcome.NOT_SENT
-        failure = self._reason_not_to_write(request)
+        failure = reason_not_to_write(self.transport, request, was_idle=self.was_idle)
         return self._write(data) if failure is None else failure
 
-    def _encode(self, attempt: ConnectionUser, request: UpstreamRequest) -> bytes | None:
-        """Return the bytes of a request, or None if it cannot be written any more or at all."""
-        headers = request.headers
-        if request.adds_deadline_header:  # now: the connection may have come up long after the decision
-            time_remaining_s = attempt.time_remaining_s
-            # The attempt's timer is late itself if the process was held up: the work would be for nobody.
-            if time_remaining_s <= 0.0:
-                return None
-            headers = [*headers, (b"req-deadline", b"%.6f" % time_remaining_s)]
-        try:
-            return self._exchange.encode_request(request, headers)
-        except h11.LocalProtocolError as error:
-            self._log_invalid_request(error)
-            return None
-
-    def _log_invalid_request(self, error: h11.LocalProtocolError) -> None:
-        log.error("cannot send a request to endpoint %d: %s", self.endpoint.id, error)
-
-    def _reason_not_to_write(self, request: UpstreamRequest) -> Outcome | None:
-        """Return the outcome of an attempt whose request must not be written now, else None."""
-        # Since the connection was taken, a second response to the last request may have come, which would be
-        # taken for this request's; or the stream's end, and what is sent into that counts as what may have
-        # run. If the system cannot tell, an idle connection is not used and a new one has to do.
-        if socket_state.has_unread_bytes(self.transport, unknown=self.was_idle):
-            # An idle connection may go stale at any endpoint; one that has just come up has failed.
-            return Outcome.NOT_SENT if self.was_idle else Outcome.NO_CONNECTION
-        # The client may have left since the decision to send, its end still unread, and the process may have
-        # been held up at any line above: the work would be for nobody.
-        return None if request.is_awaited() else Outcome.NOT_SENT
-
     def _write(self, data: bytes) -> Outcome | None:
         """Write a request; return the attempt's outcome if the connection has failed, else None."""
         self.transport.write(data)
@@ -176,7 +146,7 @@
     def release(self) -> None:
         """End the exchange, as its attempt is over."""
         self.attempt, self._state = None, ExchangeState.IDLE
-        self._stop_response_timer()
+        self._response_timer.stop()
 
     def close(self) -> None:
         """Close the connection at once, with whatever is still to be written."""
@@ -244,15 +214,10 @@
 
         An endpoint that sends an interim response (1xx) is still at work, so that no time runs after it.
         """
-        if not self._exchange.has_begun_response:
-            self._stop_response_timer()
-        elif self._response_timer is None:
-            self._response_timer = self._loop.call_later(RESPONSE_COMPLETION_S, self._fail_attempt)
-
-    def _stop_response_timer(self) -> None:
-        if self._response_timer is not None:
-            self._response_timer.cancel()
-            self._response_timer = None
+        if self._exchange.has_begun_response:
+            self._response_timer.start(RESPONSE_COMPLETION_S, self._fail_attempt)
+        else:
+            self._response_timer.stop()
 
     def _fail_attempt(self) -> None:
         if self.attempt is not None:
@@ -260,6 +225,6 @@
 
     def _suspend_reuse_if_stale(self) -> None:
         """Suspend reuse if the endpoint ends an idle connection without a byte of a response to a request."""
-        is_silent = self._response_timer is None and not self._exchange.has_interim_response
+        is_silent = not self._response_timer.is_running and not self._exchange.has_interim_response
         if self.attempt is not None and self.was_idle and is_silent:
             self._owner.suspend_reuse(self.endpoint)
--- a/load_balancer/net/upstream/waiting_attempts.py
+++ b/load_balancer/net/upstream/waiting_attempts.py
@@ -30,6 +30,9 @@
     def send_on(self, connection: UpstreamConnection) -> bool:
         """Send the request on a connection; return False if that is too late, which ends the attempt."""
 
+    def miss_write_deadline(self) -> None:
+        """End the attempt, as its request may not be written any more. The connects go on."""
+
     def finish(self, outcome: Outcome, *, keep_connecting: bool = False) -> None:
         """End the attempt without a response; do nothing if it is over."""
 
