--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -171,7 +171,7 @@
         d.calls[0].writer.transport.abort()
         d.server.server.close()
         tried = record_watch_starts(p)
-        await advance_until(clock, lambda: len(tried) == 6 and p.driver.endpoint_list.watch._task is None)
+        await advance_until(clock, lambda: len(tried) == 6 and not p.driver.endpoint_list.watch.is_running)
         d.server.server = await asyncio.start_server(d.server.accept, "127.0.0.1", d.server.port)
         waited = await advance_to_next_call(d, clock) + await answer_latest_call(d, p, clock, setup)
         assert waited < LIST_DEADLINE_S
