--- a/tests/net/client/test_request_forwarding.py
+++ b/tests/net/client/test_request_forwarding.py
@@ -13,25 +13,22 @@
 from load_balancer.net.driver.open_requests import LAG_MARGIN_US
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from tests.support.client_helpers import status
-from tests.support.loopback import (
-    SteppedClock,
-    answer,
-    backend,
-    call,
-    entry,
-    proxy,
-    read_message,
-    until,
-)
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stand_in_server import StandInEndpoint
+from tests.support.stepped_clock import SteppedClock, wait_until
 
 
 async def test_request_is_forwarded_complete_and_its_response_returned() -> None:
-    async with backend(answer(200, b"\x00body")) as b, proxy(entry("s-1", b.port)) as p:
-        sent = call("mark", "id7", "/api?sid=ab%20c", b"payload", Idempotency_Key="k1")
-        got = await p.ask(sent)
-        assert (status(got), got[2]) == (200, b"\x00body")
-        first, headers, body = b.seen[0]
+    async with (
+        StandInEndpoint(http_response(200, b"\x00body")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        sent = http_request("mark", "id7", "/api?sid=ab%20c", b"payload", Idempotency_Key="k1")
+        got = await p.send_request(sent)
+        assert (response_status(got), got[2]) == (200, b"\x00body")
+        first, headers, body = b.received[0]
         assert first == "POST /api?sid=ab%20c HTTP/1.1"
         assert (headers["req-id"], headers["idempotency-key"], body) == ("id7", "k1", b"payload")
         assert 0 < float(headers["req-deadline"]) <= 4.0
@@ -40,35 +37,44 @@
 async def test_client_and_endpoint_connections_are_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         reader, writer = await p.connect()
         for n in range(5):
-            writer.write(call(request_id=f"r{n}"))
-            assert status(await read_message(reader)) == 200
+            writer.write(http_request(request_id=f"r{n}"))
+            assert response_status(await read_http_message(reader)) == 200
         writer.close()
-        assert b.connections == 1
+        assert b.connection_count == 1
 
 
 async def test_ready_only_while_an_endpoint_is_in_service() -> None:
-    ready = call(path="/ready")
-    async with proxy() as p:
-        assert status(await p.ask(ready)) == 503
-    async with proxy(entry("s-1", 9, "terminating")) as p:
-        assert status(await p.ask(ready)) == 503
-    async with proxy(entry("s-1", 9)) as p:
-        assert status(await p.ask(ready)) == 200
+    ready = http_request(path="/ready")
+    async with running_proxy() as p:
+        assert response_status(await p.send_request(ready)) == 503
+    async with running_proxy(endpoint_entry("s-1", 9, "terminating")) as p:
+        assert response_status(await p.send_request(ready)) == 503
+    async with running_proxy(endpoint_entry("s-1", 9)) as p:
+        assert response_status(await p.send_request(ready)) == 200
 
 
 async def test_long_claimed_deadline_does_not_affect_other_requests() -> None:
     """No client waits longer than its class allows, and none tells how old another's request is."""
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call(Req_Deadline="3600"))) == 200
-        assert status(await p.ask(call(request_id="a2"))) == 200
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        assert response_status(await p.send_request(http_request(Req_Deadline="3600"))) == 200
+        assert response_status(await p.send_request(http_request(request_id="a2"))) == 200
 
 
 async def test_retry_header_marks_a_request_as_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         asked: list[bool] = []
         take = p.driver.accept_request
 
@@ -77,24 +83,32 @@
             return take(caller)
 
         monkeypatch.setattr(p.driver, "accept_request", listen)
-        assert status(await p.ask(call())) == 200
-        assert status(await p.ask(call(Req_Retry="1"))) == 200
-        assert status(await p.ask(call(Req_Retry="0"))) == 200
+        assert response_status(await p.send_request(http_request())) == 200
+        assert response_status(await p.send_request(http_request(Req_Retry="1"))) == 200
+        assert response_status(await p.send_request(http_request(Req_Retry="0"))) == 200
         assert asked == [False, True, False]
 
 
 async def test_chunked_body_is_forwarded_with_a_content_length() -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        head = call("mark", Content_Length="0").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
-        assert status(await p.ask(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")) == 200
-        assert b.seen[0][2] == b"abcde"
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        head = http_request("mark", Content_Length="0").replace(
+            b"Content-Length: 0", b"Transfer-Encoding: chunked"
+        )
+        assert response_status(await p.send_request(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")) == 200
+        assert b.received[0][2] == b"abcde"
 
 
 async def test_nagle_is_disabled_on_client_and_endpoint_connections() -> None:
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
         reader, writer = await p.connect()
-        writer.write(call())
-        await read_message(reader)
+        writer.write(http_request())
+        await read_http_message(reader)
         transports = [c.transport for c in p.clients.open_connections] + [
             c.transport for c in p.pool.connections.open
         ]
@@ -112,11 +126,14 @@
     """A header does not: a client may give a key to what must not run twice."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
-        assert status(await p.ask(call(request_id="first"))) == 200
-        assert status(await p.ask(call(kind, Idempotency_Key="k"))) == 200
-        assert b.connections == 2 - kept
-        assert b.seen[1][1]["idempotency-key"] == "k"
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("s-1", b.port)) as p,
+    ):
+        assert response_status(await p.send_request(http_request(request_id="first"))) == 200
+        assert response_status(await p.send_request(http_request(kind, Idempotency_Key="k"))) == 200
+        assert b.connection_count == 2 - kept
+        assert b.received[1][1]["idempotency-key"] == "k"
 
 
 async def test_deadline_header_holds_the_time_remaining_when_the_attempt_is_written(
@@ -126,10 +143,12 @@
 
     clock, permits, asked = SteppedClock(), asyncio.Semaphore(0), 0
     now_us = Clock.now_us
-    monkeypatch.setattr(Clock, "now_us", lambda self: now_us(self) + round(clock.ahead * 1e6))
+    monkeypatch.setattr(Clock, "now_us", lambda self: now_us(self) + round(clock.advanced_s * 1e6))
     async with (
-        backend(answer(500)) as a,
-        proxy(entry("s-1", a.port), entry("s-2", a.port), connect_s=60.0) as p,
+        StandInEndpoint(http_response(500)) as a,
+        running_proxy(
+            endpoint_entry("s-1", a.port), endpoint_entry("s-2", a.port), connect_timeout_s=60.0
+        ) as p,
     ):
         connect = p.pool.connector.open
 
@@ -142,15 +161,15 @@
             return await connect(endpoint)
 
         monkeypatch.setattr(p.pool.connector, "open", held)
-        got = asyncio.ensure_future(p.ask(call(Req_Deadline="1.9")))
+        got = asyncio.ensure_future(p.send_request(http_request(Req_Deadline="1.9")))
         for number, late in ((1, 0.4), (2, 0.8)):
-            await until(lambda number=number: asked == number)  # type: ignore[misc]
-            clock.step(late)
+            await wait_until(lambda number=number: asked == number)  # type: ignore[misc]
+            clock.advance(late)
             permits.release()
-        await until(lambda: len(a.seen) == 2)
-        first, second = (float(headers["req-deadline"]) for _, headers, _ in a.seen)
+        await wait_until(lambda: len(a.received) == 2)
+        first, second = (float(headers["req-deadline"]) for _, headers, _ in a.received)
         margin = LAG_MARGIN_US / 1e6
         assert 1.0 < first <= 1.9 - 0.4 - margin
         assert 0.2 < second <= 1.9 - 1.2 - margin
         permits.release()
-        assert status(await got) == 503
+        assert response_status(await got) == 503
--- a/tests/net/test_repeated_log_lines.py
+++ b/tests/net/test_repeated_log_lines.py
@@ -15,7 +15,9 @@
     RunLimits,
     repeated_fault,
 )
-from tests.support.loopback import SteppedClock, entry, listing, proxy
+from tests.support.endpoint_lists import endpoint_entry, endpoint_list
+from tests.support.loopback_proxy import running_proxy
+from tests.support.stepped_clock import SteppedClock
 
 
 async def test_changes_of_a_long_list_are_logged_in_few_lines(caplog: pytest.LogCaptureFixture) -> None:
@@ -27,18 +29,22 @@
         return found
 
     clock = SteppedClock()
-    async with proxy() as p:
-        p.driver.endpoint_list.receive(read_list(listing(*(entry(f"s-{n}", 9) for n in range(500)))))
+    async with running_proxy() as p:
+        p.driver.endpoint_list.receive(
+            read_list(endpoint_list(*(endpoint_entry(f"s-{n}", 9) for n in range(500))))
+        )
         told = lines()
         assert len(told) == MAX_LOGGED_CHANGES + 1
         assert "is s-0, cell 1, up" in told[0]
         assert told[-1] == f"{500 - MAX_LOGGED_CHANGES} more changes of endpoints"
         for n in range(100):
-            change = listing(entry(f"s-{n}", 9, "terminating"), rev=2 + n, full=False)
+            change = endpoint_list(endpoint_entry(f"s-{n}", 9, "terminating"), rev=2 + n, full=False)
             p.driver.endpoint_list.receive(read_list(change))
         assert not lines()
-        clock.step(CHANGE_LOG_WINDOW_S)
-        p.driver.endpoint_list.receive(read_list(listing(entry("s-1", 9, "terminated"), rev=200, full=False)))
+        clock.advance(CHANGE_LOG_WINDOW_S)
+        p.driver.endpoint_list.receive(
+            read_list(endpoint_list(endpoint_entry("s-1", 9, "terminated"), rev=200, full=False))
+        )
         counted, single = lines()
         assert counted == "100 more changes of endpoints"
         assert "is s-1, cell 1, gone" in single
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -14,11 +14,8 @@
 import signal
 import socket
 import sys
-from collections.abc import AsyncIterator, Callable, Iterator
-from contextlib import asynccontextmanager
-from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, ClassVar
+from typing import Any
 
 import pytest
 
@@ -40,253 +37,109 @@
 from load_balancer.process.reload import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
 from tests.process.test_reload import ReloadHarness
 from tests.process.test_startup import attended
+from tests.support.attempts import RecordedAttempts, run_attempt
 from tests.support.balancer_harness import MS, BalancerHarness, S, only
-from tests.support.loopback import (
-    WATCH_HEAD,
-    Peer,
-    SteppedClock,
-    Streams,
-    answer,
-    backend,
-    call,
-    chunk_list,
-    entry,
-    listing,
-    peer,
-    proxy,
-    read_message,
-    run,
-    until,
+from tests.support.connect_gates import ConnectGates
+from tests.support.endpoint_lists import (
+    WATCH_RESPONSE_HEAD,
+    endpoint_entry,
+    endpoint_list,
+    endpoint_list_chunk,
 )
+from tests.support.failing_sockets import (
+    ERRNOS_OF_ONE_CONNECTION,
+    SocketFailures,
+    accepted_on,
+    any_socket,
+    connected_to,
+)
+from tests.support.http_messages import (
+    http_request,
+    http_response,
+    read_http_message,
+    response_status,
+)
+from tests.support.log_lines import problem_lines, traceback_lines
+from tests.support.loopback_proxy import running_proxy
 from tests.support.proxy_process import LIMITS, ROOT, config, free_port, port_of, process, raw_settings, write
-from tests.support.upstream_helpers import Calls, Connects, attempt
-
-Side = Callable[[socket.socket], bool]
-
-
-def at(port: int) -> Side:
-    """Sockets of the one that listens there: the listener, and the connections that it has accepted."""
-    return lambda made: bool(made.getsockname()[1] == port)
-
-
-def to(port: int) -> Side:
-    """Sockets that are connected to there, or about to be."""
-    return lambda made: bool(getattr(made, "target", None) == port)
-
-
-@dataclass
-class Rule:
-    """What happens to a call on sockets of one side, the next few times."""
-
-    call: str
-    side: Side
-    error: int = 0  # 0: the call comes short
-    times: int = 1
-    hits: int = 0
-
-
-class Rules:
-    """The rules in force. They hold until they are used up, the first that fits."""
-
-    def __init__(self) -> None:
-        self._rules: list[Rule] = []
-
-    def add(self, call: str, side: Side, error: int = 0, times: int = 1) -> Rule:
-        rule = Rule(call, side, error, times)
-        self._rules.append(rule)
-        return rule
-
-    def clear(self) -> None:
-        self._rules.clear()
-
-    def fits(self, call: str, made: socket.socket) -> Rule | None:
-        for rule in self._rules:
-            if rule.call == call and rule.hits < rule.times and rule.side(made):
-                rule.hits += 1
-                return rule
-        return None
-
-
-def failure(rule: Rule) -> OSError:
-    return OSError(rule.error, os.strerror(rule.error))
-
-
-class RuledSocket(socket.socket):
-    """Asks the rules in force before each call."""
-
-    rules: ClassVar[Rules]
-
-    def __init__(self, *args: Any, **named: Any) -> None:
-        super().__init__(*args, **named)
-        if named.get("fileno") is None and (rule := self.rules.fits("socket", self)):
-            self.close()
-            raise failure(rule)
-
-    def accept(self) -> tuple[socket.socket, Any]:
-        if rule := self.rules.fits("accept", self):
-            if rule.error in OF_ONE_CONNECTION:  # the system takes it out of the queue
-                super().accept()[0].close()
-            raise failure(rule)
-        return super().accept()
-
-    def connect(self, address: Any) -> None:
-        self.target = address[1]
-        if rule := self.rules.fits("connect", self):
-            raise failure(rule)
-        super().connect(address)
-
-    def recv(self, size: int, *flags: int) -> bytes:
-        return super().recv(self._asked("recv", size), *flags)
-
-    def recv_into(self, buffer: Any, size: int = 0, *flags: int) -> int:
-        return super().recv_into(buffer, self._asked("recv", size or len(buffer)), *flags)
-
-    def send(self, data: Any, *flags: int) -> int:
-        return super().send(data[: self._asked("send", len(data))], *flags)
-
-    def shutdown(self, how: int) -> None:
-        if rule := self.rules.fits("shutdown", self):
-            raise failure(rule)
-        super().shutdown(how)
-
-    def _asked(self, call: str, size: int) -> int:
-        """Bytes that a call is to move, which a rule may cut to one."""
-        rule = self.rules.fits(call, self)
-        if rule is not None and rule.error:
-            raise failure(rule)
-        return size if rule is None else min(size, 1)
-
-
-@pytest.fixture
-def rules(monkeypatch: pytest.MonkeyPatch) -> Iterator[Rules]:
-    """Sockets are made of a class that asks these rules before each call."""
-    made = Rules()
-
-    class SocketOfThisTest(RuledSocket):  # one that outlives its test never asks the next one's rules
-        rules = made
-
-    monkeypatch.setattr(socket, "socket", SocketOfThisTest)
-    yield made
-    made.clear()
-
-
-PEERS = "StreamReaderProtocol"  # in what asyncio says of the test's own peers as they are stopped
-
-
-def lines(caplog: pytest.LogCaptureFixture) -> list[str]:
-    """What the proxy has logged of trouble, traces among it."""
-    said = [r for r in caplog.records if r.levelno >= logging.WARNING and PEERS not in r.getMessage()]
-    return [r.getMessage() + (" Traceback" if r.exc_info else "") for r in said]
-
-
-def traces(caplog: pytest.LogCaptureFixture) -> list[str]:
-    return [line for line in lines(caplog) if "Traceback" in line]
-
+from tests.support.socket_client import queue_request, read_status_or_end
+from tests.support.stand_in_discovery import StandInListServer
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.time_limit import run_in_event_loop
 
-def status(got: tuple[str, dict[str, str], bytes]) -> int:
-    return int(got[0].split()[1])
-
-
-def queued(port: int, request_id: str) -> socket.socket:
-    """A connection that stands in the system's queue, with a request on it."""
-    made = socket.create_connection(("127.0.0.1", port))
-    made.sendall(call(request_id=request_id))
-    return made
-
-
-async def streams(made: socket.socket) -> Streams:
-    made.setblocking(False)
-    return await asyncio.open_connection(sock=made)
-
-
-async def answered(made: socket.socket) -> int:
-    """The status that comes on it; 0 where it ends without an answer."""
-    reader, writer = await streams(made)
-    try:
-        return status(await read_message(reader))
-    except (asyncio.IncompleteReadError, ConnectionError):
-        return 0
-    finally:
-        writer.close()
-
-
-OF_ONE_CONNECTION = [
-    errno.ECONNABORTED,
-    errno.EHOSTDOWN,
-    errno.EHOSTUNREACH,
-    errno.ENETDOWN,
-    errno.ENETUNREACH,
-    errno.ENONET,
-    errno.ENOPROTOOPT,
-    errno.EOPNOTSUPP,
-    errno.EPERM,
-    errno.EPROTO,
-    errno.ETIMEDOUT,
-]
 OF_A_LACK = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 OF_NO_CONNECTION = [errno.EINTR, *OF_A_LACK, errno.EINVAL, errno.EIO]  # all behind it stays in the queue
 EACH_ACCEPT = pytest.mark.parametrize(
-    "error", [*OF_ONE_CONNECTION, *OF_NO_CONNECTION], ids=lambda number: errno.errorcode[number]
+    "error", [*ERRNOS_OF_ONE_CONNECTION, *OF_NO_CONNECTION], ids=lambda number: errno.errorcode[number]
 )
 
 
 @EACH_ACCEPT
 def test_an_accept_that_fails_is_logged_once_in_a_while_and_the_next_ones_are_served(
-    error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
-            rule = rules.add("accept", at(p.port), error, times=5)
-            clients = [queued(p.port, f"r{n}") for n in range(8)]
-            lost = 5 if error in OF_ONE_CONNECTION else 0
-            got = await asyncio.gather(*map(answered, clients))
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
+            rule = socket_failures.add("accept", accepted_on(p.port), error, times=5)
+            clients = [queue_request(p.port, f"r{n}") for n in range(8)]
+            lost = 5 if error in ERRNOS_OF_ONE_CONNECTION else 0
+            got = await asyncio.gather(*map(read_status_or_end, clients))
             assert sorted(got) == [0] * lost + [200] * (8 - lost)
             assert rule.hits == 5
-            assert len(b.seen) == 8 - lost
+            assert len(b.received) == 8 - lost
 
-    run(test)
-    assert not traces(caplog)
-    assert len([line for line in lines(caplog) if "connection" in line]) <= 1
+    run_in_event_loop(test)
+    assert not traceback_lines(caplog)
+    assert len([line for line in problem_lines(caplog) if "connection" in line]) <= 1
 
 
 @EACH_ACCEPT
 def test_an_accept_that_fails_at_the_end_ends_nothing_and_drops_nothing_behind_it(
-    error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """What is open is answered, and each connection in the queue but the one that failed."""
+    """What is open is read_status_or_end, and each connection in the queue but the one that failed."""
 
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
             reader, writer = await p.connect()
-            writer.write(call(request_id="open"))
-            assert status(await read_message(reader)) == 200
-            rules.add("accept", at(p.port), error, times=1 if error in OF_ONE_CONNECTION else 3)
-            clients = [queued(p.port, f"r{n}") for n in range(6)]
+            writer.write(http_request(request_id="open"))
+            assert response_status(await read_http_message(reader)) == 200
+            socket_failures.add(
+                "accept", accepted_on(p.port), error, times=1 if error in ERRNOS_OF_ONE_CONNECTION else 3
+            )
+            clients = [queue_request(p.port, f"r{n}") for n in range(6)]
             p.listener.stop_listening()  # as the shutdown calls it, before the event loop has turned
             assert not p.listener.is_drained
-            got = await asyncio.gather(*map(answered, clients))
-            assert sorted(got) == [200 * (error not in OF_ONE_CONNECTION), *[200] * 5]
-            writer.write(call(request_id="again"))
-            assert status(await read_message(reader)) == 200
+            got = await asyncio.gather(*map(read_status_or_end, clients))
+            assert sorted(got) == [200 * (error not in ERRNOS_OF_ONE_CONNECTION), *[200] * 5]
+            writer.write(http_request(request_id="again"))
+            assert response_status(await read_http_message(reader)) == 200
             writer.close()
-            await until(lambda: p.listener._listening_socket.fileno() < 0)
+            await wait_until(lambda: p.listener._listening_socket.fileno() < 0)
             with pytest.raises(ConnectionRefusedError):
                 await p.connect()
 
-    run(test)
-    assert not traces(caplog)
-    assert len(lines(caplog)) <= 1
+    run_in_event_loop(test)
+    assert not traceback_lines(caplog)
+    assert len(problem_lines(caplog)) <= 1
 
 
 @pytest.mark.parametrize("error", [errno.EINTR, errno.EMFILE, errno.EINVAL])
 async def test_an_accept_that_goes_on_failing_keeps_no_turn_of_the_event_loop_busy(
-    error: int, rules: Rules, monkeypatch: pytest.MonkeyPatch
+    error: int, socket_failures: SocketFailures, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The listener stays readable all the while. Each wait is one timer, which the test lets run out."""
     waits: list[float] = []
 
-    async with proxy(entry("b", 9)) as p:
-        rule = rules.add("accept", at(p.port), error, times=sys.maxsize)
+    async with running_proxy(endpoint_entry("b", 9)) as p:
+        rule = socket_failures.add("accept", accepted_on(p.port), error, times=sys.maxsize)
         call_later = p.listener.loop.call_later
 
         def waited(delay: float, *rest: Any) -> asyncio.TimerHandle:
@@ -295,16 +148,16 @@
             return call_later(delay, *rest)
 
         monkeypatch.setattr(p.listener.loop, "call_later", waited)
-        client = queued(p.port, "r1")
+        client = queue_request(p.port, "r1")
         for _ in range(500):
             await asyncio.sleep(0)
         assert 0 < rule.hits <= client_limits.MAX_ACCEPTS_PER_TURN * len(waits)
         assert set(waits) == {client_limits.ACCEPT_RETRY_DELAY_S}
-        rules.clear()
+        socket_failures.clear()
         client.close()
 
 
-async def test_the_queue_is_taken_in_at_the_end_as_others_leave(rules: Rules) -> None:
+async def test_the_queue_is_taken_in_at_the_end_as_others_leave(socket_failures: SocketFailures) -> None:
     """More wait there than there is room for, and all that have one are still at work."""
 
     begun, go_on = 0, asyncio.Event()
@@ -312,22 +165,22 @@
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         nonlocal begun
         while True:
-            await read_message(reader)
+            await read_http_message(reader)
             begun += 1
             await go_on.wait()
-            writer.write(answer(200, b"x"))
+            writer.write(http_response(200, b"x"))
 
-    async with peer(hold) as b, proxy(entry("b", b.port), most=2) as p:
+    async with StandInServer(hold) as b, running_proxy(endpoint_entry("b", b.port), max_connections=2) as p:
         room = 2 + 8
-        first = [asyncio.ensure_future(answered(queued(p.port, f"a{n}"))) for n in range(2)]
-        await until(lambda: begun == 2)
-        rest = [queued(p.port, f"r{n}") for n in range(2 * room)]
+        first = [asyncio.ensure_future(read_status_or_end(queue_request(p.port, f"a{n}"))) for n in range(2)]
+        await wait_until(lambda: begun == 2)
+        rest = [queue_request(p.port, f"r{n}") for n in range(2 * room)]
         p.listener.stop_listening()
         p.listener.close_idle_connections()
         assert p.clients.descriptor_count <= room
         assert not p.listener.is_drained
         go_on.set()
-        got = [asyncio.ensure_future(answered(one)) for one in rest]
+        got = [asyncio.ensure_future(read_status_or_end(one)) for one in rest]
         while not all(one.done() for one in got):
             p.listener.close_idle_connections()
             await asyncio.sleep(0)
@@ -388,17 +241,17 @@
 
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            _, headers, _ = await read_message(reader)
+            _, headers, _ = await read_http_message(reader)
             if headers["req-id"] == "open":
                 begun.set()
                 await go_on.wait()
-            writer.write(answer(200, b"x"))
+            writer.write(http_response(200, b"x"))
 
-    async with peer(hold) as b:
+    async with StandInServer(hold) as b:
         # An answer is of use for long enough that one may still be open as it stops listening.
         lane = {"name": "read", "idempotency": "safe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
         settings = raw_settings(lanes=[{**lane, "lateValue": 0.5}], limits=LIMITS)
-        told = config(known=listing(entry("b", b.port)), settings=settings)
+        told = config(known=endpoint_list(endpoint_entry("b", b.port)), settings=settings)
         env = {**os.environ, **write(tmp_path, told)}
         pipe = asyncio.subprocess.PIPE
         arguments = [sys.executable, "-c", PROCESS, str(failed), str(descriptors)]
@@ -408,7 +261,7 @@
         try:
             port = await port_of(made)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(call(request_id="open", Req_Deadline="9.0"))
+            writer.write(http_request(request_id="open", Req_Deadline="9.0"))
             await begun.wait()
             # These keep their connections, and with them all descriptors.
             crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(descriptors)]
@@ -416,11 +269,11 @@
                 await until_logged(made, b"Too many open files")
             made.send_signal(signal.SIGTERM)
             await until_logged(made, b"about to stop listening")
-            clients = [queued(port, f"r{n}") for n in range(6)]
+            clients = [queue_request(port, f"r{n}") for n in range(6)]
             made.stdin.write(b"\n")
-            got = await asyncio.gather(*map(answered, clients))
+            got = await asyncio.gather(*map(read_status_or_end, clients))
             go_on.set()
-            assert status(await read_message(reader)) == 200
+            assert response_status(await read_http_message(reader)) == 200
             writer.close()
             assert sorted(got) == [0 if failed else 200, *[200] * 5]
             rest = await made.stderr.read()
@@ -445,61 +298,63 @@
 )
 
 
-def anyone(made: socket.socket) -> bool:
-    return True
-
-
 @EACH_LACK
 def test_a_lack_of_this_machine_says_nothing_of_a_backend_and_costs_no_retry(
-    name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
             reader, writer = await p.connect()
-            await until(lambda: len(p.clients.open_connections) == 1)
-            rule = rules.add(name, anyone, error)
-            writer.write(call())
-            assert status(await read_message(reader)) == 200
+            await wait_until(lambda: len(p.clients.open_connections) == 1)
+            rule = socket_failures.add(name, any_socket, error)
+            writer.write(http_request())
+            assert response_status(await read_http_message(reader)) == 200
             assert rule.hits == 1
-            assert len(b.seen) == 1
+            assert len(b.received) == 1
             assert not p.pool.pacing.no_extra_until_s
             [server] = p.driver.balancer.endpoints.states.values()
             assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
             assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
             writer.close()
 
-    run(test)
-    assert not traces(caplog)
+    run_in_event_loop(test)
+    assert not traceback_lines(caplog)
 
 
 @EACH_LACK
 def test_a_lack_of_this_machine_that_lasts_ends_a_request_at_once_with_a_refusal(
-    name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """After as many tries as the settings allow, which cost no retry, and none of them goes on."""
 
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(*(entry(f"b{n}", b.port) for n in range(5))) as p:
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(*(endpoint_entry(f"b{n}", b.port) for n in range(5))) as p,
+        ):
             reader, writer = await p.connect()
-            await until(lambda: len(p.clients.open_connections) == 1)
-            rule = rules.add(name, anyone, error, times=sys.maxsize)
+            await wait_until(lambda: len(p.clients.open_connections) == 1)
+            rule = socket_failures.add(name, any_socket, error, times=sys.maxsize)
             for answers in range(1, 31):
-                writer.write(call(request_id=f"r{answers}"))
-                assert status(await read_message(reader)) == 503
+                writer.write(http_request(request_id=f"r{answers}"))
+                assert response_status(await read_http_message(reader)) == 503
                 assert rule.hits == 3 * answers
                 assert p.driver.is_idle
             assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
-            assert not b.seen
+            assert not b.received
             assert not p.pool.pending.by_endpoint
             assert not p.pool.connections.open
             assert not p.pool.waiting.by_endpoint
-            rules.clear()
-            writer.write(call(request_id="last"))
-            assert status(await read_message(reader)) == 200
+            socket_failures.clear()
+            writer.write(http_request(request_id="last"))
+            assert response_status(await read_http_message(reader)) == 200
             writer.close()
 
-    run(test)
-    assert not traces(caplog)
+    run_in_event_loop(test)
+    assert not traceback_lines(caplog)
 
 
 async def test_beside_a_late_connection_a_lack_is_not_met_again_and_again(
@@ -507,9 +362,9 @@
 ) -> None:
     """An attempt whose connection is late tries another one often, as one that fails at once is soon gone."""
 
-    async with backend(answer(200)) as b:
+    async with StandInEndpoint(http_response(200)) as b:
         pool = ConnectionPool(60.0, 60.0, 10)
-        calls, connects = Calls(pool, b), Connects(pool, [0.005] * 10 + [1.0] * 5)
+        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, [0.005] * 10 + [1.0] * 5)
         made, tried = pool.connector.open, 0
 
         async def lacks_all_but_the_first(endpoint: EndpointAddress) -> UpstreamConnection:
@@ -523,8 +378,8 @@
         calls.begin("a", timeout_s=5.0)
         began = pool.loop.time()
         for _ in range(200):
-            await connects.step(0.003)
-        assert not calls.ended
+            await connects.advance(0.003)
+        assert not calls.outcomes
         assert 1 < tried <= 2 + (pool.loop.time() - began) / SHORTAGE_PAUSE_S
         pool.close()
 
@@ -536,15 +391,15 @@
 
 @NO_WAY
 def test_a_backend_that_could_not_be_reached_keeps_its_share_and_is_used_again(
-    error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The requests that met it are served elsewhere. What its own refusal says is another matter."""
 
     async def test() -> None:
         async with (
-            backend(answer(200, b"a")) as a,
-            backend(answer(200, b"b")) as b,
-            proxy(entry("a", a.port), entry("b", b.port)) as p,
+            StandInEndpoint(http_response(200, b"a")) as a,
+            StandInEndpoint(http_response(200, b"b")) as b,
+            running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port)) as p,
         ):
             balancer = p.driver.balancer
             known = {
@@ -552,13 +407,13 @@
                 for n, server in balancer.endpoints.states.items()
             }
             lost, clock = known[a.port], p.driver.clock
-            rule = rules.add("connect", to(a.port), error, times=3)
+            rule = socket_failures.add("connect", connected_to(a.port), error, times=3)
             asked = 0
 
             async def ask() -> None:
                 nonlocal asked
                 asked += 1
-                assert status(await p.ask(call(request_id=f"r{asked}"))) == 200
+                assert response_status(await p.send_request(http_request(request_id=f"r{asked}"))) == 200
 
             while rule.hits < 3:
                 await ask()
@@ -566,7 +421,7 @@
                     clock._ahead_us += COOL_DOWN_US
             assert lost.detector.first_epoch_count == PRIOR_SAMPLES
             assert lost.share == 1.0
-            assert not a.seen
+            assert not a.received
             endpoint = next(
                 e for e in p.driver.endpoint_list.endpoints.by_id.values() if e.address[1] == a.port
             )
@@ -574,13 +429,13 @@
                 p.pool.pacing.no_extra_until_s[endpoint]
                 <= p.pool.loop.time() + p.pool.pacing.connect_timeout_s
             )
-            while not a.seen:
+            while not a.received:
                 await ask()
             assert not p.pool.pacing.no_extra_until_s
             assert lost.unreachable_backoff_us == 0
 
-    run(test)
-    assert not traces(caplog)
+    run_in_event_loop(test)
+    assert not traceback_lines(caplog)
 
 
 def test_a_way_that_is_gone_for_a_moment_costs_a_backend_a_moment() -> None:
@@ -668,7 +523,7 @@
 
 
 async def step(clock: SteppedClock, seconds: float) -> None:
-    clock.step(seconds)
+    clock.advance(seconds)
     for _ in range(3):
         await asyncio.sleep(0)
 
@@ -677,7 +532,7 @@
 async def test_a_new_configuration_that_cannot_be_read_for_a_moment_is_followed_after_it(
     how: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with proxy() as p:
+    async with running_proxy() as p:
         clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
         file = ReadFile(r.path, monkeypatch)
         spoil(r.path, file, how)
@@ -685,12 +540,12 @@
         for _ in range(12):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
         assert not r.moved
-        assert len(lines(caplog)) == 1
+        assert len(problem_lines(caplog)) == 1
         file.error = 0
         r.path.write_text(SOUND)
         await step(clock, RELOAD_RETRY_INTERVAL_S)
         assert r.moved == [("127.0.0.1", 2)]
-        assert len(lines(caplog)) == 1
+        assert len(problem_lines(caplog)) == 1
         reads = file.reads
         await step(clock, 10.0)
         assert file.reads == reads
@@ -701,7 +556,7 @@
 async def test_a_new_configuration_that_stays_unreadable_is_given_up_and_the_old_one_stays(
     how: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with proxy() as p:
+    async with running_proxy() as p:
         clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
         file = ReadFile(r.path, monkeypatch)
         spoil(r.path, file, how)
@@ -709,7 +564,7 @@
         for _ in range(100):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
         assert not r.moved
-        assert len(lines(caplog)) == 1
+        assert len(problem_lines(caplog)) == 1
         assert file.reads == 1 + MAX_RELOAD_RETRIES
         file.error = 0
         r.still_follows()  # at the next signal
@@ -721,7 +576,7 @@
 ) -> None:
     """And what another signal brought is taken over once."""
 
-    async with proxy() as p:
+    async with running_proxy() as p:
         clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
         file = ReadFile(r.path, monkeypatch)
         spoil(r.path, file, None)
@@ -732,8 +587,8 @@
         elif then == "another fault":  # it can be read, and cannot be used
             r.path.write_text("[1]")
             await step(clock, RELOAD_RETRY_INTERVAL_S)
-            assert "field settings" in lines(caplog)[-1]
-            assert len(lines(caplog)) == 2
+            assert "field settings" in problem_lines(caplog)[-1]
+            assert len(problem_lines(caplog)) == 2
         else:
             r.still_follows()
         reads = file.reads
@@ -752,11 +607,11 @@
 
     async with attended(tmp_path, free_port(), config()) as clock:
         if serving:
-            await until(lambda: "listens on" in caplog.text)
+            await wait_until(lambda: "listens on" in caplog.text)
         file = ReadFile(tmp_path / "config.json", monkeypatch)
         (tmp_path / "config.json").unlink()
         os.kill(os.getpid(), signal.SIGHUP)
-        await until(lambda: file.reads == 1)
+        await wait_until(lambda: file.reads == 1)
     reads = file.reads
     for _ in range(100):
         await step(clock, RELOAD_RETRY_INTERVAL_S)
@@ -771,10 +626,10 @@
     async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         asked.put_nowait(writer.get_extra_info("sockname")[1])
-        writer.write(WATCH_HEAD + chunk_list(listing(entry("a", 9))))
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9))))
         await reader.read()
 
-    async with peer(watch) as old, peer(watch) as new:
+    async with StandInServer(watch) as old, StandInServer(watch) as new:
         told = config(discovery=f"127.0.0.1:{old.port}")
         async with process(write(tmp_path, told)) as made:
             await port_of(made)
@@ -802,64 +657,60 @@
 EACH_STANDING = pytest.mark.parametrize("error", STANDING, ids=lambda number: errno.errorcode[number])
 
 
-@asynccontextmanager
-async def discovery(*lists: dict[str, object]) -> AsyncIterator[Peer]:
-    """Tells each watch the next of these, the last one for ever; the watch stands."""
-    left = list(lists)
-
-    async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_HEAD + chunk_list(left.pop(0) if len(left) > 1 else left[0]))
-        await reader.read()
-
-    async with peer(watch) as made:
-        yield made
-
-
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("name", ["recv", "send"])
 def test_whatever_comes_or_goes_byte_by_byte_is_read_and_written_whole(
-    name: str, side: str, rules: Rules, caplog: pytest.LogCaptureFixture
+    name: str, side: str, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with (
-            backend(answer(200, b"said" * 50)) as b,
-            discovery(listing(entry("b", b.port))) as d,
-            proxy(discovery=d.port) as p,
+            StandInEndpoint(http_response(200, b"said" * 50)) as b,
+            StandInListServer(endpoint_list(endpoint_entry("b", b.port))) as d,
+            running_proxy(discovery_port=d.port) as p,
         ):
-            sides = {"caller": at(p.port), "backend": to(b.port), "discovery": to(d.port)}
-            rule = rules.add(name, sides[side], times=NEVER_ENDING)
-            await until(lambda: p.driver.is_ready)
+            sides = {
+                "caller": accepted_on(p.port),
+                "backend": connected_to(b.port),
+                "discovery": connected_to(d.port),
+            }
+            rule = socket_failures.add(name, sides[side], times=NEVER_ENDING)
+            await wait_until(lambda: p.driver.is_ready)
             for number in range(2):
-                got = await p.ask(call("mark", request_id=f"r{number}", body=b"asked" * 50))
-                assert (status(got), got[2]) == (200, b"said" * 50)
-            assert [body for _, _, body in b.seen] == [b"asked" * 50] * 2
+                got = await p.send_request(http_request("mark", request_id=f"r{number}", body=b"asked" * 50))
+                assert (response_status(got), got[2]) == (200, b"said" * 50)
+            assert [body for _, _, body in b.received] == [b"asked" * 50] * 2
             assert rule.hits > 50
-            assert d.connections == 1
+            assert d.connection_count == 1
 
-    run(test)
-    assert not lines(caplog)
+    run_in_event_loop(test)
+    assert not problem_lines(caplog)
 
 
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("name", ["recv", "send"])
-def test_a_call_that_a_signal_interrupts_is_made_again(name: str, side: str, rules: Rules) -> None:
+def test_a_call_that_a_signal_interrupts_is_made_again(
+    name: str, side: str, socket_failures: SocketFailures
+) -> None:
     """As it is told, though Python makes most such calls again by itself; and waits are, by real signals."""
 
     async def test() -> None:
         async with (
-            backend(answer(200, b"x")) as b,
-            discovery(listing(entry("b", b.port))) as d,
-            proxy(discovery=d.port) as p,
+            StandInEndpoint(http_response(200, b"x")) as b,
+            StandInListServer(endpoint_list(endpoint_entry("b", b.port))) as d,
+            running_proxy(discovery_port=d.port) as p,
         ):
-            sides = {"caller": at(p.port), "backend": to(b.port), "discovery": to(d.port)}
-            rule = rules.add(name, sides[side], errno.EINTR, times=3)
-            await until(lambda: p.driver.is_ready)
+            sides = {
+                "caller": accepted_on(p.port),
+                "backend": connected_to(b.port),
+                "discovery": connected_to(d.port),
+            }
+            rule = socket_failures.add(name, sides[side], errno.EINTR, times=3)
+            await wait_until(lambda: p.driver.is_ready)
             for number in range(3):
-                assert status(await p.ask(call(request_id=f"r{number}"))) == 200
+                assert response_status(await p.send_request(http_request(request_id=f"r{number}"))) == 200
             assert rule.hits == 3
-            assert len(b.seen) == 3
-            assert d.connections == 1
+            assert len(b.received) == 3
+            assert d.connection_count == 1
 
     rings = 0
 
@@ -870,7 +721,7 @@
     before = signal.signal(signal.SIGALRM, ring)
     signal.setitimer(signal.ITIMER_REAL, 0.0005, 0.0005)
     try:
-        run(test)
+        run_in_event_loop(test)
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0.0)
         signal.signal(signal.SIGALRM, before)
@@ -878,7 +729,9 @@
 
 
 @pytest.mark.parametrize("all_but", [0, 1, 40])
-async def test_a_request_counts_as_sent_with_its_last_byte(all_but: int, rules: Rules) -> None:
+async def test_a_request_counts_as_sent_with_its_last_byte(
+    all_but: int, socket_failures: SocketFailures
+) -> None:
     """The system takes a byte at a time, and then no more for now; the backend reads all that and breaks."""
     request = UpstreamRequest(
         b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True, adds_deadline_header=False
@@ -889,11 +742,11 @@
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         assert await reader.readexactly(len(whole) - all_but) == whole[: len(whole) - all_but]
 
-    async with peer(handle) as b:
+    async with StandInServer(handle) as b:
         pool = ConnectionPool(5.0, 30.0, 10)
-        rules.add("send", to(b.port), times=len(whole) - all_but)
-        rules.add("send", to(b.port), errno.EAGAIN, times=NEVER_ENDING)
-        outcome, _ = await attempt(pool, ("127.0.0.1", b.port), request)
+        socket_failures.add("send", connected_to(b.port), times=len(whole) - all_but)
+        socket_failures.add("send", connected_to(b.port), errno.EAGAIN, times=NEVER_ENDING)
+        outcome, _ = await run_attempt(pool, ("127.0.0.1", b.port), request)
         assert outcome is (Outcome.NO_CONNECTION if all_but else Outcome.RESET)
         pool.close()
 
@@ -901,34 +754,36 @@
 @EACH_STANDING
 @pytest.mark.parametrize("name", ["recv", "send"])
 def test_a_callers_connection_that_fails_ends_what_is_out_for_it_and_nothing_else(
-    name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         held: dict[str, asyncio.StreamWriter] = {}
         ended: list[str] = []
 
         async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            _, headers, _ = await read_message(reader)
+            _, headers, _ = await read_http_message(reader)
             held[headers["req-id"]] = writer
             await reader.read()
             ended.append(headers["req-id"])
 
-        async with peer(hold) as b, proxy(entry("b", b.port)) as p:
+        async with StandInServer(hold) as b, running_proxy(endpoint_entry("b", b.port)) as p:
             other_reader, other = await p.connect()
-            other.write(call(request_id="other"))
+            other.write(http_request(request_id="other"))
             _, writer = await p.connect()
-            writer.write(call(request_id="lost"))
-            await until(lambda: len(held) == 2)
+            writer.write(http_request(request_id="lost"))
+            await wait_until(lambda: len(held) == 2)
             mine = writer.get_extra_info("sockname")
-            rule = rules.add(name, lambda made: at(p.port)(made) and made.getpeername() == mine, error)
+            rule = socket_failures.add(
+                name, lambda made: accepted_on(p.port)(made) and made.getpeername() == mine, error
+            )
             if name == "recv":
                 writer.write(b"G")  # what comes makes it read
-                await until(lambda: ended == ["lost"])
+                await wait_until(lambda: ended == ["lost"])
             else:
-                held["lost"].write(answer(200, b"x"))
-            await until(lambda: rule.hits == 1 and len(p.clients.open_connections) == 1)
-            held["other"].write(answer(200, b"y"))
-            assert (await read_message(other_reader))[2] == b"y"
+                held["lost"].write(http_response(200, b"x"))
+            await wait_until(lambda: rule.hits == 1 and len(p.clients.open_connections) == 1)
+            held["other"].write(http_response(200, b"y"))
+            assert (await read_http_message(other_reader))[2] == b"y"
             assert p.driver.is_idle
             assert not p.driver.requests.attempts.in_flight
             assert not p.clients.open_request_ids
@@ -936,63 +791,66 @@
             other.close()
             writer.close()
 
-    run(test)
-    assert not lines(caplog)
+    run_in_event_loop(test)
+    assert not problem_lines(caplog)
 
 
 @EACH_STANDING
 @pytest.mark.parametrize("when", ["at the first byte", "half written", "half written, read", "written"])
 def test_a_backends_connection_that_fails_tells_by_the_last_byte_whether_the_request_may_have_run(
-    when: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    when: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     half = 10  # bytes
 
     async def test() -> None:
         async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             if when == "written":
-                await read_message(reader)
+                await read_http_message(reader)
             else:
                 await reader.readexactly(half)
             if when in ("half written, read", "written"):
                 writer.write(b"HTTP")  # makes the proxy read
             await reader.read()
 
-        async with peer(handle) as b:
+        async with StandInServer(handle) as b:
             pool = ConnectionPool(5.0, 30.0, 10)
-            side = to(b.port)
+            side = connected_to(b.port)
             if "half" in when:
-                rules.add("send", side, times=half)
+                socket_failures.add("send", side, times=half)
             if when == "half written, read":
-                rules.add("send", side, errno.EAGAIN, times=NEVER_ENDING)
+                socket_failures.add("send", side, errno.EAGAIN, times=NEVER_ENDING)
             reads = when in ("half written, read", "written")
-            rule = rules.add("recv" if reads else "send", side, error)
-            outcome, _ = await attempt(pool, ("127.0.0.1", b.port))
+            rule = socket_failures.add("recv" if reads else "send", side, error)
+            outcome, _ = await run_attempt(pool, ("127.0.0.1", b.port))
             assert outcome is (Outcome.RESET if when == "written" else Outcome.NO_CONNECTION)
             assert rule.hits == 1
-            await until(lambda: not pool.connections.open)
+            await wait_until(lambda: not pool.connections.open)
             pool.close()
 
-    run(test)
-    assert not lines(caplog)
+    run_in_event_loop(test)
+    assert not problem_lines(caplog)
 
 
 @EACH_STANDING
 def test_a_resting_connection_to_a_backend_that_fails_is_not_used_again(
-    error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
-            assert status(await p.ask(call(request_id="r1"))) == 200
-            await until(lambda: bool(p.pool.idle.by_endpoint))
-            rules.add("recv", to(b.port), error)
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
+            assert response_status(await p.send_request(http_request(request_id="r1"))) == 200
+            await wait_until(lambda: bool(p.pool.idle.by_endpoint))
+            socket_failures.add("recv", connected_to(b.port), error)
             b.writers[0].write(b"H")
-            await until(lambda: not p.pool.idle.by_endpoint and not p.pool.connections.open)
-            assert status(await p.ask(call(request_id="r2"))) == 200
-            assert b.connections == 2
+            await wait_until(lambda: not p.pool.idle.by_endpoint and not p.pool.connections.open)
+            assert response_status(await p.send_request(http_request(request_id="r2"))) == 200
+            assert b.connection_count == 2
             assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
 
-    run(test)
-    assert not lines(caplog)
+    run_in_event_loop(test)
+    assert not problem_lines(caplog)
 
 
 OF_A_CONNECT = [*socket_state.NO_ROUTE_ERRNOS, errno.ETIMEDOUT, errno.EADDRNOTAVAIL, errno.EAGAIN]
@@ -1007,13 +865,15 @@
 
 @pytest.mark.parametrize(("name", "error"), WATCH_FAILURES, ids=WATCH_FAILURE_IDS)
 def test_a_watch_that_fails_is_opened_anew_and_that_is_logged_once(
-    name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
+    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Three times in a row; what discovery has then comes."""
 
     async def test() -> None:
-        async with discovery(listing(entry("b", 9), rev=7)) as d:
-            rule = rules.add(name, anyone if name == "socket" else to(d.port), error, times=3)
+        async with StandInListServer(endpoint_list(endpoint_entry("b", 9), rev=7)) as d:
+            rule = socket_failures.add(
+                name, any_socket if name == "socket" else connected_to(d.port), error, times=3
+            )
             news: asyncio.Queue[EndpointListMessage | None] = asyncio.Queue()
             watch = EndpointWatch(
                 ("127.0.0.1", d.port), news.put_nowait, lambda: news.put_nowait(None), 60.0, 60.0
@@ -1028,8 +888,8 @@
             assert told.version == 7
             watch.close()
 
-    run(test)
-    [line] = lines(caplog)
+    run_in_event_loop(test)
+    [line] = problem_lines(caplog)
     assert "watch on discovery broke: " in line
     assert "Traceback" not in line
 
@@ -1055,22 +915,25 @@
     """The careful answer counts: a resting connection is not used, no client has left, none is closed."""
 
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
             failing = Unpolled(error)
             reader, writer = await p.connect()
             idle_reader, idle = await p.connect()
-            await until(lambda: len(p.clients.open_connections) == 2)
+            await wait_until(lambda: len(p.clients.open_connections) == 2)
             clock = SteppedClock()
             with monkeypatch.context() as patch:
                 patch.setattr("load_balancer.net.socket_state.select.poll", lambda: failing)
                 for number in range(3):
-                    writer.write(call(request_id=f"r{number}"))
-                    assert status(await read_message(reader)) == 200
-                    clock.step(SETTLE_S)
-                assert b.connections == 3
+                    writer.write(http_request(request_id=f"r{number}"))
+                    assert response_status(await read_http_message(reader)) == 200
+                    clock.advance(SETTLE_S)
+                assert b.connection_count == 3
                 assert failing.asked
                 assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
-                clock.step(1.0)
+                clock.advance(1.0)
                 p.listener.close_idle_connections()
                 p.listener._sweep()
                 assert len(p.clients.open_connections) == 2
@@ -1080,24 +943,27 @@
             writer.close()
             idle.close()
 
-    run(test)
-    assert not lines(caplog)
+    run_in_event_loop(test)
+    assert not problem_lines(caplog)
 
 
 def test_a_connection_that_is_reset_as_we_end_our_sending_is_no_trouble(
-    rules: Rules, caplog: pytest.LogCaptureFixture
+    socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
-            rule = rules.add("shutdown", at(p.port), errno.ENOTCONN)
+        async with (
+            StandInEndpoint(http_response(200, b"x")) as b,
+            running_proxy(endpoint_entry("b", b.port)) as p,
+        ):
+            rule = socket_failures.add("shutdown", accepted_on(p.port), errno.ENOTCONN)
             reader, writer = await p.connect()
-            writer.write(call() + b"nonsense\r\n\r\n")
-            assert [status(await read_message(reader)) for _ in range(2)] == [200, 400]
-            await until(lambda: rule.hits == 1)
+            writer.write(http_request() + b"nonsense\r\n\r\n")
+            assert [response_status(await read_http_message(reader)) for _ in range(2)] == [200, 400]
+            await wait_until(lambda: rule.hits == 1)
             writer.close()
-            await until(lambda: not p.clients.open_connections)
-            assert status(await p.ask(call(request_id="a2"))) == 200
-            assert len(b.seen) == 2
+            await wait_until(lambda: not p.clients.open_connections)
+            assert response_status(await p.send_request(http_request(request_id="a2"))) == 200
+            assert len(b.received) == 2
 
-    run(test)
-    assert not lines(caplog)
+    run_in_event_loop(test)
+    assert not problem_lines(caplog)
