--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -44,10 +44,10 @@
         third = http_request(request_id="r3")
         writer.write(third[:-9])
         [connection] = p.clients.open_connections
-        await wait_until(lambda: connection._http.received.size_bytes == len(third) - 9)
+        await wait_until(lambda: connection.http.received.size_bytes == len(third) - 9)
         clock.advance(0.5)
         writer.write(third[-9:])
-        await wait_until(lambda: connection._http.received.size_bytes == len(third))
+        await wait_until(lambda: connection.http.received.size_bytes == len(third))
         go_on.set()
         for _ in range(3):
             assert response_status(await read_http_message(reader)) == 200
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -33,7 +33,7 @@
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from load_balancer.policy.change_detector import PRIOR_SAMPLES
 from load_balancer.policy.endpoint_state import COOL_DOWN_US
-from load_balancer.policy.retry import MAX_SAVED_RETRIES
+from load_balancer.policy.retry_budget import MAX_SAVED_RETRIES
 from load_balancer.process.reload import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
 from tests.process.test_reload import ReloadHarness
 from tests.process.test_startup import attended
@@ -122,7 +122,7 @@
             writer.write(http_request(request_id="again"))
             assert response_status(await read_http_message(reader)) == 200
             writer.close()
-            await wait_until(lambda: p.listener._listening_socket.fileno() < 0)
+            await wait_until(lambda: p.listener.acceptor.listening_socket.fileno() < 0)
             with pytest.raises(ConnectionRefusedError):
                 await p.connect()
 
@@ -143,7 +143,7 @@
         call_later = p.listener.loop.call_later
 
         def waited(delay: float, *rest: Any) -> asyncio.TimerHandle:
-            if rest[0] == p.listener._resume_accepting:
+            if rest[0] == p.listener.acceptor.resume:
                 waits.append(delay)
             return call_later(delay, *rest)
 
@@ -317,7 +317,7 @@
             assert not p.pool.pacing.no_extra_until_s
             [server] = p.driver.balancer.endpoints.states.values()
             assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
-            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
             writer.close()
 
     run_in_event_loop(test)
@@ -343,7 +343,7 @@
                 assert response_status(await read_http_message(reader)) == 503
                 assert rule.hits == 3 * answers
                 assert p.driver.is_idle
-            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
             assert not b.received
             assert not p.pool.pending.by_endpoint
             assert not p.pool.connections.open
@@ -847,7 +847,7 @@
             await wait_until(lambda: not p.pool.idle.by_endpoint and not p.pool.connections.open)
             assert response_status(await p.send_request(http_request(request_id="r2"))) == 200
             assert b.connection_count == 2
-            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
 
     run_in_event_loop(test)
     assert not problem_lines(caplog)
@@ -932,10 +932,10 @@
                     clock.advance(SETTLE_S)
                 assert b.connection_count == 3
                 assert failing.asked
-                assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+                assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
                 clock.advance(1.0)
                 p.listener.close_idle_connections()
-                p.listener._sweep()
+                p.listener.sweep()
                 assert len(p.clients.open_connections) == 2
                 assert not p.listener.is_drained
             p.listener.close_idle_connections()  # it can tell again
