--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -20,7 +20,7 @@
 from load_balancer.net.discovery.json_stream import JsonTextSplitter
 from load_balancer.policy.router import MAX_RETRY_CANDIDATES
 from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET, SUBSET_COVER, subset_size
-from tests.support.balancer_harness import BalancerHarness, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.loopback_proxy import running_proxy
 
@@ -52,7 +52,7 @@
 
 def change_cost(backends: int, instances: int, index: int) -> int:
     """Lines that the module runs for the replacement of 20 backends, one by one."""
-    harness = BalancerHarness(settings(instances=instances, index=index), backends)
+    harness = BalancerHarness(balancer_settings(instances=instances, index=index), backends)
     version = 1
 
     def replace() -> None:
@@ -60,7 +60,7 @@
         for n in range(0, backends, backends // 20):
             for change in step(n):
                 version += 1
-                harness.news(change, kind=messages.EndpointListKind.CHANGES, version=version)
+                harness.update_endpoint_list(change, kind=messages.EndpointListKind.CHANGES, version=version)
 
     return lines_run(replace)
 
@@ -99,7 +99,8 @@
     instances = rng.choice((1, 3, 9))
     index = rng.randrange(instances)
     harness = BalancerHarness(
-        settings(instances=instances, index=index, zone="a", cross_zone_price=cross_zone_price), backends=0
+        balancer_settings(instances=instances, index=index, zone="a", cross_zone_price=cross_zone_price),
+        endpoint_count=0,
     )
     for version in range(1, 150):
         entries = [
@@ -122,7 +123,7 @@
             else messages.EndpointListKind.CHANGES
         )
         old = rng.random() < 0.1
-        harness.news(*entries, kind=kind, version=version - 5 * old)
+        harness.update_endpoint_list(*entries, kind=kind, version=version - 5 * old)
         balancer = harness.balancer
         assert [s.endpoint.id for s in balancer.endpoints.subset] == plain_subset(harness)
         assert all(balancer.endpoints.states[s.endpoint.id] is s for s in balancer.endpoints.subset)
@@ -137,7 +138,7 @@
 async def driver_change_cost(backends: int, instances: int) -> int:
     """Lines that driver and module run for 20 backends that drain, go and are replaced, one by one."""
     listed = [endpoint_entry(f"s-{n}", 9) for n in range(backends)]
-    setup = settings(instances=instances, index=instances // 2)
+    setup = balancer_settings(instances=instances, index=instances // 2)
     async with running_proxy(*listed, settings=setup) as p:
         changes = []
         for n in range(0, backends, backends // 20):
@@ -180,7 +181,7 @@
 
 def test_a_decision_does_not_look_at_sixteen_times_the_backends() -> None:
     def cost(backends: int) -> int:
-        harness = BalancerHarness(settings(instances=34, index=17), backends)
+        harness = BalancerHarness(balancer_settings(instances=34, index=17), backends)
         return lines_run(lambda: harness.request("r"))
 
     assert cost(3200) < 8 * cost(200)
@@ -210,13 +211,17 @@
 
     def play(backends: int, seed: int) -> tuple[int, set[int]]:
         """The lines that a failed attempt costs with the one that follows, and what it may go to."""
-        setup = settings(classes=(kind,), instances=1000, limits=messages.Limits(max_attempts=3, cancel=True))
-        harness = BalancerHarness(setup, backends=0, seed=seed)
-        harness.news(*(messages.Endpoint(n, zone="a", cell=1) for n in range(backends)))
-        [send] = only(harness.request("r", "write"), messages.StartAttempt)
+        setup = balancer_settings(
+            classes=(kind,), instances=1000, limits=messages.Limits(max_attempts=3, cancel=True)
+        )
+        harness = BalancerHarness(setup, endpoint_count=0, seed=seed)
+        harness.update_endpoint_list(*(messages.Endpoint(n, zone="a", cell=1) for n in range(backends)))
+        [send] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
         [life] = harness.balancer.requests.requests.values()
-        lines = lines_run(lambda: harness.end(send, messages.Outcome.TIMEOUT))
-        legal = {server.endpoint.id for server in harness.balancer.router.legal_endpoints(harness.now, life)}
+        lines = lines_run(lambda: harness.end_attempt(send, messages.Outcome.TIMEOUT))
+        legal = {
+            server.endpoint.id for server in harness.balancer.router.legal_endpoints(harness.now_us, life)
+        }
         assert {server.endpoint.id for server in harness.balancer.endpoints.subset} <= legal
         return lines, legal
 
--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -10,7 +10,7 @@
 from load_balancer import messages
 from load_balancer.net.client import client_limits
 from load_balancer.net.driver.open_requests import LAG_MARGIN_US
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
@@ -96,7 +96,7 @@
     limits = messages.Limits(max_attempts=3, cancel=False)
     async with (
         StandInServer(handle) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+        running_proxy(endpoint_entry("s-1", b.port), settings=balancer_settings(limits=limits)) as p,
     ):
         reader, writer = await p.connect()
         writer.write(http_request(request_id="slow"))
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -11,7 +11,7 @@
 from load_balancer.net.client import client_connection, client_limits
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.upstream import idle_connections
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message
@@ -25,7 +25,7 @@
 
 
 def limits(cancel: bool) -> messages.Settings:
-    return settings(limits=messages.Limits(max_attempts=3, cancel=cancel))
+    return balancer_settings(limits=messages.Limits(max_attempts=3, cancel=cancel))
 
 
 def nothing_left(p: LoopbackProxy) -> bool:
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -10,7 +10,7 @@
 from load_balancer import messages
 from load_balancer.net.client import client_limits
 from load_balancer.net.upstream import idle_connections
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
@@ -46,7 +46,7 @@
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
         StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+        running_proxy(endpoint_entry("s-1", b.port), settings=balancer_settings(limits=limits)) as p,
     ):
         gate = ConnectGates(p.pool)
         _, writer = await p.connect()
@@ -108,7 +108,7 @@
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
         StandInServer(handle) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+        running_proxy(endpoint_entry("s-1", b.port), settings=balancer_settings(limits=limits)) as p,
     ):
         _, writer = await p.connect()
         # Read in more than one go, so that the pause holds some of it back.
--- a/tests/net/client/test_http_request.py
+++ b/tests/net/client/test_http_request.py
@@ -7,9 +7,9 @@
 
 from load_balancer.net.client.http_request import BadRequestError, RequestHead, read_head
 from load_balancer.net.http_messages import MAX_BODY_BYTES
-from tests.support.balancer_harness import CLASSES
+from tests.support.balancer_harness import REQUEST_CLASSES
 
-BY_NAME = {request_class.name: request_class for request_class in CLASSES}
+BY_NAME = {request_class.name: request_class for request_class in REQUEST_CLASSES}
 READ = {
     "Host": "x",
     "Req-Id": "a1",
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -21,7 +21,14 @@
     response_status,
 )
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
-from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.proxy_process import (
+    LIMITS,
+    proxy_config,
+    raw_settings,
+    read_listening_port,
+    running_proxy_process,
+    write_config,
+)
 from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
@@ -246,9 +253,11 @@
     async with StandInEndpoint(http_response(200, b"x")) as b:
         lane = {"name": "mark", "idempotency": "keyed", "onTimeUs": 200_000, "deadlineUs": 300_000}
         told = raw_settings(lanes=[{**lane, "repeatWindowUs": 100_000}], limits=LIMITS)
-        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told))
-        async with process(env) as made:
-            reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
+        env = write_config(
+            tmp_path, proxy_config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told)
+        )
+        async with running_proxy_process(env) as made:
+            reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(made))
             writer.write(STOPS[stop])
             made.terminate()
             got = await read_http_message(reader)
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -7,7 +7,7 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
 from tests.support.loopback_proxy import running_proxy
@@ -114,7 +114,7 @@
     limits = messages.Limits(max_attempts=1, cancel=True, retry_after_us=2_000_000)
     async with (
         StandInEndpoint(http_response(503, Srv_Declined="1")) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+        running_proxy(endpoint_entry("s-1", b.port), settings=balancer_settings(limits=limits)) as p,
     ):
         got = await p.send_request(http_request("pay"))
         assert response_status(got) == 503  # it never ran, so even an unsafe one is refused
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -19,12 +19,13 @@
 from load_balancer import messages
 from load_balancer.net.upstream import idle_connections
 from tests.support.attempts import HEAD_WITHOUT_LENGTH, INVALID_RESPONSES
-from tests.support.balancer_harness import S, settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.raw_endpoint import ConnectionHandler, EndpointConnection, RawEndpoint
 from tests.support.stepped_clock import SteppedClock
+from tests.support.units import SECOND_US
 
 STEP_S = 5.0
 WINDOW_S = 60.0
@@ -32,14 +33,24 @@
 TURNS = 40  # of the loop without any news: then all wait for the clock
 MOST = 3  # attempts
 CLASSES = (
-    messages.RequestClass("read", 200 * S, 500 * S, messages.Idempotency.SAFE),
+    messages.RequestClass("read", 200 * SECOND_US, 500 * SECOND_US, messages.Idempotency.SAFE),
     messages.RequestClass(
-        "write", 200 * S, 500 * S, messages.Idempotency.KEYED, messages.KeyScope.CELL, round(WINDOW_S * S)
+        "write",
+        200 * SECOND_US,
+        500 * SECOND_US,
+        messages.Idempotency.KEYED,
+        messages.KeyScope.CELL,
+        round(WINDOW_S * SECOND_US),
     ),
     messages.RequestClass(
-        "mark", 200 * S, 500 * S, messages.Idempotency.KEYED, messages.KeyScope.ALL, round(WINDOW_S * S)
+        "mark",
+        200 * SECOND_US,
+        500 * SECOND_US,
+        messages.Idempotency.KEYED,
+        messages.KeyScope.ALL,
+        round(WINDOW_S * SECOND_US),
     ),
-    messages.RequestClass("pay", 200 * S, 500 * S),
+    messages.RequestClass("pay", 200 * SECOND_US, 500 * SECOND_US),
 )
 WAYS = {
     "answer": 12,
@@ -276,7 +287,9 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", 4 * STEP_S)
-    limits = messages.Limits(max_attempts=MOST, cancel=seed % 2 == 0, connect_timeout_us=round(CONNECT_S * S))
+    limits = messages.Limits(
+        max_attempts=MOST, cancel=seed % 2 == 0, connect_timeout_us=round(CONNECT_S * SECOND_US)
+    )
 
     async with AsyncExitStack() as stack:
         closed = stack.enter_context(socket.socket())
@@ -297,7 +310,7 @@
             running_proxy(
                 *entries,
                 endpoint_entry("s-closed", closed.getsockname()[1]),
-                settings=settings(classes=CLASSES, limits=limits),
+                settings=balancer_settings(classes=CLASSES, limits=limits),
                 connect_timeout_s=CONNECT_S,
                 idle_timeout_s=9000.0,
             )
--- a/tests/net/discovery/test_discovery_moves.py
+++ b/tests/net/discovery/test_discovery_moves.py
@@ -18,7 +18,7 @@
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.process.config import ConfigSource
 from load_balancer.process.reload import Reloader
-from tests.support.balancer_harness import S, settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -27,19 +27,20 @@
 )
 from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
-from tests.support.proxy_process import config, port_of, process, write
+from tests.support.proxy_process import proxy_config, read_listening_port, running_proxy_process, write_config
 from tests.support.stand_in_discovery import running_watch_count
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.units import SECOND_US
 
 MOVED_S = 4.0  # what discovery has to tell counts as told this long after SIGHUP
 TURN_S = 2.0  # a crowded discovery answers so late
 STEP_S = 0.05
 TURNS = 40  # of the event loop between two steps: far more than a call and its answer take on loopback
 
-RULES = messages.Rules(0.4, 5 * S, 3.0, S, max_poll_interval_us=3_600 * S)
-ASKED = settings(must_subscribe=True, rules=RULES)
-PUSHED = settings(rules=RULES)
+RULES = messages.Rules(0.4, 5 * SECOND_US, 3.0, SECOND_US, max_poll_interval_us=3_600 * SECOND_US)
+ASKED = balancer_settings(must_subscribe=True, rules=RULES)
+PUSHED = balancer_settings(rules=RULES)
 BOTH = pytest.mark.parametrize("setup", [ASKED, PUSHED], ids=["asked", "pushed"])
 
 Event = Callable[["Play"], Awaitable[None]]
@@ -262,11 +263,11 @@
 
     def __init__(self, folder: Path, p: LoopbackProxy, port: int) -> None:
         self.folder = folder
-        source = ConfigSource(write(folder, config(discovery=f"127.0.0.1:{port}")))
+        source = ConfigSource(write_config(folder, proxy_config(discovery=f"127.0.0.1:{port}")))
         self.reloader = Reloader(source, source.read(), p.driver)
 
     def name(self, port: int) -> None:
-        write(self.folder, config(discovery=f"127.0.0.1:{port}"))
+        write_config(self.folder, proxy_config(discovery=f"127.0.0.1:{port}"))
         self.reloader.reload()
 
 
@@ -411,9 +412,9 @@
         StandInServer(tell) as e,
     ):
         known = endpoint_list(endpoint_entry("a", 9), rev=1)
-        file = config(discovery=f"127.0.0.1:{c.port}", known=known)
-        async with process(write(tmp_path, file)) as made:
-            port = await port_of(made)
+        file = proxy_config(discovery=f"127.0.0.1:{c.port}", known=known)
+        async with running_proxy_process(write_config(tmp_path, file)) as made:
+            port = await read_listening_port(made)
             await asked.wait()
             descriptors = len(os.listdir(f"/proc/{made.pid}/fd"))
             for to, got in ((d, asked), (c, asked), (e, told)):
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -21,7 +21,15 @@
 )
 from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy
-from tests.support.proxy_process import LIMITS, config, free_port, port_of, process, raw_settings, write
+from tests.support.proxy_process import (
+    LIMITS,
+    proxy_config,
+    raw_settings,
+    read_listening_port,
+    running_proxy_process,
+    unused_port,
+    write_config,
+)
 from tests.support.stand_in_discovery import (
     EACH_SUBSCRIPTION,
     LIST_DEADLINE_S,
@@ -201,23 +209,23 @@
         for _ in range(2):  # killed outright and started again, under its name and address
             turn.clear()
             asked.clear()
-            port = free_port()
-            told = config(
+            port = unused_port()
+            told = proxy_config(
                 listen=f"127.0.0.1:{port}",
                 discovery=f"127.0.0.1:{d.port}",
                 known=endpoint_list(endpoint_entry("a", a.port), rev=1),
                 settings=raw_settings(limits=LIMITS, registryMode=mode),
             )
-            async with process(write(tmp_path, told)) as made:
+            async with running_proxy_process(write_config(tmp_path, told)) as made:
                 assert made.stderr is not None
                 await asked.wait()
                 if mode == "automatic":  # what the agent has counts as told at once: no request before it
                     with pytest.raises(ConnectionRefusedError):
                         await asyncio.open_connection("127.0.0.1", port)
                     turn.set()
-                    await port_of(made)
+                    await read_listening_port(made)
                 else:
-                    await port_of(made)
+                    await read_listening_port(made)
                     turn.set()
                     while b"is b," not in (line := await made.stderr.readline()):
                         assert line, "it ended"
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -11,7 +11,7 @@
 from load_balancer import messages
 from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage, join_changes, read_list
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -253,7 +253,7 @@
     """What it misses counts as told 6 s after it fell silent."""
 
     clock = SteppedClock()
-    setup = settings(must_subscribe=must_subscribe)
+    setup = balancer_settings(must_subscribe=must_subscribe)
     async with (
         StandInServer(silent_watches(*silent)) as d,
         running_proxy(discovery_port=d.port, settings=setup) as p,
@@ -270,7 +270,7 @@
     """After SIGHUP whatever discovery has to tell counts as told 4 s later."""
 
     clock = SteppedClock()
-    setup = settings(must_subscribe=must_subscribe)
+    setup = balancer_settings(must_subscribe=must_subscribe)
     async with (
         StandInServer(silent_watches()) as old,
         StandInServer(silent_watches(*silent)) as new,
@@ -297,7 +297,7 @@
     asked, turn, clock = asyncio.Event(), asyncio.Event(), SteppedClock()
     async with (
         StandInServer(handle) as d,
-        running_proxy(discovery_port=d.port, settings=settings(must_subscribe=True)) as p,
+        running_proxy(discovery_port=d.port, settings=balancer_settings(must_subscribe=True)) as p,
     ):
         await asked.wait()
         await step_until(clock, lambda: clock.advanced_s > 2.2)
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -21,7 +21,6 @@
     NOTIFIED_US,
     SLACK_US,
 )
-from tests.support.balancer_harness import S
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -48,16 +47,20 @@
 )
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock
+from tests.support.units import SECOND_US
 
 
 def test_timeouts_and_backoff_fit_the_notification_deadline() -> None:
-    assert (NOTIFIED_US, DISCOVERY_QUEUE_US) == (LIST_DEADLINE_S * S, POLL_QUEUE_S * S)
+    assert (NOTIFIED_US, DISCOVERY_QUEUE_US) == (LIST_DEADLINE_S * SECOND_US, POLL_QUEUE_S * SECOND_US)
     assert POLLED_LIST_TIMEOUT_S > POLL_QUEUE_S  # a call is not given up before its turn
     assert (
         MAX_BACKOFF_US + DISCOVERY_QUEUE_US + FIRST_BACKOFF_US + DISCOVERY_QUEUE_US + SLACK_US <= NOTIFIED_US
     )
     assert (
-        max(POLLED_LIST_TIMEOUT_S, HEARTBEAT_TIMEOUT_S) * S + FIRST_BACKOFF_US + DISCOVERY_QUEUE_US + SLACK_US
+        max(POLLED_LIST_TIMEOUT_S, HEARTBEAT_TIMEOUT_S) * SECOND_US
+        + FIRST_BACKOFF_US
+        + DISCOVERY_QUEUE_US
+        + SLACK_US
         <= NOTIFIED_US
     )
 
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
@@ -47,7 +47,7 @@
         StandInEndpoint(http_response(200, b"a")) as a,
         StandInEndpoint(http_response(200, b"b")) as b,
         StandInServer(handle) as d,
-        running_proxy(discovery_port=d.port, settings=settings(must_subscribe=True)) as p,
+        running_proxy(discovery_port=d.port, settings=balancer_settings(must_subscribe=True)) as p,
     ):
         while not p.driver.is_ready:
             await asyncio.sleep(0)
@@ -73,7 +73,9 @@
         StandInEndpoint(http_response(200, b"a")) as a,
         StandInServer(handle) as d,
         running_proxy(
-            endpoint_entry("a", a.port), discovery_port=d.port, settings=settings(must_subscribe=True)
+            endpoint_entry("a", a.port),
+            discovery_port=d.port,
+            settings=balancer_settings(must_subscribe=True),
         ) as p,
     ):
         assert (await p.send_request(http_request()))[2] == b"a"
@@ -102,7 +104,9 @@
         StandInServer(serve) as a,
         StandInServer(handle) as d,
         running_proxy(
-            endpoint_entry("a", a.port), discovery_port=d.port, settings=settings(must_subscribe=True)
+            endpoint_entry("a", a.port),
+            discovery_port=d.port,
+            settings=balancer_settings(must_subscribe=True),
         ) as p,
     ):
         asking = asyncio.ensure_future(p.send_request(http_request()))
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -8,67 +8,67 @@
 import pytest
 
 from load_balancer.net.clock import MAX_OFFSETS
-from tests.support.clock_helpers import HOUR, STEPS, Times
-from tests.support.simulated_fleet import MS, S
+from tests.support.manual_clocks import EACH_CLOCK_STEP, ManualClocks
+from tests.support.units import HOUR_US, MILLISECOND_US, SECOND_US
 
 SOURCES = Path(__file__).parent.parent.parent / "load_balancer"
 
 
-@STEPS
+@EACH_CLOCK_STEP
 def test_clock_does_not_step_with_the_wall_clock(step: int) -> None:
-    times = Times()
+    times = ManualClocks()
     clock = times.clock()
-    assert clock.now_us() == times.wall()
+    assert clock.now_us() == times.wall_us()
     before = clock.now_us()
-    times.step(step)
+    times.step_wall(step)
     clock.observe()
     assert clock.now_us() == before
-    times.advance(3 * S)
+    times.advance(3 * SECOND_US)
     clock.observe()
-    assert clock.now_us() == before + 3 * S
+    assert clock.now_us() == before + 3 * SECOND_US
 
 
-@STEPS
+@EACH_CLOCK_STEP
 @pytest.mark.parametrize("before", [True, False], ids=["stated before it", "stated after it"])
 def test_wall_time_is_converted_by_the_wall_clock_of_that_moment(step: int, before: bool) -> None:
-    times = Times()
+    times = ManualClocks()
     clock = times.clock()
     clock.observe()
-    times.advance(10 * S)
+    times.advance(10 * SECOND_US)
     if not before:
-        times.step(step)
-    stated, moment = times.wall(), clock.now_us()
-    times.advance(1 * S)
+        times.step_wall(step)
+    stated, moment = times.wall_us(), clock.now_us()
+    times.advance(1 * SECOND_US)
     if before:
-        times.step(step)
-    times.advance(1 * S)
+        times.step_wall(step)
+    times.advance(1 * SECOND_US)
     assert clock.from_unix_us(stated) == moment
 
 
 def test_ambiguous_wall_time_is_converted_to_the_later_moment() -> None:
-    times = Times()
+    times = ManualClocks()
     clock = times.clock()
-    shown = times.wall()
-    times.advance(6 * S)
-    times.step(-5 * S)
-    times.advance(10 * S)
-    assert clock.from_unix_us(shown + 3 * S) == clock.now_us() - 8 * S
+    shown = times.wall_us()
+    times.advance(6 * SECOND_US)
+    times.step_wall(-5 * SECOND_US)
+    times.advance(10 * SECOND_US)
+    assert clock.from_unix_us(shown + 3 * SECOND_US) == clock.now_us() - 8 * SECOND_US
 
 
 def test_slewed_wall_clock_is_followed_and_the_number_of_remembered_steps_is_bounded() -> None:
-    times = Times()
+    times = ManualClocks()
     clock = times.clock()
     for _ in range(10_000):
-        times.advance(2 * S)
-        times.step(1 * MS)
+        times.advance(2 * SECOND_US)
+        times.step_wall(1 * MILLISECOND_US)
         clock.observe()
     assert clock.remembered_offset_count == 1
-    assert clock.from_unix_us(times.wall() - 2 * S) == clock.now_us() - 2 * S
+    assert clock.from_unix_us(times.wall_us() - 2 * SECOND_US) == clock.now_us() - 2 * SECOND_US
     for _ in range(3 * MAX_OFFSETS):
-        times.step(HOUR)
+        times.step_wall(HOUR_US)
         clock.observe()
     assert clock.remembered_offset_count == MAX_OFFSETS
-    assert clock.from_unix_us(times.wall() - 2 * S) == clock.now_us() - 2 * S
+    assert clock.from_unix_us(times.wall_us() - 2 * SECOND_US) == clock.now_us() - 2 * SECOND_US
 
 
 def test_no_other_module_reads_a_wall_clock() -> None:
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -16,12 +16,13 @@
     MOSTLY_FAST_CONNECTS_S,
     RecordedAttempts,
 )
-from tests.support.balancer_harness import BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import StandInEndpoint
+from tests.support.units import SECOND_US
 
 
 @pytest.mark.parametrize(("heard", "ends"), [(True, Outcome.NOT_SENT), (False, Outcome.NO_CONNECTION)])
@@ -70,8 +71,12 @@
         running_proxy(
             endpoint_entry("s-1", a.port),
             endpoint_entry("s-2", b.port),
-            settings=settings(
-                classes=(messages.RequestClass("read", 5_000 * S, 9_000 * S, messages.Idempotency.SAFE),),
+            settings=balancer_settings(
+                classes=(
+                    messages.RequestClass(
+                        "read", 5_000 * SECOND_US, 9_000 * SECOND_US, messages.Idempotency.SAFE
+                    ),
+                ),
                 limits=messages.Limits(max_attempts=2, cancel=True),
             ),
             connect_timeout_s=LONG_CONNECT_TIMEOUT_S,
@@ -92,26 +97,28 @@
 
 
 def test_negative_handshake_price_is_rejected() -> None:
-    assert settings(handshake_price=0.03).handshake_price == 0.03
+    assert balancer_settings(handshake_price=0.03).handshake_price == 0.03
     with pytest.raises(ValueError, match="handshake"):
-        settings(handshake_price=-1.0)
+        balancer_settings(handshake_price=-1.0)
 
 
 def test_policy_bounds_the_time_to_fail_over() -> None:
-    harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=2, cancel=True)), backends=2)
-    send = only(harness.request("a"), messages.StartAttempt)[0]
+    harness = BalancerHarness(
+        balancer_settings(limits=messages.Limits(max_attempts=2, cancel=True)), endpoint_count=2
+    )
+    send = actions_of_type(harness.request("a"), messages.StartAttempt)[0]
     assert 0 < send.relocate_within_us < send.timeout_us
-    further = only(harness.end(send, Outcome.NOT_SENT), messages.StartAttempt)[0]
+    further = actions_of_type(harness.end_attempt(send, Outcome.NOT_SENT), messages.StartAttempt)[0]
     assert further.endpoint_id != send.endpoint_id
     assert further.relocate_within_us == 0  # no third attempt is allowed
-    alone = BalancerHarness(settings(), backends=1)
-    assert only(alone.request("a"), messages.StartAttempt)[0].relocate_within_us == 0
+    alone = BalancerHarness(balancer_settings(), endpoint_count=1)
+    assert actions_of_type(alone.request("a"), messages.StartAttempt)[0].relocate_within_us == 0
 
 
 def test_unsent_attempt_is_repeated_though_the_retry_budget_is_spent() -> None:
-    harness = BalancerHarness(backends=4)
+    harness = BalancerHarness(endpoint_count=4)
     harness.balancer.requests.retry_budget.balance = 0.0
-    send = only(harness.request("a"), messages.StartAttempt)[0]
-    assert only(harness.end(send, Outcome.NOT_SENT), messages.StartAttempt)
-    other = only(harness.request("b"), messages.StartAttempt)[0]
-    assert not only(harness.end(other, Outcome.NO_CONNECTION), messages.StartAttempt)
+    send = actions_of_type(harness.request("a"), messages.StartAttempt)[0]
+    assert actions_of_type(harness.end_attempt(send, Outcome.NOT_SENT), messages.StartAttempt)
+    other = actions_of_type(harness.request("b"), messages.StartAttempt)[0]
+    assert not actions_of_type(harness.end_attempt(other, Outcome.NO_CONNECTION), messages.StartAttempt)
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -19,7 +19,7 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
 from tests.support.attempts import KEYED_REQUEST, OK_RESPONSE, UNSAFE_REQUEST, RecordedAttempt
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import running_proxy
@@ -49,7 +49,7 @@
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
         RawEndpoint(respond_with(http_response(200, b"x"))) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+        running_proxy(endpoint_entry("s-1", b.port), settings=balancer_settings(limits=limits)) as p,
     ):
         b.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         if kept:
--- a/tests/policy/test_policy_rules_random.py
+++ b/tests/policy/test_policy_rules_random.py
@@ -12,7 +12,8 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.balancer_harness import CLASSES, MS, BalancerHarness, S, settings
+from tests.support.balancer_harness import REQUEST_CLASSES, BalancerHarness, balancer_settings
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 OUTCOMES = tuple(messages.Outcome)
 PROVES_NOTHING_RAN = (
@@ -22,18 +23,29 @@
     messages.Outcome.NOT_SENT,
 )
 KEYED_ZONE = messages.RequestClass(
-    "note", 2 * S, 5 * S, messages.Idempotency.KEYED, messages.KeyScope.ZONE, deduplication_window_us=3 * S
+    "note",
+    2 * SECOND_US,
+    5 * SECOND_US,
+    messages.Idempotency.KEYED,
+    messages.KeyScope.ZONE,
+    deduplication_window_us=3 * SECOND_US,
 )
 FORGETFUL = messages.RequestClass(
-    "mail", 4 * S, 5 * S, messages.Idempotency.KEYED, deduplication_window_us=100 * MS
+    "mail",
+    4 * SECOND_US,
+    5 * SECOND_US,
+    messages.Idempotency.KEYED,
+    deduplication_window_us=100 * MILLISECOND_US,
 )
 UNSAFE_BUT_REMEMBERED = messages.RequestClass(
-    "book", 4 * S, 5 * S, deduplication_window_us=5 * S
+    "book", 4 * SECOND_US, 5 * SECOND_US, deduplication_window_us=5 * SECOND_US
 )  # a memory it may not use
-ALL_CLASSES = (*CLASSES, KEYED_ZONE, FORGETFUL, UNSAFE_BUT_REMEMBERED)
-UNLISTED = messages.RequestClass("nobody told", 5 * S, 5 * S)  # sent, but missing in the settings: unsafe
+ALL_CLASSES = (*REQUEST_CLASSES, KEYED_ZONE, FORGETFUL, UNSAFE_BUT_REMEMBERED)
+UNLISTED = messages.RequestClass(
+    "nobody told", 5 * SECOND_US, 5 * SECOND_US
+)  # sent, but missing in the settings: unsafe
 MOST_ATTEMPTS = 4
-FINAL_SLACK = 20 * MS  # the wire's grace for a final answer
+FINAL_SLACK = 20 * MILLISECOND_US  # the wire's grace for a final answer
 
 
 @dataclass
@@ -70,23 +82,23 @@
         self.listed = {n: messages.Endpoint(n, cell=n % 3, zone="ab"[n % 2]) for n in range(8)}
         self.version = 1
         limits = messages.Limits(max_attempts=MOST_ATTEMPTS, cancel=seed % 3 > 0)
-        self.setup = settings(
+        self.setup = balancer_settings(
             classes=ALL_CLASSES,
             limits=limits,
             instances=1 + seed % 3,
             must_subscribe=seed % 2 == 0,
             worst_class_weight=0.3 * (seed % 2),
         )
-        super().__init__(self.setup, backends=0, seed=seed)
-        self.news(*self.listed.values())
+        super().__init__(self.setup, endpoint_count=0, seed=seed)
+        self.update_endpoint_list(*self.listed.values())
 
     # The checker
 
-    def event(self, event: messages.Event) -> list[messages.Action]:
-        actions = super().event(event)
+    def handle(self, event: messages.Event) -> list[messages.Action]:
+        actions = super().handle(event)
         for action in actions:
             self.check(action)
-        self.trace.append((self.now, event, tuple(actions)))
+        self.trace.append((self.now_us, event, tuple(actions)))
         return actions
 
     def check(self, action: messages.Action) -> None:
@@ -104,16 +116,16 @@
                 assert harmless or not any(t.may_have_run for t in owed.tries), (
                     "twice: refused what may have run"
                 )
-                assert self.now <= owed.deadline + FINAL_SLACK, "lost: refused too late"
+                assert self.now_us <= owed.deadline + FINAL_SLACK, "lost: refused too late"
             case messages.Fail():
                 assert action.request in self.owed, "lost: a second final answer"
                 owed = self.owed.pop(action.request)
-                assert self.now <= owed.deadline + FINAL_SLACK, "lost: failed too late"
+                assert self.now_us <= owed.deadline + FINAL_SLACK, "lost: failed too late"
             case messages.CancelAttempt():
                 assert self.setup.limits.cancel
                 assert action.attempt < len(self.known[action.request].tries)
             case messages.SetTimer():
-                assert action.at_us >= self.now
+                assert action.at_us >= self.now_us
 
     def check_send(self, send: messages.StartAttempt) -> None:
         assert send.request in self.owed, "lost: sent after the end"
@@ -121,7 +133,7 @@
         backend = self.listed.get(send.endpoint_id)
         assert backend is not None, "drain: sent to a leaver"
         assert backend.status is messages.EndpointStatus.UP, "drain: sent to a leaver"
-        assert 0 < send.timeout_us <= owed.deadline - self.now
+        assert 0 < send.timeout_us <= owed.deadline - self.now_us
         assert len(owed.tries) < MOST_ATTEMPTS
         assert all(t.outcome is not None for t in owed.tries), "two at once"
         ran = [t for t in owed.tries if t.may_have_run]
@@ -129,25 +141,25 @@
             first = ran[0]
             assert owed.cls.idempotency is not messages.Idempotency.UNSAFE, "twice: unsafe sent again"
             if owed.cls.idempotency is messages.Idempotency.KEYED:
-                assert self.now <= first.at + owed.cls.deduplication_window_us, "twice: after the memory"
+                assert self.now_us <= first.at + owed.cls.deduplication_window_us, "twice: after the memory"
                 if owed.cls.key_scope is not messages.KeyScope.ALL:
                     assert backend.zone == first.backend.zone, "twice: another zone"
                 if owed.cls.key_scope is messages.KeyScope.CELL:
                     assert backend.cell == first.backend.cell, "twice: another cell"
         self.check_cold(backend)
         self.out.append((send.request, len(owed.tries)))
-        owed.tries.append(Try(send, backend, self.now))
+        owed.tries.append(Try(send, backend, self.now_us))
 
     def check_cold(self, backend: messages.Endpoint) -> None:
         """The budget of a cold backend in the window that ends now, by what warm ones got at most."""
         rules = self.setup.rules
-        age = self.now - backend.incarnation_us
+        age = self.now_us - backend.incarnation_us
         if backend.incarnation_us <= 0 or age >= rules.slow_start_us:
-            self.warm_sends.setdefault(backend.id, []).append(self.now)
+            self.warm_sends.setdefault(backend.id, []).append(self.now_us)
             return
         cold = self.cold_sends.setdefault(backend.id, [])
-        cold.append(self.now)
-        recent = sum(self.now - rules.overload_window_us < at for at in cold)
+        cold.append(self.now_us)
+        recent = sum(self.now_us - rules.overload_window_us < at for at in cold)
         warm = max((self.most_in_window(times) for times in self.warm_sends.values()), default=0)
         capacity = rules.start_capacity + (1 - rules.start_capacity) * age / rules.slow_start_us
         # A few calls are no push, whatever the others get; what all got before is the measure beyond.
@@ -165,8 +177,8 @@
         tried.outcome = outcome
         if outcome is messages.Outcome.OK:
             self.owed.pop(request_id, None)
-        took = self.now - tried.at
-        self.event(
+        took = self.now_us - tried.at
+        self.handle(
             messages.AttemptEnded(
                 request_id, number, tried.send.endpoint_id, outcome, took, request_id not in self.owed
             )
@@ -176,9 +188,11 @@
         rng = self.rng
         self.serial += 1
         request_id, cls = f"r{self.serial}", rng.choice((*ALL_CLASSES, UNLISTED))
-        time_left = rng.choice((0, 1, 10 * MS, 300 * MS, 2 * S, 5 * S))
-        self.owed[request_id] = self.known[request_id] = Owed(cls, self.now + time_left, [])
-        self.event(messages.Request(request_id, cls.name, time_left))
+        time_left = rng.choice(
+            (0, 1, 10 * MILLISECOND_US, 300 * MILLISECOND_US, 2 * SECOND_US, 5 * SECOND_US)
+        )
+        self.owed[request_id] = self.known[request_id] = Owed(cls, self.now_us + time_left, [])
+        self.handle(messages.Request(request_id, cls.name, time_left))
 
     def change_list(self) -> None:
         rng = self.rng
@@ -192,11 +206,11 @@
             )
         )
         known = self.listed.get(endpoint_id)
-        since = self.now if known is None or rng.random() < 0.3 else known.incarnation_us
+        since = self.now_us if known is None or rng.random() < 0.3 else known.incarnation_us
         entry = messages.Endpoint(
             endpoint_id, status, "ab"[endpoint_id % 2], cell=endpoint_id % 3, incarnation_us=since
         )
-        if since == self.now:
+        if since == self.now_us:
             self.cold_sends.pop(endpoint_id, None)
             self.warm_sends.pop(endpoint_id, None)
         self.version += 1
@@ -204,9 +218,9 @@
         if rng.random() < 0.3:
             kept = [b for b in self.listed.values() if b.status is not messages.EndpointStatus.REMOVED]
             self.listed = {b.id: b for b in kept}
-            self.news(*kept, version=self.version)
+            self.update_endpoint_list(*kept, version=self.version)
         else:
-            self.news(entry, kind=messages.EndpointListKind.CHANGES, version=self.version)
+            self.update_endpoint_list(entry, kind=messages.EndpointListKind.CHANGES, version=self.version)
 
     def odd(self) -> None:
         events: tuple[messages.Event, ...] = (
@@ -216,15 +230,15 @@
             messages.StreamStarted("never seen", 0),
             messages.EndpointListUpdate(messages.EndpointListKind.FAILED),
         )
-        self.event(self.rng.choice(events))
+        self.handle(self.rng.choice(events))
 
     def step(self) -> None:
         rng = self.rng
-        self.pass_time(rng.choice((0, 1, 5, 20, 20, 200)) * MS)
+        self.advance(rng.choice((0, 1, 5, 20, 20, 200)) * MILLISECOND_US)
         for index in range(len(self.out) - 1, -1, -1):
             request_id, number = self.out[index]
             tried = self.known[request_id].tries[number]
-            if tried.at + tried.send.timeout_us <= self.now:
+            if tried.at + tried.send.timeout_us <= self.now_us:
                 self.finish_one(index, messages.Outcome.TIMEOUT)
         kind = rng.random()
         if kind < 0.5:
@@ -238,13 +252,13 @@
         elif kind < 0.9 and self.owed:
             gone = rng.choice(list(self.owed))
             del self.owed[gone]
-            self.event(messages.ClientGone(gone))
+            self.handle(messages.ClientGone(gone))
         elif kind < 0.95:
             self.change_list()
         else:
             self.odd()
         late = [
-            request_id for request_id, owed in self.owed.items() if self.now > owed.deadline + FINAL_SLACK
+            request_id for request_id, owed in self.owed.items() if self.now_us > owed.deadline + FINAL_SLACK
         ]
         assert not late, "lost: no answer in time"
 
@@ -255,7 +269,7 @@
             self.finish_one(
                 len(self.out) - 1, self.rng.choice((messages.Outcome.RESET, messages.Outcome.TIMEOUT))
             )
-        self.pass_time(10 * S)
+        self.advance(10 * SECOND_US)
         while self.out:
             self.finish_one(len(self.out) - 1, messages.Outcome.TIMEOUT)
         assert not self.owed, "lost: no answer at all"
--- a/tests/policy/test_request_deadline.py
+++ b/tests/policy/test_request_deadline.py
@@ -5,19 +5,22 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.balancer_harness import UNSAFE, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import UNSAFE_CLASS, BalancerHarness, actions_of_type, balancer_settings
+from tests.support.units import SECOND_US
 
 
 def test_an_attempt_ends_before_its_answer_would_be_late() -> None:
     harness = BalancerHarness()
-    [send] = only(harness.request("r", "pay"), messages.StartAttempt)
-    assert send.timeout_us <= UNSAFE.latency_objective_us - 2 * harness.balancer.settings.tick_us
+    [send] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
+    assert send.timeout_us <= UNSAFE_CLASS.latency_objective_us - 2 * harness.balancer.settings.tick_us
 
 
 @pytest.mark.parametrize("allowed", [True, False])
 def test_what_is_out_at_the_end_is_cancelled_where_allowed(allowed: bool) -> None:
-    harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=3, cancel=allowed)))
+    harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=3, cancel=allowed)))
     harness.request("r")
-    actions = harness.pass_time(6 * S)  # no outcome comes
-    assert only(actions, messages.Reject) == [messages.Reject("r")]
-    assert only(actions, messages.CancelAttempt) == ([messages.CancelAttempt("r", 0)] if allowed else [])
+    actions = harness.advance(6 * SECOND_US)  # no outcome comes
+    assert actions_of_type(actions, messages.Reject) == [messages.Reject("r")]
+    assert actions_of_type(actions, messages.CancelAttempt) == (
+        [messages.CancelAttempt("r", 0)] if allowed else []
+    )
--- a/tests/policy/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -5,11 +5,12 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.balancer_harness import MS, BalancerHarness, S, only
+from tests.support.balancer_harness import BalancerHarness, actions_of_type
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 
 def first_send(harness: BalancerHarness, cls: str) -> messages.StartAttempt:
-    [send] = only(harness.request("r", cls), messages.StartAttempt)
+    [send] = actions_of_type(harness.request("r", cls), messages.StartAttempt)
     return send
 
 
@@ -19,10 +20,10 @@
 )
 def test_unsafe_work_that_may_have_run_fails_at_once(outcome: messages.Outcome) -> None:
     harness = BalancerHarness()
-    actions = harness.end(first_send(harness, "pay"), outcome)
-    assert only(actions, messages.Fail) == [messages.Fail("r")]
-    assert not only(actions, messages.StartAttempt)
-    assert not only(actions, messages.Reject)
+    actions = harness.end_attempt(first_send(harness, "pay"), outcome)
+    assert actions_of_type(actions, messages.Fail) == [messages.Fail("r")]
+    assert not actions_of_type(actions, messages.StartAttempt)
+    assert not actions_of_type(actions, messages.Reject)
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.REJECTED, messages.Outcome.NO_CONNECTION])
@@ -31,19 +32,19 @@
     send, tried = first_send(harness, "pay"), set()
     for attempt in range(3):
         tried.add(send.endpoint_id)
-        actions = harness.end(send, outcome, attempt=attempt)
+        actions = harness.end_attempt(send, outcome, attempt=attempt)
         if attempt < 2:
-            [send] = only(actions, messages.StartAttempt)
+            [send] = actions_of_type(actions, messages.StartAttempt)
     assert len(tried) == 3
-    assert only(actions, messages.Reject)
-    assert not only(actions, messages.StartAttempt)
+    assert actions_of_type(actions, messages.Reject)
+    assert not actions_of_type(actions, messages.StartAttempt)
 
 
 def test_a_keyed_request_that_may_have_run_stays_in_its_cell() -> None:
     for seed in range(20):
-        harness = BalancerHarness(backends=6, seed=seed)
+        harness = BalancerHarness(endpoint_count=6, seed=seed)
         send = first_send(harness, "write")
-        [again] = only(harness.end(send, messages.Outcome.ERROR), messages.StartAttempt)
+        [again] = actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.StartAttempt)
         assert again.endpoint_id % 2 == send.endpoint_id % 2
         assert again.endpoint_id != send.endpoint_id
 
@@ -51,33 +52,33 @@
 def test_a_keyed_request_is_not_sent_again_once_it_may_be_forgotten() -> None:
     harness = BalancerHarness()
     send = first_send(harness, "write")
-    harness.now += 4 * S - 1 * MS
-    actions = harness.end(send, messages.Outcome.ERROR)
-    assert only(actions, messages.Fail)
-    assert not only(actions, messages.StartAttempt)
+    harness.now_us += 4 * SECOND_US - 1 * MILLISECOND_US
+    actions = harness.end_attempt(send, messages.Outcome.ERROR)
+    assert actions_of_type(actions, messages.Fail)
+    assert not actions_of_type(actions, messages.StartAttempt)
 
 
 def test_without_backends_a_request_is_held_and_then_refused() -> None:
-    harness = BalancerHarness(backends=0)
-    assert not only(harness.request("r"), messages.StartAttempt)
-    assert only(harness.pass_time(5 * S), messages.Reject) == [messages.Reject("r")]
+    harness = BalancerHarness(endpoint_count=0)
+    assert not actions_of_type(harness.request("r"), messages.StartAttempt)
+    assert actions_of_type(harness.advance(5 * SECOND_US), messages.Reject) == [messages.Reject("r")]
 
 
 def test_a_client_that_left_gets_nothing_more() -> None:
     harness = BalancerHarness()
     send = first_send(harness, "read")
-    assert only(harness.event(messages.ClientGone("r")), messages.CancelAttempt) == [
+    assert actions_of_type(harness.handle(messages.ClientGone("r")), messages.CancelAttempt) == [
         messages.CancelAttempt("r", 0)
     ]
-    actions = harness.end(send, messages.Outcome.CANCELLED) + harness.pass_time(6 * S)
-    assert not only(actions, messages.StartAttempt)
-    assert not only(actions, messages.Reject)
-    assert not only(actions, messages.Fail)
+    actions = harness.end_attempt(send, messages.Outcome.CANCELLED) + harness.advance(6 * SECOND_US)
+    assert not actions_of_type(actions, messages.StartAttempt)
+    assert not actions_of_type(actions, messages.Reject)
+    assert not actions_of_type(actions, messages.Fail)
 
 
 def test_nothing_goes_to_a_draining_backend() -> None:
     harness = BalancerHarness()
-    harness.news(
+    harness.update_endpoint_list(
         *(
             messages.Endpoint(n, messages.EndpointStatus.DRAINING if n else messages.EndpointStatus.UP)
             for n in range(4)
@@ -85,17 +86,17 @@
         kind=messages.EndpointListKind.CHANGES,
         version=2,
     )
-    sends = [only(harness.request(f"r{n}"), messages.StartAttempt) for n in range(3)]
+    sends = [actions_of_type(harness.request(f"r{n}"), messages.StartAttempt) for n in range(3)]
     assert [s[0].endpoint_id for s in sends] == [0, 0, 0]
 
 
 def test_an_answer_that_has_begun_is_not_cut_off_at_the_deadline() -> None:
     harness = BalancerHarness()
     send = first_send(harness, "read")
-    harness.event(messages.StreamStarted("r", 0))
-    late = harness.pass_time(8 * S)
-    assert not only(late, messages.Reject)
-    assert not only(late, messages.Fail)
-    assert not only(late, messages.CancelAttempt)
-    harness.end(send, messages.Outcome.OK)
+    harness.handle(messages.StreamStarted("r", 0))
+    late = harness.advance(8 * SECOND_US)
+    assert not actions_of_type(late, messages.Reject)
+    assert not actions_of_type(late, messages.Fail)
+    assert not actions_of_type(late, messages.CancelAttempt)
+    harness.end_attempt(send, messages.Outcome.OK)
     assert not harness.balancer.requests.requests
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -6,81 +6,102 @@
 
 from load_balancer import messages
 from load_balancer.policy.retry import EARNED_PER_REQUEST, MAX_SAVED_RETRIES
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 
 def test_what_may_have_run_is_not_sent_again_where_that_is_unsafe() -> None:
     harness = BalancerHarness(
-        settings(classes=(messages.RequestClass("pay", 2 * S, 5 * S, deduplication_window_us=4 * S),))
+        balancer_settings(
+            classes=(
+                messages.RequestClass(
+                    "pay", 2 * SECOND_US, 5 * SECOND_US, deduplication_window_us=4 * SECOND_US
+                ),
+            )
+        )
     )
-    [send] = only(harness.request("r", "pay"), messages.StartAttempt)
-    actions = harness.end(send, messages.Outcome.ERROR)
-    assert only(actions, messages.Fail) == [messages.Fail("r")]
-    assert not only(actions, messages.StartAttempt)
+    [send] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
+    actions = harness.end_attempt(send, messages.Outcome.ERROR)
+    assert actions_of_type(actions, messages.Fail) == [messages.Fail("r")]
+    assert not actions_of_type(actions, messages.StartAttempt)
 
 
-@pytest.mark.parametrize(("after", "sent"), [(100 * MS, 1), (1500 * MS, 0)])
+@pytest.mark.parametrize(("after", "sent"), [(100 * MILLISECOND_US, 1), (1500 * MILLISECOND_US, 0)])
 def test_a_keyed_repeat_keeps_within_the_memory(after: int, sent: int) -> None:
     keyed = messages.RequestClass(
-        "write", 6 * S, 9 * S, idempotency=messages.Idempotency.KEYED, deduplication_window_us=1 * S
+        "write",
+        6 * SECOND_US,
+        9 * SECOND_US,
+        idempotency=messages.Idempotency.KEYED,
+        deduplication_window_us=1 * SECOND_US,
+    )
+    harness = BalancerHarness(balancer_settings(classes=(keyed,)))
+    [send] = actions_of_type(harness.request("r", "write", time_left=9 * SECOND_US), messages.StartAttempt)
+    harness.now_us += after
+    assert (
+        len(actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.StartAttempt)) == sent
     )
-    harness = BalancerHarness(settings(classes=(keyed,)))
-    [send] = only(harness.request("r", "write", time_left=9 * S), messages.StartAttempt)
-    harness.now += after
-    assert len(only(harness.end(send, messages.Outcome.ERROR), messages.StartAttempt)) == sent
 
 
-@pytest.mark.parametrize(("after", "sent"), [(590 * MS, 1), (610 * MS, 0)])
+@pytest.mark.parametrize(("after", "sent"), [(590 * MILLISECOND_US, 1), (610 * MILLISECOND_US, 0)])
 def test_a_keyed_repeat_keeps_within_the_memory_though_its_connection_comes_up_late(
     after: int, sent: int
 ) -> None:
     keyed = messages.RequestClass(
-        "write", 6 * S, 9 * S, idempotency=messages.Idempotency.KEYED, deduplication_window_us=1 * S
+        "write",
+        6 * SECOND_US,
+        9 * SECOND_US,
+        idempotency=messages.Idempotency.KEYED,
+        deduplication_window_us=1 * SECOND_US,
+    )
+    limits = messages.Limits(max_attempts=3, connect_timeout_us=250 * MILLISECOND_US)
+    harness = BalancerHarness(balancer_settings(classes=(keyed,), limits=limits))
+    [send] = actions_of_type(harness.request("r", "write", time_left=9 * SECOND_US), messages.StartAttempt)
+    harness.now_us += after
+    assert (
+        len(actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.StartAttempt)) == sent
     )
-    limits = messages.Limits(max_attempts=3, connect_timeout_us=250 * MS)
-    harness = BalancerHarness(settings(classes=(keyed,), limits=limits))
-    [send] = only(harness.request("r", "write", time_left=9 * S), messages.StartAttempt)
-    harness.now += after
-    assert len(only(harness.end(send, messages.Outcome.ERROR), messages.StartAttempt)) == sent
 
 
 def test_a_keyed_repeat_stays_in_its_zone() -> None:
     keyed = messages.RequestClass(
         "write",
-        2 * S,
-        5 * S,
+        2 * SECOND_US,
+        5 * SECOND_US,
         messages.Idempotency.KEYED,
         messages.KeyScope.ZONE,
-        deduplication_window_us=4 * S,
+        deduplication_window_us=4 * SECOND_US,
     )
     for seed in range(8):
-        harness = BalancerHarness(settings(classes=(keyed,)), backends=0, seed=seed)
-        harness.news(*(messages.Endpoint(n, zone="ab"[n % 2]) for n in range(8)))
-        [send] = only(harness.request("r", "write"), messages.StartAttempt)
-        [again] = only(harness.end(send, messages.Outcome.ERROR), messages.StartAttempt)
+        harness = BalancerHarness(balancer_settings(classes=(keyed,)), endpoint_count=0, seed=seed)
+        harness.update_endpoint_list(*(messages.Endpoint(n, zone="ab"[n % 2]) for n in range(8)))
+        [send] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
+        [again] = actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.StartAttempt)
         assert again.endpoint_id % 2 == send.endpoint_id % 2
 
 
 def test_a_further_attempt_goes_to_a_backend_not_tried_yet() -> None:
     for seed in range(8):
-        harness = BalancerHarness(backends=2, seed=seed)
-        [send] = only(harness.request("r"), messages.StartAttempt)
-        harness.now += 1 * S  # the failed call counts as in flight no more
-        [again] = only(harness.end(send, messages.Outcome.RESET), messages.StartAttempt)
+        harness = BalancerHarness(endpoint_count=2, seed=seed)
+        [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+        harness.now_us += 1 * SECOND_US  # the failed call counts as in flight no more
+        [again] = actions_of_type(harness.end_attempt(send, messages.Outcome.RESET), messages.StartAttempt)
         assert again.endpoint_id != send.endpoint_id
 
 
 def test_further_attempts_are_paid_from_a_retry_budget() -> None:
     harness, sends, requests = BalancerHarness(), 0, 200
     for n in range(requests):
-        pending = only(harness.request(f"r{n}"), messages.StartAttempt)
+        pending = actions_of_type(harness.request(f"r{n}"), messages.StartAttempt)
         attempt = 0
         while pending:
             sends += 1
-            pending = only(
-                harness.end(pending[0], messages.Outcome.REJECTED, took=MS, attempt=attempt),
+            pending = actions_of_type(
+                harness.end_attempt(
+                    pending[0], messages.Outcome.REJECTED, took=MILLISECOND_US, attempt=attempt
+                ),
                 messages.StartAttempt,
             )
             attempt += 1
-        harness.now += 1 * S
+        harness.now_us += 1 * SECOND_US
     assert requests < sends <= requests * (1 + EARNED_PER_REQUEST) + MAX_SAVED_RETRIES
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -8,11 +8,12 @@
 from load_balancer.policy.attempt import Attempt
 from load_balancer.policy.selection import REMOTE_PENALTY
 from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 
 def test_draws_follow_shares() -> None:
-    harness = BalancerHarness(backends=3)
+    harness = BalancerHarness(endpoint_count=3)
     for server, share in zip(harness.balancer.endpoints.states.values(), (1.0, 2.0, 5.0), strict=True):
         server.share = share
     pool = list(harness.balancer.endpoints.states.values())
@@ -23,54 +24,54 @@
 
 
 def test_of_two_draws_the_one_with_fewer_calls_in_flight_wins() -> None:
-    harness = BalancerHarness(backends=1)
+    harness = BalancerHarness(endpoint_count=1)
     harness.request("long")
-    harness.news(messages.Endpoint(0), messages.Endpoint(1), version=2)
+    harness.update_endpoint_list(messages.Endpoint(0), messages.Endpoint(1), version=2)
     busy, idle = harness.balancer.endpoints.states.values()
     busy.share = 3.0
     for n in range(20):
-        [send] = only(harness.request(f"r{n}"), messages.StartAttempt)
+        [send] = actions_of_type(harness.request(f"r{n}"), messages.StartAttempt)
         assert send.endpoint_id == idle.endpoint.id
         assert [d.in_flight for d in send.draws] == [0, 1]
-        harness.end(send, messages.Outcome.OK)
+        harness.end_attempt(send, messages.Outcome.OK)
 
 
 def test_an_overdue_call_counts_twice() -> None:
     """A missing answer tells of a stuck backend long before its time-out."""
-    harness = BalancerHarness(backends=1)
-    [send] = only(harness.request("stuck"), messages.StartAttempt)
+    harness = BalancerHarness(endpoint_count=1)
+    [send] = actions_of_type(harness.request("stuck"), messages.StartAttempt)
     [server] = harness.balancer.endpoints.states.values()
     usual = int(harness.balancer.requests.classes["read"].usual_latency_us)
-    assert [server.load(harness.now + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
-    harness.now += 3 * usual
-    harness.end(send, messages.Outcome.OK, took=3 * usual)
-    assert server.load(harness.now) == 0
+    assert [server.load(harness.now_us + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
+    harness.now_us += 3 * usual
+    harness.end_attempt(send, messages.Outcome.OK, took=3 * usual)
+    assert server.load(harness.now_us) == 0
 
 
 def test_the_draws_are_distinct() -> None:
-    harness = BalancerHarness(backends=5)
+    harness = BalancerHarness(endpoint_count=5)
     for n in range(50):
-        [send] = only(harness.request(f"r{n}"), messages.StartAttempt)
+        [send] = actions_of_type(harness.request(f"r{n}"), messages.StartAttempt)
         assert len({d.endpoint_id for d in send.draws}) == 2
-        harness.end(send, messages.Outcome.OK)
+        harness.end_attempt(send, messages.Outcome.OK)
 
 
 def test_one_backend_and_none() -> None:
-    harness = BalancerHarness(backends=1)
-    assert [s.endpoint_id for s in only(harness.request("a"), messages.StartAttempt)] == [0]
-    harness.news()
-    assert not only(harness.request("b"), messages.StartAttempt)
+    harness = BalancerHarness(endpoint_count=1)
+    assert [s.endpoint_id for s in actions_of_type(harness.request("a"), messages.StartAttempt)] == [0]
+    harness.update_endpoint_list()
+    assert not actions_of_type(harness.request("b"), messages.StartAttempt)
 
 
 def test_the_subset_is_mixed_stable_and_refilled() -> None:
     subsets = set()
     for index in range(0, 40, 8):
-        harness = BalancerHarness(settings(instances=40, index=index), backends=40)
+        harness = BalancerHarness(balancer_settings(instances=40, index=index), endpoint_count=40)
         before = [s.endpoint.id for s in harness.balancer.endpoints.subset]
         assert len(before) == MIN_SUBSET
         assert before != sorted(before)
         subsets.add(tuple(before))
-        harness.news(
+        harness.update_endpoint_list(
             messages.Endpoint(before[0], messages.EndpointStatus.REMOVED),
             kind=messages.EndpointListKind.CHANGES,
             version=2,
@@ -83,13 +84,15 @@
 
 
 def test_a_failing_backend_is_lowered_and_not_removed() -> None:
-    harness, counts = BalancerHarness(backends=6), Counter[int]()
+    harness, counts = BalancerHarness(endpoint_count=6), Counter[int]()
     for n in range(600):
-        for send in only(harness.request(f"r{n}", "pay"), messages.StartAttempt):
+        for send in actions_of_type(harness.request(f"r{n}", "pay"), messages.StartAttempt):
             bad = send.endpoint_id == 0
-            harness.now += 20 * MS
-            harness.end(
-                send, messages.Outcome.ERROR if bad else messages.Outcome.OK, took=5 * MS if bad else 100 * MS
+            harness.now_us += 20 * MILLISECOND_US
+            harness.end_attempt(
+                send,
+                messages.Outcome.ERROR if bad else messages.Outcome.OK,
+                took=5 * MILLISECOND_US if bad else 100 * MILLISECOND_US,
             )
             counts[send.endpoint_id] += n >= 300
     fair = 300 / 6
@@ -98,14 +101,16 @@
 
 
 def test_slow_backends_get_less_and_recover() -> None:
-    harness = BalancerHarness(backends=6)
+    harness = BalancerHarness(endpoint_count=6)
     shares = []
     for phase in range(3):
         for n in range(500):
-            for send in only(harness.request(f"r{phase}.{n}"), messages.StartAttempt):
-                harness.now += 20 * MS
+            for send in actions_of_type(harness.request(f"r{phase}.{n}"), messages.StartAttempt):
+                harness.now_us += 20 * MILLISECOND_US
                 slow = phase == 1 and send.endpoint_id == 0
-                harness.end(send, messages.Outcome.OK, took=S if slow else 100 * MS)
+                harness.end_attempt(
+                    send, messages.Outcome.OK, took=SECOND_US if slow else 100 * MILLISECOND_US
+                )
         shares.append(harness.balancer.endpoints.states[0].share)
     assert shares[1] < shares[0] / 2
     assert shares[2] > shares[1] * 1.5
@@ -113,10 +118,10 @@
 
 def test_own_cancels_and_unsent_attempts_are_no_samples() -> None:
     for outcome in (messages.Outcome.CANCELLED, messages.Outcome.NOT_SENT):
-        harness = BalancerHarness(backends=1)
-        [send] = only(harness.request("r"), messages.StartAttempt)
+        harness = BalancerHarness(endpoint_count=1)
+        [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
         mean = harness.balancer.endpoints.states[0].detector.mean
-        again = only(harness.end(send, outcome), messages.StartAttempt)
+        again = actions_of_type(harness.end_attempt(send, outcome), messages.StartAttempt)
         assert harness.balancer.endpoints.states[0].detector.mean == mean
         assert len(harness.balancer.endpoints.states[0].in_flight) == len(again)
 
@@ -127,20 +132,23 @@
 def home_calls(price: float, busy: int = 0) -> int:
     """Of 200 requests, one after another, those that stay in zone a, its backends busy beforehand."""
     harness = BalancerHarness(
-        settings(zone="a", cross_zone_price=price, limits=messages.Limits(max_attempts=3)), backends=0
+        balancer_settings(zone="a", cross_zone_price=price, limits=messages.Limits(max_attempts=3)),
+        endpoint_count=0,
     )
-    harness.news(*ZONES)
+    harness.update_endpoint_list(*ZONES)
     harness.balancer.requests.limit.attempts = 20.0
     harness.balancer.requests.limit.split(harness.balancer.endpoints.subset)
     read = harness.balancer.requests.classes["read"]
     for server in harness.balancer.endpoints.states.values():
         if server.endpoint.zone == "a":
-            server.in_flight = [Attempt("busy", n, server, read, harness.now, 5 * S) for n in range(busy)]
+            server.in_flight = [
+                Attempt("busy", n, server, read, harness.now_us, 5 * SECOND_US) for n in range(busy)
+            ]
     stayed = 0
     for n in range(200):
-        [send] = only(harness.request(f"r{n}"), messages.StartAttempt)
+        [send] = actions_of_type(harness.request(f"r{n}"), messages.StartAttempt)
         stayed += harness.balancer.endpoints.states[send.endpoint_id].endpoint.zone == "a"
-        harness.end(send, messages.Outcome.OK)
+        harness.end_attempt(send, messages.Outcome.OK)
     return stayed
 
 
@@ -153,10 +161,12 @@
 
 
 def test_the_subset_holds_the_own_zone_and_a_way_out() -> None:
-    harness = BalancerHarness(settings(zone="a", cross_zone_price=0.05, instances=3), backends=0)
-    harness.news(*ZONES)
+    harness = BalancerHarness(
+        balancer_settings(zone="a", cross_zone_price=0.05, instances=3), endpoint_count=0
+    )
+    harness.update_endpoint_list(*ZONES)
     zones = Counter(s.endpoint.zone for s in harness.balancer.endpoints.subset)
     assert zones["a"] == 4
     assert zones["b"] + zones["c"] >= MIN_REMOTE
-    harness.news(*(s for s in ZONES if s.zone != "a"), version=2)  # none of its own is left
+    harness.update_endpoint_list(*(s for s in ZONES if s.zone != "a"), version=2)  # none of its own is left
     assert len(harness.balancer.endpoints.subset) >= MIN_SUBSET
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -15,7 +15,8 @@
 from load_balancer.policy.attempt import LastAttempt
 from load_balancer.policy.slow_start import BUDGET_SAFETY, FREE_FIRST_ATTEMPTS, KEPT_WINDOW_SHARE
 from tests.policy.test_slow_start_fleet import RULES, TIGHT, cold_fleet
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 COLDER = replace(TIGHT, start_capacity=0.1)  # N is about a call in a window
 
@@ -79,7 +80,7 @@
     """Drawn by each for itself, the calls of several balancers fall due at once."""
     places: dict[int, list[float]] = {n: [] for n in range(backends)}
     for index in range(balancers):
-        harness = BalancerHarness(settings(instances=balancers, index=index), backends, seed=index)
+        harness = BalancerHarness(balancer_settings(instances=balancers, index=index), backends, seed=index)
         for server in harness.balancer.endpoints.subset:
             places[server.endpoint.id].append(server.warming.phase)
     for lots in places.values():
@@ -89,8 +90,12 @@
 
 def waiting(instances: int, index: int, backends: int, rules: messages.Rules = RULES) -> BalancerHarness:
     """A balancer whose backends have just come up cold."""
-    harness = BalancerHarness(settings(rules=rules, instances=instances, index=index), backends=0, seed=index)
-    harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(backends)))
+    harness = BalancerHarness(
+        balancer_settings(rules=rules, instances=instances, index=index), endpoint_count=0, seed=index
+    )
+    harness.update_endpoint_list(
+        *(messages.Endpoint(n, incarnation_us=harness.now_us) for n in range(backends))
+    )
     return harness
 
 
@@ -99,14 +104,14 @@
     turns = []
     for _ in range(64):
         for harness in harnesses:
-            harness.now += RULES.overload_window_us // 4
+            harness.now_us += RULES.overload_window_us // 4
         turns.append(
             {
                 index
                 for index, harness in enumerate(harnesses)
                 for server in harness.balancer.endpoints.subset
                 if server.endpoint.id == 0
-                and harness.balancer.slow_start.has_free_first_attempt(harness.now, server, 0.34)
+                and harness.balancer.slow_start.has_free_first_attempt(harness.now_us, server, 0.34)
             }
         )
     holders = set().union(*turns)
@@ -118,19 +123,23 @@
     """Its own sends stopped with the budget, and the rate it measured from them fell to nothing."""
     served = []
     for index in range(30):
-        harness = BalancerHarness(settings(rules=TIGHT, instances=30, index=index), backends=6, seed=index)
+        harness = BalancerHarness(
+            balancer_settings(rules=TIGHT, instances=30, index=index), endpoint_count=6, seed=index
+        )
         for n in range(40):
-            harness.pass_time(RULES.overload_window_us // 3)
-            for send in only(harness.request(f"w{n}"), messages.StartAttempt):
-                harness.end(send, messages.Outcome.OK, took=100 * MS)
-        harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(6)), version=2)
+            harness.advance(RULES.overload_window_us // 3)
+            for send in actions_of_type(harness.request(f"w{n}"), messages.StartAttempt):
+                harness.end_attempt(send, messages.Outcome.OK, took=100 * MILLISECOND_US)
+        harness.update_endpoint_list(
+            *(messages.Endpoint(n, incarnation_us=harness.now_us) for n in range(6)), version=2
+        )
         sends = 0
         for n in range(4):
-            for send in only(
-                harness.pass_time(RULES.overload_window_us // 3) + harness.request(f"c{n}"),
+            for send in actions_of_type(
+                harness.advance(RULES.overload_window_us // 3) + harness.request(f"c{n}"),
                 messages.StartAttempt,
             ):
-                harness.end(send, messages.Outcome.OK, took=100 * MS)
+                harness.end_attempt(send, messages.Outcome.OK, took=100 * MILLISECOND_US)
                 sends += 1
         served.append(sends)
     assert min(served) > 0
@@ -140,15 +149,15 @@
     harness = waiting(1, 0, 1)
     [server] = harness.balancer.endpoints.subset
     server.warming.tokens = 0.2
-    assert len(only(harness.request("r"), messages.StartAttempt)) == 1
+    assert len(actions_of_type(harness.request("r"), messages.StartAttempt)) == 1
     assert math.isclose(server.warming.tokens, -0.8)
 
 
 def test_what_falls_due_keeps_for_a_part_of_the_window_only() -> None:
     """With what was kept from before it, a window then brings one budget at the most."""
-    harness = waiting(30, 0, 6, replace(RULES, slow_start_us=600 * S))
+    harness = waiting(30, 0, 6, replace(RULES, slow_start_us=600 * SECOND_US))
     server = harness.balancer.endpoints.subset[0]
-    server.warming.tokens, due, step = 0.0, 0, 10 * MS
+    server.warming.tokens, due, step = 0.0, 0, 10 * MILLISECOND_US
     rate = (
         BUDGET_SAFETY
         * RULES.overload_multiple
@@ -156,18 +165,18 @@
         / (harness.balancer.endpoints.sharing_balancers * RULES.overload_window_us)
     )
     for _ in range(int(1.5 / rate / step)):  # one call falls due
-        harness.now += step
-        due += harness.balancer.slow_start.due_tokens(harness.now, server) >= 1.0
+        harness.now_us += step
+        due += harness.balancer.slow_start.due_tokens(harness.now_us, server) >= 1.0
     kept = due * step / RULES.overload_window_us
     assert 0 < kept <= KEPT_WINDOW_SHARE + 0.05
     assert (1.0 + KEPT_WINDOW_SHARE) * BUDGET_SAFETY <= 1.0 + 1e-9
 
 
 def test_the_room_that_an_answer_makes_ends_if_it_is_not_used() -> None:
-    harness = waiting(30, 0, 6, replace(RULES, slow_start_us=600 * S))
+    harness = waiting(30, 0, 6, replace(RULES, slow_start_us=600 * SECOND_US))
     server = harness.balancer.endpoints.subset[0]
     server.last_attempt = LastAttempt.SUCCEEDED
-    server.warming.answer_credit_until_us = harness.now + S
+    server.warming.answer_credit_until_us = harness.now_us + SECOND_US
     server.warming.tokens = -1.0
-    assert harness.balancer.router.is_open(harness.now, server, is_retry=False)
-    assert not harness.balancer.router.is_open(harness.now + S, server, is_retry=False)
+    assert harness.balancer.router.is_open(harness.now_us, server, is_retry=False)
+    assert not harness.balancer.router.is_open(harness.now_us + SECOND_US, server, is_retry=False)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -13,13 +13,22 @@
 from load_balancer import messages
 from load_balancer.policy.endpoint_state import EndpointState
 from load_balancer.policy.slow_start import FREE_FIRST_ATTEMPTS, RATE_MEMORY_US, SlowStart
-from tests.support.balancer_harness import CLASSES, MS, BalancerHarness, S, only, settings
-from tests.support.simulated_fleet import START, Client, Fleet, Machine
+from tests.support.balancer_harness import (
+    REQUEST_CLASSES,
+    BalancerHarness,
+    actions_of_type,
+    balancer_settings,
+)
+from tests.support.simulated_fleet import START_US, SimulatedClient, SimulatedEndpoint, SimulatedFleet
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 RULES = messages.Rules(
-    start_capacity=0.34, slow_start_us=5 * S, overload_multiple=3.0, overload_window_us=1500 * MS
+    start_capacity=0.34,
+    slow_start_us=5 * SECOND_US,
+    overload_multiple=3.0,
+    overload_window_us=1500 * MILLISECOND_US,
 )
-USUAL_US = 250 * MS  # what a call takes at least, so that few calls a second are a real load
+USUAL_US = 250 * MILLISECOND_US  # what a call takes at least, so that few calls a second are a real load
 LOAD = 0.6
 
 
@@ -32,9 +41,9 @@
     seed: int = 0,
     health_checks: bool = False,
     rules: messages.Rules = RULES,
-    before: int = 3 * S,
-    after: int = 4 * S,
-) -> Fleet:
+    before: int = 3 * SECOND_US,
+    after: int = 4 * SECOND_US,
+) -> SimulatedFleet:
     """A fleet after backends came up cold: "one", a "zone" of three, or "all".
 
     Each balancer gets `calls` requests in the time of the rule. The trouble is any of: "burst", the
@@ -47,10 +56,10 @@
     """
     per_window = balancers * calls / backends / LOAD
     usual = rules.overload_window_us / per_window  # with one call at a time
-    came = START + before
+    came = START_US + before
     surge = 3.0 if "tripled" in trouble else 2.0 if "burst" in trouble else 1.0
-    fleet = Fleet(
-        settings(
+    fleet = SimulatedFleet(
+        balancer_settings(
             classes=classes_in(trouble, stretch=max(1.0, usual / USUAL_US)),
             rules=rules,
             limits=messages.Limits(max_attempts=4, cancel=True, health_checks=health_checks),
@@ -60,12 +69,17 @@
         per_window,
         LOAD,
         seed,
-        clients=(Client("read", 4), Client("write", 2), Client("mark", 2), Client("pay", 2)),
-        surge=lambda now: surge if came <= now < came + 3 * S else 1.0,
+        clients=(
+            SimulatedClient("read", 4),
+            SimulatedClient("write", 2),
+            SimulatedClient("mark", 2),
+            SimulatedClient("pay", 2),
+        ),
+        surge=lambda now: surge if came <= now < came + 3 * SECOND_US else 1.0,
         most_surge=surge,
         slots=max(1, round(USUAL_US / usual)),
     )
-    fleet.run(came - 300 * MS)
+    fleet.run(came - 300 * MILLISECOND_US)
     chosen = cold_machines(fleet, cold)
     if "held" in trouble:
         fleet.tell(
@@ -81,7 +95,7 @@
     if "wanted" in trouble or "saved" in trouble:
         draw_to(fleet, chosen, came, trouble)
     if "again" in trouble:
-        for wait in (700 * MS, 1900 * MS):
+        for wait in (700 * MILLISECOND_US, 1900 * MILLISECOND_US):
             fleet.run(came + wait)
             fleet.restart(chosen)
     if "moving" in trouble:
@@ -99,7 +113,7 @@
             deadline_us=int(c.deadline_us * stretch),
             deduplication_window_us=int(c.deduplication_window_us * stretch),
         )
-        for c in CLASSES
+        for c in REQUEST_CLASSES
     )
     for name, key_scope in (("zoned", messages.KeyScope.ZONE), ("celled", messages.KeyScope.CELL)):
         if name in trouble:
@@ -115,7 +129,7 @@
     return classes
 
 
-def cold_machines(fleet: Fleet, cold: str) -> list[Machine]:
+def cold_machines(fleet: SimulatedFleet, cold: str) -> list[SimulatedEndpoint]:
     return {
         "one": fleet.machines[:1],
         "zone": [m for m in fleet.machines if m.entry.zone == "a"],
@@ -123,7 +137,7 @@
     }[cold]
 
 
-def break_machines(fleet: Fleet, trouble: str) -> None:
+def break_machines(fleet: SimulatedFleet, trouble: str) -> None:
     """A third or two of all machines fail in the way that the trouble names."""
     for mode, parts in (("failing", (1,)), ("refusing", (0, 1)), ("silent", (0, 1))):
         for n, machine in enumerate(fleet.machines):
@@ -131,26 +145,26 @@
                 machine.mode = mode
 
 
-def draw_to(fleet: Fleet, chosen: list[Machine], came: int, trouble: str) -> None:
+def draw_to(fleet: SimulatedFleet, chosen: list[SimulatedEndpoint], came: int, trouble: str) -> None:
     """Gives the cold machines shares that would draw everything, or nothing at first."""
     fleet.run(came + fleet.spread_us)
     if "saved" in trouble:
         share(fleet, chosen, 1e-9)
-        fleet.run(came + 20 * S)
+        fleet.run(came + 20 * SECOND_US)
     share(fleet, chosen, 1e9)
 
 
-def move_others(fleet: Fleet, chosen: list[Machine], until: int) -> None:
+def move_others(fleet: SimulatedFleet, chosen: list[SimulatedEndpoint], until: int) -> None:
     """One of the other machines after another leaves the list for 0.4 s."""
     others = [m.entry for m in fleet.machines if m not in chosen]
-    while others and fleet.now + 400 * MS < until:
+    while others and fleet.now + 400 * MILLISECOND_US < until:
         leaves = fleet.rng.choice(others)
         fleet.tell([replace(leaves, status=messages.EndpointStatus.REMOVED)])
-        fleet.run(fleet.now + 400 * MS)
+        fleet.run(fleet.now + 400 * MILLISECOND_US)
         fleet.tell([leaves])
 
 
-def share(fleet: Fleet, machines: list[Machine], share: float) -> None:
+def share(fleet: SimulatedFleet, machines: list[SimulatedEndpoint], share: float) -> None:
     for module in fleet.modules:
         for machine in machines:
             module.endpoints.states[machine.entry.id].share = share
@@ -177,7 +191,7 @@
 def test_all_balancers_together_keep_a_cold_backend_within_its_budget(
     balancers: int, backends: int, calls: float, cold: str, trouble: str, rules: messages.Rules
 ) -> None:
-    before, after = (S, 2 * S) if balancers > 100 else (3 * S, 4 * S)
+    before, after = (SECOND_US, 2 * SECOND_US) if balancers > 100 else (3 * SECOND_US, 4 * SECOND_US)
     fleet = cold_fleet(balancers, backends, calls, cold, trouble, rules=rules, before=before, after=after)
     worst, sent, allowed = fleet.worst_cold()
     assert worst <= 1.0, f"{sent} calls, {allowed:.1f} allowed"
@@ -195,8 +209,8 @@
         looks += 1
         return capacity(slow_start, now, state)
 
-    harness = BalancerHarness(settings(instances=880), backends=0)
-    harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(880)))
+    harness = BalancerHarness(balancer_settings(instances=880), endpoint_count=0)
+    harness.update_endpoint_list(*(messages.Endpoint(n, incarnation_us=harness.now_us) for n in range(880)))
     monkeypatch.setattr(SlowStart, "capacity", counted)
     harness.request("r")
     assert 0 < looks <= 2 * len(harness.balancer.endpoints.subset)
@@ -233,65 +247,77 @@
 
 def test_a_call_of_its_own_subset_is_sent_where_all_of_that_is_cold() -> None:
     """Though others are warm, none of those that it may send to tells what a backend takes."""
-    harness = BalancerHarness(settings(instances=20), backends=0)
-    harness.news(*(messages.Endpoint(n) for n in range(30)))
+    harness = BalancerHarness(balancer_settings(instances=20), endpoint_count=0)
+    harness.update_endpoint_list(*(messages.Endpoint(n) for n in range(30)))
     ours = {s.endpoint.id for s in harness.balancer.endpoints.subset}
-    harness.news(
-        *(messages.Endpoint(n, incarnation_us=harness.now if n in ours else 0) for n in range(30)), version=2
+    harness.update_endpoint_list(
+        *(messages.Endpoint(n, incarnation_us=harness.now_us if n in ours else 0) for n in range(30)),
+        version=2,
     )
     assert {s.endpoint.id for s in harness.balancer.endpoints.subset} == ours
-    assert only(harness.request("r"), messages.StartAttempt)
+    assert actions_of_type(harness.request("r"), messages.StartAttempt)
 
 
 def test_balancers_that_could_not_use_their_part_save_up_no_more_than_a_window_of_it() -> None:
     """Else all of them send what they saved in the same moment, as a burst comes."""
-    rules, saved, flow = replace(RULES, slow_start_us=60 * S), 0, 0.0
+    rules, saved, flow = replace(RULES, slow_start_us=60 * SECOND_US), 0, 0.0
     for index in range(0, 120, 2):
-        harness = BalancerHarness(settings(rules=rules, instances=120, index=index), backends=0, seed=index)
-        harness.news(*(messages.Endpoint(n) for n in range(6)))
+        harness = BalancerHarness(
+            balancer_settings(rules=rules, instances=120, index=index), endpoint_count=0, seed=index
+        )
+        harness.update_endpoint_list(*(messages.Endpoint(n) for n in range(6)))
         cold = harness.balancer.endpoints.subset[0]
-        harness.news(
-            messages.Endpoint(cold.endpoint.id, incarnation_us=harness.now),
+        harness.update_endpoint_list(
+            messages.Endpoint(cold.endpoint.id, incarnation_us=harness.now_us),
             kind=messages.EndpointListKind.CHANGES,
             version=2,
         )
         cold = harness.balancer.endpoints.states[cold.endpoint.id]
         cold.share = 1e-9
         for n in range(30):
-            for send in only(harness.request(f"r{n}"), messages.StartAttempt):
-                harness.end(send, messages.Outcome.OK)
-            harness.pass_time(S)
-        saved += int(harness.balancer.slow_start.due_tokens(harness.now, cold))
-        flow += rules.overload_window_us / S / len(harness.balancer.endpoints.subset)
+            for send in actions_of_type(harness.request(f"r{n}"), messages.StartAttempt):
+                harness.end_attempt(send, messages.Outcome.OK)
+            harness.advance(SECOND_US)
+        saved += int(harness.balancer.slow_start.due_tokens(harness.now_us, cold))
+        flow += rules.overload_window_us / SECOND_US / len(harness.balancer.endpoints.subset)
     assert 0 < saved <= rules.overload_multiple * 0.67 * flow
 
 
 def test_further_attempts_do_not_raise_the_part_of_a_cold_backend() -> None:
-    harness, sent = BalancerHarness(settings(limits=messages.Limits(max_attempts=3)), backends=8), 0
+    harness, sent = (
+        BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=3)), endpoint_count=8),
+        0,
+    )
     for n in range(3):
-        sends = only(harness.request(f"r{n}"), messages.StartAttempt)
+        sends = actions_of_type(harness.request(f"r{n}"), messages.StartAttempt)
         for attempt in range(3):
             sent += len(sends)
-            sends = only(harness.end(sends[0], messages.Outcome.REJECTED, MS, attempt), messages.StartAttempt)
+            sends = actions_of_type(
+                harness.end_attempt(sends[0], messages.Outcome.REJECTED, MILLISECOND_US, attempt),
+                messages.StartAttempt,
+            )
     assert sent == 9
-    assert harness.balancer.slow_start.first_attempts.per_us(harness.now) <= 3 / RATE_MEMORY_US
+    assert harness.balancer.slow_start.first_attempts.per_us(harness.now_us) <= 3 / RATE_MEMORY_US
 
 
 def test_a_backend_beyond_the_subset_gets_its_part_from_many_more_balancers() -> None:
     """Only further attempts go there, but from all of them."""
-    harness = BalancerHarness(settings(rules=RULES, instances=40), backends=0)
-    harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(40)))
+    harness = BalancerHarness(balancer_settings(rules=RULES, instances=40), endpoint_count=0)
+    harness.update_endpoint_list(*(messages.Endpoint(n, incarnation_us=harness.now_us) for n in range(40)))
     for n in range(40):
         harness.request(f"r{n}")
-    harness.now += 100 * MS
+    harness.now_us += 100 * MILLISECOND_US
     ours = harness.balancer.endpoints.subset[0]
     other = next(
         s for s in harness.balancer.endpoints.states.values() if s not in harness.balancer.endpoints.subset
     )
     earned = []
     for server in (ours, other):
-        server.warming.tokens, server.warming.tokens_updated_at_us = 0.0, harness.now - 100 * MS
-        earned.append(harness.balancer.slow_start.due_tokens(harness.now, server))
+        server.warming.tokens, server.warming.tokens_updated_at_us = (
+            0.0,
+            harness.now_us - 100 * MILLISECOND_US,
+        )
+        earned.append(harness.balancer.slow_start.due_tokens(harness.now_us, server))
     assert 0 < earned[1] * 40 <= 0.21 * earned[0] * harness.balancer.endpoints.sharing_balancers
 
 
@@ -315,10 +341,12 @@
 def test_many_balancers_make_no_burst_of_first_calls_where_all_are_cold() -> None:
     sent = [0] * 6
     for index in range(30):
-        harness = BalancerHarness(settings(rules=RULES, instances=30, index=index), backends=0, seed=index)
-        harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(6)))
+        harness = BalancerHarness(
+            balancer_settings(rules=RULES, instances=30, index=index), endpoint_count=0, seed=index
+        )
+        harness.update_endpoint_list(*(messages.Endpoint(n, incarnation_us=harness.now_us) for n in range(6)))
         for n in range(3):
-            for send in only(harness.request(f"r{n}"), messages.StartAttempt):
+            for send in actions_of_type(harness.request(f"r{n}"), messages.StartAttempt):
                 sent[send.endpoint_id] += 1
     # One call from each came to five a backend, more than the rule allows where a call is all it bears.
     assert sum(sent) > 0
@@ -326,10 +354,12 @@
 
 
 def test_a_further_attempt_is_no_free_first_call_where_all_are_cold() -> None:
-    harness = BalancerHarness(settings(rules=RULES, instances=30), backends=0)
-    harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(6)))
-    [send] = only(harness.request("r"), messages.StartAttempt)
-    assert not only(harness.end(send, messages.Outcome.REJECTED, MS), messages.StartAttempt)
+    harness = BalancerHarness(balancer_settings(rules=RULES, instances=30), endpoint_count=0)
+    harness.update_endpoint_list(*(messages.Endpoint(n, incarnation_us=harness.now_us) for n in range(6)))
+    [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+    assert not actions_of_type(
+        harness.end_attempt(send, messages.Outcome.REJECTED, MILLISECOND_US), messages.StartAttempt
+    )
 
 
 @pytest.mark.parametrize("seed", [0, 3, 4])
@@ -340,39 +370,44 @@
     assert worst <= 1.0, f"{came} calls and probes, {allowed:.1f} allowed"
 
 
-@pytest.mark.parametrize(("since", "asks"), [(0, 2), (10 * S, 1)])
+@pytest.mark.parametrize(("since", "asks"), [(0, 2), (10 * SECOND_US, 1)])
 def test_an_unanswered_probe_of_a_cold_backend_is_repeated_from_the_budget_alone(
     since: int, asks: int
 ) -> None:
-    setup = settings(
-        rules=replace(RULES, slow_start_us=60 * S), limits=messages.Limits(3, cancel=True, health_checks=True)
+    setup = balancer_settings(
+        rules=replace(RULES, slow_start_us=60 * SECOND_US),
+        limits=messages.Limits(3, cancel=True, health_checks=True),
     )
-    harness = BalancerHarness(setup, backends=0)
-    harness.news(messages.Endpoint(0, incarnation_us=since))
+    harness = BalancerHarness(setup, endpoint_count=0)
+    harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=since))
     harness.request("r")
-    harness.pass_time(950 * MS)
+    harness.advance(950 * MILLISECOND_US)
     harness.balancer.endpoints.states[0].warming.tokens = 1.0  # keeps for a part of the window only
-    harness.balancer.endpoints.states[0].warming.tokens_updated_at_us = harness.now
-    probes = only(harness.pass_time(250 * MS), messages.CheckHealth)
+    harness.balancer.endpoints.states[0].warming.tokens_updated_at_us = harness.now_us
+    probes = actions_of_type(harness.advance(250 * MILLISECOND_US), messages.CheckHealth)
     assert len(probes) == 1
     harness.balancer.endpoints.states[0].warming.tokens = 0.0
-    again = only(harness.event(messages.HealthCheckEnded(0, alive=False)), messages.CheckHealth)
+    again = actions_of_type(harness.handle(messages.HealthCheckEnded(0, alive=False)), messages.CheckHealth)
     assert len(probes) + len(again) == asks
 
 
 def test_the_budget_allows_calls_beside_the_one_at_a_time_where_all_are_cold() -> None:
     """Answers of cold backends are slow; one call at a time served half of what they could do."""
-    harness = BalancerHarness(backends=3)
+    harness = BalancerHarness(endpoint_count=3)
     for n in range(300):
-        harness.pass_time(10 * MS)
-        for send in only(harness.request(f"w{n}"), messages.StartAttempt):
-            harness.end(send, messages.Outcome.OK, took=20 * MS)
-    harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(3)), version=2)
+        harness.advance(10 * MILLISECOND_US)
+        for send in actions_of_type(harness.request(f"w{n}"), messages.StartAttempt):
+            harness.end_attempt(send, messages.Outcome.OK, took=20 * MILLISECOND_US)
+    harness.update_endpoint_list(
+        *(messages.Endpoint(n, incarnation_us=harness.now_us) for n in range(3)), version=2
+    )
     sent = []
     for n in range(50):
         sent += [
             s.endpoint_id
-            for s in only(harness.pass_time(10 * MS) + harness.request(f"c{n}"), messages.StartAttempt)
+            for s in actions_of_type(
+                harness.advance(10 * MILLISECOND_US) + harness.request(f"c{n}"), messages.StartAttempt
+            )
         ]
     assert min(sent.count(n) for n in range(3)) >= 2
     assert len(sent) <= 50 * 3.0 * 0.5
@@ -382,8 +417,10 @@
     """A list that comes in pieces may name one cold backend first, and all hold requests for it."""
     sent = 0
     for index in range(200):
-        harness = BalancerHarness(settings(rules=RULES, instances=200, index=index), backends=0, seed=index)
+        harness = BalancerHarness(
+            balancer_settings(rules=RULES, instances=200, index=index), endpoint_count=0, seed=index
+        )
         harness.request("r")
-        harness.news(messages.Endpoint(0, incarnation_us=harness.now))
-        sent += len(only(harness.done, messages.StartAttempt))
+        harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=harness.now_us))
+        sent += len(actions_of_type(harness.actions, messages.StartAttempt))
     assert 0 < sent <= 12
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -12,7 +12,7 @@
 from load_balancer.errors import ConfigError
 from load_balancer.process.config import ConfigSource
 from tests.support.config_fields import FIRST_LANE, NUMBER_FIELDS, FieldPath, config_with, field_name
-from tests.support.proxy_process import LIMITS, config, raw_settings, write
+from tests.support.proxy_process import LIMITS, proxy_config, raw_settings, write_config
 
 
 @pytest.mark.parametrize(
@@ -21,7 +21,7 @@
 )
 @pytest.mark.parametrize("path", NUMBER_FIELDS, ids=field_name)
 def test_invalid_number_is_named_in_the_error(tmp_path: Path, path: FieldPath, value: str) -> None:
-    env = write(tmp_path, config())
+    env = write_config(tmp_path, proxy_config())
     text = json.dumps(config_with(path, "HERE")).replace('"HERE"', value)
     (tmp_path / "config.json").write_text(text)
     with pytest.raises(ConfigError) as raised:
@@ -67,7 +67,7 @@
 )
 def test_impossible_value_is_named_in_the_error(tmp_path: Path, path: FieldPath, value: object) -> None:
     with pytest.raises(ConfigError) as raised:
-        ConfigSource(write(tmp_path, config_with(path, value))).read()
+        ConfigSource(write_config(tmp_path, config_with(path, value))).read()
     assert f"field {field_name(path)} " in str(raised.value)
 
 
@@ -83,18 +83,18 @@
 def test_integer_may_be_written_with_a_decimal_point(tmp_path: Path) -> None:
     """JSON has one kind of number; a refusal to start serves nobody."""
     plain = config_with(("settings", "instances"), 3)
-    told = ConfigSource(write(tmp_path, plain)).read()
+    told = ConfigSource(write_config(tmp_path, plain)).read()
     seed = plain["seed"]
     written = {**with_whole_floats(plain), "seed": seed}
     assert '"instances": 3.0' in json.dumps(written)
-    assert ConfigSource(write(tmp_path, written)).read() == told
+    assert ConfigSource(write_config(tmp_path, written)).read() == told
     assert told.cached_list is not None
 
 
 @pytest.mark.parametrize("seed", [0, -5, 2**64, 2**127, "0", "0x1f", "F" * 64])
 def test_seed_may_be_of_any_size(tmp_path: Path, seed: int | str) -> None:
     """No float or timer takes it, and a proxy that does not start serves nobody."""
-    told = ConfigSource(write(tmp_path, {**config(), "seed": seed})).read()
+    told = ConfigSource(write_config(tmp_path, {**proxy_config(), "seed": seed})).read()
     assert told.seed == (seed if isinstance(seed, int) else int(seed, 16))
     Balancer(told.settings, told.seed)
 
@@ -102,11 +102,11 @@
 def test_negative_quota_is_named_in_the_error(tmp_path: Path) -> None:
     tenants = [{"name": "a", "quotaPerS": 1}, {"name": "b", "quotaPerS": -1}]
     with pytest.raises(ConfigError, match=r"field settings\.tenants\[1\]\.quotaPerS is negative"):
-        ConfigSource(write(tmp_path, config_with(("settings", "tenants"), tenants))).read()
+        ConfigSource(write_config(tmp_path, config_with(("settings", "tenants"), tenants))).read()
 
 
 def test_environment_overrides_the_file(tmp_path: Path) -> None:
-    env = write(tmp_path, config())
+    env = write_config(tmp_path, proxy_config())
     told = ConfigSource({**env, "NODE_LISTEN": "127.0.0.1:7", "NODE_DISCOVERY": "127.0.0.1:8"}).read()
     assert (told.listen, told.discovery) == (("127.0.0.1", 7), ("127.0.0.1", 8))
     assert told.seed == 0x8C1F30D27A5BE964
@@ -115,9 +115,13 @@
 
 
 def test_changed_file_overrides_an_environment_that_equalled_the_first_file(tmp_path: Path) -> None:
-    env = {**write(tmp_path, config()), "NODE_DISCOVERY": "127.0.0.1:1", "NODE_LISTEN": "127.0.0.1:7"}
+    env = {
+        **write_config(tmp_path, proxy_config()),
+        "NODE_DISCOVERY": "127.0.0.1:1",
+        "NODE_LISTEN": "127.0.0.1:7",
+    }
     source = ConfigSource(env)
-    write(tmp_path, config(discovery="127.0.0.1:2", listen="127.0.0.1:3"))
+    write_config(tmp_path, proxy_config(discovery="127.0.0.1:2", listen="127.0.0.1:3"))
     told = source.read()
     assert told.discovery == ("127.0.0.1", 2)  # the environment said the same as the first file
     assert told.listen == ("127.0.0.1", 7)  # and here something else
@@ -136,4 +140,4 @@
 )
 def test_invalid_configuration_names_the_field(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
     with pytest.raises(ConfigError, match=named.replace("[", r"\[")):
-        ConfigSource(write(tmp_path, config(**changes))).read()
+        ConfigSource(write_config(tmp_path, proxy_config(**changes))).read()
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -18,7 +18,14 @@
     endpoint_list_chunk,
 )
 from tests.support.http_messages import http_request, http_response, read_http_message
-from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.proxy_process import (
+    LIMITS,
+    proxy_config,
+    raw_settings,
+    read_listening_port,
+    running_proxy_process,
+    write_config,
+)
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 GIVEN = 96
@@ -100,14 +107,14 @@
     async with StandInEndpoint(http_response(200, b"a")) as a, StandInEndpoint(http_response(200, b"b")) as b:
         down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
         down.bind(("127.0.0.1", 0))
-        told = config(
+        told = proxy_config(
             discovery=f"127.0.0.1:{down.getsockname()[1]}",
             known=endpoint_list(endpoint_entry("a", a.port)),
             settings=raw_settings(limits=LIMITS, registryMode="automatic"),
         )
         assert told["limits"]["sockets"] > GIVEN
-        async with process(write(tmp_path, told), GIVEN) as made:
-            port = await port_of(made)
+        async with running_proxy_process(write_config(tmp_path, told), GIVEN) as made:
+            port = await read_listening_port(made)
             assert made.stderr is not None
             reading = asyncio.create_task(made.stderr.read())
             crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(CROWD)]
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -13,7 +13,14 @@
 from load_balancer.process.graceful_shutdown import FLUSH_S, accept_time_s
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.http_messages import http_request, http_response, read_http_message
-from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.proxy_process import (
+    LIMITS,
+    proxy_config,
+    raw_settings,
+    read_listening_port,
+    running_proxy_process,
+    write_config,
+)
 from tests.support.stand_in_server import StandInServer
 
 KILL_MORE_S = 0.7  # SIGKILL comes this long after the longest deadline, by the terms
@@ -109,9 +116,11 @@
     lane |= {"onTimeUs": round(deadline_s * 1e6), "deadlineUs": round(deadline_s * 1e6)}
     async with StandInServer(traffic.serve) as b:
         told = raw_settings(lanes=[lane], limits=LIMITS)
-        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told))
-        async with process(env) as made:
-            port = await port_of(made)
+        env = write_config(
+            tmp_path, proxy_config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told)
+        )
+        async with running_proxy_process(env) as made:
+            port = await read_listening_port(made)
             clients = [asyncio.ensure_future(traffic.client(port, n)) for n in range(CLIENTS)]
             await asyncio.sleep(0.1)
             traffic.stopping.set()
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -12,14 +12,14 @@
 from load_balancer.process.reload import Reloader
 from tests.support.config_fields import FIRST_LANE, NUMBER_FIELDS, FieldPath, config_with, field_name
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
-from tests.support.proxy_process import config, write
+from tests.support.proxy_process import proxy_config, write_config
 
 
 class ReloadHarness:
     """A running proxy, its configuration file, and what a SIGHUP does to it."""
 
     def __init__(self, folder: Path, p: LoopbackProxy, caplog: pytest.LogCaptureFixture) -> None:
-        env = write(folder, config())
+        env = write_config(folder, proxy_config())
         self.path, self.caplog = folder / "config.json", caplog
         source = ConfigSource(env)
         self.reloader = Reloader(source, source.read(), p.driver)
@@ -43,7 +43,7 @@
 
     def still_follows(self) -> None:
         """A sound file is taken up after all of that."""
-        self.path.write_text(json.dumps(config(discovery="127.0.0.1:2")))
+        self.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:2")))
         self.reloader.reload()
         assert self.moved == [("127.0.0.1", 2)]
 
@@ -127,7 +127,7 @@
 
 FILES: dict[str, tuple[bytes, str]] = {
     "empty": (b"", "NODE_CONFIG"),
-    "cut": (json.dumps(config(discovery="127.0.0.1:2")).encode()[:-20], "NODE_CONFIG"),
+    "cut": (json.dumps(proxy_config(discovery="127.0.0.1:2")).encode()[:-20], "NODE_CONFIG"),
     "not UTF-8": (b'{"name":"\xff\xfe"}', "NODE_CONFIG"),
     "nested": (b"[" * 100_000 + b"]" * 100_000, "NODE_CONFIG"),
     "an array": (b"[1]", "field settings"),
@@ -172,7 +172,7 @@
 ) -> None:
     async with running_proxy() as p:
         r = ReloadHarness(tmp_path, p, caplog)
-        r.path.write_text(json.dumps(config(discovery="127.0.0.1:2", known={"rev": 1})))
+        r.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:2", known={"rev": 1})))
         r.reloader.reload()
         assert r.moved == [("127.0.0.1", 2)]
         assert "field known.targets" in caplog.text
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -20,18 +20,18 @@
 from tests.support.proxy_process import (
     LIMITS,
     ROOT,
-    config,
-    free_port,
-    port_of,
-    process,
+    proxy_config,
     raw_settings,
-    write,
+    read_listening_port,
+    running_proxy_process,
+    unused_port,
+    write_config,
 )
 from tests.support.stand_in_server import StandInEndpoint, StandInServer, StreamHandler
 
 
 async def test_invalid_configuration_exits_with_one_line_and_code_2(tmp_path: Path) -> None:
-    async with process(write(tmp_path, config(listen=5))) as made:
+    async with running_proxy_process(write_config(tmp_path, proxy_config(listen=5))) as made:
         out, err = await made.communicate()
         assert (out, made.returncode) == (b"", 2)
         assert b"listen" in err
@@ -59,8 +59,8 @@
 
     async with StandInServer(answers_by_name(begun, go_on)) as b:
         known = endpoint_list(endpoint_entry("a", b.port))
-        async with process(write(tmp_path, config(known=known))) as made:
-            port = await port_of(made)
+        async with running_proxy_process(write_config(tmp_path, proxy_config(known=known))) as made:
+            port = await read_listening_port(made)
             kept_reader, kept = await asyncio.open_connection("127.0.0.1", port)
             slow_reader, slow_writer = await asyncio.open_connection("127.0.0.1", port)
             slow_writer.write(http_request(request_id="slow"))
@@ -100,13 +100,13 @@
         await reader.read()
 
     async with StandInServer(slow) as b, StandInServer(watch) as d:
-        told = config(known=endpoint_list(endpoint_entry("a", b.port)))
-        async with process(write(tmp_path, told)) as made:
-            reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
+        told = proxy_config(known=endpoint_list(endpoint_entry("a", b.port)))
+        async with running_proxy_process(write_config(tmp_path, told)) as made:
+            reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(made))
             writer.write(http_request())
             await begun.wait()
             made.send_signal(signal.SIGTERM)
-            write(tmp_path, {**told, "discovery": f"127.0.0.1:{d.port}"})
+            write_config(tmp_path, {**told, "discovery": f"127.0.0.1:{d.port}"})
             made.send_signal(signal.SIGHUP)
             await moved.wait()
             made.send_signal(signal.SIGTERM)
@@ -134,12 +134,12 @@
 async def test_signal_after_the_event_loop_has_closed_does_not_kill_the_process(tmp_path: Path) -> None:
     """The event loop is closed by then, and with it the handlers are gone."""
 
-    env = {**os.environ, **write(tmp_path, config())}
+    env = {**os.environ, **write_config(tmp_path, proxy_config())}
     pipe = asyncio.subprocess.PIPE
     made = await asyncio.create_subprocess_exec(
         sys.executable, "-c", AT_ITS_END, cwd=ROOT, env=env, stderr=pipe
     )
-    await port_of(made)
+    await read_listening_port(made)
     made.send_signal(signal.SIGTERM)
     assert await made.wait() == 0
 
@@ -155,9 +155,11 @@
     async with StandInServer(never) as b:
         lane = {"name": "pay", "idempotency": "unsafe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
         told = raw_settings(lanes=[{**lane, "lateValue": 0.5}], limits=LIMITS)
-        env = write(tmp_path, config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told))
-        async with process(env) as made:
-            reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made))
+        env = write_config(
+            tmp_path, proxy_config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told)
+        )
+        async with running_proxy_process(env) as made:
+            reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(made))
             writer.write(http_request("pay", Req_Deadline="9.0"))
             await begun.wait()
             loop = asyncio.get_running_loop()
@@ -177,10 +179,10 @@
 
     async with StandInEndpoint(http_response(200, b"x")) as b:
         known = endpoint_list(endpoint_entry("a", b.port))
-        env = write(tmp_path, config(known=known, limits={"sockets": told}))
-        async with process(env, given) as made:
+        env = write_config(tmp_path, proxy_config(known=known, limits={"sockets": told}))
+        async with running_proxy_process(env, given) as made:
             said: list[str] = []
-            port = await port_of(made, said)
+            port = await read_listening_port(made, said)
             crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(100)]
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(http_request())
@@ -217,14 +219,14 @@
         StandInEndpoint(http_response(200, b"b")) as b,
         StandInServer(hold) as d,
     ):
-        port = free_port()
-        told = config(
+        port = unused_port()
+        told = proxy_config(
             listen=f"127.0.0.1:{port}",
             discovery=f"127.0.0.1:{d.port}",
             known=endpoint_list(endpoint_entry("a", a.port), rev=1),
             settings=raw_settings(limits=LIMITS, registryMode="automatic"),
         )
-        async with process(write(tmp_path, told)) as made:
+        async with running_proxy_process(write_config(tmp_path, told)) as made:
             await asked.wait()
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection("127.0.0.1", port)
@@ -234,7 +236,7 @@
                 return
             if then == "list":
                 go_on.set()
-            assert await port_of(made) == port
+            assert await read_listening_port(made) == port
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(http_request())
             assert (await read_http_message(reader))[2] == (b"b" if then == "list" else b"a")
@@ -257,15 +259,15 @@
         await reader.read()
 
     async with StandInEndpoint(http_response(200, b"a")) as a, StandInServer(hold) as d:
-        told = config(discovery=f"127.0.0.1:{d.port}")
+        told = proxy_config(discovery=f"127.0.0.1:{d.port}")
         if known:
             told["known"] = endpoint_list(endpoint_entry("a", a.port), rev=1)
-        async with process(write(tmp_path, told)) as made:
+        async with running_proxy_process(write_config(tmp_path, told)) as made:
             await asked.wait()
             if not known:
                 go_on.set()
             said: list[str] = []
-            reader, writer = await asyncio.open_connection("127.0.0.1", await port_of(made, said))
+            reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(made, said))
             assert not any("watch on discovery broke" in line for line in said)
             writer.write(http_request())
             assert (await read_http_message(reader))[2] == b"a"
@@ -300,13 +302,13 @@
         StandInServer(old) as d,
         StandInServer(new) as e,
     ):
-        file = config(
+        file = proxy_config(
             discovery=f"127.0.0.1:{d.port}", known=endpoint_list(endpoint_entry("a", a.port), rev=90)
         )
-        env = {**write(tmp_path, file), "NODE_DISCOVERY": f"127.0.0.1:{d.port}"}
-        async with process(env) as made:
+        env = {**write_config(tmp_path, file), "NODE_DISCOVERY": f"127.0.0.1:{d.port}"}
+        async with running_proxy_process(env) as made:
             assert made.stderr is not None
-            port = await port_of(made)
+            port = await read_listening_port(made)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(http_request(request_id="slow"))
             await begun.wait()
@@ -314,7 +316,7 @@
             made.send_signal(signal.SIGHUP)
             while b"the old one stays" not in (line := await made.stderr.readline()):
                 assert line, "it ended"
-            write(tmp_path, {**file, "discovery": f"127.0.0.1:{e.port}", "name": "other"})
+            write_config(tmp_path, {**file, "discovery": f"127.0.0.1:{e.port}", "name": "other"})
             made.send_signal(signal.SIGHUP)
             while b"name needs a restart" not in (line := await made.stderr.readline()):
                 assert line, "it ended"
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -23,7 +23,14 @@
     endpoint_list_chunk,
 )
 from tests.support.http_messages import StreamPair, http_chunk, http_request, http_response, read_http_message
-from tests.support.proxy_process import LIMITS, config, free_port, process, raw_settings, write
+from tests.support.proxy_process import (
+    LIMITS,
+    proxy_config,
+    raw_settings,
+    running_proxy_process,
+    unused_port,
+    write_config,
+)
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock
 
@@ -50,7 +57,7 @@
 def test_invalid_cached_list_is_dropped_and_its_field_logged(
     tmp_path: Path, known: object, named: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    told = ConfigSource(write(tmp_path, config(known=known))).read()
+    told = ConfigSource(write_config(tmp_path, proxy_config(known=known))).read()
     assert told.cached_list is None
     assert told.discovery == ("127.0.0.1", 1)
     [line] = caplog.records
@@ -63,7 +70,7 @@
 
     def __init__(self, mood: str) -> None:
         self.mood, self.news = mood, b""
-        self.port = free_port()
+        self.port = unused_port()
         self.taken: list[socket.socket] = []
         self.server: asyncio.Server | None = None
 
@@ -149,7 +156,7 @@
 @asynccontextmanager
 async def attended(folder: Path, port: int, told: dict[str, Any]) -> AsyncIterator[SteppedClock]:
     """A proxy in this process, as it starts, on a stepped clock."""
-    source = ConfigSource(write(folder, {**told, "listen": f"127.0.0.1:{port}"}))
+    source = ConfigSource(write_config(folder, {**told, "listen": f"127.0.0.1:{port}"}))
     clock = SteppedClock()
     attending = asyncio.ensure_future(serve_until_stopped(source.read(), source))
     await asyncio.sleep(0)
@@ -164,7 +171,7 @@
 
 
 def told(mode: str, discovery: int, known: object) -> dict[str, Any]:
-    return config(
+    return proxy_config(
         discovery=f"127.0.0.1:{discovery}",
         known=known,
         settings=raw_settings(limits=LIMITS, registryMode=mode),
@@ -183,7 +190,7 @@
     """Where lists are pushed it first waits for discovery's word, as that counts from the first moment on."""
 
     async with moody(mood) as d, StandInEndpoint(http_response(200, b"x")) as b:
-        port = free_port()
+        port = unused_port()
         async with attended(
             tmp_path, port, told(mode, d.port, endpoint_list(endpoint_entry("a", b.port)))
         ) as clock:
@@ -200,7 +207,7 @@
     """A call that hangs may be given up first, and a wait follows; the last call failed just before."""
 
     async with moody(mood) as d, StandInEndpoint(http_response(200, b"x")) as b:
-        port = free_port()
+        port = unused_port()
         async with attended(tmp_path, port, told(mode, d.port, known)) as clock:
             assert await step_until_ready(clock, port, 15.0) >= 15.0 - STEP_S  # nothing to send to
             await d.come_back(endpoint_list(endpoint_entry("a", b.port)))
@@ -234,14 +241,14 @@
     ):
         news = endpoint_list(endpoint_entry("a", b.port), rev=2)
         made: list[asyncio.subprocess.Process] = []
-        ports = [free_port() for _ in range(3)]
+        ports = [unused_port() for _ in range(3)]
         for n, known in enumerate(
             (endpoint_list(endpoint_entry("a", b.port)), None, SPOILT["an odd address"][0])
         ):
             folder = tmp_path / str(n)
             folder.mkdir()
-            env = write(folder, {**told(mode, d.port, known), "listen": f"127.0.0.1:{ports[n]}"})
-            made.append(await stack.enter_async_context(process(env)))
+            env = write_config(folder, {**told(mode, d.port, known), "listen": f"127.0.0.1:{ports[n]}"})
+            made.append(await stack.enter_async_context(running_proxy_process(env)))
         await until_ready(made[0], ports[0])
         assert not await ready(ports[1])
         assert not await ready(ports[2])
@@ -306,12 +313,12 @@
             writer.write(http_response(200, b"x"))
 
     async with StandInServer(slow) as b, StandInServer(hold) as d:
-        port = free_port()
-        env = write(tmp_path, {**told("automatic", d.port, None), "listen": f"127.0.0.1:{port}"})
+        port = unused_port()
+        env = write_config(tmp_path, {**told("automatic", d.port, None), "listen": f"127.0.0.1:{port}"})
         pipe = tmp_path / "pipe"
         os.mkfifo(pipe)
         reading = stage == "reading its configuration"
-        async with process({"NODE_CONFIG": str(pipe)} if reading else env) as first:
+        async with running_proxy_process({"NODE_CONFIG": str(pipe)} if reading else env) as first:
             end = await until_read(pipe) if reading else None
             held = await until_at(stage, first, port, asked, begun)
             first.send_signal(number)
@@ -323,7 +330,7 @@
             # Before its first line has run the system's own end is the only one.
             assert code in ((0, -number) if stage == "just begun" else (0,)) or number is signal.SIGKILL
             go_on.set()
-            async with process(env) as second:
+            async with running_proxy_process(env) as second:
                 await until_ready(second, port)
                 assert await served_by(port) == b"x"
             if held is not None:
--- a/tests/scenarios/test_deduplication_window.py
+++ b/tests/scenarios/test_deduplication_window.py
@@ -10,13 +10,14 @@
 
 from load_balancer import messages
 from tests.support.attempts import REQUEST_KINDS
-from tests.support.balancer_harness import S, settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.connect_gates import SystemConnectGate
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.raw_endpoint import EndpointConnection, RawEndpoint, respond_with
 from tests.support.stepped_clock import wait_until
+from tests.support.units import SECOND_US
 
 # Short windows. All times are long, so that the real time that passes meanwhile counts for nothing.
 CONNECT_S = 25.0
@@ -25,14 +26,14 @@
 def keyed(window_s: float, key_scope: messages.KeyScope = messages.KeyScope.ALL) -> messages.Settings:
     cls = messages.RequestClass(
         "mark",
-        400 * S,
-        900 * S,
+        400 * SECOND_US,
+        900 * SECOND_US,
         messages.Idempotency.KEYED,
         key_scope,
-        deduplication_window_us=round(window_s * S),
+        deduplication_window_us=round(window_s * SECOND_US),
     )
-    limits = messages.Limits(max_attempts=3, connect_timeout_us=round(CONNECT_S * S))
-    return settings(classes=(cls,), limits=limits)
+    limits = messages.Limits(max_attempts=3, connect_timeout_us=round(CONNECT_S * SECOND_US))
+    return balancer_settings(classes=(cls,), limits=limits)
 
 
 class Keyed:
@@ -129,21 +130,25 @@
 async def test_a_reset_under_a_request_that_has_begun(kind: str, after_s: float) -> None:
     """It may have run, however long after: what must not run twice ends, what has a key keeps its window."""
     classes = (
-        messages.RequestClass("read", 400 * S, 900 * S, messages.Idempotency.SAFE),
+        messages.RequestClass("read", 400 * SECOND_US, 900 * SECOND_US, messages.Idempotency.SAFE),
         messages.RequestClass(
             "write",
-            400 * S,
-            900 * S,
+            400 * SECOND_US,
+            900 * SECOND_US,
             messages.Idempotency.KEYED,
             messages.KeyScope.CELL,
-            deduplication_window_us=50 * S,
+            deduplication_window_us=50 * SECOND_US,
         ),
         messages.RequestClass(
-            "mark", 400 * S, 900 * S, messages.Idempotency.KEYED, deduplication_window_us=50 * S
+            "mark",
+            400 * SECOND_US,
+            900 * SECOND_US,
+            messages.Idempotency.KEYED,
+            deduplication_window_us=50 * SECOND_US,
         ),
-        messages.RequestClass("pay", 400 * S, 900 * S),
+        messages.RequestClass("pay", 400 * SECOND_US, 900 * SECOND_US),
     )
-    limits = messages.Limits(max_attempts=3, connect_timeout_us=S)
+    limits = messages.Limits(max_attempts=3, connect_timeout_us=SECOND_US)
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         wires.append(wire)
@@ -155,7 +160,7 @@
         backends = [await stack.enter_async_context(RawEndpoint(handle)) for _ in range(8)]
         entries = [endpoint_entry(f"s-{n}", b.port, pod_group=n % 4) for n, b in enumerate(backends)]
         p = await stack.enter_async_context(
-            running_proxy(*entries, settings=settings(classes=classes, limits=limits))
+            running_proxy(*entries, settings=balancer_settings(classes=classes, limits=limits))
         )
         clock = p.step_clocks()
         asked = asyncio.ensure_future(p.send_request(http_request(kind, request_id="r1", Req_Deadline="900")))
--- a/tests/scenarios/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -11,7 +11,7 @@
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.policy.endpoint_list import MAX_DEPARTED
 from load_balancer.simulator import write_action
-from tests.support.balancer_harness import BalancerHarness, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response
 from tests.support.loopback_proxy import running_proxy
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize(("backends", "instances"), [(200, 34), (600, 102), (800, 34)])
 def test_few_backends_beside_the_subset_keep_connections(backends: int, instances: int) -> None:
     """Taking it that each backend that was ever in the subset holds one."""
-    harness = BalancerHarness(settings(instances=instances, index=instances // 2), backends)
+    harness = BalancerHarness(balancer_settings(instances=instances, index=instances // 2), backends)
     rng = random.Random(1)
     there = list(range(backends))
     connected = subset(harness)
@@ -37,10 +37,10 @@
         else:
             status = rng.choice((messages.EndpointStatus.DRAINING, messages.EndpointStatus.REMOVED))
             entry = messages.Endpoint(there.pop(rng.randrange(len(there))), status)
-        done = harness.event(
+        done = harness.handle(
             messages.EndpointListUpdate(messages.EndpointListKind.CHANGES, version, (entry,))
         )
-        told = {action.endpoint_id for action in only(done, messages.CloseIdle)}
+        told = {action.endpoint_id for action in actions_of_type(done, messages.CloseIdle)}
         assert not told & subset(harness)
         assert told <= set(there)
         closed += len(told)
@@ -51,8 +51,8 @@
 
 
 def test_the_longest_gone_is_closed_first_and_one_that_has_come_back_is_not() -> None:
-    harness = BalancerHarness(settings(instances=34, index=0), backends=0)
-    harness.news(*(messages.Endpoint(number) for number in range(1, 189)))
+    harness = BalancerHarness(balancer_settings(instances=34, index=0), endpoint_count=0)
+    harness.update_endpoint_list(*(messages.Endpoint(number) for number in range(1, 189)))
     ring = sorted(harness.balancer.endpoints.states.values(), key=lambda server: server.ring_position)
     before = [server.endpoint.id for server in harness.balancer.endpoints.subset]
     # What comes to stand before the first arc's start pushes out its last ones, until it goes again.
@@ -63,12 +63,12 @@
         news = messages.EndpointListUpdate(
             messages.EndpointListKind.CHANGES, version, (messages.Endpoint(number),)
         )
-        told += [action.endpoint_id for action in only(harness.event(news), messages.CloseIdle)]
+        told += [action.endpoint_id for action in actions_of_type(harness.handle(news), messages.CloseIdle)]
     assert subset(harness) == {*newcomers, *before[: -len(newcomers)]}
     assert told == [before[-1], before[-2]]
     gone = tuple(messages.Endpoint(number, messages.EndpointStatus.REMOVED) for number in newcomers)
-    assert not only(
-        harness.event(messages.EndpointListUpdate(messages.EndpointListKind.CHANGES, 100, gone)),
+    assert not actions_of_type(
+        harness.handle(messages.EndpointListUpdate(messages.EndpointListKind.CHANGES, 100, gone)),
         messages.CloseIdle,
     )
     assert subset(harness) == set(before)
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -22,7 +22,14 @@
 )
 from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.loopback_proxy import running_proxy
-from tests.support.proxy_process import LIMITS, config, port_of, process, raw_settings, write
+from tests.support.proxy_process import (
+    LIMITS,
+    proxy_config,
+    raw_settings,
+    read_listening_port,
+    running_proxy_process,
+    write_config,
+)
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock
 from tests.support.time_limit import run_in_event_loop
@@ -60,15 +67,15 @@
     async with StandInEndpoint(http_response(200, b"a")) as a, StandInEndpoint(http_response(200, b"b")) as b:
         down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
         down.bind(("127.0.0.1", 0))
-        told = config(
+        told = proxy_config(
             discovery=f"127.0.0.1:{down.getsockname()[1]}",
             known=endpoint_list(endpoint_entry("a", a.port)),
             limits={"sockets": DESCRIPTORS},
             settings=raw_settings(limits=LIMITS, registryMode="automatic"),
         )
-        async with process(write(tmp_path, told), DESCRIPTORS) as made:
+        async with running_proxy_process(write_config(tmp_path, told), DESCRIPTORS) as made:
             said: list[str] = []
-            port = await port_of(made, said)
+            port = await read_listening_port(made, said)
             assert made.stderr is not None
             reading = asyncio.create_task(made.stderr.read())
             crowd = []
--- a/tests/scenarios/test_hold_ups.py
+++ b/tests/scenarios/test_hold_ups.py
@@ -17,13 +17,14 @@
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.attempts import RecordedAttempts
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.http_messages import http_request, http_response
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 HOLD_UP_S = 0.15  # by the terms
 SLACK_S = 0.15  # by the terms, of the time that a backend is told
@@ -165,18 +166,27 @@
         pool.close()
 
 
-@pytest.mark.parametrize(("before_us", "again"), [(1 * MS, True), (-1 * MS, False)])
+@pytest.mark.parametrize(("before_us", "again"), [(1 * MILLISECOND_US, True), (-1 * MILLISECOND_US, False)])
 def test_a_keyed_repeat_leaves_the_time_of_a_hold_up_to_its_windows_end(before_us: int, again: bool) -> None:
-    deduplication_window_us, connect_us = 4 * S, 250 * MS
+    deduplication_window_us, connect_us = 4 * SECOND_US, 250 * MILLISECOND_US
     cls = messages.RequestClass(
-        "mark", 30 * S, 40 * S, messages.Idempotency.KEYED, deduplication_window_us=deduplication_window_us
+        "mark",
+        30 * SECOND_US,
+        40 * SECOND_US,
+        messages.Idempotency.KEYED,
+        deduplication_window_us=deduplication_window_us,
     )
     limits = messages.Limits(max_attempts=3, connect_timeout_us=connect_us)
-    harness = BalancerHarness(settings(classes=(cls,), limits=limits))
-    [sent] = only(harness.request("a", "mark", 40 * S), messages.StartAttempt)
-    began, margin = harness.now, harness.balancer.margin_us
-    harness.now = began + deduplication_window_us - connect_us - margin - round(HOLD_UP_S * S) - before_us
-    assert bool(only(harness.end(sent, messages.Outcome.RESET), messages.StartAttempt)) == again
+    harness = BalancerHarness(balancer_settings(classes=(cls,), limits=limits))
+    [sent] = actions_of_type(harness.request("a", "mark", 40 * SECOND_US), messages.StartAttempt)
+    began, margin = harness.now_us, harness.balancer.margin_us
+    harness.now_us = (
+        began + deduplication_window_us - connect_us - margin - round(HOLD_UP_S * SECOND_US) - before_us
+    )
+    assert (
+        bool(actions_of_type(harness.end_attempt(sent, messages.Outcome.RESET), messages.StartAttempt))
+        == again
+    )
 
 
 @pytest.mark.parametrize("line", ["send_on", "begin"])
--- a/tests/scenarios/test_little_time.py
+++ b/tests/scenarios/test_little_time.py
@@ -10,7 +10,7 @@
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response
 from tests.support.loopback_proxy import running_proxy
-from tests.support.proxy_process import free_port
+from tests.support.proxy_process import unused_port
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 SOON_S = 0.5  # by the terms an answer this long after a request's time is not lost
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("kind", ["read", "mark", "write", "pay"])
 async def test_attempts_that_are_all_refused_end_at_once_within_their_number(kind: str) -> None:
-    ports = [free_port() for _ in range(5)]  # nobody listens there
+    ports = [unused_port() for _ in range(5)]  # nobody listens there
     async with running_proxy(*(endpoint_entry(f"s-{n}", port) for n, port in enumerate(ports))) as p:
         sends: list[messages.StartAttempt] = []
         original = p.driver.attempts.start
--- a/tests/scenarios/test_no_files.py
+++ b/tests/scenarios/test_no_files.py
@@ -18,7 +18,7 @@
     endpoint_list_chunk,
 )
 from tests.support.http_messages import http_request, http_response, read_http_message
-from tests.support.proxy_process import ROOT, command, config, port_of, write
+from tests.support.proxy_process import ROOT, deploy_command, proxy_config, read_listening_port, write_config
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 # Each way to change the file system is told before it happens, whether or not it would succeed.
@@ -78,17 +78,17 @@
         StandInEndpoint(http_response(200, b"b")) as b,
         StandInServer(tell) as d,
     ):
-        told = config(known=endpoint_list(endpoint_entry("a", a.port)))
-        async with started(words, {**write(tmp_path, told), **env}, shell) as made:
+        told = proxy_config(known=endpoint_list(endpoint_entry("a", a.port)))
+        async with started(words, {**write_config(tmp_path, told), **env}, shell) as made:
             said: list[str] = []
-            port = await port_of(made, said)
+            port = await read_listening_port(made, said)
             for expected in (b"a", b"b"):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(http_request())
                 assert (await read_http_message(reader))[2] == expected
                 writer.close()
                 if expected == b"a":
-                    write(tmp_path, {**told, "discovery": f"127.0.0.1:{d.port}"})
+                    write_config(tmp_path, {**told, "discovery": f"127.0.0.1:{d.port}"})
                     made.send_signal(signal.SIGHUP)
                     assert made.stderr is not None
                     while "is b," not in said[-1]:
@@ -110,14 +110,14 @@
     elif folder == "empty":
         place.mkdir()
     env = {} if folder == "unset" else {"TMPDIR": str(place)}
-    text = await serve_move_and_end(tmp_path, command(), env, "ulimit -f 0;")
+    text = await serve_move_and_end(tmp_path, deploy_command(), env, "ulimit -f 0;")
     assert "Traceback" not in text
     assert "Error" not in text
     assert not place.is_dir() or not list(place.iterdir())
 
 
 async def test_it_opens_no_file_to_write_it(tmp_path: Path) -> None:
-    assert command()[1:] == ["-B", "-m", "load_balancer"]  # -B: no compiled module is written either
+    assert deploy_command()[1:] == ["-B", "-m", "load_balancer"]  # -B: no compiled module is written either
     words = [sys.executable, "-B", "-c", AUDITED]
     text = await serve_move_and_end(tmp_path, words, {"TMPDIR": str(tmp_path)})
     assert "FILE" not in text, text
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -15,7 +15,7 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from tests.support.attempts import KEYED_REQUEST, UNSAFE_REQUEST, RecordedAttempt
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -34,6 +34,7 @@
     watching_proxy,
 )
 from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 KINDS = ["read", "write", "mark", "pay"]
 HOURS = 10
@@ -91,23 +92,27 @@
 @pytest.mark.parametrize("quiet_s", [60, 3_600, HOURS * 3_600, 30 * 24 * 3_600])
 def test_after_a_quiet_time_the_module_decides_as_before_it(quiet_s: int) -> None:
     """Rates run out to nothing and not to what is no number; epochs and shares stay as they were."""
-    harness = BalancerHarness(settings(tenants=(messages.Tenant("t", 5.0),)))
+    harness = BalancerHarness(balancer_settings(tenants=(messages.Tenant("t", 5.0),)))
     for n in range(200):
-        harness.now += 10 * MS
-        for send in only(harness.request(f"a{n}"), messages.StartAttempt):
-            harness.end(send, messages.Outcome.OK, took=(20 + 200 * (send.endpoint_id == 3)) * MS)
+        harness.now_us += 10 * MILLISECOND_US
+        for send in actions_of_type(harness.request(f"a{n}"), messages.StartAttempt):
+            harness.end_attempt(
+                send, messages.Outcome.OK, took=(20 + 200 * (send.endpoint_id == 3)) * MILLISECOND_US
+            )
     shares = {endpoint_id: server.share for endpoint_id, server in harness.balancer.endpoints.states.items()}
     assert shares[3] < min(shares[n] for n in range(3))
-    harness.pass_time(quiet_s * S)
+    harness.advance(quiet_s * SECOND_US)
     assert {
         endpoint_id: server.share for endpoint_id, server in harness.balancer.endpoints.states.items()
     } == shares
     got = dict.fromkeys(range(4), 0)
     for n in range(400):
-        harness.now += 10 * MS
-        [send] = only(harness.request(f"b{n}"), messages.StartAttempt)
+        harness.now_us += 10 * MILLISECOND_US
+        [send] = actions_of_type(harness.request(f"b{n}"), messages.StartAttempt)
         got[send.endpoint_id] += 1
-        harness.end(send, messages.Outcome.OK, took=(20 + 200 * (send.endpoint_id == 3)) * MS)
+        harness.end_attempt(
+            send, messages.Outcome.OK, took=(20 + 200 * (send.endpoint_id == 3)) * MILLISECOND_US
+        )
     assert got[3] < min(got[n] for n in range(3))
     assert all(math.isfinite(number) for number in numbers(harness.balancer))
     assert not harness.balancer.requests.requests
@@ -118,26 +123,26 @@
 @pytest.mark.parametrize("quiet_s", [60, HOURS * 3_600])
 def test_after_a_quiet_time_a_cold_backend_is_spared(quiet_s: int) -> None:
     """Nothing was sent for hours, so nothing tells what a backend takes: a burst finds one that is cold."""
-    setup = settings(instances=20, index=3)
-    harness = BalancerHarness(setup, backends=40)
+    setup = balancer_settings(instances=20, index=3)
+    harness = BalancerHarness(setup, endpoint_count=40)
     for n in range(500):
-        harness.now += 10 * MS
-        for send in only(harness.request(f"a{n}"), messages.StartAttempt):
-            harness.end(send, messages.Outcome.OK, took=20 * MS)
-    harness.pass_time(quiet_s * S)
+        harness.now_us += 10 * MILLISECOND_US
+        for send in actions_of_type(harness.request(f"a{n}"), messages.StartAttempt):
+            harness.end_attempt(send, messages.Outcome.OK, took=20 * MILLISECOND_US)
+    harness.advance(quiet_s * SECOND_US)
     cold = harness.balancer.endpoints.subset[0].endpoint.id
-    harness.news(
-        messages.Endpoint(cold, incarnation_us=harness.now, cell=cold % 2),
+    harness.update_endpoint_list(
+        messages.Endpoint(cold, incarnation_us=harness.now_us, cell=cold % 2),
         kind=messages.EndpointListKind.CHANGES,
         version=2,
     )
     harness.balancer.endpoints.states[cold].share = 50.0  # even where its share would draw everything
     sent = 0
     for n in range(100):
-        harness.now += 10 * MS
-        for send in only(harness.request(f"b{n}"), messages.StartAttempt):
+        harness.now_us += 10 * MILLISECOND_US
+        for send in actions_of_type(harness.request(f"b{n}"), messages.StartAttempt):
             sent += send.endpoint_id == cold
-            harness.end(send, messages.Outcome.OK, took=20 * MS)
+            harness.end_attempt(send, messages.Outcome.OK, took=20 * MILLISECOND_US)
     warm = 100 / len(harness.balancer.endpoints.subset)
     assert sent <= setup.rules.overload_multiple * setup.rules.start_capacity * warm
     assert all(math.isfinite(number) for number in numbers(harness.balancer))
@@ -254,7 +259,7 @@
     await wait_until(lambda: sum(map(len, p.pool.idle.by_endpoint.values())) == count)
 
 
-ROOMY = settings(limits=messages.Limits(max_attempts=3, cancel=True))
+ROOMY = balancer_settings(limits=messages.Limits(max_attempts=3, cancel=True))
 
 
 @pytest.mark.parametrize("many", [1, 3])
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -38,7 +38,7 @@
 from tests.process.test_reload import ReloadHarness
 from tests.process.test_startup import attended
 from tests.support.attempts import RecordedAttempts, run_attempt
-from tests.support.balancer_harness import MS, BalancerHarness, S, only
+from tests.support.balancer_harness import BalancerHarness, actions_of_type
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
@@ -61,12 +61,22 @@
 )
 from tests.support.log_lines import problem_lines, traceback_lines
 from tests.support.loopback_proxy import running_proxy
-from tests.support.proxy_process import LIMITS, ROOT, config, free_port, port_of, process, raw_settings, write
+from tests.support.proxy_process import (
+    LIMITS,
+    ROOT,
+    proxy_config,
+    raw_settings,
+    read_listening_port,
+    running_proxy_process,
+    unused_port,
+    write_config,
+)
 from tests.support.socket_client import queue_request, read_status_or_end
 from tests.support.stand_in_discovery import StandInListServer
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import SteppedClock, wait_until
 from tests.support.time_limit import run_in_event_loop
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 OF_A_LACK = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 OF_NO_CONNECTION = [errno.EINTR, *OF_A_LACK, errno.EINVAL, errno.EIO]  # all behind it stays in the queue
@@ -251,15 +261,15 @@
         # An answer is of use for long enough that one may still be open as it stops listening.
         lane = {"name": "read", "idempotency": "safe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
         settings = raw_settings(lanes=[{**lane, "lateValue": 0.5}], limits=LIMITS)
-        told = config(known=endpoint_list(endpoint_entry("b", b.port)), settings=settings)
-        env = {**os.environ, **write(tmp_path, told)}
+        told = proxy_config(known=endpoint_list(endpoint_entry("b", b.port)), settings=settings)
+        env = {**os.environ, **write_config(tmp_path, told)}
         pipe = asyncio.subprocess.PIPE
         arguments = [sys.executable, "-c", PROCESS, str(failed), str(descriptors)]
         made = await asyncio.create_subprocess_exec(*arguments, cwd=ROOT, env=env, stdin=pipe, stderr=pipe)
         assert made.stdin is not None
         assert made.stderr is not None
         try:
-            port = await port_of(made)
+            port = await read_listening_port(made)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(http_request(request_id="open", Req_Deadline="9.0"))
             await begun.wait()
@@ -440,19 +450,19 @@
 
 def test_a_way_that_is_gone_for_a_moment_costs_a_backend_a_moment() -> None:
     """Four backends, a hundred requests a second; for 0.3 s one of them cannot be reached."""
-    harness, number = BalancerHarness(backends=4), 0
+    harness, number = BalancerHarness(endpoint_count=4), 0
 
     def ask(reached: bool) -> int:
         nonlocal number
         number += 1
-        harness.now += 10 * MS
+        harness.now_us += 10 * MILLISECOND_US
         actions, attempt = harness.request(f"r{number}"), 0
         while True:
-            [sent] = only(actions, messages.StartAttempt)
+            [sent] = actions_of_type(actions, messages.StartAttempt)
             if sent.endpoint_id or reached:
-                harness.end(sent, messages.Outcome.OK, 50 * MS, attempt)
+                harness.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, attempt)
                 return sent.endpoint_id
-            actions = harness.end(sent, messages.Outcome.UNREACHABLE, 1 * MS, attempt)
+            actions = harness.end_attempt(sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt)
             attempt += 1
 
     for _ in range(200):
@@ -461,28 +471,30 @@
     for _ in range(30):
         ask(False)
     assert server.unreachable_until_us
-    harness.now = server.unreachable_until_us
+    harness.now_us = server.unreachable_until_us
     assert server.share > 0.8
     assert 60 < sum(ask(True) == 0 for _ in range(400)) < 140
 
 
 def test_a_backend_that_cannot_be_reached_for_long_is_tried_now_and_then() -> None:
     """And where there is no other, each time: it is lowered, never removed."""
-    harness, tries = BalancerHarness(backends=4), 0
+    harness, tries = BalancerHarness(endpoint_count=4), 0
     for number in range(6000):  # a minute
-        harness.now += 10 * MS
+        harness.now_us += 10 * MILLISECOND_US
         actions, attempt = harness.request(f"r{number}"), 0
-        while (sent := only(actions, messages.StartAttempt)[0]).endpoint_id == 0:
+        while (sent := actions_of_type(actions, messages.StartAttempt)[0]).endpoint_id == 0:
             tries += 1
-            actions = harness.end(sent, messages.Outcome.UNREACHABLE, 1 * MS, attempt)
+            actions = harness.end_attempt(sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt)
             attempt += 1
-        harness.end(sent, messages.Outcome.OK, 50 * MS, attempt)
-    assert 60 * S / COOL_DOWN_US <= tries <= 60 * S / COOL_DOWN_US + 5
-    alone = BalancerHarness(backends=1)
+        harness.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, attempt)
+    assert 60 * SECOND_US / COOL_DOWN_US <= tries <= 60 * SECOND_US / COOL_DOWN_US + 5
+    alone = BalancerHarness(endpoint_count=1)
     for number in range(3):
-        [sent] = only(alone.request(f"r{number}"), messages.StartAttempt)
-        [sent] = only(alone.end(sent, messages.Outcome.UNREACHABLE, 1 * MS), messages.StartAttempt)
-        alone.end(sent, messages.Outcome.OK, 50 * MS, 1)
+        [sent] = actions_of_type(alone.request(f"r{number}"), messages.StartAttempt)
+        [sent] = actions_of_type(
+            alone.end_attempt(sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US), messages.StartAttempt
+        )
+        alone.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, 1)
 
 
 class ReadFile:
@@ -502,7 +514,7 @@
         monkeypatch.setattr(Path, "read_bytes", read)
 
 
-SOUND = json.dumps(config(discovery="127.0.0.1:2"))
+SOUND = json.dumps(proxy_config(discovery="127.0.0.1:2"))
 UNREADABLE: dict[str, int | str | None] = {
     "EIO": errno.EIO,
     "EMFILE": errno.EMFILE,
@@ -592,7 +604,7 @@
         else:
             r.still_follows()
         reads = file.reads
-        r.path.write_text(json.dumps(config(discovery="127.0.0.1:3")))
+        r.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:3")))
         for _ in range(30):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
         assert file.reads == reads
@@ -605,7 +617,7 @@
 ) -> None:
     caplog.set_level(logging.INFO)
 
-    async with attended(tmp_path, free_port(), config()) as clock:
+    async with attended(tmp_path, unused_port(), proxy_config()) as clock:
         if serving:
             await wait_until(lambda: "listens on" in caplog.text)
         file = ReadFile(tmp_path / "config.json", monkeypatch)
@@ -630,16 +642,16 @@
         await reader.read()
 
     async with StandInServer(watch) as old, StandInServer(watch) as new:
-        told = config(discovery=f"127.0.0.1:{old.port}")
-        async with process(write(tmp_path, told)) as made:
-            await port_of(made)
+        told = proxy_config(discovery=f"127.0.0.1:{old.port}")
+        async with running_proxy_process(write_config(tmp_path, told)) as made:
+            await read_listening_port(made)
             assert made.stderr is not None
             assert await asked.get() == old.port
             (tmp_path / "config.json").unlink()
             made.send_signal(signal.SIGHUP)
             while b"the old one stays" not in (line := await made.stderr.readline()):
                 assert line, "it ended"
-            write(tmp_path, {**told, "discovery": f"127.0.0.1:{new.port}"})
+            write_config(tmp_path, {**told, "discovery": f"127.0.0.1:{new.port}"})
             assert await asked.get() == new.port
             (tmp_path / "config.json").unlink()
             made.send_signal(signal.SIGHUP)  # and one whose file never comes is no trouble at the end
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -21,8 +21,7 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.process.config import ConfigSource
 from load_balancer.process.server import serve_until_stopped
-from tests.support.balancer_harness import settings
-from tests.support.clock_helpers import COLD, HOUR, STEPS, Times, lists
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -31,10 +30,12 @@
 )
 from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import running_proxy
-from tests.support.proxy_process import LIMITS, config, free_port, raw_settings, write
-from tests.support.simulated_fleet import MS, Fleet, Machine, S
+from tests.support.manual_clocks import COLD_START_RULES, EACH_CLOCK_STEP, ManualClocks, list_with_starts
+from tests.support.proxy_process import LIMITS, proxy_config, raw_settings, unused_port, write_config
+from tests.support.simulated_fleet import SimulatedEndpoint, SimulatedFleet
 from tests.support.stand_in_server import StandInServer
 from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.units import HOUR_US, MILLISECOND_US, SECOND_US
 
 
 class Wall:
@@ -43,7 +44,7 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.ahead = 0
         real, real_ns = time.time, time.time_ns
-        monkeypatch.setattr(time, "time", lambda: real() + self.ahead / S)
+        monkeypatch.setattr(time, "time", lambda: real() + self.ahead / SECOND_US)
         monkeypatch.setattr(time, "time_ns", lambda: real_ns() + self.ahead * 1000)
 
     def step(self, us: int) -> None:
@@ -73,10 +74,12 @@
         self.writers[-1].write(said)
 
 
-def driver_on(discovery: StandInServer, times: Times) -> EventLoopDriver:
+def driver_on(discovery: StandInServer, times: ManualClocks) -> EventLoopDriver:
     """Its watch doesn't end for silence, however slow the machine is."""
     pool = ConnectionPool(0.25, 30.0, 10)
-    driver = EventLoopDriver(settings(rules=COLD), 1, pool, ("127.0.0.1", discovery.port), times.clock())
+    driver = EventLoopDriver(
+        balancer_settings(rules=COLD_START_RULES), 1, pool, ("127.0.0.1", discovery.port), times.clock()
+    )
     driver.endpoint_list.watch._first_list_timeout_s = driver.endpoint_list.watch._heartbeat_timeout_s = 900.0
     return driver
 
@@ -87,51 +90,54 @@
 async def test_heartbeats_on_a_standing_watch_bound_the_next_start(started_ms: int, age_ms: int) -> None:
     """The last one came 700 ms ago, and the list before it 2 s earlier."""
 
-    times, agent = Times(), Agent(endpoint_list(endpoint_entry("a", 9)))
+    times, agent = ManualClocks(), Agent(endpoint_list(endpoint_entry("a", 9)))
     async with StandInServer(agent.handle) as d:
         driver = driver_on(d, times)
         driver.start(None)
         await driver.discovery_reported.wait()
-        times.advance(2 * S)
+        times.advance(2 * SECOND_US)
         confirmed = driver.endpoint_list.start_times._confirmed_at_us
         agent.say(http_chunk("\n"))
         await wait_until(lambda: driver.endpoint_list.start_times._confirmed_at_us != confirmed)
-        times.advance(700 * MS)
-        stated = times.wall() // MS - started_ms
+        times.advance(700 * MILLISECOND_US)
+        stated = times.wall_us() // MILLISECOND_US - started_ms
         agent.say(
             endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9, boot_ms=stated), rev=2, full=False))
         )
         balancer, number = driver.balancer, endpoint_number("a")
         await wait_until(lambda: balancer.endpoints.states[number].endpoint.incarnation_us > 0)
-        assert driver.clock.now_us() - balancer.endpoints.states[number].started_us == age_ms * MS
+        assert driver.clock.now_us() - balancer.endpoints.states[number].started_us == age_ms * MILLISECOND_US
         driver.close()
 
 
 async def test_a_heartbeat_before_the_first_list_of_a_watch_confirms_nothing() -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        late = endpoint_list(endpoint_entry("a", 9, boot_ms=times.wall() // 1000 - 2000), rev=9)
+        late = endpoint_list(endpoint_entry("a", 9, boot_ms=times.wall_us() // 1000 - 2000), rev=9)
         writer.write(WATCH_RESPONSE_HEAD + http_chunk("\n") + endpoint_list_chunk(late))
         await reader.read()
 
-    times = Times()
+    times = ManualClocks()
     async with StandInServer(handle) as d:
         driver = driver_on(d, times)
-        driver.start(lists(("a", times.wall() - HOUR)))
+        driver.start(list_with_starts(("a", times.wall_us() - HOUR_US)))
         await driver.discovery_reported.wait()
         [server] = driver.balancer.endpoints.states.values()
-        assert driver.clock.now_us() - server.started_us == 2 * S
+        assert driver.clock.now_us() - server.started_us == 2 * SECOND_US
         driver.close()
 
 
-@STEPS
+@EACH_CLOCK_STEP
 async def test_a_watch_stands_over_a_step_and_its_silence_is_judged_by_real_time(
     step: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     wall, agent, clock = Wall(monkeypatch), Agent(endpoint_list(endpoint_entry("a", 9))), SteppedClock()
     async with StandInServer(agent.handle) as d:
         driver = EventLoopDriver(
-            settings(rules=COLD), 1, ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", d.port)
+            balancer_settings(rules=COLD_START_RULES),
+            1,
+            ConnectionPool(0.25, 30.0, 10),
+            ("127.0.0.1", d.port),
         )
         driver.start(None)
         await driver.discovery_reported.wait()
@@ -148,7 +154,7 @@
         driver.close()
 
 
-@STEPS
+@EACH_CLOCK_STEP
 @pytest.mark.parametrize("ends", ["answered", "overdue"])
 async def test_a_request_that_waits_over_a_step_keeps_its_deadline(
     step: int, ends: str, monkeypatch: pytest.MonkeyPatch
@@ -178,7 +184,7 @@
             assert p.driver.is_idle
 
 
-@STEPS
+@EACH_CLOCK_STEP
 async def test_a_shutdown_ends_in_time_over_a_step(
     step: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -191,16 +197,16 @@
         begun.set()
         await reader.read()
 
-    wall, clock, port = Wall(monkeypatch), SteppedClock(), free_port()
+    wall, clock, port = Wall(monkeypatch), SteppedClock(), unused_port()
     async with StandInServer(slow) as b:
         agent = Agent(endpoint_list(endpoint_entry("a", b.port)))
         async with StandInServer(agent.handle) as d:
-            fed = config(
+            fed = proxy_config(
                 discovery=f"127.0.0.1:{d.port}",
                 listen=f"127.0.0.1:{port}",
                 settings=raw_settings(limits=LIMITS, registryMode="automatic"),
             )
-            source = ConfigSource(write(tmp_path, fed))
+            source = ConfigSource(write_config(tmp_path, fed))
             attending = asyncio.ensure_future(serve_until_stopped(source.read(), source))
             writer = None
             while writer is None:
@@ -236,14 +242,14 @@
 # What a backend is sent after its restart, in a stepped world
 
 
-class SteppedFleet(Fleet):
+class SteppedFleet(SimulatedFleet):
     """Its backends state their starts by a wall clock; each balancer has one of its own."""
 
     def __post_init__(self) -> None:
         self.ours, self.theirs = 0, 0  # how far these clocks are ahead
         self.starts = [StartTimes(Clock(self.wall, lambda: self.now)) for _ in range(self.balancers)]
         super().__post_init__()
-        self.at(self.now + 2 * S, self.beat)
+        self.at(self.now + 2 * SECOND_US, self.beat)
 
     def wall(self) -> int:
         return self.now + self.ours
@@ -251,47 +257,51 @@
     def beat(self) -> None:
         for starts in self.starts:
             starts.confirm()
-        self.at(self.now + 2 * S, self.beat)
+        self.at(self.now + 2 * SECOND_US, self.beat)
 
     def _hear(self, index: int, news: messages.EndpointListUpdate) -> None:
         super()._hear(index, replace(news, endpoints=self.starts[index].assign(news.endpoints)))
         self.starts[index].confirm()
 
-    def restart(self, chosen: Iterable[Machine]) -> None:
+    def restart(self, chosen: Iterable[SimulatedEndpoint]) -> None:
         entries = []
         for machine in chosen:
             machine.restart(self.now)
             entries.append(replace(machine.entry, incarnation_us=self.now + self.theirs))
-        self.at(self.now + 500 * MS, lambda: self.tell(entries, within=0))  # discovery notices late
+        self.at(
+            self.now + 500 * MILLISECOND_US, lambda: self.tell(entries, within=0)
+        )  # discovery notices late
 
 
 @cache
 def calls_after_a_restart(ours: int, theirs: int, seed: int) -> tuple[int, float]:
     """Calls to it in the first second after it was listed, and 6 s on as a share of a warm one's."""
-    reads = messages.RequestClass("read", 500 * MS, 1 * S, idempotency=messages.Idempotency.SAFE)
+    reads = messages.RequestClass(
+        "read", 500 * MILLISECOND_US, 1 * SECOND_US, idempotency=messages.Idempotency.SAFE
+    )
     setup = messages.Settings(
         classes=(reads,),
-        rules=replace(COLD, overload_multiple=1.5),
+        rules=replace(COLD_START_RULES, overload_multiple=1.5),
         limits=messages.Limits(2, cancel=True),
         tick_us=0,
     )
-    fleet = SteppedFleet(setup, 1, 4, per_window=100.0, load=0.5, seed=seed, zones=1, now=2 * HOUR)
-    fleet.run(fleet.now + 9 * S)
+    fleet = SteppedFleet(setup, 1, 4, per_window=100.0, load=0.5, seed=seed, zones=1, now=2 * HOUR_US)
+    fleet.run(fleet.now + 9 * SECOND_US)
     fleet.ours, fleet.theirs = ours, theirs
-    fleet.run(fleet.now + 2 * S)
+    fleet.run(fleet.now + 2 * SECOND_US)
     fleet.restart(fleet.machines[:1])
-    listed_at = fleet.now + 500 * MS
-    fleet.run(listed_at + 10 * S)
+    listed_at = fleet.now + 500 * MILLISECOND_US
+    fleet.run(listed_at + 10 * SECOND_US)
 
-    def sent(machine: Machine, begins: int, us: int) -> int:
+    def sent(machine: SimulatedEndpoint, begins: int, us: int) -> int:
         return sum(begins <= at < begins + us for at, _ in machine.work)
 
     cold, *warm = fleet.machines
-    later = [sent(m, listed_at + 6 * S, 3 * S) for m in (cold, *warm)]
-    return sent(cold, listed_at, 1 * S), 3.0 * later[0] / sum(later[1:])
+    later = [sent(m, listed_at + 6 * SECOND_US, 3 * SECOND_US) for m in (cold, *warm)]
+    return sent(cold, listed_at, 1 * SECOND_US), 3.0 * later[0] / sum(later[1:])
 
 
-@STEPS
+@EACH_CLOCK_STEP
 @pytest.mark.parametrize("where", ["everywhere", "elsewhere", "here"])
 def test_a_restart_after_a_step_gets_the_calls_that_it_gets_without_one(step: int, where: str) -> None:
     ours, theirs = {"everywhere": (step, step), "elsewhere": (0, step), "here": (step, 0)}[where]
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -1,44 +1,46 @@
-"""Drives one balancer with short calls for its events, and keeps the actions that come of them."""
+"""One balancer with short calls for its events, which keeps the actions that come of them."""
 
 from __future__ import annotations
 
 from typing import TypeVar
 
 from load_balancer import Balancer, messages
+from tests.support.units import MILLISECOND_US, SECOND_US
 
-MS = 1_000
-S = 1_000_000
-
-SAFE = messages.RequestClass(
-    "read", latency_objective_us=2 * S, deadline_us=5 * S, idempotency=messages.Idempotency.SAFE
+SAFE_CLASS = messages.RequestClass(
+    "read",
+    latency_objective_us=2 * SECOND_US,
+    deadline_us=5 * SECOND_US,
+    idempotency=messages.Idempotency.SAFE,
 )
-KEYED = messages.RequestClass(
+KEYED_IN_CELL_CLASS = messages.RequestClass(
     "write",
-    2 * S,
-    5 * S,
+    2 * SECOND_US,
+    5 * SECOND_US,
     idempotency=messages.Idempotency.KEYED,
     key_scope=messages.KeyScope.CELL,
-    deduplication_window_us=4 * S,
+    deduplication_window_us=4 * SECOND_US,
     priority_weight=2,
 )
-KEYED_ALL = messages.RequestClass(
+KEYED_CLASS = messages.RequestClass(
     "mark",
-    2 * S,
-    5 * S,
+    2 * SECOND_US,
+    5 * SECOND_US,
     idempotency=messages.Idempotency.KEYED,
-    deduplication_window_us=4 * S,
+    deduplication_window_us=4 * SECOND_US,
     priority_weight=2,
 )
-UNSAFE = messages.RequestClass("pay", 2 * S, 5 * S, priority_weight=3)
-CLASSES = (SAFE, KEYED, KEYED_ALL, UNSAFE)
+UNSAFE_CLASS = messages.RequestClass("pay", 2 * SECOND_US, 5 * SECOND_US, priority_weight=3)
+REQUEST_CLASSES = (SAFE_CLASS, KEYED_IN_CELL_CLASS, KEYED_CLASS, UNSAFE_CLASS)
 
-A = TypeVar("A")
+ActionType = TypeVar("ActionType")
 
 
-def settings(**changes: object) -> messages.Settings:
+def balancer_settings(**changes: object) -> messages.Settings:
+    """Return settings with these fields in place of the usual ones."""
     values: dict[str, object] = {
-        "classes": CLASSES,
-        "rules": messages.Rules(0.4, 5 * S, 3.0, 1 * S),
+        "classes": REQUEST_CLASSES,
+        "rules": messages.Rules(0.4, 5 * SECOND_US, 3.0, 1 * SECOND_US),
         "limits": messages.Limits(max_attempts=3, cancel=True),
         **changes,
     }
@@ -46,53 +48,71 @@
 
 
 class BalancerHarness:
-    """Drives one balancer and keeps all that it did."""
-
-    def __init__(self, setup: messages.Settings | None = None, backends: int = 4, seed: int = 1) -> None:
-        self.now = 10 * S
-        self.balancer = Balancer(setup or settings(), seed)
-        self.done: list[messages.Action] = list(self.balancer.start(self.now))
-        if backends:
-            self.news(*(messages.Endpoint(n, cell=n % 2) for n in range(backends)))
-
-    def event(self, event: messages.Event) -> list[messages.Action]:
-        actions = self.balancer.handle(self.now, event)
-        self.done += actions
+    """A balancer on a clock that the test moves.
+
+    Attributes:
+        now_us: The time; it begins at ten seconds.
+        actions: All actions so far, but timers that have fired.
+    """
+
+    def __init__(
+        self, settings: messages.Settings | None = None, endpoint_count: int = 4, seed: int = 1
+    ) -> None:
+        self.now_us = 10 * SECOND_US
+        self.balancer = Balancer(settings or balancer_settings(), seed)
+        self.actions: list[messages.Action] = list(self.balancer.start(self.now_us))
+        if endpoint_count:
+            self.update_endpoint_list(*(messages.Endpoint(n, cell=n % 2) for n in range(endpoint_count)))
+
+    def handle(self, event: messages.Event) -> list[messages.Action]:
+        """Return the actions that come of this event now."""
+        actions = self.balancer.handle(self.now_us, event)
+        self.actions += actions
         return actions
 
-    def news(
+    def update_endpoint_list(
         self,
-        *entries: messages.Endpoint,
+        *endpoints: messages.Endpoint,
         kind: messages.EndpointListKind = messages.EndpointListKind.COMPLETE,
         version: int = 1,
     ) -> None:
-        self.event(messages.EndpointListUpdate(kind, version, entries))
+        """Give the balancer a list of this kind."""
+        self.handle(messages.EndpointListUpdate(kind, version, endpoints))
 
     def request(
-        self, request_id: str, cls: str = "read", time_left: int = 5 * S, retry: bool = False
+        self, request_id: str, cls: str = "read", time_left: int = 5 * SECOND_US, retry: bool = False
     ) -> list[messages.Action]:
-        return self.event(messages.Request(request_id, cls, time_left, retry=retry))
+        """Return the actions that come of a request of this class with so many microseconds left."""
+        return self.handle(messages.Request(request_id, cls, time_left, retry=retry))
 
-    def end(
-        self, send: messages.StartAttempt, outcome: messages.Outcome, took: int = 50 * MS, attempt: int = 0
+    def end_attempt(
+        self,
+        send: messages.StartAttempt,
+        outcome: messages.Outcome,
+        took: int = 50 * MILLISECOND_US,
+        attempt: int = 0,
     ) -> list[messages.Action]:
-        ok = outcome is messages.Outcome.OK
-        return self.event(messages.AttemptEnded(send.request, attempt, send.endpoint_id, outcome, took, ok))
-
-    def pass_time(self, us: int) -> list[messages.Action]:
-        """Lets time pass and fires the timers that fall due on the way."""
-        end, fired = self.now + us, []
+        """Return the actions that come of the end of an attempt, which took so many microseconds."""
+        is_ok = outcome is messages.Outcome.OK
+        return self.handle(
+            messages.AttemptEnded(send.request, attempt, send.endpoint_id, outcome, took, is_ok)
+        )
+
+    def advance(self, duration_us: int) -> list[messages.Action]:
+        """Let time pass, and return the actions of the timers that fire on the way."""
+        end_us, fired = self.now_us + duration_us, []
         while True:
-            due = [a for a in self.done if isinstance(a, messages.SetTimer) and a.at_us <= end]
+            due = [a for a in self.actions if isinstance(a, messages.SetTimer) and a.at_us <= end_us]
             if not due:
                 break
             timer = min(due, key=lambda a: (a.at_us, a.timer))
-            self.done.remove(timer)
-            self.now = max(self.now, timer.at_us)
-            fired += self.event(messages.TimerFired(timer.timer))
-        self.now = end
+            self.actions.remove(timer)
+            self.now_us = max(self.now_us, timer.at_us)
+            fired += self.handle(messages.TimerFired(timer.timer))
+        self.now_us = end_us
         return fired
 
 
-def only(actions: list[messages.Action], kind: type[A]) -> list[A]:
-    return [a for a in actions if isinstance(a, kind)]
+def actions_of_type(actions: list[messages.Action], kind: type[ActionType]) -> list[ActionType]:
+    """Return those of the actions that are of this type, in order."""
+    return [action for action in actions if isinstance(action, kind)]
--- a/tests/support/config_fields.py
+++ b/tests/support/config_fields.py
@@ -6,14 +6,14 @@
 from typing import Any
 
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
-from tests.support.proxy_process import config
+from tests.support.proxy_process import proxy_config
 
 FieldPath = tuple[str | int, ...]
 
 
 def config_with(path: FieldPath, value: object) -> dict[str, Any]:
     """The configuration with another value at a place in it."""
-    made: Any = json.loads(json.dumps(config(known=endpoint_list(endpoint_entry("a", 9)))))
+    made: Any = json.loads(json.dumps(proxy_config(known=endpoint_list(endpoint_entry("a", 9)))))
     made["settings"]["limits"]["retryAfter"] = True
     made["settings"]["tenants"] = [{"name": "t", "quotaPerS": 5}]
     inner = made
--- a/tests/support/loopback_proxy.py
+++ b/tests/support/loopback_proxy.py
@@ -16,12 +16,12 @@
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
-from tests.support.balancer_harness import settings as default_settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import parsed_endpoint_list
 from tests.support.http_messages import HttpMessage, StreamPair, read_http_message
 from tests.support.stepped_clock import SteppedClock
+from tests.support.units import SECOND_US
 
-SECOND_US = 1_000_000
 NO_DISCOVERY = 1  # no server listens on this port
 
 
@@ -99,7 +99,7 @@
     connect_timeout_s: float = 5.0,
 ) -> AsyncIterator[LoopbackProxy]:
     """Run a proxy that knows these endpoints, and follows discovery where its port is given."""
-    settings = settings or default_settings()
+    settings = settings or balancer_settings()
     pool = ConnectionPool(connect_timeout_s, idle_timeout_s, max_connections)
     clock_offset = PolicyClockOffset()
     discovery = ("127.0.0.1", discovery_port)
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-S = 1_000_000
+from tests.support.units import SECOND_US
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -24,12 +24,24 @@
 
 def raw_settings(**changes: Any) -> dict[str, Any]:
     lanes = [
-        {"name": "read", "idempotency": "safe", "onTimeUs": 2 * S, "deadlineUs": 5 * S, "worth": 1},
-        {"name": "pay", "idempotency": "unsafe", "onTimeUs": 2 * S, "deadlineUs": 5 * S, "worth": 3},
+        {
+            "name": "read",
+            "idempotency": "safe",
+            "onTimeUs": 2 * SECOND_US,
+            "deadlineUs": 5 * SECOND_US,
+            "worth": 1,
+        },
+        {
+            "name": "pay",
+            "idempotency": "unsafe",
+            "onTimeUs": 2 * SECOND_US,
+            "deadlineUs": 5 * SECOND_US,
+            "worth": 3,
+        },
     ]
     return {
         "lanes": lanes,
-        "contract": {"startCapacity": 0.4, "coldUs": 5 * S, "fallMultiple": 3.0, "fallUs": S},
+        "contract": {"startCapacity": 0.4, "coldUs": 5 * SECOND_US, "fallMultiple": 3.0, "fallUs": SECOND_US},
         "limits": {"maxAttempts": 3, "cancel": True, "somethingNew": 7},
         "registryMode": "subscribe",
         "tickUs": 5000,
@@ -38,7 +50,7 @@
     }
 
 
-def config(**changes: Any) -> dict[str, Any]:
+def proxy_config(**changes: Any) -> dict[str, Any]:
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -50,27 +62,29 @@
     }
 
 
-def write(folder: Path, content: object) -> dict[str, str]:
+def write_config(folder: Path, content: object) -> dict[str, str]:
     path = folder / "config.json"
     path.write_text(json.dumps(content))
     return {"NODE_CONFIG": str(path)}
 
 
-def command() -> list[str]:
+def deploy_command() -> list[str]:
     words = str(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]).split()
     assert words[:2] == ["exec", ".venv/bin/python"]
     return [sys.executable, *words[2:]]
 
 
 @asynccontextmanager
-async def process(env: dict[str, str], descriptors: int = 1024) -> AsyncIterator[asyncio.subprocess.Process]:
+async def running_proxy_process(
+    env: dict[str, str], descriptors: int = 1024
+) -> AsyncIterator[asyncio.subprocess.Process]:
     pipe = asyncio.subprocess.PIPE
     made = await asyncio.create_subprocess_exec(
         "/bin/sh",
         "-c",
         f'ulimit -n {descriptors}; exec "$@"',
         "sh",
-        *command(),
+        *deploy_command(),
         cwd=ROOT,
         env={**os.environ, **env},
         stdout=pipe,
@@ -84,7 +98,7 @@
         await made.wait()
 
 
-async def port_of(made: asyncio.subprocess.Process, said: list[str] | None = None) -> int:
+async def read_listening_port(made: asyncio.subprocess.Process, said: list[str] | None = None) -> int:
     """The port that it says it listens on; what it says before that is kept."""
     assert made.stderr is not None
     while True:
@@ -100,7 +114,7 @@
 PORTS = itertools.cycle(range(20_000 + os.getpid() * 37 % 10_000, 32_000))
 
 
-def free_port() -> int:
+def unused_port() -> int:
     """Another one each time, which the system gives nobody by itself, so that it stays free."""
     for port in itertools.islice(PORTS, 12_000):
         with socket.socket() as free, contextlib.suppress(OSError):
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -15,15 +15,14 @@
 from itertools import accumulate, count, pairwise
 
 from load_balancer import Balancer, messages
+from tests.support.units import MILLISECOND_US, SECOND_US
 
-MS = 1_000
-S = 1_000_000
-NET_US = 1 * MS  # an attempt's way to its backend
-FAIL_US = 5 * MS  # a failing backend's answer takes this long
-START = 10 * S  # the clock's first moment
+NET_US = 1 * MILLISECOND_US  # an attempt's way to its backend
+FAIL_US = 5 * MILLISECOND_US  # a failing backend's answer takes this long
+START_US = 10 * SECOND_US  # the clock's first moment
 
 
-class Machine:
+class SimulatedEndpoint:
     """A backend as it truly is: some calls at a time, a queue, cold for a while after each start."""
 
     def __init__(
@@ -73,7 +72,7 @@
 
 
 @dataclass
-class Call:
+class SimulatedRequest:
     """A client's request and what became of it."""
 
     cls: str
@@ -87,7 +86,7 @@
 
 
 @dataclass
-class Client:
+class SimulatedClient:
     """Where requests come from: a class, a tenant and their part of all requests."""
 
     cls: str
@@ -96,7 +95,7 @@
 
 
 @dataclass
-class Fleet:
+class SimulatedFleet:
     """`balancers` modules before `backends` machines, each of which does `per_window` calls in `fall_us`.
 
     `load` is the part of what all machines do while warm; `surge` multiplies it at a time.
@@ -108,16 +107,16 @@
     per_window: float
     load: float
     seed: int
-    clients: tuple[Client, ...] = (Client("read"),)
+    clients: tuple[SimulatedClient, ...] = (SimulatedClient("read"),)
     surge: Callable[[int], float] = lambda now: 1.0
     most_surge: float = 1.0
     zones: int = 3
     slots: int = 1
     queue: int = 20
-    spread_us: int = 200 * MS  # a change of the list reaches all balancers within this time
+    spread_us: int = 200 * MILLISECOND_US  # a change of the list reaches all balancers within this time
     uneven: float = 0.5  # spread of the traffic of balancers, as the sigma of a lognormal
-    now: int = START
-    calls: list[Call] = field(default_factory=list)
+    now: int = START_US
+    calls: list[SimulatedRequest] = field(default_factory=list)
     attempts: list[tuple[int, int]] = field(default_factory=list)  # time and balancer of each send
 
     def __post_init__(self) -> None:
@@ -126,7 +125,7 @@
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         rules = self.settings.rules
         self.machines = [
-            Machine(
+            SimulatedEndpoint(
                 messages.Endpoint(n, zone="abcdefgh"[n % self.zones], cell=n % 2),
                 self.per_window,
                 rules,
@@ -145,7 +144,7 @@
         self.told: list[dict[int, int]] = [{} for _ in self.modules]  # each balancer's news: start by backend
         self.running: dict[tuple[int, str, int], tuple[int, int, int]] = {}
         self.ended: set[tuple[int, int]] = set()  # timers that were taken back
-        self.live: dict[str, Call] = {}
+        self.live: dict[str, SimulatedRequest] = {}
         self.version = 0
         weights = [self.rng.lognormvariate(0.0, self.uneven) for _ in self.modules]
         self.weights = list(accumulate(weights))
@@ -185,7 +184,7 @@
         self.told[index].update({entry.id: entry.incarnation_us for entry in news.endpoints})
         self._feed(index, news)
 
-    def restart(self, chosen: Iterable[Machine]) -> None:
+    def restart(self, chosen: Iterable[SimulatedEndpoint]) -> None:
         """These machines start now, cold, and the list says so."""
         entries = []
         for machine in chosen:
@@ -206,10 +205,12 @@
             )
         self.at(self.now + max(1, int(self.rng.expovariate(rate * self.most_surge))), self._next_arrival)
 
-    def arrive(self, index: int, client: Client) -> None:
+    def arrive(self, index: int, client: SimulatedClient) -> None:
         """A request of this client comes to a balancer."""
         cls = next(c for c in self.settings.classes if c.name == client.cls)
-        call = Call(client.cls, client.tenant, index, self.now, self.rng.lognormvariate(-0.08, 0.4))
+        call = SimulatedRequest(
+            client.cls, client.tenant, index, self.now, self.rng.lognormvariate(-0.08, 0.4)
+        )
         request_id = f"r{len(self.calls)}"
         self.calls.append(call)
         self.live[request_id] = call
@@ -245,7 +246,7 @@
         else:
             self._feed(index, messages.TimerFired(timer))
 
-    def _come(self, index: int, machine: Machine) -> None:
+    def _come(self, index: int, machine: SimulatedEndpoint) -> None:
         machine.work.append(
             (self.now, self.told[index].get(machine.entry.id) == machine.entry.incarnation_us)
         )
@@ -281,7 +282,7 @@
         self._come(index, machine)
         alive = machine.mode != "silent"
         holds = float(sum(free > self.now for free in machine.free_at)) if alive else None
-        wait = 2 * NET_US if alive else 250 * MS
+        wait = 2 * NET_US if alive else 250 * MILLISECOND_US
         self.at(self.now + wait, lambda: self._feed(index, messages.HealthCheckEnded(backend, alive, holds)))
 
     # What came of it
@@ -307,7 +308,7 @@
                     worst = max(worst, (held / allowed, held, allowed))
         return worst
 
-    def served(self, calls: Iterable[Call]) -> float:
+    def served(self, calls: Iterable[SimulatedRequest]) -> float:
         """The share of these calls that were answered within their aim."""
         aims = {c.name: c.latency_objective_us for c in self.settings.classes}
         all_calls = list(calls)
--- a/tests/support/stand_in_discovery.py
+++ b/tests/support/stand_in_discovery.py
@@ -10,7 +10,7 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.balancer_harness import S, settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -20,6 +20,7 @@
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInServer
 from tests.support.stepped_clock import SteppedClock, run_loop_turns
+from tests.support.units import SECOND_US
 
 # By the protocol: how soon a change must be applied, and how long a poll may wait in the queue.
 LIST_DEADLINE_S = 6.0
@@ -28,10 +29,13 @@
 STEP_S = 0.02
 TURNS_BETWEEN_STEPS = 40  # far more than a call and its response take on loopback
 
-POLLED_SETTINGS = settings(
-    must_subscribe=True, rules=messages.Rules(0.4, 5 * S, 3.0, S, max_poll_interval_us=3_600 * S)
+POLLED_SETTINGS = balancer_settings(
+    must_subscribe=True,
+    rules=messages.Rules(0.4, 5 * SECOND_US, 3.0, SECOND_US, max_poll_interval_us=3_600 * SECOND_US),
+)
+PUSHED_SETTINGS = balancer_settings(
+    rules=messages.Rules(0.4, 5 * SECOND_US, 3.0, SECOND_US, max_poll_interval_us=3_600 * SECOND_US)
 )
-PUSHED_SETTINGS = settings(rules=messages.Rules(0.4, 5 * S, 3.0, S, max_poll_interval_us=3_600 * S))
 EACH_SUBSCRIPTION = pytest.mark.parametrize(
     "setup", [POLLED_SETTINGS, PUSHED_SETTINGS], ids=["asked", "pushed"]
 )
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -7,19 +7,19 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.balancer_harness import SAFE
+from tests.support.balancer_harness import SAFE_CLASS
 
 IMPOSSIBLE: dict[str, Callable[[], object]] = {
     "classes is empty": lambda: messages.Settings(()),
-    "classes names a class twice": lambda: messages.Settings((SAFE, SAFE)),
+    "classes names a class twice": lambda: messages.Settings((SAFE_CLASS, SAFE_CLASS)),
     "tenants names": lambda: messages.Settings(
-        (SAFE,), tenants=(messages.Tenant("t", 1), messages.Tenant("t", 2))
+        (SAFE_CLASS,), tenants=(messages.Tenant("t", 1), messages.Tenant("t", 2))
     ),
-    "over_quota_weight": lambda: messages.Settings((SAFE,), over_quota_weight=1.5),
-    "worst_class_weight": lambda: messages.Settings((SAFE,), worst_class_weight=-0.1),
-    "instances": lambda: messages.Settings((SAFE,), instances=0),
-    "index": lambda: messages.Settings((SAFE,), instances=3, index=3),
-    "tick_us": lambda: messages.Settings((SAFE,), tick_us=-1),
+    "over_quota_weight": lambda: messages.Settings((SAFE_CLASS,), over_quota_weight=1.5),
+    "worst_class_weight": lambda: messages.Settings((SAFE_CLASS,), worst_class_weight=-0.1),
+    "instances": lambda: messages.Settings((SAFE_CLASS,), instances=0),
+    "index": lambda: messages.Settings((SAFE_CLASS,), instances=3, index=3),
+    "tick_us": lambda: messages.Settings((SAFE_CLASS,), tick_us=-1),
     "name": lambda: messages.RequestClass("", 1, 1),
     "latency_objective_us": lambda: messages.RequestClass("c", 0, 1),
     "deadline_us": lambda: messages.RequestClass("c", 1, -1),
