--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -217,10 +217,10 @@
         harness = BalancerHarness(setup, endpoint_count=0, seed=seed)
         harness.update_endpoint_list(*(messages.Endpoint(n, zone="a", cell=1) for n in range(backends)))
         [send] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
-        [life] = harness.balancer.requests.requests.values()
+        [life] = harness.balancer.open_requests.by_id.values()
         lines = lines_run(lambda: harness.end_attempt(send, messages.Outcome.TIMEOUT))
         legal = {
-            server.endpoint.id for server in harness.balancer.router.legal_endpoints(harness.now_us, life)
+            server.endpoint.id for server in harness.balancer.router.eligible_endpoints(harness.now_us, life)
         }
         assert {server.endpoint.id for server in harness.balancer.endpoints.subset} <= legal
         return lines, legal
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -31,9 +31,9 @@
 def nothing_left(p: LoopbackProxy) -> bool:
     balancer = p.driver.balancer
     return p.driver.is_idle and not (
-        balancer.requests.requests
-        or balancer.requests.in_flight
-        or balancer.requests.queue
+        balancer.open_requests.by_id
+        or balancer.dispatcher.in_flight
+        or balancer.queue
         or p.clients.open_request_ids
     )
 
@@ -91,18 +91,18 @@
         running_proxy(endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
         clients: list[SocketClient] = []
-        while not p.driver.balancer.requests.queue:
+        while not p.driver.balancer.queue:
             clients.append(SocketClient(p))
             clients[-1].send(http_request(request_id=f"r{len(clients)}"))
-            await wait_until(lambda: len(p.driver.balancer.requests.requests) == len(clients))
+            await wait_until(lambda: len(p.driver.balancer.open_requests.by_id) == len(clients))
         sent = len(clients) - 1
         await wait_until(lambda: len(b.received) == sent)
         clients[-1].disconnect(way)
         p.oldest_attempt_connection().data_received(http_response(200, b"x"))
-        assert not p.driver.balancer.requests.queue  # its turn came
+        assert not p.driver.balancer.queue  # its turn came
         await wait_until(lambda: len(p.clients.open_connections) == sent)
         await run_loop_turns()
-        assert len(b.received) == sent == len(p.driver.balancer.requests.in_flight) + 1
+        assert len(b.received) == sent == len(p.driver.balancer.dispatcher.in_flight) + 1
         for client in clients[:-1]:
             client.disconnect("FIN")
         await wait_until(lambda: not p.clients.open_connections)
@@ -125,7 +125,8 @@
     await wait_until(lambda: len(p.clients.open_connections - before) == 1)
     [connection] = p.clients.open_connections - before
     await wait_until(
-        lambda: connection._request_key is not None and connection.transport.is_reading() is not paused
+        lambda: connection.forwarded_request_id is not None
+        and connection.transport.is_reading() is not paused
     )
     return connection
 
@@ -147,18 +148,18 @@
         SilentEndpoint() as b,
         running_proxy(endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
-        p.listener._sweep_timer.cancel()
+        p.listener.sweep_timer.cancel()
         gate, clock = ConnectGates(p.pool), SteppedClock()
         crowd: list[SocketClient] = []
         if where != "connecting":
             gate.open_all()
         if where == "held":
-            while not p.driver.balancer.requests.queue:
+            while not p.driver.balancer.queue:
                 crowd.append(SocketClient(p))
                 crowd[-1].send(http_request(request_id=f"c{len(crowd)}"))
-                await wait_until(lambda: len(p.driver.balancer.requests.requests) == len(crowd))
+                await wait_until(lambda: len(p.driver.balancer.open_requests.by_id) == len(crowd))
             crowd.pop().disconnect("FIN")
-            await wait_until(lambda: not p.driver.balancer.requests.queue)
+            await wait_until(lambda: not p.driver.balancer.queue)
         client = SocketClient(p)
         connection = await begin(p, client, paused)
         if where == "connecting":
@@ -166,8 +167,8 @@
         elif where == "out":
             await wait_until(lambda: len(b.received) == 1)
         else:
-            assert p.driver.balancer.requests.queue
-        key = connection._request_key
+            assert p.driver.balancer.queue
+        key = connection.forwarded_request_id
         assert key is not None
         client.disconnect(way)
         await run_loop_turns()
@@ -184,7 +185,7 @@
         await run_loop_turns()
         mine = [headers["req-id"] for _, headers, _ in b.received if not headers["req-id"].startswith("c")]
         assert mine == (["r0"] if where == "out" else [])
-        assert not p.clients.paused_connections
+        assert not p.clients.presence.connections
         for other in crowd:
             other.disconnect("FIN")
         await wait_until(lambda: not p.clients.open_connections)
@@ -211,7 +212,7 @@
             clock.advance(0.05)
             await run_loop_turns()
         assert not asked
-        assert p.clients._presence_timer is None
+        assert not p.clients.presence.is_scheduled
         client = SocketClient(p)
         connection = await begin(p, client, True)
         for _ in range(10):
@@ -220,13 +221,13 @@
         assert len(asked) >= 10
         assert set(asked) == {connection.transport}
         p.driver.end_all_requests()
-        await wait_until(lambda: not p.clients.paused_connections)
+        await wait_until(lambda: not p.clients.presence.connections)
         for one in (idle, busy, client):
             one.disconnect("RST")
         await wait_until(lambda: not p.clients.open_connections)
         clock.advance(0.05)
         await run_loop_turns()
-        assert p.clients._presence_timer is None
+        assert not p.clients.presence.is_scheduled
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -245,10 +246,10 @@
         await wait_until(lambda: len(b.received) == 1)
         if not paused:
             client.send(http_request(request_id="behind"))
-            await wait_until(lambda: connection._http.received.size_bytes > 0)
+            await wait_until(lambda: connection.http.received.size_bytes > 0)
         p.oldest_attempt_connection().data_received(http_response(200, b"x" * 65_536))
         assert connection.is_writing
-        assert connection._http.has_unparsed_bytes
+        assert connection.http.has_unparsed_bytes
         client.disconnect(way)
         await run_loop_turns()
         if way == "half":  # it may still read, and what goes on then is the answer alone
--- a/tests/net/client/test_policy_faults.py
+++ b/tests/net/client/test_policy_faults.py
@@ -45,7 +45,7 @@
         monkeypatch.setattr(p.driver.balancer, "handle", faulty)
         assert response_status(await p.send_request(http_request(Req_Deadline="0.6"))) == 502
         assert p.driver.is_idle
-        assert not p.driver.balancer.requests.requests
+        assert not p.driver.balancer.open_requests.by_id
 
 
 async def test_failed_action_does_not_prevent_the_next_actions(
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -9,6 +9,7 @@
 import pytest
 
 from load_balancer.net.client import client_limits
+from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_listener import ClientListener
 from tests.net.client.test_malformed_requests import CHUNKED
 from tests.support.endpoint_lists import endpoint_entry
@@ -45,12 +46,12 @@
 
     def __init__(self, listener: ClientListener, clock: SteppedClock) -> None:
         self._listener, self._clock = listener, clock
-        listener._sweep_timer.cancel()
+        listener.sweep_timer.cancel()
 
     async def sweep(self) -> None:
         self._clock.advance(client_limits.SWEEP_INTERVAL_S + LATE_S)
-        self._listener._sweep()
-        self._listener._sweep_timer.cancel()
+        self._listener.sweep()
+        self._listener.sweep_timer.cancel()
         await run_loop_turns()
 
 
@@ -143,19 +144,19 @@
         late = Late(p.listener, clock)
         began = clock.advanced_s - LATE_S
         [connection] = p.clients.open_connections
-        check = connection.check_time_limits
+        check = p.listener.time_limits.check
 
-        def crossed(now_s: float) -> None:
+        def crossed(connection: ClientConnection, now_s: float) -> None:
             with contextlib.suppress(ConnectionError):
                 client.send(next(sent))
-            check(now_s)
+            check(connection, now_s)
 
-        connection.check_time_limits = crossed  # type: ignore[method-assign]
+        p.listener.time_limits.check = crossed  # type: ignore[method-assign]
         clock.advance(first_sweep_s)
         sent = DRIBBLES[kind]()
         while p.clients.open_connections:
             await late.sweep()
-            if connection._has_final_check:
+            if connection.has_final_check:
                 clock.advance(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
                 await run_loop_turns()
             assert clock.advanced_s - began <= DUE_S
@@ -183,7 +184,7 @@
             + client_limits.PARTIAL_REQUEST_GRACE_S
         )
         client.send(http_request(request_id="crossing"))
-        connection.check_time_limits(p.listener.loop.time())
+        p.listener.time_limits.check(connection, p.listener.loop.time())
         clock.advance(client_limits.FINAL_CHECK_DELAY_S)
         await wait_until(lambda: bool(b.received))
         for _ in range(5):
--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -12,7 +12,7 @@
 def full(setup: messages.Settings | None = None, backends: int = 2) -> BalancerHarness:
     """All backends have as many calls as they may, and one more request is held."""
     harness = BalancerHarness(setup or balancer_settings(), backends)
-    while not harness.balancer.requests.queue:
+    while not harness.balancer.queue:
         harness.request(f"c{harness.now_us}-{len(harness.actions)}", "pay")
     return harness
 
@@ -50,7 +50,7 @@
     harness = BalancerHarness(balancer_settings(), 2)
     harness.request("first", "read", 5 * SECOND_US)
     [send] = actions_of_type(harness.actions, messages.StartAttempt)
-    while not harness.balancer.requests.queue:
+    while not harness.balancer.queue:
         harness.request(f"c{len(harness.actions)}", "pay")
     harness.advance(after)
     draining = messages.Endpoint(
@@ -58,7 +58,7 @@
     )
     harness.update_endpoint_list(draining, kind=messages.EndpointListKind.CHANGES, version=2)
     harness.end_attempt(send, outcome)
-    assert "first" in harness.balancer.requests.queue.request_ids
+    assert "first" in harness.balancer.queue.request_ids
     return harness
 
 
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -173,8 +173,8 @@
     [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
     harness.update_endpoint_list()
     harness.end_attempt(send, messages.Outcome.OK)
-    assert not harness.balancer.requests.requests
-    assert not harness.balancer.requests.in_flight
+    assert not harness.balancer.open_requests.by_id
+    assert not harness.balancer.dispatcher.in_flight
 
 
 def test_all_draining_refuses_and_sends_nothing() -> None:
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -59,7 +59,7 @@
     for other in others:
         if answers or other.endpoint_id != send.endpoint_id:
             harness.end_attempt(other, messages.Outcome.OK, took=1 * MILLISECOND_US)
-    norm = harness.balancer.requests.classes[cls].usual_latency_us
+    norm = harness.balancer.request_factory.classes[cls].usual_latency_us
     cancels = [
         c
         for c in actions_of_type(
--- a/tests/policy/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -99,4 +99,4 @@
     assert not actions_of_type(late, messages.Fail)
     assert not actions_of_type(late, messages.CancelAttempt)
     harness.end_attempt(send, messages.Outcome.OK)
-    assert not harness.balancer.requests.requests
+    assert not harness.balancer.open_requests.by_id
