--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,6 +10,7 @@
 
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.failing_sockets import FailingSocket, SocketFailures
+from tests.support.log_lines import recorded_problem_lines
 from tests.support.time_limit import limited
 
 
@@ -46,3 +47,19 @@
     monkeypatch.setattr(socket, "socket", SocketOfThisTest)
     yield in_force
     in_force.clear()
+
+
+@pytest.fixture
+def no_problems_until_loop_closes() -> Iterator[None]:
+    """Fail the test where anything from warnings up is logged, also while its event loop is closed."""
+    with recorded_problem_lines() as lines:
+        yield
+    assert not lines
+
+
+@pytest.fixture
+def no_tracebacks_until_loop_closes() -> Iterator[None]:
+    """Fail the test where a traceback is logged, also while its event loop is closed."""
+    with recorded_problem_lines() as lines:
+        yield
+    assert not [line for line in lines if "Traceback" in line]
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -309,61 +309,57 @@
 
 
 @EACH_LACK
-def test_a_lack_of_this_machine_says_nothing_of_a_backend_and_costs_no_retry(
+@pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
+async def test_a_lack_of_this_machine_says_nothing_of_a_backend_and_costs_no_retry(
     name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def test() -> None:
-        async with (
-            StandInEndpoint(http_response(200, b"x")) as b,
-            running_proxy(endpoint_entry("b", b.port)) as p,
-        ):
-            reader, writer = await p.connect()
-            await wait_until(lambda: len(p.clients.open_connections) == 1)
-            rule = socket_failures.add(name, any_socket, error)
-            writer.write(http_request())
-            assert response_status(await read_http_message(reader)) == 200
-            assert rule.hits == 1
-            assert len(b.received) == 1
-            assert not p.pool.pacing.no_extra_until_s
-            [server] = p.driver.balancer.endpoints.states.values()
-            assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
-            assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
-            writer.close()
-
-    run_in_event_loop(test)
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
+        reader, writer = await p.connect()
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
+        rule = socket_failures.add(name, any_socket, error)
+        writer.write(http_request())
+        assert response_status(await read_http_message(reader)) == 200
+        assert rule.hits == 1
+        assert len(b.received) == 1
+        assert not p.pool.pacing.no_extra_until_s
+        [server] = p.driver.balancer.endpoints.states.values()
+        assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
+        assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
+        writer.close()
     assert not traceback_lines(caplog)
 
 
 @EACH_LACK
-def test_a_lack_of_this_machine_that_lasts_ends_a_request_at_once_with_a_refusal(
+@pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
+async def test_a_lack_of_this_machine_that_lasts_ends_a_request_at_once_with_a_refusal(
     name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """After as many tries as the settings allow, which cost no retry, and none of them goes on."""
 
-    async def test() -> None:
-        async with (
-            StandInEndpoint(http_response(200, b"x")) as b,
-            running_proxy(*(endpoint_entry(f"b{n}", b.port) for n in range(5))) as p,
-        ):
-            reader, writer = await p.connect()
-            await wait_until(lambda: len(p.clients.open_connections) == 1)
-            rule = socket_failures.add(name, any_socket, error, times=sys.maxsize)
-            for answers in range(1, 31):
-                writer.write(http_request(request_id=f"r{answers}"))
-                assert response_status(await read_http_message(reader)) == 503
-                assert rule.hits == 3 * answers
-                assert p.driver.is_idle
-            assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
-            assert not b.received
-            assert not p.pool.pending.by_endpoint
-            assert not p.pool.connections.open
-            assert not p.pool.waiting.by_endpoint
-            socket_failures.clear()
-            writer.write(http_request(request_id="last"))
-            assert response_status(await read_http_message(reader)) == 200
-            writer.close()
-
-    run_in_event_loop(test)
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(*(endpoint_entry(f"b{n}", b.port) for n in range(5))) as p,
+    ):
+        reader, writer = await p.connect()
+        await wait_until(lambda: len(p.clients.open_connections) == 1)
+        rule = socket_failures.add(name, any_socket, error, times=sys.maxsize)
+        for answers in range(1, 31):
+            writer.write(http_request(request_id=f"r{answers}"))
+            assert response_status(await read_http_message(reader)) == 503
+            assert rule.hits == 3 * answers
+            assert p.driver.is_idle
+        assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
+        assert not b.received
+        assert not p.pool.pending.by_endpoint
+        assert not p.pool.connections.open
+        assert not p.pool.waiting.by_endpoint
+        socket_failures.clear()
+        writer.write(http_request(request_id="last"))
+        assert response_status(await read_http_message(reader)) == 200
+        writer.close()
     assert not traceback_lines(caplog)
 
 
@@ -400,51 +396,46 @@
 
 
 @NO_WAY
-def test_a_backend_that_could_not_be_reached_keeps_its_share_and_is_used_again(
+@pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
+async def test_a_backend_that_could_not_be_reached_keeps_its_share_and_is_used_again(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The requests that met it are served elsewhere. What its own refusal says is another matter."""
 
-    async def test() -> None:
-        async with (
-            StandInEndpoint(http_response(200, b"a")) as a,
-            StandInEndpoint(http_response(200, b"b")) as b,
-            running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port)) as p,
-        ):
-            balancer = p.driver.balancer
-            known = {
-                p.driver.endpoint_list.endpoints.by_id[n].address[1]: server
-                for n, server in balancer.endpoints.states.items()
-            }
-            lost, clock = known[a.port], p.driver.clock
-            rule = socket_failures.add("connect", connected_to(a.port), error, times=3)
-            asked = 0
-
-            async def ask() -> None:
-                nonlocal asked
-                asked += 1
-                assert response_status(await p.send_request(http_request(request_id=f"r{asked}"))) == 200
-
-            while rule.hits < 3:
-                await ask()
-                if clock.now_us() < lost.unreachable_until_us:
-                    clock._ahead_us += COOL_DOWN_US
-            assert lost.detector.first_epoch_count == PRIOR_SAMPLES
-            assert lost.share == 1.0
-            assert not a.received
-            endpoint = next(
-                e for e in p.driver.endpoint_list.endpoints.by_id.values() if e.address[1] == a.port
-            )
-            assert (
-                p.pool.pacing.no_extra_until_s[endpoint]
-                <= p.pool.loop.time() + p.pool.pacing.connect_timeout_s
-            )
-            while not a.received:
-                await ask()
-            assert not p.pool.pacing.no_extra_until_s
-            assert lost.unreachable_backoff_us == 0
-
-    run_in_event_loop(test)
+    async with (
+        StandInEndpoint(http_response(200, b"a")) as a,
+        StandInEndpoint(http_response(200, b"b")) as b,
+        running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port)) as p,
+    ):
+        balancer = p.driver.balancer
+        known = {
+            p.driver.endpoint_list.endpoints.by_id[n].address[1]: server
+            for n, server in balancer.endpoints.states.items()
+        }
+        lost, clock = known[a.port], p.driver.clock
+        rule = socket_failures.add("connect", connected_to(a.port), error, times=3)
+        asked = 0
+
+        async def ask() -> None:
+            nonlocal asked
+            asked += 1
+            assert response_status(await p.send_request(http_request(request_id=f"r{asked}"))) == 200
+
+        while rule.hits < 3:
+            await ask()
+            if clock.now_us() < lost.unreachable_until_us:
+                clock._ahead_us += COOL_DOWN_US
+        assert lost.detector.first_epoch_count == PRIOR_SAMPLES
+        assert lost.share == 1.0
+        assert not a.received
+        endpoint = next(e for e in p.driver.endpoint_list.endpoints.by_id.values() if e.address[1] == a.port)
+        assert (
+            p.pool.pacing.no_extra_until_s[endpoint] <= p.pool.loop.time() + p.pool.pacing.connect_timeout_s
+        )
+        while not a.received:
+            await ask()
+        assert not p.pool.pacing.no_extra_until_s
+        assert lost.unreachable_backoff_us == 0
     assert not traceback_lines(caplog)
 
 
@@ -671,30 +662,28 @@
 
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("name", ["recv", "send"])
-def test_whatever_comes_or_goes_byte_by_byte_is_read_and_written_whole(
+@pytest.mark.usefixtures("no_problems_until_loop_closes")
+async def test_whatever_comes_or_goes_byte_by_byte_is_read_and_written_whole(
     name: str, side: str, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def test() -> None:
-        async with (
-            StandInEndpoint(http_response(200, b"said" * 50)) as b,
-            StandInListServer(endpoint_list(endpoint_entry("b", b.port))) as d,
-            running_proxy(discovery_port=d.port) as p,
-        ):
-            sides = {
-                "caller": accepted_on(p.port),
-                "backend": connected_to(b.port),
-                "discovery": connected_to(d.port),
-            }
-            rule = socket_failures.add(name, sides[side], times=NEVER_ENDING)
-            await wait_until(lambda: p.driver.is_ready)
-            for number in range(2):
-                got = await p.send_request(http_request("mark", request_id=f"r{number}", body=b"asked" * 50))
-                assert (response_status(got), got[2]) == (200, b"said" * 50)
-            assert [body for _, _, body in b.received] == [b"asked" * 50] * 2
-            assert rule.hits > 50
-            assert d.connection_count == 1
-
-    run_in_event_loop(test)
+    async with (
+        StandInEndpoint(http_response(200, b"said" * 50)) as b,
+        StandInListServer(endpoint_list(endpoint_entry("b", b.port))) as d,
+        running_proxy(discovery_port=d.port) as p,
+    ):
+        sides = {
+            "caller": accepted_on(p.port),
+            "backend": connected_to(b.port),
+            "discovery": connected_to(d.port),
+        }
+        rule = socket_failures.add(name, sides[side], times=NEVER_ENDING)
+        await wait_until(lambda: p.driver.is_ready)
+        for number in range(2):
+            got = await p.send_request(http_request("mark", request_id=f"r{number}", body=b"asked" * 50))
+            assert (response_status(got), got[2]) == (200, b"said" * 50)
+        assert [body for _, _, body in b.received] == [b"asked" * 50] * 2
+        assert rule.hits > 50
+        assert d.connection_count == 1
     assert not problem_lines(caplog)
 
 
@@ -765,103 +754,97 @@
 
 @EACH_STANDING
 @pytest.mark.parametrize("name", ["recv", "send"])
-def test_a_callers_connection_that_fails_ends_what_is_out_for_it_and_nothing_else(
+@pytest.mark.usefixtures("no_problems_until_loop_closes")
+async def test_a_callers_connection_that_fails_ends_what_is_out_for_it_and_nothing_else(
     name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def test() -> None:
-        held: dict[str, asyncio.StreamWriter] = {}
-        ended: list[str] = []
+    held: dict[str, asyncio.StreamWriter] = {}
+    ended: list[str] = []
 
-        async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            _, headers, _ = await read_http_message(reader)
-            held[headers["req-id"]] = writer
-            await reader.read()
-            ended.append(headers["req-id"])
-
-        async with StandInServer(hold) as b, running_proxy(endpoint_entry("b", b.port)) as p:
-            other_reader, other = await p.connect()
-            other.write(http_request(request_id="other"))
-            _, writer = await p.connect()
-            writer.write(http_request(request_id="lost"))
-            await wait_until(lambda: len(held) == 2)
-            mine = writer.get_extra_info("sockname")
-            rule = socket_failures.add(
-                name, lambda made: accepted_on(p.port)(made) and made.getpeername() == mine, error
-            )
-            if name == "recv":
-                writer.write(b"G")  # what comes makes it read
-                await wait_until(lambda: ended == ["lost"])
-            else:
-                held["lost"].write(http_response(200, b"x"))
-            await wait_until(lambda: rule.hits == 1 and len(p.clients.open_connections) == 1)
-            held["other"].write(http_response(200, b"y"))
-            assert (await read_http_message(other_reader))[2] == b"y"
-            assert p.driver.is_idle
-            assert not p.driver.requests.attempts.in_flight
-            assert not p.clients.open_request_ids
-            assert len(held) == 2  # no attempt was made for it again
-            other.close()
-            writer.close()
-
-    run_in_event_loop(test)
+    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        _, headers, _ = await read_http_message(reader)
+        held[headers["req-id"]] = writer
+        await reader.read()
+        ended.append(headers["req-id"])
+
+    async with StandInServer(hold) as b, running_proxy(endpoint_entry("b", b.port)) as p:
+        other_reader, other = await p.connect()
+        other.write(http_request(request_id="other"))
+        _, writer = await p.connect()
+        writer.write(http_request(request_id="lost"))
+        await wait_until(lambda: len(held) == 2)
+        mine = writer.get_extra_info("sockname")
+        rule = socket_failures.add(
+            name, lambda made: accepted_on(p.port)(made) and made.getpeername() == mine, error
+        )
+        if name == "recv":
+            writer.write(b"G")  # what comes makes it read
+            await wait_until(lambda: ended == ["lost"])
+        else:
+            held["lost"].write(http_response(200, b"x"))
+        await wait_until(lambda: rule.hits == 1 and len(p.clients.open_connections) == 1)
+        held["other"].write(http_response(200, b"y"))
+        assert (await read_http_message(other_reader))[2] == b"y"
+        assert p.driver.is_idle
+        assert not p.driver.requests.attempts.in_flight
+        assert not p.clients.open_request_ids
+        assert len(held) == 2  # no attempt was made for it again
+        other.close()
+        writer.close()
     assert not problem_lines(caplog)
 
 
 @EACH_STANDING
 @pytest.mark.parametrize("when", ["at the first byte", "half written", "half written, read", "written"])
-def test_a_backends_connection_that_fails_tells_by_the_last_byte_whether_the_request_may_have_run(
+@pytest.mark.usefixtures("no_problems_until_loop_closes")
+async def test_a_backends_connection_that_fails_tells_by_the_last_byte_whether_the_request_may_have_run(
     when: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     half = 10  # bytes
 
-    async def test() -> None:
-        async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            if when == "written":
-                await read_http_message(reader)
-            else:
-                await reader.readexactly(half)
-            if when in ("half written, read", "written"):
-                writer.write(b"HTTP")  # makes the proxy read
-            await reader.read()
-
-        async with StandInServer(handle) as b:
-            pool = ConnectionPool(5.0, 30.0, 10)
-            side = connected_to(b.port)
-            if "half" in when:
-                socket_failures.add("send", side, times=half)
-            if when == "half written, read":
-                socket_failures.add("send", side, errno.EAGAIN, times=NEVER_ENDING)
-            reads = when in ("half written, read", "written")
-            rule = socket_failures.add("recv" if reads else "send", side, error)
-            outcome, _ = await run_attempt(pool, ("127.0.0.1", b.port))
-            assert outcome is (Outcome.RESET if when == "written" else Outcome.NO_CONNECTION)
-            assert rule.hits == 1
-            await wait_until(lambda: not pool.connections.open)
-            pool.close()
+    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if when == "written":
+            await read_http_message(reader)
+        else:
+            await reader.readexactly(half)
+        if when in ("half written, read", "written"):
+            writer.write(b"HTTP")  # makes the proxy read
+        await reader.read()
 
-    run_in_event_loop(test)
+    async with StandInServer(handle) as b:
+        pool = ConnectionPool(5.0, 30.0, 10)
+        side = connected_to(b.port)
+        if "half" in when:
+            socket_failures.add("send", side, times=half)
+        if when == "half written, read":
+            socket_failures.add("send", side, errno.EAGAIN, times=NEVER_ENDING)
+        reads = when in ("half written, read", "written")
+        rule = socket_failures.add("recv" if reads else "send", side, error)
+        outcome, _ = await run_attempt(pool, ("127.0.0.1", b.port))
+        assert outcome is (Outcome.RESET if when == "written" else Outcome.NO_CONNECTION)
+        assert rule.hits == 1
+        await wait_until(lambda: not pool.connections.open)
+        pool.close()
     assert not problem_lines(caplog)
 
 
 @EACH_STANDING
-def test_a_resting_connection_to_a_backend_that_fails_is_not_used_again(
+@pytest.mark.usefixtures("no_problems_until_loop_closes")
+async def test_a_resting_connection_to_a_backend_that_fails_is_not_used_again(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def test() -> None:
-        async with (
-            StandInEndpoint(http_response(200, b"x")) as b,
-            running_proxy(endpoint_entry("b", b.port)) as p,
-        ):
-            assert response_status(await p.send_request(http_request(request_id="r1"))) == 200
-            await wait_until(lambda: bool(p.pool.idle.by_endpoint))
-            socket_failures.add("recv", connected_to(b.port), error)
-            b.writers[0].write(b"H")
-            await wait_until(lambda: not p.pool.idle.by_endpoint and not p.pool.connections.open)
-            assert response_status(await p.send_request(http_request(request_id="r2"))) == 200
-            assert b.connection_count == 2
-            assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
-
-    run_in_event_loop(test)
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
+        assert response_status(await p.send_request(http_request(request_id="r1"))) == 200
+        await wait_until(lambda: bool(p.pool.idle.by_endpoint))
+        socket_failures.add("recv", connected_to(b.port), error)
+        b.writers[0].write(b"H")
+        await wait_until(lambda: not p.pool.idle.by_endpoint and not p.pool.connections.open)
+        assert response_status(await p.send_request(http_request(request_id="r2"))) == 200
+        assert b.connection_count == 2
+        assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
     assert not problem_lines(caplog)
 
 
@@ -921,61 +904,57 @@
 
 
 @pytest.mark.parametrize("error", OF_A_LACK, ids=lambda number: errno.errorcode[number])
-def test_where_the_system_cannot_tell_what_is_on_a_connection_requests_are_served(
+@pytest.mark.usefixtures("no_problems_until_loop_closes")
+async def test_where_the_system_cannot_tell_what_is_on_a_connection_requests_are_served(
     error: int, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The careful answer counts: a resting connection is not used, no client has left, none is closed."""
 
-    async def test() -> None:
-        async with (
-            StandInEndpoint(http_response(200, b"x")) as b,
-            running_proxy(endpoint_entry("b", b.port)) as p,
-        ):
-            failing = Unpolled(error)
-            reader, writer = await p.connect()
-            idle_reader, idle = await p.connect()
-            await wait_until(lambda: len(p.clients.open_connections) == 2)
-            clock = SteppedClock()
-            with monkeypatch.context() as patch:
-                patch.setattr("load_balancer.net.socket_state.select.poll", lambda: failing)
-                for number in range(3):
-                    writer.write(http_request(request_id=f"r{number}"))
-                    assert response_status(await read_http_message(reader)) == 200
-                    clock.advance(SETTLE_S)
-                assert b.connection_count == 3
-                assert failing.asked
-                assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
-                clock.advance(1.0)
-                p.listener.close_idle_connections()
-                p.listener.sweep()
-                assert len(p.clients.open_connections) == 2
-                assert not p.listener.is_drained
-            p.listener.close_idle_connections()  # it can tell again
-            assert await idle_reader.read() == await reader.read() == b""
-            writer.close()
-            idle.close()
-
-    run_in_event_loop(test)
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
+        failing = Unpolled(error)
+        reader, writer = await p.connect()
+        idle_reader, idle = await p.connect()
+        await wait_until(lambda: len(p.clients.open_connections) == 2)
+        clock = SteppedClock()
+        with monkeypatch.context() as patch:
+            patch.setattr("load_balancer.net.socket_state.select.poll", lambda: failing)
+            for number in range(3):
+                writer.write(http_request(request_id=f"r{number}"))
+                assert response_status(await read_http_message(reader)) == 200
+                clock.advance(SETTLE_S)
+            assert b.connection_count == 3
+            assert failing.asked
+            assert p.driver.balancer.retry_budget.balance == MAX_SAVED_RETRIES
+            clock.advance(1.0)
+            p.listener.close_idle_connections()
+            p.listener.sweep()
+            assert len(p.clients.open_connections) == 2
+            assert not p.listener.is_drained
+        p.listener.close_idle_connections()  # it can tell again
+        assert await idle_reader.read() == await reader.read() == b""
+        writer.close()
+        idle.close()
     assert not problem_lines(caplog)
 
 
-def test_a_connection_that_is_reset_as_we_end_our_sending_is_no_trouble(
+@pytest.mark.usefixtures("no_problems_until_loop_closes")
+async def test_a_connection_that_is_reset_as_we_end_our_sending_is_no_trouble(
     socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def test() -> None:
-        async with (
-            StandInEndpoint(http_response(200, b"x")) as b,
-            running_proxy(endpoint_entry("b", b.port)) as p,
-        ):
-            rule = socket_failures.add("shutdown", accepted_on(p.port), errno.ENOTCONN)
-            reader, writer = await p.connect()
-            writer.write(http_request() + b"nonsense\r\n\r\n")
-            assert [response_status(await read_http_message(reader)) for _ in range(2)] == [200, 400]
-            await wait_until(lambda: rule.hits == 1)
-            writer.close()
-            await wait_until(lambda: not p.clients.open_connections)
-            assert response_status(await p.send_request(http_request(request_id="a2"))) == 200
-            assert len(b.received) == 2
-
-    run_in_event_loop(test)
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
+        rule = socket_failures.add("shutdown", accepted_on(p.port), errno.ENOTCONN)
+        reader, writer = await p.connect()
+        writer.write(http_request() + b"nonsense\r\n\r\n")
+        assert [response_status(await read_http_message(reader)) for _ in range(2)] == [200, 400]
+        await wait_until(lambda: rule.hits == 1)
+        writer.close()
+        await wait_until(lambda: not p.clients.open_connections)
+        assert response_status(await p.send_request(http_request(request_id="a2"))) == 200
+        assert len(b.received) == 2
     assert not problem_lines(caplog)
