--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -127,7 +127,7 @@
     balancer = fed.driver.balancer
     fed.apply_list(("a", first), full=True)
     server = balancer.endpoints.states[number]
-    server.warming.tokens, server.share = 0.75, 0.5
+    server.warming.bucket.tokens, server.share = 0.75, 0.5
     detector = server.detector
     fed.clocks.advance(1 * SECOND_US)
     fed.clocks.step_wall(step)
@@ -136,7 +136,7 @@
         kept = balancer.endpoints.states[number]
         assert kept is server
         assert kept.detector is detector
-        assert (kept.warming.tokens, kept.share) == (0.75, 0.5)
+        assert (kept.warming.bucket.tokens, kept.share) == (0.75, 0.5)
         assert kept.endpoint.incarnation_us == first // 1000 * 1000
         assert fed.age_us("a") == 2 * SECOND_US
     for later in (first + 1 * SECOND_US, first + 1 * SECOND_US + step):  # whichever way its own clock went
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -117,7 +117,7 @@
 
 def test_unsent_attempt_is_repeated_though_the_retry_budget_is_spent() -> None:
     harness = BalancerHarness(endpoint_count=4)
-    harness.balancer.retry_budget.balance = 0.0
+    harness.balancer.retry_budget.tokens = 0.0
     send = actions_of_type(harness.request("a"), messages.StartAttempt)[0]
     assert actions_of_type(harness.end_attempt(send, Outcome.NOT_SENT), messages.StartAttempt)
     other = actions_of_type(harness.request("b"), messages.StartAttempt)[0]
