--- a/load_balancer/net/client/request_forwarder.py
+++ b/load_balancer/net/client/request_forwarder.py
@@ -8,6 +8,7 @@
 
 import asyncio
 from collections.abc import Callable
+from functools import partial
 
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.client.client_connection_state import ConnectionState
@@ -28,7 +29,6 @@
         incoming: IncomingRequest,
         clients: ClientRegistry[ClientConnection],
         driver: EventLoopDriver,
-        on_next_request: Callable[[], None],
     ) -> None:
         """Start before the first request.
 
@@ -37,18 +37,21 @@
             incoming: The request that is being read on it.
             clients: All open connections.
             driver: Takes the requests.
-            on_next_request: Called after a response behind which the next request has come already.
         """
         self._connection = connection
         self._incoming = incoming
         self._clients = clients
         self._driver = driver
-        self._on_next_request = on_next_request
         self._loop = asyncio.get_running_loop()
 
-    def handle_request(self) -> None:
+    def handle_request(self, on_next_request: Callable[[], None]) -> None:
         """Answer or forward the request, whose last byte has been read.
 
+        Args:
+            on_next_request: Called after the response where the next request has come already. It is kept
+                no longer than the request: otherwise a closed connection and the parts that serve it would
+                hold each other in memory.
+
         Raises:
             BadRequestError: Another request with its id is open.
         """
@@ -56,15 +59,15 @@
         head = self._incoming.head
         if head is None:  # a readiness check
             is_ready = self._driver.is_ready and not self._clients.is_shutting_down
-            self._respond(ClientResponse(200 if is_ready else 503))
+            self._respond(on_next_request, ClientResponse(200 if is_ready else 503))
             return
         if self._connection.is_over_limit:
-            self._respond(SERVICE_UNAVAILABLE)
+            self._respond(on_next_request, SERVICE_UNAVAILABLE)
             return
         if head.request_id in self._clients.open_request_ids:
             # An endpoint would take this one for a retry of the open request, and might drop it.
             raise BadRequestError(409, "Req-Id of an open request")
-        self._forward(head)
+        self._forward(head, on_next_request)
 
     def reject(self, response: ClientResponse) -> None:
         """Respond to what is not HTTP, too large or not to be served, and linger."""
@@ -80,9 +83,9 @@
         if self._connection.forwarded_request_id is not None:
             self._driver.cancel_request(self._connection.forwarded_request_id)
 
-    def _forward(self, head: RequestHead) -> None:
+    def _forward(self, head: RequestHead, on_next_request: Callable[[], None]) -> None:
         connection = self._connection
-        client_request = self._to_client_request(head)
+        client_request = self._to_client_request(head, on_next_request)
         if not connection.is_client_present():
             return
         self._clients.open_request_ids.add(head.request_id)
@@ -91,7 +94,7 @@
         if connection.is_waiting:  # the driver may have responded at once
             connection.forwarded_request_id = request_id
 
-    def _to_client_request(self, head: RequestHead) -> ClientRequest:
+    def _to_client_request(self, head: RequestHead, on_next_request: Callable[[], None]) -> ClientRequest:
         # The time remaining counts from when the last byte came, however long it waited behind another.
         now_s = self._loop.time()
         waited_s = now_s - self._connection.http.parsed_received_at_s
@@ -105,16 +108,16 @@
             target=head.target,
             headers=self._incoming.forwarded_headers(head),
             body=bytes(self._incoming.body),
-            respond=self._respond,
+            respond=partial(self._respond, on_next_request),
             is_client_connected=self._connection.is_client_present,
         )
 
-    def _respond(self, response: ClientResponse) -> None:
+    def _respond(self, on_next_request: Callable[[], None], response: ClientResponse) -> None:
         """Write the one final response to the present request."""
         self._finish()
         self._connection.forwarded_request_id = None
         if self._connection.write_response(response):
-            self._on_next_request()
+            on_next_request()
 
     def _finish(self) -> None:
         """End the present request: it is no longer open."""
--- a/load_balancer/net/client/request_processor.py
+++ b/load_balancer/net/client/request_processor.py
@@ -51,9 +51,7 @@
         self._http = connection.http
         self._clients = clients
         self._incoming = IncomingRequest(classes)
-        self._forwarder = RequestForwarder(
-            connection, self._incoming, clients, driver, on_next_request=self._schedule_processing
-        )
+        self._forwarder = RequestForwarder(connection, self._incoming, clients, driver)
         self._loop = asyncio.get_running_loop()
 
     def receive(self, data: memoryview) -> None:
@@ -120,7 +118,7 @@
                 self._incoming.add_body(event.data)
                 return True
             case h11.EndOfMessage():
-                self._forwarder.handle_request()
+                self._forwarder.handle_request(self._schedule_processing)
                 return False
             case h11.NEED_DATA:
                 return self._http.feed()
