--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -38,7 +38,6 @@
     DiscoveryCall,
     StandInDiscovery,
     advance_to_next_call,
-    advance_until,
     answer_latest_call,
     list_chunk_of_version,
     record_watch_starts,
@@ -46,7 +45,7 @@
     watching_proxy,
 )
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import SteppedClock, advance_until
 
 JUMPS = 300  # of the clock in an outage, however long
 LINES_MOST = (
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import json
-from collections.abc import Callable
 
 import pytest
 
@@ -21,7 +20,7 @@
 from tests.support.http_messages import http_chunk, http_response
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import StandInServer, StreamHandler
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import SteppedClock, advance_until, wait_until
 
 
 async def ask(reader: asyncio.StreamReader) -> str:
@@ -219,14 +218,6 @@
         w.watch.close()
 
 
-async def step_until(clock: SteppedClock, holds: Callable[[], bool]) -> None:
-    """Moves the clock on in small steps, each with time for what it sets off."""
-    while not holds():
-        clock.advance(0.05)
-        for _ in range(20):
-            await asyncio.sleep(0)
-
-
 def silent_watches(*silent: int) -> StreamHandler:
     """Brings a list to each connection and then no more; those of these numbers get nothing at all."""
     seen: list[str] = []
@@ -259,7 +250,7 @@
         running_proxy(discovery_port=d.port, settings=setup) as p,
     ):
         await wait_until(lambda: p.driver.endpoint_list.watch.version == 1)
-        await step_until(clock, lambda: p.driver.endpoint_list.watch.version == 2 + len(silent))
+        await advance_until(clock, lambda: p.driver.endpoint_list.watch.version == 2 + len(silent))
         assert clock.advanced_s < in_time
 
 
@@ -278,7 +269,7 @@
     ):
         await wait_until(lambda: p.driver.endpoint_list.watch.version == 1)
         p.driver.move_discovery(("127.0.0.1", new.port))
-        await step_until(clock, lambda: p.driver.endpoint_list.watch.version == 1 + len(silent))
+        await advance_until(clock, lambda: p.driver.endpoint_list.watch.version == 1 + len(silent))
         assert clock.advanced_s < 4.0
 
 
@@ -300,7 +291,7 @@
         running_proxy(discovery_port=d.port, settings=balancer_settings(must_subscribe=True)) as p,
     ):
         await asked.wait()
-        await step_until(clock, lambda: clock.advanced_s > 2.2)
+        await advance_until(clock, lambda: clock.advanced_s > 2.2)
         turn.set()
         await wait_until(lambda: p.driver.endpoint_list.watch.version == 7 or d.connection_count > 1)
         assert d.connection_count == 1
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -39,14 +39,13 @@
     DiscoveryCall,
     StandInDiscovery,
     advance_to_next_call,
-    advance_until,
     answer_latest_call,
     list_chunk_of_version,
     record_watch_starts,
     watching_proxy,
 )
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import SteppedClock, advance_until
 from tests.support.units import SECOND_US
 
 
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -4,8 +4,7 @@
 
 import asyncio
 import math
-from collections.abc import AsyncIterator
-from contextlib import AsyncExitStack, asynccontextmanager
+from contextlib import AsyncExitStack
 
 import pytest
 
@@ -29,11 +28,10 @@
     EACH_SUBSCRIPTION,
     LIST_DEADLINE_S,
     advance_to_next_call,
-    advance_until,
     answer_latest_call,
     watching_proxy,
 )
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import SteppedClock, advance_until, run_loop_turns, wait_until
 from tests.support.units import MILLISECOND_US, SECOND_US
 
 KINDS = ["read", "write", "mark", "pay"]
@@ -50,20 +48,6 @@
     return handle
 
 
-async def turns(count: int = 30) -> None:
-    for _ in range(count):
-        await asyncio.sleep(0)
-
-
-@asynccontextmanager
-async def stepped(p: LoopbackProxy) -> AsyncIterator[SteppedClock]:
-    """One clock for the event loop and the module."""
-    clock = SteppedClock()
-    real = p.driver.clock.now_us
-    p.driver.clock.now_us = lambda: real() + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
-    yield clock
-
-
 def numbers(of: object) -> list[float]:
     """Each number in the module's state, however deep."""
     found: list[float] = []
@@ -162,7 +146,7 @@
         for _ in range(round(2 * 3_600 / BEAT_S)):
             clock.advance(BEAT_S)
             d.calls[0].send(http_chunk("\n"))
-            await turns(12)
+            await run_loop_turns(12)
         assert len(d.calls) == 1
         assert len(p.driver.balancer.outbox.timers) == len(p.driver.timers) == 0
         waited = await advance_to_next_call(d, clock)  # it falls silent
@@ -176,8 +160,8 @@
     async with (
         RawEndpoint(answers_as(b"x")) as b,
         running_proxy(endpoint_entry("s-1", b.port)) as p,
-        stepped(p) as clock,
     ):
+        clock = p.step_clocks()
         assert (await p.send_request(http_request(request_id="r0")))[2] == b"x"
         for n in range(1, 5):
             clock.advance(HOURS * 3_600.0)
@@ -212,7 +196,7 @@
     async with RawEndpoint(answers_as(b"x")) as b:
         pool = ConnectionPool(0.25, idle_s, 10)
         assert (await RecordedAttempt(pool, b.endpoint, GET).result())[0] is Outcome.OK
-        await turns()
+        await run_loop_turns(30)
         clock.advance(max(0.0, idle_s - 0.15))
         assert (await RecordedAttempt(pool, b.endpoint, GET).result())[0] is Outcome.OK
         assert len(b.accepted) == 2
@@ -277,7 +261,7 @@
         p = await stack.enter_async_context(
             running_proxy(*entries, settings=ROOMY, idle_timeout_s=1e6, max_connections=200)
         )
-        clock = await stack.enter_async_context(stepped(p))
+        clock = p.step_clocks()
         await open_idle_connections(p, monkeypatch, 40 * many)
         assert sum(map(len, p.pool.idle.by_endpoint.values())) > 4
         forgetful.forget()
@@ -291,7 +275,7 @@
             while not asking.done():
                 assert clock.advanced_s - began < 2.5, "no final answer"
                 clock.advance(0.05)
-                await turns()
+                await run_loop_turns(30)
             statuses.append((await asking)[0].split()[1])
         lone = how == "silence" and many == 1 and kind != "pay"  # there is nowhere to make it again
         assert statuses[lone:] == ["200"] * (4 - lone)
@@ -356,8 +340,8 @@
         running_proxy(
             endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port), settings=ROOMY, idle_timeout_s=1e6
         ) as p,
-        stepped(p) as clock,
     ):
+        clock = p.step_clocks()
         while not (a.accepted and b.accepted):
             await asyncio.gather(*(p.send_request(http_request(request_id=f"k{n}")) for n in range(8)))
         clock.advance(rest_s)
@@ -375,8 +359,8 @@
     async with (
         RawEndpoint(handle) as b,
         running_proxy(endpoint_entry("s-1", b.port), settings=ROOMY, idle_timeout_s=1e6) as p,
-        stepped(p) as clock,
     ):
+        clock = p.step_clocks()
         await kept_by(p, b, 3)
         clock.advance(60.0)
         _, writer = await p.connect()
@@ -402,8 +386,8 @@
     async with (
         RawEndpoint(drop) as b,
         running_proxy(endpoint_entry("s-1", b.port), idle_timeout_s=1e6) as p,
-        stepped(p) as clock,
     ):
+        clock = p.step_clocks()
         if kept:
             await kept_by(p, b, 1)
             clock.advance(60.0)
@@ -413,6 +397,6 @@
         while not asking.done():
             assert clock.advanced_s - began < float(left) + 0.5, "no final answer"
             clock.advance(0.01)
-            await turns()
+            await run_loop_turns(30)
         assert (await asking)[0].split()[1] in ("502", "503")
         assert b.request_ids.count("r1") <= (1 if kind == "pay" else 3)
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -34,7 +34,7 @@
 from tests.support.proxy_process import LIMITS, proxy_config, raw_settings, unused_port, write_config
 from tests.support.simulated_fleet import SimulatedEndpoint, SimulatedFleet
 from tests.support.stand_in_server import StandInServer
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 from tests.support.units import HOUR_US, MILLISECOND_US, SECOND_US
 
 
@@ -51,11 +51,6 @@
         self.ahead += us
 
 
-async def turns() -> None:
-    for _ in range(30):
-        await asyncio.sleep(0)
-
-
 @dataclass
 class Agent:
     """Discovery that says on its watches what a test says."""
@@ -147,7 +142,7 @@
             agent.say(http_chunk("\n"))
             await wait_until(lambda beat=beat: driver.endpoint_list.start_times._confirmed_at_us != beat)  # type: ignore[misc]
             clock.advance(2.0)
-            await turns()
+            await run_loop_turns(30)
             assert len(agent.asked) == 1
         clock.advance(1.5)
         await wait_until(lambda: len(agent.asked) == 2)
@@ -173,7 +168,7 @@
         await begun.wait()
         wall.step(step)
         clock.advance(2.5)
-        await turns()
+        await run_loop_turns(30)
         assert not asked.done()
         if ends == "answered":
             go_on.set()
@@ -218,7 +213,7 @@
             writer.write(http_request(Req_Deadline="900"))
             await begun.wait()
             os.kill(os.getpid(), signal.SIGTERM)
-            await turns()
+            await run_loop_turns(30)
             wall.step(step)
             answered = asyncio.ensure_future(read_http_message(reader))
             began, stepped_again = clock.advanced_s, False
@@ -228,12 +223,12 @@
                     stepped_again = True
                 agent.say(http_chunk("\n"))
                 clock.advance(0.1)
-                await turns()
+                await run_loop_turns(30)
             assert answered.done()
             assert 2.8 < clock.advanced_s - began < 3.5
             while not attending.done() and clock.advanced_s - began < 30.0:
                 clock.advance(0.1)
-                await turns()
+                await run_loop_turns(30)
             assert clock.advanced_s - began < 6.0  # though its client keeps the connection
             await attending
             writer.close()
--- a/tests/support/config_fields.py
+++ b/tests/support/config_fields.py
@@ -12,21 +12,20 @@
 
 
 def config_with(path: FieldPath, value: object) -> dict[str, Any]:
-    """The configuration with another value at a place in it."""
-    made: Any = json.loads(json.dumps(proxy_config(known=endpoint_list(endpoint_entry("a", 9)))))
-    made["settings"]["limits"]["retryAfter"] = True
-    made["settings"]["tenants"] = [{"name": "t", "quotaPerS": 5}]
-    inner = made
+    """Return a configuration with another value at this place in it."""
+    changed: Any = json.loads(json.dumps(proxy_config(known=endpoint_list(endpoint_entry("a", 9)))))
+    changed["settings"]["limits"]["retryAfter"] = True
+    changed["settings"]["tenants"] = [{"name": "t", "quotaPerS": 5}]
+    inner = changed
     for step in path[:-1]:
         inner = inner[step] if not isinstance(inner, dict) else inner.setdefault(step, {})
     inner[path[-1]] = value
-    assert isinstance(made, dict)
-    return made
+    assert isinstance(changed, dict)
+    return changed
 
 
 FIRST_LANE: FieldPath = ("settings", "lanes", 0)
 
-
 NUMBER_FIELDS: list[FieldPath] = [
     ("limits", "sockets"),
     ("settings", "limits", "connectTimeoutUs"),
@@ -45,5 +44,6 @@
 
 
 def field_name(path: FieldPath) -> str:
+    """Return the name that an error must give to the field at this place."""
     parts = [f"[{step}]" if isinstance(step, int) else f".{step}" for step in path]
     return "".join(parts).removeprefix(".")
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -19,10 +19,12 @@
 
 ROOT = Path(__file__).parent.parent.parent
 
+# With both fields that the settings of the simulator leave out.
 LIMITS = {"maxAttempts": 3, "cancel": True, "connectTimeoutUs": 250_000, "connIdleUs": 30_000_000}
 
 
 def raw_settings(**changes: Any) -> dict[str, Any]:
+    """Return settings in the form of the configuration file, with fields that the proxy does not know."""
     lanes = [
         {
             "name": "read",
@@ -51,6 +53,7 @@
 
 
 def proxy_config(**changes: Any) -> dict[str, Any]:
+    """Return a configuration with these fields in place of the usual ones."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -63,13 +66,16 @@
 
 
 def write_config(folder: Path, content: object) -> dict[str, str]:
+    """Write a configuration file; return the environment that names it to a process."""
     path = folder / "config.json"
     path.write_text(json.dumps(content))
     return {"NODE_CONFIG": str(path)}
 
 
-def deploy_command() -> list[str]:
-    words = str(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]).split()
+def deploy_command(entry: str = "run") -> list[str]:
+    """Return the command of an entry of the deploy file, with this interpreter in place of its own."""
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    words = str(deploy[entry]).split()
     assert words[:2] == ["exec", ".venv/bin/python"]
     return [sys.executable, *words[2:]]
 
@@ -78,8 +84,9 @@
 async def running_proxy_process(
     env: dict[str, str], descriptors: int = 1024
 ) -> AsyncIterator[asyncio.subprocess.Process]:
+    """Run a proxy as the deploy file says, with at most so many descriptors; kill it at the end."""
     pipe = asyncio.subprocess.PIPE
-    made = await asyncio.create_subprocess_exec(
+    started = await asyncio.create_subprocess_exec(
         "/bin/sh",
         "-c",
         f'ulimit -n {descriptors}; exec "$@"',
@@ -91,31 +98,38 @@
         stderr=pipe,
     )
     try:
-        yield made
+        yield started
     finally:
-        if made.returncode is None:
-            made.kill()
-        await made.wait()
+        if started.returncode is None:
+            started.kill()
+        await started.wait()
 
 
-async def read_listening_port(made: asyncio.subprocess.Process, said: list[str] | None = None) -> int:
-    """The port that it says it listens on; what it says before that is kept."""
-    assert made.stderr is not None
+async def read_listening_port(
+    process: asyncio.subprocess.Process, lines_before: list[str] | None = None
+) -> int:
+    """Return the port that the process logs as the one it listens on.
+
+    Args:
+        process: A proxy that has just been started.
+        lines_before: Gets the lines up to that one.
+    """
+    assert process.stderr is not None
     while True:
-        line = (await made.stderr.readline()).decode()
+        line = (await process.stderr.readline()).decode()
         assert line, "it ended before it listened"
-        if said is not None:
-            said.append(line)
+        if lines_before is not None:
+            lines_before.append(line)
         if "listens on" in line:
             return int(line.rsplit(":", 1)[1])
 
 
-# Another place to begin in each process, so that tests which run side by side don't meet.
+# Each process begins at another port, so that tests which run side by side do not use the same ones.
 PORTS = itertools.cycle(range(20_000 + os.getpid() * 37 % 10_000, 32_000))
 
 
 def unused_port() -> int:
-    """Another one each time, which the system gives nobody by itself, so that it stays free."""
+    """Return another port each time, outside the range that the system chooses from, so it stays unused."""
     for port in itertools.islice(PORTS, 12_000):
         with socket.socket() as free, contextlib.suppress(OSError):
             free.bind(("127.0.0.1", port))
--- a/tests/support/stand_in_discovery.py
+++ b/tests/support/stand_in_discovery.py
@@ -19,16 +19,13 @@
 )
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInServer
-from tests.support.stepped_clock import SteppedClock, run_loop_turns
+from tests.support.stepped_clock import SteppedClock, advance_until
 from tests.support.units import SECOND_US
 
 # By the protocol: how soon a change must be applied, and how long a poll may wait in the queue.
 LIST_DEADLINE_S = 6.0
 POLL_QUEUE_S = 2.0
 
-STEP_S = 0.02
-TURNS_BETWEEN_STEPS = 40  # far more than a call and its response take on loopback
-
 POLLED_SETTINGS = balancer_settings(
     must_subscribe=True,
     rules=messages.Rules(0.4, 5 * SECOND_US, 3.0, SECOND_US, max_poll_interval_us=3_600 * SECOND_US),
@@ -131,15 +128,6 @@
     return started_at_s
 
 
-async def advance_until(clock: SteppedClock, condition: Callable[[], bool], max_s: float = 60.0) -> float:
-    """Step time until the condition holds, at most this long; return the seconds that it took."""
-    began_s = clock.advanced_s
-    while not condition() and clock.advanced_s - began_s < max_s:
-        clock.advance(STEP_S)
-        await run_loop_turns(TURNS_BETWEEN_STEPS)
-    return clock.advanced_s - began_s
-
-
 async def advance_to_next_call(discovery: StandInDiscovery, clock: SteppedClock) -> float:
     """Step time until a further call comes; return the seconds that it took."""
     before = len(discovery.calls)
--- a/tests/support/stepped_clock.py
+++ b/tests/support/stepped_clock.py
@@ -5,6 +5,9 @@
 import asyncio
 from collections.abc import Callable
 
+STEP_S = 0.02
+TURNS_BETWEEN_STEPS = 40  # far more than a call and its response take on loopback
+
 
 class SteppedClock:
     """The running event loop's clock, which a test can move on: what falls due then fires at once."""
@@ -30,3 +33,33 @@
     """Let the event loop turn so many times, for all that is ready to run."""
     for _ in range(count):
         await asyncio.sleep(0)
+
+
+async def advance_until(
+    clock: SteppedClock,
+    condition: Callable[[], bool],
+    max_s: float = 60.0,
+    *,
+    step_s: float = STEP_S,
+    must_hold: bool = False,
+) -> float:
+    """Step time until the condition holds, at most this long; the loop runs between two steps.
+
+    Args:
+        clock: The clock to move.
+        condition: Looked at before each step.
+        max_s: The longest time to step, in all.
+        step_s: The length of a step.
+        must_hold: Fail the test where the time is over before the condition holds.
+
+    Returns:
+        The seconds that it took.
+    """
+    began_s = clock.advanced_s
+    while not condition():
+        if clock.advanced_s - began_s >= max_s:
+            assert not must_hold, "the condition never held"
+            break
+        clock.advance(step_s)
+        await run_loop_turns(TURNS_BETWEEN_STEPS)
+    return clock.advanced_s - began_s
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -6,8 +6,6 @@
 import os
 import random
 import subprocess
-import sys
-import tomllib
 from typing import Any
 
 import pytest
@@ -16,24 +14,22 @@
 from load_balancer.messages import Rules, Settings
 from load_balancer.settings import read_settings
 from load_balancer.simulator import EVENT_READERS, read_request, write_action
-from tests.support.proxy_process import ROOT, raw_settings
+from tests.support.proxy_process import ROOT, deploy_command, raw_settings
 
 S = 1_000_000
 
 
-def command() -> list[str]:
-    """The deploy file's command, with this interpreter in the place of the one it builds."""
-    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    words = str(deploy["sim"]).split()
-    assert words[0] == "exec"
-    assert words[1] == ".venv/bin/python"
-    return [sys.executable, *words[2:]]
-
-
 def run(text: str, hash_seed: int = 0) -> subprocess.CompletedProcess[str]:
     env = {**os.environ, "PYTHONHASHSEED": str(hash_seed)}
     return subprocess.run(
-        command(), input=text, capture_output=True, text=True, cwd=ROOT, env=env, check=False, timeout=60
+        deploy_command("sim"),
+        input=text,
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+        env=env,
+        check=False,
+        timeout=60,
     )
 
 
@@ -155,7 +151,7 @@
 
 def test_a_line_that_is_not_utf8_is_told_in_one_line() -> None:
     done = subprocess.run(
-        command(),
+        deploy_command("sim"),
         input=b'{"tUs":1,"n":1,"proxys":[\xff]}\n',
         capture_output=True,
         cwd=ROOT,
