--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -135,7 +135,7 @@
         await outage(clock, 3_600.0)
         all_is_small(d, p)
         tried = record_watch_starts(p)
-        await advance_until(clock, lambda: len(tried) > 0 and p.driver.endpoint_list.watch._task is None)
+        await advance_until(clock, lambda: len(tried) > 0 and not p.driver.endpoint_list.watch.is_running)
         d.server.server = await asyncio.start_server(d.server.accept, "127.0.0.1", d.server.port)
         assert (
             await advance_to_next_call(d, clock) + await answer_latest_call(d, p, clock, setup)
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -131,7 +131,7 @@
         clock = SteppedClock()
         while lists < 9:
             await asyncio.sleep(0)
-            if p.driver.endpoint_list.watch._task is None:
+            if not p.driver.endpoint_list.watch.is_running:
                 clock.advance(3.0)
         singly = [line for line in lines() if line.startswith("endpoint ")]
         counted = [line for line in lines() if line not in singly]
@@ -159,7 +159,7 @@
             clock = SteppedClock()
             while broke < 250:
                 await asyncio.sleep(0)
-                if p.driver.endpoint_list.watch._task is None:
+                if not p.driver.endpoint_list.watch.is_running:
                     clock.advance(0.1)
             ahead = clock.advanced_s
 
