--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -7,7 +7,6 @@
 import re
 
 from load_balancer.net.discovery.endpoint_list import EndpointListMessage
-
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
 from tests.support.endpoint_lists import WATCH_RESPONSE_HEAD
 from tests.support.stand_in_server import StandInServer
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -6,9 +6,9 @@
 import json
 
 import pytest
-from load_balancer.net.discovery.endpoint_list import EndpointListMessage, join_changes
 
 from load_balancer import messages
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage, join_changes
 from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
 from tests.support.balancer_harness import balancer_settings
--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -32,6 +32,11 @@
         driver.endpoint_list.endpoints,
         driver.balancer,
         p.pool,
+        p.pool.connections,
+        p.pool.idle,
+        p.pool.pending,
+        p.pool.waiting,
+        p.pool.pacing,
         p.listener,
         p.clients,
     ):
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -5,7 +5,6 @@
 import json
 
 from load_balancer.net.discovery.endpoint_list import EndpointListMessage
-
 from load_balancer.net.discovery.endpoint_list_json import read_list
 from tests.support.http_messages import http_chunk
 
