--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -155,7 +155,8 @@
     clock = FrozenClock()
     async with StandInServer(handle) as discovery:
         watched = Watched(discovery, silence_s=60.0)
-        await advance_until(clock, lambda: not watched.news.empty())  # reading pauses for a moment
+        # Reading pauses for a moment; the heartbeats step the clock as well, by 320 s.
+        await advance_until(clock, lambda: not watched.news.empty(), max_s=600.0, must_hold=True)
         assert await watched.news.get() is not None
         clock.advance(61.0)
         assert await watched.news.get() is None
