--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -7,62 +7,66 @@
 import pytest
 
 from load_balancer.net.driver.client_messages import ClientRequest
+from tests.net.client.delayed_endpoint import DelayedEndpoint
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
-from tests.support.loopback_proxy import running_proxy
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.socket_client import connect_paused_client
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, wait_until
 
 
-async def test_deadline_of_a_pipelined_request_counts_from_its_last_byte(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """However long it waited behind others, and whenever these came."""
-
-    go_on, clock = asyncio.Event(), SteppedClock()
-    patience: list[float] = []
+def record_times_left(proxy: LoopbackProxy, monkeypatch: pytest.MonkeyPatch) -> list[float]:
+    """Collect the seconds left to each request as the driver gets it."""
+    times_left_s: list[float] = []
+    accept_request = proxy.driver.accept_request
 
-    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while True:
-            b.received.append(await read_http_message(reader))
-            await go_on.wait()
-            writer.write(http_response(200, b"x"))
+    def record(request: ClientRequest) -> str:
+        times_left_s.append(request.time_remaining_us / 1e6)
+        return accept_request(request)
 
-    async with StandInServer(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        take = p.driver.accept_request
+    monkeypatch.setattr(proxy.driver, "accept_request", record)
+    return times_left_s
 
-        def listen(caller: ClientRequest) -> str:
-            patience.append(caller.time_remaining_us / 1e6)
-            return take(caller)
 
-        monkeypatch.setattr(p.driver, "accept_request", listen)
-        reader, writer = await p.connect()
+async def test_deadline_of_a_pipelined_request_counts_from_its_last_byte(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """However long it waited behind others, and whenever these came."""
+    clock, delayed = FrozenClock(), DelayedEndpoint()
+    async with (
+        StandInServer(delayed.handle) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
+        times_left_s = record_times_left(proxy, monkeypatch)
+        reader, writer = await proxy.connect()
         writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
-        await wait_until(lambda: bool(b.received))
+        await wait_until(lambda: len(delayed.request_ids) == 1)
         clock.advance(1.0)
         third = http_request(request_id="r3")
         writer.write(third[:-9])
-        [connection] = p.clients.open_connections
+        [connection] = proxy.clients.open_connections
         await wait_until(lambda: connection.http.received.size_bytes == len(third) - 9)
         clock.advance(0.5)
         writer.write(third[-9:])
         await wait_until(lambda: connection.http.received.size_bytes == len(third))
-        go_on.set()
+        delayed.may_respond.set()
         for _ in range(3):
             assert response_status(await read_http_message(reader)) == 200
-        assert 3.0 < patience[0] <= 4.0
-        assert patience[1] <= 2.5
-        assert 3.0 < patience[2] <= 4.0
+        assert 3.0 < times_left_s[0] <= 4.0
+        assert times_left_s[1] <= 2.5
+        assert 3.0 < times_left_s[2] <= 4.0
         writer.close()
 
 
 async def test_pipelined_requests_are_answered_in_order() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"1"), http_response(200, b"2"), http_response(200, b"3")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(
+            http_response(200, b"1"), http_response(200, b"2"), http_response(200, b"3")
+        ) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        reader, writer = await p.connect()
+        reader, writer = await proxy.connect()
         writer.write(
             http_request(request_id="a") + http_request(request_id="b") + http_request(request_id="c")
         )
@@ -73,18 +77,18 @@
 @pytest.mark.parametrize("size", [20_000, 65_536])
 async def test_pipelined_request_waits_for_a_slowly_read_response(size: int) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x" * size)) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x" * size)) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        p.limit_send_buffers()
-        reader, writer = await connect_paused_client(p)
+        proxy.limit_send_buffers()
+        reader, writer = await connect_paused_client(proxy)
         writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
-        await wait_until(lambda: bool(p.clients.open_connections))
-        [connection] = p.clients.open_connections
+        await wait_until(lambda: bool(proxy.clients.open_connections))
+        [connection] = proxy.clients.open_connections
         await wait_until(lambda: connection.transport.get_write_buffer_size() > 0)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.received) == 1  # what is not read holds the next one back: guards memory
+        assert len(endpoint.received) == 1  # what is not read holds the next one back: guards memory
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(2):
             assert len((await read_http_message(reader))[2]) == size
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -73,12 +73,12 @@
 
 
 async def after_failures(
-    d: StandInDiscovery, clock: SteppedClock, failure: Callable[[DiscoveryCall], None], many: int = 6
+    discovery: StandInDiscovery, clock: SteppedClock, failure: Callable[[DiscoveryCall], None], many: int = 6
 ) -> None:
     """Lets this many calls fail, so that the waits have grown; the last of them has just failed."""
-    d.on_call = failure
-    await advance_until(clock, lambda: len(d.calls) == many)
-    d.on_call = lambda call: None
+    discovery.on_call = failure
+    await advance_until(clock, lambda: len(discovery.calls) == many)
+    discovery.on_call = lambda call: None
 
 
 @EACH_SUBSCRIPTION
@@ -88,22 +88,26 @@
 ) -> None:
     """However long it lasted: discovery is there from the moment on in which the last of them failed."""
 
-    async with watching_proxy(setup) as (d, p, clock):
-        await after_failures(d, clock, FAILURES[failure])
-        waited = await advance_to_next_call(d, clock) + await answer_latest_call(d, p, clock, setup)
+    async with watching_proxy(setup) as (discovery, proxy, clock):
+        await after_failures(discovery, clock, FAILURES[failure])
+        waited = await advance_to_next_call(discovery, clock) + await answer_latest_call(
+            discovery, proxy, clock, setup
+        )
         assert waited < LIST_DEADLINE_S
 
 
 async def test_call_rejected_after_queueing_is_repeated_in_time() -> None:
     """The waits have grown and the last call has just failed; the next one is refused after 2 s."""
 
-    async with watching_proxy(POLLED_SETTINGS) as (d, p, clock):
-        await after_failures(d, clock, FAILURES["refused"])
-        waited = await advance_to_next_call(d, clock)
-        waited += await advance_until(clock, lambda: d.calls[-1].closed_by_proxy.is_set(), POLL_QUEUE_S)
-        FAILURES["refused"](d.calls[-1])
-        waited += await advance_to_next_call(d, clock) + await answer_latest_call(
-            d, p, clock, POLLED_SETTINGS
+    async with watching_proxy(POLLED_SETTINGS) as (discovery, proxy, clock):
+        await after_failures(discovery, clock, FAILURES["refused"])
+        waited = await advance_to_next_call(discovery, clock)
+        waited += await advance_until(
+            clock, lambda: discovery.calls[-1].closed_by_proxy.is_set(), POLL_QUEUE_S
+        )
+        FAILURES["refused"](discovery.calls[-1])
+        waited += await advance_to_next_call(discovery, clock) + await answer_latest_call(
+            discovery, proxy, clock, POLLED_SETTINGS
         )
         assert waited < LIST_DEADLINE_S
 
@@ -114,16 +118,16 @@
 ) -> None:
     """It has brought no list since the waits grew: there was nothing to tell."""
 
-    async with watching_proxy(setup) as (d, p, clock):
-        await after_failures(d, clock, FAILURES["refused"])
-        await advance_to_next_call(d, clock)
+    async with watching_proxy(setup) as (discovery, proxy, clock):
+        await after_failures(discovery, clock, FAILURES["refused"])
+        await advance_to_next_call(discovery, clock)
         caplog.clear()
-        d.calls[-1].send(WATCH_RESPONSE_HEAD + http_chunk("\n"))
-        await advance_until(clock, lambda: d.calls[-1].closed_by_proxy.is_set(), 1.5)
-        d.calls[-1].send(http_chunk("\n"))  # its last word
-        waited = await advance_to_next_call(d, clock)
+        discovery.calls[-1].send(WATCH_RESPONSE_HEAD + http_chunk("\n"))
+        await advance_until(clock, lambda: discovery.calls[-1].closed_by_proxy.is_set(), 1.5)
+        discovery.calls[-1].send(http_chunk("\n"))  # its last word
+        waited = await advance_to_next_call(discovery, clock)
         assert "broke: silent" in caplog.text
-        assert waited + await answer_latest_call(d, p, clock, setup) < LIST_DEADLINE_S
+        assert waited + await answer_latest_call(discovery, proxy, clock, setup) < LIST_DEADLINE_S
 
 
 STOPS = {
@@ -149,33 +153,39 @@
     elif stop == "half a chunk":
         drop = b" "
 
-    async with watching_proxy(setup) as (d, p, clock):
-        await after_failures(d, clock, FAILURES["refused"])
-        await advance_to_next_call(d, clock)
-        first, waited = d.calls[-1], 0.0
+    async with watching_proxy(setup) as (discovery, proxy, clock):
+        await after_failures(discovery, clock, FAILURES["refused"])
+        await advance_to_next_call(discovery, clock)
+        first, waited = discovery.calls[-1], 0.0
         first.send(STOPS[stop])
-        while len(d.calls) == 7:
-            waited += await advance_until(clock, lambda: len(d.calls) > 7, 0.3)
+        while len(discovery.calls) == 7:
+            waited += await advance_until(clock, lambda: len(discovery.calls) > 7, 0.3)
             if dribbles and not first.closed_by_proxy.is_set():
                 first.send(drop)
             assert waited < LIST_DEADLINE_S
-        assert waited + await answer_latest_call(d, p, clock, setup) < LIST_DEADLINE_S
+        assert waited + await answer_latest_call(discovery, proxy, clock, setup) < LIST_DEADLINE_S
 
 
 @EACH_SUBSCRIPTION
 async def test_change_is_applied_in_time_after_refused_connections(setup: messages.Settings) -> None:
     """Nobody listens for a while; the address is there again just after a connection was refused."""
 
-    async with watching_proxy(setup) as (d, p, clock):
-        await advance_until(clock, lambda: len(d.calls) == 1)
-        assert d.server is not None
-        assert d.server.server is not None
-        d.calls[0].writer.transport.abort()
-        d.server.server.close()
-        tried = record_watch_starts(p)
-        await advance_until(clock, lambda: len(tried) == 6 and not p.driver.endpoint_list.watch.is_running)
-        d.server.server = await asyncio.start_server(d.server.accept, "127.0.0.1", d.server.port)
-        waited = await advance_to_next_call(d, clock) + await answer_latest_call(d, p, clock, setup)
+    async with watching_proxy(setup) as (discovery, proxy, clock):
+        await advance_until(clock, lambda: len(discovery.calls) == 1)
+        assert discovery.server is not None
+        assert discovery.server.server is not None
+        discovery.calls[0].writer.transport.abort()
+        discovery.server.server.close()
+        tried = record_watch_starts(proxy)
+        await advance_until(
+            clock, lambda: len(tried) == 6 and not proxy.driver.endpoint_list.watch.is_running
+        )
+        discovery.server.server = await asyncio.start_server(
+            discovery.server.accept, "127.0.0.1", discovery.server.port
+        )
+        waited = await advance_to_next_call(discovery, clock) + await answer_latest_call(
+            discovery, proxy, clock, setup
+        )
         assert waited < LIST_DEADLINE_S
 
 
@@ -251,29 +261,32 @@
     """Nothing of it counts, one line names why, and what comes next is taken."""
     both = endpoint_list(endpoint_entry("s-1", 9), endpoint_entry("s-2", 9), rev=1)
 
-    async with watching_proxy(setup) as (d, p, clock):
-        await advance_until(clock, lambda: len(d.calls) == 1)
-        d.calls[0].send(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
-        await advance_until(clock, lambda: p.driver.endpoint_list.watch.version == 1)
-        held, up = dict(p.driver.balancer.endpoints.states), set(p.driver.endpoint_list.endpoints.up_ids)
+    async with watching_proxy(setup) as (discovery, proxy, clock):
+        await advance_until(clock, lambda: len(discovery.calls) == 1)
+        discovery.calls[0].send(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
+        await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1)
+        held, up = (
+            dict(proxy.driver.balancer.endpoints.states),
+            set(proxy.driver.endpoint_list.endpoints.up_ids),
+        )
         caplog.clear()
-        d.calls[0].send(said)
-        waited = await advance_to_next_call(d, clock)
+        discovery.calls[0].send(said)
+        waited = await advance_to_next_call(discovery, clock)
         assert (
-            p.driver.balancer.endpoints.states,
-            p.driver.endpoint_list.endpoints.up_ids,
-            p.driver.endpoint_list.watch.version,
+            proxy.driver.balancer.endpoints.states,
+            proxy.driver.endpoint_list.endpoints.up_ids,
+            proxy.driver.endpoint_list.watch.version,
         ) == (
             held,
             up,
             1,
         )
-        [line] = [r for r in caplog.records if r.levelno >= logging.WARNING]
+        [line] = [record for record in caplog.records if record.levelno >= logging.WARNING]
         assert why in line.getMessage()
         assert "\n" not in line.getMessage()
         assert not line.exc_info
-        assert waited + await answer_latest_call(d, p, clock, setup) < LIST_DEADLINE_S
-        assert set(p.driver.balancer.endpoints.states) == {endpoint_number("s-7")}
+        assert waited + await answer_latest_call(discovery, proxy, clock, setup) < LIST_DEADLINE_S
+        assert set(proxy.driver.balancer.endpoints.states) == {endpoint_number("s-7")}
 
 
 @pytest.mark.parametrize("kind", ["read", "mark", "pay"])
@@ -289,46 +302,53 @@
             except asyncio.IncompleteReadError:
                 closed.set()
                 raise
-            a.received.append(asked)
+            first_endpoint.received.append(asked)
             if asked[1]["req-id"] == "slow":
                 begun.set()
                 await go_on.wait()
             writer.write(http_response(200, b"a"))
 
     async with (
-        StandInServer(serve) as a,
-        StandInEndpoint(http_response(200, b"b")) as b,
-        running_proxy(endpoint_entry("a", a.port)) as p,
+        StandInServer(serve) as first_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
+        running_proxy(endpoint_entry("a", first_endpoint.port)) as proxy,
     ):
-        slow = asyncio.ensure_future(p.send_request(http_request("pay", request_id="slow")))
+        slow = asyncio.ensure_future(proxy.send_request(http_request("pay", request_id="slow")))
         await begun.wait()
-        assert (await p.send_request(http_request("read", request_id="r0")))[2] == b"a"
-        assert sum(map(len, p.pool.idle.by_endpoint.values())) == 1
-        p.driver.endpoint_list.receive(parsed_endpoint_list(endpoint_entry("b", b.port), rev=2))
+        assert (await proxy.send_request(http_request("read", request_id="r0")))[2] == b"a"
+        assert sum(map(len, proxy.pool.idle.by_endpoint.values())) == 1
+        proxy.driver.endpoint_list.receive(
+            parsed_endpoint_list(endpoint_entry("b", second_endpoint.port), rev=2)
+        )
         await closed.wait()
-        assert not p.pool.idle.by_endpoint
-        got = [(await p.send_request(http_request(kind, request_id=f"r{n}")))[2] for n in range(1, 9)]
+        assert not proxy.pool.idle.by_endpoint
+        got = [
+            (await proxy.send_request(http_request(kind, request_id=f"r{number}")))[2]
+            for number in range(1, 9)
+        ]
         assert got == [b"b"] * 8
         go_on.set()
         assert (await slow)[2] == b"a"
-        assert len(a.received) == 2
-        assert not any(e.id == endpoint_number("a") for e in p.pool.idle.by_endpoint)
+        assert len(first_endpoint.received) == 2
+        assert not any(e.id == endpoint_number("a") for e in proxy.pool.idle.by_endpoint)
 
 
 @pytest.mark.parametrize("states", [("terminating", "terminated"), ("terminated", "in_service")])
 async def test_later_of_two_entries_for_one_endpoint_is_applied(states: tuple[str, str]) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"a")) as a,
-        running_proxy(endpoint_entry("a", a.port)) as p,
+        StandInEndpoint(http_response(200, b"a")) as endpoint,
+        running_proxy(endpoint_entry("a", endpoint.port)) as proxy,
     ):
-        news = endpoint_list(*(endpoint_entry("a", a.port, state) for state in states), rev=2, full=False)
-        p.driver.endpoint_list.receive(read_list(news))
+        news = endpoint_list(
+            *(endpoint_entry("a", endpoint.port, state) for state in states), rev=2, full=False
+        )
+        proxy.driver.endpoint_list.receive(read_list(news))
         there = states[-1] == "in_service"
         number = endpoint_number("a")
         held = (
-            p.driver.balancer.endpoints.states,
-            p.driver.endpoint_list.endpoints.by_id,
-            p.driver.endpoint_list.endpoints.up_ids,
+            proxy.driver.balancer.endpoints.states,
+            proxy.driver.endpoint_list.endpoints.by_id,
+            proxy.driver.endpoint_list.endpoints.up_ids,
         )
         assert [number in where for where in held] == [there] * 3
 
@@ -343,11 +363,11 @@
 ) -> None:
     """The waits have grown on the old address; the first call on the new one fails as well."""
 
-    async with watching_proxy(setup) as (d, p, clock), AsyncExitStack() as stack:
+    async with watching_proxy(setup) as (discovery, proxy, clock), AsyncExitStack() as stack:
         new = StandInDiscovery(clock)
         e = await stack.enter_async_context(StandInServer(new.handle))
-        await after_failures(d, clock, FAILURES["refused"])
-        p.driver.move_discovery(("127.0.0.1", e.port))
+        await after_failures(discovery, clock, FAILURES["refused"])
+        proxy.driver.move_discovery(("127.0.0.1", e.port))
         waited = await advance_to_next_call(new, clock)
         call = new.calls[-1]
         if first == "refused in its turn" and setup is POLLED_SETTINGS:
@@ -360,7 +380,9 @@
         new.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(7))
         # Behind a call that was refused, the next one may still have to wait for its turn.
         left = 0.0 if setup is PUSHED_SETTINGS or not first.startswith("refused") else 1.0
-        waited += left + await advance_until(clock, lambda: p.driver.endpoint_list.watch.version == 7, 1.0)
-        assert p.driver.endpoint_list.watch.version == 7
+        waited += left + await advance_until(
+            clock, lambda: proxy.driver.endpoint_list.watch.version == 7, 1.0
+        )
+        assert proxy.driver.endpoint_list.watch.version == 7
         assert waited < MOVED_S
-        assert len(d.calls) == 6  # nothing more on the old one
+        assert len(discovery.calls) == 6  # nothing more on the old one
