--- a/load_balancer/messages/actions.py
+++ b/load_balancer/messages/actions.py
@@ -22,14 +22,14 @@
     endpoint_id: int
     timeout_us: int
     draws: tuple[Draw, ...] = ()  # why this endpoint: the draws, the winner first
-    # Ended as not sent within this time, the request may still go to another endpoint, as it should where
-    # connections to this one do not come up. 0: it should wait.
+    # Where no connection to this endpoint comes up, the attempt should end as not sent within this time, so
+    # that the request may still go to another endpoint. 0: the attempt should wait for a connection.
     relocate_within_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Ask an endpoint whether it is there, and how many requests it has in flight."""
+    """Check the health of an endpoint, and ask how many requests it has in flight."""
 
     endpoint_id: int
 
@@ -67,14 +67,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelTimer:
-    """A timer is no longer wanted. Where it can't be taken back it may still fire."""
+    """Cancel a timer. One that cannot be cancelled any more may still fire."""
 
     timer: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the list and all later changes."""
+    """Ask discovery for the endpoint list and all later changes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for whoever is on call."""
+    """Write a log line for whoever is on call."""
 
     text: str
 
--- a/load_balancer/messages/events.py
+++ b/load_balancer/messages/events.py
@@ -10,7 +10,7 @@
 
 
 class EndpointListKind(Enum):
-    """What an `EndpointListUpdate` brings."""
+    """What an `EndpointListUpdate` holds."""
 
     CHANGES = "changes"  # only what changed
     COMPLETE = "full"  # everything; an endpoint that is absent is removed
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request that now wants exactly one final response within the time left."""
+    """A request that is owed exactly one final response within the time left."""
 
     id: str
     class_name: str
     time_left_us: int
     tenant: str | None = None
-    retry: bool = False  # the client has tried before, and says so
+    retry: bool = False  # the client says that it has sent the request before
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,11 +43,11 @@
     """An attempt has ended; every `StartAttempt` gets exactly one of these."""
 
     request: str
-    attempt: int  # numbered 0, 1, 2 ... in the order of the request's sends
+    attempt: int  # numbered 0, 1, 2 ... in the order in which they were sent
     endpoint_id: int
     outcome: Outcome
     took_us: int
-    last: bool  # the request itself is over
+    last: bool  # the request is over: its response went to the client
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,20 +70,20 @@
     """A health check has ended; every `CheckHealth` gets exactly one of these."""
 
     endpoint_id: int
-    alive: bool  # something came back, or nothing could be asked
+    alive: bool  # the endpoint answered, or could not be asked
     in_flight: float | None = None  # by its load report, where it has one: late and a little noisy
 
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client has left; nothing is owed any more."""
+    """The client has left; no response is owed any more."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The proxy shuts down: every open request wants its final response now."""
+    """The proxy shuts down: every open request is owed its final response now."""
 
 
 Event = (
--- a/load_balancer/messages/outcomes.py
+++ b/load_balancer/messages/outcomes.py
@@ -21,8 +21,8 @@
     UNKNOWN = "unknown"
 
     @property
-    def never_ran(self) -> bool:
-        """True where the outcome proves that the request did not run."""
+    def proves_never_run(self) -> bool:
+        """Tell whether the outcome proves that the endpoint did not run the request."""
         return self in (
             Outcome.REJECTED,
             Outcome.NO_CONNECTION,
--- a/load_balancer/messages/settings.py
+++ b/load_balancer/messages/settings.py
@@ -64,10 +64,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer with a share of the fleet."""
+    """A customer with a quota of requests."""
 
     name: str
-    quota_per_s: float  # requests a second within its share, over all balancers
+    quota_per_s: float  # requests a second that count with their full weight, over all balancers
 
     def __post_init__(self) -> None:
         """Raise ImpossibleValueError for an impossible value."""
@@ -76,12 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The figures of the rules that a balancer keeps by itself."""
-
-    start_capacity: float = 1.0  # an endpoint starts with at least this share of its capacity
-    slow_start_us: int = 0  # and has all of it after this time
-    overload_multiple: float = 1.0  # sent more than this multiple of its present capacity
-    overload_window_us: int = 1_000_000  # for this long, it is overloaded and ejected
+    """The platform's figures for slow start, overload and discovery."""
+
+    start_capacity: float = 1.0  # share of its capacity that an endpoint has at its start, at least
+    slow_start_us: int = 0  # time from its start until an endpoint has its full capacity
+    # An endpoint that is sent more than this multiple of its present capacity within a window is overloaded,
+    # and ejected.
+    overload_multiple: float = 1.0
+    overload_window_us: int = 1_000_000
     max_poll_interval_us: int = 10_000_000  # the longest time between polls when not subscribed
 
     def __post_init__(self) -> None:
@@ -100,7 +102,7 @@
     max_attempts: int = 1
     cancel: bool = False
     health_checks: bool = False  # endpoints answer health checks
-    retry_after_us: int = 0  # the longest Retry-After that clients heed; 0: none is told
+    retry_after_us: int = 0  # the longest Retry-After that clients heed; 0: none is sent
     connect_timeout_us: int = 0  # an attempt is written within this time of its start or not at all
 
     def __post_init__(self) -> None:
@@ -112,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is told at its start. Impossible values raise ImpossibleValueError."""
+    """All settings of one balancer. Impossible values raise ImpossibleValueError."""
 
     classes: tuple[RequestClass, ...]
     rules: Rules = field(default_factory=Rules)
@@ -121,13 +123,12 @@
     over_quota_weight: float = 1.0  # weight of a request beyond its tenant's quota
     worst_class_weight: float = 0.0  # part of the goal that the worst-served class makes up
     instances: int = 1  # balancers that send to the same endpoints
-    index: int = 0  # this one's number among them, from 0
-    zone: str = ""  # where this one is
-    cross_zone_price: float = (
-        0.0  # price of an attempt that leaves its zone, as a share of a request's weight
-    )
-    handshake_price: float = 0.0  # price of a new connection, as a share of a request's weight
-    must_subscribe: bool = False  # the endpoint list comes only to those who ask
+    index: int = 0  # this balancer's number among them, from 0
+    zone: str = ""  # where this balancer is
+    # Prices, as shares of a request's weight.
+    cross_zone_price: float = 0.0  # of an attempt that leaves the zone
+    handshake_price: float = 0.0  # of a new connection
+    must_subscribe: bool = False  # discovery sends the endpoint list only on request
     tick_us: int = 1_000  # events are handed over at this interval
 
     def __post_init__(self) -> None:
--- a/load_balancer/policy/attempt.py
+++ b/load_balancer/policy/attempt.py
@@ -39,17 +39,17 @@
     number: int
     endpoint: EndpointT
     request_class: ClassState
-    sent_at_us: int  # microseconds
+    sent_at_us: int
     timeout_us: int
     outcome: messages.Outcome | None = None  # none while it is in flight
     is_abandoned: bool = False  # given up, its end still to come
 
-    def hangs(self, now_us: int, limit: HangLimit) -> bool:
-        """Tell whether it has been in flight for longer than the limit."""
+    def is_hanging(self, now_us: int, limit: HangLimit) -> bool:
+        """Tell whether the attempt has been in flight for longer than the limit."""
         usual_us = int(limit.usual_latencies * self.request_class.usual_latency_us)
         return now_us >= self.sent_at_us + max(limit.min_us, usual_us)
 
     @property
     def may_have_run(self) -> bool:
         """Return False only where the outcome proves that the endpoint never ran the request."""
-        return self.outcome is None or not self.outcome.never_ran
+        return self.outcome is None or not self.outcome.proves_never_run
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -115,16 +115,16 @@
     def _scan_attempts(self, now_us: int) -> None:
         self.scan_timer.fired()
         if self.settings.limits.health_checks:
-            self.health.check_hanging(now_us, self.endpoints, self.dispatcher.in_flight.values())
+            self.health.check_endpoints(now_us, self.endpoints, self.dispatcher.in_flight.values())
         else:
             self.silent_attempts.abandon_silent(now_us)
 
     def _list_updated(self, now_us: int, update: messages.EndpointListUpdate) -> None:
         if update.kind is messages.EndpointListKind.FAILED:
-            self.subscription.failed(now_us)
+            self.subscription.subscription_failed(now_us)
             return
         if update.kind is not messages.EndpointListKind.CACHED:
-            self.subscription.list_came()
+            self.subscription.list_received()
         self.endpoints.apply(now_us, update)
         sharing_balancers = self.endpoints.sharing_balancers
         self.slow_start.subset_changed(now_us, self.endpoints.subset, sharing_balancers)
--- a/load_balancer/policy/change_detector.py
+++ b/load_balancer/policy/change_detector.py
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         """Start the first epoch, with the usual value counted as the first few samples."""
         self.mean = 1.0
-        self.spread_squared = 1.0  # call times spread about as wide as their mean
+        self.spread_squared = 1.0  # latencies spread about as widely as their mean
         # Without these prior samples a handful of calls would open an epoch.
         self.first_epoch_sum = PRIOR_SAMPLES
         self.first_epoch_count = PRIOR_SAMPLES
@@ -60,7 +60,7 @@
         self.epoch_mean = 1.0
 
     def add(self, sample: float) -> bool:
-        """Take a sample; true where it opens a new epoch, whose mean is then `epoch_mean`."""
+        """Add a sample; return True where it opens a new epoch, whose mean is then `epoch_mean`."""
         previous_mean = self._update_mean(sample)
         allowance = DETECTABLE_SHIFT * self.first_epoch_sum / self.first_epoch_count
         self.upper_sum = max(0.0, self.upper_sum + sample - (self.mean + allowance))
@@ -80,7 +80,7 @@
         return True
 
     def _update_mean(self, sample: float) -> float:
-        """Move the mean and the spread; returns the mean before."""
+        """Move the mean and the spread, and return the mean before."""
         alpha = MEAN_ALPHA
         if self.epoch == 0:
             self.first_epoch_sum += sample
--- a/load_balancer/policy/class_state.py
+++ b/load_balancer/policy/class_state.py
@@ -31,10 +31,10 @@
         self.usual_latency_us = max(self.usual_latency_us, 1.0)
 
     def age_us(self, request: messages.Request, tolerance_us: int) -> int:
-        """Return the time that the client's earlier tries have used up: what is missing of the deadline.
+        """Return the time that the client's earlier attempts have used up: what is missing of the deadline.
 
-        Clients may wait for part of it only, in all tries but the last: a time left like that of first
-        tries tells no age. Nothing else does, so no age is made up from the time left of other clients.
+        Clients may wait for only part of the deadline in all attempts but the last, so a time left like
+        that of first attempts tells no age. No age is derived from the time left of other clients.
         """
         if not request.retry:
             self.longest_first_time_left_us = max(self.longest_first_time_left_us, request.time_left_us)
@@ -48,5 +48,5 @@
         self.served_share += SERVED_ALPHA * (served_in_time - self.served_share)
 
     def relative_latency(self, latency_us: int) -> float:
-        """Return a latency in units of what still is in good time."""
+        """Return a latency in units of the longest one that is in good time."""
         return latency_us / (GOOD_LATENCY_SHARE * self.settings.latency_objective_us)
--- a/load_balancer/policy/endpoint_list.py
+++ b/load_balancer/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: who is there, by the updates that discovery has sent, and the subset that is used."""
+"""The endpoint list: the endpoints by the updates that discovery has sent, and the subset that is used."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from load_balancer.policy.subset import Ring
 
 NO_VERSION = -1
-# Endpoints that have left the subset and may still have idle connections of ours: some come back, as their
-# place is at its edge, and the others would hold a descriptor each until their connections expire.
+# Endpoints that have left the subset and may keep idle connections: some come back, as their place is at its
+# edge, and the others would hold a descriptor each until their connections expire.
 MAX_DEPARTED = 8
 
 
@@ -26,7 +26,7 @@
         is_remote: Callable[[messages.Endpoint], bool],
         slow_start: SlowStart,
     ) -> None:
-        """Start empty; `slow_start` gives each new incarnation the first part of its budget."""
+        """Start empty; `slow_start` gives each new incarnation its token bucket."""
         self._instances = settings.instances
         self._outbox = outbox
         self._slow_start = slow_start
@@ -43,7 +43,7 @@
         return iter(self.states.values())
 
     def get(self, endpoint_id: int) -> EndpointState | None:
-        """Return an endpoint that is listed."""
+        """Return an endpoint of the list; None where it is not listed."""
         return self.states.get(endpoint_id)
 
     @property
@@ -52,7 +52,7 @@
         return max(1.0, self._instances * len(self.subset) / max(1, len(self.ring)))
 
     def apply(self, now_us: int, update: messages.EndpointListUpdate) -> None:
-        """Take over an update that is no failure."""
+        """Take over an update of any kind but `FAILED`."""
         is_complete = update.kind is not messages.EndpointListKind.CHANGES
         is_stale = not is_complete and update.version < self.version
         if is_complete:
@@ -60,7 +60,7 @@
         for endpoint in update.endpoints:
             self._apply_entry(now_us, endpoint, is_stale=is_stale)
         if is_complete:
-            self._keep_only({endpoint.id for endpoint in update.endpoints})
+            self._drop_unlisted({endpoint.id for endpoint in update.endpoints})
         # A complete list sets the version anew, also a lower one: otherwise the changes of a new discovery
         # with lower versions would all count as stale.
         self.version = max(self.version, update.version) if is_stale else update.version
@@ -68,17 +68,19 @@
 
     def _apply_entry(self, now_us: int, endpoint: messages.Endpoint, *, is_stale: bool) -> None:
         # A stale change may still take an endpoint away, never bring one back.
-        known_drains = endpoint.status is messages.EndpointStatus.DRAINING and endpoint.id in self.states
+        is_known_draining = endpoint.status is messages.EndpointStatus.DRAINING and endpoint.id in self.states
         if endpoint.status is messages.EndpointStatus.REMOVED:
             self._remove(endpoint.id)
-        elif not is_stale or known_drains:
-            self._admit(now_us, endpoint)
+        elif not is_stale or is_known_draining:
+            self._add_or_update(now_us, endpoint)
 
-    def _keep_only(self, listed: set[int]) -> None:
-        self.states = {number: state for number, state in self.states.items() if number in listed}
+    def _drop_unlisted(self, listed: set[int]) -> None:
+        self.states = {
+            endpoint_id: state for endpoint_id, state in self.states.items() if endpoint_id in listed
+        }
 
-    def _admit(self, now_us: int, endpoint: messages.Endpoint) -> None:
-        """Take over an entry. An endpoint that has restarted under its id starts afresh."""
+    def _add_or_update(self, now_us: int, endpoint: messages.Endpoint) -> None:
+        """Take over an entry. An endpoint that has restarted under its id gets a new state."""
         state = self.states.get(endpoint.id)
         if state is not None:
             self.ring.remove(state)  # before its zone changes, which tells where it stands there
@@ -96,24 +98,26 @@
             self.ring.remove(state)
 
     def _choose_subset(self) -> None:
-        """Take over what has changed on the ring. Costs by the subset's size, not by the fleet's."""
+        """Choose the subset anew. The cost grows with the size of the subset, not of the fleet."""
         before, self.subset = self.subset, self.ring.subset()
         if self.subset != before:
             self._close_departed(before)
 
     def _close_departed(self, before: list[EndpointState]) -> None:
-        """Give up connections to the endpoints that have been out of the subset for longest."""
+        """Close idle connections to the endpoints that left the subset longest ago, beyond a few."""
         current = {state.endpoint.id for state in self.subset}
         for state in before:
             if state.endpoint.id not in current:
                 self.departed[state.endpoint.id] = None
-        # One that is gone or draining is no longer ours to keep or close.
+        # The driver itself closes connections to endpoints that are removed or draining.
         self.departed = {
-            number: None for number in self.departed if number not in current and self._is_up(number)
+            endpoint_id: None
+            for endpoint_id in self.departed
+            if endpoint_id not in current and self._is_up(endpoint_id)
         }
-        for number in list(self.departed)[:-MAX_DEPARTED]:
-            del self.departed[number]
-            self._outbox.add(messages.CloseIdle(number))
+        for endpoint_id in list(self.departed)[:-MAX_DEPARTED]:
+            del self.departed[endpoint_id]
+            self._outbox.add(messages.CloseIdle(endpoint_id))
 
     def _is_up(self, endpoint_id: int) -> bool:
         state = self.states.get(endpoint_id)
--- a/load_balancer/policy/router.py
+++ b/load_balancer/policy/router.py
@@ -1,4 +1,4 @@
-"""Where an attempt of a request may go, and which of these endpoints gets it."""
+"""Routing: to which endpoints an attempt of a request may go, and which of them gets it."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         selector: Selector,
         margin_us: int,
     ) -> None:
-        """Take the parts that are asked; `margin_us` is kept back from times that must be kept."""
+        """Take the parts that decide; `margin_us` is kept back from the deduplication window."""
         self._settings = settings
         self._endpoints = endpoints
         self._slow_start = slow_start
@@ -46,25 +46,25 @@
         self._margin_us = margin_us
 
     def eligible_endpoints(self, now_us: int, request: RequestState) -> Iterable[EndpointState]:
-        """Return where the request may go without having an effect twice, by rule 2 of the wire."""
+        """Return the endpoints where the request can't have an effect twice, by rule 2 of the wire."""
         settings = request.request_class.settings
         ran = [attempt for attempt in request.attempts if attempt.may_have_run]
         if not ran or settings.idempotency is messages.Idempotency.SAFE:
             return self._endpoints.subset
         if settings.idempotency is messages.Idempotency.UNSAFE:
             return ()
-        # It is written only once a connection stands, and must still fall within what endpoints remember.
+        # The retry is written once a connection stands, and must still fall into the deduplication window.
         written_by_us = now_us + self._margin_us + self._settings.limits.connect_timeout_us + PROCESS_STALL_US
         if written_by_us >= ran[0].sent_at_us + settings.deduplication_window_us:
             return ()
         if settings.key_scope is messages.KeyScope.ALL:
             return self._endpoints.subset
-        return self._sharing_keys(ran[0].endpoint.endpoint, settings.key_scope)
+        return self._endpoints_sharing_keys(ran[0].endpoint.endpoint, settings.key_scope)
 
-    def _sharing_keys(
+    def _endpoints_sharing_keys(
         self, first: messages.Endpoint, key_scope: messages.KeyScope
     ) -> Iterable[EndpointState]:
-        """Return the endpoints that drop what this one has run."""
+        """Return the endpoints that drop repeats of what this one has run."""
         if key_scope is messages.KeyScope.ZONE:
             return self._sample_candidates(
                 [state for state in self._endpoints if state.endpoint.zone == first.zone]
@@ -75,13 +75,13 @@
         )
 
     def _sample_candidates(self, candidates: list[EndpointState]) -> list[EndpointState]:
-        """Return all of a few endpoints; of many those of the subset and others by chance.
+        """Return all of a few endpoints; of many those of the subset and a random sample of the others.
 
-        Each look at one has a cost. By chance, as otherwise all balancers would retry at the same ones.
+        Looking at each endpoint has a cost. Without chance all balancers would retry at the same ones.
         """
         if len(candidates) <= MAX_RETRY_CANDIDATES:
             return candidates
-        # Over thousands of them a call for each would be most of the cost.
+        # Over thousands of endpoints a call of `is_up` for each would be most of the cost.
         up = [state for state in candidates if state.endpoint.status is messages.EndpointStatus.UP]
         subset = set(self._endpoints.subset)
         in_subset = [state for state in up if state in subset]
@@ -118,8 +118,9 @@
             for state in candidates
             if all(attempt.endpoint is not state for attempt in request.attempts)
         ]
-        # An endpoint may spoil one class alone, while its other answers keep its share up.
+        # An endpoint may fail one class alone, while its answers to others keep its share up.
         name = request.request_class.settings.name
         healthy = [state for state in not_tried if not state.is_avoided(now_us, name)]
-        chosen, draws = self._selector.pick(now_us, healthy or not_tried or candidates)
-        return Choice(chosen, draws, has_untried_alternative=any(state is not chosen for state in not_tried))
+        selection = self._selector.pick(now_us, healthy or not_tried or candidates)
+        has_alternative = any(state is not selection.endpoint for state in not_tried)
+        return Choice(selection.endpoint, selection.draws, has_untried_alternative=has_alternative)
--- a/load_balancer/policy/silent_attempts.py
+++ b/load_balancer/policy/silent_attempts.py
@@ -57,7 +57,7 @@
 
     @staticmethod
     def _is_silent(now_us: int, attempt: EndpointAttempt) -> bool:
-        if attempt.is_abandoned or not attempt.hangs(now_us, SILENT_LIMIT):
+        if attempt.is_abandoned or not attempt.is_hanging(now_us, SILENT_LIMIT):
             return False
         return attempt.endpoint.responded_at_us < attempt.sent_at_us
 
--- a/load_balancer/policy/subscription.py
+++ b/load_balancer/policy/subscription.py
@@ -10,7 +10,7 @@
 PUSHED_INTERVAL_US = 100_000  # where lists are pushed, the watch is opened this often
 FIRST_BACKOFF_US = 500_000  # before asking for the list again elsewhere
 BACKOFF_JITTER = 0.3  # share of a backoff that chance may take off
-MAX_BACKOFF_SHARE = 0.125  # longest backoff, as a share of the time within which we must ask
+MAX_BACKOFF_SHARE = 0.125  # longest backoff, as a share of the longest time between polls
 # Longest backoff, whatever the settings say. A change counts as notified 6 s after discovery had it and could
 # be reached, or after a watch fell silent. A backoff runs from the beginning of the failed call, but a first
 # one is kept behind its end in any case. These sums stay below, with time for the way and a late event loop:
@@ -35,8 +35,8 @@
         self._subscribed_at_us = 0
         self._timer = 0
         self.backoff_us = FIRST_BACKOFF_US
-        longest = int(MAX_BACKOFF_SHARE * settings.rules.max_poll_interval_us)
-        self._max_backoff_us = max(FIRST_BACKOFF_US, min(MAX_BACKOFF_US, longest))
+        longest_us = int(MAX_BACKOFF_SHARE * settings.rules.max_poll_interval_us)
+        self._max_backoff_us = max(FIRST_BACKOFF_US, min(MAX_BACKOFF_US, longest_us))
 
     def start(self) -> None:
         """Subscribe for the first time, where lists come only to those who ask."""
@@ -48,21 +48,21 @@
         self._subscribed_at_us = now_us
         self._outbox.add(messages.Subscribe())
 
-    def list_came(self) -> None:
-        """Discovery has answered: the next failure is a first one again."""
+    def list_received(self) -> None:
+        """Note that discovery has answered: the next failure is a first one again."""
         self.backoff_us = FIRST_BACKOFF_US
 
-    def failed(self, now_us: int) -> None:
-        """Plan the next subscription. Which question failed is not told, so asks again in any case."""
+    def subscription_failed(self, now_us: int) -> None:
+        """Schedule the next subscription after a call to discovery failed or the watch broke."""
         if not self._must_subscribe:
-            # What has been pushed counts as notified though no watch stands, and opening one is free.
+            # Pushed lists count as notified even without a watch, and opening one costs discovery nothing.
             self._schedule_subscription(max(now_us, self._subscribed_at_us + PUSHED_INTERVAL_US))
             return
-        # Jitter keeps the balancers from asking all at the same moment when discovery is back. A call that
-        # stood long has spared discovery by that, so the backoff counts from its beginning.
-        part = self.jitter.uniform(1.0 - BACKOFF_JITTER, 1.0)
+        # Jitter keeps the balancers from asking all at the same moment when discovery is back. A call
+        # that lasted long has kept load from discovery, so the backoff counts from its beginning.
+        share = self.jitter.uniform(1.0 - BACKOFF_JITTER, 1.0)
         at_us = max(
-            now_us + int(part * FIRST_BACKOFF_US), self._subscribed_at_us + int(part * self.backoff_us)
+            now_us + int(share * FIRST_BACKOFF_US), self._subscribed_at_us + int(share * self.backoff_us)
         )
         self._schedule_subscription(at_us)
         self.backoff_us = min(2 * self.backoff_us, self._max_backoff_us)
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -35,7 +35,7 @@
 
 
 class RingMember(Protocol):
-    """What can stand on a ring."""
+    """Anything with a position on a ring."""
 
     @property
     def ring_position(self) -> RingPosition:
@@ -50,7 +50,7 @@
     """The endpoints that may get new attempts, in the order of their positions."""
 
     def __init__(self, index: int, instances: int, is_remote: Callable[[Member], bool]) -> None:
-        """Take this balancer's number among `instances`; `is_remote` tells members of other zones."""
+        """Take this balancer's number among `instances`; `is_remote` tells the members of other zones."""
         self._index = index
         self._instances = max(1, instances)
         self._is_remote = is_remote
@@ -64,24 +64,24 @@
         return len(self._all)
 
     def clear(self) -> None:
-        """Take all members out; the arc keeps its start."""
+        """Remove all members; the arc keeps its start."""
         for members in (self._all, self._local, self._remote):
             members.clear()
 
     def add(self, member: Member) -> None:
-        """Take a member in. None may stand at its position, and its zone must not change while it is here."""
+        """Add a member. Its position must be free, and its zone must not change while it is on the ring."""
         insort(self._all, member, key=RING_POSITION)
         insort(self._remote if self._is_remote(member) else self._local, member, key=RING_POSITION)
 
     def remove(self, member: Member) -> None:
-        """Take a member out, where it is in."""
+        """Remove a member, where it is on the ring."""
         for members in (self._all, self._local, self._remote):
-            at = bisect_left(members, member.ring_position, key=RING_POSITION)
-            if at < len(members) and members[at] is member:
-                del members[at]
+            index = bisect_left(members, member.ring_position, key=RING_POSITION)
+            if index < len(members) and members[index] is member:
+                del members[index]
 
     def subset(self) -> list[Member]:
-        """Return this balancer's arc: of its own zone first, and a way out to the others."""
+        """Return this balancer's arc: endpoints of its own zone first, then a few of other zones."""
         if not self._all:
             return []
         size = subset_size(len(self._all), self._instances)
@@ -91,25 +91,25 @@
         return local + arc(self._remote, start, max(MIN_REMOTE, size - len(local)))
 
     def _start_index(self, size: int) -> int:
-        """Return where the arc starts: where it did, unless that is too far from its even place by now.
+        """Return the index where the arc starts: the previous one, unless it is too far from the even one.
 
-        Otherwise it would walk to and fro, and open connections to ever new endpoints, as others far
-        before it come and go.
+        Without this the arc would move to and fro and open connections to ever new endpoints, as
+        endpoints far before it come and go.
         """
         endpoints = len(self._all)
-        even = self._index * endpoints // self._instances
+        even_start = self._index * endpoints // self._instances
         slack = start_slack(endpoints, self._instances, size)
         if not slack or self._start is None:
-            return even
-        before = bisect_left(self._all, self._start, key=RING_POSITION)
-        # No end of the ring is crossed: the slack is at most half of the distance between two starts.
-        return max(even - slack, min(even + slack, before))
+            return even_start
+        previous_start = bisect_left(self._all, self._start, key=RING_POSITION)
+        # The end of the ring is not crossed, as the slack is at most half of the distance between two starts.
+        return max(even_start - slack, min(even_start + slack, previous_start))
 
 
 def start_slack(endpoints: int, instances: int, size: int) -> int:
     """Return how many places off its even one an arc of this size may start.
 
-    None where each endpoint is in the subsets of two balancers, which stays so exactly. Where the size is
+    Zero where each endpoint is in the subsets of two balancers, which stays so exactly. Where the size is
     bounded below that: as many as leave no endpoint out where arcs overlap, and let no arcs overlap where
     gaps are between them. Each endpoint is then in the subsets of (size -+ 2 slack) x instances / endpoints
     balancers, rounded down and up.
@@ -142,6 +142,6 @@
 
 def arc(members: list[Member], start: RingPosition, size: int) -> list[Member]:
     """Return at most `size` of the sorted members, from a position on and around the end."""
-    at = bisect_left(members, start, key=RING_POSITION)
-    found = members[at : at + size]
-    return found + members[: min(at, size - len(found))]
+    index = bisect_left(members, start, key=RING_POSITION)
+    found = members[index : index + size]
+    return found + members[: min(index, size - len(found))]
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -85,7 +85,7 @@
             case _:
                 clock.advance(0.26)
         got = (await out.result())[0]
-        assert got.never_ran or (how, got) == ("cancel", Outcome.CANCELLED)
+        assert got.proves_never_run or (how, got) == ("cancel", Outcome.CANCELLED)
         held.opened.set()
         for n in range(3):  # what would come of the first one comes before the end of these
             other = replace(request_, target=b"/%d" % n)
