--- a/load_balancer/net/driver/event_loop_driver.py
+++ b/load_balancer/net/driver/event_loop_driver.py
@@ -69,11 +69,8 @@
         )
         self.timers = PolicyTimers(self.events, self.clock)
         endpoints = self.endpoint_list.endpoints
-        unsafe_class_names = {
-            c.name for c in settings.classes if c.idempotency is messages.Idempotency.UNSAFE
-        }
         self.attempts = AttemptDispatcher(
-            self.requests, endpoints, self.events, pool, self.clock, unsafe_class_names
+            self.requests, endpoints, self.events, pool, self.clock, settings.classes
         )
         self.actions = ActionPerformer(
             self.requests,
@@ -154,7 +151,7 @@
         try:
             actions = self.balancer.handle(now_us, event)
         except Exception:  # one request's fault would end the whole proxy, and all open requests be lost
-            log.exception("handling %.200r failed", event)
+            log.exception("the policy failed to handle %.200r", event)
             self._fail_request_of(event)
             return
         self.actions.perform_all(actions, decided_at_s)
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -125,7 +125,8 @@
     await wait_until(lambda: len(p.clients.open_connections - before) == 1)
     [connection] = p.clients.open_connections - before
     await wait_until(
-        lambda: connection._request_key is not None and connection.transport.is_reading() is not paused
+        lambda: connection.forwarded_request_id is not None
+        and connection.transport.is_reading() is not paused
     )
     return connection
 
@@ -147,7 +148,7 @@
         SilentEndpoint() as b,
         running_proxy(endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
-        p.listener._sweep_timer.cancel()
+        p.listener.sweep_timer.cancel()
         gate, clock = ConnectGates(p.pool), SteppedClock()
         crowd: list[SocketClient] = []
         if where != "connecting":
@@ -167,7 +168,7 @@
             await wait_until(lambda: len(b.received) == 1)
         else:
             assert p.driver.balancer.queue
-        key = connection._request_key
+        key = connection.forwarded_request_id
         assert key is not None
         client.disconnect(way)
         await run_loop_turns()
@@ -184,7 +185,7 @@
         await run_loop_turns()
         mine = [headers["req-id"] for _, headers, _ in b.received if not headers["req-id"].startswith("c")]
         assert mine == (["r0"] if where == "out" else [])
-        assert not p.clients.paused_connections
+        assert not p.clients.presence.connections
         for other in crowd:
             other.disconnect("FIN")
         await wait_until(lambda: not p.clients.open_connections)
@@ -211,7 +212,7 @@
             clock.advance(0.05)
             await run_loop_turns()
         assert not asked
-        assert p.clients._presence_timer is None
+        assert not p.clients.presence.is_scheduled
         client = SocketClient(p)
         connection = await begin(p, client, True)
         for _ in range(10):
@@ -220,13 +221,13 @@
         assert len(asked) >= 10
         assert set(asked) == {connection.transport}
         p.driver.end_all_requests()
-        await wait_until(lambda: not p.clients.paused_connections)
+        await wait_until(lambda: not p.clients.presence.connections)
         for one in (idle, busy, client):
             one.disconnect("RST")
         await wait_until(lambda: not p.clients.open_connections)
         clock.advance(0.05)
         await run_loop_turns()
-        assert p.clients._presence_timer is None
+        assert not p.clients.presence.is_scheduled
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -245,10 +246,10 @@
         await wait_until(lambda: len(b.received) == 1)
         if not paused:
             client.send(http_request(request_id="behind"))
-            await wait_until(lambda: connection._http.received.size_bytes > 0)
+            await wait_until(lambda: connection.http.received.size_bytes > 0)
         p.oldest_attempt_connection().data_received(http_response(200, b"x" * 65_536))
         assert connection.is_writing
-        assert connection._http.has_unparsed_bytes
+        assert connection.http.has_unparsed_bytes
         client.disconnect(way)
         await run_loop_turns()
         if way == "half":  # it may still read, and what goes on then is the answer alone
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -202,14 +202,14 @@
         p.oldest_attempt_connection().data_received(http_response(200, b"x"))
         await wait_until(lambda: bool(p.clients.idle_connections))
         [connection] = p.clients.idle_connections
-        since = connection._last_progress_at_s
+        since = connection.last_progress_at_s
         if not ahead:
             for empty in (b"\r\n", b"\r", b"\n\r\n"):
                 client.send(empty)
                 await run_loop_turns()
         assert connection.is_idle
         assert connection in p.clients.idle_connections
-        assert connection._last_progress_at_s == since
+        assert connection.last_progress_at_s == since
         assert p.clients.buffered.size_bytes == 0
         client.send(b"\r\n" + http_request(path="/ready", Connection="close"))
         reader, writer = await client.streams()
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -122,7 +122,7 @@
             writer.write(http_request(request_id="again"))
             assert response_status(await read_http_message(reader)) == 200
             writer.close()
-            await wait_until(lambda: p.listener._listening_socket.fileno() < 0)
+            await wait_until(lambda: p.listener.acceptor.listening_socket.fileno() < 0)
             with pytest.raises(ConnectionRefusedError):
                 await p.connect()
 
@@ -143,7 +143,7 @@
         call_later = p.listener.loop.call_later
 
         def waited(delay: float, *rest: Any) -> asyncio.TimerHandle:
-            if rest[0] == p.listener._resume_accepting:
+            if rest[0] == p.listener.acceptor.resume:
                 waits.append(delay)
             return call_later(delay, *rest)
 
@@ -935,7 +935,7 @@
                 assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
                 clock.advance(1.0)
                 p.listener.close_idle_connections()
-                p.listener._sweep()
+                p.listener.sweep()
                 assert len(p.clients.open_connections) == 2
                 assert not p.listener.is_drained
             p.listener.close_idle_connections()  # it can tell again
