--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -3,50 +3,14 @@
 from __future__ import annotations
 
 import json
-import logging
 from pathlib import Path
 
 import pytest
 
-from load_balancer.process.config import ConfigSource
-from load_balancer.process.reload import Reloader
 from tests.support.config_fields import FIRST_LANE, NUMBER_FIELDS, FieldPath, config_with, field_name
-from tests.support.loopback_proxy import LoopbackProxy, running_proxy
-from tests.support.proxy_process import proxy_config, write_config
-
-
-class ReloadHarness:
-    """A running proxy, its configuration file, and what a SIGHUP does to it."""
-
-    def __init__(self, folder: Path, p: LoopbackProxy, caplog: pytest.LogCaptureFixture) -> None:
-        env = write_config(folder, proxy_config())
-        self.path, self.caplog = folder / "config.json", caplog
-        source = ConfigSource(env)
-        self.reloader = Reloader(source, source.read(), p.driver)
-        self.moved: list[tuple[str, int]] = []
-        p.driver.move_discovery = lambda address: self.moved.append(address)  # type: ignore[method-assign]
-
-    def reload(self) -> str:
-        """What it logs of trouble, one line."""
-        self.caplog.clear()
-        self.reloader.reload()
-        [line] = [r for r in self.caplog.records if r.levelno >= logging.ERROR]
-        assert not line.exc_info
-        assert "\n" not in line.getMessage()
-        return line.getMessage()
-
-    def refused(self, *names: str) -> None:
-        line = self.reload()
-        assert "the old one stays" in line, line
-        assert any(name in line for name in names), line
-        assert not self.moved
-
-    def still_follows(self) -> None:
-        """A sound file is taken up after all of that."""
-        self.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:2")))
-        self.reloader.reload()
-        assert self.moved == [("127.0.0.1", 2)]
-
+from tests.support.loopback_proxy import running_proxy
+from tests.support.proxy_process import proxy_config
+from tests.support.reload_harness import ReloadHarness
 
 TEXTS: list[FieldPath] = [
     ("name",),
@@ -121,8 +85,8 @@
             if path != ("discovery",):
                 changed["discovery"] = "127.0.0.1:2"
             r.path.write_text(json.dumps(changed))
-            r.refused(f"field {field_name(path)}")
-        r.still_follows()
+            r.assert_rejected(f"field {field_name(path)}")
+        r.assert_still_follows()
 
 
 FILES: dict[str, tuple[bytes, str]] = {
@@ -144,8 +108,8 @@
     async with running_proxy() as p:
         r = ReloadHarness(tmp_path, p, caplog)
         r.path.write_bytes(content)
-        r.refused(named)
-        r.still_follows()
+        r.assert_rejected(named)
+        r.assert_still_follows()
 
 
 @pytest.mark.parametrize("way", ["gone", "a folder", "a link to itself"])
@@ -159,12 +123,12 @@
             r.path.mkdir()
         elif way == "a link to itself":
             r.path.symlink_to(r.path)
-        r.refused("NODE_CONFIG")
+        r.assert_rejected("NODE_CONFIG")
         if way == "a folder":
             r.path.rmdir()
         else:
             r.path.unlink(missing_ok=True)
-        r.still_follows()
+        r.assert_still_follows()
 
 
 async def test_reload_with_an_invalid_cached_list_still_moves_discovery(
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -15,7 +15,6 @@
 import pytest
 
 from load_balancer.process.config import ConfigSource
-from load_balancer.process.server import serve_until_stopped
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -23,6 +22,7 @@
     endpoint_list_chunk,
 )
 from tests.support.http_messages import StreamPair, http_chunk, http_request, http_response, read_http_message
+from tests.support.in_process_server import serving_in_process
 from tests.support.proxy_process import (
     LIMITS,
     proxy_config,
@@ -153,23 +153,6 @@
     return clock.advanced_s - began
 
 
-@asynccontextmanager
-async def attended(folder: Path, port: int, told: dict[str, Any]) -> AsyncIterator[SteppedClock]:
-    """A proxy in this process, as it starts, on a stepped clock."""
-    source = ConfigSource(write_config(folder, {**told, "listen": f"127.0.0.1:{port}"}))
-    clock = SteppedClock()
-    attending = asyncio.ensure_future(serve_until_stopped(source.read(), source))
-    await asyncio.sleep(0)
-    try:
-        yield clock
-    finally:
-        os.kill(os.getpid(), signal.SIGTERM)
-        while not attending.done():
-            clock.advance(STEP_S)
-            await asyncio.sleep(0)
-        await attending
-
-
 def told(mode: str, discovery: int, known: object) -> dict[str, Any]:
     return proxy_config(
         discovery=f"127.0.0.1:{discovery}",
@@ -191,7 +174,7 @@
 
     async with moody(mood) as d, StandInEndpoint(http_response(200, b"x")) as b:
         port = unused_port()
-        async with attended(
+        async with serving_in_process(
             tmp_path, port, told(mode, d.port, endpoint_list(endpoint_entry("a", b.port)))
         ) as clock:
             took = await step_until_ready(clock, port, READY_S)
@@ -208,7 +191,7 @@
 
     async with moody(mood) as d, StandInEndpoint(http_response(200, b"x")) as b:
         port = unused_port()
-        async with attended(tmp_path, port, told(mode, d.port, known)) as clock:
+        async with serving_in_process(tmp_path, port, told(mode, d.port, known)) as clock:
             assert await step_until_ready(clock, port, 15.0) >= 15.0 - STEP_S  # nothing to send to
             await d.come_back(endpoint_list(endpoint_entry("a", b.port)))
             assert await step_until_ready(clock, port, READY_S) <= 4.5
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -35,8 +35,6 @@
 from load_balancer.policy.endpoint_state import COOL_DOWN_US
 from load_balancer.policy.retry_budget import MAX_SAVED_RETRIES
 from load_balancer.process.reload import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
-from tests.process.test_reload import ReloadHarness
-from tests.process.test_startup import attended
 from tests.support.attempts import RecordedAttempts, run_attempt
 from tests.support.balancer_harness import BalancerHarness, actions_of_type
 from tests.support.connect_gates import ConnectGates
@@ -59,6 +57,7 @@
     read_http_message,
     response_status,
 )
+from tests.support.in_process_server import serving_in_process
 from tests.support.log_lines import problem_lines, traceback_lines
 from tests.support.loopback_proxy import running_proxy
 from tests.support.proxy_process import (
@@ -71,6 +70,7 @@
     unused_port,
     write_config,
 )
+from tests.support.reload_harness import ReloadHarness
 from tests.support.socket_client import queue_request, read_status_or_end
 from tests.support.stand_in_discovery import StandInListServer
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
@@ -539,7 +539,7 @@
         clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
         file = ReadFile(r.path, monkeypatch)
         spoil(r.path, file, how)
-        r.refused("NODE_CONFIG")
+        r.assert_rejected("NODE_CONFIG")
         for _ in range(12):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
         assert not r.moved
@@ -563,14 +563,14 @@
         clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
         file = ReadFile(r.path, monkeypatch)
         spoil(r.path, file, how)
-        r.refused("NODE_CONFIG")
+        r.assert_rejected("NODE_CONFIG")
         for _ in range(100):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
         assert not r.moved
         assert len(problem_lines(caplog)) == 1
         assert file.reads == 1 + MAX_RELOAD_RETRIES
         file.error = 0
-        r.still_follows()  # at the next signal
+        r.assert_still_follows()  # at the next signal
 
 
 @pytest.mark.parametrize("then", ["another signal", "the end", "another fault"])
@@ -583,7 +583,7 @@
         clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
         file = ReadFile(r.path, monkeypatch)
         spoil(r.path, file, None)
-        r.refused("NODE_CONFIG")
+        r.assert_rejected("NODE_CONFIG")
         await step(clock, RELOAD_RETRY_INTERVAL_S)
         if then == "the end":
             r.reloader.close()
@@ -593,7 +593,7 @@
             assert "field settings" in problem_lines(caplog)[-1]
             assert len(problem_lines(caplog)) == 2
         else:
-            r.still_follows()
+            r.assert_still_follows()
         reads = file.reads
         r.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:3")))
         for _ in range(30):
@@ -608,7 +608,7 @@
 ) -> None:
     caplog.set_level(logging.INFO)
 
-    async with attended(tmp_path, unused_port(), proxy_config()) as clock:
+    async with serving_in_process(tmp_path, unused_port(), proxy_config()) as clock:
         if serving:
             await wait_until(lambda: "listens on" in caplog.text)
         file = ReadFile(tmp_path / "config.json", monkeypatch)
--- a/tests/support/failing_sockets.py
+++ b/tests/support/failing_sockets.py
@@ -98,6 +98,7 @@
             raise failure.exception()
 
     def accept(self) -> tuple[socket.socket, Any]:
+        """Accept a connection, unless the call is to fail."""
         if failure := self.failures.next_failure("accept", self):
             if failure.error in ERRNOS_OF_ONE_CONNECTION:
                 super().accept()[0].close()
@@ -105,21 +106,26 @@
         return super().accept()
 
     def connect(self, address: Any) -> None:
+        """Connect, unless the call is to fail."""
         self.target_port = address[1]
         if failure := self.failures.next_failure("connect", self):
             raise failure.exception()
         super().connect(address)
 
     def recv(self, size: int, *flags: int) -> bytes:
+        """Receive bytes, one where the call is to be cut short."""
         return super().recv(self._allowed_bytes("recv", size), *flags)
 
     def recv_into(self, buffer: Any, size: int = 0, *flags: int) -> int:
+        """Receive bytes, one where the call is to be cut short."""
         return super().recv_into(buffer, self._allowed_bytes("recv", size or len(buffer)), *flags)
 
     def send(self, data: Any, *flags: int) -> int:
+        """Send bytes, one where the call is to be cut short."""
         return super().send(data[: self._allowed_bytes("send", len(data))], *flags)
 
     def shutdown(self, how: int) -> None:
+        """Shut down a side, unless the call is to fail."""
         if failure := self.failures.next_failure("shutdown", self):
             raise failure.exception()
         super().shutdown(how)
--- a/tests/support/log_lines.py
+++ b/tests/support/log_lines.py
@@ -32,6 +32,7 @@
         self.lines: list[str] = []
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Record the message where it is a problem."""
         line = problem_line(record)
         if line is not None:
             self.lines.append(line)
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -1,7 +1,7 @@
-"""A stepped world: many real decision modules, model backends and clients, one clock moved by events.
+"""Many real balancers before simulated endpoints and clients, on one clock that their events move.
 
-No socket, thread or real time: events lie in a heap, and all chance comes from the seed. Times are
-microseconds.
+There is no socket, thread or real time: events lie in a heap, and all chance comes from the seed. Times are
+in microseconds.
 """
 
 from __future__ import annotations
@@ -17,13 +17,23 @@
 from load_balancer import Balancer, messages
 from tests.support.units import MILLISECOND_US, SECOND_US
 
-NET_US = 1 * MILLISECOND_US  # an attempt's way to its backend
-FAIL_US = 5 * MILLISECOND_US  # a failing backend's answer takes this long
+NET_US = 1 * MILLISECOND_US  # an attempt's way to its endpoint
+FAIL_US = 5 * MILLISECOND_US  # how long a failing endpoint takes to respond
 START_US = 10 * SECOND_US  # the clock's first moment
 
 
 class SimulatedEndpoint:
-    """A backend as it truly is: some calls at a time, a queue, cold for a while after each start."""
+    """An endpoint with slots, a queue, and less capacity for a while after each start.
+
+    Attributes:
+        entry: How the endpoint list states it.
+        starts: The times of its restarts, in order.
+        service_us: How long a request of mean work takes while warm.
+        per_window: Requests of mean work that it does in the overload window while warm.
+        mode: "sound", "failing", "refusing" or "silent".
+        slower: What the time of each request is multiplied with.
+        work: The time of each attempt or health check, and whether its sender knew the latest start.
+    """
 
     def __init__(
         self, entry: messages.Endpoint, per_window: float, rules: messages.Rules, slots: int, queue: int
@@ -40,7 +50,7 @@
         ] = []  # time of each call or probe that came, and whether the sender knew
 
     def capacity(self, now: int, since: float | None = None) -> float:
-        """The share of its full capacity that the settings allow it, by its latest start or by this one."""
+        """Return the share of its full capacity that it has, by its latest start or by this one."""
         rules = self.rules
         since = self.entry.incarnation_us if since is None else since
         if since <= 0 or now >= since + rules.slow_start_us:
@@ -48,7 +58,7 @@
         return rules.start_capacity + (1.0 - rules.start_capacity) * max(0, now - since) / rules.slow_start_us
 
     def take(self, now: int, work: float) -> tuple[int, messages.Outcome] | None:
-        """When the call that comes now ends, and how; none: never."""
+        """Return when an attempt that comes now ends, and how; None where it never does."""
         if self.mode == "silent":
             return None
         if self.mode == "failing":
@@ -64,6 +74,7 @@
         return self.free_at[slot], messages.Outcome.OK
 
     def restart(self, since: int) -> None:
+        """Start anew at this time, with less capacity."""
         self.free_at = [0] * len(self.free_at)
         self.starts.append(since)
         self.entry = messages.Endpoint(
@@ -73,7 +84,7 @@
 
 @dataclass
 class SimulatedRequest:
-    """A client's request and what became of it."""
+    """A client's request and its result."""
 
     cls: str
     tenant: str | None
@@ -87,7 +98,7 @@
 
 @dataclass
 class SimulatedClient:
-    """Where requests come from: a class, a tenant and their part of all requests."""
+    """Where requests come from: a class, a tenant and their share of all requests."""
 
     cls: str
     part: float = 1.0
@@ -96,9 +107,9 @@
 
 @dataclass
 class SimulatedFleet:
-    """`balancers` modules before `backends` machines, each of which does `per_window` calls in `fall_us`.
+    """Balancers before endpoints, each of which does `per_window` requests in the overload window.
 
-    `load` is the part of what all machines do while warm; `surge` multiplies it at a time.
+    `load` is the share of what all endpoints do while warm; `surge` multiplies it at a time.
     """
 
     settings: messages.Settings
@@ -157,9 +168,11 @@
     # The clock
 
     def at(self, when: int, what: Callable[[], None]) -> None:
+        """Schedule an event."""
         heapq.heappush(self.heap, (when, next(self.order), what))
 
     def run(self, until: int) -> None:
+        """Let all events up to this time happen."""
         while self.heap and self.heap[0][0] <= until:
             self.now, _, what = heapq.heappop(self.heap)
             what()
@@ -173,7 +186,7 @@
         kind: messages.EndpointListKind = messages.EndpointListKind.CHANGES,
         within: int | None = None,
     ) -> None:
-        """Tells all balancers, each at its own moment of the time that news spreads in."""
+        """Send a list to all balancers, each at its own moment of the time in which changes spread."""
         self.version += 1
         news = messages.EndpointListUpdate(kind, self.version, tuple(entries))
         spread = self.spread_us if within is None else within
@@ -185,7 +198,7 @@
         self._feed(index, news)
 
     def restart(self, chosen: Iterable[SimulatedEndpoint]) -> None:
-        """These machines start now, cold, and the list says so."""
+        """Restart these endpoints now, and send the list that says so."""
         entries = []
         for machine in chosen:
             machine.restart(self.now)
@@ -206,7 +219,7 @@
         self.at(self.now + max(1, int(self.rng.expovariate(rate * self.most_surge))), self._next_arrival)
 
     def arrive(self, index: int, client: SimulatedClient) -> None:
-        """A request of this client comes to a balancer."""
+        """Let a request of this client come to a balancer."""
         cls = next(c for c in self.settings.classes if c.name == client.cls)
         call = SimulatedRequest(
             client.cls, client.tenant, index, self.now, self.rng.lognormvariate(-0.08, 0.4)
@@ -288,10 +301,10 @@
     # What came of it
 
     def worst_cold(self, page: bool = False) -> tuple[float, int, float]:
-        """The fullest window of a cold backend: its part of what is allowed, its calls, what is allowed.
+        """Return the fullest window of an endpoint in slow start: share of the limit, attempts, the limit.
 
-        Allowed are N + 2 x root of N + 2 calls, by the `page` N + 3 x root of N + 3 where N is under 30.
-        Each start of a backend counts by itself.
+        Allowed are N + 2 x root of N + 2 attempts, by the `page` N + 3 x root of N + 3 where N is under 30.
+        Each start of an endpoint counts by itself.
         """
         rules, worst = self.settings.rules, (0.0, 0, 0.0)
         for machine in self.machines:
@@ -309,8 +322,8 @@
         return worst
 
     def served(self, calls: Iterable[SimulatedRequest]) -> float:
-        """The share of these calls that were answered within their aim."""
-        aims = {c.name: c.latency_objective_us for c in self.settings.classes}
+        """Return the share of these requests that were answered within their latency objective."""
+        objectives_us = {c.name: c.latency_objective_us for c in self.settings.classes}
         all_calls = list(calls)
-        good = sum(0 < c.answered_at <= c.at + aims[c.cls] for c in all_calls)
+        good = sum(0 < c.answered_at <= c.at + objectives_us[c.cls] for c in all_calls)
         return good / len(all_calls) if all_calls else 1.0
