--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,13 +4,17 @@
 
 import inspect
 import socket
-from collections.abc import Generator, Iterator
+from collections.abc import AsyncIterator, Generator, Iterator
 
 import pytest
 
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from tests.support.endpoint_lists import endpoint_entry
 from tests.support.failing_sockets import FailingSocket, SocketFailures
+from tests.support.http_messages import http_response
 from tests.support.log_lines import recorded_problem_lines
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.stand_in_server import StandInEndpoint
 from tests.support.time_limit import limited
 
 
@@ -63,3 +67,17 @@
     with recorded_problem_lines() as lines:
         yield
     assert not [line for line in lines if "Traceback" in line]
+
+
+@pytest.fixture
+async def endpoint() -> AsyncIterator[StandInEndpoint]:
+    """An endpoint that answers each request with 200 and the body `x`."""
+    async with StandInEndpoint(http_response(200, b"x")) as stand_in:
+        yield stand_in
+
+
+@pytest.fixture
+async def proxy(endpoint: StandInEndpoint) -> AsyncIterator[LoopbackProxy]:
+    """A proxy with the usual settings before that endpoint, which its list calls `s-1`."""
+    async with running_proxy(endpoint_entry("s-1", endpoint.port)) as running:
+        yield running
--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -13,7 +13,7 @@
 from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
-from tests.support.loopback_proxy import running_proxy
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import wait_until
@@ -136,19 +136,17 @@
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-async def test_connection_is_not_closed_as_idle_while_its_request_arrives(fresh: bool) -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
-    ):
-        client = SocketClient(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        [connection] = p.clients.open_connections
-        if not fresh:
-            client.send(http_request(request_id="r1"))
-            await wait_until(lambda: connection in p.clients.idle_connections)
-        client.send(http_request(request_id="r2"))
-        p.listener.time_limits.check(
-            connection, p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0
-        )
-        assert await client.read_statuses(1 if fresh else 2) == ([200] if fresh else [200, 200])
+async def test_connection_is_not_closed_as_idle_while_its_request_arrives(
+    proxy: LoopbackProxy, fresh: bool
+) -> None:
+    client = SocketClient(proxy)
+    await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+    [connection] = proxy.clients.open_connections
+    if not fresh:
+        client.send(http_request(request_id="r1"))
+        await wait_until(lambda: connection in proxy.clients.idle_connections)
+    client.send(http_request(request_id="r2"))
+    proxy.listener.time_limits.check(
+        connection, proxy.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0
+    )
+    assert await client.read_statuses(1 if fresh else 2) == ([200] if fresh else [200, 200])
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -17,7 +17,7 @@
 from load_balancer.process.descriptor_limits import RESERVED_DESCRIPTORS
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
-from tests.support.loopback_proxy import running_proxy
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
@@ -65,29 +65,29 @@
     ids=["ready", "refused", "chunks"],
 )
 async def test_parsing_and_responses_are_bounded_in_each_turn(
-    sent: bytes, answers: int, monkeypatch: pytest.MonkeyPatch
+    endpoint: StandInEndpoint,
+    proxy: LoopbackProxy,
+    sent: bytes,
+    answers: int,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
-    ):
-        client = SocketClient(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        [connection] = p.clients.open_connections
-        events, answered = Turns(), Turns()
-        counted(monkeypatch, connection.http, "next_event", events)
-        counted(monkeypatch, connection, "write_response", answered)
-        reader, writer = await client.streams()
-        writer.write(sent)
-        got = [response_status(await read_http_message(reader)) for _ in range(answers)]
-        assert set(got) <= {200, 502, 503}
-        assert got[0] == 200 or not b.received
-        # Where bytes come in a turn that has been taken already, that is one more step.
-        assert 0 < answered.most <= 2
-        assert events.most <= 2 * client_limits.MAX_EVENTS_PER_TURN
-        events.stop()
-        answered.stop()
-        writer.close()
+    client = SocketClient(proxy)
+    await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+    [connection] = proxy.clients.open_connections
+    events, answered = Turns(), Turns()
+    counted(monkeypatch, connection.http, "next_event", events)
+    counted(monkeypatch, connection, "write_response", answered)
+    reader, writer = await client.streams()
+    writer.write(sent)
+    got = [response_status(await read_http_message(reader)) for _ in range(answers)]
+    assert set(got) <= {200, 502, 503}
+    assert got[0] == 200 or not endpoint.received
+    # Where bytes come in a turn that has been taken already, that is one more step.
+    assert 0 < answered.most <= 2
+    assert events.most <= 2 * client_limits.MAX_EVENTS_PER_TURN
+    events.stop()
+    answered.stop()
+    writer.close()
 
 
 def counted(monkeypatch: pytest.MonkeyPatch, of: object, name: str, turns: Turns) -> None:
@@ -120,26 +120,22 @@
 
 
 async def test_connection_that_ends_while_it_is_accepted_leaves_nothing_behind(
-    caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+    proxy: LoopbackProxy, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
-    ):
-        with monkeypatch.context() as patch:
-            patch.setattr(
-                p.listener.acceptor, "listening_socket", Broken(p.listener.acceptor.listening_socket)
-            )
-            clients = [SocketClient(p) for _ in range(40)]
-            for client in clients:
-                client.socket.setblocking(False)
-                assert await p.listener.loop.sock_recv(client.socket, 1) == b""
-                client.socket.close()
-            await wait_until(lambda: not p.listener.acceptor.admission_tasks)
-        assert p.clients.descriptor_count == 0
-        assert "Traceback" not in caplog.text
-        assert caplog.text.count("lost while it was accepted") == 1
-        assert response_status(await p.send_request(http_request())) == 200
+    with monkeypatch.context() as patch:
+        patch.setattr(
+            proxy.listener.acceptor, "listening_socket", Broken(proxy.listener.acceptor.listening_socket)
+        )
+        clients = [SocketClient(proxy) for _ in range(40)]
+        for client in clients:
+            client.socket.setblocking(False)
+            assert await proxy.listener.loop.sock_recv(client.socket, 1) == b""
+            client.socket.close()
+        await wait_until(lambda: not proxy.listener.acceptor.admission_tasks)
+    assert proxy.clients.descriptor_count == 0
+    assert "Traceback" not in caplog.text
+    assert caplog.text.count("lost while it was accepted") == 1
+    assert response_status(await proxy.send_request(http_request())) == 200
 
 
 @pytest.mark.parametrize("kind", [*KINDS, "open"])
@@ -233,27 +229,22 @@
 
 
 async def test_connections_aborted_before_accept_are_logged_once(
-    caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+    proxy: LoopbackProxy, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
-    ):
+    async def fails(*args: object) -> None:
+        raise ConnectionAbortedError("gone")
 
-        async def fails(*args: object) -> None:
-            raise ConnectionAbortedError("gone")
-
-        with monkeypatch.context() as patch:
-            patch.setattr(p.listener.loop, "connect_accepted_socket", fails)
-            clients = [SocketClient(p) for _ in range(100)]
-            for client in clients:
-                client.socket.setblocking(False)
-                with contextlib.suppress(ConnectionError):
-                    assert await p.listener.loop.sock_recv(client.socket, 1) == b""
-                client.socket.close()
-        assert caplog.text.count("lost while it was accepted") == 1
-        assert p.clients.descriptor_count == 0
-        assert response_status(await p.send_request(http_request())) == 200
+    with monkeypatch.context() as patch:
+        patch.setattr(proxy.listener.loop, "connect_accepted_socket", fails)
+        clients = [SocketClient(proxy) for _ in range(100)]
+        for client in clients:
+            client.socket.setblocking(False)
+            with contextlib.suppress(ConnectionError):
+                assert await proxy.listener.loop.sock_recv(client.socket, 1) == b""
+            client.socket.close()
+    assert caplog.text.count("lost while it was accepted") == 1
+    assert proxy.clients.descriptor_count == 0
+    assert response_status(await proxy.send_request(http_request())) == 200
 
 
 async def test_bytes_buffered_for_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/net/client/test_policy_faults.py
+++ b/tests/net/client/test_policy_faults.py
@@ -9,7 +9,7 @@
 from load_balancer import messages
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, response_status
-from tests.support.loopback_proxy import running_proxy
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 
@@ -49,19 +49,16 @@
 
 
 async def test_failed_action_does_not_prevent_the_next_actions(
+    proxy: LoopbackProxy,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
-    ):
-        monkeypatch.setattr(
-            p.driver.balancer,
-            "handle",
-            lambda now, e: [messages.StartAttempt("x", 1, 1), messages.Reject(e.id)],
-        )
-        monkeypatch.setattr(p.driver.attempts, "start", None)  # can't be called
-        assert response_status(await p.send_request(http_request())) == 503
+    monkeypatch.setattr(
+        proxy.driver.balancer,
+        "handle",
+        lambda now, e: [messages.StartAttempt("x", 1, 1), messages.Reject(e.id)],
+    )
+    monkeypatch.setattr(proxy.driver.attempts, "start", None)  # can't be called
+    assert response_status(await proxy.send_request(http_request())) == 503
 
 
 async def test_request_is_answered_502_when_the_policy_never_decides(
--- a/tests/net/client/test_request_forwarding.py
+++ b/tests/net/client/test_request_forwarding.py
@@ -15,7 +15,7 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
-from tests.support.loopback_proxy import running_proxy
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, wait_until
 
@@ -59,64 +59,52 @@
         assert response_status(await p.send_request(ready)) == 200
 
 
-async def test_long_claimed_deadline_does_not_affect_other_requests() -> None:
+async def test_long_claimed_deadline_does_not_affect_other_requests(proxy: LoopbackProxy) -> None:
     """No client waits longer than its class allows, and none tells how old another's request is."""
 
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
-    ):
-        assert response_status(await p.send_request(http_request(Req_Deadline="3600"))) == 200
-        assert response_status(await p.send_request(http_request(request_id="a2"))) == 200
+    assert response_status(await proxy.send_request(http_request(Req_Deadline="3600"))) == 200
+    assert response_status(await proxy.send_request(http_request(request_id="a2"))) == 200
 
 
-async def test_retry_header_marks_a_request_as_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
-    ):
-        asked: list[bool] = []
-        take = p.driver.accept_request
-
-        def listen(caller: ClientRequest) -> str:
-            asked.append(caller.is_retry)
-            return take(caller)
-
-        monkeypatch.setattr(p.driver, "accept_request", listen)
-        assert response_status(await p.send_request(http_request())) == 200
-        assert response_status(await p.send_request(http_request(Req_Retry="1"))) == 200
-        assert response_status(await p.send_request(http_request(Req_Retry="0"))) == 200
-        assert asked == [False, True, False]
+async def test_retry_header_marks_a_request_as_a_retry(
+    proxy: LoopbackProxy, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    asked: list[bool] = []
+    take = proxy.driver.accept_request
 
+    def listen(caller: ClientRequest) -> str:
+        asked.append(caller.is_retry)
+        return take(caller)
 
-async def test_chunked_body_is_forwarded_with_a_content_length() -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
-    ):
-        head = http_request("mark", Content_Length="0").replace(
-            b"Content-Length: 0", b"Transfer-Encoding: chunked"
-        )
-        assert response_status(await p.send_request(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")) == 200
-        assert b.received[0][2] == b"abcde"
+    monkeypatch.setattr(proxy.driver, "accept_request", listen)
+    assert response_status(await proxy.send_request(http_request())) == 200
+    assert response_status(await proxy.send_request(http_request(Req_Retry="1"))) == 200
+    assert response_status(await proxy.send_request(http_request(Req_Retry="0"))) == 200
+    assert asked == [False, True, False]
 
 
-async def test_nagle_is_disabled_on_client_and_endpoint_connections() -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
-    ):
-        reader, writer = await p.connect()
-        writer.write(http_request())
-        await read_http_message(reader)
-        transports = [c.transport for c in p.clients.open_connections] + [
-            c.transport for c in p.pool.connections.open
-        ]
-        assert len(transports) == 2
-        for transport in transports:
-            sock = transport.get_extra_info("socket")
-            assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
-        writer.close()
+async def test_chunked_body_is_forwarded_with_a_content_length(
+    endpoint: StandInEndpoint, proxy: LoopbackProxy
+) -> None:
+    head = http_request("mark", Content_Length="0").replace(
+        b"Content-Length: 0", b"Transfer-Encoding: chunked"
+    )
+    assert response_status(await proxy.send_request(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")) == 200
+    assert endpoint.received[0][2] == b"abcde"
+
+
+async def test_nagle_is_disabled_on_client_and_endpoint_connections(proxy: LoopbackProxy) -> None:
+    reader, writer = await proxy.connect()
+    writer.write(http_request())
+    await read_http_message(reader)
+    transports = [c.transport for c in proxy.clients.open_connections] + [
+        c.transport for c in proxy.pool.connections.open
+    ]
+    assert len(transports) == 2
+    for transport in transports:
+        sock = transport.get_extra_info("socket")
+        assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+    writer.close()
 
 
 @pytest.mark.parametrize(("kind", "kept"), [("pay", 0), ("mark", 1), ("read", 1)])
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -10,7 +10,7 @@
 from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
-from tests.support.loopback_proxy import running_proxy
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 
@@ -83,20 +83,18 @@
         assert not p.clients.open_request_ids
 
 
-async def test_request_smuggled_in_a_body_is_not_forwarded() -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
-    ):
-        hidden = http_request(request_id="hidden")
-        outer = http_request("mark", Content_Length=str(5 + len(hidden)), Transfer_Encoding="chunked")
-        reader, writer = await p.connect()
-        writer.write(outer + b"0\r\n\r\n" + hidden)
-        first, headers, _ = await read_http_message(reader)
-        assert (first.split()[1], headers["connection"]) == ("400", "close")
-        assert await reader.read() == b""
-        writer.close()
-        assert b.received == []
+async def test_request_smuggled_in_a_body_is_not_forwarded(
+    endpoint: StandInEndpoint, proxy: LoopbackProxy
+) -> None:
+    hidden = http_request(request_id="hidden")
+    outer = http_request("mark", Content_Length=str(5 + len(hidden)), Transfer_Encoding="chunked")
+    reader, writer = await proxy.connect()
+    writer.write(outer + b"0\r\n\r\n" + hidden)
+    first, headers, _ = await read_http_message(reader)
+    assert (first.split()[1], headers["connection"]) == ("400", "close")
+    assert await reader.read() == b""
+    writer.close()
+    assert endpoint.received == []
 
 
 async def test_content_length_over_the_limit_is_rejected_before_the_body() -> None:
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -13,9 +13,9 @@
 from load_balancer.net.client.client_listener import ClientListener
 from tests.net.client.test_malformed_requests import CHUNKED
 from tests.support.endpoint_lists import endpoint_entry
-from tests.support.http_messages import http_request, http_response, read_http_message, response_status
+from tests.support.http_messages import http_request, read_http_message, response_status
 from tests.support.log_lines import info_lines
-from tests.support.loopback_proxy import running_proxy
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
@@ -71,48 +71,44 @@
 @pytest.mark.parametrize("stop", STOPS)
 @pytest.mark.parametrize("when", ["first", "after a good one", "at the end"])
 async def test_stalled_client_gets_an_error_or_a_close_in_time(
-    stop: str, when: str, caplog: pytest.LogCaptureFixture
+    endpoint: StandInEndpoint, proxy: LoopbackProxy, stop: str, when: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Wherever it stops, with each sweep late, and also during the shutdown."""
 
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
-    ):
-        clock, client = SteppedClock(), SocketClient(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        late = Late(p.listener, clock)
-        if when == "after a good one":
-            client.send(http_request(request_id="good"))
-            reader, writer = await client.streams()
-            assert response_status(await read_http_message(reader)) == 200
-            clock.advance(5.0)  # an idle one may stay for longer
-            await run_loop_turns()
-        began = clock.advanced_s - LATE_S  # it was taken in that late
-        client.send(STOPS[stop])
-        [connection] = p.clients.open_connections
-        await wait_until(lambda: not connection.is_idle)
+    clock, client = SteppedClock(), SocketClient(proxy)
+    await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+    late = Late(proxy.listener, clock)
+    if when == "after a good one":
+        client.send(http_request(request_id="good"))
+        reader, writer = await client.streams()
+        assert response_status(await read_http_message(reader)) == 200
+        clock.advance(5.0)  # an idle one may stay for longer
+        await run_loop_turns()
+    began = clock.advanced_s - LATE_S  # it was taken in that late
+    client.send(STOPS[stop])
+    [connection] = proxy.clients.open_connections
+    await wait_until(lambda: not connection.is_idle)
+    if when == "at the end":
+        proxy.clients.is_shutting_down = True
+        proxy.listener.stop_listening()
+        proxy.listener.close_idle_connections()
+    while proxy.clients.open_connections:
         if when == "at the end":
-            p.clients.is_shutting_down = True
-            p.listener.stop_listening()
-            p.listener.close_idle_connections()
-        while p.clients.open_connections:
-            if when == "at the end":
-                p.listener.close_idle_connections()
-            await late.sweep()
-            assert clock.advanced_s - began <= DUE_S
-        if when != "after a good one":
-            assert error_or_close(client)
-        else:
-            with contextlib.suppress(ConnectionError):
-                reader.feed_eof()
-                assert b"HTTP/1.1 2" not in await reader.read()
-            writer.close()
-        client.socket.close()
-        assert len(b.received) == (when == "after a good one")
-        assert not p.clients.open_request_ids
-        assert p.clients.buffered.size_bytes == 0
-        assert not info_lines(caplog)
+            proxy.listener.close_idle_connections()
+        await late.sweep()
+        assert clock.advanced_s - began <= DUE_S
+    if when != "after a good one":
+        assert error_or_close(client)
+    else:
+        with contextlib.suppress(ConnectionError):
+            reader.feed_eof()
+            assert b"HTTP/1.1 2" not in await reader.read()
+        writer.close()
+    client.socket.close()
+    assert len(endpoint.received) == (when == "after a good one")
+    assert not proxy.clients.open_request_ids
+    assert proxy.clients.buffered.size_bytes == 0
+    assert not info_lines(caplog)
 
 
 def dribble(begin: bytes, more: bytes) -> Iterator[bytes]:
@@ -131,40 +127,40 @@
 @pytest.mark.parametrize("kind", DRIBBLES)
 @pytest.mark.parametrize("first_sweep_s", [n * 0.05 for n in range(8)])
 async def test_client_that_sends_a_byte_at_each_check_is_closed_in_time(
-    kind: str, first_sweep_s: float, caplog: pytest.LogCaptureFixture
+    endpoint: StandInEndpoint,
+    proxy: LoopbackProxy,
+    kind: str,
+    first_sweep_s: float,
+    caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Each byte comes between the event loop's last reading and the check, forced; each check is late."""
 
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
-    ):
-        clock, client = SteppedClock(), SocketClient(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        late = Late(p.listener, clock)
-        began = clock.advanced_s - LATE_S
-        [connection] = p.clients.open_connections
-        check = p.listener.time_limits.check
-
-        def crossed(connection: ClientConnection, now_s: float) -> None:
-            with contextlib.suppress(ConnectionError):
-                client.send(next(sent))
-            check(connection, now_s)
-
-        p.listener.time_limits.check = crossed  # type: ignore[method-assign]
-        clock.advance(first_sweep_s)
-        sent = DRIBBLES[kind]()
-        while p.clients.open_connections:
-            await late.sweep()
-            if connection.has_final_check:
-                clock.advance(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
-                await run_loop_turns()
-            assert clock.advanced_s - began <= DUE_S
-        assert error_or_close(client)
-        client.socket.close()
-        assert not b.received
-        assert p.clients.buffered.size_bytes == 0
-        assert not info_lines(caplog)
+    clock, client = SteppedClock(), SocketClient(proxy)
+    await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+    late = Late(proxy.listener, clock)
+    began = clock.advanced_s - LATE_S
+    [connection] = proxy.clients.open_connections
+    check = proxy.listener.time_limits.check
+
+    def crossed(connection: ClientConnection, now_s: float) -> None:
+        with contextlib.suppress(ConnectionError):
+            client.send(next(sent))
+        check(connection, now_s)
+
+    proxy.listener.time_limits.check = crossed  # type: ignore[method-assign]
+    clock.advance(first_sweep_s)
+    sent = DRIBBLES[kind]()
+    while proxy.clients.open_connections:
+        await late.sweep()
+        if connection.has_final_check:
+            clock.advance(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
+            await run_loop_turns()
+        assert clock.advanced_s - began <= DUE_S
+    assert error_or_close(client)
+    client.socket.close()
+    assert not endpoint.received
+    assert proxy.clients.buffered.size_bytes == 0
+    assert not info_lines(caplog)
 
 
 @pytest.mark.parametrize("fresh", [True, False])
--- a/tests/scenarios/test_little_time.py
+++ b/tests/scenarios/test_little_time.py
@@ -8,8 +8,8 @@
 
 from load_balancer import messages
 from tests.support.endpoint_lists import endpoint_entry
-from tests.support.http_messages import http_request, http_response
-from tests.support.loopback_proxy import running_proxy
+from tests.support.http_messages import http_request
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.proxy_process import unused_port
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
@@ -19,21 +19,17 @@
 @pytest.mark.parametrize("kind", ["read", "mark", "write", "pay"])
 @pytest.mark.parametrize("left_ms", [0, 1, 5, 14, 16, 18, 30])
 async def test_a_request_with_hardly_any_time_left_gets_its_answer_and_no_attempt(
-    kind: str, left_ms: int
+    endpoint: StandInEndpoint, proxy: LoopbackProxy, kind: str, left_ms: int
 ) -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
-    ):
-        loop = asyncio.get_running_loop()
-        began = loop.time()
-        got = await p.send_request(http_request(kind, Req_Deadline=f"{left_ms / 1e3:.3f}"))
-        assert got[0].split()[1] in ("502", "503")
-        assert loop.time() - began < SOON_S
-        assert not b.received
-        assert not b.connection_count
-        assert p.driver.is_idle
-        assert not p.driver.requests.attempts.in_flight
+    loop = asyncio.get_running_loop()
+    began = loop.time()
+    got = await proxy.send_request(http_request(kind, Req_Deadline=f"{left_ms / 1e3:.3f}"))
+    assert got[0].split()[1] in ("502", "503")
+    assert loop.time() - began < SOON_S
+    assert not endpoint.received
+    assert not endpoint.connection_count
+    assert proxy.driver.is_idle
+    assert not proxy.driver.requests.attempts.in_flight
 
 
 @pytest.mark.parametrize("kind", ["read", "mark", "write", "pay"])
