--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -16,7 +16,6 @@
 from tests.support.http_messages import (
     StreamPair,
     http_request,
-    http_response,
     read_http_message,
     response_status,
 )
@@ -95,39 +94,35 @@
 @pytest.mark.parametrize("stop", STOPS)
 @pytest.mark.parametrize("when", ["first", "after a good one", "at the end"])
 async def test_stalled_client_gets_an_error_or_a_close_in_time(
-    stop: str, when: str, caplog: pytest.LogCaptureFixture
+    endpoint: StandInEndpoint, proxy: LoopbackProxy, stop: str, when: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Wherever it stops, with each sweep late, and also during the shutdown."""
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as endpoint,
-        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
-    ):
-        clock, client = FrozenClock(), SocketClient(proxy)
-        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
-        late = Late(proxy.listener, clock)
-        opened = await serve_first_request(client, clock) if when == "after a good one" else None
-        began = clock.advanced_s - LATE_S  # it was taken in that late
-        client.send(STOPS[stop])
-        [connection] = proxy.clients.open_connections
-        await wait_until(lambda: not connection.is_idle)
-        if when == "at the end":
-            proxy.clients.is_shutting_down = True
-            proxy.listener.stop_listening()
-            proxy.listener.close_idle_connections()
-        await sweep_until_closed(late, proxy, began + DUE_S, at_shutdown=when == "at the end")
-        if opened is None:
-            assert error_or_close(client)
-        else:
-            reader, writer = opened
-            with contextlib.suppress(ConnectionError):
-                reader.feed_eof()
-                assert b"HTTP/1.1 2" not in await reader.read()
-            writer.close()
-        client.socket.close()
-        assert len(endpoint.received) == (when == "after a good one")
-        assert not proxy.clients.open_request_ids
-        assert proxy.clients.buffered.size_bytes == 0
-        assert not info_lines(caplog)
+    clock, client = FrozenClock(), SocketClient(proxy)
+    await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+    late = Late(proxy.listener, clock)
+    opened = await serve_first_request(client, clock) if when == "after a good one" else None
+    began = clock.advanced_s - LATE_S  # it was taken in that late
+    client.send(STOPS[stop])
+    [connection] = proxy.clients.open_connections
+    await wait_until(lambda: not connection.is_idle)
+    if when == "at the end":
+        proxy.clients.is_shutting_down = True
+        proxy.listener.stop_listening()
+        proxy.listener.close_idle_connections()
+    await sweep_until_closed(late, proxy, began + DUE_S, at_shutdown=when == "at the end")
+    if opened is None:
+        assert error_or_close(client)
+    else:
+        reader, writer = opened
+        with contextlib.suppress(ConnectionError):
+            reader.feed_eof()
+            assert b"HTTP/1.1 2" not in await reader.read()
+        writer.close()
+    client.socket.close()
+    assert len(endpoint.received) == (when == "after a good one")
+    assert not proxy.clients.open_request_ids
+    assert proxy.clients.buffered.size_bytes == 0
+    assert not info_lines(caplog)
 
 
 def dribble(begin: bytes, more: bytes) -> Iterator[bytes]:
@@ -159,31 +154,31 @@
 @pytest.mark.parametrize("kind", DRIBBLES)
 @pytest.mark.parametrize("first_sweep_s", [number * 0.05 for number in range(8)])
 async def test_client_that_sends_a_byte_at_each_check_is_closed_in_time(
-    kind: str, first_sweep_s: float, caplog: pytest.LogCaptureFixture
+    endpoint: StandInEndpoint,
+    proxy: LoopbackProxy,
+    kind: str,
+    first_sweep_s: float,
+    caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Each byte comes between the event loop's last reading and the check, forced; each check is late."""
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as endpoint,
-        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
-    ):
-        clock, client = FrozenClock(), SocketClient(proxy)
-        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
-        late = Late(proxy.listener, clock)
-        began = clock.advanced_s - LATE_S
-        [connection] = proxy.clients.open_connections
-        send_at_each_check(proxy, client, DRIBBLES[kind]())
-        clock.advance(first_sweep_s + 0.001)  # no check comes just as a time limit ends
-        while proxy.clients.open_connections:
-            await late.sweep()
-            if connection.has_final_check:
-                clock.advance(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
-                await run_loop_turns()
-            assert clock.advanced_s - began <= DUE_S
-        assert error_or_close(client)
-        client.socket.close()
-        assert not endpoint.received
-        assert proxy.clients.buffered.size_bytes == 0
-        assert not info_lines(caplog)
+    clock, client = FrozenClock(), SocketClient(proxy)
+    await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+    late = Late(proxy.listener, clock)
+    began = clock.advanced_s - LATE_S
+    [connection] = proxy.clients.open_connections
+    send_at_each_check(proxy, client, DRIBBLES[kind]())
+    clock.advance(first_sweep_s + 0.001)  # no check comes just as a time limit ends
+    while proxy.clients.open_connections:
+        await late.sweep()
+        if connection.has_final_check:
+            clock.advance(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
+            await run_loop_turns()
+        assert clock.advanced_s - began <= DUE_S
+    assert error_or_close(client)
+    client.socket.close()
+    assert not endpoint.received
+    assert proxy.clients.buffered.size_bytes == 0
+    assert not info_lines(caplog)
 
 
 @pytest.mark.parametrize("fresh", [True, False])
