--- a/load_balancer/net/upstream/connect_pacing.py
+++ b/load_balancer/net/upstream/connect_pacing.py
@@ -56,7 +56,7 @@
         return self.connect_timeout_s if median_s is None else max(MIN_LATE_S, LATE_FACTOR * median_s)
 
     @property
-    def is_short(self) -> bool:
+    def has_local_shortage(self) -> bool:
         """Whether this machine has lately had nothing for one more connection."""
         return self._loop.time() < self._shortage_until_s
 
--- a/load_balancer/net/upstream/connection_queue.py
+++ b/load_balancer/net/upstream/connection_queue.py
@@ -79,7 +79,11 @@
             False if no more connects may be pending, or if there is no capacity for one.
         """
         # With a local shortage each one would fail at once, and the next be opened, beside one that is late.
-        if self._pacing.is_short or not self._has_capacity or not self._may_open_more(attempt.endpoint):
+        if (
+            self._pacing.has_local_shortage
+            or not self._has_capacity
+            or not self._may_open_more(attempt.endpoint)
+        ):
             return False
         self._start_connecting(attempt)
         return True
--- a/load_balancer/net/upstream/http_exchange.py
+++ b/load_balancer/net/upstream/http_exchange.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from enum import Enum, auto
+
 import h11
 
 from load_balancer.errors import WireError
@@ -46,11 +48,28 @@
         super().__init__(f"more than {MAX_INTERIM_RESPONSES} interim responses")
 
 
+class ExchangeState(Enum):
+    """Where the exchange on a connection is.
+
+    IDLE goes to WRITING as a request begins, WRITING to AWAITING with the request's last byte, and either of
+    them to IDLE as the exchange ends.
+    """
+
+    IDLE = auto()
+    WRITING = auto()
+    AWAITING = auto()
+
+
 class HttpExchange:
-    """The state of the present request and its response on one connection."""
+    """The present request and its response on one connection.
+
+    Attributes:
+        state: Where the exchange is.
+    """
 
     def __init__(self) -> None:
         """Start before the first request of a connection."""
+        self.state = ExchangeState.IDLE
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._head: h11.Response | None = None
         self._body = bytearray()
@@ -67,11 +86,21 @@
         return self._head is not None or bool(self._http.trailing_data[0])
 
     def begin(self) -> None:
-        """Forget the response to the last request, as the next request is about to be sent."""
+        """Forget the response to the last request, as the next request is about to be written."""
+        self.state = ExchangeState.WRITING
         self._head = None
         self._interim_count = 0
         self._body.clear()
 
+    def request_written(self) -> None:
+        """Record that the last byte of the request has been written; do nothing if none is being written."""
+        if self.state is ExchangeState.WRITING:
+            self.state = ExchangeState.AWAITING
+
+    def end(self) -> None:
+        """End the exchange, with or without its response."""
+        self.state = ExchangeState.IDLE
+
     def encode_request(self, request: UpstreamRequest, headers: Headers) -> bytes:
         """Return the bytes of a request.
 
--- a/load_balancer/net/upstream/upstream_attempt.py
+++ b/load_balancer/net/upstream/upstream_attempt.py
@@ -165,38 +165,42 @@
         if not self._is_over and self.connection is not None and self.connection.was_idle:
             self._sources.connections.close_silent_idle(self.endpoint, self._assigned_at_s)
 
-    def finish(
-        self,
-        outcome: Outcome,
-        response: UpstreamResponse | None = None,
-        *,
-        reusable: bool = False,
-        keep_connecting: bool = False,
-    ) -> None:
-        """End the attempt and report its outcome; do nothing if it is over.
+    def finish(self, outcome: Outcome, *, keep_connecting: bool = False) -> None:
+        """End the attempt without a response; do nothing if it is over.
 
         Args:
             outcome: How it ended.
-            response: The response, or None if there is none.
-            reusable: Whether its connection can carry further requests.
-            keep_connecting: Whether connects that nobody waits for now go on.
+            keep_connecting: Whether connects that no attempt waits for now go on.
         """
         if self._is_over:
             return
-        self._timer.cancel()
-        self._stop_waiting()
-        self._is_over = True
+        self._end()
         if self.connection is not None:
-            self._release(self.connection, reusable=reusable)
+            self.connection.abandon()
         elif not keep_connecting:
             self._sources.queue.cancel_surplus_connects(self.endpoint)
+        self._on_outcome(outcome, None)
+
+    def exchange_ended(
+        self,
+        connection: UpstreamConnection,
+        outcome: Outcome,
+        response: UpstreamResponse | None,
+        *,
+        reusable: bool,
+    ) -> None:
+        """End the attempt, as the endpoint has ended the exchange; called by its connection."""
+        self._end()
+        if reusable:
+            self._give_back(connection)
         self._on_outcome(outcome, response)
 
-    def _release(self, connection: UpstreamConnection, *, reusable: bool) -> None:
-        connection.release()
-        if not reusable:
-            connection.close()
-            return
-        if not self.request.is_idempotent:  # it used none of those idle, which must not pile up
+    def _end(self) -> None:
+        self._timer.cancel()
+        self._stop_waiting()
+        self._is_over = True
+
+    def _give_back(self, connection: UpstreamConnection) -> None:
+        if not self.request.is_idempotent:  # it used none of the idle connections, which must not pile up
             self._sources.connections.idle.close_oldest(self.endpoint)
         self._sources.reuse.give_back(connection)
--- a/load_balancer/net/upstream/upstream_connection.py
+++ b/load_balancer/net/upstream/upstream_connection.py
@@ -9,14 +9,13 @@
 import asyncio
 import contextlib
 import socket
-from enum import Enum, auto
 from typing import Protocol
 
 import h11
 
 from load_balancer.messages import Outcome
 from load_balancer.net.addresses import EndpointAddress
-from load_balancer.net.upstream.http_exchange import HttpExchange, InvalidResponseError
+from load_balancer.net.upstream.http_exchange import ExchangeState, HttpExchange, InvalidResponseError
 from load_balancer.net.upstream.request_checks import encode_request, reason_not_to_write
 from load_balancer.net.upstream.response_timer import ResponseTimer
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
@@ -25,18 +24,6 @@
 RESPONSE_COMPLETION_S = 1.0
 
 
-class ExchangeState(Enum):
-    """Where the exchange on a connection is.
-
-    IDLE goes to WRITING as a request is sent, WRITING to AWAITING with the request's last byte, and either
-    of them to IDLE as the attempt ends.
-    """
-
-    IDLE = auto()
-    WRITING = auto()
-    AWAITING = auto()
-
-
 class ConnectionOwner(Protocol):
     """What a connection reports to its owner."""
 
@@ -63,10 +50,22 @@
     def time_remaining_s(self) -> float:
         """Seconds until the attempt times out."""
 
-    def finish(
-        self, outcome: Outcome, response: UpstreamResponse | None = None, *, reusable: bool = False
+    def exchange_ended(
+        self,
+        connection: UpstreamConnection,
+        outcome: Outcome,
+        response: UpstreamResponse | None,
+        *,
+        reusable: bool,
     ) -> None:
-        """End the attempt; do nothing if it is over."""
+        """End the attempt, as the exchange has ended on the endpoint's side.
+
+        Args:
+            connection: The connection, which the attempt does not use any more.
+            outcome: How the exchange ended.
+            response: The response, or None if there is none.
+            reusable: Whether the connection can carry further requests; if not, it is closed.
+        """
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -99,13 +98,12 @@
         self.was_idle = False
         self.idle_since_s = 0.0
         self._exchange = HttpExchange()
-        self._state = ExchangeState.IDLE
         self._response_timer = ResponseTimer(loop)
 
     @property
     def has_written_request(self) -> bool:
         """Whether the last byte of the present request has been written."""
-        return self._state is ExchangeState.AWAITING
+        return self._exchange.state is ExchangeState.AWAITING
 
     def mark_idle(self) -> None:
         """Record that it is idle from now on."""
@@ -124,7 +122,7 @@
         """
         if self.transport.is_closing():
             return Outcome.NO_CONNECTION
-        self.attempt, self._state = attempt, ExchangeState.WRITING
+        self.attempt = attempt
         self._exchange.begin()
         # Read now: the connection may have come up long after the decision to send.
         time_remaining_s = attempt.time_remaining_s if request.adds_deadline_header else None
@@ -140,12 +138,17 @@
         if self.transport.is_closing():  # the write failed, so the last byte was not taken
             return Outcome.NO_CONNECTION
         if self.transport.get_write_buffer_size() == 0:
-            self._state = ExchangeState.AWAITING
+            self._exchange.request_written()
         return None
 
-    def release(self) -> None:
-        """End the exchange, as its attempt is over."""
-        self.attempt, self._state = None, ExchangeState.IDLE
+    def abandon(self) -> None:
+        """End the exchange without its response, as the attempt is over, and close the connection."""
+        self._release()
+        self.close()
+
+    def _release(self) -> None:
+        self.attempt = None
+        self._exchange.end()
         self._response_timer.stop()
 
     def close(self) -> None:
@@ -167,8 +170,7 @@
 
     def resume_writing(self) -> None:
         """Record that the complete request has been written."""
-        if self._state is ExchangeState.WRITING:
-            self._state = ExchangeState.AWAITING
+        self._exchange.request_written()
 
     def data_received(self, data: bytes) -> None:
         """Take bytes of the endpoint."""
@@ -186,7 +188,7 @@
         """End the attempt that still uses the connection, as it is closed."""
         self._owner.connection_closed(self)
         self._suspend_reuse_if_stale()
-        self._fail_attempt()
+        self._fail_exchange()
 
     # Receiving
 
@@ -196,18 +198,18 @@
             self.close()
             return
         if not self.has_written_request:  # it cannot answer the request that is still being written
-            self._fail_attempt()
+            self._fail_exchange()
             return
         try:
             response = self._exchange.receive(data)
         except (h11.RemoteProtocolError, InvalidResponseError):
-            self._fail_attempt()
+            self._fail_exchange()
             return
         if response is None:
             self._limit_response_time()
             return
         reusable = not self.transport.is_closing() and self._exchange.finish_cycle()
-        self.attempt.finish(response.outcome, response, reusable=reusable)
+        self._end_exchange(response.outcome, response, reusable=reusable)
 
     def _limit_response_time(self) -> None:
         """Limit the time from a response's first byte: it may begin and never end on an open connection.
@@ -215,13 +217,25 @@
         An endpoint that sends an interim response (1xx) is still at work, so that no time runs after it.
         """
         if self._exchange.has_begun_response:
-            self._response_timer.start(RESPONSE_COMPLETION_S, self._fail_attempt)
+            self._response_timer.start(RESPONSE_COMPLETION_S, self._fail_exchange)
         else:
             self._response_timer.stop()
 
-    def _fail_attempt(self) -> None:
-        if self.attempt is not None:
-            self.attempt.finish(Outcome.RESET if self.has_written_request else Outcome.NO_CONNECTION)
+    def _fail_exchange(self) -> None:
+        """End the exchange if there is one, as the connection is of no use any more."""
+        self._end_exchange(Outcome.RESET if self.has_written_request else Outcome.NO_CONNECTION)
+
+    def _end_exchange(
+        self, outcome: Outcome, response: UpstreamResponse | None = None, *, reusable: bool = False
+    ) -> None:
+        """End the exchange if there is one, close the connection unless it is reusable, and report both."""
+        attempt = self.attempt
+        if attempt is None:
+            return
+        self._release()
+        if not reusable:
+            self.close()
+        attempt.exchange_ended(self, outcome, response, reusable=reusable)
 
     def _suspend_reuse_if_stale(self) -> None:
         """Suspend reuse if the endpoint ends an idle connection without a byte of a response to a request."""
--- a/tests/net/upstream/test_connect_pacing.py
+++ b/tests/net/upstream/test_connect_pacing.py
@@ -77,7 +77,7 @@
     error: OSError, outcome: Outcome, pacing: ConnectPacing
 ) -> None:
     assert pacing.record_failure(ENDPOINT, error, 0.1) is outcome
-    assert pacing.is_short is (outcome is Outcome.NOT_SENT)
+    assert pacing.has_local_shortage is (outcome is Outcome.NOT_SENT)
     refused_or_no_route = not isinstance(error, TimeoutError) and outcome is not Outcome.NOT_SENT
     assert pacing.is_failing(ENDPOINT) is refused_or_no_route
 
@@ -85,9 +85,9 @@
 def test_local_shortage_ends_after_a_pause(loop: StoppedLoop, pacing: ConnectPacing) -> None:
     pacing.record_failure(ENDPOINT, OSError(errno.EMFILE, ""), 0.1)
     loop.now += 0.9 * SHORTAGE_PAUSE_S
-    assert pacing.is_short
+    assert pacing.has_local_shortage
     loop.now += 0.2 * SHORTAGE_PAUSE_S
-    assert not pacing.is_short
+    assert not pacing.has_local_shortage
 
 
 @pytest.mark.parametrize("ends", ["success", "forget"])
