--- a/load_balancer/net/discovery/endpoint_list_json.py
+++ b/load_balancer/net/discovery/endpoint_list_json.py
@@ -78,7 +78,9 @@
     is_complete = required_field(raw, "all", bool, where)
     if version < 0:
         raise InvalidFieldError(f"{where}rev", f"is negative: {version}")
-    return EndpointListMessage(version, is_complete, tuple(endpoints), addresses, uids)
+    return EndpointListMessage(
+        version=version, is_complete=is_complete, endpoints=tuple(endpoints), addresses=addresses, uids=uids
+    )
 
 
 def _read_endpoint(entry: JsonObject, uid: str, path: str) -> Endpoint:
--- a/load_balancer/net/discovery/endpoint_watch.py
+++ b/load_balancer/net/discovery/endpoint_watch.py
@@ -28,7 +28,7 @@
 # the call first waits for its turn, for 2 s before discovery rejects it.
 PUSHED_LIST_TIMEOUT_S = 1.0
 POLLED_LIST_TIMEOUT_S = 2.5
-# After each read the watch pauses for this long, so that in a release what comes meanwhile is read together.
+# After each read the watch pauses for this long, so that the many changes of a release are read together.
 # A change has to be applied 250 ms after it was sent, of which a stall of the process may take 150 ms.
 READ_PAUSE_S = 0.02
 READ_BYTES = 65_536
@@ -172,7 +172,7 @@
 
 
 async def _pause_reading(writer: asyncio.StreamWriter) -> None:
-    """Leave what comes in the system's buffer for a moment: each read costs a turn of the event loop."""
+    """Leave received bytes in the system's buffer for a moment: each read costs a turn of the event loop."""
     transport = writer.transport
     assert isinstance(transport, asyncio.Transport)  # which asyncio makes for a TCP connection
     transport.pause_reading()
--- a/load_balancer/net/discovery/json_stream.py
+++ b/load_balancer/net/discovery/json_stream.py
@@ -19,7 +19,7 @@
 
 
 class JsonStreamError(WireError):
-    """The stream holds no text that can be used; the message says why."""
+    """The stream holds no text that can be used; the message gives the reason."""
 
 
 class TextTooDeepError(JsonStreamError):
--- a/load_balancer/net/discovery/watch_stream.py
+++ b/load_balancer/net/discovery/watch_stream.py
@@ -18,7 +18,7 @@
 
 
 class WatchBrokenError(WireError):
-    """The watch has ended, or never began; the message says how."""
+    """The watch has ended, or never began; the message gives the reason."""
 
 
 class WatchRejectedError(WatchBrokenError):
--- a/load_balancer/net/upstream/connect_latency.py
+++ b/load_balancer/net/upstream/connect_latency.py
@@ -52,7 +52,7 @@
         """
         count = len(self._sorted_s)
         # How many of the remembered durations are longer than each age: those at which that connect may still
-        # end. A connect that is pending for longer than any before says nothing of its end.
+        # end. For a connect that is pending for longer than any of them nothing can be expected.
         longer_counts = [count - bisect_right(self._sorted_s, age_s) for age_s in ages_s]
         none_up, new_up = 1.0, 0.0  # S and F
         saved_s = last_step_s = 0.0
--- a/load_balancer/net/upstream/connect_pacing.py
+++ b/load_balancer/net/upstream/connect_pacing.py
@@ -92,7 +92,7 @@
 
         Args:
             endpoint: The endpoint.
-            error: How the connect failed.
+            error: The error with which the connect failed.
             duration_s: Seconds that it took.
         """
         if isinstance(error, TimeoutError):
--- a/load_balancer/net/upstream/connection_pool.py
+++ b/load_balancer/net/upstream/connection_pool.py
@@ -1,7 +1,7 @@
 """The connections to all endpoints, as the driver sees them.
 
 The pool owns its parts: the open connections with the idle ones among them, the pending connects, and the
-attempts that wait. The driver starts attempts here and says which endpoints are in use.
+attempts that wait. The driver starts attempts here, and enables and disables endpoints.
 """
 
 from __future__ import annotations
--- a/load_balancer/net/upstream/connection_queue.py
+++ b/load_balancer/net/upstream/connection_queue.py
@@ -17,7 +17,7 @@
 
 # Connections to an endpoint that may be pending at once, besides one for each attempt that waits.
 MAX_SPARE_CONNECTS = 2
-MAX_UNUSED_IDLE = 1  # idle connections to an endpoint beside which one that nobody waits for is closed
+MAX_UNUSED_IDLE = 1  # idle connections to an endpoint beside which a new one is closed if no attempt waits
 
 
 class ConnectionQueue:
@@ -42,8 +42,8 @@
             connections: The open connections, which count against the limit on connections.
             pending: The pending connects; only the queue starts and removes any.
             waiting: The attempts that wait; only the queue adds and removes any.
-            reuse: Takes connections that nobody waits for.
-            pacing: Says when one more connect is worth its cost.
+            reuse: Takes connections that no attempt waits for.
+            pacing: Decides when one more connect is worth its cost.
         """
         self._connections = connections
         self._pending = pending
@@ -78,12 +78,10 @@
         Returns:
             False if no more connects may be pending, or if there is no capacity for one.
         """
-        # With a local shortage each one would fail at once, and the next be opened, beside one that is late.
-        if (
-            self._pacing.has_local_shortage
-            or not self._has_capacity
-            or not self._may_open_more(attempt.endpoint)
-        ):
+        # With a local shortage each connect would fail at once, and the next one begin, beside a late one.
+        if self._pacing.has_local_shortage or not self._has_capacity:
+            return False
+        if not self._may_open_more(attempt.endpoint):
             return False
         self._start_connecting(attempt)
         return True
@@ -110,7 +108,7 @@
     def _may_open_more(self, endpoint: EndpointAddress) -> bool:
         """Return whether an endpoint may get one more connect.
 
-        Endpoints hold few connections: many at once that nobody waits for would keep other clients out.
+        Endpoints accept few connections: many at once that no attempt waits for would keep other clients out.
         """
         return self._pending.count(endpoint) < self._waiting.count(endpoint) + MAX_SPARE_CONNECTS
 
--- a/load_balancer/net/upstream/http_exchange.py
+++ b/load_balancer/net/upstream/http_exchange.py
@@ -21,7 +21,7 @@
 
 
 class InvalidResponseError(WireError):
-    """The endpoint sent what cannot be a response to this request; the message says why."""
+    """The endpoint sent what cannot be a response to this request; the message gives the reason."""
 
 
 class NoHttpResponseError(InvalidResponseError):
--- a/load_balancer/net/upstream/idle_connections.py
+++ b/load_balancer/net/upstream/idle_connections.py
@@ -17,7 +17,7 @@
 SETTLE_S = 0.01  # a connection stays unused for this long, so that surplus bytes of its last response show
 NO_REUSE_S = 10.0  # an endpoint that broke an idle connection under a request gets new ones for this long
 IDLE_MARGIN_SHARE = 0.1  # share of the idle limit by which we close before the endpoint does
-# And this at least: the process may be held up for 0.15 s between looking at its clock and writing, and the
+# And this at least: the process may be stalled for 0.15 s between looking at its clock and writing, and the
 # request has a way to go.
 MIN_IDLE_MARGIN_S = 0.2
 
@@ -74,9 +74,9 @@
 
     def take(self, endpoint: EndpointAddress) -> UpstreamConnection | None:
         """Remove and return an idle connection that has settled and looks alive, or None."""
-        settled_at_s = self._loop.time() - SETTLE_S
+        settled_since_s = self._loop.time() - SETTLE_S
         for connection in reversed(self.by_endpoint.get(endpoint, [])[:]):
-            if connection.idle_since_s > settled_at_s:
+            if connection.idle_since_s > settled_since_s:
                 continue
             self.remove(connection)
             if self._is_usable(connection):
@@ -85,15 +85,15 @@
         return None
 
     def _is_usable(self, connection: UpstreamConnection) -> bool:
-        # The timer that closes it is late itself if the process was held up: the endpoint may have closed
+        """Return whether an idle connection looks alive, with no byte that has not been read."""
+        # The timer that closes it is late itself if the process was stalled: the endpoint may have closed
         # it, with the end still on its way.
         if self._loop.time() >= connection.idle_since_s + self._limit_s:
             return False
         # Its end, or more than its last response, may have come and not been read yet: the next request would
         # be lost, or get a response that isn't its own.
-        return not connection.transport.is_closing() and not socket_state.has_unread_bytes(
-            connection.transport
-        )
+        transport = connection.transport
+        return not transport.is_closing() and not socket_state.has_unread_bytes(transport)
 
     def add(self, connection: UpstreamConnection) -> bool:
         """Keep a connection that nothing uses any more; close it and return False if it may not be kept."""
@@ -135,7 +135,7 @@
             self._close(self.by_endpoint[endpoint][0])
 
     def close_oldest_of_all(self) -> bool:
-        """Close the connection of all that has been idle for longest; return False if there is none."""
+        """Close the connection that has been idle for longest of all; return False if there is none."""
         oldest_by_endpoint = [idle[0] for idle in self.by_endpoint.values() if idle]
         if not oldest_by_endpoint:
             return False
--- a/load_balancer/net/upstream/pending_connects.py
+++ b/load_balancer/net/upstream/pending_connects.py
@@ -104,7 +104,7 @@
         return len(self.by_endpoint.get(endpoint, ()))
 
     def start(self, attempt: WaitingAttempt, observer: ConnectObserver) -> None:
-        """Begin one more connect for an attempt; `observer` learns how it ends."""
+        """Begin one more connect for an attempt; `observer` is called at its end."""
         pending = PendingConnect(self._loop, self._connector, attempt, observer)
         self.by_endpoint.setdefault(attempt.endpoint, []).append(pending)
 
--- a/load_balancer/net/upstream/request_checks.py
+++ b/load_balancer/net/upstream/request_checks.py
@@ -1,6 +1,6 @@
 """What is checked at the last moment before a request is written, after all that may have taken time.
 
-The process may be held up at any line: what was true when the attempt was decided need not be true now.
+The process may stall at any line: what was true when the attempt was decided need not be true now.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
         exchange: The exchange that the request begins.
         request: The request.
         endpoint: The endpoint, for the log.
-        time_remaining_s: Seconds until the attempt times out, which the endpoint is told; None tells nothing.
+        time_remaining_s: Seconds until the attempt times out, for the deadline header; None adds no header.
     """
     headers = request.headers
     if time_remaining_s is not None:
-        # The attempt's timer is late itself if the process was held up: the work would be for nobody.
+        # The attempt's timer is late itself if the process was stalled: the work would be in vain.
         if time_remaining_s <= 0.0:
             return None
         headers = [*headers, (b"req-deadline", b"%.6f" % time_remaining_s)]
@@ -66,5 +66,5 @@
     if socket_state.has_unread_bytes(transport, unknown=was_idle):
         # An idle connection may go stale at any endpoint; one that has just come up has failed.
         return Outcome.NOT_SENT if was_idle else Outcome.NO_CONNECTION
-    # The client may have left since the decision to send, its end still unread: the work would be for nobody.
+    # The client may have left since the decision to send, its end still unread: the work would be in vain.
     return None if request.is_awaited() else Outcome.NOT_SENT
--- a/load_balancer/net/upstream/upstream_attempt.py
+++ b/load_balancer/net/upstream/upstream_attempt.py
@@ -115,11 +115,11 @@
                 self._sources, self, self._write_deadline_s, self._failover_deadline_s
             )
         else:
-            self.finish(Outcome.NOT_SENT)  # our own lack of sockets says nothing of the endpoint
+            self.finish(Outcome.NOT_SENT)  # a lack of sockets here is no sign of a fault of the endpoint
 
     def send_on(self, connection: UpstreamConnection) -> bool:
         """Send the request on a connection; return False if that is too late, which ends the attempt."""
-        # The timer of the write deadline is late itself if the process was held up until now.
+        # The timer of the write deadline is late itself if the process was stalled until now.
         if self._loop.time() > self._write_deadline_s:
             self.miss_write_deadline()
             return False
@@ -151,7 +151,7 @@
         self.finish(Outcome.CANCELLED)
 
     def cancel_unanswered(self) -> None:
-        """Cancel the attempt for want of a response, which says something of its connection."""
+        """Cancel the attempt because no response came, which casts doubt on idle connections like its own."""
         self._close_silent_idle()
         self.cancel()
 
--- a/load_balancer/net/upstream/upstream_connection.py
+++ b/load_balancer/net/upstream/upstream_connection.py
@@ -165,7 +165,7 @@
         """Take the transport, as the connection is up."""
         assert isinstance(transport, asyncio.Transport)  # what the event loop passes for a TCP connection
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that resume_writing tells when all is written
+        transport.set_write_buffer_limits(high=0)  # so that resume_writing is called once all is written
         self._owner.connection_opened(self)
 
     def resume_writing(self) -> None:
--- a/load_balancer/net/upstream/upstream_messages.py
+++ b/load_balancer/net/upstream/upstream_messages.py
@@ -6,11 +6,16 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from http import HTTPStatus
 
 from load_balancer.messages import Outcome
 from load_balancer.net.http_messages import Headers
 
+# With these statuses and this header an endpoint says that it has not begun the request and never will.
+REJECTING_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+REJECTION_HEADER = (b"srv-declined", b"1")
+
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
@@ -31,14 +36,20 @@
     target: bytes
     headers: Headers
     body: bytes
-    is_idempotent: bool
-    adds_deadline_header: bool = True
-    is_awaited: Callable[[], bool] = lambda: True
+    is_idempotent: bool = field(kw_only=True)
+    adds_deadline_header: bool = field(default=True, kw_only=True)
+    is_awaited: Callable[[], bool] = field(default=lambda: True, kw_only=True)
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamResponse:
-    """A complete final response of an endpoint."""
+    """A complete final response of an endpoint.
+
+    Attributes:
+        status: The status code.
+        headers: All headers.
+        body: The complete body.
+    """
 
     status: int
     headers: Headers
@@ -47,12 +58,13 @@
     @property
     def outcome(self) -> Outcome:
         """The outcome of the attempt that got this response, by the protocol's table of statuses."""
-        if self.status == 200:
+        if self.status == HTTPStatus.OK:
             return Outcome.OK
         if 400 <= self.status < 500:
             return Outcome.UNUSABLE
-        declined = any(name == b"srv-declined" and value == b"1" for name, value in self.headers)
-        return Outcome.REJECTED if declined and self.status in (503, 504) else Outcome.ERROR
+        if self.status in REJECTING_STATUSES and REJECTION_HEADER in self.headers:
+            return Outcome.REJECTED
+        return Outcome.ERROR
 
 
 # Called once, at the end of an attempt, with the response if there is one.
--- a/tests/support/upstream_helpers.py
+++ b/tests/support/upstream_helpers.py
@@ -21,7 +21,11 @@
 from tests.support.loopback import Peer, Proxy, SteppedClock, answer, until
 
 REQUEST = UpstreamRequest(
-    b"POST", b"/api", [(b"host", b"x"), (b"idempotency-key", b"k"), (b"content-length", b"2")], b"hi", True
+    b"POST",
+    b"/api",
+    [(b"host", b"x"), (b"idempotency-key", b"k"), (b"content-length", b"2")],
+    b"hi",
+    is_idempotent=True,
 )
 ONCE = replace(REQUEST, is_idempotent=False)
 HEAD = b"HTTP/1.1 200 x\r\n\r\n"  # of an answer that says nothing of its length
