--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -18,9 +18,13 @@
 
 from load_balancer import messages
 from load_balancer.net.upstream import idle_connections
+from tests.support.attempts import HEAD_WITHOUT_LENGTH, INVALID_RESPONSES
 from tests.support.balancer_harness import S, settings
-from tests.support.loopback import Proxy, SteppedClock, answer, call, entry, proxy, read_message
-from tests.support.upstream_helpers import HEAD, INVALID_RESPONSES, Bare, Handle, Message, Wire, bare, stepped
+from tests.support.endpoint_lists import endpoint_entry
+from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
+from tests.support.raw_endpoint import ConnectionHandler, EndpointConnection, RawEndpoint
+from tests.support.stepped_clock import SteppedClock
 
 STEP_S = 5.0
 WINDOW_S = 60.0
@@ -66,13 +70,13 @@
     step: int
     cell: int
     way: str
-    wire: Wire
+    wire: EndpointConnection
     over: bool = False  # the backend has said its last word on it
 
     @property
     def open(self) -> bool:
         """Is it still out, on a connection that is still open?"""
-        if self.over or self.wire.closed:
+        if self.over or self.wire.is_closed:
             return False
         try:
             return self.wire.socket.recv(1, socket.MSG_PEEK) != b""
@@ -93,9 +97,9 @@
 
 
 class World:
-    def __init__(self, seed: int, p: Proxy) -> None:
+    def __init__(self, seed: int, p: LoopbackProxy) -> None:
         self.seed, self.p = seed, p
-        self.clock: SteppedClock = stepped(p)
+        self.clock: SteppedClock = p.step_clocks()
         self.step = 0
         self.news = 0  # counts whatever happens
         self.late = 0  # second answers that are still to come
@@ -107,8 +111,8 @@
 
     # Backends
 
-    def backend(self, cell: int) -> Handle:
-        async def handle(wire: Wire, got: Message) -> None:
+    def backend(self, cell: int) -> ConnectionHandler:
+        async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
             self.news += 1
             request_id = got[1].get("req-id", "none")
             asked = self.asked.get(request_id)
@@ -121,7 +125,7 @@
             self.check(request_id, asked, visit)
             asked.visits.append(visit)
             with contextlib.suppress(OSError):  # the proxy may have left
-                await self.respond(rng, visit, answer(200, request_id.encode()), request_id)
+                await self.respond(rng, visit, http_response(200, request_id.encode()), request_id)
             self.news += 1
 
         return handle
@@ -138,48 +142,48 @@
         if way.startswith("answer"):
             await self.respond_well(rng, visit, good)
         else:
-            self.respond_badly(rng, visit, good, HEAD + request_id.encode())
+            self.respond_badly(rng, visit, good, HEAD_WITHOUT_LENGTH + request_id.encode())
 
     async def respond_well(self, rng: random.Random, visit: Visit, good: bytes) -> None:
         wire = visit.wire
         match visit.way:
             case "answer" | "answer after a while":
-                wire.say(good)
+                wire.send(good)
             case "answer twice":
-                wire.say(good + good)
+                wire.send(good + good)
             case "answer, late again":
-                wire.say(good)
+                wire.send(good)
                 self.late += 1
                 for _ in range(rng.randrange(TURNS)):
                     await asyncio.sleep(0)
                 self.late -= 1
-                wire.say(good)
+                wire.send(good)
             case "answer, then end":
-                wire.say(good)
-                wire.end()
+                wire.send(good)
+                wire.end_sending()
 
     def respond_badly(self, rng: random.Random, visit: Visit, good: bytes, without_length: bytes) -> None:
         wire, way = visit.wire, visit.way
         match way:
             case "no length, end":
-                wire.say(without_length)
-                wire.end()
+                wire.send(without_length)
+                wire.end_sending()
             case "no length, reset":
-                wire.say(without_length)
+                wire.send(without_length)
                 wire.reset()
             case "500" | "503":
-                wire.say(answer(int(way), b"x"))
+                wire.send(http_response(int(way), b"x"))
             case "declined":
-                wire.say(answer(rng.choice((503, 504)), Srv_Declined="1"))
+                wire.send(http_response(rng.choice((503, 504)), Srv_Declined="1"))
             case "cut, end" | "cut, reset":
-                wire.say(good[: rng.randrange(1, len(good))])
-                wire.end() if way == "cut, end" else wire.reset()
+                wire.send(good[: rng.randrange(1, len(good))])
+                wire.end_sending() if way == "cut, end" else wire.reset()
             case "invalid":
-                wire.say(rng.choice(INVALID_RESPONSES))
+                wire.send(rng.choice(INVALID_RESPONSES))
             case "reset" | "silent, then reset":
                 wire.reset()
             case "end":
-                wire.end()
+                wire.end_sending()
 
     def check(self, request_id: str, asked: Asked, visit: Visit) -> None:
         """The rules, as a further attempt comes in."""
@@ -210,8 +214,8 @@
             streams = streams or await self.p.connect()
             reader, writer = streams
             asked = self.asked[request_id] = Asked(kind)
-            writer.write(call(kind, request_id=request_id, body=body, Req_Deadline="500"))
-            got = asyncio.ensure_future(read_message(reader))
+            writer.write(http_request(kind, request_id=request_id, body=body, Req_Deadline="500"))
+            got = asyncio.ensure_future(read_http_message(reader))
             if leaves is not None:
                 for _ in range(leaves):
                     await asyncio.sleep(0)
@@ -262,7 +266,7 @@
                 still = still + 1 if self.news == seen and not self.late else 0
                 seen = self.news
             self.step += 1
-            self.clock.step(STEP_S)
+            self.clock.advance(STEP_S)
         for task in tasks:
             task.result()
 
@@ -279,21 +283,23 @@
         closed.bind(("127.0.0.1", 0))
         worlds: list[World] = []
 
-        def handle(cell: int) -> Handle:
-            async def handle(wire: Wire, got: Message) -> None:
+        def handle(cell: int) -> ConnectionHandler:
+            async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
                 await worlds[0].backend(cell)(wire, got)
 
             return handle
 
-        backends: list[Bare] = [await stack.enter_async_context(bare(handle(n % 2))) for n in range(6)]
-        entries = [entry(f"s-{n}", b.port, pod_group=n % 2) for n, b in enumerate(backends)]
+        backends: list[RawEndpoint] = [
+            await stack.enter_async_context(RawEndpoint(handle(n % 2))) for n in range(6)
+        ]
+        entries = [endpoint_entry(f"s-{n}", b.port, pod_group=n % 2) for n, b in enumerate(backends)]
         p = await stack.enter_async_context(
-            proxy(
+            running_proxy(
                 *entries,
-                entry("s-closed", closed.getsockname()[1]),
-                setup=settings(classes=CLASSES, limits=limits),
-                connect_s=CONNECT_S,
-                idle_s=9000.0,
+                endpoint_entry("s-closed", closed.getsockname()[1]),
+                settings=settings(classes=CLASSES, limits=limits),
+                connect_timeout_s=CONNECT_S,
+                idle_timeout_s=9000.0,
             )
         )
         world = World(seed, p)
