--- a/load_balancer/net/client/request_processor.py
+++ b/load_balancer/net/client/request_processor.py
@@ -51,9 +51,7 @@
         self._http = connection.http
         self._clients = clients
         self._incoming = IncomingRequest(classes)
-        self._forwarder = RequestForwarder(
-            connection, self._incoming, clients, driver, on_next_request=self._schedule_processing
-        )
+        self._forwarder = RequestForwarder(connection, self._incoming, clients, driver)
         self._loop = asyncio.get_running_loop()
 
     def receive(self, data: memoryview) -> None:
@@ -101,7 +99,7 @@
 
     def _parse_events(self) -> None:
         for _ in range(limits.MAX_EVENTS_PER_TURN):
-            # A response that is not read holds the next request back: its response would fill our memory.
+            # A response that is not read holds the next request back: more responses would fill the memory.
             if self._connection.state is not ConnectionState.READING or self._connection.is_writing:
                 return
             if not self._handle_event(self._http.next_event()):
@@ -109,7 +107,7 @@
         self._schedule_processing()
 
     def _handle_event(self, event: ParsedEvent) -> bool:
-        """Handle one event of h11's, and return whether to go on with the next one."""
+        """Handle one event of h11, and return whether to go on with the next one."""
         match event:
             case h11.Request():
                 self._incoming.begin(event)
@@ -120,7 +118,7 @@
                 self._incoming.add_body(event.data)
                 return True
             case h11.EndOfMessage():
-                self._forwarder.handle_request()
+                self._forwarder.handle_request(self._schedule_processing)
                 return False
             case h11.NEED_DATA:
                 return self._http.feed()
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -11,7 +11,7 @@
 from load_balancer.net.client import client_connection, client_limits
 from load_balancer.net.client.client_connection import ClientConnection
 from load_balancer.net.upstream import idle_connections
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message
@@ -25,15 +25,15 @@
 
 
 def limits(cancel: bool) -> messages.Settings:
-    return settings(limits=messages.Limits(max_attempts=3, cancel=cancel))
+    return balancer_settings(limits=messages.Limits(max_attempts=3, cancel=cancel))
 
 
 def nothing_left(p: LoopbackProxy) -> bool:
     balancer = p.driver.balancer
     return p.driver.is_idle and not (
-        balancer.requests.requests
-        or balancer.requests.in_flight
-        or balancer.requests.queue
+        balancer.open_requests.by_id
+        or balancer.dispatcher.in_flight
+        or balancer.queue
         or p.clients.open_request_ids
     )
 
@@ -91,18 +91,18 @@
         running_proxy(endpoint_entry("b", b.port), settings=limits(cancel)) as p,
     ):
         clients: list[SocketClient] = []
-        while not p.driver.balancer.requests.queue:
+        while not p.driver.balancer.queue:
             clients.append(SocketClient(p))
             clients[-1].send(http_request(request_id=f"r{len(clients)}"))
-            await wait_until(lambda: len(p.driver.balancer.requests.requests) == len(clients))
+            await wait_until(lambda: len(p.driver.balancer.open_requests.by_id) == len(clients))
         sent = len(clients) - 1
         await wait_until(lambda: len(b.received) == sent)
         clients[-1].disconnect(way)
         p.oldest_attempt_connection().data_received(http_response(200, b"x"))
-        assert not p.driver.balancer.requests.queue  # its turn came
+        assert not p.driver.balancer.queue  # its turn came
         await wait_until(lambda: len(p.clients.open_connections) == sent)
         await run_loop_turns()
-        assert len(b.received) == sent == len(p.driver.balancer.requests.in_flight) + 1
+        assert len(b.received) == sent == len(p.driver.balancer.dispatcher.in_flight) + 1
         for client in clients[:-1]:
             client.disconnect("FIN")
         await wait_until(lambda: not p.clients.open_connections)
@@ -154,12 +154,12 @@
         if where != "connecting":
             gate.open_all()
         if where == "held":
-            while not p.driver.balancer.requests.queue:
+            while not p.driver.balancer.queue:
                 crowd.append(SocketClient(p))
                 crowd[-1].send(http_request(request_id=f"c{len(crowd)}"))
-                await wait_until(lambda: len(p.driver.balancer.requests.requests) == len(crowd))
+                await wait_until(lambda: len(p.driver.balancer.open_requests.by_id) == len(crowd))
             crowd.pop().disconnect("FIN")
-            await wait_until(lambda: not p.driver.balancer.requests.queue)
+            await wait_until(lambda: not p.driver.balancer.queue)
         client = SocketClient(p)
         connection = await begin(p, client, paused)
         if where == "connecting":
@@ -167,7 +167,7 @@
         elif where == "out":
             await wait_until(lambda: len(b.received) == 1)
         else:
-            assert p.driver.balancer.requests.queue
+            assert p.driver.balancer.queue
         key = connection.forwarded_request_id
         assert key is not None
         client.disconnect(way)
