--- a/load_balancer/net/discovery/endpoint_watch.py
+++ b/load_balancer/net/discovery/endpoint_watch.py
@@ -85,8 +85,8 @@
         return self._held.version
 
     def resume_from(self, version: int) -> None:
-        """Request changes after this version: a list that was cached before the start is held."""
-        self._held.version = version
+        """Count a cached list of this version as held, so that only changes after it are requested."""
+        self._held.resume_from(version)
 
     def start(self) -> None:
         """Open the watch unless it is open already."""
--- a/load_balancer/net/discovery/held_version.py
+++ b/load_balancer/net/discovery/held_version.py
@@ -24,6 +24,10 @@
         # The highest version since the last complete list: changes with a lower one may follow it.
         self._highest_seen = -1
 
+    def resume_from(self, version: int) -> None:
+        """Count a cached list of this version as held, from the discovery that was given at the start."""
+        self.version = version
+
     @property
     def highest(self) -> int:
         """The highest version that is held, also of a list as last known before the start; -1 for none."""
--- a/load_balancer/net/upstream/connection_wait.py
+++ b/load_balancer/net/upstream/connection_wait.py
@@ -49,6 +49,7 @@
         self._write_timer.cancel()
 
     def _call_check_after(self, seconds: float) -> asyncio.TimerHandle:
+        """Schedule the next check; the one after it comes after twice the time."""
         return self._loop.call_later(seconds, self._check, 2.0 * seconds, LOOP_TURNS_TO_USE)
 
     def _check_again_after(self, seconds: float) -> None:
@@ -62,8 +63,8 @@
             turns: Turns of the event loop to wait before.
         """
         if turns:
-            # If the event loop itself is late, a connection may be up that it has not come to yet. Without
-            # these turns another one would be opened beside it, to no use.
+            # If the event loop itself is late, a connection may be up that it has not processed yet. Without
+            # these turns another one would be opened beside it in vain.
             self._late_timer = self._loop.call_soon(self._check, next_s, turns - 1)
         elif not self._queue.extra_connection_pays(self._attempt):
             self._check_again_after(next_s)
