--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -35,17 +35,17 @@
     return {endpoint_number(uid) for uid in uids}
 
 
-async def lists_until_the_end(p: LoopbackProxy) -> list[messages.EndpointListUpdate]:
+async def lists_until_the_end(proxy: LoopbackProxy) -> list[messages.EndpointListUpdate]:
     """The lists that reach the module until the watch has ended."""
     taken: list[messages.EndpointListUpdate] = []
-    feed = p.driver.events.put
+    feed = proxy.driver.events.put
 
     def note(event: messages.Event) -> None:
         if isinstance(event, messages.EndpointListUpdate):
             taken.append(event)
         feed(event)
 
-    p.driver.events.put = note  # type: ignore[method-assign]
+    proxy.driver.events.put = note  # type: ignore[method-assign]
     await wait_until(lambda: bool(taken) and taken[-1].kind is messages.EndpointListKind.FAILED)
     return taken[:-1]
 
@@ -59,10 +59,10 @@
         writer.write(WATCH_RESPONSE_HEAD + said)
 
     async def test() -> None:
-        async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
-            taken = await lists_until_the_end(p)
+        async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
+            taken = await lists_until_the_end(proxy)
             result.append(
-                (taken, set(p.driver.balancer.endpoints.states), p.driver.endpoint_list.watch.version)
+                (taken, set(proxy.driver.balancer.endpoints.states), proxy.driver.endpoint_list.watch.version)
             )
 
     run_in_event_loop(test)
@@ -71,8 +71,10 @@
 
 def test_changes_of_one_read_reach_the_policy_as_one_event() -> None:
     said = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), endpoint_entry("b", 9), rev=1))
-    for n in range(50):
-        said += endpoint_list_chunk(change(endpoint_entry(f"s-{n}", 9), rev=2 + n)) + http_chunk("\n")
+    for number in range(50):
+        said += endpoint_list_chunk(change(endpoint_entry(f"s-{number}", 9), rev=2 + number)) + http_chunk(
+            "\n"
+        )
     said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminating"), rev=52))
     said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminated"), rev=53))
     taken, known, since = played(said + b"0\r\n\r\n")
@@ -80,7 +82,7 @@
         (messages.EndpointListKind.COMPLETE, 1),
         (messages.EndpointListKind.CHANGES, 53),
     ]
-    assert known == names("b", *(f"s-{n}" for n in range(50)))
+    assert known == names("b", *(f"s-{number}" for number in range(50)))
     assert since == 53
 
 
@@ -105,18 +107,18 @@
         whole, more = endpoint_list(endpoint_entry("a", 9), rev=1), change(endpoint_entry("b", 9), rev=2)
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(whole) + endpoint_list_chunk(more))
 
-    async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
-        take, broken = p.driver.endpoint_list.watch._on_list, asyncio.Event()
+    async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
+        take, broken = proxy.driver.endpoint_list.watch._on_list, asyncio.Event()
 
         def fail_on_changes(news: EndpointListMessage) -> None:
             if not news.is_complete:
                 raise RuntimeError("a fault")
             take(news)
 
-        p.driver.endpoint_list.watch._on_list = fail_on_changes
-        p.driver.endpoint_list.watch._on_break = broken.set
+        proxy.driver.endpoint_list.watch._on_list = fail_on_changes
+        proxy.driver.endpoint_list.watch._on_break = broken.set
         await broken.wait()
-        assert p.driver.endpoint_list.watch.version == 1
+        assert proxy.driver.endpoint_list.watch.version == 1
 
 
 def test_complete_lists_and_old_changes_are_not_joined() -> None:
@@ -151,19 +153,20 @@
         await taken_over.wait()
         writer.write(later + b"0\r\n\r\n")
 
-    async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
-        await wait_until(lambda: p.driver.endpoint_list.watch.version == 12)
+    async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
+        await wait_until(lambda: proxy.driver.endpoint_list.watch.version == 12)
         taken_over.set()
-        taken = await lists_until_the_end(p)
+        taken = await lists_until_the_end(proxy)
         assert [news.version for news in taken] == [11, 13]
-        assert set(p.driver.balancer.endpoints.states) == names("a", "b", "c")
+        assert set(proxy.driver.balancer.endpoints.states) == names("a", "b", "c")
 
 
 @pytest.mark.parametrize("away", ["terminating", "terminated"])
 def test_return_of_an_endpoint_is_not_joined_with_its_removal(away: str) -> None:
     """Its kept connections are the old one's."""
     lists = [
-        read_list(change(endpoint_entry("a", 9, state), rev=n)) for n, state in ((2, away), (3, "in_service"))
+        read_list(change(endpoint_entry("a", 9, state), rev=number))
+        for number, state in ((2, away), (3, "in_service"))
     ]
     assert join_changes(lists) == lists
 
@@ -172,7 +175,7 @@
     rng = random.Random(1)
 
     for _ in range(40):
-        lists = [read_list(endpoint_list(*(endpoint_entry(f"s-{n}", 9) for n in range(4)), rev=9))]
+        lists = [read_list(endpoint_list(*(endpoint_entry(f"s-{number}", 9) for number in range(4)), rev=9))]
         for rev in range(10, 20):
             rows = [
                 endpoint_entry(
@@ -188,18 +191,21 @@
             lists.insert(rng.randrange(1, 11), replace(lists[0], version=rng.randrange(5, 15)))
         left = []
         for taken in (lists, join_changes(lists)):
-            async with running_proxy() as p:
+            async with running_proxy() as proxy:
                 for news in taken:
-                    p.driver.endpoint_list.receive(news)
-                servers = p.driver.balancer.endpoints.states
+                    proxy.driver.endpoint_list.receive(news)
+                servers = proxy.driver.balancer.endpoints.states
                 left.append(
                     (
                         # The moment of a start is by the clock of each of the two drivers.
-                        {n: replace(server.endpoint, started_us=None) for n, server in servers.items()},
-                        p.driver.endpoint_list.endpoints.by_id,
-                        p.driver.endpoint_list.endpoints.up_ids,
-                        set(p.pool.idle.reuse_from_s),
-                        p.driver.balancer.endpoints.version,
+                        {
+                            number: replace(server.endpoint, started_us=None)
+                            for number, server in servers.items()
+                        },
+                        proxy.driver.endpoint_list.endpoints.by_id,
+                        proxy.driver.endpoint_list.endpoints.up_ids,
+                        set(proxy.pool.idle.reuse_from_s),
+                        proxy.driver.balancer.endpoints.version,
                     )
                 )
         assert left[0] == left[1]
@@ -214,13 +220,13 @@
         await reader.readuntil(b"\r\n\r\n")
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), rev=1)))
         await taken_over.wait()
-        for n in range(5):
-            writer.write(endpoint_list_chunk(change(endpoint_entry(f"s-{n}", 9), rev=2 + n)))
+        for number in range(5):
+            writer.write(endpoint_list_chunk(change(endpoint_entry(f"s-{number}", 9), rev=2 + number)))
             await asyncio.sleep(0)
         writer.write(b"0\r\n\r\n")
 
-    async with StandInServer(handle) as d, running_proxy(discovery_port=d.port) as p:
-        await wait_until(lambda: p.driver.endpoint_list.watch.version == 1)
+    async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
+        await wait_until(lambda: proxy.driver.endpoint_list.watch.version == 1)
         taken_over.set()
         pieces = 0
         feed_data = asyncio.StreamReader.feed_data
@@ -231,7 +237,7 @@
             feed_data(reader, data)
 
         monkeypatch.setattr(asyncio.StreamReader, "feed_data", note)
-        assert [news.version for news in await lists_until_the_end(p)] == [6]
+        assert [news.version for news in await lists_until_the_end(proxy)] == [6]
         assert pieces == 1  # nor does each one turn the loop
 
 
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -6,7 +6,7 @@
 
 from load_balancer.messages import Outcome
 from load_balancer.net.upstream import idle_connections
-from load_balancer.net.upstream.connection_pool import ConnectionPool
+from tests.net.upstream.conftest import PoolFactory
 from tests.support.attempts import INVALID_RESPONSES, REQUEST_KINDS, RecordedAttempt
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response
@@ -22,7 +22,7 @@
     "whole", [http_response(200, b"ok"), CHUNKED, b"HTTP/1.1 103 x\r\n\r\n" + http_response(200, b"ok")]
 )
 async def test_truncated_response_ends_the_attempt_as_reset(
-    whole: bytes, how: str, kept: bool, monkeypatch: pytest.MonkeyPatch
+    new_pool: PoolFactory, whole: bytes, how: str, kept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
@@ -31,18 +31,18 @@
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         await respond_with(*said.pop(0))(wire, got)
 
-    async with RawEndpoint(handle) as b:
+    async with RawEndpoint(handle) as endpoint:
         for at in range(len(whole) + 1):
             said[:] = [*[(http_response(200, b"first"),)] * kept, (whole[:at], how)]
-            pool, before = ConnectionPool(0.25, 30.0, 10), len(b.accepted)
+            pool, before = new_pool(), len(endpoint.accepted)
             for _ in range(kept):
-                assert (await RecordedAttempt(pool, b.endpoint).result())[0] is Outcome.OK
-            got = await RecordedAttempt(pool, b.endpoint).result()
+                assert (await RecordedAttempt(pool, endpoint.endpoint).result())[0] is Outcome.OK
+            got = await RecordedAttempt(pool, endpoint.endpoint).result()
             if at < len(whole):
                 assert got == (Outcome.RESET, None), at
             else:
                 assert got[0] is Outcome.OK
-            assert len(b.accepted) == before + 1
+            assert len(endpoint.accepted) == before + 1
             pool.close()
 
 
@@ -54,14 +54,16 @@
         await respond_with(*(met.pop() if met else (http_response(200, b"served"),)))(wire, got)
 
     async with (
-        RawEndpoint(handle) as a,
-        RawEndpoint(handle) as b,
-        running_proxy(endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port)) as p,
+        RawEndpoint(handle) as first_endpoint,
+        RawEndpoint(handle) as second_endpoint,
+        running_proxy(
+            endpoint_entry("s-1", first_endpoint.port), endpoint_entry("s-2", second_endpoint.port)
+        ) as proxy,
     ):
-        line, _, body = await p.send_request(http_request(kind, request_id="r1"))
+        line, _, body = await proxy.send_request(http_request(kind, request_id="r1"))
         status = int(line.split()[1])
         assert (status == 200) is (body == b"served")
-        return status, a.request_ids + b.request_ids
+        return status, first_endpoint.request_ids + second_endpoint.request_ids
 
 
 def may_have_run(kind: str) -> tuple[int, list[str]]:
