--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -55,14 +55,7 @@
         self.queue = AdmissionQueue(outbox, self.open_requests, self.dispatcher, self.limit)
         self.request_factory = RequestFactory(settings, self.margin_us)
         self.retry_budget = RetryBudget()
-        self.requests = RequestHandler(
-            self.request_factory,
-            self.open_requests,
-            self.dispatcher,
-            self.queue,
-            OutcomeLearner(outbox, self.endpoints, self.slow_start, self.limit),
-            RetryRule(limits, self.router, self.retry_budget),
-        )
+        self.requests = self._new_request_handler()
 
         self.health = HealthChecker(
             outbox, self.scan_timer, may_check=self.slow_start.pay_for_check, abandon=self.dispatcher.abandon
@@ -71,6 +64,16 @@
             limits, self.open_requests, self.dispatcher, self.router, self.retry_budget, self.scan_timer
         )
 
+    def _new_request_handler(self) -> RequestHandler:
+        return RequestHandler(
+            self.request_factory,
+            self.open_requests,
+            self.dispatcher,
+            self.queue,
+            OutcomeLearner(self.outbox, self.endpoints, self.slow_start, self.limit),
+            RetryRule(self.settings.limits, self.router, self.retry_budget),
+        )
+
     def start(self, now_us: int) -> list[messages.Action]:
         """Return the first actions, before any event."""
         self.subscription.start()
