--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -21,7 +21,15 @@
 )
 from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import LoopbackProxy
-from tests.support.proxy_process import LIMITS, config, free_port, port_of, process, raw_settings, write
+from tests.support.proxy_process import (
+    LIMITS,
+    proxy_config,
+    raw_settings,
+    read_listening_port,
+    running_proxy_process,
+    unused_port,
+    write_config,
+)
 from tests.support.stand_in_discovery import (
     EACH_SUBSCRIPTION,
     LIST_DEADLINE_S,
@@ -30,7 +38,6 @@
     DiscoveryCall,
     StandInDiscovery,
     advance_to_next_call,
-    advance_until,
     answer_latest_call,
     list_chunk_of_version,
     record_watch_starts,
@@ -38,7 +45,7 @@
     watching_proxy,
 )
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import SteppedClock, advance_until
 
 JUMPS = 300  # of the clock in an outage, however long
 LINES_MOST = (
@@ -75,12 +82,12 @@
     return len(os.listdir("/proc/self/fd"))
 
 
-def all_is_small(d: StandInDiscovery, p: LoopbackProxy) -> None:
+def all_is_small(discovery: StandInDiscovery, proxy: LoopbackProxy) -> None:
     """Nothing of the calls that failed is left."""
-    assert sum(not call.closed_by_proxy.is_set() for call in d.calls) <= 1
+    assert sum(not call.closed_by_proxy.is_set() for call in discovery.calls) <= 1
     assert running_watch_count() <= 1
-    assert len(p.driver.balancer.outbox.timers) <= 2
-    assert len(p.driver.timers) <= 2
+    assert len(proxy.driver.balancer.outbox.timers) <= 2
+    assert len(proxy.driver.timers) <= 2
     assert len(asyncio.get_running_loop()._scheduled) < 200  # type: ignore[attr-defined]
 
 
@@ -92,46 +99,53 @@
 ) -> None:
     """Discovery is back just after a call has failed, or with a call out that it never answers."""
 
-    async with watching_proxy(setup) as (d, p, clock):
-        await advance_until(clock, lambda: len(d.calls) == 1)
-        d.calls[0].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(1))
-        await advance_until(clock, lambda: p.driver.endpoint_list.watch.version == 1)
+    async with watching_proxy(setup) as (discovery, proxy, clock):
+        await advance_until(clock, lambda: len(discovery.calls) == 1)
+        discovery.calls[0].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(1))
+        await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1)
         before = descriptors()
-        d.on_call = OUTAGES[mood]
+        discovery.on_call = OUTAGES[mood]
         caplog.clear()
-        d.calls[0].writer.transport.abort()
+        discovery.calls[0].writer.transport.abort()
         await outage(clock, 60.0 * minutes)
         lines = [r for r in caplog.records if r.levelno >= logging.WARNING]
         assert len(lines) <= LINES_MOST * (60.0 * minutes / BREAK_LOG_WINDOW_S + 1)
         assert not any(r.exc_info for r in lines)
-        assert set(p.driver.balancer.endpoints.states) == {endpoint_number("s-1")}  # the old list serves on
-        all_is_small(d, p)
+        assert set(proxy.driver.balancer.endpoints.states) == {
+            endpoint_number("s-1")
+        }  # the old list serves on
+        all_is_small(discovery, proxy)
         assert descriptors() <= before + 2  # a call that is out: its two ends
-        waited = await advance_to_next_call(d, clock)  # the last one that fails
-        await advance_until(clock, d.calls[-1].closed_by_proxy.is_set)
-        d.on_call = lambda call: None
-        waited = await advance_to_next_call(d, clock) + await answer_latest_call(d, p, clock, setup)
+        waited = await advance_to_next_call(discovery, clock)  # the last one that fails
+        await advance_until(clock, discovery.calls[-1].closed_by_proxy.is_set)
+        discovery.on_call = lambda call: None
+        waited = await advance_to_next_call(discovery, clock) + await answer_latest_call(
+            discovery, proxy, clock, setup
+        )
         assert waited < LIST_DEADLINE_S
-        assert p.driver.balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
+        assert proxy.driver.balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
 
 
 @EACH_SUBSCRIPTION
 async def test_change_is_applied_in_time_after_an_hour_of_refused_connections(
     setup: messages.Settings,
 ) -> None:
-    async with watching_proxy(setup) as (d, p, clock):
-        await advance_until(clock, lambda: len(d.calls) == 1)
-        assert d.server is not None
-        assert d.server.server is not None
-        d.calls[0].writer.transport.abort()
-        d.server.server.close()
+    async with watching_proxy(setup) as (discovery, proxy, clock):
+        await advance_until(clock, lambda: len(discovery.calls) == 1)
+        assert discovery.server is not None
+        assert discovery.server.server is not None
+        discovery.calls[0].writer.transport.abort()
+        discovery.server.server.close()
         await outage(clock, 3_600.0)
-        all_is_small(d, p)
-        tried = record_watch_starts(p)
-        await advance_until(clock, lambda: len(tried) > 0 and p.driver.endpoint_list.watch._task is None)
-        d.server.server = await asyncio.start_server(d.server.accept, "127.0.0.1", d.server.port)
+        all_is_small(discovery, proxy)
+        tried = record_watch_starts(proxy)
+        await advance_until(clock, lambda: len(tried) > 0 and not proxy.driver.endpoint_list.watch.is_running)
+        discovery.server.server = await asyncio.start_server(
+            discovery.server.accept, "127.0.0.1", discovery.server.port
+        )
         assert (
-            await advance_to_next_call(d, clock) + await answer_latest_call(d, p, clock, setup)
+            await advance_to_next_call(discovery, clock)
+            + await answer_latest_call(discovery, proxy, clock, setup)
             < LIST_DEADLINE_S
         )
 
@@ -139,21 +153,23 @@
 async def test_each_poll_waits_for_its_turn_at_an_overloaded_discovery() -> None:
     """It tells each call after its turn of 2 s and then drops it, for minutes: no news is left out."""
 
-    async with watching_proxy(POLLED_SETTINGS) as (d, p, clock):
+    async with watching_proxy(POLLED_SETTINGS) as (discovery, proxy, clock):
         for rev in range(1, 41):
-            if len(d.calls) < rev:
-                assert await advance_to_next_call(d, clock) < 1.0
-            assert await served_as(rev, d, p, clock) < POLL_QUEUE_S + 0.5
-            d.calls[-1].writer.transport.abort()
-        assert len(d.calls) == 40
+            if len(discovery.calls) < rev:
+                assert await advance_to_next_call(discovery, clock) < 1.0
+            assert await served_as(rev, discovery, proxy, clock) < POLL_QUEUE_S + 0.5
+            discovery.calls[-1].writer.transport.abort()
+        assert len(discovery.calls) == 40
 
 
-async def served_as(rev: int, d: StandInDiscovery, p: LoopbackProxy, clock: SteppedClock) -> float:
+async def served_as(
+    rev: int, discovery: StandInDiscovery, proxy: LoopbackProxy, clock: SteppedClock
+) -> float:
     """Has the call that is out told this version after its longest time in the queue."""
-    waited = await advance_until(clock, lambda: d.calls[-1].closed_by_proxy.is_set(), POLL_QUEUE_S)
-    d.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
-    waited += await advance_until(clock, lambda: p.driver.endpoint_list.watch.version == rev, 1.0)
-    assert p.driver.endpoint_list.watch.version == rev
+    waited = await advance_until(clock, lambda: discovery.calls[-1].closed_by_proxy.is_set(), POLL_QUEUE_S)
+    discovery.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
+    waited += await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == rev, 1.0)
+    assert proxy.driver.endpoint_list.watch.version == rev
     return waited
 
 
@@ -164,16 +180,16 @@
 ) -> None:
     """For minutes: each watch tells one version and stops, some after a beat."""
 
-    async with watching_proxy(setup) as (d, p, clock):
+    async with watching_proxy(setup) as (discovery, proxy, clock):
         for rev in range(1, 21):
-            await advance_until(clock, lambda rev=rev: len(d.calls) >= rev)  # type: ignore[misc]
-            d.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
-            await advance_until(clock, lambda rev=rev: p.driver.endpoint_list.watch.version == rev, 1.0)  # type: ignore[misc]
+            await advance_until(clock, lambda rev=rev: len(discovery.calls) >= rev)  # type: ignore[misc]
+            discovery.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
+            await advance_until(clock, lambda rev=rev: proxy.driver.endpoint_list.watch.version == rev, 1.0)  # type: ignore[misc]
             if beats:
                 await advance_until(clock, lambda: False, 2.0)
-                d.calls[-1].send(http_chunk("\n"))
-            assert await advance_to_next_call(d, clock) < LIST_DEADLINE_S - POLL_QUEUE_S
-            all_is_small(d, p)
+                discovery.calls[-1].send(http_chunk("\n"))
+            assert await advance_to_next_call(discovery, clock) < LIST_DEADLINE_S - POLL_QUEUE_S
+            all_is_small(discovery, proxy)
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
@@ -187,43 +203,46 @@
         asked.set()
         await turn.wait()
         news = endpoint_list(
-            endpoint_entry("a", a.port, "terminating"), endpoint_entry("b", b.port), rev=7, full=False
+            endpoint_entry("a", first_endpoint.port, "terminating"),
+            endpoint_entry("b", second_endpoint.port),
+            rev=7,
+            full=False,
         )
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(news))
         await reader.read()
 
     asked, turn = asyncio.Event(), asyncio.Event()
     async with (
-        StandInEndpoint(http_response(200, b"a")) as a,
-        StandInEndpoint(http_response(200, b"b")) as b,
-        StandInServer(slow) as d,
+        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
+        StandInServer(slow) as discovery,
     ):
         for _ in range(2):  # killed outright and started again, under its name and address
             turn.clear()
             asked.clear()
-            port = free_port()
-            told = config(
+            port = unused_port()
+            told = proxy_config(
                 listen=f"127.0.0.1:{port}",
-                discovery=f"127.0.0.1:{d.port}",
-                known=endpoint_list(endpoint_entry("a", a.port), rev=1),
+                discovery=f"127.0.0.1:{discovery.port}",
+                known=endpoint_list(endpoint_entry("a", first_endpoint.port), rev=1),
                 settings=raw_settings(limits=LIMITS, registryMode=mode),
             )
-            async with process(write(tmp_path, told)) as made:
+            async with running_proxy_process(write_config(tmp_path, told)) as made:
                 assert made.stderr is not None
                 await asked.wait()
                 if mode == "automatic":  # what the agent has counts as told at once: no request before it
                     with pytest.raises(ConnectionRefusedError):
                         await asyncio.open_connection("127.0.0.1", port)
                     turn.set()
-                    await port_of(made)
+                    await read_listening_port(made)
                 else:
-                    await port_of(made)
+                    await read_listening_port(made)
                     turn.set()
                     while b"is b," not in (line := await made.stderr.readline()):
                         assert line, "it ended"
-                for n in range(10):
+                for number in range(10):
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    writer.write(http_request(request_id=f"r{n}"))
+                    writer.write(http_request(request_id=f"r{number}"))
                     assert (await read_http_message(reader))[2] == b"b"
                     writer.close()
-        assert a.received == []
+        assert first_endpoint.received == []
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -18,8 +18,9 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
+from tests.net.upstream.conftest import PoolFactory
 from tests.support.attempts import KEYED_REQUEST, OK_RESPONSE, UNSAFE_REQUEST, RecordedAttempt
-from tests.support.balancer_harness import settings
+from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
 from tests.support.loopback_proxy import running_proxy
@@ -48,15 +49,17 @@
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
-        RawEndpoint(respond_with(http_response(200, b"x"))) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=settings(limits=limits)) as p,
+        RawEndpoint(respond_with(http_response(200, b"x"))) as endpoint,
+        running_proxy(
+            endpoint_entry("s-1", endpoint.port), settings=balancer_settings(limits=limits)
+        ) as proxy,
     ):
-        b.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        endpoint.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         if kept:
-            assert (await p.send_request(http_request("mark", request_id="first")))[2] == b"x"
-        b.reading.clear()
-        clock = p.step_clocks()
-        reader, writer = await p.connect()
+            assert (await proxy.send_request(http_request("mark", request_id="first")))[2] == b"x"
+        endpoint.reading.clear()
+        clock = proxy.step_clocks()
+        reader, writer = await proxy.connect()
         writer.write(http_request("mark" if kept else "pay", request_id="big", body=b"x" * 65_536))
         await wait_until(lambda: bool(transports) and transports[-1].get_write_buffer_size() > 0)
         if how == "gone":
@@ -64,20 +67,22 @@
         elif how == "deadline":
             clock.advance(4.0)
         else:
-            p.driver.end_all_requests()
+            proxy.driver.end_all_requests()
         if how != "gone":  # at the end of the proxy the module counts what is out as what may have run
             told = "502" if how == "end" and not kept else "503"
             assert (await read_http_message(reader))[0].split()[1] == told
-        await wait_until(lambda: p.driver.is_idle)
-        b.reading.set()
-        await wait_until(lambda: bool(b.accepted) and b.accepted[-1].has_remote_ended)
-        assert len(b.accepted) == 1
-        assert b.request_ids == ["first"] * kept
+        await wait_until(lambda: proxy.driver.is_idle)
+        endpoint.reading.set()
+        await wait_until(lambda: bool(endpoint.accepted) and endpoint.accepted[-1].has_remote_ended)
+        assert len(endpoint.accepted) == 1
+        assert endpoint.request_ids == ["first"] * kept
         writer.close()
 
 
 @pytest.mark.parametrize("how", ["cancel", "time out", "invalid"])
-async def test_abandoned_attempt_has_ended_at_its_endpoint_before_its_outcome(how: str) -> None:
+async def test_abandoned_attempt_has_ended_at_its_endpoint_before_its_outcome(
+    pool: ConnectionPool, how: str
+) -> None:
     """The next one may be written in the same turn, on a kept connection: it must be no second copy."""
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
@@ -85,24 +90,22 @@
             wire.send(b"not http\r\n\r\n")
 
     def done(outcome: Outcome, reply: UpstreamResponse | None) -> None:
-        [wire] = b.accepted
+        [wire] = endpoint.accepted
         try:
             ended.append(wire.socket.recv(1, socket.MSG_PEEK) == b"")
         except BlockingIOError:
             ended.append(False)
 
     ended: list[bool] = []
-    async with RawEndpoint(handle) as b:
-        pool = ConnectionPool(0.25, 30.0, 10)
-        out = pool.start_attempt(b.endpoint, KEYED_REQUEST, 60.0, done)
-        await wait_until(lambda: bool(b.received))
+    async with RawEndpoint(handle) as endpoint:
+        out = pool.start_attempt(endpoint.endpoint, KEYED_REQUEST, 60.0, done)
+        await wait_until(lambda: bool(endpoint.received))
         if how == "cancel":
             out.cancel()
         elif how == "time out":
             out.time_out()
         await wait_until(lambda: bool(ended))
         assert ended == [True]
-        pool.close()
 
 
 EVENTS = ["answer", "reset", "time out", "cancel", "cancel if unsent", "drain"]
@@ -146,7 +149,7 @@
 
 @pytest.mark.parametrize("first", EVENTS)
 async def test_attempt_has_one_outcome_in_any_order_of_concurrent_events(
-    first: str, monkeypatch: pytest.MonkeyPatch
+    new_pool: PoolFactory, first: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All that may end it, in each order of four, in one turn of the loop; the next request gets its own."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
@@ -163,19 +166,21 @@
         if got[0].split()[1] == "/next":
             wire.send(http_response(200, b"next"))
 
-    async with RawEndpoint(handle) as b:
+    async with RawEndpoint(handle) as endpoint:
         orders = [order for order in permutations(EVENTS, 4) if order[0] == first]
         for number, order in enumerate(orders):
-            pool, seen = ConnectionPool(0.25, 30.0, 10), len(b.received)
-            out = RecordedAttempt(pool, b.endpoint)
-            await wait_until(lambda seen=seen: len(b.received) > seen)  # type: ignore[misc]
-            wire, transport = b.accepted[-1], transports[-1]
+            pool, seen = new_pool(), len(endpoint.received)
+            out = RecordedAttempt(pool, endpoint.endpoint)
+            await wait_until(lambda seen=seen: len(endpoint.received) > seen)  # type: ignore[misc]
+            wire, transport = endpoint.accepted[-1], transports[-1]
             for event in order:
                 cross(event, pool, out, wire, transport)
             how, reply = await out.result()
             assert how is expected_end(order), order
             assert reply == (OK_RESPONSE if how is Outcome.OK else None)
-            got = await RecordedAttempt(pool, b.endpoint, replace(KEYED_REQUEST, target=b"/next")).result()
+            got = await RecordedAttempt(
+                pool, endpoint.endpoint, replace(KEYED_REQUEST, target=b"/next")
+            ).result()
             assert got[1], (number, order)
             assert got[1].body == b"next", (number, order)
             assert len(out.results) == 1
@@ -184,7 +189,7 @@
 
 @pytest.mark.parametrize("moment", ["coming", "made", "next turn"])
 async def test_attempt_has_one_outcome_when_ended_during_its_connect(
-    moment: str, monkeypatch: pytest.MonkeyPatch
+    new_pool: PoolFactory, moment: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All that may end it, in each order of two, as its connection comes up: and nothing is sent."""
     made = UpstreamConnection.connection_made
@@ -210,16 +215,16 @@
         "drain": Outcome.NOT_SENT,
     }
 
-    async with RawEndpoint(respond_with(http_response(200, b"ok"))) as b:
+    async with RawEndpoint(respond_with(http_response(200, b"ok"))) as endpoint:
         for first, second in permutations(outcomes, 2):
             for request in (KEYED_REQUEST, UNSAFE_REQUEST):
-                pool = ConnectionPool(0.25, 30.0, 10)
-                out = RecordedAttempt(pool, b.endpoint, replace(request, target=b"/crossed"))
+                pool = new_pool()
+                out = RecordedAttempt(pool, endpoint.endpoint, replace(request, target=b"/crossed"))
                 ends: dict[str, Callable[[], None]] = {
                     "time out": out.attempt.time_out,
                     "cancel": out.attempt.cancel,
                     "cancel if unsent": out.attempt.cancel_if_unsent,
-                    "drain": partial(pool.disable_endpoint, b.endpoint),
+                    "drain": partial(pool.disable_endpoint, endpoint.endpoint),
                 }
 
                 cross = partial(both, ends[first], ends[second])
@@ -230,7 +235,7 @@
                     crossing.append(cross)
                 assert await out.result() == (outcomes[first], None), (first, second)
                 for _ in range(3):  # what would come of it comes before the end of these
-                    assert (await RecordedAttempt(pool, b.endpoint, request).result())[0] is Outcome.OK
+                    assert (await RecordedAttempt(pool, endpoint.endpoint, request).result())[0] is Outcome.OK
                 assert len(out.results) == 1
                 pool.close()
-        assert not [first for first, _, _ in b.received if "crossed" in first]
+        assert not [first for first, _, _ in endpoint.received if "crossed" in first]
