--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -123,26 +123,22 @@
 
 
 async def test_connection_that_ends_while_it_is_accepted_leaves_nothing_behind(
-    caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+    proxy: LoopbackProxy, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as endpoint,
-        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
-    ):
-        with monkeypatch.context() as patch:
-            patch.setattr(
-                proxy.listener.acceptor, "listening_socket", Broken(proxy.listener.acceptor.listening_socket)
-            )
-            clients = [SocketClient(proxy) for _ in range(40)]
-            for client in clients:
-                client.socket.setblocking(False)
-                assert await proxy.listener.loop.sock_recv(client.socket, 1) == b""
-                client.socket.close()
-            await wait_until(lambda: not proxy.listener.acceptor.admission_tasks)
-        assert proxy.clients.descriptor_count == 0
-        assert "Traceback" not in caplog.text
-        assert caplog.text.count("lost while it was accepted") == 1
-        assert response_status(await proxy.send_request(http_request())) == 200
+    with monkeypatch.context() as patch:
+        patch.setattr(
+            proxy.listener.acceptor, "listening_socket", Broken(proxy.listener.acceptor.listening_socket)
+        )
+        clients = [SocketClient(proxy) for _ in range(40)]
+        for client in clients:
+            client.socket.setblocking(False)
+            assert await proxy.listener.loop.sock_recv(client.socket, 1) == b""
+            client.socket.close()
+        await wait_until(lambda: not proxy.listener.acceptor.admission_tasks)
+    assert proxy.clients.descriptor_count == 0
+    assert "Traceback" not in caplog.text
+    assert caplog.text.count("lost while it was accepted") == 1
+    assert response_status(await proxy.send_request(http_request())) == 200
 
 
 def open_count(accepted: list[socket.socket]) -> int:
@@ -255,27 +251,22 @@
 
 
 async def test_connections_aborted_before_accept_are_logged_once(
-    caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+    proxy: LoopbackProxy, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with (
-        StandInEndpoint(http_response(200, b"x")) as endpoint,
-        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
-    ):
+    async def fails(*args: object) -> None:
+        raise ConnectionAbortedError("gone")
 
-        async def fails(*args: object) -> None:
-            raise ConnectionAbortedError("gone")
-
-        with monkeypatch.context() as patch:
-            patch.setattr(proxy.listener.loop, "connect_accepted_socket", fails)
-            clients = [SocketClient(proxy) for _ in range(100)]
-            for client in clients:
-                client.socket.setblocking(False)
-                with contextlib.suppress(ConnectionError):
-                    assert await proxy.listener.loop.sock_recv(client.socket, 1) == b""
-                client.socket.close()
-        assert caplog.text.count("lost while it was accepted") == 1
-        assert proxy.clients.descriptor_count == 0
-        assert response_status(await proxy.send_request(http_request())) == 200
+    with monkeypatch.context() as patch:
+        patch.setattr(proxy.listener.loop, "connect_accepted_socket", fails)
+        clients = [SocketClient(proxy) for _ in range(100)]
+        for client in clients:
+            client.socket.setblocking(False)
+            with contextlib.suppress(ConnectionError):
+                assert await proxy.listener.loop.sock_recv(client.socket, 1) == b""
+            client.socket.close()
+    assert caplog.text.count("lost while it was accepted") == 1
+    assert proxy.clients.descriptor_count == 0
+    assert response_status(await proxy.send_request(http_request())) == 200
 
 
 async def test_bytes_buffered_for_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
