--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-import asyncio
+from collections.abc import Callable
 from dataclasses import replace
+from itertools import count
 
 import pytest
 
@@ -12,7 +13,9 @@
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.connector import Connector
+from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from tests.net.upstream.conftest import ConnectionHook
 from tests.support.attempts import (
     LONG_CONNECT_TIMEOUT_S,
     LONG_IDLE_TIMEOUT_S,
@@ -163,25 +166,27 @@
         pool.close()
 
 
-async def test_attempt_ends_only_when_none_of_its_connects_is_pending(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """A refusal ends that connection alone, and no more are opened where one was refused."""
+def refuse_connect(pool: ConnectionPool, refused_number: int) -> None:
+    """Have one of the pool's connects, counted from 0, refused once its gate is open."""
+    connect, numbers = pool.connector.open, count()
+
+    async def open_or_refuse(endpoint: EndpointAddress) -> UpstreamConnection:
+        is_refused = next(numbers) == refused_number
+        connection = await connect(endpoint)
+        if is_refused:
+            connection.close()
+            raise ConnectionRefusedError
+        return connection
 
+    pool.connector.open = open_or_refuse  # type: ignore[method-assign]
+
+
+async def test_attempt_ends_only_when_none_of_its_connects_is_pending() -> None:
+    """A refusal ends that connection alone, and no more are opened where one was refused."""
     async with StandInEndpoint(http_response(200)) as stand_in:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, stand_in), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        made, number = pool.connector.open, iter(range(9))
-
-        async def refused_second(endpoint: EndpointAddress) -> UpstreamConnection:
-            second = next(number) == 1
-            connection = await made(endpoint)
-            if second:
-                connection.close()
-                raise ConnectionRefusedError
-            return connection
-
-        monkeypatch.setattr(pool.connector, "open", refused_second)
+        refuse_connect(pool, 1)
         calls.begin("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
         await connects.advance(11.0)
         await connects.wait_for(2)
@@ -199,6 +204,43 @@
         pool.close()
 
 
+def give_up(how: str, pool: ConnectionPool, attempt: UpstreamAttempt) -> None:
+    {
+        "drain": lambda: pool.disable_endpoint(attempt.endpoint),
+        "client gone": attempt.cancel_if_unsent,
+        "cancel": attempt.cancel,
+        "time-out": attempt.time_out,
+        "end": pool.close,
+    }[how]()
+
+
+@pytest.fixture
+def give_up_once_established(
+    on_established: Callable[[ConnectionHook], None],
+) -> Callable[[str, ConnectionPool, UpstreamAttempt], list[bool]]:
+    """Return what gives an attempt up in the turn after its two connections are established.
+
+    The list gets one entry then: whether both connections stood, and the attempt had none of them yet.
+    """
+
+    def install(how: str, pool: ConnectionPool, attempt: UpstreamAttempt) -> list[bool]:
+        crossed: list[bool] = []
+
+        def cross() -> None:
+            if not crossed:  # both gates were opened at once, and the connects go on in step
+                crossed.append(len(pool.connections.open) == 2 and attempt.connection is None)
+                give_up(how, pool, attempt)
+
+        # In the next turn, before the tasks that wait for the connections, which this one wakes later.
+        def established(connection: UpstreamConnection) -> None:
+            pool.loop.call_soon(cross)
+
+        on_established(established)
+        return crossed
+
+    return install
+
+
 @pytest.mark.parametrize("up", [False, True], ids=["coming", "just up"])
 @pytest.mark.parametrize(
     ("how", "ends"),
@@ -211,43 +253,26 @@
     ],
 )
 async def test_attempt_given_up_with_two_pending_connections_leaves_none_open(
-    how: str, ends: Outcome | None, up: bool, monkeypatch: pytest.MonkeyPatch
+    how: str,
+    ends: Outcome | None,
+    up: bool,
+    give_up_once_established: Callable[[str, ConnectionPool, UpstreamAttempt], list[bool]],
 ) -> None:
     """Also where both stand, and the tasks that waited for them have been woken and have not run yet."""
-
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         out = calls.begin("a")
         await connects.advance(11.0)
         await connects.wait_for(2)
-        give_up = {
-            "drain": lambda: pool.disable_endpoint(calls.endpoint),
-            "client gone": out.cancel_if_unsent,
-            "cancel": out.cancel,
-            "time-out": out.time_out,
-            "end": pool.close,
-        }[how]
         tasks = [pending.task for pending in pool.pending.by_endpoint[calls.endpoint]]
         if up:
-            crossed: list[bool] = []
-            make = UpstreamConnection.connection_made
-
-            def made(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
-                make(connection, transport)
-                pool.loop.call_soon(cross)  # in the next turn, before the tasks, which this one wakes later
-
-            def cross() -> None:
-                if not crossed:  # they were let at once and go on in step
-                    crossed.append(len(pool.connections.open) == 2 and out.connection is None)
-                    give_up()
-
-            monkeypatch.setattr(UpstreamConnection, "connection_made", made)
+            crossed = give_up_once_established(how, pool, out)
             connects.open(0, 1)
             await wait_until(lambda: bool(crossed))
             assert crossed == [True]
         else:
-            give_up()
+            give_up(how, pool, out)
         await wait_until(lambda: all(task.done() for task in tasks) and not pool.connections.open)
         assert calls.outcomes == ({} if ends is None else {"a": ends})
         assert not pool.pending.by_endpoint
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -10,7 +10,7 @@
 import errno
 import random
 from collections import Counter
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
 from dataclasses import replace
 
@@ -28,7 +28,7 @@
 from load_balancer.net.upstream.waiting_attempts import WaitingAttempt
 from tests.support.http_messages import http_response, read_http_message
 from tests.support.stand_in_server import StandInServer
-from tests.support.stepped_clock import FrozenClock
+from tests.support.stepped_clock import FrozenClock, run_loop_turns
 
 SAFE = UpstreamRequest(b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True)
 ONCE = replace(SAFE, is_idempotent=False)
@@ -161,6 +161,19 @@
         assert not any(out.is_over for out in self.out.values())
         assert not self.wrong
 
+    async def run(self, step_count: int) -> None:
+        """Act at random for so many steps, and let all that was begun come to its end."""
+        for _ in range(step_count):
+            for _ in range(self.chance.choice([0, 1, 1, 3])):
+                if len(self.out) < MOST_OUT:
+                    self.act()
+            if self.gates and self.chance.random() < 0.7:
+                self.gates.pop(self.chance.randrange(len(self.gates))).set()
+            await self.go_on(self.chance.choice(STEPS_S) if self.chance.random() < 0.5 else 0.0)
+        self.depth = DEEPEST
+        for _ in range(70):
+            await self.go_on(0.1)
+
     async def go_on(self, seconds: float) -> None:
         self.clock.advance(seconds)
         for _ in range(TURNS):
@@ -168,15 +181,41 @@
             self.check()
 
 
-@pytest.mark.parametrize("seed", range(PLAYS))
-async def test_each_attempt_ends_once_and_the_pool_is_empty(
-    seed: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    loop, chance = asyncio.get_running_loop(), random.Random(seed)
-    async with fickle(chance) as first_endpoint, fickle(chance) as second_endpoint:
-        play = Play(chance, [first_endpoint.port, second_endpoint.port])
-        pool, send = play.pool, UpstreamConnection.send
+def pending_timers(*owners: type) -> list[asyncio.TimerHandle]:
+    """Return the event loop's timers that call a method of these classes."""
+    timers = asyncio.get_running_loop()._scheduled  # type: ignore[attr-defined]
+    return [
+        timer
+        for timer in timers
+        if not timer.cancelled() and isinstance(getattr(timer._callback, "__self__", None), owners)
+    ]
+
 
+def assert_pool_is_empty(pool: ConnectionPool) -> None:
+    assert not pool.waiting.by_endpoint
+    assert not pool.pending.by_endpoint
+    assert not pool.idle.by_endpoint
+    assert not pool.connections.open
+    assert not pending_timers(
+        UpstreamAttempt, ConnectionWait, UpstreamConnection, ConnectionReuse, ConnectionPool
+    )
+
+
+def assert_pool_has_forgotten(pool: ConnectionPool, endpoints: list[EndpointAddress]) -> None:
+    """Disable the endpoints, after which nothing of them may be left."""
+    for endpoint in endpoints:
+        pool.disable_endpoint(endpoint)
+    assert not pool.idle.reuse_from_s
+    assert not pool.connections.last_activity_at_s
+    assert not pool.pacing.no_extra_until_s
+
+
+@pytest.fixture
+def watch_play(monkeypatch: pytest.MonkeyPatch) -> Callable[[Play], None]:
+    """Return what has each request that is sent, and each exception of the event loop, noted by a play."""
+    send = UpstreamConnection.send
+
+    def install(play: Play) -> None:
         def checked(
             connection: UpstreamConnection, attempt: UpstreamAttempt, request: UpstreamRequest
         ) -> Outcome | None:
@@ -184,68 +223,64 @@
             return send(connection, attempt, request)
 
         monkeypatch.setattr(UpstreamConnection, "send", checked)
-        loop.set_exception_handler(lambda _, context: play.wrong.append(str(context)))
-        for _ in range(STEPS):
-            for _ in range(chance.choice([0, 1, 1, 3])):
-                if len(play.out) < MOST_OUT:
-                    play.act()
-            if play.gates and chance.random() < 0.7:
-                play.gates.pop(chance.randrange(len(play.gates))).set()
-            await play.go_on(chance.choice(STEPS_S) if chance.random() < 0.5 else 0.0)
-        play.depth = DEEPEST
-        for _ in range(70):
-            await play.go_on(0.1)
+        play.pool.loop.set_exception_handler(lambda _, context: play.wrong.append(str(context)))
+
+    return install
+
+
+@pytest.mark.parametrize("seed", range(PLAYS))
+async def test_each_attempt_ends_once_and_the_pool_is_empty(
+    seed: int, watch_play: Callable[[Play], None]
+) -> None:
+    chance = random.Random(seed)
+    async with fickle(chance) as first_endpoint, fickle(chance) as second_endpoint:
+        play = Play(chance, [first_endpoint.port, second_endpoint.port])
+        watch_play(play)
+        await play.run(STEPS)
         assert not play.out
         assert play.ended == dict.fromkeys(range(play.begun), 1)
-        assert not pool.waiting.by_endpoint
-        assert not pool.pending.by_endpoint
-        assert not pool.idle.by_endpoint
-        assert not pool.connections.open
-        ours = (UpstreamAttempt, ConnectionWait, UpstreamConnection, ConnectionReuse, ConnectionPool)
-        timers = [handle for handle in loop._scheduled if not handle.cancelled()]  # type: ignore[attr-defined]
-        assert not [
-            handle for handle in timers if isinstance(getattr(handle._callback, "__self__", None), ours)
-        ]
-        for endpoint in play.endpoints:
-            pool.disable_endpoint(endpoint)
-        assert not pool.idle.reuse_from_s
-        assert not pool.connections.last_activity_at_s
-        assert not pool.pacing.no_extra_until_s
+        assert_pool_is_empty(play.pool)
+        assert_pool_has_forgotten(play.pool, play.endpoints)
         assert not play.wrong
-        loop.set_exception_handler(None)
+        play.pool.loop.set_exception_handler(None)
+
+
+def hold_all_connects(pool: ConnectionPool) -> None:
+    async def never(endpoint: EndpointAddress) -> UpstreamConnection:
+        await asyncio.Event().wait()
+        raise AssertionError
+
+    pool.connector.open = never  # type: ignore[method-assign]
+
+
+def record_considered(pool: ConnectionPool) -> list[WaitingAttempt]:
+    """Collect the attempt each time that the pool considers one more connection for it."""
+    considered: list[WaitingAttempt] = []
+    extra_connection_pays = pool.queue.extra_connection_pays
+
+    def record(attempt: WaitingAttempt) -> bool:
+        considered.append(attempt)
+        return extra_connection_pays(attempt)
+
+    pool.queue.extra_connection_pays = record  # type: ignore[method-assign]
+    return considered
 
 
 async def test_waiting_attempt_considers_an_extra_connection_a_few_times_only() -> None:
     """It may wait for hundreds of times of what is usual, and each look takes the event loop's time."""
-    looks = 0
-
     async with fickle(random.Random(0)) as stand_in:
         pool, clock = ConnectionPool(1.0, 30.0, 10), FrozenClock()
         for _ in range(32):
             pool.pacing.latency.add(0.0001)
-
-        async def never(endpoint: EndpointAddress) -> UpstreamConnection:
-            await asyncio.Event().wait()
-            raise AssertionError
-
-        pool.connector.open = never  # type: ignore[method-assign]
-        look = pool.queue.extra_connection_pays
-
-        def counted(attempt: WaitingAttempt) -> bool:
-            nonlocal looks
-            looks += 1
-            return look(attempt)
-
-        pool.queue.extra_connection_pays = counted  # type: ignore[method-assign]
-        ended: list[Outcome] = []
+        hold_all_connects(pool)
+        considered, ended = record_considered(pool), list[Outcome]()
         pool.start_attempt(
             EndpointAddress(1, ("127.0.0.1", stand_in.port)), SAFE, 30.0, lambda how, _: ended.append(how)
         )
         while not ended:
             clock.advance(0.001)
-            for _ in range(3):
-                await asyncio.sleep(0)
+            await run_loop_turns(3)
         assert ended == [Outcome.NO_CONNECTION]
         assert connect_pacing.MIN_LATE_S == 0.002
         pool.close()
-    assert 1 + connection_queue.MAX_SPARE_CONNECTS <= looks <= 12
+    assert 1 + connection_queue.MAX_SPARE_CONNECTS <= len(considered) <= 12
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -20,27 +20,32 @@
 OTHERS = 1 + MAX_SPARE_CONNECTS
 
 
-@pytest.mark.parametrize("refused", [False, True])
-async def test_attempt_opens_its_own_connection_when_shared_ones_fail(
-    refused: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Unless the backend refuses, where one more would say nothing new."""
+class FailingConnects:
+    """Has the first connects of a pool fail once their gates are open."""
+
+    def __init__(self, pool: ConnectionPool, failing_count: int, error: type[OSError]) -> None:
+        self.failing_count, self.error = failing_count, error
+        self._open = pool.connector.open
+        pool.connector.open = self.open  # type: ignore[method-assign]
+
+    async def open(self, endpoint: EndpointAddress) -> UpstreamConnection:
+        fails = self.failing_count > 0
+        self.failing_count -= 1
+        connection = await self._open(endpoint)
+        if fails:
+            connection.close()
+            raise self.error
+        return connection
 
-    async with StandInEndpoint(http_response(200)) as stand_in:
+
+@pytest.mark.parametrize("refused", [False, True])
+async def test_attempt_opens_its_own_connection_when_shared_ones_fail(refused: bool) -> None:
+    """Unless the endpoint refuses, where one more would say nothing new."""
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(600.0, 300.0, 10)
-        calls, connects = RecordedAttempts(pool, stand_in), ConnectGates(pool, [])
-        gates, number = pool.connector.open, iter(range(99))
-
-        async def first_fail(endpoint: EndpointAddress) -> UpstreamConnection:
-            fails = next(number) < OTHERS
-            connection = await gates(endpoint)
-            if fails:
-                connection.close()
-                raise ConnectionRefusedError if refused else TimeoutError
-            return connection
-
-        monkeypatch.setattr(pool.connector, "open", first_fail)
-        before = [calls.begin(f"x{index}") for index in range(OTHERS)]
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, [])
+        FailingConnects(pool, OTHERS, ConnectionRefusedError if refused else TimeoutError)
+        before = [calls.begin(f"x{number}") for number in range(OTHERS)]
         await connects.wait_for(OTHERS)
         for attempt in before:  # they move on, and what is coming goes on for others to use
             attempt.finish(Outcome.NOT_SENT, keep_connecting=True)
@@ -57,5 +62,5 @@
             connects.open(OTHERS)
             await wait_until(lambda: "late" in calls.outcomes)
             assert calls.outcomes["late"] is Outcome.OK
-            assert stand_in.request_ids == ["late"]
+            assert endpoint.request_ids == ["late"]
         pool.close()
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 import asyncio
+import select
 import socket
 from collections.abc import Callable
 from dataclasses import replace
 from functools import partial
-from itertools import permutations
+from itertools import permutations, product
 from typing import Any
 
 import pytest
@@ -18,35 +19,58 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
-from tests.net.upstream.conftest import PoolFactory
+from tests.net.upstream.conftest import ConnectionHook, PoolFactory
 from tests.support.attempts import KEYED_REQUEST, OK_RESPONSE, UNSAFE_REQUEST, RecordedAttempt
 from tests.support.balancer_harness import settings
 from tests.support.endpoint_lists import endpoint_entry
-from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
-from tests.support.loopback_proxy import running_proxy
+from tests.support.http_messages import (
+    HttpMessage,
+    http_request,
+    http_response,
+    read_http_message,
+    response_status,
+)
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.raw_endpoint import EndpointConnection, RawEndpoint, respond_with
-from tests.support.stepped_clock import wait_until
+from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.time_limit import TEST_TIMEOUT_S
+
+
+def end_request(how: str, proxy: LoopbackProxy, clock: SteppedClock, writer: asyncio.StreamWriter) -> None:
+    if how == "gone":
+        writer.close()
+    elif how == "deadline":
+        clock.advance(4.0)
+    else:
+        proxy.driver.end_all_requests()
+
+
+@pytest.fixture
+def narrow_transports(on_established: Callable[[ConnectionHook], None]) -> list[asyncio.Transport]:
+    """Collect the transports of connections to endpoints, which all take little at once."""
+    transports: list[asyncio.Transport] = []
+
+    def narrow(connection: UpstreamConnection) -> None:
+        transport = connection.transport
+        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        transports.append(transport)
+
+    on_established(narrow)
+    return transports
 
 
-# After the final answer
 @pytest.mark.parametrize("kept", [False, True])
 @pytest.mark.parametrize("cancel", [False, True])
 @pytest.mark.parametrize("how", ["gone", "deadline", "end"])
 async def test_rest_of_a_request_is_not_written_after_its_final_response(
-    how: str, cancel: bool, kept: bool, monkeypatch: pytest.MonkeyPatch
+    how: str,
+    cancel: bool,
+    kept: bool,
+    narrow_transports: list[asyncio.Transport],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its backend has taken only a part: nothing has run yet, and the rest would make it run for nobody."""
+    """Its endpoint has taken only a part: nothing has run yet, and the rest would make it run for nobody."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
-    made = UpstreamConnection.connection_made
-    transports: list[asyncio.Transport] = []
-
-    def narrow(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
-        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        made(connection, transport)
-        transports.append(connection.transport)
-
-    monkeypatch.setattr(UpstreamConnection, "connection_made", narrow)
-
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
         RawEndpoint(respond_with(http_response(200, b"x"))) as endpoint,
@@ -59,16 +83,13 @@
         clock = proxy.step_clocks()
         reader, writer = await proxy.connect()
         writer.write(http_request("mark" if kept else "pay", request_id="big", body=b"x" * 65_536))
-        await wait_until(lambda: bool(transports) and transports[-1].get_write_buffer_size() > 0)
-        if how == "gone":
-            writer.close()
-        elif how == "deadline":
-            clock.advance(4.0)
-        else:
-            proxy.driver.end_all_requests()
-        if how != "gone":  # at the end of the proxy the module counts what is out as what may have run
-            told = "502" if how == "end" and not kept else "503"
-            assert (await read_http_message(reader))[0].split()[1] == told
+        await wait_until(
+            lambda: bool(narrow_transports) and narrow_transports[-1].get_write_buffer_size() > 0
+        )
+        end_request(how, proxy, clock, writer)
+        if how != "gone":  # at the end of the proxy the policy counts what is in flight as what may have run
+            expected_status = 502 if how == "end" and not kept else 503
+            assert response_status(await read_http_message(reader)) == expected_status
         await wait_until(lambda: proxy.driver.is_idle)
         endpoint.reading.set()
         await wait_until(lambda: bool(endpoint.accepted) and endpoint.accepted[-1].has_remote_ended)
@@ -115,17 +136,28 @@
 }
 
 
+def read_now(transport: Any) -> None:
+    """Have the bytes, or the end, read in this very turn of the loop, once the system has them."""
+    readable = select.poll()
+    readable.register(transport.get_extra_info("socket"), select.POLLIN)
+    assert readable.poll(1000.0 * TEST_TIMEOUT_S)
+    transport._read_ready()
+
+
 def cross(
     event: str, pool: ConnectionPool, out: RecordedAttempt, wire: EndpointConnection, transport: Any
 ) -> None:
-    """Lets one event happen, within this turn of the loop."""
+    """Let one event happen, within this turn of the loop."""
     match event:
         case "answer" if not wire.is_closed:
+            is_read = not transport.is_closing()
             wire.send(http_response(200, b"ok"))
-            transport._read_ready()  # the loop's reading, in this very turn
+            if is_read:
+                read_now(transport)
         case "reset":
             wire.reset()
-            transport._read_ready()
+            if not transport.is_closing():
+                read_now(transport)
         case "time out":
             out.attempt.time_out()
         case "cancel":
@@ -145,26 +177,24 @@
     return ENDS[ending[0] if ending else "reset"]
 
 
+async def respond_to_next(connection: EndpointConnection, request: HttpMessage) -> None:
+    """Answer the requests for `/next` alone."""
+    if request.start_line.split()[1] == "/next":
+        connection.send(http_response(200, b"next"))
+
+
 @pytest.mark.parametrize("first", EVENTS)
 async def test_attempt_has_one_outcome_in_any_order_of_concurrent_events(
-    new_pool: PoolFactory, first: str, monkeypatch: pytest.MonkeyPatch
+    new_pool: PoolFactory,
+    first: str,
+    on_established: Callable[[ConnectionHook], None],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """All that may end it, in each order of four, in one turn of the loop; the next request gets its own."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
-    made = UpstreamConnection.connection_made
-    transports: list[Any] = []
-
-    def connection_made(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
-        made(connection, transport)
-        transports.append(transport)
-
-    monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made)
-
-    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        if got[0].split()[1] == "/next":
-            wire.send(http_response(200, b"next"))
-
-    async with RawEndpoint(handle) as endpoint:
+    transports: list[asyncio.Transport] = []
+    on_established(lambda connection: transports.append(connection.transport))
+    async with RawEndpoint(respond_to_next) as endpoint:
         orders = [order for order in permutations(EVENTS, 4) if order[0] == first]
         for number, order in enumerate(orders):
             pool, seen = new_pool(), len(endpoint.received)
@@ -176,64 +206,70 @@
             how, reply = await out.result()
             assert how is expected_end(order), order
             assert reply == (OK_RESPONSE if how is Outcome.OK else None)
-            got = await RecordedAttempt(
-                pool, endpoint.endpoint, replace(KEYED_REQUEST, target=b"/next")
-            ).result()
+            following = replace(KEYED_REQUEST, target=b"/next")
+            got = await RecordedAttempt(pool, endpoint.endpoint, following).result()
             assert got[1], (number, order)
             assert got[1].body == b"next", (number, order)
             assert len(out.results) == 1
             pool.close()
 
 
+OUTCOMES_DURING_CONNECT = {
+    "time out": Outcome.NO_CONNECTION,
+    "cancel": Outcome.CANCELLED,
+    "cancel if unsent": Outcome.NOT_SENT,
+    "drain": Outcome.NOT_SENT,
+}
+
+
+def end_in_two_ways(pool: ConnectionPool, out: RecordedAttempt, first: str, second: str) -> None:
+    ways: dict[str, Callable[[], None]] = {
+        "time out": out.attempt.time_out,
+        "cancel": out.attempt.cancel,
+        "cancel if unsent": out.attempt.cancel_if_unsent,
+        "drain": partial(pool.disable_endpoint, out.attempt.endpoint),
+    }
+    ways[first]()
+    ways[second]()
+
+
+class ConnectCrossing:
+    """Has a function called at one moment of the next connect."""
+
+    def __init__(self, moment: str) -> None:
+        self.moment = moment
+        self._pending: list[Callable[[], None]] = []
+
+    async def at_moment(self, function: Callable[[], None]) -> None:
+        if self.moment == "coming":
+            await asyncio.sleep(0)  # the connect has begun
+            function()
+        else:
+            self._pending.append(function)
+
+    def established(self, connection: UpstreamConnection) -> None:
+        if self._pending and self.moment == "made":
+            self._pending.pop()()
+        elif self._pending and self.moment == "next turn":
+            asyncio.get_running_loop().call_soon(self._pending.pop())
+
+
 @pytest.mark.parametrize("moment", ["coming", "made", "next turn"])
 async def test_attempt_has_one_outcome_when_ended_during_its_connect(
-    new_pool: PoolFactory, moment: str, monkeypatch: pytest.MonkeyPatch
+    new_pool: PoolFactory, moment: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
     """All that may end it, in each order of two, as its connection comes up: and nothing is sent."""
-    made = UpstreamConnection.connection_made
-    crossing: list[Callable[[], None]] = []
-
-    def connection_made(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
-        made(connection, transport)
-        if crossing and moment == "made":
-            crossing.pop()()
-        elif crossing and moment == "next turn":
-            asyncio.get_running_loop().call_soon(crossing.pop())
-
-    monkeypatch.setattr(UpstreamConnection, "connection_made", connection_made)
-
-    def both(one: Callable[[], None], two: Callable[[], None]) -> None:
-        one()
-        two()
-
-    outcomes = {
-        "time out": Outcome.NO_CONNECTION,
-        "cancel": Outcome.CANCELLED,
-        "cancel if unsent": Outcome.NOT_SENT,
-        "drain": Outcome.NOT_SENT,
-    }
-
+    crossing = ConnectCrossing(moment)
+    on_established(crossing.established)
+    orders = product(permutations(OUTCOMES_DURING_CONNECT, 2), (KEYED_REQUEST, UNSAFE_REQUEST))
     async with RawEndpoint(respond_with(http_response(200, b"ok"))) as endpoint:
-        for first, second in permutations(outcomes, 2):
-            for request in (KEYED_REQUEST, UNSAFE_REQUEST):
-                pool = new_pool()
-                out = RecordedAttempt(pool, endpoint.endpoint, replace(request, target=b"/crossed"))
-                ends: dict[str, Callable[[], None]] = {
-                    "time out": out.attempt.time_out,
-                    "cancel": out.attempt.cancel,
-                    "cancel if unsent": out.attempt.cancel_if_unsent,
-                    "drain": partial(pool.disable_endpoint, endpoint.endpoint),
-                }
-
-                cross = partial(both, ends[first], ends[second])
-                if moment == "coming":
-                    await asyncio.sleep(0)  # the connect has begun
-                    cross()
-                else:
-                    crossing.append(cross)
-                assert await out.result() == (outcomes[first], None), (first, second)
-                for _ in range(3):  # what would come of it comes before the end of these
-                    assert (await RecordedAttempt(pool, endpoint.endpoint, request).result())[0] is Outcome.OK
-                assert len(out.results) == 1
-                pool.close()
+        for (first, second), request in orders:
+            pool = new_pool()
+            out = RecordedAttempt(pool, endpoint.endpoint, replace(request, target=b"/crossed"))
+            await crossing.at_moment(partial(end_in_two_ways, pool, out, first, second))
+            assert await out.result() == (OUTCOMES_DURING_CONNECT[first], None), (first, second)
+            for _ in range(3):  # what would come of it comes before the end of these
+                assert (await RecordedAttempt(pool, endpoint.endpoint, request).result())[0] is Outcome.OK
+            assert len(out.results) == 1
+            pool.close()
         assert not [first for first, _, _ in endpoint.received if "crossed" in first]
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import asyncio
-from dataclasses import replace
+from collections.abc import Callable
+from dataclasses import dataclass, field, replace
 
 import pytest
 
@@ -11,6 +12,7 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
+from tests.net.upstream.conftest import ConnectionHook
 from tests.support.attempts import KEYED_REQUEST, OK_RESPONSE, REQUEST_KINDS, UNSAFE_REQUEST, RecordedAttempt
 from tests.support.connect_gates import SystemConnectGate
 from tests.support.endpoint_lists import endpoint_entry
@@ -20,47 +22,53 @@
 from tests.support.stepped_clock import FrozenClock, wait_until
 
 
+@dataclass
+class EarlyBytes:
+    """Ends the first connection, or sends on it, in the turn in which it is established."""
+
+    what: str
+    endpoints: list[RawEndpoint] = field(default_factory=list)
+    crossed: list[EndpointConnection] = field(default_factory=list)  # the endpoint's side of it
+
+    def established(self, connection: UpstreamConnection) -> None:
+        if self.crossed:
+            return
+        [endpoint] = [one for one in self.endpoints if one.endpoint.address == connection.endpoint.address]
+        crossed = EndpointConnection(endpoint.socket.accept()[0], asyncio.Event())
+        self.crossed.append(crossed)
+        if "answer" in self.what:
+            crossed.send(http_response(200, b"unasked"))
+        if "end" in self.what:
+            crossed.end_sending()
+        if self.what == "reset":
+            crossed.reset()
+        for endpoint in self.endpoints:
+            endpoint.accepting.set()
+
+
 @pytest.mark.parametrize("kind", REQUEST_KINDS)
 @pytest.mark.parametrize("what", ["end", "reset", "answer", "answer, end"])
 async def test_new_connection_that_ended_or_sent_bytes_early_carries_no_request(
-    what: str, kind: str, monkeypatch: pytest.MonkeyPatch
+    what: str, kind: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
     """It broke before the request's last byte was written: that has surely not run and may go elsewhere."""
-    made = UpstreamConnection.connection_made
-
-    def crossed(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
-        made(connection, transport)
-        if taken:
-            return
-        [b] = [b for b in backends if b.endpoint.address == connection.endpoint.address]
-        taken.append(EndpointConnection(b.socket.accept()[0], asyncio.Event()))
-        if "answer" in what:
-            taken[0].send(http_response(200, b"unasked"))
-        if "end" in what:
-            taken[0].end_sending()
-        if what == "reset":
-            taken[0].reset()
-        for b in backends:
-            b.accepting.set()
-
-    monkeypatch.setattr(UpstreamConnection, "connection_made", crossed)
-    taken: list[EndpointConnection] = []
-    backends: list[RawEndpoint] = []
-
+    early = EarlyBytes(what)
+    on_established(early.established)
     handle = respond_with(http_response(200, b"served"))
     async with (
-        RawEndpoint(handle, accepts=False) as first_endpoint,
-        RawEndpoint(handle, accepts=False) as b,
-        running_proxy(endpoint_entry("s-1", first_endpoint.port), endpoint_entry("s-2", b.port)) as proxy,
+        RawEndpoint(handle, accepts=False) as first,
+        RawEndpoint(handle, accepts=False) as second,
+        running_proxy(endpoint_entry("s-1", first.port), endpoint_entry("s-2", second.port)) as proxy,
     ):
-        backends[:] = [first_endpoint, b]
+        early.endpoints += [first, second]
         line, _, body = await proxy.send_request(http_request(kind, request_id="r1"))
         assert line.split()[1] == "200"
         assert body == b"served"
-        assert first_endpoint.request_ids + b.request_ids == ["r1"]
-        if not taken[0].is_closed:
-            assert taken[0].socket.recv(1) == b""  # nothing was written
-            taken[0].socket.close()
+        assert first.request_ids + second.request_ids == ["r1"]
+        [crossed] = early.crossed
+        if not crossed.is_closed:
+            assert crossed.socket.recv(1) == b""  # nothing was written
+            crossed.socket.close()
 
 
 @pytest.mark.parametrize("how", ["cancel", "cancel if unsent", "drain", "time out", "no connection"])
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import socket
+from collections.abc import Callable
 from dataclasses import replace
 
 import pytest
@@ -11,7 +12,9 @@
 from load_balancer.messages import Outcome
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.connection_pool import ConnectionPool
+from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
+from tests.net.upstream.conftest import ConnectionHook
 from tests.support.attempts import KEYED_REQUEST, UNSAFE_REQUEST, run_attempt
 from tests.support.http_messages import http_response, read_http_message
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
@@ -97,34 +100,33 @@
         assert await ended is (Outcome.OK if written else Outcome.NOT_SENT)
 
 
+def end_attempt(how: str, pool: ConnectionPool, attempt: UpstreamAttempt) -> None:
+    assert attempt.connection is None
+    assert not attempt.is_over
+    assert pool.connections.open
+    {
+        "cancel": attempt.cancel,
+        "cancel if unsent": attempt.cancel_if_unsent,
+        "disable": lambda: pool.disable_endpoint(attempt.endpoint),
+        "time out": attempt.time_out,
+    }[how]()
+
+
 @pytest.mark.parametrize("how", ["cancel", "cancel if unsent", "disable", "time out"])
 async def test_attempt_ended_as_its_connection_is_established_leaves_none_open(
-    pool: ConnectionPool, how: str, monkeypatch: pytest.MonkeyPatch
+    pool: ConnectionPool, how: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
     """It stands, and the task that waited for it has been woken and has not run yet."""
-
     async with StandInEndpoint(http_response(200, b"ok")) as stand_in:
         endpoint = EndpointAddress(1, ("127.0.0.1", stand_in.port))
         ended: list[Outcome] = []
-        made = UpstreamConnection.connection_made
-
-        def crossed(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
-            made(connection, transport)
-            pool.loop.call_soon(cross)  # in the next turn, before the task, which this one wakes later
-
-        def cross() -> None:
-            assert out.connection is None
-            assert not out.is_over
-            assert pool.connections.open
-            {
-                "cancel": out.cancel,
-                "cancel if unsent": out.cancel_if_unsent,
-                "disable": lambda: pool.disable_endpoint(endpoint),
-                "time out": out.time_out,
-            }[how]()
-
-        monkeypatch.setattr(UpstreamConnection, "connection_made", crossed)
-        out = pool.start_attempt(endpoint, KEYED_REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
+
+        def established(connection: UpstreamConnection) -> None:
+            # In the next turn, before the task, which this one wakes later.
+            pool.loop.call_soon(lambda: end_attempt(how, pool, attempt))
+
+        on_established(established)
+        attempt = pool.start_attempt(endpoint, KEYED_REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
         await wait_until(
             lambda: stand_in.connection_count == 1
             and not pool.connections.open
