--- a/load_balancer/net/driver/endpoint_list_receiver.py
+++ b/load_balancer/net/driver/endpoint_list_receiver.py
@@ -8,7 +8,7 @@
 from load_balancer import messages
 from load_balancer.net.addresses import Address
 from load_balancer.net.clock import Clock
-from load_balancer.net.discovery.endpoint_list_json import EndpointListMessage
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage
 from load_balancer.net.discovery.endpoint_watch import (
     POLLED_LIST_TIMEOUT_S,
     PUSHED_LIST_TIMEOUT_S,
@@ -60,7 +60,7 @@
 
     def restore(self, cached: EndpointListMessage) -> None:
         """Apply the list as it was known before the start of the process, which may be old."""
-        self.watch.version = cached.version
+        self.watch.resume_from(cached.version)
         self._apply(cached, messages.EndpointListKind.CACHED)
         if self._is_polled:  # attempts are judged by no other list before one has come
             self.discovery_reported.set()
