--- a/tests/net/discovery/test_discovery_moves.py
+++ b/tests/net/discovery/test_discovery_moves.py
@@ -321,8 +321,7 @@
     made = Moody(name, mood)
     async with StandInServer(made.handle) as p:
         if mood == "refuses":
-            assert p.server is not None
-            p.server.close()
+            p.stop_listening()
         yield made, p
 
 
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -18,17 +18,12 @@
     endpoint_list,
     endpoint_list_chunk,
 )
-from tests.support.http_messages import http_chunk, http_response
+from tests.support.http_messages import http_chunk, http_response, read_start_line
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import StandInServer, StreamHandler
 from tests.support.stepped_clock import SteppedClock, advance_until, wait_until
 
 
-async def ask(reader: asyncio.StreamReader) -> str:
-    """The first line of a request without a body."""
-    return (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
-
-
 class Watched:
     """A watch, and what came of it."""
 
@@ -45,7 +40,7 @@
     asked: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        asked.append(await ask(reader))
+        asked.append(await read_start_line(reader))
         full = endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=41))
         writer.write(WATCH_RESPONSE_HEAD + full[:20])
         await writer.drain()
@@ -91,7 +86,7 @@
 )
 async def test_each_failure_reports_one_break(said: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await ask(reader)
+        await read_start_line(reader)
         writer.write(said)
 
     async with StandInServer(handle) as d:
@@ -117,7 +112,7 @@
     )
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await ask(reader)
+        await read_start_line(reader)
         writer.write(WATCH_RESPONSE_HEAD)
         for at in range(0, len(text), cut):
             writer.write(http_chunk(text[at : at + cut]))
@@ -142,7 +137,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await ask(reader)
+        await read_start_line(reader)
         writer.write(WATCH_RESPONSE_HEAD)
         for _ in range(8):
             clock.advance(40.0)
@@ -172,7 +167,7 @@
         feed(reader, data)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await ask(reader)
+        await read_start_line(reader)
         writer.write(
             WATCH_RESPONSE_HEAD
             + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9)))
@@ -196,7 +191,7 @@
     asked: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        asked.append(await ask(reader))
+        asked.append(await read_start_line(reader))
         writer.write(
             WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=41))
         )
@@ -224,7 +219,7 @@
     seen: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        seen.append(await ask(reader))
+        seen.append(await read_start_line(reader))
         if len(seen) not in silent:
             writer.write(
                 WATCH_RESPONSE_HEAD
@@ -278,7 +273,7 @@
     """It may wait for 2 s in discovery's queue; giving it up would only send it to the end of that."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await ask(reader)
+        await read_start_line(reader)
         asked.set()
         await turn.wait()
         writer.write(
@@ -309,7 +304,7 @@
     """The old one's last bytes, or its end, have woken its task, which has not run yet."""
 
     async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await ask(reader)
+        await read_start_line(reader)
         writer.write(
             WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=1))
         )
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -168,13 +168,11 @@
 
     async with watching_proxy(setup) as (d, p, clock):
         await advance_until(clock, lambda: len(d.calls) == 1)
-        assert d.server is not None
-        assert d.server.server is not None
         d.calls[0].writer.transport.abort()
-        d.server.server.close()
+        d.server.stop_listening()
         tried = record_watch_starts(p)
         await advance_until(clock, lambda: len(tried) == 6 and not p.driver.endpoint_list.watch.is_running)
-        d.server.server = await asyncio.start_server(d.server.accept, "127.0.0.1", d.server.port)
+        await d.server.listen_again()
         waited = await advance_to_next_call(d, clock) + await answer_latest_call(d, p, clock, setup)
         assert waited < LIST_DEADLINE_S
 
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -15,22 +15,17 @@
     endpoint_list_chunk,
     parsed_endpoint_list,
 )
-from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.http_messages import http_request, http_response, read_http_message, read_start_line
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import wait_until
 
 
-async def ask(reader: asyncio.StreamReader) -> str:
-    """The first line of a request without a body."""
-    return (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
-
-
 async def test_list_change_reaches_the_policy_before_the_next_attempt() -> None:
     told = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await ask(reader)
+        await read_start_line(reader)
         writer.write(
             WATCH_RESPONSE_HEAD
             + endpoint_list_chunk(
@@ -62,7 +57,7 @@
 
 async def test_broken_watch_is_reopened_and_the_old_list_stays_in_use() -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        asked.append(await ask(reader))
+        asked.append(await read_start_line(reader))
         if len(asked) == 2:
             again.set()
             await reader.read()
@@ -93,7 +88,7 @@
         closed.set()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await ask(reader)
+        await read_start_line(reader)
         await begun.wait()
         news = endpoint_list(endpoint_entry("a", a.port, "terminating"), rev=2, full=False)
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(news))
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -17,7 +17,7 @@
     endpoint_list,
     endpoint_list_chunk,
 )
-from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.http_messages import http_request, http_response, send_request_to
 from tests.support.proxy_process import (
     LIMITS,
     proxy_config,
@@ -86,14 +86,6 @@
 ) -> None:
     """A real process under a low limit, whose crowd stays: it serves, and hears of a new backend."""
 
-    async def ask(port: int, request_id: str) -> bytes:
-        reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(http_request(request_id=request_id))
-        try:
-            return (await read_http_message(reader))[2]
-        finally:
-            writer.close()
-
     asked = asyncio.Event()
 
     async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -121,12 +113,12 @@
             for one in crowd:
                 one.sendall(sent)
             # Refused while all of the crowd are just bringing what they send.
-            while await ask(port, "r0") != b"a":
+            while (await send_request_to(port, http_request(request_id="r0"))).body != b"a":
                 pass
             back = StandInServer(watch)
-            back.server = await asyncio.start_server(back.accept, sock=down)
+            await back.start(down)
             await asked.wait()
-            while await ask(port, "r1") != b"b":
+            while (await send_request_to(port, http_request(request_id="r1"))).body != b"b":
                 pass
             assert len(os.listdir(f"/proc/{made.pid}/fd")) < GIVEN
             made.terminate()
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -20,7 +20,7 @@
     endpoint_list,
     endpoint_list_chunk,
 )
-from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.http_messages import http_request, http_response, send_request_to
 from tests.support.loopback_proxy import running_proxy
 from tests.support.proxy_process import (
     LIMITS,
@@ -46,14 +46,6 @@
 async def test_idle_clients_leave_the_watch_the_attempts_and_other_clients_their_descriptors(
     kind: str, tmp_path: Path
 ) -> None:
-    async def ask(port: int, request_id: str) -> bytes:
-        reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        writer.write(http_request(request_id=request_id))
-        try:
-            return (await read_http_message(reader))[2]
-        finally:
-            writer.close()
-
     asked, began = asyncio.Event(), time.monotonic()
 
     async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -84,13 +76,13 @@
                     crowd.append(socket.create_connection(("127.0.0.1", port)))
                     crowd[-1].sendall(PIECES[kind])
                 # Whoever comes behind them is served though they hold all that callers may have.
-                assert await ask(port, f"r{n}") == b"a"
+                assert (await send_request_to(port, http_request(request_id=f"r{n}"))).body == b"a"
                 assert len(os.listdir(f"/proc/{made.pid}/fd")) <= DESCRIPTORS - 8
             back = StandInServer(watch)
-            back.server = await asyncio.start_server(back.accept, sock=down)
+            await back.start(down)
             await asked.wait()
             # The list is on its way.
-            while await ask(port, "r9") != b"b":
+            while (await send_request_to(port, http_request(request_id="r9"))).body != b"b":
                 pass
             assert b.connection_count
             assert back.connection_count == 1
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -30,6 +30,21 @@
     return HttpMessage(start_line, headers, body)
 
 
+async def read_start_line(reader: asyncio.StreamReader) -> str:
+    """Read the head of a message without a body, and return its start line."""
+    return (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
+
+
+async def send_request_to(port: int, request: bytes) -> HttpMessage:
+    """Return the response to one request on a new connection to this port of loopback."""
+    reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    writer.write(request)
+    try:
+        return await read_http_message(reader)
+    finally:
+        writer.close()
+
+
 def http_message(start_line: str, body: bytes = b"", **headers: str) -> bytes:
     """Return the bytes of a message.
 
--- a/tests/support/loopback_proxy.py
+++ b/tests/support/loopback_proxy.py
@@ -18,7 +18,7 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import parsed_endpoint_list
-from tests.support.http_messages import HttpMessage, StreamPair, read_http_message
+from tests.support.http_messages import HttpMessage, StreamPair, send_request_to
 from tests.support.stepped_clock import SteppedClock
 from tests.support.units import SECOND_US
 
@@ -71,12 +71,7 @@
 
     async def send_request(self, request: bytes) -> HttpMessage:
         """Return the response to one request on a new connection."""
-        reader, writer = await self.connect()
-        writer.write(request)
-        try:
-            return await read_http_message(reader)
-        finally:
-            writer.close()
+        return await send_request_to(self.port, request)
 
     def oldest_attempt_connection(self) -> UpstreamConnection:
         """Return the connection of the open attempt that was begun first."""
--- a/tests/support/stand_in_server.py
+++ b/tests/support/stand_in_server.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 from collections.abc import Awaitable, Callable
 from typing import Self
 
@@ -42,15 +43,26 @@
         finally:
             writer.close()
 
-    async def start(self) -> None:
-        """Listen on a port that the system chooses."""
-        self.server = await asyncio.start_server(self.accept, "127.0.0.1", 0)
+    async def start(self, listening_socket: socket.socket | None = None) -> None:
+        """Listen on this bound socket, or on a port that the system chooses."""
+        if listening_socket is not None:
+            self.server = await asyncio.start_server(self.accept, sock=listening_socket)
+        else:
+            self.server = await asyncio.start_server(self.accept, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def stop(self) -> None:
-        """Stop listening, and reset all connections."""
+    def stop_listening(self) -> None:
+        """Refuse connections from now on; those that are open stay."""
         assert self.server is not None
         self.server.close()
+
+    async def listen_again(self) -> None:
+        """Listen on the same port as before."""
+        self.server = await asyncio.start_server(self.accept, "127.0.0.1", self.port)
+
+    def stop(self) -> None:
+        """Stop listening, and reset all connections."""
+        self.stop_listening()
         for writer in self.writers:
             writer.transport.abort()
 
