--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -8,21 +8,21 @@
 from tests.support.http_messages import http_request
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.socket_client import SocketClient
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, wait_until
 
 
 async def test_connections_in_the_accept_queue_are_served_after_listening_ends() -> None:
     """With more of them than are taken in at once, their requests sent and none of it read."""
 
-    async with running_proxy(endpoint_entry("s-1", 9)) as p:
-        clients = [SocketClient(p) for _ in range(40)]
+    async with running_proxy(endpoint_entry("s-1", 9)) as proxy:
+        clients = [SocketClient(proxy) for _ in range(40)]
         for client in clients:
             client.send(http_request(path="/ready"))
-        p.listener.stop_listening()
-        assert not p.listener.is_drained
+        proxy.listener.stop_listening()
+        assert not proxy.listener.is_drained
         assert [await client.read_statuses(1) for client in clients] == [[200]] * 40
         with pytest.raises(ConnectionRefusedError):
-            await p.connect()
+            await proxy.connect()
 
 
 @pytest.mark.parametrize("fresh", [True, False])
@@ -36,7 +36,7 @@
     if not fresh:
         client.send(http_request(request_id="r1"))
         await wait_until(lambda: len(proxy.clients.idle_connections) == 1)
-    clock = SteppedClock()
+    clock = FrozenClock()
     clock.advance(1.0)  # neither has just come
     client.send(http_request(request_id="r2"))
     proxy.listener.close_idle_connections()
@@ -48,7 +48,7 @@
 
 
 async def test_new_connection_is_given_time_for_a_request_at_shutdown(proxy: LoopbackProxy) -> None:
-    clock, client, silent = SteppedClock(), SocketClient(proxy), SocketClient(proxy)
+    clock, client, silent = FrozenClock(), SocketClient(proxy), SocketClient(proxy)
     proxy.listener.stop_listening()
     proxy.listener.close_idle_connections()
     await wait_until(lambda: len(proxy.clients.open_connections) == 2)
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -11,7 +11,8 @@
 import random
 import socket
 from collections import Counter
-from contextlib import AsyncExitStack
+from collections.abc import AsyncIterator
+from contextlib import AsyncExitStack, asynccontextmanager
 from dataclasses import dataclass, field
 
 import pytest
@@ -108,9 +109,9 @@
 
 
 class World:
-    def __init__(self, seed: int, p: LoopbackProxy) -> None:
-        self.seed, self.p = seed, p
-        self.clock: SteppedClock = p.step_clocks()
+    def __init__(self, seed: int, proxy: LoopbackProxy) -> None:
+        self.seed, self.p = seed, proxy
+        self.clock: SteppedClock = proxy.step_clocks()
         self.step = 0
         self.news = 0  # counts whatever happens
         self.late = 0  # second answers that are still to come
@@ -201,11 +202,13 @@
         before = asked.visits
         if asked.ended is not None and visit.step > asked.ended:
             self.faults.append(f"{request_id}: sent after its end")
-        if any(v.open for v in before):
-            self.faults.append(f"{request_id}: a second copy, the first being {[v.way for v in before]}")
+        if any(visit_.open for visit_ in before):
+            self.faults.append(
+                f"{request_id}: a second copy, the first being {[visit_.way for visit_ in before]}"
+            )
         if len(before) >= MOST:
             self.faults.append(f"{request_id}: too many attempts")
-        ran = [v for v in before if v.way != "declined"]
+        ran = [visit_ for visit_ in before if visit_.way != "declined"]
         if ran and asked.kind == "pay":
             self.faults.append(f"{request_id}: unsafe, and sent again after {ran[0].way}")
         if ran and asked.kind in ("write", "mark") and visit.at - ran[0].at > WINDOW_S:
@@ -218,8 +221,11 @@
     async def client(self, number: int, requests: int) -> None:
         rng = random.Random(f"{self.seed} client {number}")
         streams = None
-        for n in range(requests):
-            request_id, kind = f"r{number}-{n}", rng.choice([c.name for c in CLASSES])
+        for index in range(requests):
+            request_id, kind = (
+                f"r{number}-{index}",
+                rng.choice([request_class.name for request_class in CLASSES]),
+            )
             body = b"" if kind == "read" else b"b" * rng.randrange(2000)
             leaves = rng.randrange(30) if rng.random() < 0.2 else None
             streams = streams or await self.p.connect()
@@ -253,11 +259,11 @@
     def judge(self, request_id: str, asked: Asked, said: bytes) -> None:
         """The rules, as the final answer comes in. A second one would be taken for the next request's."""
         made = {"answer", "answer twice", "answer, late again", "answer, then end", "answer after a while"}
-        ran = [v for v in asked.visits if v.way != "declined"]
+        ran = [visit_ for visit_ in asked.visits if visit_.way != "declined"]
         match asked.status:
             case 200:
                 if said != request_id.encode() or not any(
-                    v.way in {*made, "no length, end"} for v in asked.visits
+                    visit_.way in {*made, "no length, end"} for visit_ in asked.visits
                 ):
                     self.faults.append(f"{request_id}: served with {said!r}, which no backend made for it")
             case 503:
@@ -269,7 +275,7 @@
                 self.faults.append(f"{request_id}: answered {other}")
 
     async def play(self, clients: int, requests: int) -> None:
-        tasks = [asyncio.ensure_future(self.client(n, requests)) for n in range(clients)]
+        tasks = [asyncio.ensure_future(self.client(index, requests)) for index in range(clients)]
         while not all(task.done() for task in tasks):
             seen, still = self.news, 0
             while still < TURNS:
@@ -282,30 +288,28 @@
             task.result()
 
 
-@pytest.mark.parametrize("seed", range(12))
-async def test_each_request_gets_one_response_and_no_forbidden_retry(
-    seed: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr(idle_connections, "SETTLE_S", 4 * STEP_S)
+@asynccontextmanager
+async def running_world(seed: int) -> AsyncIterator[World]:
+    """Run a proxy before six endpoints that are as faulty as the seed says, and one that refuses connects."""
     limits = messages.Limits(
         max_attempts=MOST, cancel=seed % 2 == 0, connect_timeout_us=round(CONNECT_S * SECOND_US)
     )
+    worlds: list[World] = []
+
+    def handler(cell: int) -> ConnectionHandler:
+        async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
+            await worlds[0].backend(cell)(wire, got)
+
+        return handle
 
     async with AsyncExitStack() as stack:
         closed = stack.enter_context(socket.socket())
         closed.bind(("127.0.0.1", 0))
-        worlds: list[World] = []
-
-        def handle(cell: int) -> ConnectionHandler:
-            async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-                await worlds[0].backend(cell)(wire, got)
-
-            return handle
-
-        backends: list[RawEndpoint] = [
-            await stack.enter_async_context(RawEndpoint(handle(n % 2))) for n in range(6)
+        endpoints = [await stack.enter_async_context(RawEndpoint(handler(number % 2))) for number in range(6)]
+        entries = [
+            endpoint_entry(f"s-{index}", endpoint.port, pod_group=index % 2)
+            for index, endpoint in enumerate(endpoints)
         ]
-        entries = [endpoint_entry(f"s-{n}", b.port, pod_group=n % 2) for n, b in enumerate(backends)]
         p = await stack.enter_async_context(
             running_proxy(
                 *entries,
@@ -315,14 +319,22 @@
                 idle_timeout_s=9000.0,
             )
         )
-        world = World(seed, p)
-        worlds.append(world)
+        worlds.append(World(seed, p))
+        yield worlds[0]
+
+
+@pytest.mark.parametrize("seed", range(12))
+async def test_each_request_gets_one_response_and_no_forbidden_retry(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(idle_connections, "SETTLE_S", 4 * STEP_S)
+    async with running_world(seed) as world:
         await world.play(clients=8, requests=25)
         assert world.faults == []
         # The world does reach what it is to check.
         every = world.asked.values()
         assert len(every) == 200
-        assert sum(a.status == 200 for a in every) > 40
-        assert sum(len(a.visits) > 1 for a in every) > 5
-        assert sum(a.ended is not None and not a.status for a in every) > 5
-        assert len(Counter(v.way for a in every for v in a.visits)) > 12
+        assert sum(request.status == 200 for request in every) > 40
+        assert sum(len(request.visits) > 1 for request in every) > 5
+        assert sum(request.ended is not None and not request.status for request in every) > 5
+        assert len(Counter(visit.way for request in every for visit in request.visits)) > 12
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -13,12 +13,17 @@
 from load_balancer.net.client.client_listener import ClientListener
 from tests.net.client.test_malformed_requests import CHUNKED
 from tests.support.endpoint_lists import endpoint_entry
-from tests.support.http_messages import http_request, read_http_message, response_status
+from tests.support.http_messages import (
+    StreamPair,
+    http_request,
+    read_http_message,
+    response_status,
+)
 from tests.support.log_lines import info_lines
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.socket_client import SocketClient
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
-from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
+from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 
 DUE_S = 3.0  # from its connect, or from the first byte of a later request, to an error or a close
 LATE_S = 0.15  # the event loop is late by so much, as it takes a client in and whenever it checks it
@@ -45,11 +50,11 @@
     """Sweeps the connections by hand, each sweep as late as it may be; the clock is stepped."""
 
     def __init__(self, listener: ClientListener, clock: SteppedClock) -> None:
-        self._listener, self._clock = listener, clock
+        self._listener, self.clock = listener, clock
         listener.sweep_timer.cancel()
 
     async def sweep(self) -> None:
-        self._clock.advance(client_limits.SWEEP_INTERVAL_S + LATE_S)
+        self.clock.advance(client_limits.SWEEP_INTERVAL_S + LATE_S)
         self._listener.sweep()
         self._listener.sweep_timer.cancel()
         await run_loop_turns()
@@ -68,22 +73,34 @@
     return not got.startswith((b"HTTP/1.1 1", b"HTTP/1.1 2")) if got else True
 
 
+async def sweep_until_closed(late: Late, proxy: LoopbackProxy, due_at_s: float, at_shutdown: bool) -> None:
+    while proxy.clients.open_connections:
+        if at_shutdown:
+            proxy.listener.close_idle_connections()
+        await late.sweep()
+        assert late.clock.advanced_s <= due_at_s
+
+
+async def serve_first_request(client: SocketClient, clock: SteppedClock) -> StreamPair:
+    """Have the client's first request answered, and pass so much time that an idle one may stay."""
+    client.send(http_request(request_id="good"))
+    reader, writer = await client.streams()
+    assert response_status(await read_http_message(reader)) == 200
+    clock.advance(5.0)
+    await run_loop_turns()
+    return reader, writer
+
+
 @pytest.mark.parametrize("stop", STOPS)
 @pytest.mark.parametrize("when", ["first", "after a good one", "at the end"])
 async def test_stalled_client_gets_an_error_or_a_close_in_time(
     endpoint: StandInEndpoint, proxy: LoopbackProxy, stop: str, when: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Wherever it stops, with each sweep late, and also during the shutdown."""
-
-    clock, client = SteppedClock(), SocketClient(proxy)
+    clock, client = FrozenClock(), SocketClient(proxy)
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)
     late = Late(proxy.listener, clock)
-    if when == "after a good one":
-        client.send(http_request(request_id="good"))
-        reader, writer = await client.streams()
-        assert response_status(await read_http_message(reader)) == 200
-        clock.advance(5.0)  # an idle one may stay for longer
-        await run_loop_turns()
+    opened = await serve_first_request(client, clock) if when == "after a good one" else None
     began = clock.advanced_s - LATE_S  # it was taken in that late
     client.send(STOPS[stop])
     [connection] = proxy.clients.open_connections
@@ -92,14 +109,11 @@
         proxy.clients.is_shutting_down = True
         proxy.listener.stop_listening()
         proxy.listener.close_idle_connections()
-    while proxy.clients.open_connections:
-        if when == "at the end":
-            proxy.listener.close_idle_connections()
-        await late.sweep()
-        assert clock.advanced_s - began <= DUE_S
-    if when != "after a good one":
+    await sweep_until_closed(late, proxy, began + DUE_S, at_shutdown=when == "at the end")
+    if opened is None:
         assert error_or_close(client)
     else:
+        reader, writer = opened
         with contextlib.suppress(ConnectionError):
             reader.feed_eof()
             assert b"HTTP/1.1 2" not in await reader.read()
@@ -112,7 +126,7 @@
 
 
 def dribble(begin: bytes, more: bytes) -> Iterator[bytes]:
-    return itertools.chain([begin], itertools.cycle(more[n : n + 1] for n in range(len(more))))
+    return itertools.chain([begin], itertools.cycle(more[number : number + 1] for number in range(len(more))))
 
 
 DRIBBLES: dict[str, Callable[[], Iterator[bytes]]] = {
@@ -124,8 +138,21 @@
 }
 
 
+def send_at_each_check(proxy: LoopbackProxy, client: SocketClient, pieces: Iterator[bytes]) -> None:
+    """Have the client send its next piece just before each check of its connection's time limits."""
+    time_limits = proxy.listener.time_limits
+    check = time_limits.check
+
+    def check_after_next_piece(connection: ClientConnection, now_s: float) -> None:
+        with contextlib.suppress(ConnectionError):
+            client.send(next(pieces))
+        check(connection, now_s)
+
+    time_limits.check = check_after_next_piece  # type: ignore[method-assign]
+
+
 @pytest.mark.parametrize("kind", DRIBBLES)
-@pytest.mark.parametrize("first_sweep_s", [n * 0.05 for n in range(8)])
+@pytest.mark.parametrize("first_sweep_s", [number * 0.05 for number in range(8)])
 async def test_client_that_sends_a_byte_at_each_check_is_closed_in_time(
     endpoint: StandInEndpoint,
     proxy: LoopbackProxy,
@@ -134,22 +161,13 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Each byte comes between the event loop's last reading and the check, forced; each check is late."""
-
-    clock, client = SteppedClock(), SocketClient(proxy)
+    clock, client = FrozenClock(), SocketClient(proxy)
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)
     late = Late(proxy.listener, clock)
     began = clock.advanced_s - LATE_S
     [connection] = proxy.clients.open_connections
-    check = proxy.listener.time_limits.check
-
-    def crossed(connection: ClientConnection, now_s: float) -> None:
-        with contextlib.suppress(ConnectionError):
-            client.send(next(sent))
-        check(connection, now_s)
-
-    proxy.listener.time_limits.check = crossed  # type: ignore[method-assign]
-    clock.advance(first_sweep_s)
-    sent = DRIBBLES[kind]()
+    send_at_each_check(proxy, client, DRIBBLES[kind]())
+    clock.advance(first_sweep_s + 0.001)  # no check comes just as a time limit ends
     while proxy.clients.open_connections:
         await late.sweep()
         if connection.has_final_check:
@@ -167,25 +185,25 @@
 async def test_request_that_crosses_the_final_check_is_forwarded(fresh: bool) -> None:
     """It is with the system as the time of its connection is over."""
 
-    async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        clock, client = SteppedClock(), SocketClient(p)
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        late = Late(p.listener, clock)
-        [connection] = p.clients.open_connections
+    async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        clock, client = FrozenClock(), SocketClient(proxy)
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        late = Late(proxy.listener, clock)
+        [connection] = proxy.clients.open_connections
         if not fresh:
             client.send(http_request(path="/ready"))
-            await wait_until(lambda: connection in p.clients.idle_connections)
+            await wait_until(lambda: connection in proxy.clients.idle_connections)
         clock.advance(
             (client_limits.REQUEST_TIMEOUT_S if fresh else client_limits.KEEP_ALIVE_TIMEOUT_S)
             + client_limits.PARTIAL_REQUEST_GRACE_S
         )
         client.send(http_request(request_id="crossing"))
-        p.listener.time_limits.check(connection, p.listener.loop.time())
+        proxy.listener.time_limits.check(connection, proxy.listener.loop.time())
         clock.advance(client_limits.FINAL_CHECK_DELAY_S)
-        await wait_until(lambda: bool(b.received))
+        await wait_until(lambda: bool(endpoint.received))
         for _ in range(5):
             await late.sweep()
-        assert connection in p.clients.open_connections
-        assert p.clients.open_request_ids == {b"crossing"}
+        assert connection in proxy.clients.open_connections
+        assert proxy.clients.open_request_ids == {b"crossing"}
         client.disconnect("RST")
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: not proxy.clients.open_connections)
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -16,26 +16,25 @@
 from tests.support.http_messages import HttpMessage, http_request, http_response
 from tests.support.loopback_proxy import running_proxy
 from tests.support.raw_endpoint import EndpointConnection, RawEndpoint, respond_with
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, wait_until
 
 
 @pytest.mark.parametrize("what", ["answer", "end", "reset", "answer and end"])
 @pytest.mark.parametrize("unread", [True, False])
 async def test_late_bytes_on_an_idle_connection_are_not_the_next_response(
-    what: str, unread: bool, monkeypatch: pytest.MonkeyPatch
+    pool: ConnectionPool, what: str, unread: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Be it that it lies unread as the next request begins, in the same turn, or was read before."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        wire.send(http_response(200, b"%d" % len(b.received)))
+        wire.send(http_response(200, b"%d" % len(endpoint.received)))
 
-    async with RawEndpoint(handle) as b:
-        pool = ConnectionPool(0.25, 30.0, 10)
-        assert (await RecordedAttempt(pool, b.endpoint).result())[1] == UpstreamResponse(
+    async with RawEndpoint(handle) as endpoint:
+        assert (await RecordedAttempt(pool, endpoint.endpoint).result())[1] == UpstreamResponse(
             200, [(b"content-length", b"1")], b"1"
         )
-        [wire] = b.accepted
+        [wire] = endpoint.accepted
         if "answer" in what:
             wire.send(http_response(200, b"1"))
         if "end" in what:
@@ -44,31 +43,29 @@
             wire.reset()
         if not unread:
             await wait_until(lambda: not pool.connections.open)
-        how, reply = await RecordedAttempt(pool, b.endpoint).result()
+        how, reply = await RecordedAttempt(pool, endpoint.endpoint).result()
         assert how is Outcome.OK
         assert reply
         assert reply.body == b"2"
-        assert len(b.accepted) == len(b.received) == 2
-        pool.close()
+        assert len(endpoint.accepted) == len(endpoint.received) == 2
 
 
 @pytest.mark.parametrize("what", ["answer", "end", "reset"])
 async def test_late_bytes_just_before_the_write_are_not_the_next_response(
-    what: str, monkeypatch: pytest.MonkeyPatch
+    pool: ConnectionPool, what: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It comes in the very moment before the write: nothing is written, so nothing has run."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     looks: list[bool] = []
     look = socket_state.has_unread_bytes
 
-    async with RawEndpoint(respond_with(http_response(200, b"first"))) as b:
-        pool = ConnectionPool(0.25, 30.0, 10)
-        assert (await RecordedAttempt(pool, b.endpoint).result())[0] is Outcome.OK
+    async with RawEndpoint(respond_with(http_response(200, b"first"))) as endpoint:
+        assert (await RecordedAttempt(pool, endpoint.endpoint).result())[0] is Outcome.OK
 
         def crossed(transport: asyncio.BaseTransport, unknown: bool = True) -> bool:
             looks.append(look(transport, unknown=unknown))
             if len(looks) == 1:
-                [wire] = b.accepted
+                [wire] = endpoint.accepted
                 {
                     "answer": lambda: wire.send(http_response(200, b"late")),
                     "end": wire.end_sending,
@@ -77,11 +74,10 @@
             return looks[-1]
 
         monkeypatch.setattr(socket_state, "has_unread_bytes", crossed)
-        assert await RecordedAttempt(pool, b.endpoint).result() == (Outcome.NOT_SENT, None)
+        assert await RecordedAttempt(pool, endpoint.endpoint).result() == (Outcome.NOT_SENT, None)
         assert looks == [False, True]
-        assert len(b.received) == 1
+        assert len(endpoint.received) == 1
         assert not pool.idle.by_endpoint
-        pool.close()
 
 
 async def test_connection_settles_before_reuse_so_that_a_second_response_is_detected(
@@ -91,25 +87,25 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", 20.0)
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        wire.send(http_response(200, b"%d" % len(b.received)))
+        wire.send(http_response(200, b"%d" % len(endpoint.received)))
 
-    async with RawEndpoint(handle) as b:
-        pool, clock = ConnectionPool(0.25, 3000.0, 10), SteppedClock()
-        for n in (b"1", b"2", b"3"):
-            how, reply = await RecordedAttempt(pool, b.endpoint).result()
+    async with RawEndpoint(handle) as endpoint:
+        pool, clock = ConnectionPool(0.25, 3000.0, 10), FrozenClock()
+        for number in (b"1", b"2", b"3"):
+            how, reply = await RecordedAttempt(pool, endpoint.endpoint).result()
             assert how is Outcome.OK
             assert reply
-            assert reply.body == n
-        assert len(b.accepted) == 3
-        for wire in b.accepted[:2]:
+            assert reply.body == number
+        assert len(endpoint.accepted) == 3
+        for wire in endpoint.accepted[:2]:
             wire.send(http_response(200, b"late"))
         clock.advance(20.0)
-        for n in (b"4", b"5"):  # the third one has rested and said nothing more
-            how, reply = await RecordedAttempt(pool, b.endpoint).result()
+        for number in (b"4", b"5"):  # the third one has rested and said nothing more
+            how, reply = await RecordedAttempt(pool, endpoint.endpoint).result()
             assert how is Outcome.OK
             assert reply
-            assert reply.body == n
-        assert len(b.accepted) == 4
+            assert reply.body == number
+        assert len(endpoint.accepted) == 4
         pool.close()
 
 
@@ -129,9 +125,9 @@
             wire.send(http_response(200, got[1]["req-id"].encode()))
 
     wires: list[EndpointConnection] = []
-    async with RawEndpoint(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        assert (await p.send_request(http_request(request_id="first")))[2] == b"first"
-        line, _, body = await p.send_request(http_request(kind, request_id="r1"))
+    async with RawEndpoint(handle) as endpoint, running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy:
+        assert (await proxy.send_request(http_request(request_id="first")))[2] == b"first"
+        line, _, body = await proxy.send_request(http_request(kind, request_id="r1"))
         assert line.split()[1] == "200"
         assert body == b"r1"
-        assert b.request_ids == (["first", "r1"] if kind == "pay" else ["first", "r1", "r1"])
+        assert endpoint.request_ids == (["first", "r1"] if kind == "pay" else ["first", "r1", "r1"])
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -17,7 +17,7 @@
 from tests.support.http_messages import http_request, http_response
 from tests.support.loopback_proxy import running_proxy
 from tests.support.raw_endpoint import EndpointConnection, RawEndpoint, respond_with
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, wait_until
 
 
 @pytest.mark.parametrize("kind", REQUEST_KINDS)
@@ -49,15 +49,15 @@
 
     handle = respond_with(http_response(200, b"served"))
     async with (
-        RawEndpoint(handle, accepts=False) as a,
+        RawEndpoint(handle, accepts=False) as first_endpoint,
         RawEndpoint(handle, accepts=False) as b,
-        running_proxy(endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port)) as p,
+        running_proxy(endpoint_entry("s-1", first_endpoint.port), endpoint_entry("s-2", b.port)) as proxy,
     ):
-        backends[:] = [a, b]
-        line, _, body = await p.send_request(http_request(kind, request_id="r1"))
+        backends[:] = [first_endpoint, b]
+        line, _, body = await proxy.send_request(http_request(kind, request_id="r1"))
         assert line.split()[1] == "200"
         assert body == b"served"
-        assert a.request_ids + b.request_ids == ["r1"]
+        assert first_endpoint.request_ids + b.request_ids == ["r1"]
         if not taken[0].is_closed:
             assert taken[0].socket.recv(1) == b""  # nothing was written
             taken[0].socket.close()
@@ -68,10 +68,10 @@
 async def test_connection_established_after_its_attempt_carries_no_request(
     how: str, request_: UpstreamRequest
 ) -> None:
-    clock = SteppedClock()
-    async with RawEndpoint(respond_with(http_response(200, b"ok"))) as b:
+    clock = FrozenClock()
+    async with RawEndpoint(respond_with(http_response(200, b"ok"))) as endpoint:
         pool, held = ConnectionPool(0.25, 30.0, 10), SystemConnectGate()
-        out = RecordedAttempt(pool, b.endpoint, request_, timeout_s=0.2 if how == "time out" else 60.0)
+        out = RecordedAttempt(pool, endpoint.endpoint, request_, timeout_s=0.2 if how == "time out" else 60.0)
         await wait_until(lambda: held.waiting_count == 1)
         match how:
             case "cancel":
@@ -79,17 +79,17 @@
             case "cancel if unsent":
                 out.attempt.cancel_if_unsent()
             case "drain":
-                pool.disable_endpoint(b.endpoint)
+                pool.disable_endpoint(endpoint.endpoint)
             case "time out":
                 clock.advance(0.21)
             case _:
                 clock.advance(0.26)
         got = (await out.result())[0]
-        assert got.never_ran or (how, got) == ("cancel", Outcome.CANCELLED)
+        assert got.proves_never_run or (how, got) == ("cancel", Outcome.CANCELLED)
         held.opened.set()
-        for n in range(3):  # what would come of the first one comes before the end of these
-            other = replace(request_, target=b"/%d" % n)
-            assert await RecordedAttempt(pool, b.endpoint, other).result() == (Outcome.OK, OK_RESPONSE)
-        assert [first.split()[1] for first, _, _ in b.received] == ["/0", "/1", "/2"]
+        for number in range(3):  # what would come of the first one comes before the end of these
+            other = replace(request_, target=b"/%d" % number)
+            assert await RecordedAttempt(pool, endpoint.endpoint, other).result() == (Outcome.OK, OK_RESPONSE)
+        assert [first.split()[1] for first, _, _ in endpoint.received] == ["/0", "/1", "/2"]
         assert len(out.results) == 1
         pool.close()
--- a/tests/support/stand_in_discovery.py
+++ b/tests/support/stand_in_discovery.py
@@ -19,7 +19,7 @@
 )
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInServer
-from tests.support.stepped_clock import SteppedClock, advance_until
+from tests.support.stepped_clock import FrozenClock, SteppedClock, advance_until
 from tests.support.units import SECOND_US
 
 # By the protocol: how soon a change must be applied, and how long a poll may wait in the queue.
@@ -104,7 +104,7 @@
     setup: messages.Settings,
 ) -> AsyncIterator[tuple[StandInDiscovery, LoopbackProxy, SteppedClock]]:
     """Run a proxy that watches a stand-in, on one stepped clock; its random waits last their longest."""
-    discovery = StandInDiscovery(SteppedClock())
+    discovery = StandInDiscovery(FrozenClock())
     async with (
         discovery.server,
         running_proxy(settings=setup, discovery_port=discovery.server.port) as proxy,
