--- a/tests/support/loopback_proxy.py
+++ b/tests/support/loopback_proxy.py
@@ -19,7 +19,7 @@
 from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import parsed_endpoint_list
 from tests.support.http_messages import HttpMessage, StreamPair, send_request_to
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import FrozenClock, SteppedClock
 from tests.support.units import SECOND_US
 
 NO_DISCOVERY = 1  # no server listens on this port
@@ -30,6 +30,12 @@
 
     def __init__(self) -> None:
         self.stepped_clock: SteppedClock | None = None
+        self._frozen_at_us: int | None = None
+
+    def follow(self, clock: SteppedClock) -> None:
+        """Move on with this clock from now on; real time counts where it counts for the clock."""
+        self.stepped_clock = clock
+        self._frozen_at_us = monotonic_us() if isinstance(clock, FrozenClock) else None
 
     def clock(self) -> Clock:
         """Return a clock for the policy that is moved on with the event loop's clock."""
@@ -37,7 +43,8 @@
 
     def _now_us(self) -> int:
         advanced_s = self.stepped_clock.advanced_s if self.stepped_clock is not None else 0.0
-        return monotonic_us() + round(advanced_s * SECOND_US)
+        since_us = monotonic_us() if self._frozen_at_us is None else self._frozen_at_us
+        return since_us + round(advanced_s * SECOND_US)
 
 
 @dataclass
@@ -63,7 +70,7 @@
 
     def step_policy_clock_with(self, clock: SteppedClock) -> None:
         """Move the policy's time on together with this clock of the event loop."""
-        self._policy_clock_offset.stepped_clock = clock
+        self._policy_clock_offset.follow(clock)
 
     async def connect(self) -> StreamPair:
         """Open a client's connection."""
