--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -254,6 +254,16 @@
         await asyncio.sleep(0.01)
 
 
+async def until_blocked(process_id: int) -> None:
+    """Wait until the process sleeps in a system call, by the state that the system tells of it.
+
+    The end of a pipe is open a moment before the read begins. Python's signal handlers run between two
+    instructions only: a signal in that moment would be noticed once the read returns, which it never does.
+    """
+    while Path(f"/proc/{process_id}/stat").read_text().rpartition(")")[2].split()[0] != "S":
+        await asyncio.sleep(0.01)
+
+
 async def until_at(
     stage: str, made: asyncio.subprocess.Process, port: int, asked: asyncio.Event, begun: asyncio.Event
 ) -> StreamPair | None:
@@ -308,6 +318,8 @@
         reading = stage == "reading its configuration"
         async with running_proxy_process({"NODE_CONFIG": str(pipe)} if reading else env) as first:
             end = await until_read(pipe) if reading else None
+            if reading:
+                await until_blocked(first.pid)
             held = await until_at(stage, first, port, asked, begun)
             first.send_signal(number)
             if number is signal.SIGTERM and stage == "serving":
