--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -50,12 +50,12 @@
     )
 
 
-def test_limits_at_the_usual_size_bind_less_than_the_base_itself() -> None:
+def test_limits_at_the_usual_size_allow_more_than_the_base_itself() -> None:
     assert not broken(BASE, limits(BASE, 200))
 
 
 @pytest.mark.parametrize("name", ["cpu_s", "peak_memory", "descriptors", "connections", "list_bytes"])
-def test_a_figure_is_broken_just_above_its_limit(name: str) -> None:
+def test_figure_just_above_its_limit_is_reported(name: str) -> None:
     limit = limits(BASE, 3_200)
     at = {n: getattr(limit, n) for n in Figures.__slots__}
     assert not broken(Figures(**at), limit)
@@ -65,7 +65,7 @@
     assert not broken(Figures(**{**at, name: at[name] * 1.001}), limit, but=frozenset({name}))
 
 
-def test_the_share_served_is_broken_just_below_its_limit() -> None:
+def test_served_share_just_below_its_limit_is_reported() -> None:
     limit = limits(BASE, 3_200)
     at = {n: getattr(limit, n) for n in Figures.__slots__}
     [found] = broken(Figures(**{**at, "share_served": 0.849}), limit)
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("seconds", [None, 10.0])
-def test_half_of_the_backends_are_replaced_one_by_one_evenly_over_the_play(seconds: float | None) -> None:
+def test_half_of_the_endpoints_are_replaced_evenly_over_the_play(seconds: float | None) -> None:
     steps = Scenario(100, 17, calls=300, seconds=seconds, moves_at=(0.3,), silence_at=0.5).steps()
     times = {kind: [at for at, step in steps if step is kind] for kind in Step}
     assert [at for at, _ in steps] == sorted(at for at, _ in steps)
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("fleet", LARGE)
-def test_a_large_fleet_is_within_its_limits(fleet: tuple[int, int]) -> None:
+def test_large_fleet_is_within_its_limits(fleet: tuple[int, int]) -> None:
     """Half of its backends are replaced one by one under calls."""
     base, large = played(PLAY, USUAL), played(PLAY, fleet)
     assert not breaks([base, large], but=TIMES)
@@ -98,7 +98,7 @@
     assert (base.whole_lists, large.whole_lists) == (0, 0)  # as both know the list at their start
 
 
-def test_a_move_of_discovery_costs_one_whole_list_and_a_silent_watch_none() -> None:
+def test_move_of_discovery_costs_one_complete_list_and_a_silent_watch_none() -> None:
     base, large = played(LISTS, USUAL), played(LISTS, LARGE[0])
     assert not breaks([base, large], but=TIMES)
     for result in (base, large):
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("size", ["many of both", "many backends"])
-def test_a_change_costs_by_what_changed(size: str) -> None:
+def test_change_costs_by_its_own_size(size: str) -> None:
     """Sixteen times the backends bring sixteen times the changes, so hardly more is left for each."""
     usual_steps, usual_bytes = work_of_changes("usual")
     steps, held = work_of_changes(size)
@@ -230,7 +230,7 @@
 
 
 @pytest.mark.parametrize("size", ["many of both", "many backends"])
-def test_a_decision_costs_by_a_subset_that_the_limit_on_descriptors_allows(size: str) -> None:
+def test_decision_costs_by_a_subset_that_the_limit_on_descriptors_allows(size: str) -> None:
     """The limit on CPU time binds the sum over the day; a decision alone is bound by what it chooses from.
 
     Each backend of the subset comes to hold a connection, so of these there may be twice as many and 40.
--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("share", [0.0, 0.5, 0.99])
-def test_the_module_takes_a_change_at_the_price_of_the_change(share: float) -> None:
+def test_policy_takes_a_change_at_the_cost_of_the_change(share: float) -> None:
     few = change_cost(200, 34, int(share * 34))
     many = change_cost(3200, 544, int(share * 544))
     assert many < GROWTH * few, (few, many)
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("cross_zone_price", [0.0, 0.05])
 @pytest.mark.parametrize("seed", range(6))
-def test_a_ring_kept_up_by_changes_gives_the_plain_subset(seed: int, cross_zone_price: float) -> None:
+def test_incrementally_updated_ring_gives_the_plain_subset(seed: int, cross_zone_price: float) -> None:
     rng = random.Random(seed)
     instances = rng.choice((1, 3, 9))
     index = rng.randrange(instances)
@@ -151,13 +151,13 @@
         return lines_run(take)
 
 
-async def test_the_driver_takes_a_change_at_the_price_of_the_change() -> None:
+async def test_driver_takes_a_change_at_the_cost_of_the_change() -> None:
     few, many = await driver_change_cost(200, 34), await driver_change_cost(3200, 544)
     assert many < GROWTH * few, (few, many)
 
 
 @pytest.mark.parametrize("instances", [1, 3, 10, 34, 100, 200, 544])
-def test_a_subset_stays_within_what_a_proxys_descriptors_allow(instances: int) -> None:
+def test_subset_stays_within_the_descriptors_of_a_proxy(instances: int) -> None:
     """At sixteen times the backends it may need twice the usual descriptors and 40 more."""
     at_200 = covering(200, instances)
     for usual in range(1, 201):
@@ -171,13 +171,13 @@
     return max(MIN_SUBSET, math.ceil(SUBSET_COVER * backends / instances))
 
 
-def test_balancers_that_grow_with_their_backends_keep_the_size_of_their_subset() -> None:
+def test_subset_size_is_kept_when_balancers_grow_with_their_endpoints() -> None:
     for usual in range(1, 201):
         sizes = {subset_size(usual * times, 34 * times) for times in (1, 4, 16)}
         assert len(sizes) == 1
 
 
-def test_a_decision_does_not_look_at_sixteen_times_the_backends() -> None:
+def test_decision_does_not_examine_sixteen_times_the_endpoints() -> None:
     def cost(backends: int) -> int:
         harness = BalancerHarness(settings(instances=34, index=17), backends)
         return lines_run(lambda: harness.request("r"))
@@ -185,7 +185,7 @@
     assert cost(3200) < 8 * cost(200)
 
 
-def test_a_list_is_cut_without_a_step_for_each_end_of_a_string() -> None:
+def test_list_is_split_without_a_step_for_each_end_of_a_string() -> None:
     """A release brings thousands of entries, most of them strings."""
 
     def cost(entries: int) -> int:
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("key_scope", [messages.KeyScope.ZONE, messages.KeyScope.CELL])
-def test_a_further_attempt_looks_at_a_bounded_number_of_its_zone_or_cell(
+def test_retry_examines_a_bounded_number_of_its_zone_or_cell(
     key_scope: messages.KeyScope,
 ) -> None:
     """It may go to all of them, and where they are few it does look at all."""
@@ -229,7 +229,7 @@
     assert many < 2 * few + looks * lines_for_each * 3200
 
 
-def test_a_change_outside_the_subset_costs_little_for_each_backend_of_the_subset() -> None:
+def test_change_outside_the_subset_costs_little_for_each_member_of_the_subset() -> None:
     few, many = change_cost(200, 34, 17), change_cost(3200, 34, 17)
     members = subset_size(3200, 34) - subset_size(200, 34)
     lines_for_a_limit = 4
--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -27,9 +27,7 @@
 
 @pytest.mark.parametrize("time_left", [900 * MS, S, 1_500 * MS, 2 * S, 5 * S])
 @pytest.mark.parametrize("phase", [0, 3 * MS, 11 * MS, 19 * MS])
-def test_one_for_which_nothing_comes_free_is_refused_by_half_of_its_own_time(
-    time_left: int, phase: int
-) -> None:
+def test_queued_request_is_rejected_within_half_of_its_useful_time(time_left: int, phase: int) -> None:
     """Whatever the phase of the looks at the queue, and no sooner than that."""
     harness = full()
     harness.pass_time(phase)
@@ -58,7 +56,7 @@
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.NOT_SENT, messages.Outcome.NO_CONNECTION])
-def test_one_that_was_never_written_is_refused_by_half_of_its_time_from_its_arrival(
+def test_queued_retry_of_unwritten_request_is_rejected_by_half_of_its_time_since_arrival(
     outcome: messages.Outcome,
 ) -> None:
     after = refused_after(held_again(outcome, 600 * MS), "first", 3 * S)
@@ -67,7 +65,7 @@
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.ERROR, messages.Outcome.RESET])
-def test_one_that_was_written_is_held_for_as_long_again(outcome: messages.Outcome) -> None:
+def test_queued_retry_of_written_request_waits_for_its_full_queue_time(outcome: messages.Outcome) -> None:
     """A refusal of that one costs no more by coming later."""
     after = refused_after(held_again(outcome, 200 * MS), "first", 3 * S)
     assert after is not None
--- a/tests/policy/test_change_detector.py
+++ b/tests/policy/test_change_detector.py
@@ -27,13 +27,13 @@
 
 @pytest.mark.parametrize("target", [50.0, 100.0, 500.0, 5000.0])
 @pytest.mark.parametrize("spread", [0.3, 1.0, 4.0])
-def test_the_threshold_inverts_the_formula(target: float, spread: float) -> None:
+def test_threshold_inverts_siegmund_run_length(target: float, spread: float) -> None:
     threshold = siegmund_threshold(0.25, spread, target)
     assert threshold > 0
     assert run_length(0.25, spread, threshold) == pytest.approx(target, rel=1e-6)
 
 
-def test_the_threshold_where_it_is_degenerate() -> None:
+def test_threshold_for_degenerate_spread_or_shift() -> None:
     assert siegmund_threshold(0.25, 0.0, 100) == 0.0
     assert siegmund_threshold(0.25, 1e-9, 100) == pytest.approx(0.0, abs=1e-6)
     # As the shift goes to nothing the formula goes to b^2.
@@ -51,12 +51,12 @@
     return most + 1
 
 
-def test_a_constant_stream_is_silent() -> None:
+def test_constant_stream_raises_no_alarm() -> None:
     detector = ChangeDetector()
     assert not any(detector.add(1.0) for _ in range(2000))
 
 
-def test_false_alarms_are_rare_and_the_target_is_met_in_order_of_size() -> None:
+def test_false_alarms_are_rarer_than_target_run_length() -> None:
     alarms = 0
     for seed in range(20):
         rng, detector = random.Random(seed), ChangeDetector()
@@ -64,7 +64,7 @@
     assert alarms < 20 * 500 / RUN_LENGTH
 
 
-def test_shifts_up_and_down_are_detected_and_told_apart() -> None:
+def test_shifts_up_and_down_open_epochs_with_matching_means() -> None:
     for seed in range(20):
         rng, detector = random.Random(seed), ChangeDetector()
         for _ in range(50):
@@ -82,7 +82,7 @@
         assert detector.epoch_mean < high / 2
 
 
-def test_a_change_zeroes_both_sums_and_sets_the_mean() -> None:
+def test_alarm_resets_its_sums_and_sets_mean_to_epoch_mean() -> None:
     detector = ChangeDetector()
     while not detector.add(20.0):
         pass
@@ -91,7 +91,7 @@
     assert detector.mean == detector.epoch_mean
 
 
-def test_the_mean_stays_above_zero() -> None:
+def test_epoch_mean_never_falls_below_its_minimum() -> None:
     detector = ChangeDetector()
     for _ in range(500):
         detector.add(0.0)
@@ -99,7 +99,7 @@
     assert detector.epoch_mean == MIN_EPOCH_MEAN
 
 
-def test_shares_move_only_where_an_epoch_opens() -> None:
+def test_share_changes_only_when_an_epoch_opens() -> None:
     rng, server, moves = random.Random(3), EndpointState(Endpoint(1), WarmingState(0.0, 0, 0.0, 0)), 0
     for n in range(300):
         before = server.share
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -6,7 +6,7 @@
 from tests.support.balancer_harness import MS, BalancerHarness, S, only
 
 
-def test_failures_that_are_not_late_leave_the_room_alone() -> None:
+def test_prompt_failures_do_not_change_the_concurrency_limit() -> None:
     harness = BalancerHarness()
     room = harness.balancer.requests.limit.attempts
     for n in range(60):
@@ -16,7 +16,7 @@
     assert harness.balancer.requests.limit.attempts == room
 
 
-def test_a_busy_balancer_does_not_close_its_room_over_a_few_late_answers() -> None:
+def test_few_late_answers_under_load_do_not_lower_the_concurrency_limit() -> None:
     """With the mean over four answers, four of fifty a second were late together in every round."""
     harness = BalancerHarness(backends=8)
     room = harness.balancer.requests.limit.attempts
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -16,12 +16,12 @@
 ASKING = settings(must_subscribe=True)
 
 
-def test_subscribes_at_the_start_only_where_it_must() -> None:
+def test_subscribes_at_start_only_where_required() -> None:
     assert only(BalancerHarness(ASKING, backends=0).done, messages.Subscribe)
     assert not only(BalancerHarness(backends=0).done, messages.Subscribe)
 
 
-def test_asks_again_after_each_failure_ever_later_and_within_bounds() -> None:
+def test_subscription_backoff_grows_within_bounds() -> None:
     harness, waits = BalancerHarness(ASKING), []
     for _ in range(8):
         harness.news(kind=messages.EndpointListKind.FAILED)
@@ -49,7 +49,7 @@
     return harness.now - at
 
 
-def test_a_call_that_stood_long_is_followed_up_after_a_first_wait_and_quick_ones_stay_apart() -> None:
+def test_long_lived_subscription_resets_the_backoff_for_one_retry() -> None:
     """So that neither a queue nor refusals keep news back, and a discovery just back is not stormed."""
     for seed in range(20):
         harness = BalancerHarness(ASKING, seed=seed)
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("stood_us", [0, 1 * S, 2_500 * MS])
-def test_balancers_whose_calls_end_together_ask_again_apart_also_later(stood_us: int) -> None:
+def test_resubscriptions_of_many_balancers_are_spread_after_repeated_failures(stood_us: int) -> None:
     waits = []
     for seed in range(20):
         harness = BalancerHarness(ASKING, seed=seed)
@@ -72,7 +72,7 @@
     assert max(waits) - min(waits) > BACKOFF_JITTER * FIRST_BACKOFF_US / 2
 
 
-def test_where_lists_are_pushed_a_broken_watch_is_opened_at_once_and_then_ten_times_a_second() -> None:
+def test_pushed_watch_is_reopened_at_once_then_every_100_ms() -> None:
     """What discovery's agent has counts as told whether or not a watch is open, and asking it is free."""
     harness, waits = BalancerHarness(), []
     for n in range(20):
@@ -88,7 +88,7 @@
     assert all(80 * MS <= wait <= 100 * MS for wait in waits[1:10] + waits[11:])
 
 
-def test_balancers_whose_watches_break_together_ask_again_apart() -> None:
+def test_resubscriptions_of_many_balancers_are_spread_after_first_failure() -> None:
     asked_at = []
     for seed in range(20):
         harness = BalancerHarness(ASKING, seed=seed)
@@ -99,13 +99,13 @@
     assert len(set(asked_at)) > 10
 
 
-def test_a_failed_question_keeps_the_list() -> None:
+def test_failed_subscription_keeps_the_endpoint_list() -> None:
     harness = BalancerHarness(ASKING)
     harness.news(kind=messages.EndpointListKind.FAILED)
     assert only(harness.request("r"), messages.StartAttempt)
 
 
-def test_a_full_list_removes_the_absent_and_changes_do_not() -> None:
+def test_complete_list_removes_absent_endpoints_and_changes_do_not() -> None:
     harness = BalancerHarness()
     harness.news(messages.Endpoint(7), kind=messages.EndpointListKind.CHANGES, version=2)
     assert set(harness.balancer.endpoints.states) == {0, 1, 2, 3, 7}
@@ -113,7 +113,7 @@
     assert set(harness.balancer.endpoints.states) == {7}
 
 
-def test_old_changes_take_away_but_bring_nothing_back() -> None:
+def test_stale_changes_remove_endpoints_but_bring_none_back() -> None:
     harness = BalancerHarness()
     harness.news(
         messages.Endpoint(0, messages.EndpointStatus.REMOVED),
@@ -131,7 +131,7 @@
     assert harness.balancer.endpoints.version == 5
 
 
-def test_every_backend_is_in_about_equally_many_subsets() -> None:
+def test_endpoints_are_in_about_equally_many_subsets() -> None:
     """Subsets drawn one by one left some backends to nobody and others to many."""
     for instances, backends in ((9, 43), (43, 100), (14, 33), (3, 40)):
         counts = dict.fromkeys(range(backends), 0)
@@ -143,7 +143,7 @@
         assert min(counts.values()) >= min(2, instances) - 1
 
 
-def test_a_new_backend_changes_a_subset_by_little() -> None:
+def test_new_endpoint_changes_few_members_of_a_subset() -> None:
     for index in range(10):
         harness = BalancerHarness(settings(instances=10, index=index), backends=60)
         before = {s.endpoint.id for s in harness.balancer.endpoints.subset}
@@ -151,7 +151,7 @@
         assert len(before - {s.endpoint.id for s in harness.balancer.endpoints.subset}) <= 2
 
 
-def test_a_restart_under_the_same_id_starts_afresh() -> None:
+def test_restarted_endpoint_starts_with_fresh_state() -> None:
     harness = BalancerHarness()
     server = harness.balancer.endpoints.states[0]
     server.share = 0.1
@@ -163,7 +163,7 @@
     assert (fresh.share, fresh.in_flight, fresh.mixed_id) == (1.0, [], server.mixed_id)
 
 
-def test_an_outcome_from_a_backend_that_has_left_is_taken() -> None:
+def test_outcome_from_removed_endpoint_ends_its_request() -> None:
     harness = BalancerHarness(backends=1)
     [send] = only(harness.request("r"), messages.StartAttempt)
     harness.news()
@@ -172,7 +172,7 @@
     assert not harness.balancer.requests.in_flight
 
 
-def test_all_draining_refuses_and_sends_nothing() -> None:
+def test_request_is_rejected_when_all_endpoints_drain() -> None:
     harness = BalancerHarness()
     harness.news(*(messages.Endpoint(n, messages.EndpointStatus.DRAINING) for n in range(4)), version=2)
     actions = harness.request("r") + harness.pass_time(5 * S)
@@ -195,7 +195,7 @@
     return max((sum(1 for t in times if a <= t < a + window) for a in times), default=0)
 
 
-def test_a_cold_backend_gets_no_more_than_its_budget_of_what_warm_ones_get() -> None:
+def test_warming_endpoint_stays_within_its_budget_relative_to_warm_ones() -> None:
     for seed in range(5):
         harness = BalancerHarness(seed=seed)
         warm = steady(harness, 5)
@@ -216,7 +216,7 @@
         )
 
 
-def test_the_budget_holds_for_further_attempts_too() -> None:
+def test_retries_count_against_the_slow_start_budget() -> None:
     harness = BalancerHarness(backends=0)
     harness.news(messages.Endpoint(0), messages.Endpoint(9, incarnation_us=harness.now))
     cold = 0
@@ -229,13 +229,13 @@
     assert cold <= 2
 
 
-def test_only_cold_backends_still_serve() -> None:
+def test_endpoints_that_are_all_warming_still_serve() -> None:
     harness = BalancerHarness(backends=0)
     harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(4)))
     assert sum(len(times) for times in steady(harness, 3).values()) > 100
 
 
-def test_a_whole_list_with_a_lower_version_starts_the_versions_anew() -> None:
+def test_complete_list_with_lower_version_resets_the_version() -> None:
     harness = BalancerHarness(backends=0)
     harness.news(messages.Endpoint(1), version=100)
     harness.news(messages.Endpoint(1), version=3)
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -22,7 +22,7 @@
     return only(harness.pass_time(us), messages.CheckHealth)
 
 
-def test_a_call_that_hangs_is_asked_about_ever_more_seldom() -> None:
+def test_health_checks_of_hanging_attempt_back_off() -> None:
     harness = BalancerHarness(PROBING)
     harness.request("a")
     assert not asked(harness, 1150 * MS)
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize(
     ("cls", "answers", "again"), [("read", False, True), ("read", True, False), ("pay", False, False)]
 )
-def test_where_none_may_be_asked_a_silent_backend_is_left_in_time(
+def test_attempt_at_silent_endpoint_is_abandoned_without_health_checks(
     cls: str, answers: bool, again: bool
 ) -> None:
     """One that answers others meanwhile is only slow, and what must not run twice waits all the same."""
@@ -62,7 +62,7 @@
         assert resend.endpoint_id != send.endpoint_id
 
 
-def test_one_that_holds_fewer_than_we_wait_for_has_lost_an_answer() -> None:
+def test_attempt_is_cancelled_when_endpoint_reports_fewer_requests_than_are_in_flight() -> None:
     harness = BalancerHarness(PROBING)
     [first] = only(harness.request("a"), messages.StartAttempt)
     [probe] = asked(harness, 1300 * MS)
@@ -77,7 +77,7 @@
     assert again.endpoint_id != first.endpoint_id
 
 
-def test_what_is_too_young_for_the_report_is_not_taken_for_lost() -> None:
+def test_attempt_younger_than_the_load_report_is_not_cancelled() -> None:
     harness = BalancerHarness(PROBING, backends=1)
     harness.request("a")
     harness.pass_time(1200 * MS)
@@ -90,7 +90,7 @@
     assert cancels == [messages.CancelAttempt("a", 0)]
 
 
-def test_one_that_says_nothing_twice_gets_nothing_until_it_speaks() -> None:
+def test_endpoint_that_fails_two_health_checks_gets_nothing_until_it_responds() -> None:
     harness = BalancerHarness(PROBING, backends=1)
     [first] = only(harness.request("a"), messages.StartAttempt)
     [probe] = asked(harness, 1300 * MS)
@@ -105,7 +105,7 @@
     assert only(harness.request("c"), messages.StartAttempt)
 
 
-def test_an_unsafe_request_whose_answer_is_lost_is_not_sent_again() -> None:
+def test_unsafe_request_with_lost_response_is_not_retried() -> None:
     harness = BalancerHarness(PROBING)
     [first] = only(harness.request("a", "pay"), messages.StartAttempt)
     [probe] = asked(harness, 1300 * MS)
@@ -115,7 +115,7 @@
     assert not only(ended, messages.StartAttempt)
 
 
-def test_nothing_is_asked_where_the_site_allows_no_probes() -> None:
+def test_no_health_check_is_sent_where_settings_forbid_them() -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=3, cancel=True)))
     harness.request("a")
     assert not asked(harness, 3 * S)
@@ -133,11 +133,11 @@
         (b"", None),
     ],
 )
-def test_a_report_is_read_where_it_can_be(report: bytes, holds: float | None) -> None:
+def test_requests_in_flight_are_read_from_load_report(report: bytes, holds: float | None) -> None:
     assert read_requests_in_flight(report) == holds
 
 
-async def test_a_lost_answer_is_found_on_the_sockets_and_its_request_served(
+async def test_lost_response_is_detected_and_its_request_retried_on_real_sockets(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(health_check, "SUSPECT_LIMIT", HangLimit(0.0, 60 * MS))
--- a/tests/policy/test_no_starvation.py
+++ b/tests/policy/test_no_starvation.py
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize("seed", [0, 1])
 @pytest.mark.parametrize("kind", ["calm", "failing", "slow", "zone"])
 @pytest.mark.parametrize(("balancers", "backends", "calls", "load"), SIZES)
-def test_everybody_is_served_half_at_least(
+def test_every_class_tenant_and_period_has_half_of_its_requests_served(
     balancers: int, backends: int, calls: float, load: float, kind: str, seed: int
 ) -> None:
     fleet = fleet_of(balancers, backends, calls, load, seed)
@@ -118,7 +118,7 @@
     ("balancers", "backends", "calls", "load"),
     [(3, 8, 20.0, 0.25), (30, 16, 3.0, 0.25), (30, 8, 1.0, 0.25), (12, 12, 8.0, 0.25)],
 )
-def test_with_all_back_cold_no_balancer_serves_nobody(
+def test_every_balancer_serves_requests_when_all_endpoints_are_warming(
     balancers: int, backends: int, calls: float, load: float, seed: int
 ) -> None:
     """At a quarter of the load even what is cold could serve all."""
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -9,7 +9,7 @@
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
-def test_a_dead_backend_does_not_draw_what_is_held() -> None:
+def test_dead_endpoint_does_not_draw_queued_requests() -> None:
     """It refuses at once, so it always looks idle while all others are at their limits."""
     harness, to_dead = BalancerHarness(backends=3), 0
     harness.balancer.endpoints.states[0].endpoint = messages.Endpoint(0)
@@ -27,7 +27,7 @@
     assert to_dead <= INITIAL_LIMIT
 
 
-def test_the_room_shrinks_while_answers_come_late_and_grows_back() -> None:
+def test_concurrency_limit_falls_with_late_answers_and_recovers() -> None:
     harness = BalancerHarness()
     rooms = [harness.balancer.requests.limit.attempts]
     for phase, took in enumerate((1500 * MS, 50 * MS)):
@@ -49,7 +49,7 @@
     assert rooms[2] > rooms[1]
 
 
-def test_a_large_share_gives_no_more_than_the_room() -> None:
+def test_large_share_does_not_exceed_the_concurrency_limit() -> None:
     """A share of a few lucky samples let one backend choke."""
     harness = BalancerHarness()
     harness.balancer.endpoints.states[0].share = 10.0
@@ -58,7 +58,7 @@
     assert 0 < sum(s.endpoint_id == 0 for s in sends) <= harness.balancer.requests.limit.attempts
 
 
-def test_held_requests_go_by_worth_and_are_refused_when_the_hold_ends() -> None:
+def test_queued_requests_are_sent_by_priority_and_rejected_when_their_wait_ends() -> None:
     harness = BalancerHarness(backends=1)
     sends = []
     for n in range(10):
@@ -71,7 +71,7 @@
     assert len(refused) >= 5
 
 
-def test_the_least_served_class_goes_first_where_it_counts_for_itself() -> None:
+def test_least_served_class_goes_first_with_worst_class_weight() -> None:
     """By worth alone a cheap class would starve; both cost the same here."""
     first = {}
     for part in (0.0, 0.6):
@@ -88,7 +88,7 @@
     assert first == {0.0: "twice the worth", 0.6: "least served"}
 
 
-def test_a_tenant_beyond_its_share_waits_behind_the_others() -> None:
+def test_tenant_over_quota_waits_behind_others() -> None:
     tenants = (messages.Tenant("greedy", 2.0), messages.Tenant("modest", 50.0))
     harness = BalancerHarness(settings(tenants=tenants, over_quota_weight=0.1), backends=1)
     sends = []
@@ -101,7 +101,7 @@
     assert send.request == "m"
 
 
-def test_work_that_cannot_be_answered_in_its_aim_is_refused_at_once() -> None:
+def test_request_that_cannot_meet_its_latency_objective_is_rejected_at_once() -> None:
     harness = BalancerHarness()
     for n in range(60):
         for send in only(harness.request(f"w{n}"), messages.StartAttempt):
@@ -110,7 +110,7 @@
     assert only(actions, messages.Reject) == [messages.Reject("late")]
 
 
-def test_the_time_used_up_before_arrival_counts() -> None:
+def test_time_spent_before_arrival_shortens_the_attempt_timeout() -> None:
     harness = BalancerHarness()
     [send] = only(harness.request("first"), messages.StartAttempt)
     harness.end(send, messages.Outcome.OK)
@@ -118,7 +118,7 @@
     assert send.timeout_us <= 1 * S
 
 
-def test_a_retry_that_waits_longer_makes_no_first_try_look_old() -> None:
+def test_client_retry_with_longer_deadline_does_not_age_first_requests() -> None:
     """Clients wait for the whole of what is left in their last try, for part of the deadline before."""
     harness = BalancerHarness()
     for request_id, time_left, retry in (("a", 27 * S // 10, False), ("b", 45 * S // 10, True)):
@@ -130,13 +130,13 @@
         harness.end(send, messages.Outcome.OK)
 
 
-def test_an_unknown_class_is_handled_as_unsafe() -> None:
+def test_unknown_class_is_handled_as_unsafe() -> None:
     harness = BalancerHarness()
     [send] = only(harness.request("r", "never heard of"), messages.StartAttempt)
     assert only(harness.end(send, messages.Outcome.ERROR), messages.Fail) == [messages.Fail("r")]
 
 
-def test_tiny_or_no_patience_is_refused() -> None:
+def test_request_with_hardly_any_time_left_is_rejected() -> None:
     for time_left in (0, 1, 1500):
         harness = BalancerHarness()
         actions = harness.request("r", "pay", time_left)
@@ -144,7 +144,7 @@
         assert not only(actions, messages.StartAttempt)
 
 
-def test_the_same_id_twice_is_one_request() -> None:
+def test_duplicate_request_id_is_one_request() -> None:
     harness = BalancerHarness()
     assert len(only(harness.request("r") + harness.request("r"), messages.StartAttempt)) == 1
     assert harness.balancer.requests.classes["read"].requests == 1
@@ -164,7 +164,7 @@
     return sent
 
 
-def test_many_balancers_together_start_with_a_bounded_number_in_flight() -> None:
+def test_initial_concurrency_limit_is_shared_by_many_balancers() -> None:
     """One call a backend for each of hundreds of balancers was no limit at all."""
     harness = BalancerHarness(settings(instances=400), backends=40)
     balancer = harness.balancer
@@ -177,7 +177,7 @@
     assert 0 < sent <= 1.5 * balancer.requests.limit.attempts * len(balancer.endpoints.subset) * 10 / 0.4
 
 
-def test_the_room_falls_below_one_call_only_where_answers_are_far_too_late() -> None:
+def test_concurrency_limit_falls_below_one_only_under_overload() -> None:
     rooms = []
     for took in (800 * MS, 1800 * MS):  # later than good; far too late
         harness = BalancerHarness(settings(instances=8), backends=4)
@@ -187,7 +187,7 @@
     assert MIN_LIMIT / 8 <= rooms[1] < 0.5
 
 
-def test_one_that_failed_a_class_is_passed_over_for_that_class_alone() -> None:
+def test_endpoint_that_failed_a_class_is_avoided_for_that_class_only() -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=1)))
 
     def chosen(cls: str, n: int) -> int:
@@ -208,7 +208,7 @@
     assert first.endpoint_id in {chosen("read", 100 + n) for n in range(60)}
 
 
-def test_one_that_failed_a_class_still_gets_it_where_no_other_is_open() -> None:
+def test_endpoint_that_failed_a_class_is_used_when_no_other_is_open() -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=1)), backends=1)
     [first] = only(harness.request("a"), messages.StartAttempt)
     harness.end(first, messages.Outcome.ERROR)
@@ -216,7 +216,7 @@
     assert only(harness.request("b"), messages.StartAttempt)
 
 
-def test_a_connection_that_does_not_come_up_leaves_the_room_of_the_others() -> None:
+def test_failed_connection_does_not_lower_the_concurrency_limit() -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=1)))
     for n in range(40):
         room = harness.balancer.requests.limit.attempts
@@ -227,7 +227,7 @@
 
 
 @pytest.mark.parametrize(("waits", "served"), [(0.45, True), (0.55, False)])
-def test_a_request_waits_for_a_free_backend_for_half_of_its_useful_time(waits: float, served: bool) -> None:
+def test_request_waits_for_a_free_endpoint_for_half_of_its_useful_time(waits: float, served: bool) -> None:
     """It is refused at once then, with no attempt: trying again is harmless."""
     harness = BalancerHarness(backends=1)
     sends: list[messages.StartAttempt] = []
@@ -254,7 +254,7 @@
     return harness, sends
 
 
-def test_one_whose_attempt_was_not_sent_keeps_no_place_from_those_without_an_attempt() -> None:
+def test_queued_request_with_unsent_attempt_does_not_hold_back_first_attempts() -> None:
     """It is like a first one again, so it is sent again at once, and the next place is the other's."""
     harness, sends = crowded_cold()
     after = only(harness.end(sends[0], messages.Outcome.NOT_SENT), messages.StartAttempt)
@@ -263,7 +263,7 @@
     assert [(send.request, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
 
 
-def test_one_whose_attempt_was_rejected_keeps_no_place_from_those_without_an_attempt() -> None:
+def test_queued_request_with_rejected_attempt_does_not_hold_back_first_attempts() -> None:
     """All are cold, so its further attempt needs budget. A first one needs none, yet it waited behind it."""
     harness, sends = crowded_cold()
     assert not only(harness.end(sends[0], messages.Outcome.REJECTED), messages.StartAttempt)
@@ -272,7 +272,7 @@
 
 
 @pytest.mark.parametrize("most", [1, 3, 20])
-def test_attempts_that_are_never_sent_end_with_their_number(most: int) -> None:
+def test_unsent_attempts_end_at_the_limit_on_attempts(most: int) -> None:
     """They cost no retry budget, so that alone would let them go on for ever."""
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=most, cancel=True)))
     actions, sends = harness.request("r", "pay"), 0
--- a/tests/policy/test_policy_modules.py
+++ b/tests/policy/test_policy_modules.py
@@ -33,24 +33,24 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
-def test_a_module_keeps_its_size(path: Path) -> None:
+def test_module_stays_within_its_size(path: Path) -> None:
     lines = path.read_text().splitlines()
     assert len(lines) <= 400
     assert max(len(line) for line in lines) <= 110
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
-def test_a_module_has_no_clock_and_no_io(path: Path) -> None:
+def test_module_imports_no_clock_and_no_io(path: Path) -> None:
     others = {name for name in imported_modules(path) if not name.startswith("load_balancer.policy.")}
     assert others <= ALLOWED_IMPORTS
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
-def test_a_module_says_its_job_first(path: Path) -> None:
+def test_module_has_a_docstring(path: Path) -> None:
     assert ast.get_docstring(ast.parse(path.read_text()))
 
 
-def test_modules_import_each_other_without_a_circle_and_none_for_type_checking_alone() -> None:
+def test_imports_form_no_circle_and_none_is_for_type_checking_only() -> None:
     imports = {
         f"load_balancer.policy.{path.stem}": {
             name for name in imported_modules(path) if name.startswith("load_balancer.policy.")
@@ -61,6 +61,6 @@
     list(TopologicalSorter(imports).static_order())  # raises CycleError where modules form a circle
 
 
-def test_the_deploy_file_names_every_module() -> None:
+def test_deploy_file_names_every_policy_module() -> None:
     deploy = (POLICY.parent.parent / "deploy" / "balancer.toml").read_text()
     assert all(f'"load_balancer/policy/{path.name}"' in deploy for path in MODULES)
--- a/tests/policy/test_policy_rules_random.py
+++ b/tests/policy/test_policy_rules_random.py
@@ -262,7 +262,7 @@
 
 
 @pytest.mark.parametrize("first", range(0, 2000, 100))
-def test_the_rules_hold(first: int) -> None:
+def test_safety_rules_hold_under_random_events(first: int) -> None:
     """2,000 streams of 60 steps each, a hundred in each of these tests."""
     sent = again = cold = 0
     for seed in range(first, first + 100):
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_same_events_give_the_same_actions(seed: int) -> None:
+def test_same_events_give_the_same_actions(seed: int) -> None:
     first, second = World(seed), World(seed)
     first.run(300)
     second.run(300)
--- a/tests/policy/test_request_deadline.py
+++ b/tests/policy/test_request_deadline.py
@@ -8,14 +8,14 @@
 from tests.support.balancer_harness import UNSAFE, BalancerHarness, S, only, settings
 
 
-def test_an_attempt_ends_before_its_answer_would_be_late() -> None:
+def test_attempt_times_out_before_its_answer_would_be_late() -> None:
     harness = BalancerHarness()
     [send] = only(harness.request("r", "pay"), messages.StartAttempt)
     assert send.timeout_us <= UNSAFE.latency_objective_us - 2 * harness.balancer.settings.tick_us
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-def test_what_is_out_at_the_end_is_cancelled_where_allowed(allowed: bool) -> None:
+def test_attempt_in_flight_at_the_deadline_is_cancelled_where_allowed(allowed: bool) -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=3, cancel=allowed)))
     harness.request("r")
     actions = harness.pass_time(6 * S)  # no outcome comes
--- a/tests/policy/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -17,7 +17,7 @@
     "outcome",
     [messages.Outcome.ERROR, messages.Outcome.RESET, messages.Outcome.TIMEOUT, messages.Outcome.UNKNOWN],
 )
-def test_unsafe_work_that_may_have_run_fails_at_once(outcome: messages.Outcome) -> None:
+def test_unsafe_request_that_may_have_run_fails_at_once(outcome: messages.Outcome) -> None:
     harness = BalancerHarness()
     actions = harness.end(first_send(harness, "pay"), outcome)
     assert only(actions, messages.Fail) == [messages.Fail("r")]
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.REJECTED, messages.Outcome.NO_CONNECTION])
-def test_unsafe_work_that_never_ran_is_sent_elsewhere_and_then_refused(outcome: messages.Outcome) -> None:
+def test_unsafe_request_that_never_ran_is_retried_elsewhere_then_rejected(outcome: messages.Outcome) -> None:
     harness = BalancerHarness()
     send, tried = first_send(harness, "pay"), set()
     for attempt in range(3):
@@ -39,7 +39,7 @@
     assert not only(actions, messages.StartAttempt)
 
 
-def test_a_keyed_request_that_may_have_run_stays_in_its_cell() -> None:
+def test_keyed_request_that_may_have_run_is_retried_in_its_cell() -> None:
     for seed in range(20):
         harness = BalancerHarness(backends=6, seed=seed)
         send = first_send(harness, "write")
@@ -48,7 +48,7 @@
         assert again.endpoint_id != send.endpoint_id
 
 
-def test_a_keyed_request_is_not_sent_again_once_it_may_be_forgotten() -> None:
+def test_keyed_request_is_not_retried_after_its_deduplication_window() -> None:
     harness = BalancerHarness()
     send = first_send(harness, "write")
     harness.now += 4 * S - 1 * MS
@@ -57,13 +57,13 @@
     assert not only(actions, messages.StartAttempt)
 
 
-def test_without_backends_a_request_is_held_and_then_refused() -> None:
+def test_request_without_endpoints_is_queued_then_rejected() -> None:
     harness = BalancerHarness(backends=0)
     assert not only(harness.request("r"), messages.StartAttempt)
     assert only(harness.pass_time(5 * S), messages.Reject) == [messages.Reject("r")]
 
 
-def test_a_client_that_left_gets_nothing_more() -> None:
+def test_nothing_is_sent_after_client_disconnects() -> None:
     harness = BalancerHarness()
     send = first_send(harness, "read")
     assert only(harness.event(messages.ClientGone("r")), messages.CancelAttempt) == [
@@ -75,7 +75,7 @@
     assert not only(actions, messages.Fail)
 
 
-def test_nothing_goes_to_a_draining_backend() -> None:
+def test_draining_endpoint_gets_no_attempts() -> None:
     harness = BalancerHarness()
     harness.news(
         *(
@@ -89,7 +89,7 @@
     assert [s[0].endpoint_id for s in sends] == [0, 0, 0]
 
 
-def test_an_answer_that_has_begun_is_not_cut_off_at_the_deadline() -> None:
+def test_started_response_is_not_cut_off_at_the_deadline() -> None:
     harness = BalancerHarness()
     send = first_send(harness, "read")
     harness.event(messages.StreamStarted("r", 0))
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -9,7 +9,7 @@
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
-def test_what_may_have_run_is_not_sent_again_where_that_is_unsafe() -> None:
+def test_unsafe_request_with_deduplication_window_is_not_retried() -> None:
     harness = BalancerHarness(
         settings(classes=(messages.RequestClass("pay", 2 * S, 5 * S, deduplication_window_us=4 * S),))
     )
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(("after", "sent"), [(100 * MS, 1), (1500 * MS, 0)])
-def test_a_keyed_repeat_keeps_within_the_memory(after: int, sent: int) -> None:
+def test_keyed_retry_is_sent_only_within_the_deduplication_window(after: int, sent: int) -> None:
     keyed = messages.RequestClass(
         "write", 6 * S, 9 * S, idempotency=messages.Idempotency.KEYED, deduplication_window_us=1 * S
     )
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(("after", "sent"), [(590 * MS, 1), (610 * MS, 0)])
-def test_a_keyed_repeat_keeps_within_the_memory_though_its_connection_comes_up_late(
+def test_keyed_retry_leaves_time_for_its_connection_within_the_deduplication_window(
     after: int, sent: int
 ) -> None:
     keyed = messages.RequestClass(
@@ -44,7 +44,7 @@
     assert len(only(harness.end(send, messages.Outcome.ERROR), messages.StartAttempt)) == sent
 
 
-def test_a_keyed_repeat_stays_in_its_zone() -> None:
+def test_keyed_retry_stays_in_its_zone() -> None:
     keyed = messages.RequestClass(
         "write",
         2 * S,
@@ -61,7 +61,7 @@
         assert again.endpoint_id % 2 == send.endpoint_id % 2
 
 
-def test_a_further_attempt_goes_to_a_backend_not_tried_yet() -> None:
+def test_retry_goes_to_an_untried_endpoint() -> None:
     for seed in range(8):
         harness = BalancerHarness(backends=2, seed=seed)
         [send] = only(harness.request("r"), messages.StartAttempt)
@@ -70,7 +70,7 @@
         assert again.endpoint_id != send.endpoint_id
 
 
-def test_further_attempts_are_paid_from_a_retry_budget() -> None:
+def test_retries_are_paid_from_the_retry_budget() -> None:
     harness, sends, requests = BalancerHarness(), 0, 200
     for n in range(requests):
         pending = only(harness.request(f"r{n}"), messages.StartAttempt)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -22,7 +22,7 @@
     assert abs(counts[2] - 5000) < 200
 
 
-def test_of_two_draws_the_one_with_fewer_calls_in_flight_wins() -> None:
+def test_endpoint_with_fewer_attempts_in_flight_wins_the_draw() -> None:
     harness = BalancerHarness(backends=1)
     harness.request("long")
     harness.news(messages.Endpoint(0), messages.Endpoint(1), version=2)
@@ -35,7 +35,7 @@
         harness.end(send, messages.Outcome.OK)
 
 
-def test_an_overdue_call_counts_twice() -> None:
+def test_overdue_attempt_counts_twice() -> None:
     """A missing answer tells of a stuck backend long before its time-out."""
     harness = BalancerHarness(backends=1)
     [send] = only(harness.request("stuck"), messages.StartAttempt)
@@ -47,7 +47,7 @@
     assert server.load(harness.now) == 0
 
 
-def test_the_draws_are_distinct() -> None:
+def test_draws_are_distinct() -> None:
     harness = BalancerHarness(backends=5)
     for n in range(50):
         [send] = only(harness.request(f"r{n}"), messages.StartAttempt)
@@ -55,14 +55,14 @@
         harness.end(send, messages.Outcome.OK)
 
 
-def test_one_backend_and_none() -> None:
+def test_selection_from_one_endpoint_and_from_none() -> None:
     harness = BalancerHarness(backends=1)
     assert [s.endpoint_id for s in only(harness.request("a"), messages.StartAttempt)] == [0]
     harness.news()
     assert not only(harness.request("b"), messages.StartAttempt)
 
 
-def test_the_subset_is_mixed_stable_and_refilled() -> None:
+def test_subset_is_shuffled_stable_and_refilled() -> None:
     subsets = set()
     for index in range(0, 40, 8):
         harness = BalancerHarness(settings(instances=40, index=index), backends=40)
@@ -82,7 +82,7 @@
     assert len(subsets) == 5
 
 
-def test_a_failing_backend_is_lowered_and_not_removed() -> None:
+def test_failing_endpoint_gets_less_and_is_not_ejected() -> None:
     harness, counts = BalancerHarness(backends=6), Counter[int]()
     for n in range(600):
         for send in only(harness.request(f"r{n}", "pay"), messages.StartAttempt):
@@ -97,7 +97,7 @@
     assert harness.balancer.endpoints.states[0].share > 0
 
 
-def test_slow_backends_get_less_and_recover() -> None:
+def test_slow_endpoint_gets_less_and_recovers() -> None:
     harness = BalancerHarness(backends=6)
     shares = []
     for phase in range(3):
@@ -111,7 +111,7 @@
     assert shares[2] > shares[1] * 1.5
 
 
-def test_own_cancels_and_unsent_attempts_are_no_samples() -> None:
+def test_cancelled_and_unsent_attempts_are_no_latency_samples() -> None:
     for outcome in (messages.Outcome.CANCELLED, messages.Outcome.NOT_SENT):
         harness = BalancerHarness(backends=1)
         [send] = only(harness.request("r"), messages.StartAttempt)
@@ -144,15 +144,15 @@
     return stayed
 
 
-def test_calls_stay_in_their_zone_where_leaving_it_has_a_price() -> None:
+def test_requests_stay_in_their_zone_when_leaving_it_has_a_price() -> None:
     assert home_calls(price=0.05) > 120 > 100 > home_calls(price=0.0)
 
 
-def test_a_busy_zone_sends_its_calls_over_to_others() -> None:
+def test_busy_zone_spills_over_to_other_zones() -> None:
     assert home_calls(price=0.05, busy=REMOTE_PENALTY + 2) < 80
 
 
-def test_the_subset_holds_the_own_zone_and_a_way_out() -> None:
+def test_subset_holds_the_local_zone_and_some_remote_endpoints() -> None:
     harness = BalancerHarness(settings(zone="a", cross_zone_price=0.05, instances=3), backends=0)
     harness.news(*ZONES)
     zones = Counter(s.endpoint.zone for s in harness.balancer.endpoints.subset)
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(("size", "trouble", "rules", "seeds"), ALL_COLD)
-def test_with_all_cold_first_calls_keep_to_what_the_rule_allows(
+def test_first_attempts_stay_within_the_budget_when_all_endpoints_are_warming(
     size: tuple[int, int, float], trouble: str, rules: messages.Rules, seeds: tuple[int, ...]
 ) -> None:
     """Each by the page, and their mean by the stricter bound, which each of them went over."""
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("cold", ["zone", "all"])
 @pytest.mark.parametrize("rules", [TIGHT, COLDER])
-def test_a_tight_multiple_holds_for_every_seed(cold: str, rules: messages.Rules, seed: int) -> None:
+def test_tight_overload_multiple_holds_for_every_seed(cold: str, rules: messages.Rules, seed: int) -> None:
     fleet = cold_fleet(*SPARSE, cold, "burst failing", seed, rules=rules)
     worst, sent, allowed = fleet.worst_cold(page=True)
     assert sent > 0
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("cold", ["zone", "all"])
-def test_the_budget_holds_in_other_trouble(cold: str, trouble: str) -> None:
+def test_budget_holds_under_other_faults(cold: str, trouble: str) -> None:
     fleet = cold_fleet(*SPARSE, cold, trouble, seed=2, rules=TIGHT, health_checks=True)
     worst, sent, allowed = fleet.worst_cold(page=True)
     assert sent > 0
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(("balancers", "backends"), [(30, 12), (30, 6), (120, 6), (200, 200), (34, 3)])
-def test_the_places_of_the_balancers_of_a_backend_lie_apart(balancers: int, backends: int) -> None:
+def test_phases_of_the_balancers_of_an_endpoint_are_evenly_spread(balancers: int, backends: int) -> None:
     """Drawn by each for itself, the calls of several balancers fall due at once."""
     places: dict[int, list[float]] = {n: [] for n in range(backends)}
     for index in range(balancers):
@@ -94,7 +94,7 @@
     return harness
 
 
-def test_first_calls_come_in_turn_and_a_turn_that_is_not_used_ends() -> None:
+def test_free_first_attempts_rotate_and_expire_unused() -> None:
     harnesses = [waiting(30, index, 6) for index in range(30)]
     turns = []
     for _ in range(64):
@@ -114,7 +114,7 @@
     assert len(holders) == 15  # each balancer with this backend in its subset
 
 
-def test_a_balancer_without_a_first_turn_is_served_by_what_it_knew() -> None:
+def test_balancer_without_free_first_attempt_uses_its_remembered_rate() -> None:
     """Its own sends stopped with the budget, and the rate it measured from them fell to nothing."""
     served = []
     for index in range(30):
@@ -136,7 +136,7 @@
     assert min(served) > 0
 
 
-def test_a_call_without_budget_is_paid_for_by_the_next_that_falls_due() -> None:
+def test_attempt_without_tokens_is_paid_by_the_next_token() -> None:
     harness = waiting(1, 0, 1)
     [server] = harness.balancer.endpoints.subset
     server.warming.tokens = 0.2
@@ -144,7 +144,7 @@
     assert math.isclose(server.warming.tokens, -0.8)
 
 
-def test_what_falls_due_keeps_for_a_part_of_the_window_only() -> None:
+def test_token_expires_after_a_part_of_the_window() -> None:
     """With what was kept from before it, a window then brings one budget at the most."""
     harness = waiting(30, 0, 6, replace(RULES, slow_start_us=600 * S))
     server = harness.balancer.endpoints.subset[0]
@@ -163,7 +163,7 @@
     assert (1.0 + KEPT_WINDOW_SHARE) * BUDGET_SAFETY <= 1.0 + 1e-9
 
 
-def test_the_room_that_an_answer_makes_ends_if_it_is_not_used() -> None:
+def test_credit_of_an_answer_expires_unused() -> None:
     harness = waiting(30, 0, 6, replace(RULES, slow_start_us=600 * S))
     server = harness.balancer.endpoints.subset[0]
     server.last_attempt = LastAttempt.SUCCEEDED
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize(("balancers", "backends", "calls", "cold", "trouble", "rules"), SIZES)
-def test_all_balancers_together_keep_a_cold_backend_within_its_budget(
+def test_all_balancers_keep_a_warming_endpoint_within_its_budget(
     balancers: int, backends: int, calls: float, cold: str, trouble: str, rules: messages.Rules
 ) -> None:
     before, after = (S, 2 * S) if balancers > 100 else (3 * S, 4 * S)
@@ -185,7 +185,7 @@
     assert len(fleet.calls) >= 100
 
 
-def test_a_call_looks_at_no_more_backends_than_its_subset(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_examines_no_more_endpoints_than_its_subset(monkeypatch: pytest.MonkeyPatch) -> None:
     """With all of 880 backends cold, each call looked at all of them for each one in its subset."""
     looks = 0
     capacity = SlowStart.capacity
@@ -225,13 +225,13 @@
 
 
 @pytest.mark.parametrize(("balancers", "backends", "calls", "cold", "trouble", "rules"), PARTS)
-def test_the_parts_of_all_balancers_make_no_more_than_the_budget(
+def test_quotas_of_all_balancers_sum_to_no_more_than_the_budget(
     balancers: int, backends: int, calls: float, cold: str, trouble: str, rules: messages.Rules
 ) -> None:
     check_the_sum(balancers, backends, calls, cold, trouble, rules)
 
 
-def test_a_call_of_its_own_subset_is_sent_where_all_of_that_is_cold() -> None:
+def test_request_is_sent_when_its_whole_subset_is_warming() -> None:
     """Though others are warm, none of those that it may send to tells what a backend takes."""
     harness = BalancerHarness(settings(instances=20), backends=0)
     harness.news(*(messages.Endpoint(n) for n in range(30)))
@@ -243,7 +243,7 @@
     assert only(harness.request("r"), messages.StartAttempt)
 
 
-def test_balancers_that_could_not_use_their_part_save_up_no_more_than_a_window_of_it() -> None:
+def test_unused_tokens_are_saved_for_at_most_one_window() -> None:
     """Else all of them send what they saved in the same moment, as a burst comes."""
     rules, saved, flow = replace(RULES, slow_start_us=60 * S), 0, 0.0
     for index in range(0, 120, 2):
@@ -266,7 +266,7 @@
     assert 0 < saved <= rules.overload_multiple * 0.67 * flow
 
 
-def test_further_attempts_do_not_raise_the_part_of_a_cold_backend() -> None:
+def test_retries_do_not_raise_the_rate_of_a_warming_endpoint() -> None:
     harness, sent = BalancerHarness(settings(limits=messages.Limits(max_attempts=3)), backends=8), 0
     for n in range(3):
         sends = only(harness.request(f"r{n}"), messages.StartAttempt)
@@ -277,7 +277,7 @@
     assert harness.balancer.slow_start.first_attempts.per_us(harness.now) <= 3 / RATE_MEMORY_US
 
 
-def test_a_backend_beyond_the_subset_gets_its_part_from_many_more_balancers() -> None:
+def test_endpoint_outside_the_subset_gets_smaller_quotas_from_more_balancers() -> None:
     """Only further attempts go there, but from all of them."""
     harness = BalancerHarness(settings(rules=RULES, instances=40), backends=0)
     harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(40)))
@@ -306,13 +306,13 @@
 
 
 @pytest.mark.parametrize(("balancers", "backends", "calls", "cold", "trouble", "rules"), ALL_COLD)
-def test_failing_backends_keep_their_budget_where_all_are_cold(
+def test_failing_endpoints_stay_within_budget_when_all_are_warming(
     balancers: int, backends: int, calls: float, cold: str, trouble: str, rules: messages.Rules
 ) -> None:
     check_the_sum(balancers, backends, calls, cold, trouble, rules)
 
 
-def test_many_balancers_make_no_burst_of_first_calls_where_all_are_cold() -> None:
+def test_first_attempts_of_many_balancers_make_no_burst() -> None:
     sent = [0] * 6
     for index in range(30):
         harness = BalancerHarness(settings(rules=RULES, instances=30, index=index), backends=0, seed=index)
@@ -325,7 +325,7 @@
     assert max(sent) <= FREE_FIRST_ATTEMPTS
 
 
-def test_a_further_attempt_is_no_free_first_call_where_all_are_cold() -> None:
+def test_retry_is_not_a_free_first_attempt() -> None:
     harness = BalancerHarness(settings(rules=RULES, instances=30), backends=0)
     harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(6)))
     [send] = only(harness.request("r"), messages.StartAttempt)
@@ -333,7 +333,7 @@
 
 
 @pytest.mark.parametrize("seed", [0, 3, 4])
-def test_probes_and_their_repeats_keep_to_the_budget(seed: int) -> None:
+def test_health_checks_and_their_repeats_stay_within_the_budget(seed: int) -> None:
     fleet = cold_fleet(30, 6, 0.7, "all", "burst silent", seed, health_checks=True)
     worst, came, allowed = fleet.worst_cold()
     assert came > 0
@@ -341,9 +341,7 @@
 
 
 @pytest.mark.parametrize(("since", "asks"), [(0, 2), (10 * S, 1)])
-def test_an_unanswered_probe_of_a_cold_backend_is_repeated_from_the_budget_alone(
-    since: int, asks: int
-) -> None:
+def test_unanswered_health_check_is_repeated_only_within_the_budget(since: int, asks: int) -> None:
     setup = settings(
         rules=replace(RULES, slow_start_us=60 * S), limits=messages.Limits(3, cancel=True, health_checks=True)
     )
@@ -360,7 +358,7 @@
     assert len(probes) + len(again) == asks
 
 
-def test_the_budget_allows_calls_beside_the_one_at_a_time_where_all_are_cold() -> None:
+def test_budget_allows_concurrent_attempts_when_all_are_warming() -> None:
     """Answers of cold backends are slow; one call at a time served half of what they could do."""
     harness = BalancerHarness(backends=3)
     for n in range(300):
@@ -378,7 +376,7 @@
     assert len(sent) <= 50 * 3.0 * 0.5
 
 
-def test_the_first_backend_to_be_up_is_not_sent_a_call_by_every_balancer() -> None:
+def test_first_listed_endpoint_is_not_sent_an_attempt_by_every_balancer() -> None:
     """A list that comes in pieces may name one cold backend first, and all hold requests for it."""
     sent = 0
     for index in range(200):
--- a/tests/policy/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -7,14 +7,14 @@
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
-def test_where_all_are_cold_each_gets_one_call_at_a_time() -> None:
+def test_each_endpoint_gets_one_attempt_at_a_time_when_all_are_warming() -> None:
     harness = BalancerHarness(backends=0)
     harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(3)))
     sends = [s.endpoint_id for n in range(30) for s in only(harness.request(f"r{n}"), messages.StartAttempt)]
     assert sorted(sends) == [0, 1, 2]
 
 
-def test_a_cold_backend_saves_up_no_burst() -> None:
+def test_warming_endpoint_saves_up_no_burst() -> None:
     harness = BalancerHarness(settings(rules=messages.Rules(0.4, 60 * S, 3.0, 1 * S)), backends=0)
     harness.news(messages.Endpoint(0), messages.Endpoint(9, incarnation_us=harness.now))
     harness.balancer.endpoints.states[9].share = 1000.0
@@ -23,7 +23,7 @@
     assert sends.count(9) <= MAX_KEPT_ATTEMPTS
 
 
-def test_a_start_still_to_come_is_no_cold_one_where_none_are_cold() -> None:
+def test_endpoint_with_future_start_is_warm_without_a_slow_start_phase() -> None:
     """A clock a little behind, and settings that know no cold phase: each request failed until then."""
     harness = BalancerHarness(settings(rules=messages.Rules(0.4, 0, 3.0, 1 * S)), backends=0)
     harness.news(*(messages.Endpoint(n, incarnation_us=harness.now + 50 * MS) for n in range(3)))
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("instances", [3, 34, 200, 544])
 @pytest.mark.parametrize("backends", [10, 200, 3200])
-def test_the_cover_is_even_after_a_whole_list_and_after_half_has_been_replaced(
+def test_endpoints_are_covered_evenly_at_first_and_after_half_are_replaced(
     backends: int, instances: int
 ) -> None:
     """Of many balancers some neighbours are played: only backends that none but these reach are counted."""
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(("instances", "index", "most"), [(34, 17, 1.7), (100, 50, 2.4)])
-def test_an_arc_stays_where_it_is_while_others_come_and_go(instances: int, index: int, most: float) -> None:
+def test_subset_stays_in_place_while_endpoints_are_replaced(instances: int, index: int, most: float) -> None:
     """What comes and goes within it, half of its size, changes it, and little besides."""
     fleet = Fleet(3200, instances, range(index, index + 1))
     [ring] = fleet.rings
@@ -103,7 +103,7 @@
     assert len(seen) < most * size < len(plain)
 
 
-def test_arcs_start_at_their_even_place_but_where_the_size_is_bounded() -> None:
+def test_subset_starts_at_its_even_position_unless_its_size_is_bounded() -> None:
     for instances in (9, 34, 200):
         for usual in range(1, 201):
             for times in (1, 4, 16):
@@ -111,7 +111,7 @@
                 assert start_slack(usual * times, instances * times, size) == 0
 
 
-def test_a_start_goes_off_its_even_place_by_half_of_the_gap_and_no_further() -> None:
+def test_subset_start_leaves_its_even_position_by_at_most_half_of_the_gap() -> None:
     """Backends go only on one side of it, so that its even place runs away from it."""
     fleet = Fleet(3200, 34, range(17, 18))
     [ring] = fleet.rings
@@ -126,7 +126,7 @@
             assert subset == first
 
 
-def test_the_first_arc_keeps_its_start() -> None:
+def test_first_subset_keeps_its_start() -> None:
     fleet = Fleet(3200, 34, range(1))
     [ring] = fleet.rings
     first = ring.subset()
--- a/tests/policy/test_unsent_attempts.py
+++ b/tests/policy/test_unsent_attempts.py
@@ -17,7 +17,7 @@
     return harness
 
 
-def test_a_request_whose_attempt_was_not_sent_goes_to_an_idle_cold_backend() -> None:
+def test_unsent_attempt_is_retried_at_an_idle_warming_endpoint() -> None:
     """It counted as a further attempt, and was refused beside idle ones."""
     harness = all_cold()
     [send] = only(harness.request("r", "pay"), messages.StartAttempt)
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.REJECTED, messages.Outcome.NO_CONNECTION])
-def test_one_that_left_us_has_no_first_call_left(outcome: messages.Outcome) -> None:
+def test_sent_attempt_leaves_no_free_first_attempt(outcome: messages.Outcome) -> None:
     harness = all_cold()
     [send] = only(harness.request("r"), messages.StartAttempt)
     assert not only(harness.end(send, outcome, took=0), messages.StartAttempt)
--- a/tests/scenarios/test_deduplication_window.py
+++ b/tests/scenarios/test_deduplication_window.py
@@ -83,7 +83,7 @@
 )
 @pytest.mark.parametrize("late_s", [0.0, 24.0])
 @pytest.mark.parametrize("how", ["reset", "end", "500"])
-async def test_a_keyed_repeat_is_seen_within_its_window(
+async def test_keyed_retry_is_received_within_its_deduplication_window(
     window_s: float, after_s: float, late_s: float, again: bool, how: str
 ) -> None:
     """Also where its connection comes up as late as it may, or could come up later than the window's end."""
@@ -104,7 +104,7 @@
         assert seen[-1][0] - seen[0][0] <= window_s
 
 
-async def test_a_keyed_repeat_whose_connection_does_not_come_up_in_time_is_not_sent() -> None:
+async def test_keyed_retry_is_not_sent_when_its_connection_is_late() -> None:
     async with keyed_request(100.0) as (request, seen):
         held = Held()
         request.clock.step(60.0)
@@ -122,7 +122,9 @@
 # Resets under requests that have begun
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("after_s", [0.0, 10.0, 60.0])
-async def test_a_reset_under_a_request_that_has_begun(kind: str, after_s: float) -> None:
+async def test_request_reset_after_its_first_byte_is_retried_only_where_safe(
+    kind: str, after_s: float
+) -> None:
     """It may have run, however long after: what must not run twice ends, what has a key keeps its window."""
     classes = (
         messages.RequestClass("read", 400 * S, 900 * S, messages.Idempotency.SAFE),
--- a/tests/scenarios/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(("backends", "instances"), [(200, 34), (600, 102), (800, 34)])
-def test_few_backends_beside_the_subset_keep_connections(backends: int, instances: int) -> None:
+def test_few_endpoints_outside_the_subset_keep_connections(backends: int, instances: int) -> None:
     """Taking it that each backend that was ever in the subset holds one."""
     harness = BalancerHarness(settings(instances=instances, index=instances // 2), backends)
     rng = random.Random(1)
@@ -47,7 +47,7 @@
     assert most == MAX_DEPARTED
 
 
-def test_the_longest_gone_is_closed_first_and_one_that_has_come_back_is_not() -> None:
+def test_longest_departed_endpoint_is_closed_first_and_returned_one_is_kept() -> None:
     harness = BalancerHarness(settings(instances=34, index=0), backends=0)
     harness.news(*(messages.Endpoint(number) for number in range(1, 189)))
     ring = sorted(harness.balancer.endpoints.states.values(), key=lambda server: server.ring_position)
@@ -72,11 +72,11 @@
     assert not harness.balancer.endpoints.departed
 
 
-def test_the_simulator_is_told_in_its_words() -> None:
+def test_simulator_writes_close_idle_in_its_wire_form() -> None:
     assert write_action(messages.CloseIdle(7)) == {"msg": "CLOSE", "backend": 7}
 
 
-async def test_idle_connections_are_closed_and_the_backend_can_still_be_sent_to() -> None:
+async def test_departed_endpoint_loses_its_idle_connections_and_stays_usable() -> None:
     async with backend(answer(200, b"a")) as a, proxy(entry("a", a.port)) as p:
         for n in (1, 2):
             assert (await p.ask(call(request_id=f"r{n}")))[2] == b"a"
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("kind", PIECES)
-async def test_idle_clients_leave_the_watch_the_attempts_and_other_clients_their_descriptors(
+async def test_idle_clients_leave_descriptors_for_watch_attempts_and_other_clients(
     kind: str, tmp_path: Path
 ) -> None:
     async def ask(port: int, request_id: str) -> bytes:
@@ -102,7 +102,7 @@
             assert not any("Traceback" in line or "descriptor" in line for line in lines)
 
 
-async def test_a_list_that_comes_again_and_again_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
+async def test_repeated_endpoint_list_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
     """Only what it changes is, twenty lines in ten seconds; here the watch ends behind each whole list."""
     caplog.set_level(logging.INFO, logger="load_balancer.net.driver.endpoint_directory")
     many = [entry(f"s{n}", 9) for n in range(100)]
@@ -133,7 +133,7 @@
         assert sum("draining" in line for line in singly) == 1
 
 
-def test_a_discovery_that_stays_away_is_logged_a_few_times_and_counted(
+def test_absent_discovery_is_logged_a_few_times_with_a_count(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It is asked ten times a second where lists are pushed."""
--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -42,7 +42,9 @@
     return counted
 
 
-async def test_every_entry_leaves_again(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_no_entry_is_left_after_its_request_or_endpoint_is_gone(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with backend(answer(200, b"x")) as b, proxy(entry("s-0", b.port), most=20) as p:
--- a/tests/scenarios/test_hold_ups.py
+++ b/tests/scenarios/test_hold_ups.py
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("line", LINES)
 @pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-async def test_the_time_told_is_what_the_client_has_left_wherever_the_proxy_is_held_up(
+async def test_deadline_header_tells_the_time_remaining_wherever_the_process_stalls(
     line: str, kept: bool, monkeypatch: Patch
 ) -> None:
     """Of the first attempt and of a retry, each held up at that line.
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("at", ["send_on", "send"])
 @pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-async def test_nothing_is_written_once_no_time_is_left_to_tell(
+async def test_nothing_is_written_when_a_stall_leaves_no_time(
     at: str, kept: bool, monkeypatch: Patch
 ) -> None:
     """The hold-up is longer than what was left, and the timer for that can't have run yet."""
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize(("before_us", "again"), [(1 * MS, True), (-1 * MS, False)])
-def test_a_keyed_repeat_leaves_the_time_of_a_hold_up_to_its_windows_end(before_us: int, again: bool) -> None:
+def test_keyed_retry_allows_for_a_stall_before_its_window_ends(before_us: int, again: bool) -> None:
     deduplication_window_us, connect_us = 4 * S, 250 * MS
     cls = messages.RequestClass(
         "mark", 30 * S, 40 * S, messages.Idempotency.KEYED, deduplication_window_us=deduplication_window_us
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize("line", ["send_on", "begin"])
-async def test_what_waits_for_a_draining_backend_goes_elsewhere_though_the_list_is_read_late(
+async def test_request_waiting_for_a_draining_endpoint_goes_elsewhere_when_the_list_is_read_late(
     line: str, monkeypatch: Patch
 ) -> None:
     """Its connection comes up in the turn after the list, which stood unread while the loop was held up."""
--- a/tests/scenarios/test_little_time.py
+++ b/tests/scenarios/test_little_time.py
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("kind", ["read", "mark", "write", "pay"])
 @pytest.mark.parametrize("left_ms", [0, 1, 5, 14, 16, 18, 30])
-async def test_a_request_with_hardly_any_time_left_gets_its_answer_and_no_attempt(
+async def test_request_with_hardly_any_time_left_gets_a_response_and_no_attempt(
     kind: str, left_ms: int
 ) -> None:
     async with backend(answer(200, b"x")) as b, proxy(entry("s-1", b.port)) as p:
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("kind", ["read", "mark", "write", "pay"])
-async def test_attempts_that_are_all_refused_end_at_once_within_their_number(kind: str) -> None:
+async def test_rejected_attempts_end_at_once_within_the_limit_on_attempts(kind: str) -> None:
     ports = [free_port() for _ in range(5)]  # nobody listens there
     async with proxy(*(entry(f"s-{n}", port) for n, port in enumerate(ports))) as p:
         sends: list[messages.StartAttempt] = []
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("kind", ["read", "mark", "pay"])
-async def test_a_backend_that_drops_a_request_without_a_word_leaves_its_client_an_answer(kind: str) -> None:
+async def test_silently_dropped_request_gets_a_response(kind: str) -> None:
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
 
--- a/tests/scenarios/test_no_files.py
+++ b/tests/scenarios/test_no_files.py
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("folder", ["missing", "no folder", "empty", "unset"])
-async def test_it_needs_no_folder_and_no_file_that_can_be_written(tmp_path: Path, folder: str) -> None:
+async def test_process_runs_without_writable_files_or_folders(tmp_path: Path, folder: str) -> None:
     """Each write to a file fails for it, as on a full disk, and there is no home."""
 
     place = tmp_path / "place"
@@ -113,7 +113,7 @@
     assert not place.is_dir() or not list(place.iterdir())
 
 
-async def test_it_opens_no_file_to_write_it(tmp_path: Path) -> None:
+async def test_process_opens_no_file_for_writing(tmp_path: Path) -> None:
     assert command()[1:] == ["-B", "-m", "load_balancer"]  # -B: no compiled module is written either
     words = [sys.executable, "-B", "-c", AUDITED]
     text = await serve_move_and_end(tmp_path, words, {"TMPDIR": str(tmp_path)})
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -19,7 +19,7 @@
 from tests.support.upstream_helpers import Calls, Connects, ids
 
 
-async def test_a_keyed_repeat_is_not_late_where_the_proxy_stands_still_before_it_connects(
+async def test_keyed_retry_is_not_late_when_the_process_pauses_before_connecting(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The time for the connection runs from the decision to send, as the module counts it."""
@@ -39,7 +39,7 @@
         assert seen[-1][0] - seen[0][0] <= 100.0
 
 
-async def test_an_idle_connection_is_kept_where_the_proxy_stands_still_as_it_is_taken(
+async def test_idle_connection_is_kept_when_the_process_pauses_as_it_is_taken(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The attempt ends as too late; the connection has no timer any more, and none would ever close it."""
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("turn_s", [0.003, 0.01, 0.05])
 @pytest.mark.parametrize("turns", [1, 1000], ids=["one slow turn", "all turns slow"])
-async def test_a_connection_that_an_event_loop_is_late_to_see_is_not_taken_for_late(
+async def test_connection_noticed_late_by_the_event_loop_does_not_count_as_late(
     turn_s: float, turns: int
 ) -> None:
     """It stands at once, and any other one would cost the backend a handshake, and the proxy more turns."""
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("quiet_s", [60, 3_600, HOURS * 3_600, 30 * 24 * 3_600])
-def test_after_a_quiet_time_the_module_decides_as_before_it(quiet_s: int) -> None:
+def test_decisions_are_unchanged_after_a_quiet_period(quiet_s: int) -> None:
     """Rates run out to nothing and not to what is no number; epochs and shares stay as they were."""
     harness = BalancerHarness(settings(tenants=(messages.Tenant("t", 5.0),)))
     for n in range(200):
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("quiet_s", [60, HOURS * 3_600])
-def test_after_a_quiet_time_a_cold_backend_is_spared(quiet_s: int) -> None:
+def test_warming_endpoint_is_spared_after_a_quiet_period(quiet_s: int) -> None:
     """Nothing was sent for hours, so nothing tells what a backend takes: a burst finds one that is cold."""
     setup = settings(instances=20, index=3)
     harness = BalancerHarness(setup, backends=40)
@@ -150,7 +150,7 @@
 
 
 @BOTH
-async def test_a_watch_that_only_beats_for_hours_stands_and_its_end_is_made_good_in_time(
+async def test_watch_with_only_heartbeats_stands_for_hours_and_is_reopened_in_time(
     setup: messages.Settings,
 ) -> None:
     async with watched(setup) as (d, p, clock):
@@ -170,7 +170,7 @@
 # Idle connections
 
 
-async def test_after_a_quiet_time_the_first_request_finds_no_connection_that_the_backend_has_closed() -> None:
+async def test_first_request_after_a_quiet_period_uses_no_closed_connection() -> None:
     async with bare(answers_as(b"x")) as b, proxy(entry("s-1", b.port)) as p, stepped(p) as clock:
         assert (await p.ask(call(request_id="r0")))[2] == b"x"
         for n in range(1, 5):
@@ -183,7 +183,7 @@
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.15, 3_600.0])
-async def test_a_connection_past_its_idle_time_is_not_used_though_its_timer_has_not_run(
+async def test_connection_past_its_idle_time_is_not_used_before_its_timer_runs(
     late_s: float,
 ) -> None:
     """The process was held up: a request is read in the very turn in which the timer is due."""
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("idle_s", [0.1, 0.5, 1.0, 4.0])
-async def test_a_short_idle_time_leaves_room_for_a_process_that_is_held_up(idle_s: float) -> None:
+async def test_short_idle_time_allows_for_a_stalled_process(idle_s: float) -> None:
     """For 0.15 s between reading its clock and writing: the backend may have closed by then."""
 
     clock = SteppedClock()
@@ -259,7 +259,7 @@
 @pytest.mark.parametrize("many", [1, 3])
 @pytest.mark.parametrize("how", ["reset", "end", "silence"])
 @pytest.mark.parametrize("kind", KINDS)
-async def test_a_backend_that_has_forgotten_its_idle_connections_is_found_out_by_one_request(
+async def test_forgotten_idle_connections_cost_one_request_at_most(
     kind: str, how: str, many: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is made again on a new connection, and the next ones use none that was kept there."""
@@ -290,7 +290,7 @@
 @pytest.mark.parametrize(
     "case", ["time out", "given up", "cancelled", "a new connection", "it answers others"]
 )
-async def test_idle_connections_are_closed_only_where_a_kept_one_has_brought_nothing(case: str) -> None:
+async def test_idle_connections_are_closed_only_after_a_reused_one_stays_silent(case: str) -> None:
     """Not as a client leaves, nor for a new connection, nor where the backend answers others meanwhile."""
     silent = case in ("time out", "given up")
 
@@ -326,7 +326,7 @@
 
 
 @pytest.mark.parametrize(("rest_s", "made"), [(500.0, 0), (2_000.0, 1)])
-async def test_only_a_break_after_a_long_rest_has_the_request_made_again_on_a_new_connection(
+async def test_retry_uses_a_new_connection_only_after_a_break_of_a_long_idle_one(
     rest_s: float, made: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A backend that breaks a busy connection tells nothing of those to other backends."""
@@ -355,7 +355,7 @@
         assert len(a.wires) + len(b.wires) - before == made
 
 
-async def test_a_client_that_leaves_costs_its_backend_no_idle_connection() -> None:
+async def test_client_disconnect_closes_no_idle_connection() -> None:
     async def handle(wire: Wire, got: Message) -> None:
         if got[1]["req-id"] != "left":
             wire.say(answer(200, b"x"))
@@ -378,7 +378,7 @@
 @pytest.mark.parametrize("kept", [False, True], ids=["new", "kept"])
 @pytest.mark.parametrize("left", ["0.005", "0.030", "0.100", "0.300"])
 @pytest.mark.parametrize("kind", KINDS)
-async def test_a_request_with_little_time_that_a_backend_drops_without_a_word_gets_its_final_answer(
+async def test_silently_dropped_request_with_little_time_gets_a_final_response(
     kind: str, left: str, kept: bool
 ) -> None:
     """Within half a second after its time, whatever is left of it."""
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -231,7 +231,7 @@
 
 
 @EACH_ACCEPT
-def test_an_accept_that_fails_is_logged_once_in_a_while_and_the_next_ones_are_served(
+def test_accept_failures_are_logged_once_and_later_connections_are_served(
     error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -250,7 +250,7 @@
 
 
 @EACH_ACCEPT
-def test_an_accept_that_fails_at_the_end_ends_nothing_and_drops_nothing_behind_it(
+def test_accept_failure_during_shutdown_loses_only_the_failed_connection(
     error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     """What is open is answered, and each connection in the queue but the one that failed."""
@@ -279,7 +279,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.EINTR, errno.EMFILE, errno.EINVAL])
-async def test_an_accept_that_goes_on_failing_keeps_no_turn_of_the_event_loop_busy(
+async def test_accept_that_keeps_failing_does_not_busy_the_event_loop(
     error: int, rules: Rules, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The listener stays readable all the while. Each wait is one timer, which the test lets run out."""
@@ -304,7 +304,7 @@
         client.close()
 
 
-async def test_the_queue_is_taken_in_at_the_end_as_others_leave(rules: Rules) -> None:
+async def test_accept_queue_is_served_during_shutdown_as_clients_leave(rules: Rules) -> None:
     """More wait there than there is room for, and all that have one are still at work."""
 
     begun, go_on = 0, asyncio.Event()
@@ -379,7 +379,7 @@
 
 
 @pytest.mark.parametrize(("failed", "descriptors"), [(errno.ENETUNREACH, 0), (0, 40)], ids=["one", "EMFILE"])
-async def test_a_process_whose_accept_fails_at_its_end_answers_all_and_ends_by_itself(
+async def test_process_with_failing_accept_answers_all_and_exits_on_shutdown(
     failed: int, descriptors: int, tmp_path: Path
 ) -> None:
     """Of one connection alone; and for a real lack of descriptors, which the settings don't tell of."""
@@ -450,7 +450,7 @@
 
 
 @EACH_LACK
-def test_a_lack_of_this_machine_says_nothing_of_a_backend_and_costs_no_retry(
+def test_local_resource_shortage_is_not_blamed_on_the_endpoint(
     name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -473,7 +473,7 @@
 
 
 @EACH_LACK
-def test_a_lack_of_this_machine_that_lasts_ends_a_request_at_once_with_a_refusal(
+def test_lasting_local_resource_shortage_rejects_requests_at_once(
     name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     """After as many tries as the settings allow, which cost no retry, and none of them goes on."""
@@ -502,7 +502,7 @@
     assert not traces(caplog)
 
 
-async def test_beside_a_late_connection_a_lack_is_not_met_again_and_again(
+async def test_local_resource_shortage_beside_a_late_connect_is_not_retried_rapidly(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An attempt whose connection is late tries another one often, as one that fails at once is soon gone."""
@@ -533,7 +533,7 @@
 
 
 @NO_WAY
-def test_a_backend_that_could_not_be_reached_keeps_its_share_and_is_used_again(
+def test_unreachable_endpoint_keeps_its_share_and_is_used_again(
     error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The requests that met it are served elsewhere. What its own refusal says is another matter."""
@@ -581,7 +581,7 @@
     assert not traces(caplog)
 
 
-def test_a_way_that_is_gone_for_a_moment_costs_a_backend_a_moment() -> None:
+def test_brief_loss_of_route_avoids_an_endpoint_briefly() -> None:
     """Four backends, a hundred requests a second; for 0.3 s one of them cannot be reached."""
     harness, number = BalancerHarness(backends=4), 0
 
@@ -609,7 +609,7 @@
     assert 60 < sum(ask(True) == 0 for _ in range(400)) < 140
 
 
-def test_a_backend_that_cannot_be_reached_for_long_is_tried_now_and_then() -> None:
+def test_endpoint_unreachable_for_long_is_retried_at_intervals() -> None:
     """And where there is no other, each time: it is lowered, never removed."""
     harness, tries = BalancerHarness(backends=4), 0
     for number in range(6000):  # a minute
@@ -672,7 +672,7 @@
 
 
 @pytest.mark.parametrize("how", UNREADABLE.values(), ids=UNREADABLE.keys())
-async def test_a_new_configuration_that_cannot_be_read_for_a_moment_is_followed_after_it(
+async def test_briefly_unreadable_configuration_is_reloaded_once_readable(
     how: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with proxy() as p:
@@ -696,7 +696,7 @@
 
 
 @pytest.mark.parametrize("how", UNREADABLE.values(), ids=UNREADABLE.keys())
-async def test_a_new_configuration_that_stays_unreadable_is_given_up_and_the_old_one_stays(
+async def test_unreadable_configuration_is_given_up_and_the_old_one_kept(
     how: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with proxy() as p:
@@ -714,7 +714,7 @@
 
 
 @pytest.mark.parametrize("then", ["another signal", "the end", "another fault"])
-async def test_reading_it_again_ends_with(
+async def test_configuration_rereads_end_with(
     then: str, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """And what another signal brought is taken over once."""
@@ -743,7 +743,7 @@
 
 
 @pytest.mark.parametrize("serving", [True, False], ids=["serving", "not yet"])
-async def test_the_end_of_the_proxy_ends_the_reading(
+async def test_configuration_rereads_end_at_shutdown(
     serving: bool, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -761,7 +761,7 @@
     assert reads == file.reads < 1 + MAX_RELOAD_RETRIES
 
 
-async def test_a_process_follows_a_configuration_that_was_being_replaced_at_the_signal(
+async def test_process_follows_a_configuration_replaced_during_the_signal(
     tmp_path: Path,
 ) -> None:
     asked: asyncio.Queue[int] = asyncio.Queue()
@@ -816,7 +816,7 @@
 
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("name", ["recv", "send"])
-def test_whatever_comes_or_goes_byte_by_byte_is_read_and_written_whole(
+def test_bytes_that_come_or_go_one_by_one_are_read_and_written_completely(
     name: str, side: str, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -841,7 +841,7 @@
 
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("name", ["recv", "send"])
-def test_a_call_that_a_signal_interrupts_is_made_again(name: str, side: str, rules: Rules) -> None:
+def test_interrupted_system_calls_are_repeated(name: str, side: str, rules: Rules) -> None:
     """As it is told, though Python makes most such calls again by itself; and waits are, by real signals."""
 
     async def test() -> None:
@@ -876,7 +876,7 @@
 
 
 @pytest.mark.parametrize("all_but", [0, 1, 40])
-async def test_a_request_counts_as_sent_with_its_last_byte(all_but: int, rules: Rules) -> None:
+async def test_request_counts_as_sent_with_its_last_byte(all_but: int, rules: Rules) -> None:
     """The system takes a byte at a time, and then no more for now; the backend reads all that and breaks."""
     request = UpstreamRequest(
         b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True, adds_deadline_header=False
@@ -898,7 +898,7 @@
 
 @EACH_STANDING
 @pytest.mark.parametrize("name", ["recv", "send"])
-def test_a_callers_connection_that_fails_ends_what_is_out_for_it_and_nothing_else(
+def test_failed_client_connection_ends_only_its_own_attempt(
     name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -940,7 +940,7 @@
 
 @EACH_STANDING
 @pytest.mark.parametrize("when", ["at the first byte", "half written", "half written, read", "written"])
-def test_a_backends_connection_that_fails_tells_by_the_last_byte_whether_the_request_may_have_run(
+def test_failed_endpoint_connection_tells_by_the_last_byte_whether_the_request_may_have_run(
     when: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     half = 10  # bytes
@@ -975,7 +975,7 @@
 
 
 @EACH_STANDING
-def test_a_resting_connection_to_a_backend_that_fails_is_not_used_again(
+def test_failed_idle_connection_is_not_reused(
     error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
@@ -1004,7 +1004,7 @@
 
 
 @pytest.mark.parametrize(("name", "error"), WATCH_FAILURES, ids=WATCH_FAILURE_IDS)
-def test_a_watch_that_fails_is_opened_anew_and_that_is_logged_once(
+def test_failed_watch_is_reopened_and_logged_once(
     name: str, error: int, rules: Rules, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Three times in a row; what discovery has then comes."""
@@ -1047,7 +1047,7 @@
 
 
 @pytest.mark.parametrize("error", OF_A_LACK, ids=lambda number: errno.errorcode[number])
-def test_where_the_system_cannot_tell_what_is_on_a_connection_requests_are_served(
+def test_requests_are_served_when_poll_fails(
     error: int, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The careful answer counts: a resting connection is not used, no client has left, none is closed."""
@@ -1082,9 +1082,7 @@
     assert not lines(caplog)
 
 
-def test_a_connection_that_is_reset_as_we_end_our_sending_is_no_trouble(
-    rules: Rules, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_reset_at_the_end_of_sending_is_not_logged(rules: Rules, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with backend(answer(200, b"x")) as b, proxy(entry("b", b.port)) as p:
             rule = rules.add("shutdown", at(p.port), errno.ENOTCONN)
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize(
     ("started_ms", "age_ms"), [(500, 500), (700, 700), (701, 0), (1500, 0)], ids=lambda n: f"{n}ms"
 )
-async def test_heartbeats_on_a_standing_watch_bound_the_next_start(started_ms: int, age_ms: int) -> None:
+async def test_heartbeats_of_a_standing_watch_bound_the_next_start_time(started_ms: int, age_ms: int) -> None:
     """The last one came 700 ms ago, and the list before it 2 s earlier."""
 
     times, agent = Times(), Agent(listing(entry("a", 9)))
@@ -110,7 +110,7 @@
         driver.close()
 
 
-async def test_a_heartbeat_before_the_first_list_of_a_watch_confirms_nothing() -> None:
+async def test_heartbeat_before_the_first_list_confirms_nothing() -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         late = listing(entry("a", 9, boot_ms=times.wall() // 1000 - 2000), rev=9)
@@ -128,7 +128,7 @@
 
 
 @STEPS
-async def test_a_watch_stands_over_a_step_and_its_silence_is_judged_by_real_time(
+async def test_watch_stands_over_a_clock_step_and_its_silence_is_timed_monotonically(
     step: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     wall, agent, clock = Wall(monkeypatch), Agent(listing(entry("a", 9))), SteppedClock()
@@ -153,7 +153,7 @@
 
 @STEPS
 @pytest.mark.parametrize("ends", ["answered", "overdue"])
-async def test_a_request_that_waits_over_a_step_keeps_its_deadline(
+async def test_waiting_request_keeps_its_deadline_over_a_clock_step(
     step: int, ends: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     begun, go_on = asyncio.Event(), asyncio.Event()
@@ -182,7 +182,7 @@
 
 
 @STEPS
-async def test_a_shutdown_ends_in_time_over_a_step(
+async def test_shutdown_ends_in_time_over_a_clock_step(
     step: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A request that waits is answered as the deadline of the shutdown says, by real time."""
@@ -296,7 +296,7 @@
 
 @STEPS
 @pytest.mark.parametrize("where", ["everywhere", "elsewhere", "here"])
-def test_a_restart_after_a_step_gets_the_calls_that_it_gets_without_one(step: int, where: str) -> None:
+def test_endpoint_restarted_after_a_clock_step_gets_its_usual_attempts(step: int, where: str) -> None:
     ours, theirs = {"everywhere": (step, step), "elsewhere": (0, step), "here": (step, 0)}[where]
     seeds = range(2)
     plain = [calls_after_a_restart(0, 0, seed) for seed in seeds]
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -38,6 +38,6 @@
 
 
 @pytest.mark.parametrize(("named", "make"), IMPOSSIBLE.items())
-def test_impossible_settings_are_refused_by_name(named: str, make: Callable[[], object]) -> None:
+def test_impossible_settings_are_rejected_by_name(named: str, make: Callable[[], object]) -> None:
     with pytest.raises(ValueError, match=f"^{named}"):
         make()
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -73,7 +73,7 @@
     return [[g["decisions"] for g in a["proxys"] if g["proxy"] == instance] for a in answers]
 
 
-def test_starts_answers_and_ends() -> None:
+def test_simulator_starts_answers_and_exits() -> None:
     answers = replies(batches(range(2)))
     assert [a["n"] for a in answers] == list(range(60))
     words = {d["msg"] for a in answers for g in a["proxys"] for d in g["decisions"]}
@@ -85,7 +85,7 @@
     assert replies([{"tUs": 1, "n": 3, "proxys": []}]) == [{"n": 3, "proxys": []}]
 
 
-def test_same_events_same_actions_whatever_the_hash_seed() -> None:
+def test_same_events_give_the_same_actions_for_any_hash_seed() -> None:
     script = batches(range(3))
     assert replies(script, 1) == replies(script, 2)
 
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize(("line", "named"), MALFORMED.values(), ids=MALFORMED.keys())
-def test_what_cannot_be_understood_is_told_in_one_line(line: str, named: str) -> None:
+def test_invalid_line_is_reported_in_one_line(line: str, named: str) -> None:
     first = '{"tUs":1,"n":7,"proxys":[]}'
     done = run(f"{first}\n{line}\n")
     assert done.returncode == 2
@@ -153,7 +153,7 @@
     assert done.stdout == '{"n":7,"proxys":[]}\n'
 
 
-def test_a_line_that_is_not_utf8_is_told_in_one_line() -> None:
+def test_line_that_is_not_utf8_is_reported_in_one_line() -> None:
     done = subprocess.run(
         command(),
         input=b'{"tUs":1,"n":1,"proxys":[\xff]}\n',
@@ -182,7 +182,7 @@
 
 
 @pytest.mark.parametrize(("name", "path"), REQUIRED.items())
-def test_a_missing_setting_is_named_in_full(name: str, path: tuple[Any, ...] | None) -> None:
+def test_missing_setting_is_named_in_full(name: str, path: tuple[Any, ...] | None) -> None:
     raw = raw_settings()
     *way, last = path or (name,)
     inner: Any = raw
@@ -195,7 +195,7 @@
     assert len(done.stderr.splitlines()) == 1
 
 
-def test_missing_optional_settings_have_the_documented_defaults() -> None:
+def test_missing_optional_settings_have_documented_defaults() -> None:
     raw = raw_settings()
     bare = {key: raw[key] for key in ("lanes", "contract", "limits")}
     read = read_settings(bare)
@@ -203,7 +203,7 @@
     assert read.rules.max_poll_interval_us == Rules().max_poll_interval_us
 
 
-def test_what_is_unknown_is_passed_over() -> None:
+def test_unknown_parts_are_ignored() -> None:
     odd = [{"msg": "NEWS", "a": 1}, {**END, "gauge": {"unheard_of": 3}, "extra": [1]}]
     assert run(batch_of(*start(), *odd, request("r")) + "\n").returncode == 0
 
@@ -222,16 +222,16 @@
 
 
 @pytest.mark.parametrize(("ending", "word"), [(20, "ABORT"), (60, "ABORT"), (999, "ABORT"), (30, "CALL_OUT")])
-def test_outcomes_on_the_wire(ending: int, word: str) -> None:
+def test_outcomes_are_read_from_the_wire(ending: int, word: str) -> None:
     assert word in answer(ending)
 
 
-def test_a_retry_is_told_by_its_bit() -> None:
+def test_client_retry_is_read_from_its_bit() -> None:
     told = [read_request({**request("r"), "bitmap": bits}).retry for bits in (None, 0, 1, 2, 3, 4)]
     assert told == [False, False, False, True, True, False]
 
 
-def test_a_list_number_reused_within_a_batch_and_a_restart() -> None:
+def test_list_version_reused_within_a_batch_and_a_restart() -> None:
     events = [
         *start(),
         {"msg": "MANIFEST", "bank": 0, "rows": [{"backend": 77, "condition": "IN"}]},
@@ -249,7 +249,7 @@
     assert sends[1]["backend"] < 6
 
 
-def test_probes_on_the_wire() -> None:
+def test_health_checks_on_the_wire() -> None:
     assert write_action(messages.CheckHealth(7)) == {"msg": "INSPECT", "backend": 7}
     assert write_action(messages.CancelTimer(7)) is None  # the wire has no such thing
     said = {"backend": 7, "ending": 10, "gauge": {"busy_reqs": 2.5}}
