--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -1,4 +1,4 @@
-"""What one proxy needs while half of a fleet's backends are replaced, at the usual size and at sixteen times.
+"""What one proxy needs while half of a fleet's endpoints are replaced, at the usual size and at 16 times.
 
     python -m benchmarks.fleet_growth                 # the steady plays, 10 s each
     python -m benchmarks.fleet_growth --play move     # discovery moves (SIGHUP) and a watch falls silent
@@ -6,8 +6,8 @@
     python -m benchmarks.fleet_growth --rows 200/34 3200/544 --seconds 5 --json result.json
 
 The first row is the base from which the limits of the others are worked out (`growth_limits.py`). The proxy
-is one real process; backends and discovery are stand-ins in this one. Backends of the rows are equal: what
-one proxy sees of the rest of its fleet is only the number of balancers in its settings. The exit code is 1
+is one real process; endpoints and discovery are stand-ins in this one. All endpoints of a row are equal. What
+one proxy sees of the rest of its fleet is only the number of instances in its settings. The exit code is 1
 where a limit is broken and 2 where a row could not be played.
 """
 
@@ -30,57 +30,65 @@
 from benchmarks.proxy_process import ProxyEndedError, ProxyProcess, proxy_process
 from benchmarks.report import Result, breaks, machine, table
 from benchmarks.scenarios import PLAYS, ROWS, Scenario, Step, settings
-from benchmarks.stand_ins import Backends, Discovery
+from benchmarks.stand_ins import Discovery, EndpointStandIns
 
 SEED = 0x8C1F30D27A5BE964
-CELL = 8  # backends in a cell
+CELL = 8  # endpoints in a cell
 DESCRIPTORS_WANTED = 16_384  # for listeners and both ends of all connections, in this process
 SETTLE_TIMEOUT_S = 60.0  # a proxy that still works on the play this long after its end is measured as it is
 POLL_S = 0.02
 WATCH_TIMEOUT_S = 15.0  # the longest wait for a watch that has to be opened anew
 
 
+class WatchNotOpenedError(ProxyEndedError):
+    """The proxy has not opened its watch anew in time."""
+
+    def __init__(self) -> None:
+        """Say so."""
+        super().__init__("it has not opened its watch anew")
+
+
 class Fleet:
-    """The backends of a play and what discovery says of them."""
+    """The endpoints of a play and what discovery says of them."""
 
     def __init__(self, scenario: Scenario) -> None:
-        """Sets up the stand-ins of a scenario; nothing listens yet."""
+        """Set up the stand-ins of a scenario; nothing listens yet."""
         self._scenario = scenario
-        self.endpoints = Backends(scenario.service_s)
+        self.endpoints = EndpointStandIns(scenario.service_s)
         self.discovery = Discovery()
         self._serial = 0
         self._up: deque[tuple[str, str]] = deque()  # uid and address, the oldest first
         self._draining: deque[tuple[str, str]] = deque()
 
-    async def _start_backend(self) -> tuple[str, str, int]:
+    async def _start_endpoint(self) -> tuple[str, str, int]:
         self._serial += 1
         uid, address = f"s-{self._serial:08x}", await self.endpoints.start()
         self._up.append((uid, address))
         return uid, address, self._serial // CELL
 
     async def start(self) -> None:
-        """Starts the backends that are there from the beginning.
+        """Start the endpoints that are there from the beginning.
 
         Raises:
             OSError: One cannot listen, as for want of a descriptor.
         """
-        for _ in range(self._scenario.backends):
-            self.discovery.add(*await self._start_backend())
+        for _ in range(self._scenario.endpoints):
+            self.discovery.add(*await self._start_endpoint())
 
     async def replace(self) -> None:
-        """Has the oldest backend drain and a new one join, each told as a change of its own.
+        """Have the oldest endpoint drain and a new one join, each sent as a change of its own.
 
         Raises:
             OSError: The new one cannot listen.
-            IndexError: No backend is left that is not draining.
+            IndexError: No endpoint is left that is not draining.
         """
         old = self._up.popleft()
         self._draining.append(old)
         self.discovery.change(old[0], "terminating")
-        self.discovery.join(*await self._start_backend())
+        self.discovery.join(*await self._start_endpoint())
 
     def remove(self) -> None:
-        """Ends the backend that has drained longest.
+        """End the endpoint that has drained longest.
 
         Raises:
             IndexError: None is draining.
@@ -90,7 +98,7 @@
         self.endpoints.stop(address)
 
     def stop(self) -> None:
-        """Ends discovery and all backends."""
+        """End discovery and all endpoints."""
         self.discovery.stop()
         self.endpoints.stop_all()
 
@@ -99,7 +107,7 @@
     """One scenario with one proxy."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
-        """Sets up a play that has not begun.
+        """Set up a play that has not begun.
 
         Args:
             scenario: What happens in it.
@@ -113,7 +121,7 @@
         self._watches_due = 0  # by the end of the play
 
     async def run(self) -> Result:
-        """Plays it through, once.
+        """Play the scenario through, once.
 
         Raises:
             ProxyEndedError: The proxy has ended, does not listen or does not open its watch anew.
@@ -129,7 +137,7 @@
                 await asyncio.gather(*self._calls)
                 await self._until_watched()
                 settled = self._scenario.seconds is None or await proxy.until_quiet(SETTLE_TIMEOUT_S)
-                result = self._result(proxy, clients, settled)
+                result = self._result(proxy, clients, settled=settled)
                 clients.close()
                 return result
         finally:
@@ -145,7 +153,7 @@
             "settings": settings(self._scenario),
         }
         if self._scenario.knows_list:
-            config["known"] = self._fleet.discovery.whole()
+            config["known"] = self._fleet.discovery.complete_list()
         (self._folder / "config.json").write_text(json.dumps(config))
 
     async def _play(self, proxy: ProxyProcess, clients: Clients) -> None:
@@ -183,7 +191,7 @@
             self._calls.append(asyncio.create_task(clients.call()))
 
     async def _until_watched(self) -> None:
-        """Waits for the watch that has to be opened anew.
+        """Wait for the watch that has to be opened anew.
 
         Raises:
             ProxyEndedError: It has not been opened within 15 s.
@@ -192,10 +200,10 @@
         give_up_at = loop.time() + WATCH_TIMEOUT_S
         while self._fleet.discovery.watches < self._watches_due:
             if loop.time() > give_up_at:
-                raise ProxyEndedError("it has not opened its watch anew")
+                raise WatchNotOpenedError
             await asyncio.sleep(POLL_S)
 
-    def _result(self, proxy: ProxyProcess, clients: Clients, settled: bool) -> Result:
+    def _result(self, proxy: ProxyProcess, clients: Clients, *, settled: bool) -> Result:
         discovery = self._fleet.discovery
         figures = Figures(
             cpu_s=proxy.cpu_s,
@@ -208,8 +216,8 @@
         return Result(
             self._scenario,
             figures,
-            discovery.whole_lists,
-            discovery.whole_bytes,
+            discovery.complete_lists,
+            discovery.complete_list_bytes,
             discovery.watches,
             clients.served,
             settled,
@@ -217,7 +225,7 @@
 
 
 def play(scenario: Scenario) -> Result:
-    """Plays one row, in a folder of its own.
+    """Play one row, in a folder of its own.
 
     Raises:
         ProxyEndedError: The proxy has ended, does not listen or does not open its watch anew.
@@ -229,7 +237,7 @@
 
 
 def play_mean(scenario: Scenario, proxies: int) -> Result:
-    """Plays one row with several proxies, one after another, and returns the mean figures.
+    """Play one row with several proxies, one after another, and return the mean figures.
 
     Raises:
         ProxyEndedError: As `play`; the plays that are over are lost.
@@ -240,8 +248,8 @@
     return Result(
         scenario,
         Figures(*means),
-        whole_lists=sum(r.whole_lists for r in results),
-        whole_bytes=sum(r.whole_bytes for r in results),
+        complete_lists=sum(r.complete_lists for r in results),
+        complete_list_bytes=sum(r.complete_list_bytes for r in results),
         watches=sum(r.watches for r in results),
         calls_served=sum(r.calls_served for r in results),
         settled=all(r.settled for r in results),
@@ -249,7 +257,7 @@
 
 
 def raise_descriptor_limit() -> None:
-    """Makes room for thousands of listeners, as far as the system lets us."""
+    """Make room for thousands of listeners, as far as the system lets us."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     wanted = DESCRIPTORS_WANTED if hard == resource.RLIM_INFINITY else min(DESCRIPTORS_WANTED, hard)
     if soft != resource.RLIM_INFINITY and soft < wanted:
@@ -257,22 +265,22 @@
 
 
 def read_row(text: str) -> tuple[int, int]:
-    """Reads `backends/balancers`.
+    """Read `endpoints/instances`.
 
     Raises:
         ValueError: One of them is no number, or is under 1.
     """
-    backends, _, balancers = text.partition("/")
-    if int(backends) < 1 or int(balancers) < 1:
+    endpoints, _, instances = text.partition("/")
+    if int(endpoints) < 1 or int(instances) < 1:
         raise ValueError(text)
-    return int(backends), int(balancers)
+    return int(endpoints), int(instances)
 
 
 def read_arguments() -> argparse.Namespace:
-    """Reads the command line; a wrong one ends the program with code 2 and the usage."""
+    """Read the command line; a wrong one ends the program with code 2 and the usage."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--play", choices=PLAYS, default="steady", help="what happens besides replacements")
-    parser.add_argument("--rows", nargs="+", type=read_row, default=ROWS, help="backends/balancers")
+    parser.add_argument("--rows", nargs="+", type=read_row, default=ROWS, help="endpoints/instances")
     parser.add_argument("--seconds", type=float, default=10.0, help="length of a play")
     parser.add_argument("--calls", type=float, default=30.0, help="a second")
     parser.add_argument("--proxies", type=int, default=1, help="played one after another, for the mean")
@@ -281,12 +289,12 @@
 
 
 def main() -> int:
-    """Plays the rows, prints the table and the broken limits, and returns the exit code."""
+    """Play the rows, print the table and the broken limits, and return the exit code."""
     asked = read_arguments()
     scenario = replace(PLAYS[asked.play], seconds=asked.seconds, calls=round(asked.calls * asked.seconds))
     described = machine()
     try:
-        rows = [replace(scenario, backends=n, balancers=m) for n, m in asked.rows]
+        rows = [replace(scenario, endpoints=n, instances=m) for n, m in asked.rows]
         results = [play_mean(row, asked.proxies) for row in rows]
     except ProxyEndedError as error:
         print(error, file=sys.stderr)
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -529,7 +529,9 @@
         pool.close()
 
 
-NO_WAY = pytest.mark.parametrize("error", socket_state.NO_ROUTE, ids=lambda number: errno.errorcode[number])
+NO_WAY = pytest.mark.parametrize(
+    "error", socket_state.NO_ROUTE_ERRNOS, ids=lambda number: errno.errorcode[number]
+)
 
 
 @NO_WAY
@@ -993,7 +995,7 @@
     assert not lines(caplog)
 
 
-OF_A_CONNECT = [*socket_state.NO_ROUTE, errno.ETIMEDOUT, errno.EADDRNOTAVAIL, errno.EAGAIN]
+OF_A_CONNECT = [*socket_state.NO_ROUTE_ERRNOS, errno.ETIMEDOUT, errno.EADDRNOTAVAIL, errno.EAGAIN]
 WATCH_FAILURES = [
     *(("recv", error) for error in STANDING),
     *(("send", error) for error in STANDING),
