--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -1,4 +1,4 @@
-"""How long a request is held for a free backend: by its own time, as a refusal past half of that costs."""
+"""How long a request waits in the admission queue for a free endpoint, and when it is rejected instead."""
 
 from __future__ import annotations
 
@@ -8,44 +8,46 @@
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 
-def full(setup: messages.Settings | None = None, backends: int = 2) -> BalancerHarness:
-    """All backends have as many calls as they may, and one more request is held."""
-    harness = BalancerHarness(setup or settings(), backends)
+def balancer_with_full_endpoints(
+    setup: messages.Settings | None = None, endpoints: int = 2
+) -> BalancerHarness:
+    """Return a balancer whose endpoints are all at their concurrency limit, with one request in its queue."""
+    harness = BalancerHarness(setup or settings(), endpoints)
     while not harness.balancer.requests.queue:
         harness.request(f"c{harness.now}-{len(harness.done)}", "pay")
     return harness
 
 
-def refused_after(harness: BalancerHarness, request_id: str, within: int) -> int | None:
-    """Microseconds from now to its refusal, stepped finely, or none."""
+def time_until_rejection_us(harness: BalancerHarness, request_id: str, within_us: int) -> int | None:
+    """Return the microseconds until the request is rejected, to a millisecond; None if it is not."""
     began = harness.now
-    while harness.now - began < within:
-        if any(r.request == request_id for r in only(harness.pass_time(MS), messages.Reject)):
+    while harness.now - began < within_us:
+        if any(reject.request == request_id for reject in only(harness.pass_time(MS), messages.Reject)):
             return harness.now - began
     return None
 
 
-@pytest.mark.parametrize("time_left", [900 * MS, S, 1_500 * MS, 2 * S, 5 * S])
-@pytest.mark.parametrize("phase", [0, 3 * MS, 11 * MS, 19 * MS])
-def test_queued_request_is_rejected_within_half_of_its_useful_time(time_left: int, phase: int) -> None:
-    """Whatever the phase of the looks at the queue, and no sooner than that."""
-    harness = full()
-    harness.pass_time(phase)
-    harness.request("held", "read", time_left)
-    useful = min(time_left, 2 * S)  # an answer after the aim of its class earns nothing
-    after = refused_after(harness, "held", 3 * S)
-    assert after is not None
-    assert useful // 2 - 2 * MS <= after <= useful // 2
+@pytest.mark.parametrize("time_left_us", [900 * MS, S, 1_500 * MS, 2 * S, 5 * S])
+@pytest.mark.parametrize("phase_us", [0, 3 * MS, 11 * MS, 19 * MS])
+def test_queued_request_is_rejected_within_half_of_its_useful_time(time_left_us: int, phase_us: int) -> None:
+    """It holds at any phase of the periodic queue scan, and the rejection comes no sooner."""
+    harness = balancer_with_full_endpoints()
+    harness.pass_time(phase_us)
+    harness.request("queued", "read", time_left_us)
+    useful_us = min(time_left_us, 2 * S)  # an answer after its latency objective earns nothing
+    after_us = time_until_rejection_us(harness, "queued", 3 * S)
+    assert after_us is not None
+    assert useful_us // 2 - 2 * MS <= after_us <= useful_us // 2
 
 
-def held_again(outcome: messages.Outcome, after: int) -> BalancerHarness:
-    """A request whose first attempt has ended, its backend draining by now and the other one full."""
+def balancer_with_queued_retry(outcome: messages.Outcome, after_us: int) -> BalancerHarness:
+    """Return a balancer with a retry in its queue: one endpoint drains, the other is at its limit."""
     harness = BalancerHarness(settings(), 2)
     harness.request("first", "read", 5 * S)
     [send] = only(harness.done, messages.StartAttempt)
     while not harness.balancer.requests.queue:
         harness.request(f"c{len(harness.done)}", "pay")
-    harness.pass_time(after)
+    harness.pass_time(after_us)
     draining = messages.Endpoint(
         send.endpoint_id, messages.EndpointStatus.DRAINING, cell=send.endpoint_id % 2
     )
@@ -59,14 +61,14 @@
 def test_queued_retry_of_unwritten_request_is_rejected_by_half_of_its_time_since_arrival(
     outcome: messages.Outcome,
 ) -> None:
-    after = refused_after(held_again(outcome, 600 * MS), "first", 3 * S)
-    assert after is not None
-    assert 398 * MS <= after <= 400 * MS
+    after_us = time_until_rejection_us(balancer_with_queued_retry(outcome, 600 * MS), "first", 3 * S)
+    assert after_us is not None
+    assert 398 * MS <= after_us <= 400 * MS
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.ERROR, messages.Outcome.RESET])
 def test_queued_retry_of_written_request_waits_for_its_full_queue_time(outcome: messages.Outcome) -> None:
-    """A refusal of that one costs no more by coming later."""
-    after = refused_after(held_again(outcome, 200 * MS), "first", 3 * S)
-    assert after is not None
-    assert 998 * MS <= after <= S
+    """A rejection of such a request costs no more when it comes later."""
+    after_us = time_until_rejection_us(balancer_with_queued_retry(outcome, 200 * MS), "first", 3 * S)
+    assert after_us is not None
+    assert 998 * MS <= after_us <= S
--- a/tests/policy/test_change_detector.py
+++ b/tests/policy/test_change_detector.py
@@ -1,4 +1,4 @@
-"""The change detector against figures worked out without it."""
+"""The change detector, against figures computed independently of it."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 def run_length(shift: float, spread: float, threshold: float) -> float:
-    """Siegmund's approximation as the design states it."""
+    """Return the mean run length by Siegmund's approximation, as the design states it."""
     delta = -shift / spread
-    b = threshold / spread + 1.166
-    return (math.exp(-2 * delta * b) + 2 * delta * b - 1) / (2 * delta**2)
+    adjusted_threshold = threshold / spread + 1.166
+    return (math.exp(-2 * delta * adjusted_threshold) + 2 * delta * adjusted_threshold - 1) / (2 * delta**2)
 
 
 @pytest.mark.parametrize("target", [50.0, 100.0, 500.0, 5000.0])
@@ -45,9 +45,9 @@
 
 
 def samples_until_epoch(detector: ChangeDetector, rng: random.Random, mean: float, most: int) -> int:
-    for n in range(1, most + 1):
+    for number in range(1, most + 1):
         if detector.add(noisy(rng, mean)):
-            return n
+            return number
     return most + 1
 
 
@@ -100,13 +100,13 @@
 
 
 def test_share_changes_only_when_an_epoch_opens() -> None:
-    rng, server, moves = random.Random(3), EndpointState(Endpoint(1), WarmingState(0.0, 0, 0.0, 0)), 0
-    for n in range(300):
-        before = server.share
-        opened = server.add_latency(noisy(rng, 1.0 if n < 150 else 6.0))
-        assert opened or server.share == before
+    rng, state, moves = random.Random(3), EndpointState(Endpoint(1), WarmingState(0.0, 0, 0.0, 0)), 0
+    for number in range(300):
+        before = state.share
+        opened = state.add_latency(noisy(rng, 1.0 if number < 150 else 6.0))
+        assert opened or state.share == before
         if opened:
             moves += 1
-            assert server.share == 1.0 / server.detector.epoch_mean
+            assert state.share == 1.0 / state.detector.epoch_mean
     assert moves >= 1
-    assert server.share < 0.5
+    assert state.share < 0.5
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Following the list, draining, and cold backends."""
+"""Subscription to the endpoint list, its updates, draining and warming endpoints."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 
 
 def test_subscription_backoff_grows_within_bounds() -> None:
-    harness, waits = BalancerHarness(ASKING), []
+    harness, waits_us = BalancerHarness(ASKING), []
     for _ in range(8):
         harness.news(kind=messages.EndpointListKind.FAILED)
-        asked_at = harness.now
+        failed_at_us = harness.now
         while not only(harness.pass_time(10 * MS), messages.Subscribe):
-            assert harness.now - asked_at < ASKING.rules.max_poll_interval_us / 2
-        waits.append(harness.now - asked_at)
-    assert waits[0] < waits[1]  # later each time, but for the part that chance takes off
-    assert waits[0] <= S
+            assert harness.now - failed_at_us < ASKING.rules.max_poll_interval_us / 2
+        waits_us.append(harness.now - failed_at_us)
+    assert waits_us[0] < waits_us[1]  # the backoff grows, except for its jitter
+    assert waits_us[0] <= S
     assert (
-        max(waits[3:]) - min(waits[3:])
+        max(waits_us[3:]) - min(waits_us[3:])
         <= BACKOFF_JITTER * ASKING.rules.max_poll_interval_us * MAX_BACKOFF_SHARE
     )
-    assert min(waits[3:]) >= waits[1] * (1 - BACKOFF_JITTER)
+    assert min(waits_us[3:]) >= waits_us[1] * (1 - BACKOFF_JITTER)
 
 
-def asked_again(harness: BalancerHarness, stood_us: int) -> int:
-    """The wait after the end of a call that has stood for this long."""
+def resubscription_wait_us(harness: BalancerHarness, stood_us: int) -> int:
+    """Return the microseconds until the next subscription after one that lasted `stood_us` has failed."""
     harness.now += stood_us
     [timer] = only(
         harness.event(messages.EndpointListUpdate(messages.EndpointListKind.FAILED)), messages.SetTimer
@@ -50,53 +50,55 @@
 
 
 def test_long_lived_subscription_resets_the_backoff_for_one_retry() -> None:
-    """So that neither a queue nor refusals keep news back, and a discovery just back is not stormed."""
+    """Otherwise changes would come late, or a discovery that has just restarted would be overloaded."""
     for seed in range(20):
         harness = BalancerHarness(ASKING, seed=seed)
         for _ in range(6):
-            asked_again(harness, 0)
-        least = 1.0 - BACKOFF_JITTER
-        assert least * FIRST_BACKOFF_US <= asked_again(harness, 2_500 * MS) <= FIRST_BACKOFF_US
-        assert least * MAX_BACKOFF_US <= asked_again(harness, 0) <= MAX_BACKOFF_US
+            resubscription_wait_us(harness, 0)
+        least_share = 1.0 - BACKOFF_JITTER
+        assert (
+            least_share * FIRST_BACKOFF_US <= resubscription_wait_us(harness, 2_500 * MS) <= FIRST_BACKOFF_US
+        )
+        assert least_share * MAX_BACKOFF_US <= resubscription_wait_us(harness, 0) <= MAX_BACKOFF_US
 
 
 @pytest.mark.parametrize("stood_us", [0, 1 * S, 2_500 * MS])
 def test_resubscriptions_of_many_balancers_are_spread_after_repeated_failures(stood_us: int) -> None:
-    waits = []
+    waits_us = []
     for seed in range(20):
         harness = BalancerHarness(ASKING, seed=seed)
         for _ in range(6):
-            asked_again(harness, 0)
-        waits.append(asked_again(harness, stood_us))
-    assert len(set(waits)) > 10
-    assert max(waits) - min(waits) > BACKOFF_JITTER * FIRST_BACKOFF_US / 2
+            resubscription_wait_us(harness, 0)
+        waits_us.append(resubscription_wait_us(harness, stood_us))
+    assert len(set(waits_us)) > 10
+    assert max(waits_us) - min(waits_us) > BACKOFF_JITTER * FIRST_BACKOFF_US / 2
 
 
 def test_pushed_watch_is_reopened_at_once_then_every_100_ms() -> None:
-    """What discovery's agent has counts as told whether or not a watch is open, and asking it is free."""
-    harness, waits = BalancerHarness(), []
-    for n in range(20):
+    """An open watch is not needed for discovery to count a change as delivered, and polling is free."""
+    harness, waits_us = BalancerHarness(), []
+    for number in range(20):
         harness.news(kind=messages.EndpointListKind.FAILED)
-        asked_at = harness.now
+        failed_at_us = harness.now
         while not only(harness.pass_time(10 * MS), messages.Subscribe):
-            assert harness.now - asked_at < S
-        waits.append(harness.now - asked_at)
-        if n == 9:
+            assert harness.now - failed_at_us < S
+        waits_us.append(harness.now - failed_at_us)
+        if number == 9:
             harness.pass_time(S)
-    assert waits[0] <= 10 * MS
-    assert waits[10] <= 10 * MS
-    assert all(80 * MS <= wait <= 100 * MS for wait in waits[1:10] + waits[11:])
+    assert waits_us[0] <= 10 * MS
+    assert waits_us[10] <= 10 * MS
+    assert all(80 * MS <= wait <= 100 * MS for wait in waits_us[1:10] + waits_us[11:])
 
 
 def test_resubscriptions_of_many_balancers_are_spread_after_first_failure() -> None:
-    asked_at = []
+    waits_us = []
     for seed in range(20):
         harness = BalancerHarness(ASKING, seed=seed)
         [timer] = only(
             harness.event(messages.EndpointListUpdate(messages.EndpointListKind.FAILED)), messages.SetTimer
         )
-        asked_at.append(timer.at_us - harness.now)
-    assert len(set(asked_at)) > 10
+        waits_us.append(timer.at_us - harness.now)
+    assert len(set(waits_us)) > 10
 
 
 def test_failed_subscription_keeps_the_endpoint_list() -> None:
@@ -127,18 +129,20 @@
         kind=messages.EndpointListKind.CHANGES,
         version=4,
     )
-    assert [s.endpoint.id for s in harness.balancer.endpoints.subset if s.endpoint.id in (0, 1, 9)] == []
+    assert [
+        state.endpoint.id for state in harness.balancer.endpoints.subset if state.endpoint.id in (0, 1, 9)
+    ] == []
     assert harness.balancer.endpoints.version == 5
 
 
 def test_endpoints_are_in_about_equally_many_subsets() -> None:
-    """Subsets drawn one by one left some backends to nobody and others to many."""
-    for instances, backends in ((9, 43), (43, 100), (14, 33), (3, 40)):
-        counts = dict.fromkeys(range(backends), 0)
+    """Subsets drawn independently left some endpoints out and put others into many."""
+    for instances, endpoints in ((9, 43), (43, 100), (14, 33), (3, 40)):
+        counts = dict.fromkeys(range(endpoints), 0)
         for index in range(instances):
-            harness = BalancerHarness(settings(instances=instances, index=index), backends, seed=index)
-            for server in harness.balancer.endpoints.subset:
-                counts[server.endpoint.id] += 1
+            harness = BalancerHarness(settings(instances=instances, index=index), endpoints, seed=index)
+            for state in harness.balancer.endpoints.subset:
+                counts[state.endpoint.id] += 1
         assert max(counts.values()) - min(counts.values()) <= 2
         assert min(counts.values()) >= min(2, instances) - 1
 
@@ -146,21 +150,21 @@
 def test_new_endpoint_changes_few_members_of_a_subset() -> None:
     for index in range(10):
         harness = BalancerHarness(settings(instances=10, index=index), backends=60)
-        before = {s.endpoint.id for s in harness.balancer.endpoints.subset}
+        before = {state.endpoint.id for state in harness.balancer.endpoints.subset}
         harness.news(messages.Endpoint(777), kind=messages.EndpointListKind.CHANGES, version=2)
-        assert len(before - {s.endpoint.id for s in harness.balancer.endpoints.subset}) <= 2
+        assert len(before - {state.endpoint.id for state in harness.balancer.endpoints.subset}) <= 2
 
 
 def test_restarted_endpoint_starts_with_fresh_state() -> None:
     harness = BalancerHarness()
-    server = harness.balancer.endpoints.states[0]
-    server.share = 0.1
+    state = harness.balancer.endpoints.states[0]
+    state.share = 0.1
     harness.request("r")
     harness.news(
         messages.Endpoint(0, incarnation_us=harness.now), kind=messages.EndpointListKind.CHANGES, version=2
     )
     fresh = harness.balancer.endpoints.states[0]
-    assert (fresh.share, fresh.in_flight, fresh.mixed_id) == (1.0, [], server.mixed_id)
+    assert (fresh.share, fresh.in_flight, fresh.mixed_id) == (1.0, [], state.mixed_id)
 
 
 def test_outcome_from_removed_endpoint_ends_its_request() -> None:
@@ -174,31 +178,35 @@
 
 def test_request_is_rejected_when_all_endpoints_drain() -> None:
     harness = BalancerHarness()
-    harness.news(*(messages.Endpoint(n, messages.EndpointStatus.DRAINING) for n in range(4)), version=2)
+    harness.news(
+        *(messages.Endpoint(number, messages.EndpointStatus.DRAINING) for number in range(4)), version=2
+    )
     actions = harness.request("r") + harness.pass_time(5 * S)
     assert only(actions, messages.Reject)
     assert not only(actions, messages.StartAttempt)
 
 
-def steady(harness: BalancerHarness, seconds: float, per_s: int = 100) -> dict[int, list[int]]:
-    """Answers each call after 20 ms; the times of sends to each backend."""
+def send_times_by_endpoint(
+    harness: BalancerHarness, seconds: float, per_s: int = 100
+) -> dict[int, list[int]]:
+    """Return the send times of each endpoint under steady load, each attempt answered after 20 ms."""
     sent: dict[int, list[int]] = {}
-    for n in range(int(seconds * per_s)):
+    for number in range(int(seconds * per_s)):
         harness.now += S // per_s
-        for send in only(harness.request(f"s{harness.now}.{n}"), messages.StartAttempt):
+        for send in only(harness.request(f"s{harness.now}.{number}"), messages.StartAttempt):
             sent.setdefault(send.endpoint_id, []).append(harness.now)
             harness.end(send, messages.Outcome.OK, took=20 * MS)
     return sent
 
 
-def most_in_window(times: list[int], window: int) -> int:
-    return max((sum(1 for t in times if a <= t < a + window) for a in times), default=0)
+def most_in_window(times: list[int], window_us: int) -> int:
+    return max((sum(start <= time < start + window_us for time in times) for start in times), default=0)
 
 
 def test_warming_endpoint_stays_within_its_budget_relative_to_warm_ones() -> None:
     for seed in range(5):
         harness = BalancerHarness(seed=seed)
-        warm = steady(harness, 5)
+        warm = send_times_by_endpoint(harness, 5)
         rules = harness.balancer.settings.rules
         harness.news(
             messages.Endpoint(9, incarnation_us=harness.now),
@@ -206,12 +214,12 @@
             version=2,
         )
         harness.balancer.endpoints.states[9].share = 50.0  # even where its share would draw everything
-        cold = steady(harness, 2).get(9, [])
+        warming = send_times_by_endpoint(harness, 2).get(9, [])
         most_warm = max(most_in_window(times, rules.overload_window_us) for times in warm.values())
         capacity = rules.start_capacity + (1 - rules.start_capacity) * 2 * S / rules.slow_start_us
         assert (
             0
-            < most_in_window(cold, rules.overload_window_us)
+            < most_in_window(warming, rules.overload_window_us)
             <= rules.overload_multiple * capacity * most_warm
         )
 
@@ -219,20 +227,20 @@
 def test_retries_count_against_the_slow_start_budget() -> None:
     harness = BalancerHarness(backends=0)
     harness.news(messages.Endpoint(0), messages.Endpoint(9, incarnation_us=harness.now))
-    cold = 0
-    for n in range(50):
-        for send in only(harness.request(f"r{n}"), messages.StartAttempt):
-            cold += send.endpoint_id == 9
+    warming_count = 0
+    for number in range(50):
+        for send in only(harness.request(f"r{number}"), messages.StartAttempt):
+            warming_count += send.endpoint_id == 9
             for again in only(harness.end(send, messages.Outcome.REJECTED), messages.StartAttempt):
-                cold += again.endpoint_id == 9
+                warming_count += again.endpoint_id == 9
                 harness.end(again, messages.Outcome.REJECTED, attempt=1)
-    assert cold <= 2
+    assert warming_count <= 2
 
 
 def test_endpoints_that_are_all_warming_still_serve() -> None:
     harness = BalancerHarness(backends=0)
-    harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(4)))
-    assert sum(len(times) for times in steady(harness, 3).values()) > 100
+    harness.news(*(messages.Endpoint(number, incarnation_us=harness.now) for number in range(4)))
+    assert sum(len(times) for times in send_times_by_endpoint(harness, 3).values()) > 100
 
 
 def test_complete_list_with_lower_version_resets_the_version() -> None:
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -1,4 +1,4 @@
-"""Calls whose answers never come, though the backend is there or its connection stays open."""
+"""Attempts whose responses never come, although the endpoint is up or the connection stays open."""
 
 from __future__ import annotations
 
@@ -18,21 +18,23 @@
 PROBING = settings(limits=LIMITS)
 
 
-def asked(harness: BalancerHarness, us: int) -> list[messages.CheckHealth]:
-    return only(harness.pass_time(us), messages.CheckHealth)
+def health_checks_within(harness: BalancerHarness, within_us: int) -> list[messages.CheckHealth]:
+    return only(harness.pass_time(within_us), messages.CheckHealth)
 
 
 def test_health_checks_of_hanging_attempt_back_off() -> None:
     harness = BalancerHarness(PROBING)
     harness.request("a")
-    assert not asked(harness, 1150 * MS)
+    assert not health_checks_within(harness, 1150 * MS)
     times: list[int] = []
     for _ in range(35):
-        for probe in asked(harness, 100 * MS):
+        for check in health_checks_within(harness, 100 * MS):
             times.append(harness.now)
-            harness.event(messages.HealthCheckEnded(probe.endpoint_id, True, 1.0))
+            harness.event(messages.HealthCheckEnded(check.endpoint_id, True, 1.0))
     assert [later - sooner for sooner, later in pairwise(times)] == [400 * MS, 800 * MS, 1600 * MS]
-    assert not only(harness.done, messages.CancelAttempt)  # it holds the request, so it is only long
+    assert not only(
+        harness.done, messages.CancelAttempt
+    )  # the endpoint still has the request: it is only slow
 
 
 @pytest.mark.parametrize(
@@ -41,19 +43,21 @@
 def test_attempt_at_silent_endpoint_is_abandoned_without_health_checks(
     cls: str, answers: bool, again: bool
 ) -> None:
-    """One that answers others meanwhile is only slow, and what must not run twice waits all the same."""
+    """An endpoint that answers other requests is only slow, and an unsafe request is never abandoned."""
     harness = BalancerHarness(backends=2)
     [send] = only(harness.request("a", cls), messages.StartAttempt)
     harness.now += 100 * MS
-    others = [s for n in range(6) for s in only(harness.request(f"b{n}"), messages.StartAttempt)]
-    for other in others:
+    other_sends = [
+        send for number in range(6) for send in only(harness.request(f"b{number}"), messages.StartAttempt)
+    ]
+    for other in other_sends:
         if answers or other.endpoint_id != send.endpoint_id:
             harness.end(other, messages.Outcome.OK, took=1 * MS)
-    norm = harness.balancer.requests.classes[cls].usual_latency_us
+    usual_latency_us = harness.balancer.requests.classes[cls].usual_latency_us
     cancels = [
-        c
-        for c in only(harness.pass_time(int(3 * norm) + 200 * MS), messages.CancelAttempt)
-        if c.request == "a"
+        cancel
+        for cancel in only(harness.pass_time(int(3 * usual_latency_us) + 200 * MS), messages.CancelAttempt)
+        if cancel.request == "a"
     ]
     assert cancels == ([messages.CancelAttempt("a", 0)] if again else [])
     if again:
@@ -65,14 +69,14 @@
 def test_attempt_is_cancelled_when_endpoint_reports_fewer_requests_than_are_in_flight() -> None:
     harness = BalancerHarness(PROBING)
     [first] = only(harness.request("a"), messages.StartAttempt)
-    [probe] = asked(harness, 1300 * MS)
-    assert probe.endpoint_id == first.endpoint_id
+    [check] = health_checks_within(harness, 1300 * MS)
+    assert check.endpoint_id == first.endpoint_id
     [cancel] = only(
-        harness.event(messages.HealthCheckEnded(probe.endpoint_id, True, 0.0)), messages.CancelAttempt
+        harness.event(messages.HealthCheckEnded(check.endpoint_id, True, 0.0)), messages.CancelAttempt
     )
     assert cancel == messages.CancelAttempt("a", 0)
     [again] = only(harness.end(first, messages.Outcome.CANCELLED), messages.StartAttempt)
-    assert len(asked(harness, 1100 * MS)) == 1  # the next one that hangs is asked about sooner
+    assert len(health_checks_within(harness, 1100 * MS)) == 1  # the next hanging attempt is checked sooner
     assert again.request == "a"
     assert again.endpoint_id != first.endpoint_id
 
@@ -83,9 +87,9 @@
     harness.pass_time(1200 * MS)
     harness.request("b")
     harness.pass_time(100 * MS)
-    [probe] = only(harness.done, messages.CheckHealth)
+    [check] = only(harness.done, messages.CheckHealth)
     cancels = only(
-        harness.event(messages.HealthCheckEnded(probe.endpoint_id, True, 0.0)), messages.CancelAttempt
+        harness.event(messages.HealthCheckEnded(check.endpoint_id, True, 0.0)), messages.CancelAttempt
     )
     assert cancels == [messages.CancelAttempt("a", 0)]
 
@@ -93,23 +97,23 @@
 def test_endpoint_that_fails_two_health_checks_gets_nothing_until_it_responds() -> None:
     harness = BalancerHarness(PROBING, backends=1)
     [first] = only(harness.request("a"), messages.StartAttempt)
-    [probe] = asked(harness, 1300 * MS)
-    once = harness.event(messages.HealthCheckEnded(probe.endpoint_id, False))
-    assert only(once, messages.CheckHealth)
-    assert not only(once, messages.CancelAttempt)  # it may have been a pause
-    assert only(harness.event(messages.HealthCheckEnded(probe.endpoint_id, False)), messages.CancelAttempt)
+    [check] = health_checks_within(harness, 1300 * MS)
+    after_first_failure = harness.event(messages.HealthCheckEnded(check.endpoint_id, False))
+    assert only(after_first_failure, messages.CheckHealth)
+    assert not only(after_first_failure, messages.CancelAttempt)  # it may have been a pause
+    assert only(harness.event(messages.HealthCheckEnded(check.endpoint_id, False)), messages.CancelAttempt)
     harness.end(first, messages.Outcome.CANCELLED)
     assert not only(harness.request("b"), messages.StartAttempt)
-    [probe] = asked(harness, 600 * MS)
-    harness.event(messages.HealthCheckEnded(probe.endpoint_id, True))
+    [check] = health_checks_within(harness, 600 * MS)
+    harness.event(messages.HealthCheckEnded(check.endpoint_id, True))
     assert only(harness.request("c"), messages.StartAttempt)
 
 
 def test_unsafe_request_with_lost_response_is_not_retried() -> None:
     harness = BalancerHarness(PROBING)
     [first] = only(harness.request("a", "pay"), messages.StartAttempt)
-    [probe] = asked(harness, 1300 * MS)
-    harness.event(messages.HealthCheckEnded(probe.endpoint_id, True, 0.0))
+    [check] = health_checks_within(harness, 1300 * MS)
+    harness.event(messages.HealthCheckEnded(check.endpoint_id, True, 0.0))
     ended = harness.end(first, messages.Outcome.CANCELLED)
     assert only(ended, messages.Fail)
     assert not only(ended, messages.StartAttempt)
@@ -118,11 +122,11 @@
 def test_no_health_check_is_sent_where_settings_forbid_them() -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=3, cancel=True)))
     harness.request("a")
-    assert not asked(harness, 3 * S)
+    assert not health_checks_within(harness, 3 * S)
 
 
 @pytest.mark.parametrize(
-    ("report", "holds"),
+    ("report", "requests_in_flight"),
     [
         (b"inflight=7,queue=2,util=0.61", 7.0),
         (b"failed_ps=0,busy_reqs=0.5,cpu_share=1", 0.5),
@@ -133,8 +137,10 @@
         (b"", None),
     ],
 )
-def test_requests_in_flight_are_read_from_load_report(report: bytes, holds: float | None) -> None:
-    assert read_requests_in_flight(report) == holds
+def test_requests_in_flight_are_read_from_load_report(
+    report: bytes, requests_in_flight: float | None
+) -> None:
+    assert read_requests_in_flight(report) == requests_in_flight
 
 
 async def test_lost_response_is_detected_and_its_request_retried_on_real_sockets(
--- a/tests/policy/test_no_starvation.py
+++ b/tests/policy/test_no_starvation.py
@@ -1,7 +1,7 @@
-"""Nobody goes unserved: classes, effects, tenants, thirds of a day and balancers, in the stepped world.
+"""No class, tenant, period or balancer is starved, in the simulated fleet.
 
-All machines together do more than twice what is asked of them, so a policy that sees their true
-state could serve all but what was on a machine as it failed. Half of what is asked is held here.
+All machines together can serve more than twice the load, so a policy that knew their true state could serve
+every request but those on a machine as it failed. These tests require half of that.
 """
 
 from __future__ import annotations
@@ -29,9 +29,11 @@
     start_capacity=0.34, slow_start_us=5 * S, overload_multiple=3.0, overload_window_us=1500 * MS
 )
 LENGTH_US = 24 * S
-USUAL_US = 300 * MS  # about what a call takes
+USUAL_US = 300 * MS  # about what an attempt takes
 AWAY_US = 5 * S  # a lost zone is away for this long
-DARK_US, DARK_CALLS = 4 * S, 15  # a balancer may not turn away so many in so long with no attempt between
+# A balancer may not reject this many requests in a period of this length without making an attempt.
+NO_ATTEMPT_US = 4 * S
+MAX_REQUESTS_WITHOUT_ATTEMPT = 15
 CLIENTS = tuple(
     Client(cls, part * weight, tenant)
     for cls, part in (("read", 0.5), ("short", 0.3), ("pay", 0.2))
@@ -40,9 +42,12 @@
 SIZES = [(3, 8, 20.0, 0.45), (30, 16, 3.0, 0.45), (30, 8, 1.0, 0.45), (12, 12, 8.0, 0.45)]
 
 
-def fleet_of(balancers: int, backends: int, calls: float, load: float, seed: int) -> Fleet:
-    """Each balancer gets `calls` requests in `fall_us`, at this load of all machines together."""
-    per_window = balancers * calls / backends / load
+def build_fleet(balancers: int, endpoints: int, calls: float, load: float, seed: int) -> Fleet:
+    """Return a fleet in which each balancer gets `calls` requests in each overload window.
+
+    `load` is the share of the capacity of all machines that the requests need.
+    """
+    per_window = balancers * calls / endpoints / load
     asked_per_s = balancers * calls * S / RULES.overload_window_us
     setup = settings(
         classes=(SAFE, SHORT, UNSAFE),
@@ -51,55 +56,55 @@
         over_quota_weight=0.1,
     )
     slots = max(1, round(USUAL_US * per_window / RULES.overload_window_us))
-    return Fleet(setup, balancers, backends, per_window, load, seed, CLIENTS, slots=slots)
+    return Fleet(setup, balancers, endpoints, per_window, load, seed, CLIENTS, slots=slots)
 
 
-def lose(fleet: Fleet, zones: str) -> None:
-    """The backends of these zones vanish, and are back cold after a while."""
-    lost = [m for m in fleet.machines if m.entry.zone in zones]
-    for machine in lost:
+def lose_zones(fleet: Fleet, zones: str) -> None:
+    """Remove the endpoints of these zones for a while; they come back warming up."""
+    lost_machines = [machine for machine in fleet.machines if machine.entry.zone in zones]
+    for machine in lost_machines:
         machine.mode = "silent"
-    fleet.tell([replace(m.entry, status=messages.EndpointStatus.REMOVED) for m in lost])
+    fleet.tell([replace(machine.entry, status=messages.EndpointStatus.REMOVED) for machine in lost_machines])
     fleet.run(fleet.now + AWAY_US)
-    for machine in lost:
+    for machine in lost_machines:
         machine.mode = "sound"
-    fleet.restart(lost)
+    fleet.restart(lost_machines)
 
 
-def play(fleet: Fleet, kind: str) -> None:
-    """A day: calm, with one backend of eight "failing" or "slow", or with a "zone" lost."""
+def simulate_day(fleet: Fleet, fault: str) -> None:
+    """Simulate a day: "calm", with one endpoint in eight "failing" or "slow", or with a "zone" lost."""
     fleet.run(START + LENGTH_US // 6)
     for machine in fleet.machines[::8]:
-        if kind == "failing":
+        if fault == "failing":
             machine.mode = "failing"
-        elif kind == "slow":
+        elif fault == "slow":
             machine.slower = 6.0
-    if kind == "zone":
-        lose(fleet, "a")
+    if fault == "zone":
+        lose_zones(fleet, "a")
     fleet.run(START + LENGTH_US)
 
 
-def darkest(fleet: Fleet, since: int = START) -> int:
-    """The most requests that came to a balancer in a stretch of 4 s or more without an attempt."""
+def most_requests_without_attempt(fleet: Fleet, since: int = START) -> int:
+    """Return the most requests that a balancer got in a period of 4 s or more without an attempt."""
     worst = 0
     for index in range(fleet.balancers):
         sends = [at for at, balancer in fleet.attempts if balancer == index and at >= since]
         marks = [since, *sends, fleet.now]
         for begin, end in pairwise(marks):
-            if end - begin >= DARK_US:
-                came = sum(c.balancer == index and begin < c.at <= end for c in fleet.calls)
-                worst = max(worst, came)
+            if end - begin >= NO_ATTEMPT_US:
+                arrived = sum(call.balancer == index and begin < call.at <= end for call in fleet.calls)
+                worst = max(worst, arrived)
     return worst
 
 
 @pytest.mark.parametrize("seed", [0, 1])
-@pytest.mark.parametrize("kind", ["calm", "failing", "slow", "zone"])
-@pytest.mark.parametrize(("balancers", "backends", "calls", "load"), SIZES)
+@pytest.mark.parametrize("fault", ["calm", "failing", "slow", "zone"])
+@pytest.mark.parametrize(("balancers", "endpoints", "calls", "load"), SIZES)
 def test_every_class_tenant_and_period_has_half_of_its_requests_served(
-    balancers: int, backends: int, calls: float, load: float, kind: str, seed: int
+    balancers: int, endpoints: int, calls: float, load: float, fault: str, seed: int
 ) -> None:
-    fleet = fleet_of(balancers, backends, calls, load, seed)
-    play(fleet, kind)
+    fleet = build_fleet(balancers, endpoints, calls, load, seed)
+    simulate_day(fleet, fault)
     groups: dict[str, list[Call]] = defaultdict(list)
     for call in fleet.calls:
         if call.at < fleet.now - 5 * S:  # those after may still be under way
@@ -110,28 +115,30 @@
     assert len(served) == 8
     assert min(len(calls) for calls in groups.values()) >= 20
     assert min(served.values()) >= 0.5, served
-    assert darkest(fleet) < DARK_CALLS
+    assert most_requests_without_attempt(fleet) < MAX_REQUESTS_WITHOUT_ATTEMPT
 
 
 @pytest.mark.parametrize("seed", [0, 1])
 @pytest.mark.parametrize(
-    ("balancers", "backends", "calls", "load"),
+    ("balancers", "endpoints", "calls", "load"),
     [(3, 8, 20.0, 0.25), (30, 16, 3.0, 0.25), (30, 8, 1.0, 0.25), (12, 12, 8.0, 0.25)],
 )
 def test_every_balancer_serves_requests_when_all_endpoints_are_warming(
-    balancers: int, backends: int, calls: float, load: float, seed: int
+    balancers: int, endpoints: int, calls: float, load: float, seed: int
 ) -> None:
-    """At a quarter of the load even what is cold could serve all."""
-    fleet = fleet_of(balancers, backends, calls, load, seed)
+    """At a quarter of the load even warming endpoints could serve everything."""
+    fleet = build_fleet(balancers, endpoints, calls, load, seed)
     fleet.run(START + 3 * S)
-    lose(fleet, "abc")
-    back = fleet.now
-    fleet.run(back + 7 * S)
-    came = [c for c in fleet.calls if back + fleet.spread_us <= c.at < back + 5 * S]
+    lose_zones(fleet, "abc")
+    restored_at_us = fleet.now
+    fleet.run(restored_at_us + 7 * S)
+    arrived = [
+        call for call in fleet.calls if restored_at_us + fleet.spread_us <= call.at < restored_at_us + 5 * S
+    ]
     for index in range(balancers):
-        own = [c for c in came if c.balancer == index]
-        if len(own) >= DARK_CALLS:
-            assert fleet.served(own) >= 0.3
+        own_calls = [call for call in arrived if call.balancer == index]
+        if len(own_calls) >= MAX_REQUESTS_WITHOUT_ATTEMPT:
+            assert fleet.served(own_calls) >= 0.3
     for cls in ("read", "short", "pay"):
-        assert fleet.served(c for c in came if c.cls == cls) >= 0.5
-    assert darkest(fleet, back) < DARK_CALLS
+        assert fleet.served(call for call in arrived if call.cls == cls) >= 0.5
+    assert most_requests_without_attempt(fleet, restored_at_us) < MAX_REQUESTS_WITHOUT_ATTEMPT
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -1,4 +1,4 @@
-"""Failures met on the bench, each as a small scripted case."""
+"""Outliers, the concurrency limit and admission: faults met on the bench, each as a small scripted case."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def test_dead_endpoint_does_not_draw_queued_requests() -> None:
-    """It refuses at once, so it always looks idle while all others are at their limits."""
-    harness, to_dead = BalancerHarness(backends=3), 0
+    """It rejects at once, so it always looks idle while all others are at their limits."""
+    harness, attempts_at_dead = BalancerHarness(backends=3), 0
     harness.balancer.endpoints.states[0].endpoint = messages.Endpoint(0)
-    for n in range(40):
-        for send in only(harness.request(f"r{n}", "pay"), messages.StartAttempt):
-            while send.endpoint_id == 0:  # refused within the same instant
-                to_dead += 1
+    for number in range(40):
+        for send in only(harness.request(f"r{number}", "pay"), messages.StartAttempt):
+            while send.endpoint_id == 0:  # rejected within the same instant
+                attempts_at_dead += 1
                 again = only(
                     harness.end(send, messages.Outcome.NO_CONNECTION, took=1 * MS, attempt=0),
                     messages.StartAttempt,
@@ -24,45 +24,50 @@
                 if not again:
                     break
                 send = again[0]
-    assert to_dead <= INITIAL_LIMIT
+    assert attempts_at_dead <= INITIAL_LIMIT
 
 
 def test_concurrency_limit_falls_with_late_answers_and_recovers() -> None:
     harness = BalancerHarness()
-    rooms = [harness.balancer.requests.limit.attempts]
-    for phase, took in enumerate((1500 * MS, 50 * MS)):
-        open_: list[messages.StartAttempt] = []
-        for n in range(400):
+    limits = [harness.balancer.requests.limit.attempts]
+    for phase, took_us in enumerate((1500 * MS, 50 * MS)):
+        in_flight: list[messages.StartAttempt] = []
+        for number in range(400):
             harness.now += 10 * MS
             more = only(
-                harness.request(f"r{phase}.{n}") + harness.request(f"s{phase}.{n}"), messages.StartAttempt
+                harness.request(f"r{phase}.{number}") + harness.request(f"s{phase}.{number}"),
+                messages.StartAttempt,
             )
-            open_ += more
-            if len(open_) >= 4 or not more:
-                open_ += only(
-                    harness.end(open_.pop(0), messages.Outcome.OK, took=took), messages.StartAttempt
+            in_flight += more
+            if len(in_flight) >= 4 or not more:
+                in_flight += only(
+                    harness.end(in_flight.pop(0), messages.Outcome.OK, took=took_us), messages.StartAttempt
                 )
-        rooms.append(harness.balancer.requests.limit.attempts)
-        while open_:
-            open_ += only(harness.end(open_.pop(0), messages.Outcome.OK, took=took), messages.StartAttempt)
-    assert rooms[1] == 1.0 < rooms[0]
-    assert rooms[2] > rooms[1]
+        limits.append(harness.balancer.requests.limit.attempts)
+        while in_flight:
+            in_flight += only(
+                harness.end(in_flight.pop(0), messages.Outcome.OK, took=took_us), messages.StartAttempt
+            )
+    assert limits[1] == 1.0 < limits[0]
+    assert limits[2] > limits[1]
 
 
 def test_large_share_does_not_exceed_the_concurrency_limit() -> None:
-    """A share of a few lucky samples let one backend choke."""
+    """A share raised by a few quick samples let one endpoint be overloaded."""
     harness = BalancerHarness()
     harness.balancer.endpoints.states[0].share = 10.0
     harness.balancer.requests.limit.split(harness.balancer.endpoints.subset)
-    sends = [s for n in range(40) for s in only(harness.request(f"r{n}"), messages.StartAttempt)]
-    assert 0 < sum(s.endpoint_id == 0 for s in sends) <= harness.balancer.requests.limit.attempts
+    sends = [
+        send for number in range(40) for send in only(harness.request(f"r{number}"), messages.StartAttempt)
+    ]
+    assert 0 < sum(send.endpoint_id == 0 for send in sends) <= harness.balancer.requests.limit.attempts
 
 
 def test_queued_requests_are_sent_by_priority_and_rejected_when_their_wait_ends() -> None:
     harness = BalancerHarness(backends=1)
     sends = []
-    for n in range(10):
-        sends += only(harness.request(f"r{n}"), messages.StartAttempt)
+    for number in range(10):
+        sends += only(harness.request(f"r{number}"), messages.StartAttempt)
     assert 0 < len(sends) < 10
     assert not only(harness.request("dear", "pay"), messages.StartAttempt)
     next_send, *_ = only(harness.end(sends[0], messages.Outcome.OK), messages.StartAttempt)
@@ -72,29 +77,29 @@
 
 
 def test_least_served_class_goes_first_with_worst_class_weight() -> None:
-    """By worth alone a cheap class would starve; both cost the same here."""
-    first = {}
+    """By priority weight alone a class of low weight would starve; both cost the same here."""
+    first_send = {}
     for part in (0.0, 0.6):
         harness = BalancerHarness(settings(worst_class_weight=part), backends=1)
         while sends := only(harness.request(f"fill{len(harness.done)}", "mark"), messages.StartAttempt):
-            busy = sends[0]
-        harness.pass_time(300 * MS)  # what was held is refused: no class is served well
-        for n in range(20):
-            harness.request(f"cheap{n}", "read", time_left=1 * MS)  # cannot be answered in time
+            busy_send = sends[0]
+        harness.pass_time(300 * MS)  # what was queued is rejected: no class is served well
+        for number in range(20):
+            harness.request(f"cheap{number}", "read", time_left=1 * MS)  # cannot be answered in time
         harness.request("twice the worth", "mark")
         harness.request("least served", "read")
-        send, *_ = only(harness.end(busy, messages.Outcome.OK, took=300 * MS), messages.StartAttempt)
-        first[part] = send.request
-    assert first == {0.0: "twice the worth", 0.6: "least served"}
+        send, *_ = only(harness.end(busy_send, messages.Outcome.OK, took=300 * MS), messages.StartAttempt)
+        first_send[part] = send.request
+    assert first_send == {0.0: "twice the worth", 0.6: "least served"}
 
 
 def test_tenant_over_quota_waits_behind_others() -> None:
     tenants = (messages.Tenant("greedy", 2.0), messages.Tenant("modest", 50.0))
     harness = BalancerHarness(settings(tenants=tenants, over_quota_weight=0.1), backends=1)
     sends = []
-    for n in range(10):
+    for number in range(10):
         sends += only(
-            harness.event(messages.Request(f"g{n}", "read", 5 * S, "greedy")), messages.StartAttempt
+            harness.event(messages.Request(f"g{number}", "read", 5 * S, "greedy")), messages.StartAttempt
         )
     assert not only(harness.event(messages.Request("m", "read", 5 * S, "modest")), messages.StartAttempt)
     send, *_ = only(harness.end(sends[0], messages.Outcome.OK), messages.StartAttempt)
@@ -103,8 +108,8 @@
 
 def test_request_that_cannot_meet_its_latency_objective_is_rejected_at_once() -> None:
     harness = BalancerHarness()
-    for n in range(60):
-        for send in only(harness.request(f"w{n}"), messages.StartAttempt):
+    for number in range(60):
+        for send in only(harness.request(f"w{number}"), messages.StartAttempt):
             harness.end(send, messages.Outcome.OK, took=S)
     actions = harness.request("late", time_left=500 * MS)
     assert only(actions, messages.Reject) == [messages.Reject("late")]
@@ -119,12 +124,12 @@
 
 
 def test_client_retry_with_longer_deadline_does_not_age_first_requests() -> None:
-    """Clients wait for the whole of what is left in their last try, for part of the deadline before."""
+    """Clients wait for all of the time remaining in their last attempt, for a part of it in those before."""
     harness = BalancerHarness()
     for request_id, time_left, retry in (("a", 27 * S // 10, False), ("b", 45 * S // 10, True)):
         [send] = only(harness.request(request_id, time_left=time_left, retry=retry), messages.StartAttempt)
         harness.end(send, messages.Outcome.OK)
-    for request_id, retry in (("c", False), ("d", True)):  # cut short alike: no age can be told
+    for request_id, retry in (("c", False), ("d", True)):  # both deadlines are as short: no age can be told
         [send] = only(harness.request(request_id, time_left=27 * S // 10, retry=retry), messages.StartAttempt)
         assert send.timeout_us > 19 * S // 10
         harness.end(send, messages.Outcome.OK)
@@ -150,113 +155,123 @@
     assert harness.balancer.requests.classes["read"].requests == 1
 
 
-def sends_in(harness: BalancerHarness, seconds: float, took: int) -> int:
-    """How many of 20 requests a second are sent while each answer takes so long."""
-    out: list[tuple[int, messages.StartAttempt]] = []
-    sent = 0
-    for n in range(int(seconds * 20)):
+def count_sent_attempts(harness: BalancerHarness, seconds: float, took_us: int) -> int:
+    """Return how many of 20 requests a second are sent while each response takes `took_us`."""
+    in_flight: list[tuple[int, messages.StartAttempt]] = []
+    sent_count = 0
+    for number in range(int(seconds * 20)):
         sends = only(harness.pass_time(50 * MS), messages.StartAttempt)
-        while out and out[0][0] <= harness.now:
-            sends += only(harness.end(out.pop(0)[1], messages.Outcome.OK, took=took), messages.StartAttempt)
-        sends += only(harness.request(f"q{harness.now}.{n}"), messages.StartAttempt)
-        out += [(harness.now + took, send) for send in sends]
-        sent += len(sends)
-    return sent
+        while in_flight and in_flight[0][0] <= harness.now:
+            sends += only(
+                harness.end(in_flight.pop(0)[1], messages.Outcome.OK, took=took_us), messages.StartAttempt
+            )
+        sends += only(harness.request(f"q{harness.now}.{number}"), messages.StartAttempt)
+        in_flight += [(harness.now + took_us, send) for send in sends]
+        sent_count += len(sends)
+    return sent_count
 
 
 def test_initial_concurrency_limit_is_shared_by_many_balancers() -> None:
-    """One call a backend for each of hundreds of balancers was no limit at all."""
+    """One attempt at each endpoint from each of hundreds of balancers was no limit at all."""
     harness = BalancerHarness(settings(instances=400), backends=40)
     balancer = harness.balancer
     assert balancer.endpoints.sharing_balancers == 400 * len(balancer.endpoints.subset) / 40
     assert balancer.requests.limit.attempts * balancer.endpoints.sharing_balancers == pytest.approx(
         INITIAL_SHARED_LIMIT
     )
-    sent = sends_in(harness, 10, took=400 * MS)
-    # By Little's law: room for each of the subset, over the 400 ms that a call takes.
-    assert 0 < sent <= 1.5 * balancer.requests.limit.attempts * len(balancer.endpoints.subset) * 10 / 0.4
+    sent_count = count_sent_attempts(harness, 10, took_us=400 * MS)
+    # By Little's law: the limit of each endpoint of the subset, over the 400 ms that an attempt takes.
+    assert (
+        0 < sent_count <= 1.5 * balancer.requests.limit.attempts * len(balancer.endpoints.subset) * 10 / 0.4
+    )
 
 
 def test_concurrency_limit_falls_below_one_only_under_overload() -> None:
-    rooms = []
-    for took in (800 * MS, 1800 * MS):  # later than good; far too late
+    limits = []
+    for took_us in (800 * MS, 1800 * MS):  # late; under overload
         harness = BalancerHarness(settings(instances=8), backends=4)
-        sends_in(harness, 60, took)
-        rooms.append(harness.balancer.requests.limit.attempts)
-    assert rooms[0] == pytest.approx(1.0, abs=0.1)
-    assert MIN_LIMIT / 8 <= rooms[1] < 0.5
+        count_sent_attempts(harness, 60, took_us)
+        limits.append(harness.balancer.requests.limit.attempts)
+    assert limits[0] == pytest.approx(1.0, abs=0.1)
+    assert MIN_LIMIT / 8 <= limits[1] < 0.5
 
 
 def test_endpoint_that_failed_a_class_is_avoided_for_that_class_only() -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=1)))
 
-    def chosen(cls: str, n: int) -> int:
-        [send] = only(harness.request(f"{cls}{n}", cls), messages.StartAttempt)
+    def chosen(cls: str, number: int) -> int:
+        [send] = only(harness.request(f"{cls}{number}", cls), messages.StartAttempt)
         harness.now += 1 * MS
         harness.end(send, messages.Outcome.OK, took=1 * MS)
         return send.endpoint_id
 
-    [first] = only(harness.request("a"), messages.StartAttempt)
-    harness.end(first, messages.Outcome.ERROR)
-    harness.now += 500 * MS  # the failed call counts as in flight no longer
+    [first_send] = only(harness.request("a"), messages.StartAttempt)
+    harness.end(first_send, messages.Outcome.ERROR)
+    harness.now += 500 * MS  # the failed attempt no longer counts as in flight
     harness.balancer.endpoints.states[
-        first.endpoint_id
-    ].share = 1.0  # what the Cusum does about it is another matter
-    assert first.endpoint_id not in {chosen("read", n) for n in range(60)}
-    assert first.endpoint_id in {chosen("mark", n) for n in range(60)}
+        first_send.endpoint_id
+    ].share = 1.0  # what the change detector does about it is tested elsewhere
+    assert first_send.endpoint_id not in {chosen("read", number) for number in range(60)}
+    assert first_send.endpoint_id in {chosen("mark", number) for number in range(60)}
     harness.now += 5 * S
-    assert first.endpoint_id in {chosen("read", 100 + n) for n in range(60)}
+    assert first_send.endpoint_id in {chosen("read", 100 + number) for number in range(60)}
 
 
 def test_endpoint_that_failed_a_class_is_used_when_no_other_is_open() -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=1)), backends=1)
-    [first] = only(harness.request("a"), messages.StartAttempt)
-    harness.end(first, messages.Outcome.ERROR)
+    [first_send] = only(harness.request("a"), messages.StartAttempt)
+    harness.end(first_send, messages.Outcome.ERROR)
     harness.now += 500 * MS
     assert only(harness.request("b"), messages.StartAttempt)
 
 
 def test_failed_connection_does_not_lower_the_concurrency_limit() -> None:
     harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=1)))
-    for n in range(40):
-        room = harness.balancer.requests.limit.attempts
-        [send] = only(harness.request(f"r{n}"), messages.StartAttempt)
+    for number in range(40):
+        limit_before = harness.balancer.requests.limit.attempts
+        [send] = only(harness.request(f"r{number}"), messages.StartAttempt)
         harness.end(send, messages.Outcome.NO_CONNECTION, took=1)
         harness.pass_time(500 * MS)
-        assert harness.balancer.requests.limit.attempts >= room
+        assert harness.balancer.requests.limit.attempts >= limit_before
 
 
-@pytest.mark.parametrize(("waits", "served"), [(0.45, True), (0.55, False)])
-def test_request_waits_for_a_free_endpoint_for_half_of_its_useful_time(waits: float, served: bool) -> None:
-    """It is refused at once then, with no attempt: trying again is harmless."""
+@pytest.mark.parametrize(("waited_share", "served"), [(0.45, True), (0.55, False)])
+def test_request_waits_for_a_free_endpoint_for_half_of_its_useful_time(
+    waited_share: float, served: bool
+) -> None:
+    """It is rejected then, without an attempt: the client may safely retry."""
     harness = BalancerHarness(backends=1)
     sends: list[messages.StartAttempt] = []
     while len(more := only(harness.request(f"r{len(sends)}"), messages.StartAttempt)) == 1:
         sends += more
     done = harness.pass_time(
-        int(waits * harness.balancer.requests.classes["read"].settings.latency_objective_us)
+        int(waited_share * harness.balancer.requests.classes["read"].settings.latency_objective_us)
     )
     waiting = f"r{len(sends)}"
-    assert [a.request for a in only(done, messages.Reject)] == ([] if served else [waiting])
+    assert [action.request for action in only(done, messages.Reject)] == ([] if served else [waiting])
     done = [action for send in sends for action in harness.end(send, messages.Outcome.OK)]
-    assert [a.request for a in only(done, messages.StartAttempt)] == ([waiting] if served else [])
+    assert [action.request for action in only(done, messages.StartAttempt)] == ([waiting] if served else [])
 
 
-def crowded_cold() -> tuple[BalancerHarness, list[messages.StartAttempt]]:
-    """All three are cold with a call out to each, and a cheap request waits."""
+def busy_warming_endpoints() -> tuple[BalancerHarness, list[messages.StartAttempt]]:
+    """Return a balancer with three busy warming endpoints, a queued request, and the attempts."""
     harness = BalancerHarness(backends=0)
-    harness.news(*(messages.Endpoint(n, incarnation_us=harness.now) for n in range(3)))
-    for server in harness.balancer.endpoints.subset:
-        server.warming.tokens = server.warming.phase = 0.0
-    sends = [send for n in range(3) for send in only(harness.request(f"r{n}", "pay"), messages.StartAttempt)]
-    assert len({send.endpoint_id for send in sends}) == 3  # one call to each
+    harness.news(*(messages.Endpoint(number, incarnation_us=harness.now) for number in range(3)))
+    for state in harness.balancer.endpoints.subset:
+        state.warming.tokens = state.warming.phase = 0.0
+    sends = [
+        send
+        for number in range(3)
+        for send in only(harness.request(f"r{number}", "pay"), messages.StartAttempt)
+    ]
+    assert len({send.endpoint_id for send in sends}) == 3  # one attempt at each
     assert not only(harness.request("cheap", "read"), messages.StartAttempt)
     return harness, sends
 
 
 def test_queued_request_with_unsent_attempt_does_not_hold_back_first_attempts() -> None:
-    """It is like a first one again, so it is sent again at once, and the next place is the other's."""
-    harness, sends = crowded_cold()
+    """It counts as a first attempt again and is sent at once; the next free place is the other request's."""
+    harness, sends = busy_warming_endpoints()
     after = only(harness.end(sends[0], messages.Outcome.NOT_SENT), messages.StartAttempt)
     assert [(send.request, send.endpoint_id) for send in after] == [("r0", sends[0].endpoint_id)]
     after = only(harness.end(sends[1], messages.Outcome.OK), messages.StartAttempt)
@@ -264,24 +279,24 @@
 
 
 def test_queued_request_with_rejected_attempt_does_not_hold_back_first_attempts() -> None:
-    """All are cold, so its further attempt needs budget. A first one needs none, yet it waited behind it."""
-    harness, sends = crowded_cold()
+    """A retry at warming endpoints needs budget; a first attempt, which needs none, waited behind it."""
+    harness, sends = busy_warming_endpoints()
     assert not only(harness.end(sends[0], messages.Outcome.REJECTED), messages.StartAttempt)
     after = only(harness.end(sends[1], messages.Outcome.UNUSABLE), messages.StartAttempt)
     assert [(send.request, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
 
 
-@pytest.mark.parametrize("most", [1, 3, 20])
-def test_unsent_attempts_end_at_the_limit_on_attempts(most: int) -> None:
-    """They cost no retry budget, so that alone would let them go on for ever."""
-    harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=most, cancel=True)))
+@pytest.mark.parametrize("max_attempts", [1, 3, 20])
+def test_unsent_attempts_end_at_the_limit_on_attempts(max_attempts: int) -> None:
+    """They cost no retry budget, so the budget alone would let them go on for ever."""
+    harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=max_attempts, cancel=True)))
     actions, sends = harness.request("r", "pay"), 0
     while again := only(actions, messages.StartAttempt):
         sends += 1
-        assert sends <= most
+        assert sends <= max_attempts
         actions = harness.end(again[0], messages.Outcome.NOT_SENT, took=0, attempt=sends - 1)
-    assert sends == most
-    assert [a.request for a in only(actions, messages.Reject)] == ["r"]
+    assert sends == max_attempts
+    assert [action.request for action in only(actions, messages.Reject)] == ["r"]
     assert not harness.balancer.requests.requests
     assert not harness.balancer.requests.in_flight
     assert not harness.balancer.requests.queue
--- a/tests/policy/test_policy_modules.py
+++ b/tests/policy/test_policy_modules.py
@@ -1,4 +1,4 @@
-"""The shape of the modules that decide."""
+"""The form of the policy's modules: size, imports, docstrings, and the deploy file that lists them."""
 
 import ast
 from graphlib import TopologicalSorter
--- a/tests/policy/test_request_deadline.py
+++ b/tests/policy/test_request_deadline.py
@@ -1,4 +1,4 @@
-"""The end of an attempt and of a request before an answer would be of no use."""
+"""Attempts and requests end before their response would be of no use."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -1,4 +1,4 @@
-"""The life of a request: one final answer, and no effect twice."""
+"""The life of a request: exactly one final response, and no effect twice."""
 
 from __future__ import annotations
 
@@ -79,14 +79,16 @@
     harness = BalancerHarness()
     harness.news(
         *(
-            messages.Endpoint(n, messages.EndpointStatus.DRAINING if n else messages.EndpointStatus.UP)
-            for n in range(4)
+            messages.Endpoint(
+                number, messages.EndpointStatus.DRAINING if number else messages.EndpointStatus.UP
+            )
+            for number in range(4)
         ),
         kind=messages.EndpointListKind.CHANGES,
         version=2,
     )
-    sends = [only(harness.request(f"r{n}"), messages.StartAttempt) for n in range(3)]
-    assert [s[0].endpoint_id for s in sends] == [0, 0, 0]
+    sends = [only(harness.request(f"r{number}"), messages.StartAttempt) for number in range(3)]
+    assert [started[0].endpoint_id for started in sends] == [0, 0, 0]
 
 
 def test_started_response_is_not_cut_off_at_the_deadline() -> None:
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -1,4 +1,4 @@
-"""What may be sent again, where to, and how often."""
+"""Which requests may be retried, at which endpoints, and how often."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     )
     for seed in range(8):
         harness = BalancerHarness(settings(classes=(keyed,)), backends=0, seed=seed)
-        harness.news(*(messages.Endpoint(n, zone="ab"[n % 2]) for n in range(8)))
+        harness.news(*(messages.Endpoint(number, zone="ab"[number % 2]) for number in range(8)))
         [send] = only(harness.request("r", "write"), messages.StartAttempt)
         [again] = only(harness.end(send, messages.Outcome.ERROR), messages.StartAttempt)
         assert again.endpoint_id % 2 == send.endpoint_id % 2
@@ -65,15 +65,15 @@
     for seed in range(8):
         harness = BalancerHarness(backends=2, seed=seed)
         [send] = only(harness.request("r"), messages.StartAttempt)
-        harness.now += 1 * S  # the failed call counts as in flight no more
+        harness.now += 1 * S  # the failed attempt no longer counts as in flight
         [again] = only(harness.end(send, messages.Outcome.RESET), messages.StartAttempt)
         assert again.endpoint_id != send.endpoint_id
 
 
 def test_retries_are_paid_from_the_retry_budget() -> None:
     harness, sends, requests = BalancerHarness(), 0, 200
-    for n in range(requests):
-        pending = only(harness.request(f"r{n}"), messages.StartAttempt)
+    for number in range(requests):
+        pending = only(harness.request(f"r{number}"), messages.StartAttempt)
         attempt = 0
         while pending:
             sends += 1
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""Two draws by share, the one with fewer own calls in flight; and the random subset."""
+"""Selection: the better of two draws by share, and the subset that it draws from."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 def test_draws_follow_shares() -> None:
     harness = BalancerHarness(backends=3)
-    for server, share in zip(harness.balancer.endpoints.states.values(), (1.0, 2.0, 5.0), strict=True):
-        server.share = share
+    for state, share in zip(harness.balancer.endpoints.states.values(), (1.0, 2.0, 5.0), strict=True):
+        state.share = share
     pool = list(harness.balancer.endpoints.states.values())
     counts = Counter(harness.balancer.selector.draw(pool).endpoint.id for _ in range(8000))
     assert abs(counts[0] - 1000) < 150
@@ -28,36 +28,36 @@
     harness.news(messages.Endpoint(0), messages.Endpoint(1), version=2)
     busy, idle = harness.balancer.endpoints.states.values()
     busy.share = 3.0
-    for n in range(20):
-        [send] = only(harness.request(f"r{n}"), messages.StartAttempt)
+    for number in range(20):
+        [send] = only(harness.request(f"r{number}"), messages.StartAttempt)
         assert send.endpoint_id == idle.endpoint.id
-        assert [d.in_flight for d in send.draws] == [0, 1]
+        assert [draw.in_flight for draw in send.draws] == [0, 1]
         harness.end(send, messages.Outcome.OK)
 
 
 def test_overdue_attempt_counts_twice() -> None:
-    """A missing answer tells of a stuck backend long before its time-out."""
+    """A missing response shows that an endpoint hangs long before the attempt times out."""
     harness = BalancerHarness(backends=1)
     [send] = only(harness.request("stuck"), messages.StartAttempt)
-    [server] = harness.balancer.endpoints.states.values()
+    [state] = harness.balancer.endpoints.states.values()
     usual = int(harness.balancer.requests.classes["read"].usual_latency_us)
-    assert [server.load(harness.now + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
+    assert [state.load(harness.now + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
     harness.now += 3 * usual
     harness.end(send, messages.Outcome.OK, took=3 * usual)
-    assert server.load(harness.now) == 0
+    assert state.load(harness.now) == 0
 
 
 def test_draws_are_distinct() -> None:
     harness = BalancerHarness(backends=5)
-    for n in range(50):
-        [send] = only(harness.request(f"r{n}"), messages.StartAttempt)
-        assert len({d.endpoint_id for d in send.draws}) == 2
+    for number in range(50):
+        [send] = only(harness.request(f"r{number}"), messages.StartAttempt)
+        assert len({draw.endpoint_id for draw in send.draws}) == 2
         harness.end(send, messages.Outcome.OK)
 
 
 def test_selection_from_one_endpoint_and_from_none() -> None:
     harness = BalancerHarness(backends=1)
-    assert [s.endpoint_id for s in only(harness.request("a"), messages.StartAttempt)] == [0]
+    assert [send.endpoint_id for send in only(harness.request("a"), messages.StartAttempt)] == [0]
     harness.news()
     assert not only(harness.request("b"), messages.StartAttempt)
 
@@ -66,7 +66,7 @@
     subsets = set()
     for index in range(0, 40, 8):
         harness = BalancerHarness(settings(instances=40, index=index), backends=40)
-        before = [s.endpoint.id for s in harness.balancer.endpoints.subset]
+        before = [state.endpoint.id for state in harness.balancer.endpoints.subset]
         assert len(before) == MIN_SUBSET
         assert before != sorted(before)
         subsets.add(tuple(before))
@@ -75,7 +75,7 @@
             kind=messages.EndpointListKind.CHANGES,
             version=2,
         )
-        after = [s.endpoint.id for s in harness.balancer.endpoints.subset]
+        after = [state.endpoint.id for state in harness.balancer.endpoints.subset]
         assert len(after) == MIN_SUBSET
         assert before[0] not in after
         assert len(set(after) & set(before)) >= MIN_SUBSET - 2
@@ -84,14 +84,16 @@
 
 def test_failing_endpoint_gets_less_and_is_not_ejected() -> None:
     harness, counts = BalancerHarness(backends=6), Counter[int]()
-    for n in range(600):
-        for send in only(harness.request(f"r{n}", "pay"), messages.StartAttempt):
-            bad = send.endpoint_id == 0
+    for number in range(600):
+        for send in only(harness.request(f"r{number}", "pay"), messages.StartAttempt):
+            is_failing = send.endpoint_id == 0
             harness.now += 20 * MS
             harness.end(
-                send, messages.Outcome.ERROR if bad else messages.Outcome.OK, took=5 * MS if bad else 100 * MS
+                send,
+                messages.Outcome.ERROR if is_failing else messages.Outcome.OK,
+                took=5 * MS if is_failing else 100 * MS,
             )
-            counts[send.endpoint_id] += n >= 300
+            counts[send.endpoint_id] += number >= 300
     fair = 300 / 6
     assert 0 < counts[0] < fair / 2
     assert harness.balancer.endpoints.states[0].share > 0
@@ -101,8 +103,8 @@
     harness = BalancerHarness(backends=6)
     shares = []
     for phase in range(3):
-        for n in range(500):
-            for send in only(harness.request(f"r{phase}.{n}"), messages.StartAttempt):
+        for number in range(500):
+            for send in only(harness.request(f"r{phase}.{number}"), messages.StartAttempt):
                 harness.now += 20 * MS
                 slow = phase == 1 and send.endpoint_id == 0
                 harness.end(send, messages.Outcome.OK, took=S if slow else 100 * MS)
@@ -121,42 +123,45 @@
         assert len(harness.balancer.endpoints.states[0].in_flight) == len(again)
 
 
-ZONES = tuple(messages.Endpoint(n, zone="abc"[n % 3]) for n in range(12))
+ZONES = tuple(messages.Endpoint(number, zone="abc"[number % 3]) for number in range(12))
 
 
-def home_calls(price: float, busy: int = 0) -> int:
-    """Of 200 requests, one after another, those that stay in zone a, its backends busy beforehand."""
+def count_local_attempts(price: float, busy: int = 0) -> int:
+    """Return how many of 200 requests in a row stay in zone a, each endpoint there with `busy` attempts."""
     harness = BalancerHarness(
         settings(zone="a", cross_zone_price=price, limits=messages.Limits(max_attempts=3)), backends=0
     )
     harness.news(*ZONES)
     harness.balancer.requests.limit.attempts = 20.0
     harness.balancer.requests.limit.split(harness.balancer.endpoints.subset)
-    read = harness.balancer.requests.classes["read"]
-    for server in harness.balancer.endpoints.states.values():
-        if server.endpoint.zone == "a":
-            server.in_flight = [Attempt("busy", n, server, read, harness.now, 5 * S) for n in range(busy)]
-    stayed = 0
-    for n in range(200):
-        [send] = only(harness.request(f"r{n}"), messages.StartAttempt)
-        stayed += harness.balancer.endpoints.states[send.endpoint_id].endpoint.zone == "a"
+    read_class = harness.balancer.requests.classes["read"]
+    for state in harness.balancer.endpoints.states.values():
+        if state.endpoint.zone == "a":
+            state.in_flight = [
+                Attempt("busy", number, state, read_class, harness.now, 5 * S) for number in range(busy)
+            ]
+    local_count = 0
+    for number in range(200):
+        [send] = only(harness.request(f"r{number}"), messages.StartAttempt)
+        local_count += harness.balancer.endpoints.states[send.endpoint_id].endpoint.zone == "a"
         harness.end(send, messages.Outcome.OK)
-    return stayed
+    return local_count
 
 
 def test_requests_stay_in_their_zone_when_leaving_it_has_a_price() -> None:
-    assert home_calls(price=0.05) > 120 > 100 > home_calls(price=0.0)
+    assert count_local_attempts(price=0.05) > 120 > 100 > count_local_attempts(price=0.0)
 
 
 def test_busy_zone_spills_over_to_other_zones() -> None:
-    assert home_calls(price=0.05, busy=REMOTE_PENALTY + 2) < 80
+    assert count_local_attempts(price=0.05, busy=REMOTE_PENALTY + 2) < 80
 
 
 def test_subset_holds_the_local_zone_and_some_remote_endpoints() -> None:
     harness = BalancerHarness(settings(zone="a", cross_zone_price=0.05, instances=3), backends=0)
     harness.news(*ZONES)
-    zones = Counter(s.endpoint.zone for s in harness.balancer.endpoints.subset)
+    zones = Counter(state.endpoint.zone for state in harness.balancer.endpoints.subset)
     assert zones["a"] == 4
     assert zones["b"] + zones["c"] >= MIN_REMOTE
-    harness.news(*(s for s in ZONES if s.zone != "a"), version=2)  # none of its own is left
+    remote = [endpoint for endpoint in ZONES if endpoint.zone != "a"]
+    harness.news(*remote, version=2)
     assert len(harness.balancer.endpoints.subset) >= MIN_SUBSET
