--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -14,7 +14,8 @@
 from load_balancer import messages
 from load_balancer.policy.attempt import LastAttempt
 from load_balancer.policy.slow_start import BUDGET_SAFETY, FREE_FIRST_ATTEMPTS, KEPT_WINDOW_SHARE
-from tests.policy.test_slow_start_fleet import RULES, TIGHT, warming_fleet
+from tests.policy.test_slow_start_fleet import TIGHT
+from tests.policy.warming_fleet import RULES, warming_fleet
 from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
 
 SLOWEST = replace(TIGHT, start_capacity=0.1)  # N is about one attempt in a window
--- /dev/null
+++ b/tests/policy/warming_fleet.py
@@ -0,0 +1,172 @@
+"""Simulated fleets whose endpoints have just started, for the tests of slow start."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from load_balancer import messages
+from tests.support.balancer_harness import CLASSES, MS, S, settings
+from tests.support.simulated_fleet import START, Client, Fleet, Machine
+
+RULES = messages.Rules(
+    start_capacity=0.34, slow_start_us=5 * S, overload_multiple=3.0, overload_window_us=1500 * MS
+)
+USUAL_US = 250 * MS  # what an attempt takes at least, so that few of them a second are a real load
+LOAD = 0.6
+
+
+def warming_fleet(
+    balancers: int,
+    endpoints: int,
+    calls: float,
+    warming: str,
+    faults: str,
+    seed: int = 0,
+    health_checks: bool = False,
+    rules: messages.Rules = RULES,
+    before: int = 3 * S,
+    after: int = 4 * S,
+) -> Fleet:
+    """Return a fleet in which endpoints have started: "one", those of a "zone" of three, or "all".
+
+    Each balancer gets `calls` requests in each overload window. The faults are any of:
+
+    - "burst": twice the load right after the start; "tripled": three times the load;
+    - "failing", "refusing" or "silent": a third or two of all endpoints are;
+    - "held": no endpoint at all for 0.3 s, so that all queued requests go out at once;
+    - "wanted": the started endpoints have shares that would draw every request; "saved": the same, after
+      20 s in which they got none;
+    - "again": the same endpoints restart after 0.7 s and after 1.9 s;
+    - "moving": every 0.4 s another one of the others leaves the list and comes back, so that subsets change;
+    - "zoned" or "celled": all requests are of keyed classes of that scope.
+    """
+    started_at_us = START + before
+    fleet = loaded_fleet(balancers, endpoints, calls, faults, seed, health_checks, rules, started_at_us)
+    started = restart_endpoints(fleet, warming, faults, started_at_us)
+    if "wanted" in faults or "saved" in faults:
+        draw_requests_to(fleet, started, started_at_us, faults)
+    if "again" in faults:
+        for wait_us in (700 * MS, 1900 * MS):
+            fleet.run(started_at_us + wait_us)
+            fleet.restart(started)
+    if "moving" in faults:
+        remove_others_in_turn(fleet, started, started_at_us + after)
+    fleet.run(started_at_us + after)
+    return fleet
+
+
+def loaded_fleet(
+    balancers: int,
+    endpoints: int,
+    calls: float,
+    faults: str,
+    seed: int,
+    health_checks: bool,
+    rules: messages.Rules,
+    surge_at_us: int,
+) -> Fleet:
+    """Return a fleet of warm endpoints under load, with a surge of 3 s where the faults name one."""
+    per_window = balancers * calls / endpoints / LOAD
+    usual_us = rules.overload_window_us / per_window  # of an attempt, with one at a time
+    surge = 3.0 if "tripled" in faults else 2.0 if "burst" in faults else 1.0
+    return Fleet(
+        settings(
+            classes=request_classes_for(faults, stretch=max(1.0, usual_us / USUAL_US)),
+            rules=rules,
+            limits=messages.Limits(max_attempts=4, cancel=True, health_checks=health_checks),
+        ),
+        balancers,
+        endpoints,
+        per_window,
+        LOAD,
+        seed,
+        clients=(Client("read", 4), Client("write", 2), Client("mark", 2), Client("pay", 2)),
+        surge=lambda now: surge if surge_at_us <= now < surge_at_us + 3 * S else 1.0,
+        most_surge=surge,
+        slots=max(1, round(USUAL_US / usual_us)),
+    )
+
+
+def restart_endpoints(fleet: Fleet, warming: str, faults: str, at_us: int) -> list[Machine]:
+    """Restart the endpoints that are to warm up, after 0.3 s without them, and return their machines."""
+    fleet.run(at_us - 300 * MS)
+    chosen = warming_machines(fleet, warming)
+    if "held" in faults:
+        fleet.tell(
+            [replace(machine.entry, status=messages.EndpointStatus.DRAINING) for machine in fleet.machines],
+            within=0,
+        )
+    elif warming != "one":
+        fleet.tell([replace(machine.entry, status=messages.EndpointStatus.REMOVED) for machine in chosen])
+    fleet.run(at_us)
+    break_machines(fleet, faults)
+    fleet.restart(chosen)
+    if "held" in faults:
+        fleet.tell([machine.entry for machine in fleet.machines])
+    return chosen
+
+
+def request_classes_for(faults: str, stretch: float) -> tuple[messages.RequestClass, ...]:
+    """Return the usual classes with their times stretched, all keyed where the faults say so."""
+    classes = tuple(
+        replace(
+            request_class,
+            latency_objective_us=int(request_class.latency_objective_us * stretch),
+            deadline_us=int(request_class.deadline_us * stretch),
+            deduplication_window_us=int(request_class.deduplication_window_us * stretch),
+        )
+        for request_class in CLASSES
+    )
+    for name, key_scope in (("zoned", messages.KeyScope.ZONE), ("celled", messages.KeyScope.CELL)):
+        if name in faults:
+            classes = tuple(
+                replace(
+                    request_class,
+                    idempotency=messages.Idempotency.KEYED,
+                    key_scope=key_scope,
+                    deduplication_window_us=request_class.deadline_us,
+                )
+                for request_class in classes
+            )
+    return classes
+
+
+def warming_machines(fleet: Fleet, warming: str) -> list[Machine]:
+    return {
+        "one": fleet.machines[:1],
+        "zone": [machine for machine in fleet.machines if machine.entry.zone == "a"],
+        "all": fleet.machines,
+    }[warming]
+
+
+def break_machines(fleet: Fleet, faults: str) -> None:
+    """Let a third or two of all machines fail in the way that the faults name."""
+    for mode, parts in (("failing", (1,)), ("refusing", (0, 1)), ("silent", (0, 1))):
+        for number, machine in enumerate(fleet.machines):
+            if mode in faults and number % 3 in parts:
+                machine.mode = mode
+
+
+def draw_requests_to(fleet: Fleet, chosen: list[Machine], started_at_us: int, faults: str) -> None:
+    """Give these machines shares that would draw every request, after none for a while with "saved"."""
+    fleet.run(started_at_us + fleet.spread_us)
+    if "saved" in faults:
+        set_shares(fleet, chosen, 1e-9)
+        fleet.run(started_at_us + 20 * S)
+    set_shares(fleet, chosen, 1e9)
+
+
+def remove_others_in_turn(fleet: Fleet, chosen: list[Machine], until: int) -> None:
+    """Remove one random other machine after another from the list, each for 0.4 s."""
+    others = [machine.entry for machine in fleet.machines if machine not in chosen]
+    while others and fleet.now + 400 * MS < until:
+        leaves = fleet.rng.choice(others)
+        fleet.tell([replace(leaves, status=messages.EndpointStatus.REMOVED)])
+        fleet.run(fleet.now + 400 * MS)
+        fleet.tell([leaves])
+
+
+def set_shares(fleet: Fleet, machines: list[Machine], share: float) -> None:
+    for module in fleet.modules:
+        for machine in machines:
+            module.endpoints.states[machine.entry.id].share = share
