--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -5,54 +5,60 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 
 def balancer_with_full_endpoints(
     setup: messages.Settings | None = None, endpoints: int = 2
 ) -> BalancerHarness:
     """Return a balancer whose endpoints are all at their concurrency limit, with one request in its queue."""
-    harness = BalancerHarness(setup or settings(), endpoints)
+    harness = BalancerHarness(setup or balancer_settings(), endpoints)
     while not harness.balancer.requests.queue:
-        harness.request(f"c{harness.now}-{len(harness.done)}", "pay")
+        harness.request(f"c{harness.now_us}-{len(harness.actions)}", "pay")
     return harness
 
 
 def time_until_rejection_us(harness: BalancerHarness, request_id: str, within_us: int) -> int | None:
     """Return the microseconds until the request is rejected, to a millisecond; None if it is not."""
-    began = harness.now
-    while harness.now - began < within_us:
-        if any(reject.request == request_id for reject in only(harness.pass_time(MS), messages.Reject)):
-            return harness.now - began
+    began = harness.now_us
+    while harness.now_us - began < within_us:
+        if any(
+            reject.request == request_id
+            for reject in actions_of_type(harness.advance(MILLISECOND_US), messages.Reject)
+        ):
+            return harness.now_us - began
     return None
 
 
-@pytest.mark.parametrize("time_left_us", [900 * MS, S, 1_500 * MS, 2 * S, 5 * S])
-@pytest.mark.parametrize("phase_us", [0, 3 * MS, 11 * MS, 19 * MS])
+@pytest.mark.parametrize(
+    "time_left_us", [900 * MILLISECOND_US, SECOND_US, 1_500 * MILLISECOND_US, 2 * SECOND_US, 5 * SECOND_US]
+)
+@pytest.mark.parametrize("phase_us", [0, 3 * MILLISECOND_US, 11 * MILLISECOND_US, 19 * MILLISECOND_US])
 def test_queued_request_is_rejected_within_half_of_its_useful_time(time_left_us: int, phase_us: int) -> None:
     """It holds at any phase of the periodic queue scan, and the rejection comes no sooner."""
     harness = balancer_with_full_endpoints()
-    harness.pass_time(phase_us)
+    harness.advance(phase_us)
     harness.request("queued", "read", time_left_us)
-    useful_us = min(time_left_us, 2 * S)  # an answer after its latency objective earns nothing
-    after_us = time_until_rejection_us(harness, "queued", 3 * S)
+    useful_us = min(time_left_us, 2 * SECOND_US)  # an answer after its latency objective earns nothing
+    after_us = time_until_rejection_us(harness, "queued", 3 * SECOND_US)
     assert after_us is not None
-    assert useful_us // 2 - 2 * MS <= after_us <= useful_us // 2
+    assert useful_us // 2 - 2 * MILLISECOND_US <= after_us <= useful_us // 2
 
 
 def balancer_with_queued_retry(outcome: messages.Outcome, after_us: int) -> BalancerHarness:
     """Return a balancer with a retry in its queue: one endpoint drains, the other is at its limit."""
-    harness = BalancerHarness(settings(), 2)
-    harness.request("first", "read", 5 * S)
-    [send] = only(harness.done, messages.StartAttempt)
+    harness = BalancerHarness(balancer_settings(), 2)
+    harness.request("first", "read", 5 * SECOND_US)
+    [send] = actions_of_type(harness.actions, messages.StartAttempt)
     while not harness.balancer.requests.queue:
-        harness.request(f"c{len(harness.done)}", "pay")
-    harness.pass_time(after_us)
+        harness.request(f"c{len(harness.actions)}", "pay")
+    harness.advance(after_us)
     draining = messages.Endpoint(
         send.endpoint_id, messages.EndpointStatus.DRAINING, cell=send.endpoint_id % 2
     )
-    harness.news(draining, kind=messages.EndpointListKind.CHANGES, version=2)
-    harness.end(send, outcome)
+    harness.update_endpoint_list(draining, kind=messages.EndpointListKind.CHANGES, version=2)
+    harness.end_attempt(send, outcome)
     assert "first" in harness.balancer.requests.queue.request_ids
     return harness
 
@@ -61,14 +67,18 @@
 def test_queued_retry_of_unwritten_request_is_rejected_by_half_of_its_time_since_arrival(
     outcome: messages.Outcome,
 ) -> None:
-    after_us = time_until_rejection_us(balancer_with_queued_retry(outcome, 600 * MS), "first", 3 * S)
+    after_us = time_until_rejection_us(
+        balancer_with_queued_retry(outcome, 600 * MILLISECOND_US), "first", 3 * SECOND_US
+    )
     assert after_us is not None
-    assert 398 * MS <= after_us <= 400 * MS
+    assert 398 * MILLISECOND_US <= after_us <= 400 * MILLISECOND_US
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.ERROR, messages.Outcome.RESET])
 def test_queued_retry_of_written_request_waits_for_its_full_queue_time(outcome: messages.Outcome) -> None:
     """A rejection of such a request costs no more when it comes later."""
-    after_us = time_until_rejection_us(balancer_with_queued_retry(outcome, 200 * MS), "first", 3 * S)
+    after_us = time_until_rejection_us(
+        balancer_with_queued_retry(outcome, 200 * MILLISECOND_US), "first", 3 * SECOND_US
+    )
     assert after_us is not None
-    assert 998 * MS <= after_us <= S
+    assert 998 * MILLISECOND_US <= after_us <= SECOND_US
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -11,26 +11,27 @@
     MAX_BACKOFF_SHARE,
     MAX_BACKOFF_US,
 )
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
+from tests.support.units import MILLISECOND_US, SECOND_US
 
-ASKING = settings(must_subscribe=True)
+ASKING = balancer_settings(must_subscribe=True)
 
 
 def test_subscribes_at_start_only_where_required() -> None:
-    assert only(BalancerHarness(ASKING, backends=0).done, messages.Subscribe)
-    assert not only(BalancerHarness(backends=0).done, messages.Subscribe)
+    assert actions_of_type(BalancerHarness(ASKING, endpoint_count=0).actions, messages.Subscribe)
+    assert not actions_of_type(BalancerHarness(endpoint_count=0).actions, messages.Subscribe)
 
 
 def test_subscription_backoff_grows_within_bounds() -> None:
     harness, waits_us = BalancerHarness(ASKING), []
     for _ in range(8):
-        harness.news(kind=messages.EndpointListKind.FAILED)
-        failed_at_us = harness.now
-        while not only(harness.pass_time(10 * MS), messages.Subscribe):
-            assert harness.now - failed_at_us < ASKING.rules.max_poll_interval_us / 2
-        waits_us.append(harness.now - failed_at_us)
+        harness.update_endpoint_list(kind=messages.EndpointListKind.FAILED)
+        failed_at_us = harness.now_us
+        while not actions_of_type(harness.advance(10 * MILLISECOND_US), messages.Subscribe):
+            assert harness.now_us - failed_at_us < ASKING.rules.max_poll_interval_us / 2
+        waits_us.append(harness.now_us - failed_at_us)
     assert waits_us[0] < waits_us[1]  # the backoff grows, except for its jitter
-    assert waits_us[0] <= S
+    assert waits_us[0] <= SECOND_US
     assert (
         max(waits_us[3:]) - min(waits_us[3:])
         <= BACKOFF_JITTER * ASKING.rules.max_poll_interval_us * MAX_BACKOFF_SHARE
@@ -40,13 +41,13 @@
 
 def resubscription_wait_us(harness: BalancerHarness, stood_us: int) -> int:
     """Return the microseconds until the next subscription after one that lasted `stood_us` has failed."""
-    harness.now += stood_us
-    [timer] = only(
-        harness.event(messages.EndpointListUpdate(messages.EndpointListKind.FAILED)), messages.SetTimer
+    harness.now_us += stood_us
+    [timer] = actions_of_type(
+        harness.handle(messages.EndpointListUpdate(messages.EndpointListKind.FAILED)), messages.SetTimer
     )
-    at = harness.now
-    harness.pass_time(timer.at_us - at)
-    return harness.now - at
+    at = harness.now_us
+    harness.advance(timer.at_us - at)
+    return harness.now_us - at
 
 
 def test_long_lived_subscription_resets_the_backoff_for_one_retry() -> None:
@@ -57,12 +58,14 @@
             resubscription_wait_us(harness, 0)
         least_share = 1.0 - BACKOFF_JITTER
         assert (
-            least_share * FIRST_BACKOFF_US <= resubscription_wait_us(harness, 2_500 * MS) <= FIRST_BACKOFF_US
+            least_share * FIRST_BACKOFF_US
+            <= resubscription_wait_us(harness, 2_500 * MILLISECOND_US)
+            <= FIRST_BACKOFF_US
         )
         assert least_share * MAX_BACKOFF_US <= resubscription_wait_us(harness, 0) <= MAX_BACKOFF_US
 
 
-@pytest.mark.parametrize("stood_us", [0, 1 * S, 2_500 * MS])
+@pytest.mark.parametrize("stood_us", [0, 1 * SECOND_US, 2_500 * MILLISECOND_US])
 def test_resubscriptions_of_many_balancers_are_spread_after_repeated_failures(stood_us: int) -> None:
     waits_us = []
     for seed in range(20):
@@ -78,51 +81,51 @@
     """An open watch is not needed for discovery to count a change as delivered, and polling is free."""
     harness, waits_us = BalancerHarness(), []
     for number in range(20):
-        harness.news(kind=messages.EndpointListKind.FAILED)
-        failed_at_us = harness.now
-        while not only(harness.pass_time(10 * MS), messages.Subscribe):
-            assert harness.now - failed_at_us < S
-        waits_us.append(harness.now - failed_at_us)
+        harness.update_endpoint_list(kind=messages.EndpointListKind.FAILED)
+        failed_at_us = harness.now_us
+        while not actions_of_type(harness.advance(10 * MILLISECOND_US), messages.Subscribe):
+            assert harness.now_us - failed_at_us < SECOND_US
+        waits_us.append(harness.now_us - failed_at_us)
         if number == 9:
-            harness.pass_time(S)
-    assert waits_us[0] <= 10 * MS
-    assert waits_us[10] <= 10 * MS
-    assert all(80 * MS <= wait <= 100 * MS for wait in waits_us[1:10] + waits_us[11:])
+            harness.advance(SECOND_US)
+    assert waits_us[0] <= 10 * MILLISECOND_US
+    assert waits_us[10] <= 10 * MILLISECOND_US
+    assert all(80 * MILLISECOND_US <= wait <= 100 * MILLISECOND_US for wait in waits_us[1:10] + waits_us[11:])
 
 
 def test_resubscriptions_of_many_balancers_are_spread_after_first_failure() -> None:
     waits_us = []
     for seed in range(20):
         harness = BalancerHarness(ASKING, seed=seed)
-        [timer] = only(
-            harness.event(messages.EndpointListUpdate(messages.EndpointListKind.FAILED)), messages.SetTimer
+        [timer] = actions_of_type(
+            harness.handle(messages.EndpointListUpdate(messages.EndpointListKind.FAILED)), messages.SetTimer
         )
-        waits_us.append(timer.at_us - harness.now)
+        waits_us.append(timer.at_us - harness.now_us)
     assert len(set(waits_us)) > 10
 
 
 def test_failed_subscription_keeps_the_endpoint_list() -> None:
     harness = BalancerHarness(ASKING)
-    harness.news(kind=messages.EndpointListKind.FAILED)
-    assert only(harness.request("r"), messages.StartAttempt)
+    harness.update_endpoint_list(kind=messages.EndpointListKind.FAILED)
+    assert actions_of_type(harness.request("r"), messages.StartAttempt)
 
 
 def test_complete_list_removes_absent_endpoints_and_changes_do_not() -> None:
     harness = BalancerHarness()
-    harness.news(messages.Endpoint(7), kind=messages.EndpointListKind.CHANGES, version=2)
+    harness.update_endpoint_list(messages.Endpoint(7), kind=messages.EndpointListKind.CHANGES, version=2)
     assert set(harness.balancer.endpoints.states) == {0, 1, 2, 3, 7}
-    harness.news(messages.Endpoint(7), version=3)
+    harness.update_endpoint_list(messages.Endpoint(7), version=3)
     assert set(harness.balancer.endpoints.states) == {7}
 
 
 def test_stale_changes_remove_endpoints_but_bring_none_back() -> None:
     harness = BalancerHarness()
-    harness.news(
+    harness.update_endpoint_list(
         messages.Endpoint(0, messages.EndpointStatus.REMOVED),
         kind=messages.EndpointListKind.CHANGES,
         version=5,
     )
-    harness.news(
+    harness.update_endpoint_list(
         messages.Endpoint(0),
         messages.Endpoint(1, messages.EndpointStatus.DRAINING),
         messages.Endpoint(9),
@@ -140,7 +143,9 @@
     for instances, endpoints in ((9, 43), (43, 100), (14, 33), (3, 40)):
         counts = dict.fromkeys(range(endpoints), 0)
         for index in range(instances):
-            harness = BalancerHarness(settings(instances=instances, index=index), endpoints, seed=index)
+            harness = BalancerHarness(
+                balancer_settings(instances=instances, index=index), endpoints, seed=index
+            )
             for state in harness.balancer.endpoints.subset:
                 counts[state.endpoint.id] += 1
         assert max(counts.values()) - min(counts.values()) <= 2
@@ -149,9 +154,11 @@
 
 def test_new_endpoint_changes_few_members_of_a_subset() -> None:
     for index in range(10):
-        harness = BalancerHarness(settings(instances=10, index=index), backends=60)
+        harness = BalancerHarness(balancer_settings(instances=10, index=index), endpoint_count=60)
         before = {state.endpoint.id for state in harness.balancer.endpoints.subset}
-        harness.news(messages.Endpoint(777), kind=messages.EndpointListKind.CHANGES, version=2)
+        harness.update_endpoint_list(
+            messages.Endpoint(777), kind=messages.EndpointListKind.CHANGES, version=2
+        )
         assert len(before - {state.endpoint.id for state in harness.balancer.endpoints.subset}) <= 2
 
 
@@ -160,30 +167,30 @@
     state = harness.balancer.endpoints.states[0]
     state.share = 0.1
     harness.request("r")
-    harness.news(
-        messages.Endpoint(0, incarnation_us=harness.now), kind=messages.EndpointListKind.CHANGES, version=2
+    harness.update_endpoint_list(
+        messages.Endpoint(0, incarnation_us=harness.now_us), kind=messages.EndpointListKind.CHANGES, version=2
     )
     fresh = harness.balancer.endpoints.states[0]
     assert (fresh.share, fresh.in_flight, fresh.mixed_id) == (1.0, [], state.mixed_id)
 
 
 def test_outcome_from_removed_endpoint_ends_its_request() -> None:
-    harness = BalancerHarness(backends=1)
-    [send] = only(harness.request("r"), messages.StartAttempt)
-    harness.news()
-    harness.end(send, messages.Outcome.OK)
+    harness = BalancerHarness(endpoint_count=1)
+    [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+    harness.update_endpoint_list()
+    harness.end_attempt(send, messages.Outcome.OK)
     assert not harness.balancer.requests.requests
     assert not harness.balancer.requests.in_flight
 
 
 def test_request_is_rejected_when_all_endpoints_drain() -> None:
     harness = BalancerHarness()
-    harness.news(
+    harness.update_endpoint_list(
         *(messages.Endpoint(number, messages.EndpointStatus.DRAINING) for number in range(4)), version=2
     )
-    actions = harness.request("r") + harness.pass_time(5 * S)
-    assert only(actions, messages.Reject)
-    assert not only(actions, messages.StartAttempt)
+    actions = harness.request("r") + harness.advance(5 * SECOND_US)
+    assert actions_of_type(actions, messages.Reject)
+    assert not actions_of_type(actions, messages.StartAttempt)
 
 
 def send_times_by_endpoint(
@@ -192,10 +199,10 @@
     """Return the send times of each endpoint under steady load, each attempt answered after 20 ms."""
     sent: dict[int, list[int]] = {}
     for number in range(int(seconds * per_s)):
-        harness.now += S // per_s
-        for send in only(harness.request(f"s{harness.now}.{number}"), messages.StartAttempt):
-            sent.setdefault(send.endpoint_id, []).append(harness.now)
-            harness.end(send, messages.Outcome.OK, took=20 * MS)
+        harness.now_us += SECOND_US // per_s
+        for send in actions_of_type(harness.request(f"s{harness.now_us}.{number}"), messages.StartAttempt):
+            sent.setdefault(send.endpoint_id, []).append(harness.now_us)
+            harness.end_attempt(send, messages.Outcome.OK, took=20 * MILLISECOND_US)
     return sent
 
 
@@ -208,15 +215,15 @@
         harness = BalancerHarness(seed=seed)
         warm = send_times_by_endpoint(harness, 5)
         rules = harness.balancer.settings.rules
-        harness.news(
-            messages.Endpoint(9, incarnation_us=harness.now),
+        harness.update_endpoint_list(
+            messages.Endpoint(9, incarnation_us=harness.now_us),
             kind=messages.EndpointListKind.CHANGES,
             version=2,
         )
         harness.balancer.endpoints.states[9].share = 50.0  # even where its share would draw everything
         warming = send_times_by_endpoint(harness, 2).get(9, [])
         most_warm = max(most_in_window(times, rules.overload_window_us) for times in warm.values())
-        capacity = rules.start_capacity + (1 - rules.start_capacity) * 2 * S / rules.slow_start_us
+        capacity = rules.start_capacity + (1 - rules.start_capacity) * 2 * SECOND_US / rules.slow_start_us
         assert (
             0
             < most_in_window(warming, rules.overload_window_us)
@@ -225,27 +232,31 @@
 
 
 def test_retries_count_against_the_slow_start_budget() -> None:
-    harness = BalancerHarness(backends=0)
-    harness.news(messages.Endpoint(0), messages.Endpoint(9, incarnation_us=harness.now))
+    harness = BalancerHarness(endpoint_count=0)
+    harness.update_endpoint_list(messages.Endpoint(0), messages.Endpoint(9, incarnation_us=harness.now_us))
     warming_count = 0
     for number in range(50):
-        for send in only(harness.request(f"r{number}"), messages.StartAttempt):
+        for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
             warming_count += send.endpoint_id == 9
-            for again in only(harness.end(send, messages.Outcome.REJECTED), messages.StartAttempt):
+            for again in actions_of_type(
+                harness.end_attempt(send, messages.Outcome.REJECTED), messages.StartAttempt
+            ):
                 warming_count += again.endpoint_id == 9
-                harness.end(again, messages.Outcome.REJECTED, attempt=1)
+                harness.end_attempt(again, messages.Outcome.REJECTED, attempt=1)
     assert warming_count <= 2
 
 
 def test_endpoints_that_are_all_warming_still_serve() -> None:
-    harness = BalancerHarness(backends=0)
-    harness.news(*(messages.Endpoint(number, incarnation_us=harness.now) for number in range(4)))
+    harness = BalancerHarness(endpoint_count=0)
+    harness.update_endpoint_list(
+        *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(4))
+    )
     assert sum(len(times) for times in send_times_by_endpoint(harness, 3).values()) > 100
 
 
 def test_complete_list_with_lower_version_resets_the_version() -> None:
-    harness = BalancerHarness(backends=0)
-    harness.news(messages.Endpoint(1), version=100)
-    harness.news(messages.Endpoint(1), version=3)
-    harness.news(messages.Endpoint(2), kind=messages.EndpointListKind.CHANGES, version=4)
+    harness = BalancerHarness(endpoint_count=0)
+    harness.update_endpoint_list(messages.Endpoint(1), version=100)
+    harness.update_endpoint_list(messages.Endpoint(1), version=3)
+    harness.update_endpoint_list(messages.Endpoint(2), kind=messages.EndpointListKind.CHANGES, version=4)
     assert set(harness.balancer.endpoints.states) == {1, 2}
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -11,32 +11,37 @@
 from load_balancer.net.upstream.load_report import read_requests_in_flight
 from load_balancer.policy import health_check, scan_timer
 from load_balancer.policy.attempt import HangLimit
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.loopback_proxy import running_proxy
 from tests.support.stand_in_server import StandInServer
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 LIMITS = messages.Limits(max_attempts=3, cancel=True, health_checks=True)
-PROBING = settings(limits=LIMITS)
+PROBING = balancer_settings(limits=LIMITS)
 
 
 def health_checks_within(harness: BalancerHarness, within_us: int) -> list[messages.CheckHealth]:
-    return only(harness.pass_time(within_us), messages.CheckHealth)
+    return actions_of_type(harness.advance(within_us), messages.CheckHealth)
 
 
 def test_health_checks_of_hanging_attempt_back_off() -> None:
     harness = BalancerHarness(PROBING)
     harness.request("a")
-    assert not health_checks_within(harness, 1150 * MS)
+    assert not health_checks_within(harness, 1150 * MILLISECOND_US)
     times: list[int] = []
     for _ in range(35):
-        for check in health_checks_within(harness, 100 * MS):
-            times.append(harness.now)
-            harness.event(messages.HealthCheckEnded(check.endpoint_id, True, 1.0))
-    assert [later - sooner for sooner, later in pairwise(times)] == [400 * MS, 800 * MS, 1600 * MS]
-    assert not only(
-        harness.done, messages.CancelAttempt
+        for check in health_checks_within(harness, 100 * MILLISECOND_US):
+            times.append(harness.now_us)
+            harness.handle(messages.HealthCheckEnded(check.endpoint_id, True, 1.0))
+    assert [later - sooner for sooner, later in pairwise(times)] == [
+        400 * MILLISECOND_US,
+        800 * MILLISECOND_US,
+        1600 * MILLISECOND_US,
+    ]
+    assert not actions_of_type(
+        harness.actions, messages.CancelAttempt
     )  # the endpoint still has the request: it is only slow
 
 
@@ -47,85 +52,95 @@
     cls: str, answers: bool, again: bool
 ) -> None:
     """An endpoint that answers other requests is only slow, and an unsafe request is never abandoned."""
-    harness = BalancerHarness(backends=2)
-    [send] = only(harness.request("a", cls), messages.StartAttempt)
-    harness.now += 100 * MS
+    harness = BalancerHarness(endpoint_count=2)
+    [send] = actions_of_type(harness.request("a", cls), messages.StartAttempt)
+    harness.now_us += 100 * MILLISECOND_US
     other_sends = [
-        send for number in range(6) for send in only(harness.request(f"b{number}"), messages.StartAttempt)
+        send
+        for number in range(6)
+        for send in actions_of_type(harness.request(f"b{number}"), messages.StartAttempt)
     ]
     for other in other_sends:
         if answers or other.endpoint_id != send.endpoint_id:
-            harness.end(other, messages.Outcome.OK, took=1 * MS)
+            harness.end_attempt(other, messages.Outcome.OK, took=1 * MILLISECOND_US)
     usual_latency_us = harness.balancer.requests.classes[cls].usual_latency_us
     cancels = [
         cancel
-        for cancel in only(harness.pass_time(int(3 * usual_latency_us) + 200 * MS), messages.CancelAttempt)
+        for cancel in actions_of_type(
+            harness.advance(int(3 * usual_latency_us) + 200 * MILLISECOND_US), messages.CancelAttempt
+        )
         if cancel.request == "a"
     ]
     assert cancels == ([messages.CancelAttempt("a", 0)] if again else [])
     if again:
-        [resend] = only(harness.end(send, messages.Outcome.CANCELLED), messages.StartAttempt)
+        [resend] = actions_of_type(
+            harness.end_attempt(send, messages.Outcome.CANCELLED), messages.StartAttempt
+        )
         assert resend.request == "a"
         assert resend.endpoint_id != send.endpoint_id
 
 
 def test_attempt_is_cancelled_when_endpoint_reports_fewer_requests_than_are_in_flight() -> None:
     harness = BalancerHarness(PROBING)
-    [first] = only(harness.request("a"), messages.StartAttempt)
-    [check] = health_checks_within(harness, 1300 * MS)
+    [first] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    [check] = health_checks_within(harness, 1300 * MILLISECOND_US)
     assert check.endpoint_id == first.endpoint_id
-    [cancel] = only(
-        harness.event(messages.HealthCheckEnded(check.endpoint_id, True, 0.0)), messages.CancelAttempt
+    [cancel] = actions_of_type(
+        harness.handle(messages.HealthCheckEnded(check.endpoint_id, True, 0.0)), messages.CancelAttempt
     )
     assert cancel == messages.CancelAttempt("a", 0)
-    [again] = only(harness.end(first, messages.Outcome.CANCELLED), messages.StartAttempt)
-    assert len(health_checks_within(harness, 1100 * MS)) == 1  # the next hanging attempt is checked sooner
+    [again] = actions_of_type(harness.end_attempt(first, messages.Outcome.CANCELLED), messages.StartAttempt)
+    assert (
+        len(health_checks_within(harness, 1100 * MILLISECOND_US)) == 1
+    )  # the next hanging attempt is checked sooner
     assert again.request == "a"
     assert again.endpoint_id != first.endpoint_id
 
 
 def test_attempt_younger_than_the_load_report_is_not_cancelled() -> None:
-    harness = BalancerHarness(PROBING, backends=1)
+    harness = BalancerHarness(PROBING, endpoint_count=1)
     harness.request("a")
-    harness.pass_time(1200 * MS)
+    harness.advance(1200 * MILLISECOND_US)
     harness.request("b")
-    harness.pass_time(100 * MS)
-    [check] = only(harness.done, messages.CheckHealth)
-    cancels = only(
-        harness.event(messages.HealthCheckEnded(check.endpoint_id, True, 0.0)), messages.CancelAttempt
+    harness.advance(100 * MILLISECOND_US)
+    [check] = actions_of_type(harness.actions, messages.CheckHealth)
+    cancels = actions_of_type(
+        harness.handle(messages.HealthCheckEnded(check.endpoint_id, True, 0.0)), messages.CancelAttempt
     )
     assert cancels == [messages.CancelAttempt("a", 0)]
 
 
 def test_endpoint_that_fails_two_health_checks_gets_nothing_until_it_responds() -> None:
-    harness = BalancerHarness(PROBING, backends=1)
-    [first] = only(harness.request("a"), messages.StartAttempt)
-    [check] = health_checks_within(harness, 1300 * MS)
-    after_first_failure = harness.event(messages.HealthCheckEnded(check.endpoint_id, False))
-    assert only(after_first_failure, messages.CheckHealth)
-    assert not only(after_first_failure, messages.CancelAttempt)  # it may have been a pause
-    assert only(harness.event(messages.HealthCheckEnded(check.endpoint_id, False)), messages.CancelAttempt)
-    harness.end(first, messages.Outcome.CANCELLED)
-    assert not only(harness.request("b"), messages.StartAttempt)
-    [check] = health_checks_within(harness, 600 * MS)
-    harness.event(messages.HealthCheckEnded(check.endpoint_id, True))
-    assert only(harness.request("c"), messages.StartAttempt)
+    harness = BalancerHarness(PROBING, endpoint_count=1)
+    [first] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    [check] = health_checks_within(harness, 1300 * MILLISECOND_US)
+    after_first_failure = harness.handle(messages.HealthCheckEnded(check.endpoint_id, False))
+    assert actions_of_type(after_first_failure, messages.CheckHealth)
+    assert not actions_of_type(after_first_failure, messages.CancelAttempt)  # it may have been a pause
+    assert actions_of_type(
+        harness.handle(messages.HealthCheckEnded(check.endpoint_id, False)), messages.CancelAttempt
+    )
+    harness.end_attempt(first, messages.Outcome.CANCELLED)
+    assert not actions_of_type(harness.request("b"), messages.StartAttempt)
+    [check] = health_checks_within(harness, 600 * MILLISECOND_US)
+    harness.handle(messages.HealthCheckEnded(check.endpoint_id, True))
+    assert actions_of_type(harness.request("c"), messages.StartAttempt)
 
 
 def test_unsafe_request_with_lost_response_is_not_retried() -> None:
     harness = BalancerHarness(PROBING)
-    [first] = only(harness.request("a", "pay"), messages.StartAttempt)
-    [check] = health_checks_within(harness, 1300 * MS)
-    harness.event(messages.HealthCheckEnded(check.endpoint_id, True, 0.0))
-    ended = harness.end(first, messages.Outcome.CANCELLED)
-    assert only(ended, messages.Fail)
-    assert not only(ended, messages.StartAttempt)
+    [first] = actions_of_type(harness.request("a", "pay"), messages.StartAttempt)
+    [check] = health_checks_within(harness, 1300 * MILLISECOND_US)
+    harness.handle(messages.HealthCheckEnded(check.endpoint_id, True, 0.0))
+    ended = harness.end_attempt(first, messages.Outcome.CANCELLED)
+    assert actions_of_type(ended, messages.Fail)
+    assert not actions_of_type(ended, messages.StartAttempt)
 
 
 def test_no_health_check_is_sent_where_settings_forbid_them() -> None:
-    harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=3, cancel=True)))
+    harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=3, cancel=True)))
     harness.request("a")
-    assert not health_checks_within(harness, 3 * S)
+    assert not health_checks_within(harness, 3 * SECOND_US)
 
 
 @pytest.mark.parametrize(
@@ -149,9 +164,9 @@
 async def test_lost_response_is_detected_and_its_request_retried_on_real_sockets(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(health_check, "SUSPECT_LIMIT", HangLimit(0.0, 60 * MS))
+    monkeypatch.setattr(health_check, "SUSPECT_LIMIT", HangLimit(0.0, 60 * MILLISECOND_US))
     monkeypatch.setattr(health_check, "REPORT_AGE_US", 0)
-    monkeypatch.setattr(scan_timer, "SCAN_INTERVAL_US", 10 * MS)
+    monkeypatch.setattr(scan_timer, "SCAN_INTERVAL_US", 10 * MILLISECOND_US)
     lost: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/policy/test_no_starvation.py
+++ b/tests/policy/test_no_starvation.py
@@ -13,53 +13,57 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.balancer_harness import MS, SAFE, UNSAFE, S, settings
-from tests.support.simulated_fleet import START, Call, Client, Fleet
+from tests.support.balancer_harness import SAFE_CLASS, UNSAFE_CLASS, balancer_settings
+from tests.support.simulated_fleet import START_US, SimulatedClient, SimulatedFleet, SimulatedRequest
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 SHORT = messages.RequestClass(
     "short",
-    2 * S,
-    5 * S,
+    2 * SECOND_US,
+    5 * SECOND_US,
     messages.Idempotency.KEYED,
     messages.KeyScope.CELL,
-    deduplication_window_us=600 * MS,
+    deduplication_window_us=600 * MILLISECOND_US,
     priority_weight=2,
 )
 RULES = messages.Rules(
-    start_capacity=0.34, slow_start_us=5 * S, overload_multiple=3.0, overload_window_us=1500 * MS
+    start_capacity=0.34,
+    slow_start_us=5 * SECOND_US,
+    overload_multiple=3.0,
+    overload_window_us=1500 * MILLISECOND_US,
 )
-LENGTH_US = 24 * S
-USUAL_US = 300 * MS  # about what an attempt takes
-AWAY_US = 5 * S  # a lost zone is away for this long
+LENGTH_US = 24 * SECOND_US
+USUAL_US = 300 * MILLISECOND_US  # about what an attempt takes
+AWAY_US = 5 * SECOND_US  # a lost zone is away for this long
 # A balancer may not reject this many requests in a period of this length without making an attempt.
-NO_ATTEMPT_US = 4 * S
+NO_ATTEMPT_US = 4 * SECOND_US
 MAX_REQUESTS_WITHOUT_ATTEMPT = 15
 CLIENTS = tuple(
-    Client(cls, part * weight, tenant)
+    SimulatedClient(cls, part * weight, tenant)
     for cls, part in (("read", 0.5), ("short", 0.3), ("pay", 0.2))
     for tenant, weight in (("large", 0.9), ("small", 0.1))
 )
 SIZES = [(3, 8, 20.0, 0.45), (30, 16, 3.0, 0.45), (30, 8, 1.0, 0.45), (12, 12, 8.0, 0.45)]
 
 
-def build_fleet(balancers: int, endpoints: int, calls: float, load: float, seed: int) -> Fleet:
+def build_fleet(balancers: int, endpoints: int, calls: float, load: float, seed: int) -> SimulatedFleet:
     """Return a fleet in which each balancer gets `calls` requests in each overload window.
 
     `load` is the share of the capacity of all machines that the requests need.
     """
     per_window = balancers * calls / endpoints / load
-    asked_per_s = balancers * calls * S / RULES.overload_window_us
-    setup = settings(
-        classes=(SAFE, SHORT, UNSAFE),
+    asked_per_s = balancers * calls * SECOND_US / RULES.overload_window_us
+    setup = balancer_settings(
+        classes=(SAFE_CLASS, SHORT, UNSAFE_CLASS),
         rules=RULES,
         tenants=(messages.Tenant("large", asked_per_s), messages.Tenant("small", 0.3 * asked_per_s)),
         over_quota_weight=0.1,
     )
     slots = max(1, round(USUAL_US * per_window / RULES.overload_window_us))
-    return Fleet(setup, balancers, endpoints, per_window, load, seed, CLIENTS, slots=slots)
+    return SimulatedFleet(setup, balancers, endpoints, per_window, load, seed, CLIENTS, slots=slots)
 
 
-def lose_zones(fleet: Fleet, zones: str) -> None:
+def lose_zones(fleet: SimulatedFleet, zones: str) -> None:
     """Remove the endpoints of these zones for a while; they come back warming up."""
     lost_machines = [machine for machine in fleet.machines if machine.entry.zone in zones]
     for machine in lost_machines:
@@ -71,9 +75,9 @@
     fleet.restart(lost_machines)
 
 
-def simulate_day(fleet: Fleet, fault: str) -> None:
+def simulate_day(fleet: SimulatedFleet, fault: str) -> None:
     """Simulate a day: "calm", with one endpoint in eight "failing" or "slow", or with a "zone" lost."""
-    fleet.run(START + LENGTH_US // 6)
+    fleet.run(START_US + LENGTH_US // 6)
     for machine in fleet.machines[::8]:
         if fault == "failing":
             machine.mode = "failing"
@@ -81,10 +85,10 @@
             machine.slower = 6.0
     if fault == "zone":
         lose_zones(fleet, "a")
-    fleet.run(START + LENGTH_US)
+    fleet.run(START_US + LENGTH_US)
 
 
-def most_requests_without_attempt(fleet: Fleet, since: int = START) -> int:
+def most_requests_without_attempt(fleet: SimulatedFleet, since: int = START_US) -> int:
     """Return the most requests that a balancer got in a period of 4 s or more without an attempt."""
     worst = 0
     for index in range(fleet.balancers):
@@ -105,12 +109,12 @@
 ) -> None:
     fleet = build_fleet(balancers, endpoints, calls, load, seed)
     simulate_day(fleet, fault)
-    groups: dict[str, list[Call]] = defaultdict(list)
+    groups: dict[str, list[SimulatedRequest]] = defaultdict(list)
     for call in fleet.calls:
-        if call.at < fleet.now - 5 * S:  # those after may still be under way
+        if call.at < fleet.now - 5 * SECOND_US:  # those after may still be under way
             groups[call.cls].append(call)
             groups[str(call.tenant)].append(call)
-            groups[f"third {3 * (call.at - START) // (LENGTH_US - 5 * S)}"].append(call)
+            groups[f"third {3 * (call.at - START_US) // (LENGTH_US - 5 * SECOND_US)}"].append(call)
     served = {name: fleet.served(calls) for name, calls in groups.items()}
     assert len(served) == 8
     assert min(len(calls) for calls in groups.values()) >= 20
@@ -128,12 +132,14 @@
 ) -> None:
     """At a quarter of the load even warming endpoints could serve everything."""
     fleet = build_fleet(balancers, endpoints, calls, load, seed)
-    fleet.run(START + 3 * S)
+    fleet.run(START_US + 3 * SECOND_US)
     lose_zones(fleet, "abc")
     restored_at_us = fleet.now
-    fleet.run(restored_at_us + 7 * S)
+    fleet.run(restored_at_us + 7 * SECOND_US)
     arrived = [
-        call for call in fleet.calls if restored_at_us + fleet.spread_us <= call.at < restored_at_us + 5 * S
+        call
+        for call in fleet.calls
+        if restored_at_us + fleet.spread_us <= call.at < restored_at_us + 5 * SECOND_US
     ]
     for index in range(balancers):
         own_calls = [call for call in arrived if call.balancer == index]
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -6,19 +6,22 @@
 
 from load_balancer import messages
 from load_balancer.policy.admission import INITIAL_LIMIT, INITIAL_SHARED_LIMIT, MIN_LIMIT
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 
 def test_dead_endpoint_does_not_draw_queued_requests() -> None:
     """It rejects at once, so it always looks idle while all others are at their limits."""
-    harness, attempts_at_dead = BalancerHarness(backends=3), 0
+    harness, attempts_at_dead = BalancerHarness(endpoint_count=3), 0
     harness.balancer.endpoints.states[0].endpoint = messages.Endpoint(0)
     for number in range(40):
-        for send in only(harness.request(f"r{number}", "pay"), messages.StartAttempt):
+        for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
             while send.endpoint_id == 0:  # rejected within the same instant
                 attempts_at_dead += 1
-                again = only(
-                    harness.end(send, messages.Outcome.NO_CONNECTION, took=1 * MS, attempt=0),
+                again = actions_of_type(
+                    harness.end_attempt(
+                        send, messages.Outcome.NO_CONNECTION, took=1 * MILLISECOND_US, attempt=0
+                    ),
                     messages.StartAttempt,
                 )
                 if not again:
@@ -30,23 +33,25 @@
 def test_concurrency_limit_falls_with_late_answers_and_recovers() -> None:
     harness = BalancerHarness()
     limits = [harness.balancer.requests.limit.attempts]
-    for phase, took_us in enumerate((1500 * MS, 50 * MS)):
+    for phase, took_us in enumerate((1500 * MILLISECOND_US, 50 * MILLISECOND_US)):
         in_flight: list[messages.StartAttempt] = []
         for number in range(400):
-            harness.now += 10 * MS
-            more = only(
+            harness.now_us += 10 * MILLISECOND_US
+            more = actions_of_type(
                 harness.request(f"r{phase}.{number}") + harness.request(f"s{phase}.{number}"),
                 messages.StartAttempt,
             )
             in_flight += more
             if len(in_flight) >= 4 or not more:
-                in_flight += only(
-                    harness.end(in_flight.pop(0), messages.Outcome.OK, took=took_us), messages.StartAttempt
+                in_flight += actions_of_type(
+                    harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
+                    messages.StartAttempt,
                 )
         limits.append(harness.balancer.requests.limit.attempts)
         while in_flight:
-            in_flight += only(
-                harness.end(in_flight.pop(0), messages.Outcome.OK, took=took_us), messages.StartAttempt
+            in_flight += actions_of_type(
+                harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
+                messages.StartAttempt,
             )
     assert limits[1] == 1.0 < limits[0]
     assert limits[2] > limits[1]
@@ -58,21 +63,23 @@
     harness.balancer.endpoints.states[0].share = 10.0
     harness.balancer.requests.limit.split(harness.balancer.endpoints.subset)
     sends = [
-        send for number in range(40) for send in only(harness.request(f"r{number}"), messages.StartAttempt)
+        send
+        for number in range(40)
+        for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
     ]
     assert 0 < sum(send.endpoint_id == 0 for send in sends) <= harness.balancer.requests.limit.attempts
 
 
 def test_queued_requests_are_sent_by_priority_and_rejected_when_their_wait_ends() -> None:
-    harness = BalancerHarness(backends=1)
+    harness = BalancerHarness(endpoint_count=1)
     sends = []
     for number in range(10):
-        sends += only(harness.request(f"r{number}"), messages.StartAttempt)
+        sends += actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
     assert 0 < len(sends) < 10
-    assert not only(harness.request("dear", "pay"), messages.StartAttempt)
-    next_send, *_ = only(harness.end(sends[0], messages.Outcome.OK), messages.StartAttempt)
+    assert not actions_of_type(harness.request("dear", "pay"), messages.StartAttempt)
+    next_send, *_ = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.OK), messages.StartAttempt)
     assert next_send.request == "dear"
-    refused = only(harness.pass_time(1 * S), messages.Reject)
+    refused = actions_of_type(harness.advance(1 * SECOND_US), messages.Reject)
     assert len(refused) >= 5
 
 
@@ -80,78 +87,99 @@
     """By priority weight alone a class of low weight would starve; both cost the same here."""
     first_send = {}
     for part in (0.0, 0.6):
-        harness = BalancerHarness(settings(worst_class_weight=part), backends=1)
-        while sends := only(harness.request(f"fill{len(harness.done)}", "mark"), messages.StartAttempt):
+        harness = BalancerHarness(balancer_settings(worst_class_weight=part), endpoint_count=1)
+        while sends := actions_of_type(
+            harness.request(f"fill{len(harness.actions)}", "mark"), messages.StartAttempt
+        ):
             busy_send = sends[0]
-        harness.pass_time(300 * MS)  # what was queued is rejected: no class is served well
+        harness.advance(300 * MILLISECOND_US)  # what was queued is rejected: no class is served well
         for number in range(20):
-            harness.request(f"cheap{number}", "read", time_left=1 * MS)  # cannot be answered in time
+            harness.request(
+                f"cheap{number}", "read", time_left=1 * MILLISECOND_US
+            )  # cannot be answered in time
         harness.request("twice the worth", "mark")
         harness.request("least served", "read")
-        send, *_ = only(harness.end(busy_send, messages.Outcome.OK, took=300 * MS), messages.StartAttempt)
+        send, *_ = actions_of_type(
+            harness.end_attempt(busy_send, messages.Outcome.OK, took=300 * MILLISECOND_US),
+            messages.StartAttempt,
+        )
         first_send[part] = send.request
     assert first_send == {0.0: "twice the worth", 0.6: "least served"}
 
 
 def test_tenant_over_quota_waits_behind_others() -> None:
     tenants = (messages.Tenant("greedy", 2.0), messages.Tenant("modest", 50.0))
-    harness = BalancerHarness(settings(tenants=tenants, over_quota_weight=0.1), backends=1)
+    harness = BalancerHarness(balancer_settings(tenants=tenants, over_quota_weight=0.1), endpoint_count=1)
     sends = []
     for number in range(10):
-        sends += only(
-            harness.event(messages.Request(f"g{number}", "read", 5 * S, "greedy")), messages.StartAttempt
+        sends += actions_of_type(
+            harness.handle(messages.Request(f"g{number}", "read", 5 * SECOND_US, "greedy")),
+            messages.StartAttempt,
         )
-    assert not only(harness.event(messages.Request("m", "read", 5 * S, "modest")), messages.StartAttempt)
-    send, *_ = only(harness.end(sends[0], messages.Outcome.OK), messages.StartAttempt)
+    assert not actions_of_type(
+        harness.handle(messages.Request("m", "read", 5 * SECOND_US, "modest")), messages.StartAttempt
+    )
+    send, *_ = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.OK), messages.StartAttempt)
     assert send.request == "m"
 
 
 def test_request_that_cannot_meet_its_latency_objective_is_rejected_at_once() -> None:
     harness = BalancerHarness()
     for number in range(60):
-        for send in only(harness.request(f"w{number}"), messages.StartAttempt):
-            harness.end(send, messages.Outcome.OK, took=S)
-    actions = harness.request("late", time_left=500 * MS)
-    assert only(actions, messages.Reject) == [messages.Reject("late")]
+        for send in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
+            harness.end_attempt(send, messages.Outcome.OK, took=SECOND_US)
+    actions = harness.request("late", time_left=500 * MILLISECOND_US)
+    assert actions_of_type(actions, messages.Reject) == [messages.Reject("late")]
 
 
 def test_time_spent_before_arrival_shortens_the_attempt_timeout() -> None:
     harness = BalancerHarness()
-    [send] = only(harness.request("first"), messages.StartAttempt)
-    harness.end(send, messages.Outcome.OK)
-    [send] = only(harness.request("older", time_left=4 * S, retry=True), messages.StartAttempt)
-    assert send.timeout_us <= 1 * S
+    [send] = actions_of_type(harness.request("first"), messages.StartAttempt)
+    harness.end_attempt(send, messages.Outcome.OK)
+    [send] = actions_of_type(
+        harness.request("older", time_left=4 * SECOND_US, retry=True), messages.StartAttempt
+    )
+    assert send.timeout_us <= 1 * SECOND_US
 
 
 def test_client_retry_with_longer_deadline_does_not_age_first_requests() -> None:
     """Clients wait for all of the time remaining in their last attempt, for a part of it in those before."""
     harness = BalancerHarness()
-    for request_id, time_left, retry in (("a", 27 * S // 10, False), ("b", 45 * S // 10, True)):
-        [send] = only(harness.request(request_id, time_left=time_left, retry=retry), messages.StartAttempt)
-        harness.end(send, messages.Outcome.OK)
+    for request_id, time_left, retry in (
+        ("a", 27 * SECOND_US // 10, False),
+        ("b", 45 * SECOND_US // 10, True),
+    ):
+        [send] = actions_of_type(
+            harness.request(request_id, time_left=time_left, retry=retry), messages.StartAttempt
+        )
+        harness.end_attempt(send, messages.Outcome.OK)
     for request_id, retry in (("c", False), ("d", True)):  # both deadlines are as short: no age can be told
-        [send] = only(harness.request(request_id, time_left=27 * S // 10, retry=retry), messages.StartAttempt)
-        assert send.timeout_us > 19 * S // 10
-        harness.end(send, messages.Outcome.OK)
+        [send] = actions_of_type(
+            harness.request(request_id, time_left=27 * SECOND_US // 10, retry=retry), messages.StartAttempt
+        )
+        assert send.timeout_us > 19 * SECOND_US // 10
+        harness.end_attempt(send, messages.Outcome.OK)
 
 
 def test_unknown_class_is_handled_as_unsafe() -> None:
     harness = BalancerHarness()
-    [send] = only(harness.request("r", "never heard of"), messages.StartAttempt)
-    assert only(harness.end(send, messages.Outcome.ERROR), messages.Fail) == [messages.Fail("r")]
+    [send] = actions_of_type(harness.request("r", "never heard of"), messages.StartAttempt)
+    assert actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.Fail) == [
+        messages.Fail("r")
+    ]
 
 
 def test_request_with_hardly_any_time_left_is_rejected() -> None:
     for time_left in (0, 1, 1500):
         harness = BalancerHarness()
         actions = harness.request("r", "pay", time_left)
-        assert only(actions, messages.Reject)
-        assert not only(actions, messages.StartAttempt)
+        assert actions_of_type(actions, messages.Reject)
+        assert not actions_of_type(actions, messages.StartAttempt)
 
 
 def test_duplicate_request_id_is_one_request() -> None:
     harness = BalancerHarness()
-    assert len(only(harness.request("r") + harness.request("r"), messages.StartAttempt)) == 1
+    assert len(actions_of_type(harness.request("r") + harness.request("r"), messages.StartAttempt)) == 1
     assert harness.balancer.requests.classes["read"].requests == 1
 
 
@@ -160,26 +188,27 @@
     in_flight: list[tuple[int, messages.StartAttempt]] = []
     sent_count = 0
     for number in range(int(seconds * 20)):
-        sends = only(harness.pass_time(50 * MS), messages.StartAttempt)
-        while in_flight and in_flight[0][0] <= harness.now:
-            sends += only(
-                harness.end(in_flight.pop(0)[1], messages.Outcome.OK, took=took_us), messages.StartAttempt
+        sends = actions_of_type(harness.advance(50 * MILLISECOND_US), messages.StartAttempt)
+        while in_flight and in_flight[0][0] <= harness.now_us:
+            sends += actions_of_type(
+                harness.end_attempt(in_flight.pop(0)[1], messages.Outcome.OK, took=took_us),
+                messages.StartAttempt,
             )
-        sends += only(harness.request(f"q{harness.now}.{number}"), messages.StartAttempt)
-        in_flight += [(harness.now + took_us, send) for send in sends]
+        sends += actions_of_type(harness.request(f"q{harness.now_us}.{number}"), messages.StartAttempt)
+        in_flight += [(harness.now_us + took_us, send) for send in sends]
         sent_count += len(sends)
     return sent_count
 
 
 def test_initial_concurrency_limit_is_shared_by_many_balancers() -> None:
     """One attempt at each endpoint from each of hundreds of balancers was no limit at all."""
-    harness = BalancerHarness(settings(instances=400), backends=40)
+    harness = BalancerHarness(balancer_settings(instances=400), endpoint_count=40)
     balancer = harness.balancer
     assert balancer.endpoints.sharing_balancers == 400 * len(balancer.endpoints.subset) / 40
     assert balancer.requests.limit.attempts * balancer.endpoints.sharing_balancers == pytest.approx(
         INITIAL_SHARED_LIMIT
     )
-    sent_count = count_sent_attempts(harness, 10, took_us=400 * MS)
+    sent_count = count_sent_attempts(harness, 10, took_us=400 * MILLISECOND_US)
     # By Little's law: the limit of each endpoint of the subset, over the 400 ms that an attempt takes.
     assert (
         0 < sent_count <= 1.5 * balancer.requests.limit.attempts * len(balancer.endpoints.subset) * 10 / 0.4
@@ -188,8 +217,8 @@
 
 def test_concurrency_limit_falls_below_one_only_under_overload() -> None:
     limits = []
-    for took_us in (800 * MS, 1800 * MS):  # late; under overload
-        harness = BalancerHarness(settings(instances=8), backends=4)
+    for took_us in (800 * MILLISECOND_US, 1800 * MILLISECOND_US):  # late; under overload
+        harness = BalancerHarness(balancer_settings(instances=8), endpoint_count=4)
         count_sent_attempts(harness, 60, took_us)
         limits.append(harness.balancer.requests.limit.attempts)
     assert limits[0] == pytest.approx(1.0, abs=0.1)
@@ -197,41 +226,41 @@
 
 
 def test_endpoint_that_failed_a_class_is_avoided_for_that_class_only() -> None:
-    harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=1)))
+    harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)))
 
     def chosen(cls: str, number: int) -> int:
-        [send] = only(harness.request(f"{cls}{number}", cls), messages.StartAttempt)
-        harness.now += 1 * MS
-        harness.end(send, messages.Outcome.OK, took=1 * MS)
+        [send] = actions_of_type(harness.request(f"{cls}{number}", cls), messages.StartAttempt)
+        harness.now_us += 1 * MILLISECOND_US
+        harness.end_attempt(send, messages.Outcome.OK, took=1 * MILLISECOND_US)
         return send.endpoint_id
 
-    [first_send] = only(harness.request("a"), messages.StartAttempt)
-    harness.end(first_send, messages.Outcome.ERROR)
-    harness.now += 500 * MS  # the failed attempt no longer counts as in flight
+    [first_send] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    harness.end_attempt(first_send, messages.Outcome.ERROR)
+    harness.now_us += 500 * MILLISECOND_US  # the failed attempt no longer counts as in flight
     harness.balancer.endpoints.states[
         first_send.endpoint_id
     ].share = 1.0  # what the change detector does about it is tested elsewhere
     assert first_send.endpoint_id not in {chosen("read", number) for number in range(60)}
     assert first_send.endpoint_id in {chosen("mark", number) for number in range(60)}
-    harness.now += 5 * S
+    harness.now_us += 5 * SECOND_US
     assert first_send.endpoint_id in {chosen("read", 100 + number) for number in range(60)}
 
 
 def test_endpoint_that_failed_a_class_is_used_when_no_other_is_open() -> None:
-    harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=1)), backends=1)
-    [first_send] = only(harness.request("a"), messages.StartAttempt)
-    harness.end(first_send, messages.Outcome.ERROR)
-    harness.now += 500 * MS
-    assert only(harness.request("b"), messages.StartAttempt)
+    harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)), endpoint_count=1)
+    [first_send] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    harness.end_attempt(first_send, messages.Outcome.ERROR)
+    harness.now_us += 500 * MILLISECOND_US
+    assert actions_of_type(harness.request("b"), messages.StartAttempt)
 
 
 def test_failed_connection_does_not_lower_the_concurrency_limit() -> None:
-    harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=1)))
+    harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)))
     for number in range(40):
         limit_before = harness.balancer.requests.limit.attempts
-        [send] = only(harness.request(f"r{number}"), messages.StartAttempt)
-        harness.end(send, messages.Outcome.NO_CONNECTION, took=1)
-        harness.pass_time(500 * MS)
+        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        harness.end_attempt(send, messages.Outcome.NO_CONNECTION, took=1)
+        harness.advance(500 * MILLISECOND_US)
         assert harness.balancer.requests.limit.attempts >= limit_before
 
 
@@ -240,63 +269,73 @@
     waited_share: float, served: bool
 ) -> None:
     """It is rejected then, without an attempt: the client may safely retry."""
-    harness = BalancerHarness(backends=1)
+    harness = BalancerHarness(endpoint_count=1)
     sends: list[messages.StartAttempt] = []
-    while len(more := only(harness.request(f"r{len(sends)}"), messages.StartAttempt)) == 1:
+    while len(more := actions_of_type(harness.request(f"r{len(sends)}"), messages.StartAttempt)) == 1:
         sends += more
-    done = harness.pass_time(
+    done = harness.advance(
         int(waited_share * harness.balancer.requests.classes["read"].settings.latency_objective_us)
     )
     waiting = f"r{len(sends)}"
-    assert [action.request for action in only(done, messages.Reject)] == ([] if served else [waiting])
-    done = [action for send in sends for action in harness.end(send, messages.Outcome.OK)]
-    assert [action.request for action in only(done, messages.StartAttempt)] == ([waiting] if served else [])
+    assert [action.request for action in actions_of_type(done, messages.Reject)] == (
+        [] if served else [waiting]
+    )
+    done = [action for send in sends for action in harness.end_attempt(send, messages.Outcome.OK)]
+    assert [action.request for action in actions_of_type(done, messages.StartAttempt)] == (
+        [waiting] if served else []
+    )
 
 
 def busy_warming_endpoints() -> tuple[BalancerHarness, list[messages.StartAttempt]]:
     """Return a balancer with three busy warming endpoints, a queued request, and the attempts."""
-    harness = BalancerHarness(backends=0)
-    harness.news(*(messages.Endpoint(number, incarnation_us=harness.now) for number in range(3)))
+    harness = BalancerHarness(endpoint_count=0)
+    harness.update_endpoint_list(
+        *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(3))
+    )
     for state in harness.balancer.endpoints.subset:
         state.warming.tokens = state.warming.phase = 0.0
     sends = [
         send
         for number in range(3)
-        for send in only(harness.request(f"r{number}", "pay"), messages.StartAttempt)
+        for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt)
     ]
     assert len({send.endpoint_id for send in sends}) == 3  # one attempt at each
-    assert not only(harness.request("cheap", "read"), messages.StartAttempt)
+    assert not actions_of_type(harness.request("cheap", "read"), messages.StartAttempt)
     return harness, sends
 
 
 def test_queued_request_with_unsent_attempt_does_not_hold_back_first_attempts() -> None:
     """It counts as a first attempt again and is sent at once; the next free place is the other request's."""
     harness, sends = busy_warming_endpoints()
-    after = only(harness.end(sends[0], messages.Outcome.NOT_SENT), messages.StartAttempt)
+    after = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.NOT_SENT), messages.StartAttempt)
     assert [(send.request, send.endpoint_id) for send in after] == [("r0", sends[0].endpoint_id)]
-    after = only(harness.end(sends[1], messages.Outcome.OK), messages.StartAttempt)
+    after = actions_of_type(harness.end_attempt(sends[1], messages.Outcome.OK), messages.StartAttempt)
     assert [(send.request, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
 
 
 def test_queued_request_with_rejected_attempt_does_not_hold_back_first_attempts() -> None:
     """A retry at warming endpoints needs budget; a first attempt, which needs none, waited behind it."""
     harness, sends = busy_warming_endpoints()
-    assert not only(harness.end(sends[0], messages.Outcome.REJECTED), messages.StartAttempt)
-    after = only(harness.end(sends[1], messages.Outcome.UNUSABLE), messages.StartAttempt)
+    assert not actions_of_type(
+        harness.end_attempt(sends[0], messages.Outcome.REJECTED), messages.StartAttempt
+    )
+    after = actions_of_type(harness.end_attempt(sends[1], messages.Outcome.UNUSABLE), messages.StartAttempt)
     assert [(send.request, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
 
 
 @pytest.mark.parametrize("max_attempts", [1, 3, 20])
 def test_unsent_attempts_end_at_the_limit_on_attempts(max_attempts: int) -> None:
     """They cost no retry budget, so the budget alone would let them go on for ever."""
-    harness = BalancerHarness(settings(limits=messages.Limits(max_attempts=max_attempts, cancel=True)))
+    harness = BalancerHarness(
+        balancer_settings(limits=messages.Limits(max_attempts=max_attempts, cancel=True))
+    )
     actions, sends = harness.request("r", "pay"), 0
-    while again := only(actions, messages.StartAttempt):
+    while again := actions_of_type(actions, messages.StartAttempt):
         sends += 1
         assert sends <= max_attempts
-        actions = harness.end(again[0], messages.Outcome.NOT_SENT, took=0, attempt=sends - 1)
+        actions = harness.end_attempt(again[0], messages.Outcome.NOT_SENT, took=0, attempt=sends - 1)
     assert sends == max_attempts
-    assert [action.request for action in only(actions, messages.Reject)] == ["r"]
+    assert [action.request for action in actions_of_type(actions, messages.Reject)] == ["r"]
     assert not harness.balancer.requests.requests
     assert not harness.balancer.requests.in_flight
     assert not harness.balancer.requests.queue
--- a/tests/policy/test_policy_rules_random.py
+++ b/tests/policy/test_policy_rules_random.py
@@ -12,7 +12,8 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.balancer_harness import CLASSES, MS, BalancerHarness, S, settings
+from tests.support.balancer_harness import REQUEST_CLASSES, BalancerHarness, balancer_settings
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 OUTCOMES = tuple(messages.Outcome)
 PROVES_NOTHING_RAN = (
@@ -22,18 +23,29 @@
     messages.Outcome.NOT_SENT,
 )
 KEYED_ZONE = messages.RequestClass(
-    "note", 2 * S, 5 * S, messages.Idempotency.KEYED, messages.KeyScope.ZONE, deduplication_window_us=3 * S
+    "note",
+    2 * SECOND_US,
+    5 * SECOND_US,
+    messages.Idempotency.KEYED,
+    messages.KeyScope.ZONE,
+    deduplication_window_us=3 * SECOND_US,
 )
 FORGETFUL = messages.RequestClass(
-    "mail", 4 * S, 5 * S, messages.Idempotency.KEYED, deduplication_window_us=100 * MS
+    "mail",
+    4 * SECOND_US,
+    5 * SECOND_US,
+    messages.Idempotency.KEYED,
+    deduplication_window_us=100 * MILLISECOND_US,
 )
 UNSAFE_BUT_REMEMBERED = messages.RequestClass(
-    "book", 4 * S, 5 * S, deduplication_window_us=5 * S
+    "book", 4 * SECOND_US, 5 * SECOND_US, deduplication_window_us=5 * SECOND_US
 )  # a window that it may not use
-ALL_CLASSES = (*CLASSES, KEYED_ZONE, FORGETFUL, UNSAFE_BUT_REMEMBERED)
-UNLISTED = messages.RequestClass("nobody told", 5 * S, 5 * S)  # used, but missing from the settings: unsafe
+ALL_CLASSES = (*REQUEST_CLASSES, KEYED_ZONE, FORGETFUL, UNSAFE_BUT_REMEMBERED)
+UNLISTED = messages.RequestClass(
+    "nobody told", 5 * SECOND_US, 5 * SECOND_US
+)  # used, but missing from the settings: unsafe
 MOST_ATTEMPTS = 4
-FINAL_SLACK = 20 * MS  # how late the wire allows a final response to be
+FINAL_SLACK = 20 * MILLISECOND_US  # how late the wire allows a final response to be
 
 
 @dataclass
@@ -72,23 +84,23 @@
         }
         self.version = 1
         limits = messages.Limits(max_attempts=MOST_ATTEMPTS, cancel=seed % 3 > 0)
-        self.setup = settings(
+        self.setup = balancer_settings(
             classes=ALL_CLASSES,
             limits=limits,
             instances=1 + seed % 3,
             must_subscribe=seed % 2 == 0,
             worst_class_weight=0.3 * (seed % 2),
         )
-        super().__init__(self.setup, backends=0, seed=seed)
-        self.news(*self.listed.values())
+        super().__init__(self.setup, endpoint_count=0, seed=seed)
+        self.update_endpoint_list(*self.listed.values())
 
     # Checks
 
-    def event(self, event: messages.Event) -> list[messages.Action]:
-        actions = super().event(event)
+    def handle(self, event: messages.Event) -> list[messages.Action]:
+        actions = super().handle(event)
         for action in actions:
             self.check(action)
-        self.trace.append((self.now, event, tuple(actions)))
+        self.trace.append((self.now_us, event, tuple(actions)))
         return actions
 
     def check(self, action: messages.Action) -> None:
@@ -106,16 +118,16 @@
                 assert harmless or not any(attempt.may_have_run for attempt in pending.attempts), (
                     "twice: rejected what may have run"
                 )
-                assert self.now <= pending.deadline + FINAL_SLACK, "lost: rejected too late"
+                assert self.now_us <= pending.deadline + FINAL_SLACK, "lost: rejected too late"
             case messages.Fail():
                 assert action.request in self.pending, "lost: a second final answer"
                 pending = self.pending.pop(action.request)
-                assert self.now <= pending.deadline + FINAL_SLACK, "lost: failed too late"
+                assert self.now_us <= pending.deadline + FINAL_SLACK, "lost: failed too late"
             case messages.CancelAttempt():
                 assert self.setup.limits.cancel
                 assert action.attempt < len(self.requests[action.request].attempts)
             case messages.SetTimer():
-                assert action.at_us >= self.now
+                assert action.at_us >= self.now_us
 
     def check_start_attempt(self, send: messages.StartAttempt) -> None:
         assert send.request in self.pending, "lost: sent after the end"
@@ -125,7 +137,7 @@
         assert endpoint.status is messages.EndpointStatus.UP, (
             "drain: sent to an endpoint that drains or is gone"
         )
-        assert 0 < send.timeout_us <= pending.deadline - self.now
+        assert 0 < send.timeout_us <= pending.deadline - self.now_us
         assert len(pending.attempts) < MOST_ATTEMPTS
         assert all(attempt.outcome is not None for attempt in pending.attempts), "two at once"
         may_have_run_attempts = [attempt for attempt in pending.attempts if attempt.may_have_run]
@@ -133,7 +145,7 @@
             first = may_have_run_attempts[0]
             assert pending.cls.idempotency is not messages.Idempotency.UNSAFE, "twice: unsafe sent again"
             if pending.cls.idempotency is messages.Idempotency.KEYED:
-                assert self.now <= first.at + pending.cls.deduplication_window_us, (
+                assert self.now_us <= first.at + pending.cls.deduplication_window_us, (
                     "twice: after the deduplication window"
                 )
                 if pending.cls.key_scope is not messages.KeyScope.ALL:
@@ -142,18 +154,18 @@
                     assert endpoint.cell == first.endpoint.cell, "twice: another cell"
         self.check_slow_start(endpoint)
         self.in_flight.append((send.request, len(pending.attempts)))
-        pending.attempts.append(SentAttempt(send, endpoint, self.now))
+        pending.attempts.append(SentAttempt(send, endpoint, self.now_us))
 
     def check_slow_start(self, endpoint: messages.Endpoint) -> None:
         """Check a warming endpoint's budget in the window that ends now, by the most that a warm one got."""
         rules = self.setup.rules
-        age = self.now - endpoint.incarnation_us
+        age = self.now_us - endpoint.incarnation_us
         if endpoint.incarnation_us <= 0 or age >= rules.slow_start_us:
-            self.warm_sends.setdefault(endpoint.id, []).append(self.now)
+            self.warm_sends.setdefault(endpoint.id, []).append(self.now_us)
             return
         times = self.warming_sends.setdefault(endpoint.id, [])
-        times.append(self.now)
-        recent = sum(self.now - rules.overload_window_us < at for at in times)
+        times.append(self.now_us)
+        recent = sum(self.now_us - rules.overload_window_us < at for at in times)
         warm = max((self.most_in_window(warm_times) for warm_times in self.warm_sends.values()), default=0)
         capacity = rules.start_capacity + (1 - rules.start_capacity) * age / rules.slow_start_us
         # A few attempts overload nothing; beyond that the warm endpoints are the measure.
@@ -165,14 +177,14 @@
 
     # Random events
 
-    def end_attempt(self, index: int, outcome: messages.Outcome) -> None:
+    def finish_attempt(self, index: int, outcome: messages.Outcome) -> None:
         request_id, number = self.in_flight.pop(index)
         attempt = self.requests[request_id].attempts[number]
         attempt.outcome = outcome
         if outcome is messages.Outcome.OK:
             self.pending.pop(request_id, None)
-        took = self.now - attempt.at
-        self.event(
+        took = self.now_us - attempt.at
+        self.handle(
             messages.AttemptEnded(
                 request_id, number, attempt.send.endpoint_id, outcome, took, request_id not in self.pending
             )
@@ -182,9 +194,13 @@
         rng = self.rng
         self.serial += 1
         request_id, cls = f"r{self.serial}", rng.choice((*ALL_CLASSES, UNLISTED))
-        time_left = rng.choice((0, 1, 10 * MS, 300 * MS, 2 * S, 5 * S))
-        self.pending[request_id] = self.requests[request_id] = PendingRequest(cls, self.now + time_left, [])
-        self.event(messages.Request(request_id, cls.name, time_left))
+        time_left = rng.choice(
+            (0, 1, 10 * MILLISECOND_US, 300 * MILLISECOND_US, 2 * SECOND_US, 5 * SECOND_US)
+        )
+        self.pending[request_id] = self.requests[request_id] = PendingRequest(
+            cls, self.now_us + time_left, []
+        )
+        self.handle(messages.Request(request_id, cls.name, time_left))
 
     def change_list(self) -> None:
         rng = self.rng
@@ -198,11 +214,11 @@
             )
         )
         known = self.listed.get(endpoint_id)
-        since = self.now if known is None or rng.random() < 0.3 else known.incarnation_us
+        since = self.now_us if known is None or rng.random() < 0.3 else known.incarnation_us
         entry = messages.Endpoint(
             endpoint_id, status, "ab"[endpoint_id % 2], cell=endpoint_id % 3, incarnation_us=since
         )
-        if since == self.now:
+        if since == self.now_us:
             self.warming_sends.pop(endpoint_id, None)
             self.warm_sends.pop(endpoint_id, None)
         self.version += 1
@@ -214,9 +230,9 @@
                 if endpoint.status is not messages.EndpointStatus.REMOVED
             ]
             self.listed = {endpoint.id: endpoint for endpoint in kept}
-            self.news(*kept, version=self.version)
+            self.update_endpoint_list(*kept, version=self.version)
         else:
-            self.news(entry, kind=messages.EndpointListKind.CHANGES, version=self.version)
+            self.update_endpoint_list(entry, kind=messages.EndpointListKind.CHANGES, version=self.version)
 
     def send_odd_event(self) -> None:
         events: tuple[messages.Event, ...] = (
@@ -226,29 +242,29 @@
             messages.StreamStarted("never seen", 0),
             messages.EndpointListUpdate(messages.EndpointListKind.FAILED),
         )
-        self.event(self.rng.choice(events))
+        self.handle(self.rng.choice(events))
 
     def step(self) -> None:
         rng = self.rng
-        self.pass_time(rng.choice((0, 1, 5, 20, 20, 200)) * MS)
+        self.advance(rng.choice((0, 1, 5, 20, 20, 200)) * MILLISECOND_US)
         for index in range(len(self.in_flight) - 1, -1, -1):
             request_id, number = self.in_flight[index]
             attempt = self.requests[request_id].attempts[number]
-            if attempt.at + attempt.send.timeout_us <= self.now:
-                self.end_attempt(index, messages.Outcome.TIMEOUT)
+            if attempt.at + attempt.send.timeout_us <= self.now_us:
+                self.finish_attempt(index, messages.Outcome.TIMEOUT)
         kind = rng.random()
         if kind < 0.5:
             for _ in range(rng.choice((1, 1, 1, 6))):
                 self.send_request()
         elif kind < 0.85 and self.in_flight:
             good = rng.random() < 0.6
-            self.end_attempt(
+            self.finish_attempt(
                 rng.randrange(len(self.in_flight)), messages.Outcome.OK if good else rng.choice(OUTCOMES)
             )
         elif kind < 0.9 and self.pending:
             gone = rng.choice(list(self.pending))
             del self.pending[gone]
-            self.event(messages.ClientGone(gone))
+            self.handle(messages.ClientGone(gone))
         elif kind < 0.95:
             self.change_list()
         else:
@@ -256,7 +272,7 @@
         late = [
             request_id
             for request_id, pending in self.pending.items()
-            if self.now > pending.deadline + FINAL_SLACK
+            if self.now_us > pending.deadline + FINAL_SLACK
         ]
         assert not late, "lost: no answer in time"
 
@@ -264,12 +280,12 @@
         for _ in range(steps):
             self.step()
         while self.in_flight:
-            self.end_attempt(
+            self.finish_attempt(
                 len(self.in_flight) - 1, self.rng.choice((messages.Outcome.RESET, messages.Outcome.TIMEOUT))
             )
-        self.pass_time(10 * S)
+        self.advance(10 * SECOND_US)
         while self.in_flight:
-            self.end_attempt(len(self.in_flight) - 1, messages.Outcome.TIMEOUT)
+            self.finish_attempt(len(self.in_flight) - 1, messages.Outcome.TIMEOUT)
         assert not self.pending, "lost: no answer at all"
 
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -8,11 +8,12 @@
 from load_balancer.policy.attempt import Attempt
 from load_balancer.policy.selection import REMOTE_PENALTY
 from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 
 def test_draws_follow_shares() -> None:
-    harness = BalancerHarness(backends=3)
+    harness = BalancerHarness(endpoint_count=3)
     for state, share in zip(harness.balancer.endpoints.states.values(), (1.0, 2.0, 5.0), strict=True):
         state.share = share
     pool = list(harness.balancer.endpoints.states.values())
@@ -23,54 +24,54 @@
 
 
 def test_endpoint_with_fewer_attempts_in_flight_wins_the_draw() -> None:
-    harness = BalancerHarness(backends=1)
+    harness = BalancerHarness(endpoint_count=1)
     harness.request("long")
-    harness.news(messages.Endpoint(0), messages.Endpoint(1), version=2)
+    harness.update_endpoint_list(messages.Endpoint(0), messages.Endpoint(1), version=2)
     busy, idle = harness.balancer.endpoints.states.values()
     busy.share = 3.0
     for number in range(20):
-        [send] = only(harness.request(f"r{number}"), messages.StartAttempt)
+        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
         assert send.endpoint_id == idle.endpoint.id
         assert [draw.in_flight for draw in send.draws] == [0, 1]
-        harness.end(send, messages.Outcome.OK)
+        harness.end_attempt(send, messages.Outcome.OK)
 
 
 def test_overdue_attempt_counts_twice() -> None:
     """A missing response shows that an endpoint hangs long before the attempt times out."""
-    harness = BalancerHarness(backends=1)
-    [send] = only(harness.request("stuck"), messages.StartAttempt)
+    harness = BalancerHarness(endpoint_count=1)
+    [send] = actions_of_type(harness.request("stuck"), messages.StartAttempt)
     [state] = harness.balancer.endpoints.states.values()
     usual = int(harness.balancer.requests.classes["read"].usual_latency_us)
-    assert [state.load(harness.now + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
-    harness.now += 3 * usual
-    harness.end(send, messages.Outcome.OK, took=3 * usual)
-    assert state.load(harness.now) == 0
+    assert [state.load(harness.now_us + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
+    harness.now_us += 3 * usual
+    harness.end_attempt(send, messages.Outcome.OK, took=3 * usual)
+    assert state.load(harness.now_us) == 0
 
 
 def test_draws_are_distinct() -> None:
-    harness = BalancerHarness(backends=5)
+    harness = BalancerHarness(endpoint_count=5)
     for number in range(50):
-        [send] = only(harness.request(f"r{number}"), messages.StartAttempt)
+        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
         assert len({draw.endpoint_id for draw in send.draws}) == 2
-        harness.end(send, messages.Outcome.OK)
+        harness.end_attempt(send, messages.Outcome.OK)
 
 
 def test_selection_from_one_endpoint_and_from_none() -> None:
-    harness = BalancerHarness(backends=1)
-    assert [send.endpoint_id for send in only(harness.request("a"), messages.StartAttempt)] == [0]
-    harness.news()
-    assert not only(harness.request("b"), messages.StartAttempt)
+    harness = BalancerHarness(endpoint_count=1)
+    assert [send.endpoint_id for send in actions_of_type(harness.request("a"), messages.StartAttempt)] == [0]
+    harness.update_endpoint_list()
+    assert not actions_of_type(harness.request("b"), messages.StartAttempt)
 
 
 def test_subset_is_shuffled_stable_and_refilled() -> None:
     subsets = set()
     for index in range(0, 40, 8):
-        harness = BalancerHarness(settings(instances=40, index=index), backends=40)
+        harness = BalancerHarness(balancer_settings(instances=40, index=index), endpoint_count=40)
         before = [state.endpoint.id for state in harness.balancer.endpoints.subset]
         assert len(before) == MIN_SUBSET
         assert before != sorted(before)
         subsets.add(tuple(before))
-        harness.news(
+        harness.update_endpoint_list(
             messages.Endpoint(before[0], messages.EndpointStatus.REMOVED),
             kind=messages.EndpointListKind.CHANGES,
             version=2,
@@ -83,15 +84,15 @@
 
 
 def test_failing_endpoint_gets_less_and_is_not_ejected() -> None:
-    harness, counts = BalancerHarness(backends=6), Counter[int]()
+    harness, counts = BalancerHarness(endpoint_count=6), Counter[int]()
     for number in range(600):
-        for send in only(harness.request(f"r{number}", "pay"), messages.StartAttempt):
+        for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
             is_failing = send.endpoint_id == 0
-            harness.now += 20 * MS
-            harness.end(
+            harness.now_us += 20 * MILLISECOND_US
+            harness.end_attempt(
                 send,
                 messages.Outcome.ERROR if is_failing else messages.Outcome.OK,
-                took=5 * MS if is_failing else 100 * MS,
+                took=5 * MILLISECOND_US if is_failing else 100 * MILLISECOND_US,
             )
             counts[send.endpoint_id] += number >= 300
     fair = 300 / 6
@@ -100,14 +101,16 @@
 
 
 def test_slow_endpoint_gets_less_and_recovers() -> None:
-    harness = BalancerHarness(backends=6)
+    harness = BalancerHarness(endpoint_count=6)
     shares = []
     for phase in range(3):
         for number in range(500):
-            for send in only(harness.request(f"r{phase}.{number}"), messages.StartAttempt):
-                harness.now += 20 * MS
+            for send in actions_of_type(harness.request(f"r{phase}.{number}"), messages.StartAttempt):
+                harness.now_us += 20 * MILLISECOND_US
                 slow = phase == 1 and send.endpoint_id == 0
-                harness.end(send, messages.Outcome.OK, took=S if slow else 100 * MS)
+                harness.end_attempt(
+                    send, messages.Outcome.OK, took=SECOND_US if slow else 100 * MILLISECOND_US
+                )
         shares.append(harness.balancer.endpoints.states[0].share)
     assert shares[1] < shares[0] / 2
     assert shares[2] > shares[1] * 1.5
@@ -115,10 +118,10 @@
 
 def test_cancelled_and_unsent_attempts_are_no_latency_samples() -> None:
     for outcome in (messages.Outcome.CANCELLED, messages.Outcome.NOT_SENT):
-        harness = BalancerHarness(backends=1)
-        [send] = only(harness.request("r"), messages.StartAttempt)
+        harness = BalancerHarness(endpoint_count=1)
+        [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
         mean = harness.balancer.endpoints.states[0].detector.mean
-        again = only(harness.end(send, outcome), messages.StartAttempt)
+        again = actions_of_type(harness.end_attempt(send, outcome), messages.StartAttempt)
         assert harness.balancer.endpoints.states[0].detector.mean == mean
         assert len(harness.balancer.endpoints.states[0].in_flight) == len(again)
 
@@ -129,22 +132,24 @@
 def count_local_attempts(price: float, busy: int = 0) -> int:
     """Return how many of 200 requests in a row stay in zone a, each endpoint there with `busy` attempts."""
     harness = BalancerHarness(
-        settings(zone="a", cross_zone_price=price, limits=messages.Limits(max_attempts=3)), backends=0
+        balancer_settings(zone="a", cross_zone_price=price, limits=messages.Limits(max_attempts=3)),
+        endpoint_count=0,
     )
-    harness.news(*ZONES)
+    harness.update_endpoint_list(*ZONES)
     harness.balancer.requests.limit.attempts = 20.0
     harness.balancer.requests.limit.split(harness.balancer.endpoints.subset)
     read_class = harness.balancer.requests.classes["read"]
     for state in harness.balancer.endpoints.states.values():
         if state.endpoint.zone == "a":
             state.in_flight = [
-                Attempt("busy", number, state, read_class, harness.now, 5 * S) for number in range(busy)
+                Attempt("busy", number, state, read_class, harness.now_us, 5 * SECOND_US)
+                for number in range(busy)
             ]
     local_count = 0
     for number in range(200):
-        [send] = only(harness.request(f"r{number}"), messages.StartAttempt)
+        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
         local_count += harness.balancer.endpoints.states[send.endpoint_id].endpoint.zone == "a"
-        harness.end(send, messages.Outcome.OK)
+        harness.end_attempt(send, messages.Outcome.OK)
     return local_count
 
 
@@ -157,11 +162,13 @@
 
 
 def test_subset_holds_the_local_zone_and_some_remote_endpoints() -> None:
-    harness = BalancerHarness(settings(zone="a", cross_zone_price=0.05, instances=3), backends=0)
-    harness.news(*ZONES)
+    harness = BalancerHarness(
+        balancer_settings(zone="a", cross_zone_price=0.05, instances=3), endpoint_count=0
+    )
+    harness.update_endpoint_list(*ZONES)
     zones = Counter(state.endpoint.zone for state in harness.balancer.endpoints.subset)
     assert zones["a"] == 4
     assert zones["b"] + zones["c"] >= MIN_REMOTE
     remote = [endpoint for endpoint in ZONES if endpoint.zone != "a"]
-    harness.news(*remote, version=2)
+    harness.update_endpoint_list(*remote, version=2)
     assert len(harness.balancer.endpoints.subset) >= MIN_SUBSET
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -16,7 +16,8 @@
 from load_balancer.policy.slow_start import BUDGET_SAFETY, FREE_FIRST_ATTEMPTS, KEPT_WINDOW_SHARE
 from tests.policy.test_slow_start_fleet import TIGHT
 from tests.policy.warming_fleet import RULES, warming_fleet
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 SLOWEST = replace(TIGHT, start_capacity=0.1)  # N is about one attempt in a window
 
@@ -80,7 +81,7 @@
     """With random phases the attempts of several balancers became due at once."""
     phases_by_endpoint: dict[int, list[float]] = {number: [] for number in range(endpoints)}
     for index in range(balancers):
-        harness = BalancerHarness(settings(instances=balancers, index=index), endpoints, seed=index)
+        harness = BalancerHarness(balancer_settings(instances=balancers, index=index), endpoints, seed=index)
         for state in harness.balancer.endpoints.subset:
             phases_by_endpoint[state.endpoint.id].append(state.warming.phase)
     for phases in phases_by_endpoint.values():
@@ -92,8 +93,12 @@
     instances: int, index: int, endpoints: int, rules: messages.Rules = RULES
 ) -> BalancerHarness:
     """Return a balancer whose endpoints have all just started."""
-    harness = BalancerHarness(settings(rules=rules, instances=instances, index=index), backends=0, seed=index)
-    harness.news(*(messages.Endpoint(number, incarnation_us=harness.now) for number in range(endpoints)))
+    harness = BalancerHarness(
+        balancer_settings(rules=rules, instances=instances, index=index), endpoint_count=0, seed=index
+    )
+    harness.update_endpoint_list(
+        *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(endpoints))
+    )
     return harness
 
 
@@ -102,14 +107,14 @@
     turns = []
     for _ in range(64):
         for harness in harnesses:
-            harness.now += RULES.overload_window_us // 4
+            harness.now_us += RULES.overload_window_us // 4
         turns.append(
             {
                 index
                 for index, harness in enumerate(harnesses)
                 for state in harness.balancer.endpoints.subset
                 if state.endpoint.id == 0
-                and harness.balancer.slow_start.has_free_first_attempt(harness.now, state, 0.34)
+                and harness.balancer.slow_start.has_free_first_attempt(harness.now_us, state, 0.34)
             }
         )
     holders = set().union(*turns)
@@ -121,21 +126,23 @@
     """Its own attempts stopped with the budget, and the rate measured from them fell to nothing."""
     served = []
     for index in range(30):
-        harness = BalancerHarness(settings(rules=TIGHT, instances=30, index=index), backends=6, seed=index)
+        harness = BalancerHarness(
+            balancer_settings(rules=TIGHT, instances=30, index=index), endpoint_count=6, seed=index
+        )
         for number in range(40):
-            harness.pass_time(RULES.overload_window_us // 3)
-            for send in only(harness.request(f"w{number}"), messages.StartAttempt):
-                harness.end(send, messages.Outcome.OK, took=100 * MS)
-        harness.news(
-            *(messages.Endpoint(number, incarnation_us=harness.now) for number in range(6)), version=2
+            harness.advance(RULES.overload_window_us // 3)
+            for send in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
+                harness.end_attempt(send, messages.Outcome.OK, took=100 * MILLISECOND_US)
+        harness.update_endpoint_list(
+            *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6)), version=2
         )
         sends = 0
         for number in range(4):
-            for send in only(
-                harness.pass_time(RULES.overload_window_us // 3) + harness.request(f"c{number}"),
+            for send in actions_of_type(
+                harness.advance(RULES.overload_window_us // 3) + harness.request(f"c{number}"),
                 messages.StartAttempt,
             ):
-                harness.end(send, messages.Outcome.OK, took=100 * MS)
+                harness.end_attempt(send, messages.Outcome.OK, took=100 * MILLISECOND_US)
                 sends += 1
         served.append(sends)
     assert min(served) > 0
@@ -145,15 +152,15 @@
     harness = balancer_with_warming_endpoints(1, 0, 1)
     [state] = harness.balancer.endpoints.subset
     state.warming.tokens = 0.2
-    assert len(only(harness.request("r"), messages.StartAttempt)) == 1
+    assert len(actions_of_type(harness.request("r"), messages.StartAttempt)) == 1
     assert math.isclose(state.warming.tokens, -0.8)
 
 
 def test_token_expires_after_a_part_of_the_window() -> None:
     """With the tokens kept from before it, a window then has one budget at most."""
-    harness = balancer_with_warming_endpoints(30, 0, 6, replace(RULES, slow_start_us=600 * S))
+    harness = balancer_with_warming_endpoints(30, 0, 6, replace(RULES, slow_start_us=600 * SECOND_US))
     state = harness.balancer.endpoints.subset[0]
-    state.warming.tokens, due_steps, step = 0.0, 0, 10 * MS
+    state.warming.tokens, due_steps, step = 0.0, 0, 10 * MILLISECOND_US
     rate = (
         BUDGET_SAFETY
         * RULES.overload_multiple
@@ -161,18 +168,18 @@
         / (harness.balancer.endpoints.sharing_balancers * RULES.overload_window_us)
     )
     for _ in range(int(1.5 / rate / step)):  # one token becomes due
-        harness.now += step
-        due_steps += harness.balancer.slow_start.due_tokens(harness.now, state) >= 1.0
+        harness.now_us += step
+        due_steps += harness.balancer.slow_start.due_tokens(harness.now_us, state) >= 1.0
     kept = due_steps * step / RULES.overload_window_us
     assert 0 < kept <= KEPT_WINDOW_SHARE + 0.05
     assert (1.0 + KEPT_WINDOW_SHARE) * BUDGET_SAFETY <= 1.0 + 1e-9
 
 
 def test_credit_of_an_answer_expires_unused() -> None:
-    harness = balancer_with_warming_endpoints(30, 0, 6, replace(RULES, slow_start_us=600 * S))
+    harness = balancer_with_warming_endpoints(30, 0, 6, replace(RULES, slow_start_us=600 * SECOND_US))
     state = harness.balancer.endpoints.subset[0]
     state.last_attempt = LastAttempt.SUCCEEDED
-    state.warming.answer_credit_until_us = harness.now + S
+    state.warming.answer_credit_until_us = harness.now_us + SECOND_US
     state.warming.tokens = -1.0
-    assert harness.balancer.router.is_open(harness.now, state, is_retry=False)
-    assert not harness.balancer.router.is_open(harness.now + S, state, is_retry=False)
+    assert harness.balancer.router.is_open(harness.now_us, state, is_retry=False)
+    assert not harness.balancer.router.is_open(harness.now_us + SECOND_US, state, is_retry=False)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -14,7 +14,8 @@
 from load_balancer.policy.endpoint_state import EndpointState
 from load_balancer.policy.slow_start import FREE_FIRST_ATTEMPTS, RATE_MEMORY_US, SlowStart
 from tests.policy.warming_fleet import RULES, warming_fleet
-from tests.support.balancer_harness import MS, BalancerHarness, S, only, settings
+from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 FAULTS = ("burst", "burst failing", "burst held", "burst failing held")
 
@@ -37,7 +38,7 @@
 def test_all_balancers_keep_a_warming_endpoint_within_its_budget(
     balancers: int, endpoints: int, calls: float, warming: str, faults: str, rules: messages.Rules
 ) -> None:
-    before, after = (S, 2 * S) if balancers > 100 else (3 * S, 4 * S)
+    before, after = (SECOND_US, 2 * SECOND_US) if balancers > 100 else (3 * SECOND_US, 4 * SECOND_US)
     fleet = warming_fleet(
         balancers, endpoints, calls, warming, faults, rules=rules, before=before, after=after
     )
@@ -57,8 +58,10 @@
         examined += 1
         return capacity(slow_start, now, state)
 
-    harness = BalancerHarness(settings(instances=880), backends=0)
-    harness.news(*(messages.Endpoint(number, incarnation_us=harness.now) for number in range(880)))
+    harness = BalancerHarness(balancer_settings(instances=880), endpoint_count=0)
+    harness.update_endpoint_list(
+        *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(880))
+    )
     monkeypatch.setattr(SlowStart, "capacity", counted)
     harness.request("r")
     assert 0 < examined <= 2 * len(harness.balancer.endpoints.subset)
@@ -101,61 +104,71 @@
 
 def test_request_is_sent_when_its_whole_subset_is_warming() -> None:
     """Others are warm, but no endpoint that it may use shows how much one can take."""
-    harness = BalancerHarness(settings(instances=20), backends=0)
-    harness.news(*(messages.Endpoint(number) for number in range(30)))
+    harness = BalancerHarness(balancer_settings(instances=20), endpoint_count=0)
+    harness.update_endpoint_list(*(messages.Endpoint(number) for number in range(30)))
     ours = {state.endpoint.id for state in harness.balancer.endpoints.subset}
-    harness.news(
+    harness.update_endpoint_list(
         *(
-            messages.Endpoint(number, incarnation_us=harness.now if number in ours else 0)
+            messages.Endpoint(number, incarnation_us=harness.now_us if number in ours else 0)
             for number in range(30)
         ),
         version=2,
     )
     assert {state.endpoint.id for state in harness.balancer.endpoints.subset} == ours
-    assert only(harness.request("r"), messages.StartAttempt)
+    assert actions_of_type(harness.request("r"), messages.StartAttempt)
 
 
 def test_unused_tokens_are_saved_for_at_most_one_window() -> None:
     """Otherwise all of them would send their saved attempts at the same moment, when a burst comes."""
-    rules, saved, flow = replace(RULES, slow_start_us=60 * S), 0, 0.0
+    rules, saved, flow = replace(RULES, slow_start_us=60 * SECOND_US), 0, 0.0
     for index in range(0, 120, 2):
-        harness = BalancerHarness(settings(rules=rules, instances=120, index=index), backends=0, seed=index)
-        harness.news(*(messages.Endpoint(number) for number in range(6)))
+        harness = BalancerHarness(
+            balancer_settings(rules=rules, instances=120, index=index), endpoint_count=0, seed=index
+        )
+        harness.update_endpoint_list(*(messages.Endpoint(number) for number in range(6)))
         restarted = harness.balancer.endpoints.subset[0]
-        harness.news(
-            messages.Endpoint(restarted.endpoint.id, incarnation_us=harness.now),
+        harness.update_endpoint_list(
+            messages.Endpoint(restarted.endpoint.id, incarnation_us=harness.now_us),
             kind=messages.EndpointListKind.CHANGES,
             version=2,
         )
         restarted = harness.balancer.endpoints.states[restarted.endpoint.id]
         restarted.share = 1e-9
         for number in range(30):
-            for send in only(harness.request(f"r{number}"), messages.StartAttempt):
-                harness.end(send, messages.Outcome.OK)
-            harness.pass_time(S)
-        saved += int(harness.balancer.slow_start.due_tokens(harness.now, restarted))
-        flow += rules.overload_window_us / S / len(harness.balancer.endpoints.subset)
+            for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
+                harness.end_attempt(send, messages.Outcome.OK)
+            harness.advance(SECOND_US)
+        saved += int(harness.balancer.slow_start.due_tokens(harness.now_us, restarted))
+        flow += rules.overload_window_us / SECOND_US / len(harness.balancer.endpoints.subset)
     assert 0 < saved <= rules.overload_multiple * 0.67 * flow
 
 
 def test_retries_do_not_raise_the_rate_of_a_warming_endpoint() -> None:
-    harness, sent = BalancerHarness(settings(limits=messages.Limits(max_attempts=3)), backends=8), 0
+    harness, sent = (
+        BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=3)), endpoint_count=8),
+        0,
+    )
     for number in range(3):
-        sends = only(harness.request(f"r{number}"), messages.StartAttempt)
+        sends = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
         for attempt in range(3):
             sent += len(sends)
-            sends = only(harness.end(sends[0], messages.Outcome.REJECTED, MS, attempt), messages.StartAttempt)
+            sends = actions_of_type(
+                harness.end_attempt(sends[0], messages.Outcome.REJECTED, MILLISECOND_US, attempt),
+                messages.StartAttempt,
+            )
     assert sent == 9
-    assert harness.balancer.slow_start.first_attempts.per_us(harness.now) <= 3 / RATE_MEMORY_US
+    assert harness.balancer.slow_start.first_attempts.per_us(harness.now_us) <= 3 / RATE_MEMORY_US
 
 
 def test_endpoint_outside_the_subset_gets_smaller_quotas_from_more_balancers() -> None:
     """Only retries go there, but from all balancers."""
-    harness = BalancerHarness(settings(rules=RULES, instances=40), backends=0)
-    harness.news(*(messages.Endpoint(number, incarnation_us=harness.now) for number in range(40)))
+    harness = BalancerHarness(balancer_settings(rules=RULES, instances=40), endpoint_count=0)
+    harness.update_endpoint_list(
+        *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(40))
+    )
     for number in range(40):
         harness.request(f"r{number}")
-    harness.now += 100 * MS
+    harness.now_us += 100 * MILLISECOND_US
     ours = harness.balancer.endpoints.subset[0]
     other = next(
         state
@@ -164,8 +177,8 @@
     )
     earned = []
     for state in (ours, other):
-        state.warming.tokens, state.warming.tokens_updated_at_us = 0.0, harness.now - 100 * MS
-        earned.append(harness.balancer.slow_start.due_tokens(harness.now, state))
+        state.warming.tokens, state.warming.tokens_updated_at_us = 0.0, harness.now_us - 100 * MILLISECOND_US
+        earned.append(harness.balancer.slow_start.due_tokens(harness.now_us, state))
     assert 0 < earned[1] * 40 <= 0.21 * earned[0] * harness.balancer.endpoints.sharing_balancers
 
 
@@ -189,10 +202,14 @@
 def test_first_attempts_of_many_balancers_make_no_burst() -> None:
     sent = [0] * 6
     for index in range(30):
-        harness = BalancerHarness(settings(rules=RULES, instances=30, index=index), backends=0, seed=index)
-        harness.news(*(messages.Endpoint(number, incarnation_us=harness.now) for number in range(6)))
+        harness = BalancerHarness(
+            balancer_settings(rules=RULES, instances=30, index=index), endpoint_count=0, seed=index
+        )
+        harness.update_endpoint_list(
+            *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6))
+        )
         for number in range(3):
-            for send in only(harness.request(f"r{number}"), messages.StartAttempt):
+            for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
                 sent[send.endpoint_id] += 1
     # One from each balancer made five for an endpoint: more than the rule allows where it can take one.
     assert sum(sent) > 0
@@ -200,10 +217,14 @@
 
 
 def test_retry_is_not_a_free_first_attempt() -> None:
-    harness = BalancerHarness(settings(rules=RULES, instances=30), backends=0)
-    harness.news(*(messages.Endpoint(number, incarnation_us=harness.now) for number in range(6)))
-    [send] = only(harness.request("r"), messages.StartAttempt)
-    assert not only(harness.end(send, messages.Outcome.REJECTED, MS), messages.StartAttempt)
+    harness = BalancerHarness(balancer_settings(rules=RULES, instances=30), endpoint_count=0)
+    harness.update_endpoint_list(
+        *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6))
+    )
+    [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+    assert not actions_of_type(
+        harness.end_attempt(send, messages.Outcome.REJECTED, MILLISECOND_US), messages.StartAttempt
+    )
 
 
 @pytest.mark.parametrize("seed", [0, 3, 4])
@@ -214,40 +235,43 @@
     assert worst <= 1.0, f"{sent} attempts and checks, {allowed:.1f} allowed"
 
 
-@pytest.mark.parametrize(("started_at_us", "check_count"), [(0, 2), (10 * S, 1)])
+@pytest.mark.parametrize(("started_at_us", "check_count"), [(0, 2), (10 * SECOND_US, 1)])
 def test_unanswered_health_check_is_repeated_only_within_the_budget(
     started_at_us: int, check_count: int
 ) -> None:
-    setup = settings(
-        rules=replace(RULES, slow_start_us=60 * S), limits=messages.Limits(3, cancel=True, health_checks=True)
+    setup = balancer_settings(
+        rules=replace(RULES, slow_start_us=60 * SECOND_US),
+        limits=messages.Limits(3, cancel=True, health_checks=True),
     )
-    harness = BalancerHarness(setup, backends=0)
-    harness.news(messages.Endpoint(0, incarnation_us=started_at_us))
+    harness = BalancerHarness(setup, endpoint_count=0)
+    harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=started_at_us))
     harness.request("r")
-    harness.pass_time(950 * MS)
+    harness.advance(950 * MILLISECOND_US)
     harness.balancer.endpoints.states[0].warming.tokens = 1.0  # expires after a part of the window
-    harness.balancer.endpoints.states[0].warming.tokens_updated_at_us = harness.now
-    checks = only(harness.pass_time(250 * MS), messages.CheckHealth)
+    harness.balancer.endpoints.states[0].warming.tokens_updated_at_us = harness.now_us
+    checks = actions_of_type(harness.advance(250 * MILLISECOND_US), messages.CheckHealth)
     assert len(checks) == 1
     harness.balancer.endpoints.states[0].warming.tokens = 0.0
-    again = only(harness.event(messages.HealthCheckEnded(0, alive=False)), messages.CheckHealth)
+    again = actions_of_type(harness.handle(messages.HealthCheckEnded(0, alive=False)), messages.CheckHealth)
     assert len(checks) + len(again) == check_count
 
 
 def test_budget_allows_concurrent_attempts_when_all_are_warming() -> None:
     """Warming endpoints respond slowly; with one attempt at a time they served half of what they could."""
-    harness = BalancerHarness(backends=3)
+    harness = BalancerHarness(endpoint_count=3)
     for number in range(300):
-        harness.pass_time(10 * MS)
-        for send in only(harness.request(f"w{number}"), messages.StartAttempt):
-            harness.end(send, messages.Outcome.OK, took=20 * MS)
-    harness.news(*(messages.Endpoint(number, incarnation_us=harness.now) for number in range(3)), version=2)
+        harness.advance(10 * MILLISECOND_US)
+        for send in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
+            harness.end_attempt(send, messages.Outcome.OK, took=20 * MILLISECOND_US)
+    harness.update_endpoint_list(
+        *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(3)), version=2
+    )
     sent = []
     for number in range(50):
         sent += [
             send.endpoint_id
-            for send in only(
-                harness.pass_time(10 * MS) + harness.request(f"c{number}"), messages.StartAttempt
+            for send in actions_of_type(
+                harness.advance(10 * MILLISECOND_US) + harness.request(f"c{number}"), messages.StartAttempt
             )
         ]
     assert min(sent.count(number) for number in range(3)) >= 2
@@ -258,8 +282,10 @@
     """A list in parts may name one warming endpoint first, while all balancers have queued requests."""
     sent = 0
     for index in range(200):
-        harness = BalancerHarness(settings(rules=RULES, instances=200, index=index), backends=0, seed=index)
+        harness = BalancerHarness(
+            balancer_settings(rules=RULES, instances=200, index=index), endpoint_count=0, seed=index
+        )
         harness.request("r")
-        harness.news(messages.Endpoint(0, incarnation_us=harness.now))
-        sent += len(only(harness.done, messages.StartAttempt))
+        harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=harness.now_us))
+        sent += len(actions_of_type(harness.actions, messages.StartAttempt))
     assert 0 < sent <= 12
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -5,13 +5,19 @@
 from dataclasses import replace
 
 from load_balancer import messages
-from tests.support.balancer_harness import CLASSES, MS, S, settings
-from tests.support.simulated_fleet import START, Client, Fleet, Machine
+from tests.support.balancer_harness import REQUEST_CLASSES, balancer_settings
+from tests.support.simulated_fleet import START_US, SimulatedClient, SimulatedEndpoint, SimulatedFleet
+from tests.support.units import MILLISECOND_US, SECOND_US
 
 RULES = messages.Rules(
-    start_capacity=0.34, slow_start_us=5 * S, overload_multiple=3.0, overload_window_us=1500 * MS
+    start_capacity=0.34,
+    slow_start_us=5 * SECOND_US,
+    overload_multiple=3.0,
+    overload_window_us=1500 * MILLISECOND_US,
 )
-USUAL_US = 250 * MS  # what an attempt takes at least, so that few of them a second are a real load
+USUAL_US = (
+    250 * MILLISECOND_US
+)  # what an attempt takes at least, so that few of them a second are a real load
 LOAD = 0.6
 
 
@@ -24,9 +30,9 @@
     seed: int = 0,
     health_checks: bool = False,
     rules: messages.Rules = RULES,
-    before: int = 3 * S,
-    after: int = 4 * S,
-) -> Fleet:
+    before: int = 3 * SECOND_US,
+    after: int = 4 * SECOND_US,
+) -> SimulatedFleet:
     """Return a fleet in which endpoints have started: "one", those of a "zone" of three, or "all".
 
     Each balancer gets `calls` requests in each overload window. The faults are any of:
@@ -40,13 +46,13 @@
     - "moving": every 0.4 s another one of the others leaves the list and comes back, so that subsets change;
     - "zoned" or "celled": all requests are of keyed classes of that scope.
     """
-    started_at_us = START + before
+    started_at_us = START_US + before
     fleet = loaded_fleet(balancers, endpoints, calls, faults, seed, health_checks, rules, started_at_us)
     started = restart_endpoints(fleet, warming, faults, started_at_us)
     if "wanted" in faults or "saved" in faults:
         draw_requests_to(fleet, started, started_at_us, faults)
     if "again" in faults:
-        for wait_us in (700 * MS, 1900 * MS):
+        for wait_us in (700 * MILLISECOND_US, 1900 * MILLISECOND_US):
             fleet.run(started_at_us + wait_us)
             fleet.restart(started)
     if "moving" in faults:
@@ -64,13 +70,13 @@
     health_checks: bool,
     rules: messages.Rules,
     surge_at_us: int,
-) -> Fleet:
+) -> SimulatedFleet:
     """Return a fleet of warm endpoints under load, with a surge of 3 s where the faults name one."""
     per_window = balancers * calls / endpoints / LOAD
     usual_us = rules.overload_window_us / per_window  # of an attempt, with one at a time
     surge = 3.0 if "tripled" in faults else 2.0 if "burst" in faults else 1.0
-    return Fleet(
-        settings(
+    return SimulatedFleet(
+        balancer_settings(
             classes=request_classes_for(faults, stretch=max(1.0, usual_us / USUAL_US)),
             rules=rules,
             limits=messages.Limits(max_attempts=4, cancel=True, health_checks=health_checks),
@@ -80,16 +86,23 @@
         per_window,
         LOAD,
         seed,
-        clients=(Client("read", 4), Client("write", 2), Client("mark", 2), Client("pay", 2)),
-        surge=lambda now: surge if surge_at_us <= now < surge_at_us + 3 * S else 1.0,
+        clients=(
+            SimulatedClient("read", 4),
+            SimulatedClient("write", 2),
+            SimulatedClient("mark", 2),
+            SimulatedClient("pay", 2),
+        ),
+        surge=lambda now: surge if surge_at_us <= now < surge_at_us + 3 * SECOND_US else 1.0,
         most_surge=surge,
         slots=max(1, round(USUAL_US / usual_us)),
     )
 
 
-def restart_endpoints(fleet: Fleet, warming: str, faults: str, at_us: int) -> list[Machine]:
+def restart_endpoints(
+    fleet: SimulatedFleet, warming: str, faults: str, at_us: int
+) -> list[SimulatedEndpoint]:
     """Restart the endpoints that are to warm up, after 0.3 s without them, and return their machines."""
-    fleet.run(at_us - 300 * MS)
+    fleet.run(at_us - 300 * MILLISECOND_US)
     chosen = warming_machines(fleet, warming)
     if "held" in faults:
         fleet.tell(
@@ -115,7 +128,7 @@
             deadline_us=int(request_class.deadline_us * stretch),
             deduplication_window_us=int(request_class.deduplication_window_us * stretch),
         )
-        for request_class in CLASSES
+        for request_class in REQUEST_CLASSES
     )
     for name, key_scope in (("zoned", messages.KeyScope.ZONE), ("celled", messages.KeyScope.CELL)):
         if name in faults:
@@ -131,7 +144,7 @@
     return classes
 
 
-def warming_machines(fleet: Fleet, warming: str) -> list[Machine]:
+def warming_machines(fleet: SimulatedFleet, warming: str) -> list[SimulatedEndpoint]:
     return {
         "one": fleet.machines[:1],
         "zone": [machine for machine in fleet.machines if machine.entry.zone == "a"],
@@ -139,7 +152,7 @@
     }[warming]
 
 
-def break_machines(fleet: Fleet, faults: str) -> None:
+def break_machines(fleet: SimulatedFleet, faults: str) -> None:
     """Let a third or two of all machines fail in the way that the faults name."""
     for mode, parts in (("failing", (1,)), ("refusing", (0, 1)), ("silent", (0, 1))):
         for number, machine in enumerate(fleet.machines):
@@ -147,26 +160,28 @@
                 machine.mode = mode
 
 
-def draw_requests_to(fleet: Fleet, chosen: list[Machine], started_at_us: int, faults: str) -> None:
+def draw_requests_to(
+    fleet: SimulatedFleet, chosen: list[SimulatedEndpoint], started_at_us: int, faults: str
+) -> None:
     """Give these machines shares that would draw every request, after none for a while with "saved"."""
     fleet.run(started_at_us + fleet.spread_us)
     if "saved" in faults:
         set_shares(fleet, chosen, 1e-9)
-        fleet.run(started_at_us + 20 * S)
+        fleet.run(started_at_us + 20 * SECOND_US)
     set_shares(fleet, chosen, 1e9)
 
 
-def remove_others_in_turn(fleet: Fleet, chosen: list[Machine], until: int) -> None:
+def remove_others_in_turn(fleet: SimulatedFleet, chosen: list[SimulatedEndpoint], until: int) -> None:
     """Remove one random other machine after another from the list, each for 0.4 s."""
     others = [machine.entry for machine in fleet.machines if machine not in chosen]
-    while others and fleet.now + 400 * MS < until:
+    while others and fleet.now + 400 * MILLISECOND_US < until:
         leaves = fleet.rng.choice(others)
         fleet.tell([replace(leaves, status=messages.EndpointStatus.REMOVED)])
-        fleet.run(fleet.now + 400 * MS)
+        fleet.run(fleet.now + 400 * MILLISECOND_US)
         fleet.tell([leaves])
 
 
-def set_shares(fleet: Fleet, machines: list[Machine], share: float) -> None:
+def set_shares(fleet: SimulatedFleet, machines: list[SimulatedEndpoint], share: float) -> None:
     for module in fleet.modules:
         for machine in machines:
             module.endpoints.states[machine.entry.id].share = share
