--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -75,7 +75,7 @@
             await asyncio.sleep(0.01)
             assert connection.transport.get_write_buffer_size() <= 2 * 65536 + 1024
             assert (
-                connection._http.received.size_bytes
+                connection.http.received.size_bytes
                 <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION + 256 * 1024
             )  # the limit and one read
         assert len(b.received) < 2000
@@ -148,5 +148,7 @@
             client.send(http_request(request_id="r1"))
             await wait_until(lambda: connection in p.clients.idle_connections)
         client.send(http_request(request_id="r2"))
-        connection.check_time_limits(p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
+        p.listener.time_limits.check(
+            connection, p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0
+        )
         assert await client.read_statuses(1 if fresh else 2) == ([200] if fresh else [200, 200])
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -35,7 +35,7 @@
         client.send(b"".join(http_request(request_id=f"r{n + 1}") for n in range(behind)))
         if read:
             [connection] = p.clients.open_connections
-            await wait_until(lambda: connection._http.received.size_bytes > 0)
+            await wait_until(lambda: connection.http.received.size_bytes > 0)
         for n in range(1 + behind):
             await wait_until(lambda n=n: len(b.received) == n + 1)  # type: ignore[misc]
             assert not p.listener.is_drained
@@ -86,7 +86,7 @@
             await wait_until(lambda: len(b.received) == 1)
             p.clients.is_draining = why == "closing"
             p.oldest_attempt_connection().data_received(http_response(200, b"x"))
-        [connection] = [c for c in await shut(p) if c._is_lingering]
+        [connection] = [c for c in await shut(p) if c.is_lingering]
         sent = len(b.received)
         client.send(http_request(request_id="late1"))
         await run_loop_turns()
@@ -98,7 +98,7 @@
         assert closes_connection(got)
         assert await reader.read() == b""
         assert connection in p.clients.open_connections
-        assert not connection._http.received
+        assert not connection.http.received
         assert len(b.received) == sent
         writer.close()
         await wait_until(lambda: connection not in p.clients.open_connections)
@@ -107,7 +107,7 @@
 
 async def shut(p: LoopbackProxy) -> list[ClientConnection]:
     """The connections, once one of them has been shut."""
-    await wait_until(lambda: any(c._is_lingering for c in p.clients.open_connections))
+    await wait_until(lambda: any(c.is_lingering for c in p.clients.open_connections))
     return list(p.clients.open_connections)
 
 
@@ -151,7 +151,7 @@
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         assert len((await read_http_message(reader))[2]) == 65_536
         await wait_until(lambda: not connection.is_writing)
-        connection.check_time_limits(p.listener.loop.time())
+        p.listener.time_limits.check(connection, p.listener.loop.time())
         assert connection in p.clients.open_connections
         assert not connection.transport.is_closing()
         if last:
@@ -177,7 +177,9 @@
         [connection] = p.clients.open_connections
         clock.advance(1.0)
         if how == "expiry":
-            connection.check_time_limits(p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0)
+            p.listener.time_limits.check(
+                connection, p.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0
+            )
         elif how == "end":
             p.listener.close_idle_connections()
         else:
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -75,8 +75,8 @@
         await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         events, answered = Turns(), Turns()
-        counted(monkeypatch, connection._http, "next_event", events)
-        counted(monkeypatch, connection, "_respond", answered)
+        counted(monkeypatch, connection.http, "next_event", events)
+        counted(monkeypatch, connection, "write_response", answered)
         reader, writer = await client.streams()
         writer.write(sent)
         got = [response_status(await read_http_message(reader)) for _ in range(answers)]
@@ -127,16 +127,18 @@
         running_proxy(endpoint_entry("b", b.port)) as p,
     ):
         with monkeypatch.context() as patch:
-            patch.setattr(p.listener, "_listening_socket", Broken(p.listener._listening_socket))
+            patch.setattr(
+                p.listener.acceptor, "listening_socket", Broken(p.listener.acceptor.listening_socket)
+            )
             clients = [SocketClient(p) for _ in range(40)]
             for client in clients:
                 client.socket.setblocking(False)
                 assert await p.listener.loop.sock_recv(client.socket, 1) == b""
                 client.socket.close()
-            await wait_until(lambda: not p.listener._admission_tasks)
+            await wait_until(lambda: not p.listener.acceptor.admission_tasks)
         assert p.clients.descriptor_count == 0
         assert "Traceback" not in caplog.text
-        assert caplog.text.count("lost as it came") == 1
+        assert caplog.text.count("lost while it was accepted") == 1
         assert response_status(await p.send_request(http_request())) == 200
 
 
@@ -148,13 +150,13 @@
 
     async with SilentEndpoint() as b, running_proxy(endpoint_entry("b", b.port), max_connections=64) as p:
         accepted: list[socket.socket] = []
-        admit = p.listener._admit
+        admit = p.listener.acceptor.admit
 
         def listen(connection: socket.socket) -> Coroutine[None, None, None]:
             accepted.append(connection)
             return admit(connection)
 
-        monkeypatch.setattr(p.listener, "_admit", listen)
+        monkeypatch.setattr(p.listener.acceptor, "admit", listen)
         clients = [SocketClient(p) for _ in range(400)]
         for n, client in enumerate(clients):
             client.send(KINDS[kind] if kind != "open" else http_request(request_id=f"r{n}"))
@@ -196,11 +198,11 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It is met again every 0.05 s while it lasts, and who waits for one is served afterwards."""
-    caplog.set_level(logging.INFO, logger="load_balancer.net.client.client_listener")
+    caplog.set_level(logging.INFO, logger="load_balancer.net.client.connection_acceptor")
 
     def lines() -> list[str]:
         return [
-            r.getMessage() for r in caplog.records if r.name == "load_balancer.net.client.client_listener"
+            r.getMessage() for r in caplog.records if r.name == "load_balancer.net.client.connection_acceptor"
         ]
 
     async with (
@@ -212,7 +214,7 @@
             caplog.clear()
             met, client = Turns(), SocketClient(p)
             with pytest.MonkeyPatch.context() as patch, no_descriptors():
-                counted(patch, p.listener._descriptor_faults, "record", met)
+                counted(patch, p.listener.acceptor.descriptor_faults, "record", met)
                 for n in range(30):
                     await wait_until(lambda n=n, met=met: met.all > n)  # type: ignore[misc]
                     clock.advance(client_limits.ACCEPT_RETRY_DELAY_S)
@@ -249,7 +251,7 @@
                 with contextlib.suppress(ConnectionError):
                     assert await p.listener.loop.sock_recv(client.socket, 1) == b""
                 client.socket.close()
-        assert caplog.text.count("lost as it came") == 1
+        assert caplog.text.count("lost while it was accepted") == 1
         assert p.clients.descriptor_count == 0
         assert response_status(await p.send_request(http_request())) == 200
 
@@ -272,7 +274,7 @@
         await wait_until(lambda: all(not c.transport.is_reading() for c in connections))
         assert len(p.driver.requests) == callers  # each with its own request open
         assert 100_000 < p.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
-        assert p.clients.buffered.size_bytes == sum(c._http.received.size_bytes for c in connections)
+        assert p.clients.buffered.size_bytes == sum(c.http.received.size_bytes for c in connections)
         for client in clients:
             client.disconnect("RST")
         await wait_until(lambda: not p.clients.open_connections)
@@ -290,11 +292,11 @@
         await wait_until(lambda: len(p.clients.open_connections) == 1)
         [connection] = p.clients.open_connections
         client.send(chunks(2_500))  # in one read, and in 25 turns
-        await wait_until(lambda: connection._is_processing_scheduled)
+        await wait_until(lambda: connection.is_processing_scheduled)
         other = SocketClient(p)
         other.send(http_request(request_id="other"))
         await wait_until(lambda: len(p.clients.open_connections) == 2)
-        assert connection._is_processing_scheduled
+        assert connection.is_processing_scheduled
         assert connection in p.clients.unused_connections
         for one, expected in ((client, 200), (other, 503)):
             reader, writer = await one.streams()
--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -14,7 +14,7 @@
 ) -> BalancerHarness:
     """Return a balancer whose endpoints are all at their concurrency limit, with one request in its queue."""
     harness = BalancerHarness(setup or balancer_settings(), endpoints)
-    while not harness.balancer.requests.queue:
+    while not harness.balancer.queue:
         harness.request(f"c{harness.now_us}-{len(harness.actions)}", "pay")
     return harness
 
@@ -51,7 +51,7 @@
     harness = BalancerHarness(balancer_settings(), 2)
     harness.request("first", "read", 5 * SECOND_US)
     [send] = actions_of_type(harness.actions, messages.StartAttempt)
-    while not harness.balancer.requests.queue:
+    while not harness.balancer.queue:
         harness.request(f"c{len(harness.actions)}", "pay")
     harness.advance(after_us)
     draining = messages.Endpoint(
@@ -59,7 +59,7 @@
     )
     harness.update_endpoint_list(draining, kind=messages.EndpointListKind.CHANGES, version=2)
     harness.end_attempt(send, outcome)
-    assert "first" in harness.balancer.requests.queue.request_ids
+    assert "first" in harness.balancer.queue.request_ids
     return harness
 
 
--- a/tests/policy/test_change_detector.py
+++ b/tests/policy/test_change_detector.py
@@ -15,6 +15,7 @@
     siegmund_threshold,
 )
 from load_balancer.policy.endpoint_state import EndpointState
+from load_balancer.policy.token_bucket import TokenBucket
 from load_balancer.policy.warming_state import WarmingState
 
 
@@ -100,7 +101,11 @@
 
 
 def test_share_changes_only_when_an_epoch_opens() -> None:
-    rng, state, moves = random.Random(3), EndpointState(Endpoint(1), WarmingState(0.0, 0, 0.0, 0)), 0
+    rng, state, moves = (
+        random.Random(3),
+        EndpointState(Endpoint(1), WarmingState(0.0, 0, TokenBucket(0.0))),
+        0,
+    )
     for number in range(300):
         before = state.share
         opened = state.add_latency(noisy(rng, 1.0 if number < 150 else 6.0))
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -179,8 +179,8 @@
     [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
     harness.update_endpoint_list()
     harness.end_attempt(send, messages.Outcome.OK)
-    assert not harness.balancer.requests.requests
-    assert not harness.balancer.requests.in_flight
+    assert not harness.balancer.open_requests.by_id
+    assert not harness.balancer.dispatcher.in_flight
 
 
 def test_request_is_rejected_when_all_endpoints_drain() -> None:
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -63,7 +63,7 @@
     for other in other_sends:
         if answers or other.endpoint_id != send.endpoint_id:
             harness.end_attempt(other, messages.Outcome.OK, took=1 * MILLISECOND_US)
-    usual_latency_us = harness.balancer.requests.classes[cls].usual_latency_us
+    usual_latency_us = harness.balancer.request_factory.classes[cls].usual_latency_us
     cancels = [
         cancel
         for cancel in actions_of_type(
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -5,7 +5,7 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.policy.admission import INITIAL_LIMIT, INITIAL_SHARED_LIMIT, MIN_LIMIT
+from load_balancer.policy.concurrency_limit import INITIAL_LIMIT, INITIAL_SHARED_LIMIT, MIN_LIMIT
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.units import MILLISECOND_US, SECOND_US
 
@@ -32,7 +32,7 @@
 
 def test_concurrency_limit_falls_with_late_answers_and_recovers() -> None:
     harness = BalancerHarness()
-    limits = [harness.balancer.requests.limit.attempts]
+    limits = [harness.balancer.limit.attempts]
     for phase, took_us in enumerate((1500 * MILLISECOND_US, 50 * MILLISECOND_US)):
         in_flight: list[messages.StartAttempt] = []
         for number in range(400):
@@ -47,7 +47,7 @@
                     harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
                     messages.StartAttempt,
                 )
-        limits.append(harness.balancer.requests.limit.attempts)
+        limits.append(harness.balancer.limit.attempts)
         while in_flight:
             in_flight += actions_of_type(
                 harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
@@ -61,13 +61,13 @@
     """A share raised by a few quick samples let one endpoint be overloaded."""
     harness = BalancerHarness()
     harness.balancer.endpoints.states[0].share = 10.0
-    harness.balancer.requests.limit.split(harness.balancer.endpoints.subset)
+    harness.balancer.limit.split(harness.balancer.endpoints.subset)
     sends = [
         send
         for number in range(40)
         for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
     ]
-    assert 0 < sum(send.endpoint_id == 0 for send in sends) <= harness.balancer.requests.limit.attempts
+    assert 0 < sum(send.endpoint_id == 0 for send in sends) <= harness.balancer.limit.attempts
 
 
 def test_queued_requests_are_sent_by_priority_and_rejected_when_their_wait_ends() -> None:
@@ -180,7 +180,7 @@
 def test_duplicate_request_id_is_one_request() -> None:
     harness = BalancerHarness()
     assert len(actions_of_type(harness.request("r") + harness.request("r"), messages.StartAttempt)) == 1
-    assert harness.balancer.requests.classes["read"].requests == 1
+    assert harness.balancer.request_factory.classes["read"].requests == 1
 
 
 def count_sent_attempts(harness: BalancerHarness, seconds: float, took_us: int) -> int:
@@ -205,14 +205,12 @@
     harness = BalancerHarness(balancer_settings(instances=400), endpoint_count=40)
     balancer = harness.balancer
     assert balancer.endpoints.sharing_balancers == 400 * len(balancer.endpoints.subset) / 40
-    assert balancer.requests.limit.attempts * balancer.endpoints.sharing_balancers == pytest.approx(
+    assert balancer.limit.attempts * balancer.endpoints.sharing_balancers == pytest.approx(
         INITIAL_SHARED_LIMIT
     )
     sent_count = count_sent_attempts(harness, 10, took_us=400 * MILLISECOND_US)
     # By Little's law: the limit of each endpoint of the subset, over the 400 ms that an attempt takes.
-    assert (
-        0 < sent_count <= 1.5 * balancer.requests.limit.attempts * len(balancer.endpoints.subset) * 10 / 0.4
-    )
+    assert 0 < sent_count <= 1.5 * balancer.limit.attempts * len(balancer.endpoints.subset) * 10 / 0.4
 
 
 def test_concurrency_limit_falls_below_one_only_under_overload() -> None:
@@ -220,7 +218,7 @@
     for took_us in (800 * MILLISECOND_US, 1800 * MILLISECOND_US):  # late; under overload
         harness = BalancerHarness(balancer_settings(instances=8), endpoint_count=4)
         count_sent_attempts(harness, 60, took_us)
-        limits.append(harness.balancer.requests.limit.attempts)
+        limits.append(harness.balancer.limit.attempts)
     assert limits[0] == pytest.approx(1.0, abs=0.1)
     assert MIN_LIMIT / 8 <= limits[1] < 0.5
 
@@ -257,11 +255,11 @@
 def test_failed_connection_does_not_lower_the_concurrency_limit() -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)))
     for number in range(40):
-        limit_before = harness.balancer.requests.limit.attempts
+        limit_before = harness.balancer.limit.attempts
         [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
         harness.end_attempt(send, messages.Outcome.NO_CONNECTION, took=1)
         harness.advance(500 * MILLISECOND_US)
-        assert harness.balancer.requests.limit.attempts >= limit_before
+        assert harness.balancer.limit.attempts >= limit_before
 
 
 @pytest.mark.parametrize(("waited_share", "served"), [(0.45, True), (0.55, False)])
@@ -274,7 +272,7 @@
     while len(more := actions_of_type(harness.request(f"r{len(sends)}"), messages.StartAttempt)) == 1:
         sends += more
     done = harness.advance(
-        int(waited_share * harness.balancer.requests.classes["read"].settings.latency_objective_us)
+        int(waited_share * harness.balancer.request_factory.classes["read"].settings.latency_objective_us)
     )
     waiting = f"r{len(sends)}"
     assert [action.request for action in actions_of_type(done, messages.Reject)] == (
@@ -293,7 +291,7 @@
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(3))
     )
     for state in harness.balancer.endpoints.subset:
-        state.warming.tokens = state.warming.phase = 0.0
+        state.warming.bucket.tokens = state.warming.phase = 0.0
     sends = [
         send
         for number in range(3)
@@ -336,6 +334,6 @@
         actions = harness.end_attempt(again[0], messages.Outcome.NOT_SENT, took=0, attempt=sends - 1)
     assert sends == max_attempts
     assert [action.request for action in actions_of_type(actions, messages.Reject)] == ["r"]
-    assert not harness.balancer.requests.requests
-    assert not harness.balancer.requests.in_flight
-    assert not harness.balancer.requests.queue
+    assert not harness.balancer.open_requests.by_id
+    assert not harness.balancer.dispatcher.in_flight
+    assert not harness.balancer.queue
--- a/tests/policy/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -101,4 +101,4 @@
     assert not actions_of_type(late, messages.Fail)
     assert not actions_of_type(late, messages.CancelAttempt)
     harness.end_attempt(send, messages.Outcome.OK)
-    assert not harness.balancer.requests.requests
+    assert not harness.balancer.open_requests.by_id
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -41,7 +41,7 @@
     harness = BalancerHarness(endpoint_count=1)
     [send] = actions_of_type(harness.request("stuck"), messages.StartAttempt)
     [state] = harness.balancer.endpoints.states.values()
-    usual = int(harness.balancer.requests.classes["read"].usual_latency_us)
+    usual = int(harness.balancer.request_factory.classes["read"].usual_latency_us)
     assert [state.load(harness.now_us + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
     harness.now_us += 3 * usual
     harness.end_attempt(send, messages.Outcome.OK, took=3 * usual)
@@ -136,9 +136,9 @@
         endpoint_count=0,
     )
     harness.update_endpoint_list(*ZONES)
-    harness.balancer.requests.limit.attempts = 20.0
-    harness.balancer.requests.limit.split(harness.balancer.endpoints.subset)
-    read_class = harness.balancer.requests.classes["read"]
+    harness.balancer.limit.attempts = 20.0
+    harness.balancer.limit.split(harness.balancer.endpoints.subset)
+    read_class = harness.balancer.request_factory.classes["read"]
     for state in harness.balancer.endpoints.states.values():
         if state.endpoint.zone == "a":
             state.in_flight = [
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -13,7 +13,7 @@
 
 from load_balancer import messages
 from load_balancer.policy.attempt import LastAttempt
-from load_balancer.policy.slow_start import BUDGET_SAFETY, FREE_FIRST_ATTEMPTS, KEPT_WINDOW_SHARE
+from load_balancer.policy.slow_start import BUDGET_SAFETY, TOKEN_EXPIRY_WINDOWS, UNBUDGETED_FIRST_ATTEMPTS
 from tests.policy.test_slow_start_fleet import TIGHT
 from tests.policy.warming_fleet import RULES, warming_fleet
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
@@ -114,11 +114,11 @@
                 for index, harness in enumerate(harnesses)
                 for state in harness.balancer.endpoints.subset
                 if state.endpoint.id == 0
-                and harness.balancer.slow_start.has_free_first_attempt(harness.now_us, state, 0.34)
+                and harness.balancer.slow_start.is_first_attempt_slot(harness.now_us, state, 0.34)
             }
         )
     holders = set().union(*turns)
-    assert max(len(turn) for turn in turns) <= FREE_FIRST_ATTEMPTS
+    assert max(len(turn) for turn in turns) <= UNBUDGETED_FIRST_ATTEMPTS
     assert len(holders) == 15  # each balancer with this endpoint in its subset
 
 
@@ -151,16 +151,16 @@
 def test_attempt_without_tokens_is_paid_by_the_next_token() -> None:
     harness = balancer_with_warming_endpoints(1, 0, 1)
     [state] = harness.balancer.endpoints.subset
-    state.warming.tokens = 0.2
+    state.warming.bucket.tokens = 0.2
     assert len(actions_of_type(harness.request("r"), messages.StartAttempt)) == 1
-    assert math.isclose(state.warming.tokens, -0.8)
+    assert math.isclose(state.warming.bucket.tokens, -0.8)
 
 
 def test_token_expires_after_a_part_of_the_window() -> None:
     """With the tokens kept from before it, a window then has one budget at most."""
     harness = balancer_with_warming_endpoints(30, 0, 6, replace(RULES, slow_start_us=600 * SECOND_US))
     state = harness.balancer.endpoints.subset[0]
-    state.warming.tokens, due_steps, step = 0.0, 0, 10 * MILLISECOND_US
+    state.warming.bucket.tokens, due_steps, step = 0.0, 0, 10 * MILLISECOND_US
     rate = (
         BUDGET_SAFETY
         * RULES.overload_multiple
@@ -169,10 +169,10 @@
     )
     for _ in range(int(1.5 / rate / step)):  # one token becomes due
         harness.now_us += step
-        due_steps += harness.balancer.slow_start.due_tokens(harness.now_us, state) >= 1.0
+        due_steps += harness.balancer.slow_start.refill(harness.now_us, state) >= 1.0
     kept = due_steps * step / RULES.overload_window_us
-    assert 0 < kept <= KEPT_WINDOW_SHARE + 0.05
-    assert (1.0 + KEPT_WINDOW_SHARE) * BUDGET_SAFETY <= 1.0 + 1e-9
+    assert 0 < kept <= TOKEN_EXPIRY_WINDOWS + 0.05
+    assert (1.0 + TOKEN_EXPIRY_WINDOWS) * BUDGET_SAFETY <= 1.0 + 1e-9
 
 
 def test_credit_of_an_answer_expires_unused() -> None:
@@ -180,6 +180,6 @@
     state = harness.balancer.endpoints.subset[0]
     state.last_attempt = LastAttempt.SUCCEEDED
     state.warming.answer_credit_until_us = harness.now_us + SECOND_US
-    state.warming.tokens = -1.0
+    state.warming.bucket.tokens = -1.0
     assert harness.balancer.router.is_open(harness.now_us, state, is_retry=False)
     assert not harness.balancer.router.is_open(harness.now_us + SECOND_US, state, is_retry=False)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -11,8 +11,9 @@
 import pytest
 
 from load_balancer import messages
+from load_balancer.policy.attempt_rate import RATE_MEMORY_US
 from load_balancer.policy.endpoint_state import EndpointState
-from load_balancer.policy.slow_start import FREE_FIRST_ATTEMPTS, RATE_MEMORY_US, SlowStart
+from load_balancer.policy.slow_start import UNBUDGETED_FIRST_ATTEMPTS, SlowStart
 from tests.policy.warming_fleet import RULES, warming_fleet
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.units import MILLISECOND_US, SECOND_US
@@ -138,7 +139,7 @@
             for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
                 harness.end_attempt(send, messages.Outcome.OK)
             harness.advance(SECOND_US)
-        saved += int(harness.balancer.slow_start.due_tokens(harness.now_us, restarted))
+        saved += int(harness.balancer.slow_start.refill(harness.now_us, restarted))
         flow += rules.overload_window_us / SECOND_US / len(harness.balancer.endpoints.subset)
     assert 0 < saved <= rules.overload_multiple * 0.67 * flow
 
@@ -177,8 +178,11 @@
     )
     earned = []
     for state in (ours, other):
-        state.warming.tokens, state.warming.tokens_updated_at_us = 0.0, harness.now_us - 100 * MILLISECOND_US
-        earned.append(harness.balancer.slow_start.due_tokens(harness.now_us, state))
+        state.warming.bucket.tokens, state.warming.bucket.updated_at_us = (
+            0.0,
+            harness.now_us - 100 * MILLISECOND_US,
+        )
+        earned.append(harness.balancer.slow_start.refill(harness.now_us, state))
     assert 0 < earned[1] * 40 <= 0.21 * earned[0] * harness.balancer.endpoints.sharing_balancers
 
 
@@ -213,7 +217,7 @@
                 sent[send.endpoint_id] += 1
     # One from each balancer made five for an endpoint: more than the rule allows where it can take one.
     assert sum(sent) > 0
-    assert max(sent) <= FREE_FIRST_ATTEMPTS
+    assert max(sent) <= UNBUDGETED_FIRST_ATTEMPTS
 
 
 def test_retry_is_not_a_free_first_attempt() -> None:
@@ -247,11 +251,11 @@
     harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=started_at_us))
     harness.request("r")
     harness.advance(950 * MILLISECOND_US)
-    harness.balancer.endpoints.states[0].warming.tokens = 1.0  # expires after a part of the window
-    harness.balancer.endpoints.states[0].warming.tokens_updated_at_us = harness.now_us
+    harness.balancer.endpoints.states[0].warming.bucket.tokens = 1.0  # expires after a part of the window
+    harness.balancer.endpoints.states[0].warming.bucket.updated_at_us = harness.now_us
     checks = actions_of_type(harness.advance(250 * MILLISECOND_US), messages.CheckHealth)
     assert len(checks) == 1
-    harness.balancer.endpoints.states[0].warming.tokens = 0.0
+    harness.balancer.endpoints.states[0].warming.bucket.tokens = 0.0
     again = actions_of_type(harness.handle(messages.HealthCheckEnded(0, alive=False)), messages.CheckHealth)
     assert len(checks) + len(again) == check_count
 
--- a/tests/policy/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from load_balancer import messages
-from load_balancer.policy.slow_start import MAX_KEPT_ATTEMPTS
+from load_balancer.policy.slow_start import MAX_BURST_ATTEMPTS
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.units import MILLISECOND_US, SECOND_US
 
@@ -33,7 +33,7 @@
         for number in range(30)
         for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
     ]
-    assert sends.count(9) <= MAX_KEPT_ATTEMPTS
+    assert sends.count(9) <= MAX_BURST_ATTEMPTS
 
 
 def test_endpoint_with_future_start_is_warm_without_a_slow_start_phase() -> None:
--- a/tests/policy/test_unsent_attempts.py
+++ b/tests/policy/test_unsent_attempts.py
@@ -15,7 +15,7 @@
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(3))
     )
     for state in harness.balancer.endpoints.subset:
-        state.warming.tokens = state.warming.phase = 0.0
+        state.warming.bucket.tokens = state.warming.phase = 0.0
     return harness
 
 
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -115,8 +115,8 @@
         )
     assert got[3] < min(got[n] for n in range(3))
     assert all(math.isfinite(number) for number in numbers(harness.balancer))
-    assert not harness.balancer.requests.requests
-    assert not harness.balancer.requests.in_flight
+    assert not harness.balancer.open_requests.by_id
+    assert not harness.balancer.dispatcher.in_flight
     assert len(harness.balancer.outbox.timers) <= 2
 
 
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -33,7 +33,7 @@
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from load_balancer.policy.change_detector import PRIOR_SAMPLES
 from load_balancer.policy.endpoint_state import COOL_DOWN_US
-from load_balancer.policy.retry import MAX_SAVED_RETRIES
+from load_balancer.policy.retry_budget import MAX_SAVED_RETRIES
 from load_balancer.process.reload import MAX_RELOAD_RETRIES, RELOAD_RETRY_INTERVAL_S
 from tests.process.test_reload import ReloadHarness
 from tests.process.test_startup import attended
@@ -132,7 +132,7 @@
             writer.write(http_request(request_id="again"))
             assert response_status(await read_http_message(reader)) == 200
             writer.close()
-            await wait_until(lambda: p.listener._listening_socket.fileno() < 0)
+            await wait_until(lambda: p.listener.acceptor.listening_socket.fileno() < 0)
             with pytest.raises(ConnectionRefusedError):
                 await p.connect()
 
@@ -153,7 +153,7 @@
         call_later = p.listener.loop.call_later
 
         def waited(delay: float, *rest: Any) -> asyncio.TimerHandle:
-            if rest[0] == p.listener._resume_accepting:
+            if rest[0] == p.listener.acceptor.resume:
                 waits.append(delay)
             return call_later(delay, *rest)
 
@@ -329,7 +329,7 @@
             assert not p.pool.pacing.no_extra_until_s
             [server] = p.driver.balancer.endpoints.states.values()
             assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
-            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
             writer.close()
 
     run_in_event_loop(test)
@@ -355,7 +355,7 @@
                 assert response_status(await read_http_message(reader)) == 503
                 assert rule.hits == 3 * answers
                 assert p.driver.is_idle
-            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
             assert not b.received
             assert not p.pool.pending.by_endpoint
             assert not p.pool.connections.open
@@ -859,7 +859,7 @@
             await wait_until(lambda: not p.pool.idle.by_endpoint and not p.pool.connections.open)
             assert response_status(await p.send_request(http_request(request_id="r2"))) == 200
             assert b.connection_count == 2
-            assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+            assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
 
     run_in_event_loop(test)
     assert not problem_lines(caplog)
@@ -944,10 +944,10 @@
                     clock.advance(SETTLE_S)
                 assert b.connection_count == 3
                 assert failing.asked
-                assert p.driver.balancer.requests.retry_budget.balance == MAX_SAVED_RETRIES
+                assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
                 clock.advance(1.0)
                 p.listener.close_idle_connections()
-                p.listener._sweep()
+                p.listener.sweep()
                 assert len(p.clients.open_connections) == 2
                 assert not p.listener.is_drained
             p.listener.close_idle_connections()  # it can tell again
