--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -185,4 +185,4 @@
     starts = StartTimes(ManualClocks().clock())
     for n in range(MAX_START_TIMES + 10):
         starts.assign([messages.Endpoint(n, incarnation_us=START_UNIX_US)])
-    assert len(starts._start_times_us) == MAX_START_TIMES
+    assert starts.remembered_count == MAX_START_TIMES
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -131,7 +131,7 @@
         clock = SteppedClock()
         while lists < 9:
             await asyncio.sleep(0)
-            if p.driver.endpoint_list.watch._task is None:
+            if not p.driver.endpoint_list.watch.is_running:
                 clock.advance(3.0)
         singly = [line for line in lines() if line.startswith("endpoint ")]
         counted = [line for line in lines() if line not in singly]
@@ -159,7 +159,7 @@
             clock = SteppedClock()
             while broke < 250:
                 await asyncio.sleep(0)
-                if p.driver.endpoint_list.watch._task is None:
+                if not p.driver.endpoint_list.watch.is_running:
                     clock.advance(0.1)
             ahead = clock.advanced_s
 
