--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -10,6 +10,7 @@
 from load_balancer import messages
 from load_balancer.net.client import client_limits
 from load_balancer.net.upstream import idle_connections
+from tests.net.client.delayed_endpoint import DelayedEndpoint
 from tests.support.balancer_harness import balancer_settings
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
@@ -17,7 +18,7 @@
 from tests.support.loopback_proxy import running_proxy
 from tests.support.socket_client import connect_paused_client
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, run_loop_turns, wait_until
 
 
 async def test_attempt_is_cancelled_when_its_client_disconnects() -> None:
@@ -29,11 +30,14 @@
         assert await reader.read() == b""  # the proxy closes the attempt's connection
         gone.set()
 
-    async with StandInServer(handle) as b, running_proxy(endpoint_entry("s-1", b.port)) as p:
-        _, client = await p.connect()
+    async with (
+        StandInServer(handle) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
+    ):
+        _, client = await proxy.connect()
         client.write(http_request())
         await gone.wait()
-        assert p.driver.is_idle
+        assert proxy.driver.is_idle
 
 
 @pytest.mark.parametrize("kind", ["read", "pay"])
@@ -45,21 +49,23 @@
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=balancer_settings(limits=limits)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(
+            endpoint_entry("s-1", endpoint.port), settings=balancer_settings(limits=limits)
+        ) as proxy,
     ):
-        gate = ConnectGates(p.pool)
-        _, writer = await p.connect()
+        gate = ConnectGates(proxy.pool)
+        _, writer = await proxy.connect()
         writer.write(http_request(kind))
         await wait_until(lambda: gate.started_count == 1)
         writer.close()
-        await wait_until(lambda: p.driver.is_idle)
+        await wait_until(lambda: proxy.driver.is_idle)
         gate.open_all()
-        await wait_until(lambda: not p.driver.requests.attempts.in_flight)
-        assert b.received == []
-        assert b.connection_count == 0
-        assert not p.driver.balancer.dispatcher.in_flight
-        assert not p.driver.balancer.open_requests.by_id
+        await wait_until(lambda: not proxy.driver.requests.attempts.in_flight)
+        assert endpoint.received == []
+        assert endpoint.connection_count == 0
+        assert not proxy.driver.balancer.dispatcher.in_flight
+        assert not proxy.driver.balancer.open_requests.by_id
 
 
 async def test_pipelined_request_behind_a_response_is_not_forwarded_after_client_disconnects(
@@ -69,23 +75,23 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
-        StandInEndpoint(http_response(200, b"x" * 65_536)) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        p.limit_send_buffers()
-        _, writer = await connect_paused_client(p)
+        proxy.limit_send_buffers()
+        _, writer = await connect_paused_client(proxy)
         writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
-        await wait_until(lambda: bool(p.clients.open_connections))
-        [connection] = p.clients.open_connections
+        await wait_until(lambda: bool(proxy.clients.open_connections))
+        [connection] = proxy.clients.open_connections
         await wait_until(lambda: connection.transport.get_write_buffer_size() > 0)
         writer.write_eof()
         await wait_until(connection.transport.is_closing)
         writer.transport.resume_reading()  # type: ignore[attr-defined]
-        await wait_until(lambda: connection not in p.clients.open_connections)
+        await wait_until(lambda: connection not in proxy.clients.open_connections)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.received) == 1
-        assert p.driver.is_idle
+        assert len(endpoint.received) == 1
+        assert proxy.driver.is_idle
 
 
 @pytest.mark.parametrize("paused", [False, True])
@@ -96,36 +102,37 @@
     """Its end shows though it stands behind more bytes than are taken in ahead of their turn."""
     if paused:
         monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
-
-    go_on, clock = asyncio.Event(), SteppedClock()
-
-    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while True:
-            b.received.append(await read_http_message(reader))
-            await go_on.wait()
-            writer.write(http_response(200, b"x"))
-
+    clock, delayed = FrozenClock(), DelayedEndpoint()
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
-        StandInServer(handle) as b,
-        running_proxy(endpoint_entry("s-1", b.port), settings=balancer_settings(limits=limits)) as p,
+        StandInServer(delayed.handle) as endpoint,
+        running_proxy(
+            endpoint_entry("s-1", endpoint.port), settings=balancer_settings(limits=limits)
+        ) as proxy,
     ):
-        _, writer = await p.connect()
-        # Read in more than one go, so that the pause holds some of it back.
-        body = b"x" * 60_000
-        writer.write(b"".join(http_request("mark", request_id=f"r{n}", body=body) for n in range(6)))
-        await wait_until(lambda: bool(b.received))
-        [connection] = p.clients.open_connections
+        _, writer = await proxy.connect()
+        # Read in more than one go, so that the pause holds some of it back; the rest and the end of the
+        # stream fit into the system's receive buffer, so that the end can be seen.
+        body = b"x" * 12_000
+        writer.write(
+            b"".join(http_request("mark", request_id=f"r{number}", body=body) for number in range(6))
+        )
+        await wait_until(lambda: bool(delayed.request_ids))
+        [connection] = proxy.clients.open_connections
         await wait_until(lambda: connection.transport.is_reading() is not paused)
         writer.close()
         for _ in range(100):
             await asyncio.sleep(0)
-        clock.advance(client_limits.SWEEP_INTERVAL_S)
-        await wait_until(lambda: p.driver.is_idle)
-        go_on.set()
-        await wait_until(lambda: not p.driver.requests.attempts.in_flight and not p.clients.open_connections)
-        assert [headers["req-id"] for _, headers, _ in b.received] == ["r0"]
-        assert p.clients.buffered.size_bytes == 0
+        while not proxy.driver.is_idle:
+            clock.advance(client_limits.PRESENCE_POLL_INTERVAL_S)
+            await run_loop_turns()
+        assert clock.advanced_s < 1.0  # the request's deadline has not ended it
+        delayed.may_respond.set()
+        await wait_until(
+            lambda: not proxy.driver.requests.attempts.in_flight and not proxy.clients.open_connections
+        )
+        assert delayed.request_ids == ["r0"]
+        assert proxy.clients.buffered.size_bytes == 0
 
 
 async def test_request_read_after_its_client_disconnected_is_not_forwarded(
@@ -135,15 +142,15 @@
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("s-1", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        assert response_status(await p.send_request(http_request(request_id="r1"))) == 200
-        with socket.create_connection(("127.0.0.1", p.port)) as client:
+        assert response_status(await proxy.send_request(http_request(request_id="r1"))) == 200
+        with socket.create_connection(("127.0.0.1", proxy.port)) as client:
             client.sendall(http_request(request_id="r2"))
-        await wait_until(lambda: bool(p.clients.open_connections))
-        await wait_until(lambda: not p.clients.open_connections)
+        await wait_until(lambda: bool(proxy.clients.open_connections))
+        await wait_until(lambda: not proxy.clients.open_connections)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(b.received) == 1
-        assert p.driver.is_idle
+        assert len(endpoint.received) == 1
+        assert proxy.driver.is_idle
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -29,9 +29,9 @@
 async def test_attempt_without_a_connection_fails_over_in_time(heard: bool, ends: Outcome) -> None:
     """As not sent where the backend is known to be there, as one that can't be reached otherwise."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         if heard:
             pool.connections.record_activity(calls.endpoint)
         calls.begin("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
@@ -45,14 +45,14 @@
         calls.begin("b")  # what comes up late is there for another
         connects.open(0)
         await calls.wait_for_outcomes(a=ends, b=Outcome.OK)
-        assert b.request_ids == ["b"]
+        assert endpoint.request_ids == ["b"]
         pool.close()
 
 
 async def test_attempt_without_another_endpoint_waits_for_its_connections() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a", failover_within_s=500.0)
         await connects.advance(600.0)
         for _ in range(20):
@@ -66,11 +66,11 @@
 
 async def test_request_fails_over_to_another_endpoint_when_connects_stall() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as a,
-        StandInEndpoint(http_response(200, b"x")) as b,
+        StandInEndpoint(http_response(200, b"x")) as first_endpoint,
+        StandInEndpoint(http_response(200, b"x")) as second_endpoint,
         running_proxy(
-            endpoint_entry("s-1", a.port),
-            endpoint_entry("s-2", b.port),
+            endpoint_entry("s-1", first_endpoint.port),
+            endpoint_entry("s-2", second_endpoint.port),
             settings=balancer_settings(
                 classes=(
                     messages.RequestClass(
@@ -80,12 +80,12 @@
                 limits=messages.Limits(max_attempts=2, cancel=True),
             ),
             connect_timeout_s=LONG_CONNECT_TIMEOUT_S,
-        ) as p,
+        ) as proxy,
     ):
-        connects = ConnectGates(p.pool, MOSTLY_FAST_CONNECTS_S)
-        for endpoint in list(p.pool.idle.reuse_from_s):
-            p.pool.connections.record_activity(endpoint)
-        asked = asyncio.ensure_future(p.send_request(http_request(Req_Deadline="9000")))
+        connects = ConnectGates(proxy.pool, MOSTLY_FAST_CONNECTS_S)
+        for endpoint in list(proxy.pool.idle.reuse_from_s):
+            proxy.pool.connections.record_activity(endpoint)
+        asked = asyncio.ensure_future(proxy.send_request(http_request(Req_Deadline="9000")))
         await connects.wait_for(1)
         for count in (2, 3, 4):
             await connects.advance(11.0)
@@ -93,7 +93,7 @@
         connects.open(3)  # the first to the other backend
         first, _, body = await asked
         assert (first.split()[1], body) == ("200", b"x")
-        assert a.connection_count + b.connection_count == 1
+        assert first_endpoint.connection_count + second_endpoint.connection_count == 1
 
 
 def test_negative_handshake_price_is_rejected() -> None:
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -30,9 +30,9 @@
 
 
 async def test_extra_connection_is_opened_for_a_late_one_and_the_first_established_is_used() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a")
         await connects.advance(9.0)
         assert len(connects.gates) == 1
@@ -40,23 +40,23 @@
         await connects.wait_for(2)
         connects.open(1)
         await calls.wait_for_outcomes(a=Outcome.OK)
-        assert b.connection_count == 1
-        assert b.request_ids == ["a"]
+        assert endpoint.connection_count == 1
+        assert endpoint.request_ids == ["a"]
         await connects.advance(1000.0)
         calls.begin("b")  # the one that was used is idle again
         await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
-        assert b.connection_count == 1
+        assert endpoint.connection_count == 1
         assert len(connects.gates) == 2
         connects.open(0)
-        await wait_until(lambda: b.connection_count == 2 and not pool.pending.by_endpoint)
+        await wait_until(lambda: endpoint.connection_count == 2 and not pool.pending.by_endpoint)
         assert len(pool.idle.by_endpoint[calls.endpoint]) == 1  # the other one is not needed
         pool.close()
 
 
 async def test_surplus_connection_is_reused_by_the_next_attempt() -> None:
-    async with StandInEndpoint(None, http_response(200)) as b:  # the first that is used breaks
+    async with StandInEndpoint(None, http_response(200)) as endpoint:  # the first that is used breaks
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a")
         await connects.advance(11.0)
         await connects.wait_for(2)
@@ -67,7 +67,7 @@
         await connects.advance(idle_connections.SETTLE_S)
         calls.begin("b")
         await calls.wait_for_outcomes(a=Outcome.RESET, b=Outcome.OK)
-        assert b.connection_count == 2
+        assert endpoint.connection_count == 2
         assert len(connects.gates) == 2
         pool.close()
 
@@ -75,9 +75,9 @@
 async def test_surplus_connections_are_closed() -> None:
     """Backends hold only so many."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a")
         for count in (2, 3):
             await connects.advance(11.0)
@@ -85,7 +85,7 @@
         connects.open(2)
         await calls.wait_for_outcomes(a=Outcome.OK)
         connects.open(0, 1)
-        await wait_until(lambda: b.connection_count == 3 and not pool.pending.by_endpoint)
+        await wait_until(lambda: endpoint.connection_count == 3 and not pool.pending.by_endpoint)
         await wait_until(lambda: len(pool.connections.open) == 1)
         pool.close()
 
@@ -98,9 +98,9 @@
 async def test_no_extra_connection_is_opened_when_it_saves_too_little(
     usual: list[float], price: float
 ) -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10, price)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, usual)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, usual)
         calls.begin("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
         for _ in range(20):
             await connects.advance(45.0)
@@ -112,9 +112,9 @@
 
 
 async def test_waiting_attempt_takes_a_connection_that_falls_idle() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, SLOW_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
         calls.begin("a")
         calls.begin("once", ONCE)
         calls.begin("b")
@@ -124,18 +124,18 @@
         assert set(calls.outcomes) == {"a"}  # it rests first: more than its answer may be under way
         await connects.advance(idle_connections.SETTLE_S)
         await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
-        assert b.connection_count == 1
-        assert b.request_ids == ["a", "b"]
+        assert endpoint.connection_count == 1
+        assert endpoint.request_ids == ["a", "b"]
         connects.open(1)  # what must not run twice waits for one of its own
         await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK, once=Outcome.OK)
-        assert b.connection_count == 2
+        assert endpoint.connection_count == 2
         pool.close()
 
 
 async def test_waiting_attempt_takes_a_connection_that_has_settled() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, SLOW_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
         calls.begin("a")
         await connects.wait_for(1)
         connects.open(0)
@@ -144,14 +144,14 @@
         await connects.wait_for(2)
         await connects.advance(idle_connections.SETTLE_S)
         await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
-        assert b.connection_count == 1
+        assert endpoint.connection_count == 1
         pool.close()
 
 
 async def test_longest_waiting_attempt_takes_the_first_connection_established() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, SLOW_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
         calls.begin("a", ONCE)
         calls.begin("b", ONCE)
         await connects.wait_for(2)
@@ -159,7 +159,7 @@
         await calls.wait_for_outcomes(a=Outcome.OK)
         connects.open(0)
         await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
-        assert b.request_ids == ["a", "b"]
+        assert endpoint.request_ids == ["a", "b"]
         pool.close()
 
 
@@ -168,9 +168,9 @@
 ) -> None:
     """A refusal ends that connection alone, and no more are opened where one was refused."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as stand_in:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, stand_in), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         made, number = pool.connector.open, iter(range(9))
 
         async def refused_second(endpoint: EndpointAddress) -> UpstreamConnection:
@@ -215,9 +215,9 @@
 ) -> None:
     """Also where both stand, and the tasks that waited for them have been woken and have not run yet."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         out = calls.begin("a")
         await connects.advance(11.0)
         await connects.wait_for(2)
@@ -252,16 +252,16 @@
         assert calls.outcomes == ({} if ends is None else {"a": ends})
         assert not pool.pending.by_endpoint
         assert not pool.idle.by_endpoint
-        assert not b.received
+        assert not endpoint.received
         assert not pool.waiting.by_endpoint or how == "end"
         out.cancel_if_unsent()
         pool.close()
 
 
 async def test_cancelled_attempt_leaves_the_connection_to_another_waiting_attempt() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a")
         calls.begin("b").cancel_if_unsent()
         await connects.wait_for(1)
@@ -272,9 +272,9 @@
 
 
 async def test_no_extra_connection_is_opened_at_the_connection_limit() -> None:
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 1)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a")
         for _ in range(5):
             await connects.advance(50.0)
@@ -288,9 +288,9 @@
 async def test_attempt_waits_no_longer_than_the_connect_timeout_for_any_connection() -> None:
     """The module counts on it for repeats within a window; what is coming goes on for others."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         calls.begin("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
         await connects.advance(59000.0)
         await connects.wait_for(2)
@@ -299,16 +299,16 @@
         calls.begin("b")
         connects.open(1)
         await calls.wait_for_outcomes(a=Outcome.NO_CONNECTION, b=Outcome.OK)
-        assert b.request_ids == ["b"]
+        assert endpoint.request_ids == ["b"]
         pool.close()
 
 
 async def test_connection_goes_to_the_next_attempt_when_the_first_missed_its_deadline_in_a_stall() -> None:
     """The process stood still past the time of one, so that its timer has not fired yet."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, SLOW_CONNECTS_S)
+        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
         calls.begin("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
         await connects.advance(30000.0)
         calls.begin("b", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
@@ -320,5 +320,5 @@
         pool.queue.connect_succeeded(pending, connection)
         assert calls.outcomes == {"a": Outcome.NO_CONNECTION}
         await calls.wait_for_outcomes(a=Outcome.NO_CONNECTION, b=Outcome.OK)
-        assert b.request_ids == ["b"]
+        assert endpoint.request_ids == ["b"]
         pool.close()
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -26,9 +26,9 @@
 ) -> None:
     """Unless the backend refuses, where one more would say nothing new."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as stand_in:
         pool = ConnectionPool(600.0, 300.0, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, [])
+        calls, connects = RecordedAttempts(pool, stand_in), ConnectGates(pool, [])
         gates, number = pool.connector.open, iter(range(99))
 
         async def first_fail(endpoint: EndpointAddress) -> UpstreamConnection:
@@ -40,7 +40,7 @@
             return connection
 
         monkeypatch.setattr(pool.connector, "open", first_fail)
-        before = [calls.begin(f"x{n}") for n in range(OTHERS)]
+        before = [calls.begin(f"x{index}") for index in range(OTHERS)]
         await connects.wait_for(OTHERS)
         for attempt in before:  # they move on, and what is coming goes on for others to use
             attempt.finish(Outcome.NOT_SENT, keep_connecting=True)
@@ -57,5 +57,5 @@
             connects.open(OTHERS)
             await wait_until(lambda: "late" in calls.outcomes)
             assert calls.outcomes["late"] is Outcome.OK
-            assert b.request_ids == ["late"]
+            assert stand_in.request_ids == ["late"]
         pool.close()
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -61,8 +61,8 @@
     async def client(self, port: int, number: int) -> None:
         """Calls one after another, until its connection is closed."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        for k in range(100_000):
-            request_id = f"c{number}-{k}"
+        for index in range(100_000):
+            request_id = f"c{number}-{index}"
             self.sent += 1
             with contextlib.suppress(ConnectionError):
                 writer.write(http_request(request_id=request_id, Req_Deadline=str(self.deadline_s)))
@@ -114,14 +114,14 @@
     traffic = Traffic(deadline_s, hangs)
     lane = {"name": "read", "idempotency": "safe", "worth": 1}
     lane |= {"onTimeUs": round(deadline_s * 1e6), "deadlineUs": round(deadline_s * 1e6)}
-    async with StandInServer(traffic.serve) as b:
+    async with StandInServer(traffic.serve) as endpoint:
         told = raw_settings(lanes=[lane], limits=LIMITS)
         env = write_config(
-            tmp_path, proxy_config(known=endpoint_list(endpoint_entry("a", b.port)), settings=told)
+            tmp_path, proxy_config(known=endpoint_list(endpoint_entry("a", endpoint.port)), settings=told)
         )
         async with running_proxy_process(env) as made:
             port = await read_listening_port(made)
-            clients = [asyncio.ensure_future(traffic.client(port, n)) for n in range(CLIENTS)]
+            clients = [asyncio.ensure_future(traffic.client(port, number)) for number in range(CLIENTS)]
             await asyncio.sleep(0.1)
             traffic.stopping.set()
             made.send_signal(signal.SIGTERM)
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -15,7 +15,11 @@
 from tests.support.stepped_clock import wait_until
 
 KEYED_REQUEST = UpstreamRequest(
-    b"POST", b"/api", [(b"host", b"x"), (b"idempotency-key", b"k"), (b"content-length", b"2")], b"hi", True
+    b"POST",
+    b"/api",
+    [(b"host", b"x"), (b"idempotency-key", b"k"), (b"content-length", b"2")],
+    b"hi",
+    is_idempotent=True,
 )
 UNSAFE_REQUEST = replace(KEYED_REQUEST, is_idempotent=False)
 SAFE_REQUEST = UpstreamRequest(b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True)
