--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -172,10 +172,8 @@
 
     async with watching_proxy(setup) as (discovery, proxy, clock):
         await advance_until(clock, lambda: len(discovery.calls) == 1)
-        assert discovery.server is not None
-        assert discovery.server.server is not None
         discovery.calls[0].writer.transport.abort()
-        discovery.server.server.close()
+        discovery.server.stop_listening()
         tried = record_watch_starts(proxy)
         await advance_until(
             clock, lambda: len(tried) == 6 and not proxy.driver.endpoint_list.watch.is_running
