--- a/tests/support/manual_clocks.py
+++ b/tests/support/manual_clocks.py
@@ -69,9 +69,8 @@
         self.driver.endpoint_list.receive(list_with_starts(*starts, full=full, rev=self.version))
 
     def receive_heartbeat(self) -> None:
-        """Let the watch receive a heartbeat, after a list."""
-        self.driver.endpoint_list.watch._has_list = True
-        self.driver.endpoint_list.watch._apply_messages([], heartbeat=True)
+        """Do what the watch does at a heartbeat that follows a list."""
+        self.driver.endpoint_list.start_times.confirm()
 
     def terminate(self, uid: str) -> None:
         """Apply a change by which this endpoint is gone."""
