--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -124,8 +124,10 @@
             return int(line.rsplit(":", 1)[1])
 
 
-# Each process begins at another port, so that tests which run side by side do not use the same ones.
-PORTS = itertools.cycle(range(20_000 + os.getpid() * 37 % 10_000, 32_000))
+# Each process that runs tests begins at another port. Those that run side by side were started one after the
+# other, so their ids are close together: each begins this many ports, more than a run takes, behind the last.
+PORTS_OF_A_PROCESS = 397
+PORTS = itertools.cycle(range(20_000 + os.getpid() * PORTS_OF_A_PROCESS % 10_000, 32_000))
 
 
 def unused_port() -> int:
