--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -31,7 +31,7 @@
     write_config,
 )
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import FrozenClock, SteppedClock
 from tests.support.time_limit import run_in_event_loop
 
 DESCRIPTORS = 128
@@ -148,7 +148,7 @@
 
         nonlocal ahead
         async with StandInServer(refuse) as d, running_proxy(discovery_port=d.port) as p:
-            clock = SteppedClock()
+            clock = FrozenClock()
             while broke < 250:
                 await asyncio.sleep(0)
                 if not p.driver.endpoint_list.watch.is_running:
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -74,7 +74,7 @@
 from tests.support.socket_client import queue_request, read_status_or_end
 from tests.support.stand_in_discovery import StandInListServer
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import FrozenClock, SteppedClock, wait_until
 from tests.support.time_limit import run_in_event_loop
 from tests.support.units import MILLISECOND_US, SECOND_US
 
@@ -414,7 +414,8 @@
             p.driver.endpoint_list.endpoints.by_id[n].address[1]: server
             for n, server in balancer.endpoints.states.items()
         }
-        lost, clock = known[a.port], p.driver.clock
+        lost, clock = known[a.port], FrozenClock()
+        p.step_policy_clock_with(clock)
         rule = socket_failures.add("connect", connected_to(a.port), error, times=3)
         asked = 0
 
@@ -425,8 +426,8 @@
 
         while rule.hits < 3:
             await ask()
-            if clock.now_us() < lost.unreachable_until_us:
-                clock._ahead_us += COOL_DOWN_US
+            if p.driver.clock.now_us() < lost.unreachable_until_us:
+                clock.advance(COOL_DOWN_US / SECOND_US)
         assert lost.detector.first_epoch_count == PRIOR_SAMPLES
         assert lost.share == 1.0
         assert not a.received
