--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -13,13 +13,14 @@
 from load_balancer import messages
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.net.discovery.endpoint_watch import BREAK_LOG_WINDOW_S
+from tests.net.discovery.list_server import HeldListServer
+from tests.process.process_requests import response_body, wait_for_log_line
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
     endpoint_list,
-    endpoint_list_chunk,
 )
-from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
+from tests.support.http_messages import http_chunk, http_response
 from tests.support.loopback_proxy import LoopbackProxy
 from tests.support.proxy_process import (
     LIMITS,
@@ -44,7 +45,7 @@
     running_watch_count,
     watching_proxy,
 )
-from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, advance_until
 
 JUMPS = 300  # of the clock in an outage, however long
@@ -192,57 +193,47 @@
             all_is_small(discovery, proxy)
 
 
+async def wait_for_held_list(
+    mode: str, process: asyncio.subprocess.Process, port: int, discovery: HeldListServer
+) -> None:
+    """Let the held list go, and wait until the process has applied it."""
+    if mode == "automatic":  # what the agent has counts as told at once: no request before it
+        with pytest.raises(ConnectionRefusedError):
+            await asyncio.open_connection("127.0.0.1", port)
+        discovery.may_respond.set()
+        await read_listening_port(process)
+    else:
+        await read_listening_port(process)
+        discovery.may_respond.set()
+        await wait_for_log_line(process, "is b,")
+
+
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
 async def test_restart_with_a_cached_list_applies_a_drain_before_the_first_request(
     tmp_path: Path, mode: str
 ) -> None:
     """Its list knows `a` alone. Discovery is slow, then tells that `a` drains and that `b` is there."""
-
-    async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        asked.set()
-        await turn.wait()
-        news = endpoint_list(
-            endpoint_entry("a", first_endpoint.port, "terminating"),
-            endpoint_entry("b", second_endpoint.port),
-            rev=7,
-            full=False,
-        )
-        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(news))
-        await reader.read()
-
-    asked, turn = asyncio.Event(), asyncio.Event()
+    discovery = HeldListServer(is_held=True)
     async with (
-        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
-        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
-        StandInServer(slow) as discovery,
+        StandInEndpoint(http_response(200, b"a")) as drained,
+        StandInEndpoint(http_response(200, b"b")) as new,
+        discovery,
     ):
+        drain = endpoint_entry("a", drained.port, "terminating")
+        discovery.present_list = endpoint_list(drain, endpoint_entry("b", new.port), rev=7, full=False)
         for _ in range(2):  # killed outright and started again, under its name and address
-            turn.clear()
-            asked.clear()
+            discovery.may_respond.clear()
+            discovery.requested.clear()
             port = unused_port()
             told = proxy_config(
                 listen=f"127.0.0.1:{port}",
                 discovery=f"127.0.0.1:{discovery.port}",
-                known=endpoint_list(endpoint_entry("a", first_endpoint.port), rev=1),
+                known=endpoint_list(endpoint_entry("a", drained.port), rev=1),
                 settings=raw_settings(limits=LIMITS, registryMode=mode),
             )
-            async with running_proxy_process(write_config(tmp_path, told)) as made:
-                assert made.stderr is not None
-                await asked.wait()
-                if mode == "automatic":  # what the agent has counts as told at once: no request before it
-                    with pytest.raises(ConnectionRefusedError):
-                        await asyncio.open_connection("127.0.0.1", port)
-                    turn.set()
-                    await read_listening_port(made)
-                else:
-                    await read_listening_port(made)
-                    turn.set()
-                    while b"is b," not in (line := await made.stderr.readline()):
-                        assert line, "it ended"
+            async with running_proxy_process(write_config(tmp_path, told)) as process:
+                await discovery.requested.wait()
+                await wait_for_held_list(mode, process, port, discovery)
                 for number in range(10):
-                    reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    writer.write(http_request(request_id=f"r{number}"))
-                    assert (await read_http_message(reader))[2] == b"b"
-                    writer.close()
-        assert first_endpoint.received == []
+                    assert await response_body(port, f"r{number}") == b"b"
+        assert drained.received == []
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -10,6 +10,7 @@
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack, asynccontextmanager
 from pathlib import Path
+from typing import Any
 
 import pytest
 
@@ -17,14 +18,14 @@
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.process.config import ConfigSource
 from load_balancer.process.reload import Reloader
-from tests.net.discovery.versioned_discovery import ASKED, BOTH, Versions, pass_until, play
+from tests.net.discovery.list_server import HeldListServer
+from tests.net.discovery.versioned_discovery import ASKED, BOTH, Play, Versions, pass_until, play
+from tests.process.process_requests import response_body
 from tests.support.endpoint_lists import (
-    WATCH_RESPONSE_HEAD,
     endpoint_entry,
     endpoint_list,
-    endpoint_list_chunk,
 )
-from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.http_messages import http_response
 from tests.support.loopback_proxy import LoopbackProxy
 from tests.support.proxy_process import proxy_config, read_listening_port, running_proxy_process, write_config
 from tests.support.stand_in_discovery import running_watch_count
@@ -50,19 +51,29 @@
         self.reloader.reload()
 
 
+def running_watch_tasks() -> list[asyncio.Task[Any]]:
+    """Return the tasks of watches that run, whoever still knows of them."""
+    return [
+        task
+        for task in asyncio.all_tasks()
+        if "EndpointWatch._run" in str(task.get_coro()) and not task.done()
+    ]
+
+
 @BOTH
 async def test_reload_with_the_same_discovery_keeps_the_watch(
     setup: messages.Settings, tmp_path: Path
 ) -> None:
     async with play(setup) as made:
         await made.follows(made.a)
-        reloads, task = Reloads(tmp_path, made.p, made.ports["a"]), made.p.driver.endpoint_list.watch._task
+        reloads = Reloads(tmp_path, made.p, made.ports["a"])
+        [watch_task] = running_watch_tasks()
         for _ in range(3):
             reloads.name(made.ports["a"])
             await pass_until(made.clock, lambda: True)
         made.a.change()
         await made.follows(made.a)
-        assert made.p.driver.endpoint_list.watch._task is task
+        assert running_watch_tasks() == [watch_task]
         assert len(made.a.asked) == made.a.whole == 1
 
 
@@ -98,11 +109,27 @@
 @asynccontextmanager
 async def moody(name: str, mood: str) -> AsyncIterator[tuple[Moody, StandInServer]]:
     made = Moody(name, mood)
-    async with StandInServer(made.handle) as p:
+    async with StandInServer(made.handle) as server:
         if mood == "refuses":
-            assert p.server is not None
-            p.server.close()
-        yield made, p
+            assert server.server is not None
+            server.server.close()
+        yield made, server
+
+
+async def pass_seconds(made: Play, seconds: float) -> float:
+    began_s = made.clock.advanced_s
+    return await pass_until(made.clock, lambda: made.clock.advanced_s >= began_s + seconds)
+
+
+async def follow_last(made: Play, last: Versions, setup: messages.Settings) -> float:
+    """Return the seconds until the last discovery is followed, whose queue is crowded where it is polled."""
+    waited = 0.0
+    if setup is ASKED:
+        waited = await pass_seconds(made, TURN_S)
+        last.silent = False
+        [writer] = last.open
+        writer.write(last.answer(None))
+    return waited + await made.follows(last)
 
 
 @BOTH
@@ -112,29 +139,19 @@
     setup: messages.Settings, mood: str, apart_s: float, tmp_path: Path
 ) -> None:
     """Whatever the discoveries on the way do, the last one is followed in time and they are left."""
-
     async with play(setup) as made, AsyncExitStack() as stack:
         await made.follows(made.a)
         reloads = Reloads(tmp_path, made.p, made.ports["a"])
         on_the_way = [await stack.enter_async_context(moody(name, mood)) for name in "cd"]
-        last, last_peer = await stack.enter_async_context(moody("e", "tells"))
+        last, last_server = await stack.enter_async_context(moody("e", "tells"))
         last.silent = setup is ASKED  # it is crowded: the call has to wait for its turn there
-        for _, port in on_the_way:
-            reloads.name(port.port)
+        for _, server in on_the_way:
+            reloads.name(server.port)
             await pass_until(made.clock, lambda: True)
             if apart_s:
-                began = made.clock.advanced_s
-                await pass_until(made.clock, lambda began=began: made.clock.advanced_s >= began + apart_s)  # type: ignore[misc]
-        reloads.name(last_peer.port)
-        waited = 0.0
-        if setup is ASKED:
-            began = made.clock.advanced_s
-            waited = await pass_until(made.clock, lambda: made.clock.advanced_s >= began + TURN_S)
-            last.silent = False
-            [writer] = last.open
-            writer.write(last.answer(None))
-        waited += await made.follows(last)
-        assert waited < MOVED_S
+                await pass_seconds(made, apart_s)
+        reloads.name(last_server.port)
+        assert await follow_last(made, last, setup) < MOVED_S
         assert last.whole == 1
         assert len(last.asked) == 1
         # What the others say by now, be it on a connection that they still hold, is nobody's news.
@@ -167,53 +184,35 @@
         assert not any(made.a.uid in record.getMessage() for record in caplog.records)
 
 
-async def test_process_follows_the_last_of_three_reloads(tmp_path: Path) -> None:
-    """And back: each names another address, two of them never answer; no socket stays behind."""
+def descriptor_count(process: asyncio.subprocess.Process) -> int:
+    return len(os.listdir(f"/proc/{process.pid}/fd"))
 
-    async def never(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        asked.set()
-        await reader.read()
 
-    async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        writer.write(
-            WATCH_RESPONSE_HEAD
-            + endpoint_list_chunk(endpoint_list(endpoint_entry("b", endpoint.port), rev=2))
-        )
-        told.set()
-        await reader.read()
-
-    asked, told = asyncio.Event(), asyncio.Event()
-    async with (
-        StandInEndpoint(http_response(200, b"b")) as endpoint,
-        StandInServer(never) as connection,
-        StandInServer(never) as discovery,
-        StandInServer(tell) as new_discovery,
-    ):
+def replace_config(folder: Path, content: dict[str, Any]) -> None:
+    """Replace the configuration file in one step."""
+    part = folder / "part.json"
+    part.write_text(json.dumps(content))
+    part.replace(folder / "config.json")
+
+
+async def test_process_follows_the_last_of_three_reloads(tmp_path: Path) -> None:
+    """And back: each names another address, two of them never answer; no socket stays behind."""
+    silent, other, last = HeldListServer(is_held=True), HeldListServer(is_held=True), HeldListServer()
+    async with StandInEndpoint(http_response(200, b"b")) as endpoint, silent, other, last:
+        last.present_list = endpoint_list(endpoint_entry("b", endpoint.port), rev=2)
         known = endpoint_list(endpoint_entry("a", 9), rev=1)
-        file = proxy_config(discovery=f"127.0.0.1:{connection.port}", known=known)
-        async with running_proxy_process(write_config(tmp_path, file)) as made:
-            port = await read_listening_port(made)
-            await asked.wait()
-            descriptors = len(os.listdir(f"/proc/{made.pid}/fd"))
-            for to, got in ((discovery, asked), (connection, asked), (new_discovery, told)):
-                got.clear()
-                part = tmp_path / "part.json"
-                part.write_text(json.dumps({**file, "discovery": f"127.0.0.1:{to.port}"}))
-                part.replace(tmp_path / "config.json")
-                made.send_signal(signal.SIGHUP)
-                await got.wait()
-            status = b""
-            while status != b"b":
-                reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                writer.write(http_request())
-                status = (await read_http_message(reader))[2]
-                writer.close()
-            assert (
-                connection.connection_count,
-                discovery.connection_count,
-                new_discovery.connection_count,
-            ) == (2, 1, 1)
-            while len(os.listdir(f"/proc/{made.pid}/fd")) > descriptors + 1:  # one to the backend
+        content = proxy_config(discovery=f"127.0.0.1:{silent.port}", known=known)
+        async with running_proxy_process(write_config(tmp_path, content)) as process:
+            port = await read_listening_port(process)
+            await silent.requested.wait()
+            descriptors_before = descriptor_count(process)
+            for discovery in (other, silent, last):
+                discovery.requested.clear()
+                replace_config(tmp_path, {**content, "discovery": f"127.0.0.1:{discovery.port}"})
+                process.send_signal(signal.SIGHUP)
+                await discovery.requested.wait()
+            while await response_body(port) != b"b":
+                pass
+            assert (silent.connection_count, other.connection_count, last.connection_count) == (2, 1, 1)
+            while descriptor_count(process) > descriptors_before + 1:  # one to the endpoint
                 await asyncio.sleep(0.01)
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import random
+from collections.abc import Iterable
 from dataclasses import replace
 
 import pytest
@@ -12,6 +13,7 @@
 from load_balancer.net.discovery import endpoint_watch
 from load_balancer.net.discovery.endpoint_list import EndpointListMessage, join_changes
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
+from load_balancer.net.discovery.endpoint_watch import EndpointWatch
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -107,18 +109,17 @@
         whole, more = endpoint_list(endpoint_entry("a", 9), rev=1), change(endpoint_entry("b", 9), rev=2)
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(whole) + endpoint_list_chunk(more))
 
-    async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
-        take, broken = proxy.driver.endpoint_list.watch._on_list, asyncio.Event()
-
-        def fail_on_changes(news: EndpointListMessage) -> None:
-            if not news.is_complete:
-                raise RuntimeError("a fault")
-            take(news)
+    def fail_on_changes(message: EndpointListMessage) -> None:
+        if not message.is_complete:
+            raise RuntimeError("a fault")
 
-        proxy.driver.endpoint_list.watch._on_list = fail_on_changes
-        proxy.driver.endpoint_list.watch._on_break = broken.set
+    broken = asyncio.Event()
+    async with StandInServer(handle) as discovery:
+        watch = EndpointWatch(("127.0.0.1", discovery.port), fail_on_changes, broken.set, 60.0, 60.0)
+        watch.start()
         await broken.wait()
-        assert proxy.driver.endpoint_list.watch.version == 1
+        assert watch.version == 1
+        watch.close()
 
 
 def test_complete_lists_and_old_changes_are_not_joined() -> None:
@@ -171,44 +172,43 @@
     assert join_changes(lists) == lists
 
 
+def random_lists(rng: random.Random) -> list[EndpointListMessage]:
+    """Return a complete list and ten changes to it, some of them old, and perhaps a second complete one."""
+    lists = [read_list(endpoint_list(*(endpoint_entry(f"s-{number}", 9) for number in range(4)), rev=9))]
+    for rev in range(10, 20):
+        rows = [
+            endpoint_entry(
+                f"s-{rng.randrange(6)}", rng.randrange(9, 11), rng.choice(STATES), boot_ms=rng.randrange(2)
+            )
+            for _ in range(rng.choice((0, 1, 2)))
+        ]
+        lists.append(read_list(change(*rows, rev=rev - 3 * (rng.random() < 0.1))))
+    if rng.random() < 0.5:
+        lists.insert(rng.randrange(1, 11), replace(lists[0], version=rng.randrange(5, 15)))
+    return lists
+
+
+async def effect_of(lists: Iterable[EndpointListMessage]) -> tuple[object, ...]:
+    """Return what a proxy that has received these lists knows of endpoints."""
+    async with running_proxy() as proxy:
+        for message in lists:
+            proxy.driver.endpoint_list.receive(message)
+        endpoints, states = proxy.driver.endpoint_list.endpoints, proxy.driver.balancer.endpoints.states
+        return (
+            # The moment of a start is by the clock of each of the two drivers.
+            {number: replace(state.endpoint, started_us=None) for number, state in states.items()},
+            endpoints.by_id,
+            endpoints.up_ids,
+            set(proxy.pool.idle.reuse_from_s),
+            proxy.driver.balancer.endpoints.version,
+        )
+
+
 async def test_joined_changes_have_the_same_effect_as_single_ones() -> None:
     rng = random.Random(1)
-
     for _ in range(40):
-        lists = [read_list(endpoint_list(*(endpoint_entry(f"s-{number}", 9) for number in range(4)), rev=9))]
-        for rev in range(10, 20):
-            rows = [
-                endpoint_entry(
-                    f"s-{rng.randrange(6)}",
-                    rng.randrange(9, 11),
-                    rng.choice(STATES),
-                    boot_ms=rng.randrange(2),
-                )
-                for _ in range(rng.choice((0, 1, 2)))
-            ]
-            lists.append(read_list(change(*rows, rev=rev - 3 * (rng.random() < 0.1))))
-        if rng.random() < 0.5:
-            lists.insert(rng.randrange(1, 11), replace(lists[0], version=rng.randrange(5, 15)))
-        left = []
-        for taken in (lists, join_changes(lists)):
-            async with running_proxy() as proxy:
-                for news in taken:
-                    proxy.driver.endpoint_list.receive(news)
-                servers = proxy.driver.balancer.endpoints.states
-                left.append(
-                    (
-                        # The moment of a start is by the clock of each of the two drivers.
-                        {
-                            number: replace(server.endpoint, started_us=None)
-                            for number, server in servers.items()
-                        },
-                        proxy.driver.endpoint_list.endpoints.by_id,
-                        proxy.driver.endpoint_list.endpoints.up_ids,
-                        set(proxy.pool.idle.reuse_from_s),
-                        proxy.driver.balancer.endpoints.version,
-                    )
-                )
-        assert left[0] == left[1]
+        lists = random_lists(rng)
+        assert await effect_of(lists) == await effect_of(join_changes(lists))
 
 
 async def test_changes_that_come_while_reading_is_paused_are_joined(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -6,17 +6,16 @@
 
 import pytest
 
+from tests.net.discovery.list_server import HeldListServer
 from tests.support.balancer_harness import balancer_settings
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import (
-    WATCH_RESPONSE_HEAD,
     endpoint_entry,
     endpoint_list,
-    endpoint_list_chunk,
     parsed_endpoint_list,
 )
 from tests.support.http_messages import http_request, http_response, read_http_message
-from tests.support.loopback_proxy import running_proxy
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import wait_until
 
@@ -26,44 +25,31 @@
     return (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
 
 
-async def test_list_change_reaches_the_policy_before_the_next_attempt() -> None:
-    told = asyncio.Event()
+async def bodies_of(proxy: LoopbackProxy, prefix: str) -> set[bytes]:
+    """Return the bodies of the responses to 40 requests."""
+    requests = [http_request(request_id=f"{prefix}{number}") for number in range(40)]
+    return {(await proxy.send_request(request)).body for request in requests}
 
-    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await ask(reader)
-        writer.write(
-            WATCH_RESPONSE_HEAD
-            + endpoint_list_chunk(
-                endpoint_list(
-                    endpoint_entry("a", first_endpoint.port), endpoint_entry("b", second_endpoint.port), rev=1
-                )
-            )
-        )
-        await told.wait()
-        writer.write(
-            endpoint_list_chunk(
-                endpoint_list(endpoint_entry("a", first_endpoint.port, "terminating"), rev=2, full=False)
-            )
-        )
-        await reader.read()
 
+async def test_list_change_reaches_the_policy_before_the_next_attempt() -> None:
+    discovery = HeldListServer()
     async with (
         StandInEndpoint(http_response(200, b"a")) as first_endpoint,
         StandInEndpoint(http_response(200, b"b")) as second_endpoint,
-        StandInServer(handle) as discovery,
+        discovery,
         running_proxy(
             discovery_port=discovery.port, settings=balancer_settings(must_subscribe=True)
         ) as proxy,
     ):
-        while not proxy.driver.is_ready:
-            await asyncio.sleep(0)
-        got = {(await proxy.send_request(http_request(request_id=f"x{number}")))[2] for number in range(40)}
-        assert got == {b"a", b"b"}
-        told.set()
-        while len(proxy.driver.endpoint_list.endpoints.up_ids) == 2:
-            await asyncio.sleep(0)
-        got = {(await proxy.send_request(http_request(request_id=f"y{number}")))[2] for number in range(40)}
-        assert got == {b"b"}
+        discovery.present_list = endpoint_list(
+            endpoint_entry("a", first_endpoint.port), endpoint_entry("b", second_endpoint.port), rev=1
+        )
+        await wait_until(lambda: proxy.driver.is_ready)
+        assert await bodies_of(proxy, "x") == {b"a", b"b"}
+        drain = endpoint_entry("a", first_endpoint.port, "terminating")
+        discovery.send_changes(endpoint_list(drain, rev=2, full=False))
+        await wait_until(lambda: len(proxy.driver.endpoint_list.endpoints.up_ids) == 1)
+        assert await bodies_of(proxy, "y") == {b"b"}
 
 
 async def test_broken_watch_is_reopened_and_the_old_list_stays_in_use() -> None:
@@ -89,38 +75,41 @@
         assert asked == ["GET /v1/endpoints?follow=1&since=1 HTTP/1.1"] * 2
 
 
-async def test_draining_endpoint_finishes_the_requests_in_flight() -> None:
-    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+class HeldRequest:
+    """An endpoint that takes one request, answers it when it may, and waits for the connection's end."""
+
+    def __init__(self) -> None:
+        self.received, self.may_respond, self.closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
+
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_http_message(reader)
-        begun.set()
-        await drained.wait()
+        self.received.set()
+        await self.may_respond.wait()
         writer.write(http_response(200, b"done"))
         assert await reader.read() == b""  # and the connection is not kept
-        closed.set()
+        self.closed.set()
 
-    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await ask(reader)
-        await begun.wait()
-        news = endpoint_list(endpoint_entry("a", endpoint.port, "terminating"), rev=2, full=False)
-        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(news))
-        await reader.read()
 
-    begun, drained, closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
+async def test_draining_endpoint_finishes_the_requests_in_flight() -> None:
+    held, discovery = HeldRequest(), HeldListServer(is_held=True)
     async with (
-        StandInServer(serve) as endpoint,
-        StandInServer(handle) as discovery,
+        StandInServer(held.handle) as endpoint,
+        discovery,
         running_proxy(
             endpoint_entry("a", endpoint.port),
             discovery_port=discovery.port,
             settings=balancer_settings(must_subscribe=True),
         ) as proxy,
     ):
+        drain = endpoint_entry("a", endpoint.port, "terminating")
+        discovery.present_list = endpoint_list(drain, rev=2, full=False)
         asking = asyncio.ensure_future(proxy.send_request(http_request()))
-        while proxy.driver.is_ready:
-            await asyncio.sleep(0)
-        drained.set()
+        await held.received.wait()
+        discovery.may_respond.set()
+        await wait_until(lambda: not proxy.driver.is_ready)
+        held.may_respond.set()
         assert (await asking)[2] == b"done"
-        await closed.wait()
+        await held.closed.wait()
 
 
 @pytest.mark.parametrize("state", ["terminating", "terminated", "absent", "moved"])
