--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import json
+from collections.abc import Callable
 
 import pytest
 
@@ -25,29 +26,46 @@
 
 
 class Watched:
-    """A watch, and what came of it."""
+    """A watch, and the lists that it delivered; None stands for a break.
+
+    Attributes:
+        on_list: Gets each list; it may be replaced by another function.
+    """
 
     def __init__(self, on: StandInServer, silence_s: float = 60.0) -> None:
         self.news: asyncio.Queue[EndpointListMessage | None] = asyncio.Queue()
-        self.crossed = False
+        self.on_list: Callable[[EndpointListMessage], None] = self.news.put_nowait
         self.watch = EndpointWatch(
-            ("127.0.0.1", on.port), self.news.put_nowait, lambda: self.news.put_nowait(None), 60.0, silence_s
+            ("127.0.0.1", on.port),
+            lambda message: self.on_list(message),
+            lambda: self.news.put_nowait(None),
+            60.0,
+            silence_s,
         )
         self.watch.start()
 
+    async def next_list(self) -> EndpointListMessage:
+        """Return the next list, which must come before a break."""
+        message = await self.news.get()
+        assert message is not None
+        return message
+
+
+async def send_list_and_changes(writer: asyncio.StreamWriter) -> None:
+    """Send version 41 in two pieces, and behind it a heartbeat, the changes of version 43 and the end."""
+    full = endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=41))
+    writer.write(WATCH_RESPONSE_HEAD + full[:20])
+    await writer.drain()
+    changed = endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9, "terminating"), rev=43, full=False))
+    writer.write(full[20:] + http_chunk("\n") + changed + b"0\r\n\r\n")
+
 
 async def test_lists_are_delivered_in_order_and_the_next_watch_resumes_from_the_last_version() -> None:
     asked: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         asked.append(await read_start_line(reader))
-        full = endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=41))
-        writer.write(WATCH_RESPONSE_HEAD + full[:20])
-        await writer.drain()
-        changed = endpoint_list_chunk(
-            endpoint_list(endpoint_entry("s-1", 9, "terminating"), rev=43, full=False)
-        )
-        writer.write(full[20:] + http_chunk("\n") + changed + b"0\r\n\r\n")
+        await send_list_and_changes(writer)
 
     async with StandInServer(handle) as discovery:
         watched = Watched(discovery)
@@ -55,11 +73,8 @@
         assert first
         assert second
         assert end is None
-        assert (first.version, first.is_complete, first.endpoints[0].status) == (
-            41,
-            True,
-            messages.EndpointStatus.UP,
-        )
+        assert (first.version, first.is_complete) == (41, True)
+        assert first.endpoints[0].status is messages.EndpointStatus.UP
         assert (second.version, second.is_complete) == (43, False)
         assert second.endpoints[0].status is messages.EndpointStatus.DRAINING
         watched.watch.start()
@@ -97,6 +112,11 @@
         assert "watch on discovery broke" in caplog.text
 
 
+def indented_text(lists: list[dict[str, object]], indents: tuple[int | None, ...]) -> str:
+    texts = [json.dumps(message, indent=indent) for message, indent in zip(lists, indents, strict=True)]
+    return "\n".join("\n" + text for text in texts) + "\n"
+
+
 @pytest.mark.parametrize("cut", [1, 7, 65536])
 async def test_lists_are_parsed_however_indented_and_split(cut: int) -> None:
     """Only braces outside of strings tell where a list ends; a line's end within one tells nothing."""
@@ -106,10 +126,7 @@
         endpoint_list(endpoint_entry("s-1", 9, "terminating"), rev=42, full=False),
         endpoint_list(rev=43, full=False),
     ]
-    text = (
-        "\n".join("\n" + json.dumps(news, indent=by) for news, by in zip(lists, (2, None, 1), strict=True))
-        + "\n"
-    )
+    text = indented_text(lists, (2, None, 1))
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_start_line(reader)
@@ -121,11 +138,9 @@
     async with StandInServer(handle) as discovery:
         watched = Watched(discovery)
         # Changes that come in one read are one list, and chance says which ones do.
-        got: list[EndpointListMessage] = []
-        while not got or got[-1].version < 43:
-            news = await watched.news.get()
-            assert news is not None
-            got.append(news)
+        got = [await watched.next_list()]
+        while got[-1].version < 43:
+            got.append(await watched.next_list())
         whole, changes = join_changes(got)
         assert (whole.version, whole.is_complete, len(whole.endpoints)) == (41, True, 2)
         assert changes == join_changes(map(read_list, lists))[1]
@@ -203,10 +218,10 @@
 
     async with StandInServer(handle) as discovery:
         watched = Watched(discovery)
-        watched.watch._on_list = fail
+        watched.on_list = fail
         assert await watched.news.get() is None
         assert watched.watch.version is None
-        watched.watch._on_list = watched.news.put_nowait
+        watched.on_list = watched.news.put_nowait
         watched.watch.start()
         again = await watched.news.get()
         assert again
@@ -298,13 +313,41 @@
         assert discovery.connection_count == 1
 
 
+@pytest.fixture
+def on_next_bytes(monkeypatch: pytest.MonkeyPatch) -> Callable[[Callable[[], None]], asyncio.Event]:
+    """Return what has a function called once, just after a reader is fed bytes or the end of its stream.
+
+    The event that it returns is set then.
+    """
+
+    def install(function: Callable[[], None]) -> asyncio.Event:
+        crossed = asyncio.Event()
+
+        def cross(name: str) -> None:
+            feed = getattr(asyncio.StreamReader, name)
+
+            def feed_and_cross(reader: asyncio.StreamReader, *data: bytes) -> None:
+                feed(reader, *data)
+                if not crossed.is_set():
+                    crossed.set()
+                    function()
+
+            monkeypatch.setattr(asyncio.StreamReader, name, feed_and_cross)
+
+        cross("feed_data")
+        cross("feed_eof")
+        return crossed
+
+    return install
+
+
 @pytest.mark.parametrize(
     "said",
     [endpoint_list_chunk(endpoint_list(endpoint_entry("s-2", 9), rev=2)), http_chunk("nonsense\n"), b""],
 )
 @pytest.mark.parametrize("then", ["move", "close"])
 async def test_watch_that_breaks_while_moved_or_closed_ends_once(
-    said: bytes, then: str, monkeypatch: pytest.MonkeyPatch
+    said: bytes, then: str, on_next_bytes: Callable[[Callable[[], None]], asyncio.Event]
 ) -> None:
     """The old one's last bytes, or its end, have woken its task, which has not run yet."""
 
@@ -318,35 +361,17 @@
 
     go_on = asyncio.Event()
     async with StandInServer(old) as discovery, StandInServer(silent_watches()) as new_discovery:
-        watched = Watched(discovery)
-        first = await watched.news.get()
-        assert first
-        assert first.version == 1
-
-        def cross(name: str) -> None:
-            step = getattr(asyncio.StreamReader, name)
-
-            def crossed(reader: asyncio.StreamReader, *data: bytes) -> None:
-                step(reader, *data)
-                if go_on.is_set() and not watched.crossed:
-                    watched.crossed = True
-                    watched.watch.close() if then == "close" else watched.watch.move(
-                        ("127.0.0.1", new_discovery.port)
-                    )
-
-            monkeypatch.setattr(asyncio.StreamReader, name, crossed)
-
-        cross("feed_data")
-        cross("feed_eof")
+        watched, address = Watched(discovery), ("127.0.0.1", new_discovery.port)
+        assert (await watched.next_list()).version == 1
+        crossed = on_next_bytes(
+            watched.watch.close if then == "close" else lambda: watched.watch.move(address)
+        )
         go_on.set()
-        await wait_until(lambda: watched.crossed)
+        await crossed.wait()
         if then == "move":
-            second = await watched.news.get()
-            assert second
-            assert (second.version, new_discovery.connection_count) == (1, 1)
+            assert ((await watched.next_list()).version, new_discovery.connection_count) == (1, 1)
             assert watched.watch.is_running
-        for _ in range(20):
-            await asyncio.sleep(0)
+        await run_loop_turns(20)
         assert watched.news.empty()
         assert discovery.connection_count == 1
         watched.watch.close()
