--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -14,13 +14,13 @@
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.net.discovery.endpoint_watch import BREAK_LOG_WINDOW_S
 from tests.net.discovery.list_server import HeldListServer
-from tests.process.process_requests import response_body, wait_for_log_line
+from tests.process.process_helpers import wait_for_log_line
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
     endpoint_list,
 )
-from tests.support.http_messages import http_chunk, http_response
+from tests.support.http_messages import http_chunk, http_request, http_response, send_request_to
 from tests.support.loopback_proxy import LoopbackProxy
 from tests.support.proxy_process import (
     LIMITS,
@@ -233,5 +233,5 @@
                 await discovery.requested.wait()
                 await wait_for_held_list(mode, process, port, discovery)
                 for number in range(10):
-                    assert await response_body(port, f"r{number}") == b"b"
+                    assert (await send_request_to(port, http_request(request_id=f"r{number}"))).body == b"b"
         assert drained.received == []
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -5,7 +5,6 @@
 import asyncio
 import json
 import logging
-import os
 import signal
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -20,12 +19,12 @@
 from load_balancer.process.reload import Reloader
 from tests.net.discovery.list_server import HeldListServer
 from tests.net.discovery.versioned_discovery import ASKED, BOTH, Play, Versions, pass_until, play
-from tests.process.process_requests import response_body
+from tests.process.process_helpers import descriptor_count
 from tests.support.endpoint_lists import (
     endpoint_entry,
     endpoint_list,
 )
-from tests.support.http_messages import http_response
+from tests.support.http_messages import http_request, http_response, send_request_to
 from tests.support.loopback_proxy import LoopbackProxy
 from tests.support.proxy_process import proxy_config, read_listening_port, running_proxy_process, write_config
 from tests.support.stand_in_discovery import running_watch_count
@@ -184,10 +183,6 @@
         assert not any(made.a.uid in record.getMessage() for record in caplog.records)
 
 
-def descriptor_count(process: asyncio.subprocess.Process) -> int:
-    return len(os.listdir(f"/proc/{process.pid}/fd"))
-
-
 def replace_config(folder: Path, content: dict[str, Any]) -> None:
     """Replace the configuration file in one step."""
     part = folder / "part.json"
@@ -211,7 +206,7 @@
                 replace_config(tmp_path, {**content, "discovery": f"127.0.0.1:{discovery.port}"})
                 process.send_signal(signal.SIGHUP)
                 await discovery.requested.wait()
-            while await response_body(port) != b"b":
+            while (await send_request_to(port, http_request())).body != b"b":
                 pass
             assert (silent.connection_count, other.connection_count, last.connection_count) == (2, 1, 1)
             while descriptor_count(process) > descriptors_before + 1:  # one to the endpoint
--- /dev/null
+++ b/tests/process/process_helpers.py
@@ -0,0 +1,45 @@
+"""What tests of a proxy that runs as a process of its own share."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+
+from tests.support.http_messages import http_response, read_http_message
+from tests.support.stand_in_server import StandInServer
+
+
+class SlowEndpoint(StandInServer):
+    """Answers each request, but the one with the id "slow" only once `may_respond` is set.
+
+    Attributes:
+        slow_received: Set once the slow request has been received.
+        may_respond: Until it is set, the slow request has no response.
+    """
+
+    def __init__(self, body: bytes | None = None) -> None:
+        """Prepare an endpoint whose responses have this body, or where there is none the request's id."""
+        super().__init__(self._respond)
+        self.slow_received = asyncio.Event()
+        self.may_respond = asyncio.Event()
+        self._body = body
+
+    async def _respond(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while True:
+            request_id = (await read_http_message(reader)).headers["req-id"]
+            if request_id == "slow":
+                self.slow_received.set()
+                await self.may_respond.wait()
+            writer.write(http_response(200, request_id.encode() if self._body is None else self._body))
+
+
+async def wait_for_log_line(process: asyncio.subprocess.Process, text: str) -> None:
+    """Wait until the process logs a line with this text."""
+    assert process.stderr is not None
+    while text not in (line := (await process.stderr.readline()).decode()):
+        assert line, "it ended"
+
+
+def descriptor_count(process: asyncio.subprocess.Process) -> int:
+    """Return how many descriptors the process has open."""
+    return len(os.listdir(f"/proc/{process.pid}/fd"))
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import os
 import resource
 import socket
 from pathlib import Path
@@ -11,11 +10,11 @@
 import pytest
 
 from load_balancer.process.descriptor_limits import raise_descriptor_limit
+from tests.net.discovery.list_server import HeldListServer
+from tests.process.process_helpers import descriptor_count
 from tests.support.endpoint_lists import (
-    WATCH_RESPONSE_HEAD,
     endpoint_entry,
     endpoint_list,
-    endpoint_list_chunk,
 )
 from tests.support.http_messages import http_request, http_response, send_request_to
 from tests.support.proxy_process import (
@@ -26,7 +25,7 @@
     running_proxy_process,
     write_config,
 )
-from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stand_in_server import StandInEndpoint
 
 GIVEN = 96
 CROWD = 200
@@ -80,56 +79,53 @@
     return held
 
 
+def connect_crowd(port: int, sent: bytes) -> list[socket.socket]:
+    """Connect idle clients, each of which sends these bytes and stays."""
+    crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(CROWD)]
+    for client in crowd:
+        client.sendall(sent)
+    return crowd
+
+
+async def request_until_served_by(port: int, request_id: str, body: bytes) -> None:
+    """Repeat a request until an endpoint with this response answers; a crowd that comes may keep it out."""
+    while (await send_request_to(port, http_request(request_id=request_id))).body != body:
+        pass
+
+
 @pytest.mark.parametrize("sent", [b"", b"GET /api HTTP/1.1\r\nHost: x\r\n", http_request(path="/ready")])
 async def test_idle_clients_leave_descriptors_for_endpoints_and_discovery(
     sent: bytes, tmp_path: Path
 ) -> None:
-    """A real process under a low limit, whose crowd stays: it serves, and hears of a new backend."""
-
-    asked = asyncio.Event()
-
-    async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        writer.write(
-            WATCH_RESPONSE_HEAD
-            + endpoint_list_chunk(endpoint_list(endpoint_entry("b", second_endpoint.port), rev=2))
-        )
-        asked.set()
-        await reader.read()
-
+    """A real process under a low limit, whose crowd stays: it serves, and hears of a new endpoint."""
+    discovery = HeldListServer()
     async with (
-        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
-        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
+        StandInEndpoint(http_response(200, b"a")) as known,
+        StandInEndpoint(http_response(200, b"b")) as new,
     ):
+        discovery.present_list = endpoint_list(endpoint_entry("b", new.port), rev=2)
         down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
         down.bind(("127.0.0.1", 0))
-        told = proxy_config(
+        content = proxy_config(
             discovery=f"127.0.0.1:{down.getsockname()[1]}",
-            known=endpoint_list(endpoint_entry("a", first_endpoint.port)),
+            known=endpoint_list(endpoint_entry("a", known.port)),
             settings=raw_settings(limits=LIMITS, registryMode="automatic"),
         )
-        assert told["limits"]["sockets"] > GIVEN
-        async with running_proxy_process(write_config(tmp_path, told), GIVEN) as made:
-            port = await read_listening_port(made)
-            assert made.stderr is not None
-            reading = asyncio.create_task(made.stderr.read())
-            crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(CROWD)]
-            for one in crowd:
-                one.sendall(sent)
-            # Refused while all of the crowd are just bringing what they send.
-            while (await send_request_to(port, http_request(request_id="r0"))).body != b"a":
-                pass
-            back = StandInServer(watch)
-            await back.start(down)
-            await asked.wait()
-            while (await send_request_to(port, http_request(request_id="r1"))).body != b"b":
-                pass
-            assert len(os.listdir(f"/proc/{made.pid}/fd")) < GIVEN
-            made.terminate()
-            for one in crowd:
-                one.close()
-            assert await made.wait() == 0
-            back.stop()
-            said = (await reading).decode()
-            assert "descriptor for" not in said
-            assert "Traceback" not in said
+        assert content["limits"]["sockets"] > GIVEN
+        async with running_proxy_process(write_config(tmp_path, content), GIVEN) as process:
+            port = await read_listening_port(process)
+            assert process.stderr is not None
+            log = asyncio.create_task(process.stderr.read())
+            crowd = connect_crowd(port, sent)
+            await request_until_served_by(port, "r0", b"a")
+            await discovery.start(down)
+            await discovery.requested.wait()
+            await request_until_served_by(port, "r1", b"b")
+            assert descriptor_count(process) < GIVEN
+            process.terminate()
+            for client in crowd:
+                client.close()
+            assert await process.wait() == 0
+            discovery.stop()
+            assert "descriptor for" not in (await log).decode()
+            assert "Traceback" not in log.result().decode()
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -7,16 +7,23 @@
 import signal
 import sys
 from pathlib import Path
+from typing import Any
 
 import pytest
 
+from tests.net.discovery.list_server import HeldListServer
+from tests.process.process_helpers import SlowEndpoint, wait_for_log_line
 from tests.support.endpoint_lists import (
-    WATCH_RESPONSE_HEAD,
     endpoint_entry,
     endpoint_list,
-    endpoint_list_chunk,
 )
-from tests.support.http_messages import http_request, http_response, read_http_message
+from tests.support.http_messages import (
+    http_request,
+    http_response,
+    read_http_message,
+    response_status,
+    send_request_to,
+)
 from tests.support.proxy_process import (
     LIMITS,
     ROOT,
@@ -27,7 +34,7 @@
     unused_port,
     write_config,
 )
-from tests.support.stand_in_server import StandInEndpoint, StandInServer, StreamHandler
+from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 
 async def test_invalid_configuration_exits_with_one_line_and_code_2(tmp_path: Path) -> None:
@@ -38,81 +45,50 @@
         assert err.count(b"\n") == 1
 
 
-def answers_by_name(begun: asyncio.Event, go_on: asyncio.Event) -> StreamHandler:
-    """A backend that answers with each request's id, to the one named "slow" only when it may go on."""
-
-    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while True:
-            _, headers, _ = await read_http_message(reader)
-            if headers["req-id"] == "slow":
-                begun.set()
-                await go_on.wait()
-            writer.write(http_response(200, headers["req-id"].encode()))
-
-    return serve
-
-
 async def test_sigterm_answers_every_request_before_exit(tmp_path: Path) -> None:
     """What is out is answered, new connections and open ones are served for a while, then it ends."""
-
-    begun, go_on = asyncio.Event(), asyncio.Event()
-
-    async with StandInServer(answers_by_name(begun, go_on)) as endpoint:
+    async with SlowEndpoint() as endpoint:
         known = endpoint_list(endpoint_entry("a", endpoint.port))
-        async with running_proxy_process(write_config(tmp_path, proxy_config(known=known))) as made:
-            port = await read_listening_port(made)
+        async with running_proxy_process(write_config(tmp_path, proxy_config(known=known))) as process:
+            port = await read_listening_port(process)
             kept_reader, kept = await asyncio.open_connection("127.0.0.1", port)
             slow_reader, slow_writer = await asyncio.open_connection("127.0.0.1", port)
             slow_writer.write(http_request(request_id="slow"))
-            await begun.wait()
-            made.send_signal(signal.SIGTERM)
+            await endpoint.slow_received.wait()
+            process.send_signal(signal.SIGTERM)
             kept.write(http_request(request_id="kept"))
-            assert (await read_http_message(kept_reader))[2] == b"kept"
+            assert (await read_http_message(kept_reader)).body == b"kept"
             new_reader, new = await asyncio.open_connection("127.0.0.1", port)
             new.write(http_request(request_id="new"))
-            assert (await read_http_message(new_reader))[2] == b"new"
+            assert (await read_http_message(new_reader)).body == b"new"
             new.write(http_request(path="/ready"))
-            assert (await read_http_message(new_reader))[0].split()[1] == "503"
-            go_on.set()
-            assert (await read_http_message(slow_reader))[2] == b"slow"
+            assert response_status(await read_http_message(new_reader)) == 503
+            endpoint.may_respond.set()
+            assert (await read_http_message(slow_reader)).body == b"slow"
             await asyncio.sleep(1.0)  # longer than new connections go on coming
             kept.write(http_request(request_id="late"))
-            assert (await read_http_message(kept_reader))[2] == b"late"
+            assert (await read_http_message(kept_reader)).body == b"late"
             for left in (kept_reader, slow_reader, new_reader):
                 assert await left.read() == b""  # each closes in time for the end
-            assert await made.wait() == 0
+            assert await process.wait() == 0
 
 
 async def test_signals_during_shutdown_only_move_discovery(tmp_path: Path) -> None:
     """A second SIGTERM, and a new configuration while what is out is still answered."""
-
-    begun, go_on, moved = asyncio.Event(), asyncio.Event(), asyncio.Event()
-
-    async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_http_message(reader)
-        begun.set()
-        await go_on.wait()
-        writer.write(http_response(200, b"slow"))
-
-    async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        moved.set()
-        await reader.read()
-
-    async with StandInServer(slow) as endpoint, StandInServer(watch) as discovery:
-        told = proxy_config(known=endpoint_list(endpoint_entry("a", endpoint.port)))
-        async with running_proxy_process(write_config(tmp_path, told)) as made:
-            reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(made))
-            writer.write(http_request())
-            await begun.wait()
-            made.send_signal(signal.SIGTERM)
-            write_config(tmp_path, {**told, "discovery": f"127.0.0.1:{discovery.port}"})
-            made.send_signal(signal.SIGHUP)
-            await moved.wait()
-            made.send_signal(signal.SIGTERM)
-            go_on.set()
-            assert (await read_http_message(reader))[2] == b"slow"
-            assert await made.wait() == 0
+    async with SlowEndpoint() as endpoint, HeldListServer(is_held=True) as discovery:
+        content = proxy_config(known=endpoint_list(endpoint_entry("a", endpoint.port)))
+        async with running_proxy_process(write_config(tmp_path, content)) as process:
+            reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(process))
+            writer.write(http_request(request_id="slow"))
+            await endpoint.slow_received.wait()
+            process.send_signal(signal.SIGTERM)
+            write_config(tmp_path, {**content, "discovery": f"127.0.0.1:{discovery.port}"})
+            process.send_signal(signal.SIGHUP)
+            await discovery.requested.wait()
+            process.send_signal(signal.SIGTERM)
+            endpoint.may_respond.set()
+            assert (await read_http_message(reader)).body == b"slow"
+            assert await process.wait() == 0
 
 
 AT_ITS_END = """
@@ -197,151 +173,111 @@
             assert any("the system gives 64 " in line for line in lines) == (given < told)
 
 
+def pushed_config(port: int, discovery_port: int, known: dict[str, object]) -> dict[str, Any]:
+    return proxy_config(
+        listen=f"127.0.0.1:{port}",
+        discovery=f"127.0.0.1:{discovery_port}",
+        known=known,
+        settings=raw_settings(limits=LIMITS, registryMode="automatic"),
+    )
+
+
 @pytest.mark.parametrize("then", ["list", "silence", "SIGTERM"])
 async def test_pushed_list_is_awaited_before_listening(tmp_path: Path, then: str) -> None:
     """What its agent has counts as told from the first moment on, and what was known before may be old.
 
     Where discovery is silent, what is known has to do, and an end that comes meanwhile is one.
     """
-
-    asked, go_on = asyncio.Event(), asyncio.Event()
-
-    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        asked.set()
-        await go_on.wait()
-        now = endpoint_list(
-            endpoint_entry("a", first_endpoint.port, "terminating"),
-            endpoint_entry("b", second_endpoint.port),
-            rev=2,
-        )
-        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(now))
-        await reader.read()
-
     async with (
-        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
-        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
-        StandInServer(hold) as discovery,
+        StandInEndpoint(http_response(200, b"a")) as old,
+        StandInEndpoint(http_response(200, b"b")) as new,
+        HeldListServer(is_held=True) as discovery,
     ):
-        port = unused_port()
-        told = proxy_config(
-            listen=f"127.0.0.1:{port}",
-            discovery=f"127.0.0.1:{discovery.port}",
-            known=endpoint_list(endpoint_entry("a", first_endpoint.port), rev=1),
-            settings=raw_settings(limits=LIMITS, registryMode="automatic"),
-        )
-        async with running_proxy_process(write_config(tmp_path, told)) as made:
-            await asked.wait()
+        drain = endpoint_entry("a", old.port, "terminating")
+        discovery.present_list = endpoint_list(drain, endpoint_entry("b", new.port), rev=2)
+        port, known = unused_port(), endpoint_list(endpoint_entry("a", old.port), rev=1)
+        env = write_config(tmp_path, pushed_config(port, discovery.port, known))
+        async with running_proxy_process(env) as process:
+            await discovery.requested.wait()
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection("127.0.0.1", port)
             if then == "SIGTERM":
-                made.send_signal(signal.SIGTERM)
-                assert await made.wait() == 0
+                process.send_signal(signal.SIGTERM)
+                assert await process.wait() == 0
                 return
             if then == "list":
-                go_on.set()
-            assert await read_listening_port(made) == port
-            reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(http_request())
-            assert (await read_http_message(reader))[2] == (b"b" if then == "list" else b"a")
-            go_on.set()
+                discovery.may_respond.set()
+            assert await read_listening_port(process) == port
+            response = await send_request_to(port, http_request())
+            assert response.body == (b"b" if then == "list" else b"a")
+            discovery.may_respond.set()
 
 
 @pytest.mark.parametrize("known", [True, False])
 async def test_polled_list_is_awaited_only_without_a_cached_list(tmp_path: Path, known: bool) -> None:
     """Nothing counts as told there before it has come, and the call may wait for its turn."""
-
-    asked, go_on = asyncio.Event(), asyncio.Event()
-
-    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        asked.set()
-        await go_on.wait()
-        writer.write(
-            WATCH_RESPONSE_HEAD
-            + endpoint_list_chunk(endpoint_list(endpoint_entry("a", endpoint.port), rev=2))
-        )
-        await reader.read()
-
-    async with StandInEndpoint(http_response(200, b"a")) as endpoint, StandInServer(hold) as discovery:
-        told = proxy_config(discovery=f"127.0.0.1:{discovery.port}")
+    async with (
+        StandInEndpoint(http_response(200, b"a")) as endpoint,
+        HeldListServer(is_held=True) as discovery,
+    ):
+        discovery.present_list = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
+        content = proxy_config(discovery=f"127.0.0.1:{discovery.port}")
         if known:
-            told["known"] = endpoint_list(endpoint_entry("a", endpoint.port), rev=1)
-        async with running_proxy_process(write_config(tmp_path, told)) as made:
-            await asked.wait()
+            content["known"] = endpoint_list(endpoint_entry("a", endpoint.port), rev=1)
+        async with running_proxy_process(write_config(tmp_path, content)) as process:
+            await discovery.requested.wait()
             if not known:
-                go_on.set()
-            said: list[str] = []
-            reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(made, said))
-            assert not any("watch on discovery broke" in line for line in said)
-            writer.write(http_request())
-            assert (await read_http_message(reader))[2] == b"a"
+                discovery.may_respond.set()
+            lines: list[str] = []
+            port = await read_listening_port(process, lines)
+            assert not any("watch on discovery broke" in line for line in lines)
+            assert (await send_request_to(port, http_request())).body == b"a"
 
 
-async def test_sighup_moves_the_watch_and_keeps_open_requests(tmp_path: Path) -> None:
-    """A bad file changes nothing; a good one's discovery is followed though its versions are lower."""
+async def reload_invalid_file(process: asyncio.subprocess.Process, folder: Path) -> None:
+    """Have the process reject a configuration file that is not JSON."""
+    (folder / "config.json").write_text("{")
+    process.send_signal(signal.SIGHUP)
+    await wait_for_log_line(process, "the old one stays")
 
-    begun, go_on = asyncio.Event(), asyncio.Event()
-    asked: list[str] = []
-    second: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
 
-    async def old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        writer.write(
-            WATCH_RESPONSE_HEAD
-            + endpoint_list_chunk(endpoint_list(endpoint_entry("a", first_endpoint.port), rev=100))
-        )
-        await reader.read()
+async def reload_moved_discovery(
+    process: asyncio.subprocess.Process, folder: Path, content: dict[str, Any], discovery_port: int
+) -> None:
+    """Have the process take up another discovery, and a name that it can't take up while it runs."""
+    write_config(folder, {**content, "discovery": f"127.0.0.1:{discovery_port}", "name": "other"})
+    process.send_signal(signal.SIGHUP)
+    await wait_for_log_line(process, "name needs a restart")
 
-    async def new(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1])
-        writer.write(
-            WATCH_RESPONSE_HEAD
-            + endpoint_list_chunk(endpoint_list(endpoint_entry("a", first_endpoint.port), rev=3))
-        )
-        second.put_nowait(writer)
-        await reader.read()
 
-    slow = answers_by_name(begun, go_on)
+async def test_sighup_moves_the_watch_and_keeps_open_requests(tmp_path: Path) -> None:
+    """A bad file changes nothing; a good one's discovery is followed though its versions are lower."""
+    old_discovery, new_discovery = HeldListServer(), HeldListServer()
     async with (
-        StandInServer(slow) as first_endpoint,
-        StandInEndpoint(http_response(200, b"from b")) as second_endpoint,
-        StandInServer(old) as discovery,
-        StandInServer(new) as new_discovery,
+        SlowEndpoint() as slow,
+        StandInEndpoint(http_response(200, b"from b")) as other,
+        old_discovery,
+        new_discovery,
     ):
-        file = proxy_config(
-            discovery=f"127.0.0.1:{discovery.port}",
-            known=endpoint_list(endpoint_entry("a", first_endpoint.port), rev=90),
-        )
-        env = {**write_config(tmp_path, file), "NODE_DISCOVERY": f"127.0.0.1:{discovery.port}"}
-        async with running_proxy_process(env) as made:
-            assert made.stderr is not None
-            port = await read_listening_port(made)
-            reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(http_request(request_id="slow"))
-            await begun.wait()
-            (tmp_path / "config.json").write_text("{")
-            made.send_signal(signal.SIGHUP)
-            while b"the old one stays" not in (line := await made.stderr.readline()):
-                assert line, "it ended"
-            write_config(tmp_path, {**file, "discovery": f"127.0.0.1:{new_discovery.port}", "name": "other"})
-            made.send_signal(signal.SIGHUP)
-            while b"name needs a restart" not in (line := await made.stderr.readline()):
-                assert line, "it ended"
-            watch = await second.get()
-            assert asked == ["/v1/endpoints?follow=1"]  # the versions there need not go on from here
-            change = endpoint_list(
-                endpoint_entry("a", first_endpoint.port, "terminated"),
-                endpoint_entry("b", second_endpoint.port),
-                rev=4,
-                full=False,
-            )
-            watch.write(endpoint_list_chunk(change))
-            while b"is b," not in (line := await made.stderr.readline()):
-                assert line, "it ended"
-            other_reader, other = await asyncio.open_connection("127.0.0.1", port)
-            other.write(http_request(request_id="r2"))
-            assert (await read_http_message(other_reader))[2] == b"from b"
-            go_on.set()
-            assert (await read_http_message(reader))[2] == b"slow"
-            assert first_endpoint.connection_count == 1
+        slow_entry, other_entry = endpoint_entry("a", slow.port), endpoint_entry("b", other.port)
+        old_discovery.present_list = endpoint_list(slow_entry, rev=100)
+        new_discovery.present_list = endpoint_list(slow_entry, rev=3)
+        address, known = f"127.0.0.1:{old_discovery.port}", endpoint_list(slow_entry, rev=90)
+        content = proxy_config(discovery=address, known=known)
+        env = {**write_config(tmp_path, content), "NODE_DISCOVERY": address}
+        async with running_proxy_process(env) as process:
+            port = await read_listening_port(process)
+            slow_response = asyncio.ensure_future(send_request_to(port, http_request(request_id="slow")))
+            await slow.slow_received.wait()
+            await reload_invalid_file(process, tmp_path)
+            await reload_moved_discovery(process, tmp_path, content, new_discovery.port)
+            await new_discovery.list_sent.wait()
+            # The versions there need not go on from those of the old discovery.
+            assert new_discovery.request_lines == ["GET /v1/endpoints?follow=1 HTTP/1.1"]
+            gone = endpoint_entry("a", slow.port, "terminated")
+            new_discovery.send_changes(endpoint_list(gone, other_entry, rev=4, full=False))
+            await wait_for_log_line(process, "is b,")
+            assert (await send_request_to(port, http_request(request_id="r2"))).body == b"from b"
+            slow.may_respond.set()
+            assert (await slow_response).body == b"slow"
+            assert slow.connection_count == 1
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -15,6 +15,8 @@
 import pytest
 
 from load_balancer.process.config import ConfigSource
+from tests.net.discovery.list_server import HeldListServer
+from tests.process.process_helpers import SlowEndpoint
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -31,7 +33,7 @@
     unused_port,
     write_config,
 )
-from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock
 
 READY_S = 10.0  # by the terms, for nine in ten
@@ -265,71 +267,79 @@
 
 
 async def until_at(
-    stage: str, made: asyncio.subprocess.Process, port: int, asked: asyncio.Event, begun: asyncio.Event
+    stage: str,
+    process: asyncio.subprocess.Process,
+    port: int,
+    endpoint: SlowEndpoint,
+    discovery: HeldListServer,
 ) -> StreamPair | None:
-    """Waits for a stage of the start; where it serves, returns the connection of the call, which is held."""
+    """Wait for a stage of the start; where it serves, return the connection of the request that is held."""
     if stage not in ("just begun", "reading its configuration"):
-        await asked.wait()
+        await discovery.requested.wait()
     if stage in ("ready", "serving"):
-        await until_ready(made, port)
+        await until_ready(process, port)
     if stage != "serving":
         return None
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(http_request(request_id="slow"))
-    await begun.wait()
+    await endpoint.slow_received.wait()
     return reader, writer
 
 
+async def end_at(
+    stage: str,
+    number: signal.Signals,
+    process: asyncio.subprocess.Process,
+    port: int,
+    endpoint: SlowEndpoint,
+    discovery: HeldListServer,
+) -> tuple[int, StreamPair | None]:
+    """End the process at this stage; return its code, and the connection of a request that was held."""
+    held = await until_at(stage, process, port, endpoint, discovery)
+    process.send_signal(number)
+    if number is signal.SIGTERM and stage == "serving":
+        endpoint.may_respond.set()
+    return await process.wait(), held
+
+
+@asynccontextmanager
+async def starting_process(
+    stage: str, folder: Path, env: dict[str, str]
+) -> AsyncIterator[asyncio.subprocess.Process]:
+    """Start a process, which waits in the read of its configuration where that is the stage to end it at."""
+    if stage != "reading its configuration":
+        async with running_proxy_process(env) as process:
+            yield process
+        return
+    pipe = folder / "pipe"
+    os.mkfifo(pipe)
+    async with running_proxy_process({"NODE_CONFIG": str(pipe)}) as process:
+        writing_end = await until_read(pipe)
+        await until_blocked(process.pid)
+        try:
+            yield process
+        finally:
+            os.close(writing_end)
+
+
 @pytest.mark.parametrize("stage", STAGES)
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM], ids=["SIGKILL", "SIGTERM"])
 async def test_process_ended_at_any_stage_of_its_start_can_restart(
     tmp_path: Path, stage: str, number: signal.Signals
 ) -> None:
     """SIGTERM ends it with no error; the next one binds and serves though clients hold connections."""
-
-    asked, begun, go_on = asyncio.Event(), asyncio.Event(), asyncio.Event()
-
-    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        asked.set()
-        if stage == "waiting for discovery":
-            await go_on.wait()
-        writer.write(
-            WATCH_RESPONSE_HEAD
-            + endpoint_list_chunk(endpoint_list(endpoint_entry("a", endpoint.port), rev=2))
-        )
-        await reader.read()
-
-    async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while True:
-            _, headers, _ = await read_http_message(reader)
-            if headers["req-id"] == "slow":
-                begun.set()
-                await go_on.wait()
-            writer.write(http_response(200, b"x"))
-
-    async with StandInServer(slow) as endpoint, StandInServer(hold) as discovery:
+    endpoint, discovery = SlowEndpoint(b"x"), HeldListServer(is_held=stage == "waiting for discovery")
+    async with endpoint, discovery:
+        discovery.present_list = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
         port = unused_port()
-        env = write_config(
-            tmp_path, {**told("automatic", discovery.port, None), "listen": f"127.0.0.1:{port}"}
-        )
-        pipe = tmp_path / "pipe"
-        os.mkfifo(pipe)
-        reading = stage == "reading its configuration"
-        async with running_proxy_process({"NODE_CONFIG": str(pipe)} if reading else env) as first:
-            end = await until_read(pipe) if reading else None
-            if reading:
-                await until_blocked(first.pid)
-            held = await until_at(stage, first, port, asked, begun)
-            first.send_signal(number)
-            if number is signal.SIGTERM and stage == "serving":
-                go_on.set()
-            code = await first.wait()
-            if end is not None:
-                os.close(end)
+        content = {**told("automatic", discovery.port, None), "listen": f"127.0.0.1:{port}"}
+        env = write_config(tmp_path, content)
+        async with starting_process(stage, tmp_path, env) as first:
+            code, held = await end_at(stage, number, first, port, endpoint, discovery)
             # Before its first line has run the system's own end is the only one.
             assert code in ((0, -number) if stage == "just begun" else (0,)) or number is signal.SIGKILL
-            go_on.set()
+            endpoint.may_respond.set()
+            discovery.may_respond.set()
             async with running_proxy_process(env) as second:
                 await until_ready(second, port)
                 assert await served_by(port) == b"x"
