--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -22,7 +22,6 @@
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInServer
 from tests.support.stepped_clock import wait_until
-from tests.support.time_limit import run_in_event_loop
 
 STATES = ("in_service", "in_service", "terminating", "terminated")
 
@@ -50,26 +49,20 @@
     return taken[:-1]
 
 
-def played(said: bytes) -> tuple[list[messages.EndpointListUpdate], set[int], int | None]:
+async def played(said: bytes) -> tuple[list[messages.EndpointListUpdate], set[int], int | None]:
     """The lists that reach the module, the backends that are known then, and the version to go on from."""
-    result: list[tuple[list[messages.EndpointListUpdate], set[int], int | None]] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(WATCH_RESPONSE_HEAD + said)
 
-    async def test() -> None:
-        async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
-            taken = await lists_until_the_end(proxy)
-            result.append(
-                (taken, set(proxy.driver.balancer.endpoints.states), proxy.driver.endpoint_list.watch.version)
-            )
-
-    run_in_event_loop(test)
-    return result[0]
+    async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
+        taken = await lists_until_the_end(proxy)
+        known = set(proxy.driver.balancer.endpoints.states)
+        return taken, known, proxy.driver.endpoint_list.watch.version
 
 
-def test_changes_of_one_read_reach_the_policy_as_one_event() -> None:
+async def test_changes_of_one_read_reach_the_policy_as_one_event() -> None:
     said = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), endpoint_entry("b", 9), rev=1))
     for number in range(50):
         said += endpoint_list_chunk(change(endpoint_entry(f"s-{number}", 9), rev=2 + number)) + http_chunk(
@@ -77,7 +70,7 @@
         )
     said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminating"), rev=52))
     said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminated"), rev=53))
-    taken, known, since = played(said + b"0\r\n\r\n")
+    taken, known, since = await played(said + b"0\r\n\r\n")
     assert [(news.kind, news.version) for news in taken] == [
         (messages.EndpointListKind.COMPLETE, 1),
         (messages.EndpointListKind.CHANGES, 53),
@@ -89,11 +82,11 @@
 @pytest.mark.parametrize(
     "spoilt", [http_chunk('{"rev":'), http_chunk('{"rev":4}\n'), b"zz\r\n", b"0\r\n\r\n"]
 )
-def test_lists_before_an_invalid_one_are_applied(spoilt: bytes) -> None:
+async def test_lists_before_an_invalid_one_are_applied(spoilt: bytes) -> None:
     good = endpoint_list_chunk(change(endpoint_entry("a", 9), rev=2)) + endpoint_list_chunk(
         change(endpoint_entry("b", 9), rev=3)
     )
-    taken, known, since = played(good + spoilt + b"0\r\n\r\n")
+    taken, known, since = await played(good + spoilt + b"0\r\n\r\n")
     assert [news.version for news in taken] == [3]
     assert known == names("a", "b")
     assert since == 3
