--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -81,3 +81,11 @@
     """A proxy with the usual settings before that endpoint, which its list calls `s-1`."""
     async with running_proxy(endpoint_entry("s-1", endpoint.port)) as running:
         yield running
+
+
+@pytest.fixture
+def at_most_one_problem_until_loop_closes() -> Iterator[None]:
+    """Fail the test where more than one warning or worse is logged, also while its event loop is closed."""
+    with recorded_problem_lines() as lines:
+        yield
+    assert len(lines) <= 1
--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -86,57 +86,53 @@
 
 
 @EACH_ACCEPT
-def test_an_accept_that_fails_is_logged_once_in_a_while_and_the_next_ones_are_served(
+@pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
+async def test_an_accept_that_fails_is_logged_once_in_a_while_and_the_next_ones_are_served(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def test() -> None:
-        async with (
-            StandInEndpoint(http_response(200, b"x")) as b,
-            running_proxy(endpoint_entry("b", b.port)) as p,
-        ):
-            rule = socket_failures.add("accept", accepted_on(p.port), error, times=5)
-            clients = [queue_request(p.port, f"r{n}") for n in range(8)]
-            lost = 5 if error in ERRNOS_OF_ONE_CONNECTION else 0
-            got = await asyncio.gather(*map(read_status_or_end, clients))
-            assert sorted(got) == [0] * lost + [200] * (8 - lost)
-            assert rule.hits == 5
-            assert len(b.received) == 8 - lost
-
-    run_in_event_loop(test)
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
+        rule = socket_failures.add("accept", accepted_on(p.port), error, times=5)
+        clients = [queue_request(p.port, f"r{n}") for n in range(8)]
+        lost = 5 if error in ERRNOS_OF_ONE_CONNECTION else 0
+        got = await asyncio.gather(*map(read_status_or_end, clients))
+        assert sorted(got) == [0] * lost + [200] * (8 - lost)
+        assert rule.hits == 5
+        assert len(b.received) == 8 - lost
     assert not traceback_lines(caplog)
     assert len([line for line in problem_lines(caplog) if "connection" in line]) <= 1
 
 
 @EACH_ACCEPT
-def test_an_accept_that_fails_at_the_end_ends_nothing_and_drops_nothing_behind_it(
+@pytest.mark.usefixtures("no_tracebacks_until_loop_closes", "at_most_one_problem_until_loop_closes")
+async def test_an_accept_that_fails_at_the_end_ends_nothing_and_drops_nothing_behind_it(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """What is open is read_status_or_end, and each connection in the queue but the one that failed."""
 
-    async def test() -> None:
-        async with (
-            StandInEndpoint(http_response(200, b"x")) as b,
-            running_proxy(endpoint_entry("b", b.port)) as p,
-        ):
-            reader, writer = await p.connect()
-            writer.write(http_request(request_id="open"))
-            assert response_status(await read_http_message(reader)) == 200
-            socket_failures.add(
-                "accept", accepted_on(p.port), error, times=1 if error in ERRNOS_OF_ONE_CONNECTION else 3
-            )
-            clients = [queue_request(p.port, f"r{n}") for n in range(6)]
-            p.listener.stop_listening()  # as the shutdown calls it, before the event loop has turned
-            assert not p.listener.is_drained
-            got = await asyncio.gather(*map(read_status_or_end, clients))
-            assert sorted(got) == [200 * (error not in ERRNOS_OF_ONE_CONNECTION), *[200] * 5]
-            writer.write(http_request(request_id="again"))
-            assert response_status(await read_http_message(reader)) == 200
-            writer.close()
-            await wait_until(lambda: p.listener.acceptor.listening_socket.fileno() < 0)
-            with pytest.raises(ConnectionRefusedError):
-                await p.connect()
-
-    run_in_event_loop(test)
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as b,
+        running_proxy(endpoint_entry("b", b.port)) as p,
+    ):
+        reader, writer = await p.connect()
+        writer.write(http_request(request_id="open"))
+        assert response_status(await read_http_message(reader)) == 200
+        socket_failures.add(
+            "accept", accepted_on(p.port), error, times=1 if error in ERRNOS_OF_ONE_CONNECTION else 3
+        )
+        clients = [queue_request(p.port, f"r{n}") for n in range(6)]
+        p.listener.stop_listening()  # as the shutdown calls it, before the event loop has turned
+        assert not p.listener.is_drained
+        got = await asyncio.gather(*map(read_status_or_end, clients))
+        assert sorted(got) == [200 * (error not in ERRNOS_OF_ONE_CONNECTION), *[200] * 5]
+        writer.write(http_request(request_id="again"))
+        assert response_status(await read_http_message(reader)) == 200
+        writer.close()
+        await wait_until(lambda: p.listener.acceptor.listening_socket.fileno() < 0)
+        with pytest.raises(ConnectionRefusedError):
+            await p.connect()
     assert not traceback_lines(caplog)
     assert len(problem_lines(caplog)) <= 1
 
@@ -859,31 +855,29 @@
 
 
 @pytest.mark.parametrize(("name", "error"), WATCH_FAILURES, ids=WATCH_FAILURE_IDS)
-def test_a_watch_that_fails_is_opened_anew_and_that_is_logged_once(
+@pytest.mark.usefixtures("no_tracebacks_until_loop_closes", "at_most_one_problem_until_loop_closes")
+async def test_a_watch_that_fails_is_opened_anew_and_that_is_logged_once(
     name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Three times in a row; what discovery has then comes."""
 
-    async def test() -> None:
-        async with StandInListServer(endpoint_list(endpoint_entry("b", 9), rev=7)) as d:
-            rule = socket_failures.add(
-                name, any_socket if name == "socket" else connected_to(d.port), error, times=3
-            )
-            news: asyncio.Queue[EndpointListMessage | None] = asyncio.Queue()
-            watch = EndpointWatch(
-                ("127.0.0.1", d.port), news.put_nowait, lambda: news.put_nowait(None), 60.0, 60.0
-            )
-            for _ in range(3):
-                watch.start()
-                assert await news.get() is None
-            assert rule.hits == 3
+    async with StandInListServer(endpoint_list(endpoint_entry("b", 9), rev=7)) as d:
+        rule = socket_failures.add(
+            name, any_socket if name == "socket" else connected_to(d.port), error, times=3
+        )
+        news: asyncio.Queue[EndpointListMessage | None] = asyncio.Queue()
+        watch = EndpointWatch(
+            ("127.0.0.1", d.port), news.put_nowait, lambda: news.put_nowait(None), 60.0, 60.0
+        )
+        for _ in range(3):
             watch.start()
-            told = await news.get()
-            assert told is not None
-            assert told.version == 7
-            watch.close()
-
-    run_in_event_loop(test)
+            assert await news.get() is None
+        assert rule.hits == 3
+        watch.start()
+        told = await news.get()
+        assert told is not None
+        assert told.version == 7
+        watch.close()
     [line] = problem_lines(caplog)
     assert "watch on discovery broke: " in line
     assert "Traceback" not in line
