--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -110,7 +110,7 @@
 async def test_an_accept_that_fails_at_the_end_ends_nothing_and_drops_nothing_behind_it(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """What is open is read_status_or_end, and each connection in the queue but the one that failed."""
+    """What is open is answered, and each connection in the queue but the one that failed."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as b,
