--- a/tests/scenarios/test_system_call_failures.py
+++ b/tests/scenarios/test_system_call_failures.py
@@ -45,7 +45,9 @@
     endpoint_list_chunk,
 )
 from tests.support.failing_sockets import (
+    ERRNOS_OF_BROKEN_CONNECTION,
     ERRNOS_OF_ONE_CONNECTION,
+    ERRNOS_OF_RESOURCE_SHORTAGE,
     SocketFailures,
     accepted_on,
     any_socket,
@@ -78,8 +80,12 @@
 from tests.support.time_limit import run_in_event_loop
 from tests.support.units import MILLISECOND_US, SECOND_US
 
-OF_A_LACK = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
-OF_NO_CONNECTION = [errno.EINTR, *OF_A_LACK, errno.EINVAL, errno.EIO]  # all behind it stays in the queue
+OF_NO_CONNECTION = [
+    errno.EINTR,
+    *ERRNOS_OF_RESOURCE_SHORTAGE,
+    errno.EINVAL,
+    errno.EIO,
+]  # all behind it stays in the queue
 EACH_ACCEPT = pytest.mark.parametrize(
     "error", [*ERRNOS_OF_ONE_CONNECTION, *OF_NO_CONNECTION], ids=lambda number: errno.errorcode[number]
 )
@@ -296,7 +302,7 @@
 
 
 OF_THIS_MACHINE = [
-    *(("socket", error) for error in OF_A_LACK),
+    *(("socket", error) for error in ERRNOS_OF_RESOURCE_SHORTAGE),
     *(("connect", error) for error in (errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM)),
 ]
 EACH_LACK = pytest.mark.parametrize(
@@ -655,8 +661,9 @@
 
 SIDES = ["caller", "backend", "discovery"]
 NEVER_ENDING = sys.maxsize  # times
-STANDING = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ECONNRESET]
-EACH_STANDING = pytest.mark.parametrize("error", STANDING, ids=lambda number: errno.errorcode[number])
+EACH_STANDING = pytest.mark.parametrize(
+    "error", ERRNOS_OF_BROKEN_CONNECTION, ids=lambda number: errno.errorcode[number]
+)
 
 
 @pytest.mark.parametrize("side", SIDES)
@@ -847,10 +854,10 @@
 
 OF_A_CONNECT = [*socket_state.NO_ROUTE_ERRNOS, errno.ETIMEDOUT, errno.EADDRNOTAVAIL, errno.EAGAIN]
 WATCH_FAILURES = [
-    *(("recv", error) for error in STANDING),
-    *(("send", error) for error in STANDING),
+    *(("recv", error) for error in ERRNOS_OF_BROKEN_CONNECTION),
+    *(("send", error) for error in ERRNOS_OF_BROKEN_CONNECTION),
     *(("connect", error) for error in OF_A_CONNECT),
-    *(("socket", error) for error in OF_A_LACK),
+    *(("socket", error) for error in ERRNOS_OF_RESOURCE_SHORTAGE),
 ]
 WATCH_FAILURE_IDS = [f"{name} {errno.errorcode[error]}" for name, error in WATCH_FAILURES]
 
@@ -898,7 +905,7 @@
         raise OSError(self.error, os.strerror(self.error))
 
 
-@pytest.mark.parametrize("error", OF_A_LACK, ids=lambda number: errno.errorcode[number])
+@pytest.mark.parametrize("error", ERRNOS_OF_RESOURCE_SHORTAGE, ids=lambda number: errno.errorcode[number])
 @pytest.mark.usefixtures("no_problems_until_loop_closes")
 async def test_requests_are_served_when_poll_fails(
     error: int, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
--- a/tests/support/failing_sockets.py
+++ b/tests/support/failing_sockets.py
@@ -30,6 +30,10 @@
     errno.ETIMEDOUT,
 ]
 
+ERRNOS_OF_RESOURCE_SHORTAGE = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+# An open connection ends with one of these.
+ERRNOS_OF_BROKEN_CONNECTION = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ECONNRESET]
+
 
 def accepted_on(port: int) -> SocketFilter:
     """Select the listener on this port, and the connections that it has accepted."""
