--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -21,6 +21,7 @@
     NOTIFIED_US,
     SLACK_US,
 )
+from tests.process.process_helpers import SlowEndpoint
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -28,8 +29,8 @@
     endpoint_list_chunk,
     parsed_endpoint_list,
 )
-from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
-from tests.support.loopback_proxy import running_proxy
+from tests.support.http_messages import http_chunk, http_request, http_response
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_discovery import (
     EACH_SUBSCRIPTION,
     LIST_DEADLINE_S,
@@ -251,6 +252,16 @@
 }
 
 
+def known_endpoints(proxy: LoopbackProxy) -> tuple[object, ...]:
+    """Return what the proxy holds of the endpoint list, and the version that it would resume from."""
+    endpoint_list_receiver = proxy.driver.endpoint_list
+    return (
+        dict(proxy.driver.balancer.endpoints.states),
+        set(endpoint_list_receiver.endpoints.up_ids),
+        endpoint_list_receiver.watch.version,
+    )
+
+
 @EACH_SUBSCRIPTION
 @pytest.mark.parametrize(("said", "why"), SPOILT.values(), ids=SPOILT.keys())
 async def test_invalid_list_keeps_the_old_one_and_reopens_the_watch(
@@ -258,27 +269,16 @@
 ) -> None:
     """Nothing of it counts, one line names why, and what comes next is taken."""
     both = endpoint_list(endpoint_entry("s-1", 9), endpoint_entry("s-2", 9), rev=1)
-
     async with watching_proxy(setup) as (discovery, proxy, clock):
         await advance_until(clock, lambda: len(discovery.calls) == 1)
         discovery.calls[0].send(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
         await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1)
-        held, up = (
-            dict(proxy.driver.balancer.endpoints.states),
-            set(proxy.driver.endpoint_list.endpoints.up_ids),
-        )
+        known_before = known_endpoints(proxy)
         caplog.clear()
         discovery.calls[0].send(said)
         waited = await advance_to_next_call(discovery, clock)
-        assert (
-            proxy.driver.balancer.endpoints.states,
-            proxy.driver.endpoint_list.endpoints.up_ids,
-            proxy.driver.endpoint_list.watch.version,
-        ) == (
-            held,
-            up,
-            1,
-        )
+        assert known_endpoints(proxy) == known_before
+        assert proxy.driver.endpoint_list.watch.version == 1
         [line] = [record for record in caplog.records if record.levelno >= logging.WARNING]
         assert why in line.getMessage()
         assert "\n" not in line.getMessage()
@@ -287,48 +287,42 @@
         assert set(proxy.driver.balancer.endpoints.states) == {endpoint_number("s-7")}
 
 
+class DrainedEndpoint(SlowEndpoint):
+    """Sets `closed` once one of its connections has ended between two requests."""
+
+    def __init__(self, body: bytes) -> None:
+        super().__init__(body)
+        self.closed = asyncio.Event()
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        try:
+            await super().serve(reader, writer)
+        except asyncio.IncompleteReadError:
+            self.closed.set()
+            raise
+
+
 @pytest.mark.parametrize("kind", ["read", "mark", "pay"])
 async def test_endpoint_omitted_by_a_complete_list_gets_no_more_requests(kind: str) -> None:
-    """Its kept connection is closed, and what it has been sent is still answered by it."""
-
-    begun, go_on, closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
-
-    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while True:
-            try:
-                asked = await read_http_message(reader)
-            except asyncio.IncompleteReadError:
-                closed.set()
-                raise
-            first_endpoint.received.append(asked)
-            if asked[1]["req-id"] == "slow":
-                begun.set()
-                await go_on.wait()
-            writer.write(http_response(200, b"a"))
-
+    """Its idle connection is closed, and what it has been sent is still answered by it."""
     async with (
-        StandInServer(serve) as first_endpoint,
-        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
-        running_proxy(endpoint_entry("a", first_endpoint.port)) as proxy,
+        DrainedEndpoint(b"a") as omitted,
+        StandInEndpoint(http_response(200, b"b")) as listed,
+        running_proxy(endpoint_entry("a", omitted.port)) as proxy,
     ):
         slow = asyncio.ensure_future(proxy.send_request(http_request("pay", request_id="slow")))
-        await begun.wait()
-        assert (await proxy.send_request(http_request("read", request_id="r0")))[2] == b"a"
+        await omitted.slow_received.wait()
+        assert (await proxy.send_request(http_request("read", request_id="r0"))).body == b"a"
         assert sum(map(len, proxy.pool.idle.by_endpoint.values())) == 1
-        proxy.driver.endpoint_list.receive(
-            parsed_endpoint_list(endpoint_entry("b", second_endpoint.port), rev=2)
-        )
-        await closed.wait()
+        proxy.driver.endpoint_list.receive(parsed_endpoint_list(endpoint_entry("b", listed.port), rev=2))
+        await omitted.closed.wait()
         assert not proxy.pool.idle.by_endpoint
-        got = [
-            (await proxy.send_request(http_request(kind, request_id=f"r{number}")))[2]
-            for number in range(1, 9)
-        ]
-        assert got == [b"b"] * 8
-        go_on.set()
-        assert (await slow)[2] == b"a"
-        assert len(first_endpoint.received) == 2
-        assert not any(e.id == endpoint_number("a") for e in proxy.pool.idle.by_endpoint)
+        requests = [http_request(kind, request_id=f"r{number}") for number in range(1, 9)]
+        assert [(await proxy.send_request(request)).body for request in requests] == [b"b"] * 8
+        omitted.may_respond.set()
+        assert (await slow).body == b"a"
+        assert len(omitted.received) == 2
+        assert not any(address.id == endpoint_number("a") for address in proxy.pool.idle.by_endpoint)
 
 
 @pytest.mark.parametrize("states", [("terminating", "terminated"), ("terminated", "in_service")])
--- a/tests/process/process_helpers.py
+++ b/tests/process/process_helpers.py
@@ -19,14 +19,16 @@
 
     def __init__(self, body: bytes | None = None) -> None:
         """Prepare an endpoint whose responses have this body, or where there is none the request's id."""
-        super().__init__(self._respond)
+        super().__init__(self.serve)
         self.slow_received = asyncio.Event()
         self.may_respond = asyncio.Event()
         self._body = body
 
-    async def _respond(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection."""
         while True:
-            request_id = (await read_http_message(reader)).headers["req-id"]
+            self.received.append(await read_http_message(reader))
+            request_id = self.received[-1].headers["req-id"]
             if request_id == "slow":
                 self.slow_received.set()
                 await self.may_respond.wait()
