--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -215,39 +215,39 @@
     return failures.all
 
 
+ACCEPTOR_LOG = "load_balancer.net.client.connection_acceptor"
+
+
+def acceptor_lines(caplog: pytest.LogCaptureFixture) -> list[str]:
+    return [record.getMessage() for record in caplog.records if record.name == ACCEPTOR_LOG]
+
+
 async def test_descriptor_shortage_is_logged_once_when_it_begins_and_ends(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """It is met again every 0.05 s while it lasts, and who waits for one is served afterwards."""
-    caplog.set_level(logging.INFO, logger="load_balancer.net.client.connection_acceptor")
-
-    def lines() -> list[str]:
-        return [
-            record.getMessage()
-            for record in caplog.records
-            if record.name == "load_balancer.net.client.connection_acceptor"
-        ]
-
+    caplog.set_level(logging.INFO, logger=ACCEPTOR_LOG)
+    quiet_s = repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
         clock = FrozenClock()
-        for _ in range(2):  # a second spell is told of again
+        for _ in range(2):  # a second shortage is logged again
             caplog.clear()
             client = SocketClient(proxy)
             failure_count = await fail_to_accept(proxy, clock, times=30)
-            assert lines() == ["no descriptor for a connection: [Errno 24] Too many open files"]
+            begin = "no descriptor for a connection: [Errno 24] Too many open files"
+            assert acceptor_lines(caplog) == [begin]
             client.send(http_request(path="/ready"))
-            reader, writer = await client.streams()
-            assert response_status(await read_http_message(reader)) == 200
-            clock.advance(repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
-            await wait_until(lambda: len(lines()) > 1)
-            assert lines()[1:] == [f"no descriptor for a connection: over, {failure_count} times in all"]
-            writer.close()
-            clock.advance(repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
+            assert await client.read_statuses(1) == [200]
+            clock.advance(quiet_s)
+            await wait_until(lambda: len(acceptor_lines(caplog)) > 1)
+            end = f"no descriptor for a connection: over, {failure_count} times in all"
+            assert acceptor_lines(caplog)[1:] == [end]
+            clock.advance(quiet_s)
             await run_loop_turns()
-            assert len(lines()) == 2
+            assert len(acceptor_lines(caplog)) == 2
 
 
 async def test_connections_aborted_before_accept_are_logged_once(
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -3,6 +3,9 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import dataclass
 
 import pytest
 
@@ -170,18 +173,27 @@
     await run_loop_turns()
 
 
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("where", WHERE)
-@pytest.mark.parametrize("cancel", [True, False])
-@pytest.mark.parametrize("paused", [True, False])
-async def test_client_disconnect_is_noticed_before_another_attempt_can_begin(
-    way: str, where: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """At once, or where it is not read with half of the time kept for an event loop that is late.
+@dataclass
+class WaitingRequest:
+    """A request of a client's that waits at one place of the proxy, and what is around it."""
 
-    The sweep, which is slower, is stopped.
-    """
-    monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
+    proxy: LoopbackProxy
+    endpoint: SilentEndpoint
+    gate: ConnectGates
+    clock: SteppedClock
+    client: SocketClient
+    connection: ClientConnection
+    crowd: list[SocketClient]  # clients whose requests fill the endpoint
+
+    @property
+    def forwarded_ids(self) -> list[str]:
+        """The ids of the client's requests that came to the endpoint."""
+        return [request_id for request_id in self.endpoint.request_ids if not request_id.startswith("c")]
+
+
+@asynccontextmanager
+async def waiting_request(where: str, cancel: bool, paused: bool) -> AsyncIterator[WaitingRequest]:
+    """Have a request wait there. The sweep, which is slower to notice a disconnect, is stopped."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), settings=limits(cancel)) as proxy,
@@ -194,25 +206,37 @@
         client = SocketClient(proxy)
         connection = await begin(proxy, client, paused)
         await wait_for_request_at(where, proxy, endpoint, gate)
+        yield WaitingRequest(proxy, endpoint, gate, clock, client, connection, crowd)
+        for other in crowd:
+            other.disconnect("FIN")
+        await wait_until(lambda: not proxy.clients.open_connections)
+
+
+@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("where", WHERE)
+@pytest.mark.parametrize("cancel", [True, False])
+@pytest.mark.parametrize("paused", [True, False])
+async def test_client_disconnect_is_noticed_before_another_attempt_can_begin(
+    way: str, where: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """At once, or where it is not read with half of the time kept for an event loop that is late."""
+    monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
+    async with waiting_request(where, cancel, paused) as waiting:
+        proxy, connection = waiting.proxy, waiting.connection
         key = connection.forwarded_request_id
         assert key is not None
-        client.disconnect(way)
+        waiting.client.disconnect(way)
         await run_loop_turns()
         if paused:  # the event loop does not see it
             assert connection in proxy.clients.open_connections
-            clock.advance(LATEST_S / 2)
+            waiting.clock.advance(LATEST_S / 2)
             await run_loop_turns()
         assert connection not in proxy.clients.open_connections
         assert key not in proxy.driver.requests
-        gate.open_all()
+        waiting.gate.open_all()
         await end_all_attempts(proxy, failing_request=key)
-        assert [request_id for request_id in endpoint.request_ids if not request_id.startswith("c")] == (
-            ["r0"] if where == "out" else []
-        )
+        assert waiting.forwarded_ids == (["r0"] if where == "out" else [])
         assert not proxy.clients.presence.connections
-        for other in crowd:
-            other.disconnect("FIN")
-        await wait_until(lambda: not proxy.clients.open_connections)
 
 
 async def pass_half_a_second(clock: SteppedClock) -> None:
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -94,6 +94,15 @@
         assert proxy.driver.is_idle
 
 
+def pipelined_requests(count: int) -> bytes:
+    """Return requests that are read in more than one go, so that a pause holds some of them back.
+
+    The rest and the end of the stream fit into the system's receive buffer, so that the end can be seen.
+    """
+    body = b"x" * 12_000
+    return b"".join(http_request("mark", request_id=f"r{number}", body=body) for number in range(count))
+
+
 @pytest.mark.parametrize("paused", [False, True])
 @pytest.mark.parametrize("cancel", [True, False])
 async def test_pipelined_request_behind_an_open_request_is_not_forwarded_after_client_disconnects(
@@ -103,34 +112,25 @@
     if paused:
         monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     clock, delayed = FrozenClock(), DelayedEndpoint()
-    limits = messages.Limits(max_attempts=3, cancel=cancel)
+    settings = balancer_settings(limits=messages.Limits(max_attempts=3, cancel=cancel))
     async with (
         StandInServer(delayed.handle) as endpoint,
-        running_proxy(
-            endpoint_entry("s-1", endpoint.port), settings=balancer_settings(limits=limits)
-        ) as proxy,
+        running_proxy(endpoint_entry("s-1", endpoint.port), settings=settings) as proxy,
     ):
         _, writer = await proxy.connect()
-        # Read in more than one go, so that the pause holds some of it back; the rest and the end of the
-        # stream fit into the system's receive buffer, so that the end can be seen.
-        body = b"x" * 12_000
-        writer.write(
-            b"".join(http_request("mark", request_id=f"r{number}", body=body) for number in range(6))
-        )
+        writer.write(pipelined_requests(6))
         await wait_until(lambda: bool(delayed.request_ids))
         [connection] = proxy.clients.open_connections
         await wait_until(lambda: connection.transport.is_reading() is not paused)
         writer.close()
-        for _ in range(100):
-            await asyncio.sleep(0)
+        await run_loop_turns(100)
         while not proxy.driver.is_idle:
             clock.advance(client_limits.PRESENCE_POLL_INTERVAL_S)
             await run_loop_turns()
         assert clock.advanced_s < 1.0  # the request's deadline has not ended it
         delayed.may_respond.set()
-        await wait_until(
-            lambda: not proxy.driver.requests.attempts.in_flight and not proxy.clients.open_connections
-        )
+        attempts = proxy.driver.requests.attempts
+        await wait_until(lambda: not attempts.in_flight and not proxy.clients.open_connections)
         assert delayed.request_ids == ["r0"]
         assert proxy.clients.buffered.size_bytes == 0
 
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -22,10 +22,18 @@
 from tests.support.attempts import HEAD_WITHOUT_LENGTH, INVALID_RESPONSES
 from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
-from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
+from tests.support.http_messages import (
+    HttpMessage,
+    StreamPair,
+    closes_connection,
+    http_request,
+    http_response,
+    read_http_message,
+    response_status,
+)
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.raw_endpoint import ConnectionHandler, EndpointConnection, RawEndpoint
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import SteppedClock, run_loop_turns
 from tests.support.units import SECOND_US
 
 STEP_S = 5.0
@@ -219,43 +227,43 @@
     # Clients
 
     async def client(self, number: int, requests: int) -> None:
+        """Send requests one after another, on a new connection wherever the last one is over."""
         rng = random.Random(f"{self.seed} client {number}")
         streams = None
         for index in range(requests):
-            request_id, kind = (
-                f"r{number}-{index}",
-                rng.choice([request_class.name for request_class in CLASSES]),
-            )
-            body = b"" if kind == "read" else b"b" * rng.randrange(2000)
-            leaves = rng.randrange(30) if rng.random() < 0.2 else None
             streams = streams or await self.p.connect()
-            reader, writer = streams
-            asked = self.asked[request_id] = Asked(kind)
-            writer.write(http_request(kind, request_id=request_id, body=body, Req_Deadline="500"))
-            got = asyncio.ensure_future(read_http_message(reader))
-            if leaves is not None:
-                for _ in range(leaves):
-                    await asyncio.sleep(0)
-                if not got.done():
-                    got.cancel()
-                    writer.transport.abort()
-                    streams, asked.ended = None, self.step
-                    self.news += 1
-                    continue
-            try:
-                first, headers, said = await got
-            except (asyncio.IncompleteReadError, ConnectionError):
-                self.faults.append(f"{request_id}: lost")
-                streams = None
-                continue
-            self.news += 1
-            asked.ended, asked.status = self.step, int(first.split()[1])
-            self.judge(request_id, asked, said)
-            if headers.get("connection") == "close":
+            kind = rng.choice([request_class.name for request_class in CLASSES])
+            if not await self.request(rng, f"r{number}-{index}", kind, streams):
                 streams = None
         if streams is not None:
             streams[1].close()
 
+    async def request(self, rng: random.Random, request_id: str, kind: str, streams: StreamPair) -> bool:
+        """Send one request and check its response, or leave; return whether the connection goes on."""
+        reader, writer = streams
+        body = b"" if kind == "read" else b"b" * rng.randrange(2000)
+        leaves_after = rng.randrange(30) if rng.random() < 0.2 else None
+        asked = self.asked[request_id] = Asked(kind)
+        writer.write(http_request(kind, request_id=request_id, body=body, Req_Deadline="500"))
+        got = asyncio.ensure_future(read_http_message(reader))
+        if leaves_after is not None:
+            await run_loop_turns(leaves_after)
+            if not got.done():
+                got.cancel()
+                writer.transport.abort()
+                asked.ended = self.step
+                self.news += 1
+                return False
+        try:
+            response = await got
+        except (asyncio.IncompleteReadError, ConnectionError):
+            self.faults.append(f"{request_id}: lost")
+            return False
+        self.news += 1
+        asked.ended, asked.status = self.step, response_status(response)
+        self.judge(request_id, asked, response.body)
+        return not closes_connection(response)
+
     def judge(self, request_id: str, asked: Asked, said: bytes) -> None:
         """The rules, as the final answer comes in. A second one would be taken for the next request's."""
         made = {"answer", "answer twice", "answer, late again", "answer, then end", "answer after a while"}
@@ -288,12 +296,16 @@
             task.result()
 
 
-@asynccontextmanager
-async def running_world(seed: int) -> AsyncIterator[World]:
-    """Run a proxy before six endpoints that are as faulty as the seed says, and one that refuses connects."""
+def world_settings(seed: int) -> messages.Settings:
     limits = messages.Limits(
         max_attempts=MOST, cancel=seed % 2 == 0, connect_timeout_us=round(CONNECT_S * SECOND_US)
     )
+    return balancer_settings(classes=CLASSES, limits=limits)
+
+
+@asynccontextmanager
+async def running_world(seed: int) -> AsyncIterator[World]:
+    """Run a proxy before six endpoints that are as faulty as the seed says, and one that refuses connects."""
     worlds: list[World] = []
 
     def handler(cell: int) -> ConnectionHandler:
@@ -305,21 +317,19 @@
     async with AsyncExitStack() as stack:
         closed = stack.enter_context(socket.socket())
         closed.bind(("127.0.0.1", 0))
-        endpoints = [await stack.enter_async_context(RawEndpoint(handler(number % 2))) for number in range(6)]
-        entries = [
-            endpoint_entry(f"s-{index}", endpoint.port, pod_group=index % 2)
-            for index, endpoint in enumerate(endpoints)
-        ]
-        p = await stack.enter_async_context(
+        entries = [endpoint_entry("s-closed", closed.getsockname()[1])]
+        for number in range(6):
+            endpoint = await stack.enter_async_context(RawEndpoint(handler(number % 2)))
+            entries.insert(number, endpoint_entry(f"s-{number}", endpoint.port, pod_group=number % 2))
+        proxy = await stack.enter_async_context(
             running_proxy(
                 *entries,
-                endpoint_entry("s-closed", closed.getsockname()[1]),
-                settings=balancer_settings(classes=CLASSES, limits=limits),
+                settings=world_settings(seed),
                 connect_timeout_s=CONNECT_S,
                 idle_timeout_s=9000.0,
             )
         )
-        worlds.append(World(seed, p))
+        worlds.append(World(seed, proxy))
         yield worlds[0]
 
 
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -7,6 +7,7 @@
 import signal
 from dataclasses import dataclass, field
 from pathlib import Path
+from typing import Any
 
 import pytest
 
@@ -100,6 +101,14 @@
     made.send_signal(signal.SIGCONT)
 
 
+def config_with_deadline(deadline_s: float, endpoint_port: int) -> dict[str, Any]:
+    """Return a configuration with one class, whose requests end after this deadline."""
+    lane = {"name": "read", "idempotency": "safe", "worth": 1}
+    lane |= {"onTimeUs": round(deadline_s * 1e6), "deadlineUs": round(deadline_s * 1e6)}
+    known = endpoint_list(endpoint_entry("a", endpoint_port))
+    return proxy_config(known=known, settings=raw_settings(lanes=[lane], limits=LIMITS))
+
+
 @pytest.mark.parametrize("hangs", [False, True], ids=["backends answer", "backends hang"])
 @pytest.mark.parametrize("stopped_at_s", [None, 0.0, 0.45])
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0])
@@ -110,25 +119,19 @@
 
     Also with the process stopped for a moment as the signal comes, and as it stops listening.
     """
-
     traffic = Traffic(deadline_s, hangs)
-    lane = {"name": "read", "idempotency": "safe", "worth": 1}
-    lane |= {"onTimeUs": round(deadline_s * 1e6), "deadlineUs": round(deadline_s * 1e6)}
     async with StandInServer(traffic.serve) as endpoint:
-        told = raw_settings(lanes=[lane], limits=LIMITS)
-        env = write_config(
-            tmp_path, proxy_config(known=endpoint_list(endpoint_entry("a", endpoint.port)), settings=told)
-        )
-        async with running_proxy_process(env) as made:
-            port = await read_listening_port(made)
+        env = write_config(tmp_path, config_with_deadline(deadline_s, endpoint.port))
+        async with running_proxy_process(env) as process:
+            port = await read_listening_port(process)
             clients = [asyncio.ensure_future(traffic.client(port, number)) for number in range(CLIENTS)]
             await asyncio.sleep(0.1)
             traffic.stopping.set()
-            made.send_signal(signal.SIGTERM)
+            process.send_signal(signal.SIGTERM)
             began = asyncio.get_running_loop().time()
             if stopped_at_s is not None:
-                await hold_up(made, stopped_at_s)
-            assert await made.wait() == 0
+                await hold_up(process, stopped_at_s)
+            assert await process.wait() == 0
             took = asyncio.get_running_loop().time() - began
             await asyncio.gather(*clients)
             assert took < deadline_s + KILL_MORE_S
