--- a/tests/support/in_process_server.py
+++ b/tests/support/in_process_server.py
@@ -28,7 +28,8 @@
     try:
         yield clock
     finally:
-        os.kill(os.getpid(), signal.SIGTERM)
+        if not serving.done():  # else nothing handles the signal, and it ends the process of the tests
+            os.kill(os.getpid(), signal.SIGTERM)
         while not serving.done():
             clock.advance(SHUTDOWN_STEP_S)
             await asyncio.sleep(0)
