--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -11,7 +11,7 @@
 import random
 from bisect import bisect_left
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass, field, replace
 from itertools import accumulate, count, pairwise
 
 from load_balancer import Balancer, messages
@@ -114,7 +114,7 @@
 
     settings: messages.Settings
     balancers: int
-    backends: int
+    endpoint_count: int
     per_window: float
     load: float
     seed: int
@@ -134,25 +134,10 @@
         self.rng = random.Random(self.seed)
         self.order = count()
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        rules = self.settings.rules
-        self.machines = [
-            SimulatedEndpoint(
-                messages.Endpoint(n, zone="abcdefgh"[n % self.zones], cell=n % 2),
-                self.per_window,
-                rules,
-                self.slots,
-                self.queue,
-            )
-            for n in range(self.backends)
-        ]
-        self.modules: list[Balancer] = []
-        for index in range(self.balancers):
-            values = {f: getattr(self.settings, f) for f in self.settings.__dataclass_fields__}
-            values |= {"instances": self.balancers, "index": index}
-            if self.settings.zone:
-                values["zone"] = "abcdefgh"[index % self.zones]
-            self.modules.append(Balancer(messages.Settings(**values), self.seed * 10_007 + index))
-        self.told: list[dict[int, int]] = [{} for _ in self.modules]  # each balancer's news: start by backend
+        self.machines = [self._new_endpoint(number) for number in range(self.endpoint_count)]
+        self.modules = [self._new_balancer(index) for index in range(self.balancers)]
+        # By balancer: the start of each endpoint as its list states it.
+        self.listed_starts_us: list[dict[int, int]] = [{} for _ in self.modules]
         self.running: dict[tuple[int, str, int], tuple[int, int, int]] = {}
         self.ended: set[tuple[int, int]] = set()  # timers that were taken back
         self.live: dict[str, SimulatedRequest] = {}
@@ -165,6 +150,19 @@
         self.tell([m.entry for m in self.machines], kind=messages.EndpointListKind.COMPLETE, within=0)
         self.at(self.now, self._next_arrival)
 
+    def _zone(self, number: int) -> str:
+        return "abcdefgh"[number % self.zones]
+
+    def _new_endpoint(self, number: int) -> SimulatedEndpoint:
+        entry = messages.Endpoint(number, zone=self._zone(number), cell=number % 2)
+        return SimulatedEndpoint(entry, self.per_window, self.settings.rules, self.slots, self.queue)
+
+    def _new_balancer(self, index: int) -> Balancer:
+        settings = replace(self.settings, instances=self.balancers, index=index)
+        if settings.zone:
+            settings = replace(settings, zone=self._zone(index))
+        return Balancer(settings, self.seed * 10_007 + index)
+
     # The clock
 
     def at(self, when: int, what: Callable[[], None]) -> None:
@@ -194,7 +192,7 @@
             self.at(self.now + int(self.rng.random() * spread), lambda index=index: self._hear(index, news))  # type: ignore[misc]
 
     def _hear(self, index: int, news: messages.EndpointListUpdate) -> None:
-        self.told[index].update({entry.id: entry.incarnation_us for entry in news.endpoints})
+        self.listed_starts_us[index].update({entry.id: entry.incarnation_us for entry in news.endpoints})
         self._feed(index, news)
 
     def restart(self, chosen: Iterable[SimulatedEndpoint]) -> None:
@@ -209,7 +207,7 @@
 
     def _next_arrival(self) -> None:
         rate = (
-            self.load * self.per_window * self.backends / self.settings.rules.overload_window_us
+            self.load * self.per_window * self.endpoint_count / self.settings.rules.overload_window_us
         )  # per microsecond
         if self.rng.random() * self.most_surge < self.surge(self.now):
             self.arrive(
@@ -249,7 +247,7 @@
                 case messages.Reject() | messages.Fail():
                     self.live[action.request].over = True
                 case messages.CheckHealth():
-                    self._probe(index, action.endpoint_id)
+                    self._check_health(index, action.endpoint_id)
                 case _:
                     pass
 
@@ -261,7 +259,7 @@
 
     def _come(self, index: int, machine: SimulatedEndpoint) -> None:
         machine.work.append(
-            (self.now, self.told[index].get(machine.entry.id) == machine.entry.incarnation_us)
+            (self.now, self.listed_starts_us[index].get(machine.entry.id) == machine.entry.incarnation_us)
         )
 
     def _send(self, index: int, send: messages.StartAttempt) -> None:
@@ -282,23 +280,25 @@
     def _end(self, key: tuple[int, str, int], outcome: messages.Outcome) -> None:
         if key not in self.running:
             return
-        sent_at, backend, _ = self.running.pop(key)
+        sent_at, endpoint_id, _ = self.running.pop(key)
         index, request, attempt = key
         call = self.live[request]
         if outcome is messages.Outcome.OK and not call.over:
             call.over, call.answered_at = True, self.now
         took = self.now - sent_at
-        self._feed(index, messages.AttemptEnded(request, attempt, backend, outcome, took, call.over))
+        self._feed(index, messages.AttemptEnded(request, attempt, endpoint_id, outcome, took, call.over))
 
-    def _probe(self, index: int, backend: int) -> None:
-        machine = self.machines[backend]
+    def _check_health(self, index: int, endpoint_id: int) -> None:
+        machine = self.machines[endpoint_id]
         self._come(index, machine)
         alive = machine.mode != "silent"
         holds = float(sum(free > self.now for free in machine.free_at)) if alive else None
         wait = 2 * NET_US if alive else 250 * MILLISECOND_US
-        self.at(self.now + wait, lambda: self._feed(index, messages.HealthCheckEnded(backend, alive, holds)))
+        self.at(
+            self.now + wait, lambda: self._feed(index, messages.HealthCheckEnded(endpoint_id, alive, holds))
+        )
 
-    # What came of it
+    # Results
 
     def worst_cold(self, page: bool = False) -> tuple[float, int, float]:
         """Return the fullest window of an endpoint in slow start: share of the limit, attempts, the limit.
