--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -52,7 +52,7 @@
 
 
 async def played(said: bytes) -> tuple[list[messages.EndpointListUpdate], set[int], int | None]:
-    """The lists that reach the module, the backends that are known then, and the version to go on from."""
+    """The lists that reach the policy, the endpoints that are known then, and the version to go on from."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
