--- a/tests/scenarios/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -1,4 +1,4 @@
-"""Connections to backends that have left the subset don't pile up."""
+"""Idle connections to endpoints that have left the subset are closed, so that they do not accumulate."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import pytest
 
 from load_balancer import messages
+from load_balancer.messages import EndpointListKind, EndpointStatus
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.policy.endpoint_list import MAX_DEPARTED
 from load_balancer.simulator import write_action
@@ -18,61 +19,77 @@
 from tests.support.stand_in_server import StandInEndpoint
 
 
-def subset(harness: BalancerHarness) -> set[int]:
-    return {server.endpoint.id for server in harness.balancer.endpoints.subset}
+def subset_ids(harness: BalancerHarness) -> set[int]:
+    """Return the ids of the endpoints in the subset."""
+    return {state.endpoint.id for state in harness.balancer.endpoints.subset}
 
 
-@pytest.mark.parametrize(("backends", "instances"), [(200, 34), (600, 102), (800, 34)])
-def test_few_endpoints_outside_the_subset_keep_connections(backends: int, instances: int) -> None:
-    """Taking it that each backend that was ever in the subset holds one."""
-    harness = BalancerHarness(balancer_settings(instances=instances, index=instances // 2), backends)
-    rng = random.Random(1)
-    there = list(range(backends))
-    connected = subset(harness)
-    most, closed = 0, 0
-    for version in range(2, 2 + 6 * backends):
+def apply_changes(harness: BalancerHarness, version: int, *endpoints: messages.Endpoint) -> list[int]:
+    """Return the ids of the endpoints whose idle connections are closed on these changes, in order."""
+    update = messages.EndpointListUpdate(EndpointListKind.CHANGES, version, endpoints)
+    return [action.endpoint_id for action in actions_of_type(harness.handle(update), messages.CloseIdle)]
+
+
+class ListChurn:
+    """Endpoints that are added at odd versions of the list, and drain or are removed at even ones."""
+
+    def __init__(self, endpoint_count: int) -> None:
+        self.random = random.Random(1)
+        self.listed_ids = list(range(endpoint_count))
+
+    def change(self, version: int) -> messages.Endpoint:
+        """Return the change that brings the list to this version."""
         if version % 2:
-            there.append(10_000 + version)
-            entry = messages.Endpoint(there[-1])
-        else:
-            status = rng.choice((messages.EndpointStatus.DRAINING, messages.EndpointStatus.REMOVED))
-            entry = messages.Endpoint(there.pop(rng.randrange(len(there))), status)
-        done = harness.handle(
-            messages.EndpointListUpdate(messages.EndpointListKind.CHANGES, version, (entry,))
-        )
-        told = {action.endpoint_id for action in actions_of_type(done, messages.CloseIdle)}
-        assert not told & subset(harness)
-        assert told <= set(there)
-        closed += len(told)
-        connected = ((connected | subset(harness)) & set(there)) - told
-        most = max(most, len(connected - subset(harness)))
-    assert closed
-    assert most == MAX_DEPARTED
+            self.listed_ids.append(10_000 + version)
+            return messages.Endpoint(self.listed_ids[-1])
+        status = self.random.choice((EndpointStatus.DRAINING, EndpointStatus.REMOVED))
+        return messages.Endpoint(self.listed_ids.pop(self.random.randrange(len(self.listed_ids))), status)
+
+
+@pytest.mark.parametrize(("endpoint_count", "instances"), [(200, 34), (600, 102), (800, 34)])
+def test_few_endpoints_outside_the_subset_keep_connections(endpoint_count: int, instances: int) -> None:
+    """The test assumes a connection to each endpoint that was ever in the subset."""
+    settings = balancer_settings(instances=instances, index=instances // 2)
+    harness, churn = BalancerHarness(settings, endpoint_count), ListChurn(endpoint_count)
+    connected_ids = subset_ids(harness)
+    max_outside, closed_count = 0, 0
+    for version in range(2, 2 + 6 * endpoint_count):
+        closed_ids = set(apply_changes(harness, version, churn.change(version)))
+        listed_ids = set(churn.listed_ids)
+        assert not closed_ids & subset_ids(harness)
+        assert closed_ids <= listed_ids
+        closed_count += len(closed_ids)
+        connected_ids = ((connected_ids | subset_ids(harness)) & listed_ids) - closed_ids
+        max_outside = max(max_outside, len(connected_ids - subset_ids(harness)))
+    assert closed_count
+    assert max_outside == MAX_DEPARTED
+
+
+def ids_ranked_before(mixed_id: int, count: int) -> list[int]:
+    """Return so many ids of endpoints that stand on the ring before this position."""
+    mixed = ((number * 2_654_435_761 % 2**32, number) for number in range(1_000, 100_000))
+    return [number for rank, number in mixed if rank < mixed_id][:count]
 
 
 def test_longest_departed_endpoint_is_closed_first_and_returned_one_is_kept() -> None:
     harness = BalancerHarness(balancer_settings(instances=34, index=0), endpoint_count=0)
     harness.update_endpoint_list(*(messages.Endpoint(number) for number in range(1, 189)))
-    ring = sorted(harness.balancer.endpoints.states.values(), key=lambda server: server.ring_position)
-    before = [server.endpoint.id for server in harness.balancer.endpoints.subset]
-    # What comes to stand before the first arc's start pushes out its last ones, until it goes again.
-    mixed = ((number * 2_654_435_761 % 2**32, number) for number in range(1_000, 100_000))
-    newcomers = [number for rank, number in mixed if rank < ring[0].mixed_id][: MAX_DEPARTED + 2]
-    told = []
-    for version, number in enumerate(newcomers, 2):
-        news = messages.EndpointListUpdate(
-            messages.EndpointListKind.CHANGES, version, (messages.Endpoint(number),)
-        )
-        told += [action.endpoint_id for action in actions_of_type(harness.handle(news), messages.CloseIdle)]
-    assert subset(harness) == {*newcomers, *before[: -len(newcomers)]}
-    assert told == [before[-1], before[-2]]
-    gone = tuple(messages.Endpoint(number, messages.EndpointStatus.REMOVED) for number in newcomers)
-    assert not actions_of_type(
-        harness.handle(messages.EndpointListUpdate(messages.EndpointListKind.CHANGES, 100, gone)),
-        messages.CloseIdle,
-    )
-    assert subset(harness) == set(before)
-    assert not harness.balancer.endpoints.departed
+    endpoints = harness.balancer.endpoints
+    first_on_ring = min(endpoints.states.values(), key=lambda state: state.ring_position)
+    initial_ids = [state.endpoint.id for state in endpoints.subset]
+
+    # Endpoints that stand before the first one of the subset push out its last ones until they are removed.
+    new_ids = ids_ranked_before(first_on_ring.mixed_id, MAX_DEPARTED + 2)
+    closed_ids = []
+    for version, number in enumerate(new_ids, 2):
+        closed_ids += apply_changes(harness, version, messages.Endpoint(number))
+    assert subset_ids(harness) == {*new_ids, *initial_ids[: -len(new_ids)]}
+    assert closed_ids == [initial_ids[-1], initial_ids[-2]]
+
+    removals = (messages.Endpoint(number, EndpointStatus.REMOVED) for number in new_ids)
+    assert not apply_changes(harness, 100, *removals)
+    assert subset_ids(harness) == set(initial_ids)
+    assert not endpoints.departed
 
 
 def test_simulator_writes_close_idle_in_its_wire_form() -> None:
@@ -81,15 +98,15 @@
 
 async def test_departed_endpoint_loses_its_idle_connections_and_stays_usable() -> None:
     async with (
-        StandInEndpoint(http_response(200, b"a")) as a,
-        running_proxy(endpoint_entry("a", a.port)) as p,
+        StandInEndpoint(http_response(200, b"a")) as endpoint,
+        running_proxy(endpoint_entry("a", endpoint.port)) as proxy,
     ):
-        for n in (1, 2):
-            assert (await p.send_request(http_request(request_id=f"r{n}")))[2] == b"a"
-            [[connection]] = p.pool.idle.by_endpoint.values()
-            p.driver.actions.perform(messages.CloseIdle(endpoint_number("a")), 0.0)
+        for request_id in ("r1", "r2"):
+            assert (await proxy.send_request(http_request(request_id=request_id))).body == b"a"
+            [[connection]] = proxy.pool.idle.by_endpoint.values()
+            proxy.driver.actions.perform(messages.CloseIdle(endpoint_number("a")), 0.0)
             assert connection.transport.is_closing()
-            assert not p.pool.idle.by_endpoint
+            assert not proxy.pool.idle.by_endpoint
             await asyncio.sleep(0)
-        assert a.connection_count == 2
-        p.driver.actions.perform(messages.CloseIdle(12345), 0.0)  # not on the list any more
+        assert endpoint.connection_count == 2
+        proxy.driver.actions.perform(messages.CloseIdle(12345), 0.0)  # an endpoint that is not on the list
