--- a/tests/scenarios/test_hold_ups.py
+++ b/tests/scenarios/test_hold_ups.py
@@ -1,15 +1,19 @@
-"""A proxy that is held up for a moment between reading its clock and writing: deadlines, windows, drains."""
+"""The process stalls for a moment between reading its clock and writing to an endpoint.
+
+Deadlines, deduplication windows and draining endpoints are respected all the same.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 import pytest
 
 from load_balancer import messages
-from load_balancer.messages import Outcome
+from load_balancer.messages import Outcome, StartAttempt
 from load_balancer.net import socket_state
 from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.upstream import idle_connections
@@ -20,200 +24,245 @@
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
-from tests.support.http_messages import http_request, http_response
+from tests.support.http_messages import http_request, http_response, response_status
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInEndpoint
-from tests.support.stepped_clock import SteppedClock, wait_until
+from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 from tests.support.units import MILLISECOND_US, SECOND_US
 
-HOLD_UP_S = 0.15  # by the terms
-SLACK_S = 0.15  # by the terms, of the time that a backend is told
+STALL_S = 0.15  # by the specification
+SLACK_S = 0.15  # by the specification, of the time remaining that an endpoint is sent
 DEADLINE_S = 1.5
+MAX_STALLS = 2  # more would use up the time of the request itself
 
-Patch = pytest.MonkeyPatch
+EACH_CONNECTION = pytest.mark.parametrize(
+    "reused", [False, True], ids=["new connection", "reused connection"]
+)
 
 
-class Held:
-    """A loop that is blocked for a moment at one line: each call of one function is late, or early."""
+class Stall:
+    """An event loop that is blocked for a moment at one line: each call of one function is late."""
 
-    def __init__(self, clock: SteppedClock, seconds: float = HOLD_UP_S) -> None:
-        self.clock, self.seconds, self.times = clock, seconds, 0
+    def __init__(self, clock: SteppedClock, duration_s: float = STALL_S) -> None:
+        self.clock, self.duration_s, self.count = clock, duration_s, 0
 
-    def _hold(self) -> None:
-        self.times += 1
-        if self.times <= 2:  # more would use up the time of the request itself
-            self.clock.advance(self.seconds)
+    def _pass_time(self) -> None:
+        self.count += 1
+        if self.count <= MAX_STALLS:
+            self.clock.advance(self.duration_s)
 
-    def before(self, patch: Patch, owner: object, name: str) -> None:
+    def before(self, monkeypatch: pytest.MonkeyPatch, owner: object, name: str) -> None:
+        """Stall before each call of this function."""
         original = getattr(owner, name)
 
-        def late(*what: Any, **named: Any) -> Any:
-            self._hold()
-            return original(*what, **named)
+        def stall_and_call(*args: Any, **named: Any) -> Any:
+            self._pass_time()
+            return original(*args, **named)
 
-        patch.setattr(owner, name, late)
+        monkeypatch.setattr(owner, name, stall_and_call)
 
-    def after(self, patch: Patch, owner: object, name: str) -> None:
+    def after(self, monkeypatch: pytest.MonkeyPatch, owner: object, name: str) -> None:
+        """Stall after each call of this function, before its result is used."""
         original = getattr(owner, name)
 
-        def late(*what: Any, **named: Any) -> Any:
-            got = original(*what, **named)
-            self._hold()
-            return got
-
-        patch.setattr(owner, name, late)
-
-
-# Where the loop is blocked, and how. The last is between the time told and the write itself.
-LINES: dict[str, Callable[[Held, Patch, LoopbackProxy], None]] = {
-    "between the request's time and the driver": lambda h, m, p: h.before(m, p.driver, "accept_request"),
-    "between the driver and its event": lambda h, m, p: h.before(m, p.driver.events, "put"),
-    "between the event's time and the module": lambda h, m, p: h.before(m, p.driver.balancer, "handle"),
-    "between the module and its actions": lambda h, m, p: h.before(m, p.driver.actions, "perform_all"),
-    "between an action and its attempt": lambda h, m, p: h.before(m, p.pool, "start_attempt"),
-    "between the attempt and its connection": lambda h, m, p: h.before(m, UpstreamAttempt, "begin"),
-    "between the connection and the request": lambda h, m, p: h.before(m, UpstreamAttempt, "send_on"),
-    "between the check and the request's head": lambda h, m, p: h.before(m, UpstreamConnection, "send"),
-    "between the time told and the write": lambda h, m, p: h.after(m, socket_state, "has_unread_bytes"),
+        def call_and_stall(*args: Any, **named: Any) -> Any:
+            result = original(*args, **named)
+            self._pass_time()
+            return result
+
+        monkeypatch.setattr(owner, name, call_and_stall)
+
+
+# No check of the proxy can see this stall, as it is between the last look at the clock and the write itself.
+UNSEEN_STALL = "between the time remaining and the write"
+StallMaker = Callable[[Stall, pytest.MonkeyPatch, LoopbackProxy], None]
+STALLED_LINES: dict[str, StallMaker] = {
+    "between the request's time and the driver": (
+        lambda stall, patch, proxy: stall.before(patch, proxy.driver, "accept_request")
+    ),
+    "between the driver and its event": (
+        lambda stall, patch, proxy: stall.before(patch, proxy.driver.events, "put")
+    ),
+    "between the event's time and the policy": (
+        lambda stall, patch, proxy: stall.before(patch, proxy.driver.balancer, "handle")
+    ),
+    "between the policy and its actions": (
+        lambda stall, patch, proxy: stall.before(patch, proxy.driver.actions, "perform_all")
+    ),
+    "between an action and its attempt": (
+        lambda stall, patch, proxy: stall.before(patch, proxy.pool, "start_attempt")
+    ),
+    "between the attempt and its connection": (
+        lambda stall, patch, proxy: stall.before(patch, UpstreamAttempt, "begin")
+    ),
+    "between the connection and the request": (
+        lambda stall, patch, proxy: stall.before(patch, UpstreamAttempt, "send_on")
+    ),
+    "between the check and the request's head": (
+        lambda stall, patch, proxy: stall.before(patch, UpstreamConnection, "send")
+    ),
+    UNSEEN_STALL: (lambda stall, patch, proxy: stall.after(patch, socket_state, "has_unread_bytes")),
 }
 
 
-class Writes:
-    """The times told to backends, with the moment of the write: noted where the system takes the bytes."""
+@dataclass
+class DeadlineWrite:
+    """A deadline header as it was written to an endpoint."""
 
-    def __init__(self, patch: Patch, clock: SteppedClock) -> None:
-        self.told: list[tuple[float, float]] = []  # the time told, and when by the loop's clock
-        loop = asyncio.get_running_loop()
-        send = asyncio.selector_events._SelectorSocketTransport.write  # type: ignore[attr-defined]
+    remaining_s: float  # what it states
+    written_at_s: float  # by the event loop's clock
 
-        def noted(transport: Any, data: bytes) -> None:
-            name, found, rest = bytes(data).partition(b"req-deadline: ")
-            # A backend gets the header in small letters, the proxy in those of the tests' calls.
-            if found and name.startswith((b"GET", b"POST")):
-                self.told.append((float(rest.split(b"\r\n")[0]), loop.time()))
-            send(transport, data)
+    def is_in_time(self, deadline_at_s: float, slack_s: float) -> bool:
+        """Return whether the endpoint ends by the client's deadline, with this slack."""
+        return 0.0 < self.remaining_s <= deadline_at_s - self.written_at_s + slack_s
 
-        patch.setattr(asyncio.selector_events._SelectorSocketTransport, "write", noted)  # type: ignore[attr-defined]
 
+def record_deadline_writes(monkeypatch: pytest.MonkeyPatch) -> list[DeadlineWrite]:
+    """Return a list that grows with each deadline header written to an endpoint from now on.
 
-def in_time(writes: Writes, began: float, deadline_s: float, slack_s: float = SLACK_S) -> bool:
-    return all(0.0 < told <= began + deadline_s - at + slack_s for told, at in writes.told)
+    They are recorded where the transport takes the bytes; asyncio has no public name for that class.
+    """
+    writes: list[DeadlineWrite] = []
+    loop = asyncio.get_running_loop()
+    transport_class = asyncio.selector_events._SelectorSocketTransport  # type: ignore[attr-defined]
+    write = transport_class.write
 
+    def record_and_write(transport: Any, data: bytes) -> None:
+        # An endpoint gets the header in lower case, the proxy in the case of the tests' requests.
+        before, header, rest = bytes(data).partition(b"req-deadline: ")
+        if header and before.startswith((b"GET", b"POST")):
+            writes.append(DeadlineWrite(float(rest.split(b"\r\n")[0]), loop.time()))
+        write(transport, data)
 
-@pytest.mark.parametrize("line", LINES)
-@pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-async def test_deadline_header_tells_the_time_remaining_wherever_the_process_stalls(
-    line: str, kept: bool, monkeypatch: Patch
-) -> None:
-    """Of the first attempt and of a retry, each held up at that line.
+    monkeypatch.setattr(transport_class, "write", record_and_write)
+    return writes
 
-    The slack is for the one hold-up that no check can see, after the time is told: others use none of it.
-    """
 
+async def leave_idle_connection(proxy: LoopbackProxy, clock: SteppedClock) -> None:
+    """Send a request whose connection is idle afterwards, and let its timers fire before any stall."""
+    await proxy.send_request(http_request(request_id="before"))
+    clock.advance(1.0)  # longer than a connection takes to settle
+    await run_loop_turns(20)
+
+
+@pytest.mark.parametrize("line", STALLED_LINES)
+@EACH_CONNECTION
+async def test_deadline_header_tells_the_time_remaining_wherever_the_process_stalls(
+    line: str, reused: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The first attempt and its retry are both stalled at that line."""
+    responses = [*[http_response(200)] * reused, http_response(500), http_response(200)]
     async with (
-        StandInEndpoint(*[http_response(200)] * kept, http_response(500), http_response(200)) as a,
-        running_proxy(endpoint_entry("s-1", a.port), connect_timeout_s=5.0) as p,
+        StandInEndpoint(*responses) as endpoint,
+        running_proxy(endpoint_entry("s-1", endpoint.port), connect_timeout_s=5.0) as proxy,
     ):
-        clock = p.step_clocks()
-        if kept:
-            await p.send_request(http_request(request_id="before"))
-            clock.advance(1.0)  # its connection has settled
-            for _ in range(20):  # and no timer of before falls due among the hold-ups
-                await asyncio.sleep(0)
-        writes = Writes(monkeypatch, clock)
-        held = Held(clock)
+        clock = proxy.step_clocks()
+        if reused:
+            await leave_idle_connection(proxy, clock)
+        writes, stall = record_deadline_writes(monkeypatch), Stall(clock)
         with monkeypatch.context() as patch:
-            LINES[line](held, patch, p)
-            began = asyncio.get_running_loop().time()
-            got = await p.send_request(http_request(request_id="r1", Req_Deadline=str(DEADLINE_S)))
-        assert got[0].split()[1] == "200"
-        assert held.times >= 1
-        slack_s = SLACK_S if line == "between the time told and the write" else 0.0
-        assert len(writes.told) == 2
-        assert in_time(writes, began, DEADLINE_S, slack_s)
-
-
-@pytest.mark.parametrize("at", ["send_on", "send"])
-@pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
+            STALLED_LINES[line](stall, patch, proxy)
+            deadline_at_s = asyncio.get_running_loop().time() + DEADLINE_S
+            request = http_request(request_id="r1", Req_Deadline=str(DEADLINE_S))
+            response = await proxy.send_request(request)
+        assert response_status(response) == 200
+        assert stall.count >= 1
+        slack_s = SLACK_S if line == UNSEEN_STALL else 0.0
+        assert len(writes) == 2
+        assert all(write.is_in_time(deadline_at_s, slack_s) for write in writes)
+
+
+async def complete_attempt(attempts: RecordedAttempts, connects: ConnectGates) -> None:
+    """Let a first attempt succeed, and its connection become idle and settle."""
+    attempts.begin("before")
+    await connects.wait_for(1)
+    connects.open(0)
+    await attempts.wait_for_outcomes(before=Outcome.OK)
+    await connects.advance(idle_connections.SETTLE_S)
+
+
+@pytest.mark.parametrize(
+    ("owner", "method"), [(UpstreamAttempt, "send_on"), (UpstreamConnection, "send")], ids=["send_on", "send"]
+)
+@EACH_CONNECTION
 async def test_nothing_is_written_when_a_stall_leaves_no_time(
-    at: str, kept: bool, monkeypatch: Patch
+    owner: type, method: str, reused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The hold-up is longer than what was left, and the timer for that can't have run yet."""
-
-    async with StandInEndpoint(http_response(200)) as b:
+    """The stall is longer than the time remaining, and the timer for that can't have fired yet."""
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(60.0, 30.0, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, [])
-        if kept:
-            calls.begin("before")
-            await connects.wait_for(1)
-            connects.open(0)
-            await calls.wait_for_outcomes(before=Outcome.OK)
-            await connects.advance(idle_connections.SETTLE_S)
-        owner = {"send_on": UpstreamAttempt, "send": UpstreamConnection}[at]
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, [])
+        if reused:
+            await complete_attempt(attempts, connects)
         with monkeypatch.context() as patch:
-            Held(connects.clock, 0.03).before(patch, owner, at)
-            calls.begin("a", timeout_s=0.02)
-            if not kept:
+            Stall(connects.clock, 0.03).before(patch, owner, method)
+            attempts.begin("stalled", timeout_s=0.02)
+            if not reused:
                 await connects.wait_for(1)
                 connects.open(0)
-            await wait_until(lambda: "a" in calls.outcomes)
-        assert calls.outcomes["a"] is Outcome.NOT_SENT  # it says nothing of the backend
-        calls.begin("b")
+            await wait_until(lambda: "stalled" in attempts.outcomes)
+        assert (
+            attempts.outcomes["stalled"] is Outcome.NOT_SENT
+        )  # an outcome that says nothing of the endpoint
+        attempts.begin("next")
         await connects.wait_for(2)
         connects.open(1)
-        await wait_until(lambda: "b" in calls.outcomes)
-        assert b.request_ids == ["before"] * kept + ["b"]
+        await wait_until(lambda: "next" in attempts.outcomes)
+        assert endpoint.request_ids == ["before"] * reused + ["next"]
         pool.close()
 
 
-@pytest.mark.parametrize(("before_us", "again"), [(1 * MILLISECOND_US, True), (-1 * MILLISECOND_US, False)])
-def test_keyed_retry_allows_for_a_stall_before_its_window_ends(before_us: int, again: bool) -> None:
-    deduplication_window_us, connect_us = 4 * SECOND_US, 250 * MILLISECOND_US
-    cls = messages.RequestClass(
+@pytest.mark.parametrize(
+    ("spare_us", "is_retried"), [(1 * MILLISECOND_US, True), (-1 * MILLISECOND_US, False)]
+)
+def test_keyed_retry_allows_for_a_stall_before_its_window_ends(spare_us: int, is_retried: bool) -> None:
+    window_us, connect_timeout_us = 4 * SECOND_US, 250 * MILLISECOND_US
+    keyed_class = messages.RequestClass(
         "mark",
         30 * SECOND_US,
         40 * SECOND_US,
         messages.Idempotency.KEYED,
-        deduplication_window_us=deduplication_window_us,
-    )
-    limits = messages.Limits(max_attempts=3, connect_timeout_us=connect_us)
-    harness = BalancerHarness(balancer_settings(classes=(cls,), limits=limits))
-    [sent] = actions_of_type(harness.request("a", "mark", 40 * SECOND_US), messages.StartAttempt)
-    began, margin = harness.now_us, harness.balancer.margin_us
-    harness.now_us = (
-        began + deduplication_window_us - connect_us - margin - round(HOLD_UP_S * SECOND_US) - before_us
-    )
-    assert (
-        bool(actions_of_type(harness.end_attempt(sent, messages.Outcome.RESET), messages.StartAttempt))
-        == again
+        deduplication_window_us=window_us,
     )
+    limits = messages.Limits(max_attempts=3, connect_timeout_us=connect_timeout_us)
+    harness = BalancerHarness(balancer_settings(classes=(keyed_class,), limits=limits))
+    [attempt] = actions_of_type(harness.request("a", "mark", 40 * SECOND_US), StartAttempt)
+    reserved_us = connect_timeout_us + harness.balancer.margin_us + round(STALL_S * SECOND_US)
+    harness.now_us += window_us - reserved_us - spare_us
+    actions = harness.end_attempt(attempt, Outcome.RESET)
+    assert bool(actions_of_type(actions, StartAttempt)) == is_retried
 
 
-@pytest.mark.parametrize("line", ["send_on", "begin"])
+def endpoint_of_only_attempt(proxy: LoopbackProxy, *endpoints: StandInEndpoint) -> StandInEndpoint:
+    """Return the endpoint that the only attempt in flight goes to."""
+    [attempt] = proxy.driver.requests.attempts.in_flight.values()
+    [endpoint] = [one for one in endpoints if one.port == attempt.endpoint.address[1]]
+    return endpoint
+
+
+@pytest.mark.parametrize("method", ["send_on", "begin"])
 async def test_request_waiting_for_a_draining_endpoint_goes_elsewhere_when_the_list_is_read_late(
-    line: str, monkeypatch: Patch
+    method: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its connection comes up in the turn after the list, which stood unread while the loop was held up."""
-
+    """Its connection comes up in the turn after the list, which was unread while the event loop stalled."""
     async with (
-        StandInEndpoint(http_response(200)) as a,
-        StandInEndpoint(http_response(200)) as b,
+        StandInEndpoint(http_response(200)) as first,
+        StandInEndpoint(http_response(200)) as second,
         running_proxy(
-            endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port), connect_timeout_s=5.0
-        ) as p,
+            endpoint_entry("s-1", first.port), endpoint_entry("s-2", second.port), connect_timeout_s=5.0
+        ) as proxy,
     ):
-        clock, gate = p.step_clocks(), ConnectGates(p.pool)
-        asked = asyncio.ensure_future(p.send_request(http_request()))
-        await wait_until(lambda: gate.started_count == 1)
-        [attempt] = p.driver.requests.attempts.in_flight.values()
-        drains, other = (a, b) if attempt.endpoint.address[1] == a.port else (b, a)
-        uid = "s-1" if drains is a else "s-2"
-        clock.advance(HOLD_UP_S)
+        clock, connects = proxy.step_clocks(), ConnectGates(proxy.pool)
+        response = asyncio.ensure_future(proxy.send_request(http_request()))
+        await wait_until(lambda: connects.started_count == 1)
+        draining = endpoint_of_only_attempt(proxy, first, second)
+        uid, other = ("s-1", second) if draining is first else ("s-2", first)
+        change = endpoint_list(endpoint_entry(uid, draining.port, "terminating"), rev=2, full=False)
+        clock.advance(STALL_S)
         with monkeypatch.context() as patch:
-            Held(clock).before(patch, UpstreamAttempt, line)
-            news = endpoint_list(endpoint_entry(uid, drains.port, "terminating"), rev=2, full=False)
-            p.driver.endpoint_list.receive(read_list(news))
-            gate.open_all()
-            assert (await asked)[0].split()[1] == "200"
-        assert not drains.received
+            Stall(clock).before(patch, UpstreamAttempt, method)
+            proxy.driver.endpoint_list.receive(read_list(change))
+            connects.open_all()
+            assert response_status(await response) == 200
+        assert not draining.received
         assert len(other.received) == 1
