--- a/tests/scenarios/test_hold_ups.py
+++ b/tests/scenarios/test_hold_ups.py
@@ -27,7 +27,7 @@
 from tests.support.http_messages import http_request, http_response, response_status
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInEndpoint
-from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
+from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 from tests.support.units import MILLISECOND_US, SECOND_US
 
 STALL_S = 0.15  # by the specification
@@ -156,7 +156,8 @@
         StandInEndpoint(*responses) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port), connect_timeout_s=5.0) as proxy,
     ):
-        clock = proxy.step_clocks()
+        clock = FrozenClock()
+        proxy.step_policy_clock_with(clock)
         if reused:
             await leave_idle_connection(proxy, clock)
         writes, stall = record_deadline_writes(monkeypatch), Stall(clock)
