--- a/tests/scenarios/test_deduplication_window.py
+++ b/tests/scenarios/test_deduplication_window.py
@@ -1,4 +1,4 @@
-"""Retries with an idempotency key are written within the window in which backends know the key."""
+"""Retries with an idempotency key are written within the window in which endpoints remember the key."""
 
 from __future__ import annotations
 
@@ -9,170 +9,222 @@
 import pytest
 
 from load_balancer import messages
+from load_balancer.messages import Idempotency, KeyScope, RequestClass
 from tests.support.attempts import REQUEST_KINDS
 from tests.support.balancer_harness import balancer_settings
 from tests.support.connect_gates import SystemConnectGate
 from tests.support.endpoint_lists import endpoint_entry
-from tests.support.http_messages import HttpMessage, http_request, http_response
+from tests.support.http_messages import HttpMessage, http_request, http_response, response_status
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.raw_endpoint import EndpointConnection, RawEndpoint, respond_with
 from tests.support.stepped_clock import wait_until
 from tests.support.units import SECOND_US
 
-# Short windows. All times are long, so that the real time that passes meanwhile counts for nothing.
-CONNECT_S = 25.0
-
-
-def keyed(window_s: float, key_scope: messages.KeyScope = messages.KeyScope.ALL) -> messages.Settings:
-    cls = messages.RequestClass(
-        "mark",
-        400 * SECOND_US,
-        900 * SECOND_US,
-        messages.Idempotency.KEYED,
+# Short windows. All times are long, so that the real time that passes meanwhile does not matter.
+CONNECT_TIMEOUT_S = 25.0
+LATENCY_OBJECTIVE_US = 400 * SECOND_US
+DEADLINE_S = 900
+
+
+def request_class(
+    name: str,
+    idempotency: Idempotency = Idempotency.UNSAFE,
+    key_scope: KeyScope = KeyScope.ALL,
+    window_s: float = 0.0,
+) -> RequestClass:
+    """Return a class whose requests have minutes of time."""
+    return RequestClass(
+        name,
+        LATENCY_OBJECTIVE_US,
+        DEADLINE_S * SECOND_US,
+        idempotency,
         key_scope,
         deduplication_window_us=round(window_s * SECOND_US),
     )
-    limits = messages.Limits(max_attempts=3, connect_timeout_us=round(CONNECT_S * SECOND_US))
-    return balancer_settings(classes=(cls,), limits=limits)
 
 
-class Keyed:
-    """A keyed request through the proxy: its first attempt is out, and the test's hand is on the clock."""
+def settings_with(connect_timeout_s: float, *classes: RequestClass) -> messages.Settings:
+    """Return settings with these classes, and three attempts for each request."""
+    limits = messages.Limits(max_attempts=3, connect_timeout_us=round(connect_timeout_s * SECOND_US))
+    return balancer_settings(classes=classes, limits=limits)
+
+
+class KeyedRequest:
+    """A request with an idempotency key whose first attempt has reached an endpoint.
+
+    Attributes:
+        proxy: What the request was sent to.
+        endpoints: Where its attempts go.
+        clock: The clock of the event loop and the policy.
+        received: The time of each attempt at its endpoint, by the endpoint's clock, and its connection.
+    """
+
+    def __init__(self) -> None:
+        self.received: list[tuple[float, EndpointConnection]] = []
+        self.endpoints = [RawEndpoint(self.receive) for _ in range(2)]
+
+    async def receive(self, connection: EndpointConnection, request: HttpMessage) -> None:
+        """Take an attempt; answer all but the first one."""
+        self.received.append((asyncio.get_running_loop().time(), connection))
+        if len(self.received) > 1:
+            connection.send(http_response(200, b"ok"))
+
+    def send(self, proxy: LoopbackProxy) -> None:
+        """Send the request, and step the clocks from now on."""
+        self.proxy = proxy
+        self.clock = proxy.step_clocks()
+        request = http_request("mark", request_id="r1", Req_Deadline=str(DEADLINE_S))
+        self._response = asyncio.ensure_future(proxy.send_request(request))
 
-    def __init__(self, p: LoopbackProxy, backends: list[RawEndpoint]) -> None:
-        self.p, self.endpoints = p, backends
-        self.clock = p.step_clocks()
-        self.asked = asyncio.ensure_future(
-            p.send_request(http_request("mark", request_id="r1", Req_Deadline="900"))
-        )
+    @property
+    def first_connection(self) -> EndpointConnection:
+        """The connection of the first attempt."""
+        return self.received[0][1]
 
     @property
-    def sent(self) -> int:
-        return sum(len(b.received) for b in self.endpoints)
+    def sent_count(self) -> int:
+        """How many requests the endpoints have received."""
+        return sum(len(endpoint.received) for endpoint in self.endpoints)
 
     async def status(self) -> int:
-        return int((await self.asked)[0].split()[1])
+        """Return the status of the final response."""
+        return response_status(await self._response)
 
 
 @asynccontextmanager
-async def keyed_request(
-    window_s: float,
-) -> AsyncIterator[tuple[Keyed, list[tuple[float, EndpointConnection]]]]:
-    """And when backends saw it, by their own clock."""
-    seen: list[tuple[float, EndpointConnection]] = []
-
-    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        seen.append((asyncio.get_running_loop().time(), wire))
-        if len(seen) > 1:
-            wire.send(http_response(200, b"ok"))
-
+async def keyed_request(window_s: float) -> AsyncIterator[KeyedRequest]:
+    """Send a request with an idempotency key and this window, and wait for its first attempt."""
+    request = KeyedRequest()
+    settings = settings_with(CONNECT_TIMEOUT_S, request_class("mark", Idempotency.KEYED, window_s=window_s))
+    first, second = request.endpoints
     async with (
-        RawEndpoint(handle) as a,
-        RawEndpoint(handle) as b,
+        first,
+        second,
         running_proxy(
-            endpoint_entry("s-1", a.port),
-            endpoint_entry("s-2", b.port),
-            settings=keyed(window_s),
-            connect_timeout_s=CONNECT_S,
+            endpoint_entry("s-1", first.port),
+            endpoint_entry("s-2", second.port),
+            settings=settings,
+            connect_timeout_s=CONNECT_TIMEOUT_S,
             idle_timeout_s=9e3,
-        ) as p,
+        ) as proxy,
     ):
-        request = Keyed(p, [a, b])
-        await wait_until(lambda: len(seen) == 1)
-        yield request, seen
+        request.send(proxy)
+        await wait_until(lambda: len(request.received) == 1)
+        yield request
 
 
 @pytest.mark.parametrize(
-    ("window_s", "after_s", "again"),
+    ("window_s", "after_s", "is_retried"),
     [(100.0, 0.0, True), (100.0, 70.0, True), (100.0, 80.0, False), (20.0, 0.0, False), (0.0, 0.0, False)],
 )
-@pytest.mark.parametrize("late_s", [0.0, 24.0])
-@pytest.mark.parametrize("how", ["reset", "end", "500"])
+@pytest.mark.parametrize("connect_s", [0.0, 24.0])
+@pytest.mark.parametrize("failure", ["reset", "end", "500"])
 async def test_keyed_retry_is_received_within_its_deduplication_window(
-    window_s: float, after_s: float, late_s: float, again: bool, how: str
+    window_s: float, after_s: float, connect_s: float, is_retried: bool, failure: str
 ) -> None:
-    """Also where its connection comes up as late as it may, or could come up later than the window's end."""
-
-    async with keyed_request(window_s) as (request, seen):
-        held = SystemConnectGate()
+    """This holds where its connect takes as long as it may, or could last past the window's end."""
+    async with keyed_request(window_s) as request:
+        connects = SystemConnectGate()
         request.clock.advance(after_s)
-        if how == "500":
-            seen[0][1].send(http_response(500))
-        else:
-            await respond_with(how)(seen[0][1], HttpMessage("", {}, b""))
-        if again:
-            await wait_until(lambda: held.waiting_count == 1)
-            request.clock.advance(late_s)
-            held.opened.set()
-        assert await request.status() == (200 if again else 503)
-        assert len(seen) == request.sent == 1 + again
-        assert seen[-1][0] - seen[0][0] <= window_s
+        step = http_response(500) if failure == "500" else failure
+        await respond_with(step)(request.first_connection, HttpMessage("", {}, b""))
+        if is_retried:
+            await wait_until(lambda: connects.waiting_count == 1)
+            request.clock.advance(connect_s)
+            connects.opened.set()
+        assert await request.status() == (200 if is_retried else 503)
+        assert len(request.received) == request.sent_count == 1 + is_retried
+        (first_at_s, _), (last_at_s, _) = request.received[0], request.received[-1]
+        assert last_at_s - first_at_s <= window_s
 
 
 async def test_keyed_retry_is_not_sent_when_its_connection_is_late() -> None:
-    async with keyed_request(100.0) as (request, seen):
-        held = SystemConnectGate()
+    async with keyed_request(100.0) as request:
+        connects = SystemConnectGate()
         request.clock.advance(60.0)
-        seen[0][1].reset()
-        await wait_until(lambda: held.waiting_count == 1)
-        request.clock.advance(CONNECT_S + 0.1)  # a further one could come up after the window
+        request.first_connection.reset()
+        await wait_until(lambda: connects.waiting_count == 1)
+        request.clock.advance(CONNECT_TIMEOUT_S + 0.1)  # another connect could last past the window's end
         assert await request.status() == 503
-        held.opened.set()
+        connects.opened.set()
         request.clock.advance(50.0)
-        other = await request.p.send_request(http_request("mark", request_id="r2", Req_Deadline="900"))
-        assert other[0].split()[1] == "200"
-        assert [i for b in request.endpoints for i in b.request_ids if i == "r1"] == ["r1"]
+        next_request = http_request("mark", request_id="r2", Req_Deadline=str(DEADLINE_S))
+        assert response_status(await request.proxy.send_request(next_request)) == 200
+        received_ids = [sent for endpoint in request.endpoints for sent in endpoint.request_ids]
+        assert [sent for sent in received_ids if sent == "r1"] == ["r1"]
+
+
+# Connections that are reset after the endpoint has received the request
+
+
+RESET_WINDOW_S = 50.0
+ONE_OF_EACH_CLASS = (
+    request_class("read", Idempotency.SAFE),
+    request_class("write", Idempotency.KEYED, KeyScope.CELL, RESET_WINDOW_S),
+    request_class("mark", Idempotency.KEYED, window_s=RESET_WINDOW_S),
+    request_class("pay"),
+)
+
+
+class ResetFleet:
+    """Eight endpoints in four cells; they answer all requests but the first one.
+
+    Attributes:
+        endpoints: The two of each cell are four places apart.
+        connections: The connection of each request so far, in order.
+    """
+
+    def __init__(self) -> None:
+        self.connections: list[EndpointConnection] = []
+        self.endpoints = [RawEndpoint(self.receive) for _ in range(8)]
+
+    async def receive(self, connection: EndpointConnection, request: HttpMessage) -> None:
+        """Take a request; answer all but the first one."""
+        self.connections.append(connection)
+        if len(self.connections) > 1:
+            connection.send(http_response(200, b"served"))
+
+    def has_received_by_endpoint(self) -> list[bool]:
+        """Return for each endpoint whether it has received a request."""
+        return [bool(endpoint.received) for endpoint in self.endpoints]
+
+
+@asynccontextmanager
+async def proxy_before_reset_fleet() -> AsyncIterator[tuple[ResetFleet, LoopbackProxy]]:
+    """Run the fleet, and a proxy with one class of each kind."""
+    fleet = ResetFleet()
+    entries = [
+        endpoint_entry(f"s-{number}", endpoint.port, pod_group=number % 4)
+        for number, endpoint in enumerate(fleet.endpoints)
+    ]
+    async with AsyncExitStack() as stack:
+        for endpoint in fleet.endpoints:
+            await stack.enter_async_context(endpoint)
+        proxy = running_proxy(*entries, settings=settings_with(1.0, *ONE_OF_EACH_CLASS))
+        yield fleet, await stack.enter_async_context(proxy)
 
 
-# Resets under requests that have begun
 @pytest.mark.parametrize("kind", REQUEST_KINDS)
 @pytest.mark.parametrize("after_s", [0.0, 10.0, 60.0])
 async def test_request_reset_after_its_first_byte_is_retried_only_where_safe(
     kind: str, after_s: float
 ) -> None:
-    """It may have run, however long after: what must not run twice ends, what has a key keeps its window."""
-    classes = (
-        messages.RequestClass("read", 400 * SECOND_US, 900 * SECOND_US, messages.Idempotency.SAFE),
-        messages.RequestClass(
-            "write",
-            400 * SECOND_US,
-            900 * SECOND_US,
-            messages.Idempotency.KEYED,
-            messages.KeyScope.CELL,
-            deduplication_window_us=50 * SECOND_US,
-        ),
-        messages.RequestClass(
-            "mark",
-            400 * SECOND_US,
-            900 * SECOND_US,
-            messages.Idempotency.KEYED,
-            deduplication_window_us=50 * SECOND_US,
-        ),
-        messages.RequestClass("pay", 400 * SECOND_US, 900 * SECOND_US),
-    )
-    limits = messages.Limits(max_attempts=3, connect_timeout_us=SECOND_US)
-
-    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        wires.append(wire)
-        if len(wires) > 1:
-            wire.send(http_response(200, b"served"))
-
-    wires: list[EndpointConnection] = []
-    async with AsyncExitStack() as stack:
-        backends = [await stack.enter_async_context(RawEndpoint(handle)) for _ in range(8)]
-        entries = [endpoint_entry(f"s-{n}", b.port, pod_group=n % 4) for n, b in enumerate(backends)]
-        p = await stack.enter_async_context(
-            running_proxy(*entries, settings=balancer_settings(classes=classes, limits=limits))
-        )
-        clock = p.step_clocks()
-        asked = asyncio.ensure_future(p.send_request(http_request(kind, request_id="r1", Req_Deadline="900")))
-        await wait_until(lambda: len(wires) == 1)
+    """The endpoint may have run the request, however late the reset is.
+
+    A request that is not idempotent ends, and one with a key is retried within its window alone.
+    """
+    async with proxy_before_reset_fleet() as (fleet, proxy):
+        clock = proxy.step_clocks()
+        request = http_request(kind, request_id="r1", Req_Deadline=str(DEADLINE_S))
+        response = asyncio.ensure_future(proxy.send_request(request))
+        await wait_until(lambda: len(fleet.connections) == 1)
         clock.advance(after_s)
-        wires[0].reset()
-        status = int((await asked)[0].split()[1])
-        again = kind == "read" or (kind != "pay" and after_s < 49.0)
-        # The rule on refusals knows no window: what has a key at all backends may be refused.
-        assert status == (200 if again else 503 if kind == "mark" else 502)
-        assert len(wires) == 1 + again
-        if kind == "write" and again:
-            assert [bool(b.received) for b in backends[:4]] == [bool(b.received) for b in backends[4:]]
+        fleet.connections[0].reset()
+        status = response_status(await response)
+        is_retried = kind == "read" or (kind != "pay" and after_s < RESET_WINDOW_S - 1.0)
+        # The rule on rejections knows no window: a request whose key all endpoints share may be rejected.
+        assert status == (200 if is_retried else 503 if kind == "mark" else 502)
+        assert len(fleet.connections) == 1 + is_retried
+        if kind == "write" and is_retried:  # by the other endpoint of the same cell
+            has_received = fleet.has_received_by_endpoint()
+            assert has_received[:4] == has_received[4:]
