--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -27,19 +27,20 @@
 ) -> None:
     """The time for the connection runs from the decision to send, as the module counts it."""
 
-    async with keyed_request(100.0) as (request, seen):
+    async with keyed_request(100.0) as request:
         request.clock.advance(70.0)
-        begin = request.p.pool.start_attempt
+        begin = request.proxy.pool.start_attempt
 
         def stands_still(*what: Any) -> UpstreamAttempt:
             out = begin(*what)
             request.clock.advance(40.0)
             return out
 
-        monkeypatch.setattr(request.p.pool, "start_attempt", stands_still)
-        seen[0][1].reset()
+        monkeypatch.setattr(request.proxy.pool, "start_attempt", stands_still)
+        request.first_connection.reset()
         await request.status()
-        assert seen[-1][0] - seen[0][0] <= 100.0
+        first, last = request.received[0], request.received[-1]
+        assert last[0] - first[0] <= 100.0
 
 
 async def test_idle_connection_is_kept_when_the_process_pauses_as_it_is_taken(
