--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -272,11 +272,11 @@
 async def test_bytes_buffered_for_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whatever the system has of each of them: one read each at the most goes over the limit for all."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES", 100_000)
-    callers = 40
+    client_count = 40
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        clients = [SocketClient(proxy) for _ in range(callers)]
-        await wait_until(lambda: len(proxy.clients.open_connections) == callers)
+        clients = [SocketClient(proxy) for _ in range(client_count)]
+        await wait_until(lambda: len(proxy.clients.open_connections) == client_count)
         for number, client in enumerate(clients):  # all of it before any is read
             client.socket.setblocking(False)
             client.socket.send(
@@ -285,9 +285,11 @@
             )
         connections = list(proxy.clients.open_connections)
         await wait_until(lambda: all(not connection.transport.is_reading() for connection in connections))
-        assert len(proxy.driver.requests) == callers  # each with its own request open
+        assert len(proxy.driver.requests) == client_count  # each with its own request open
         assert (
-            100_000 < proxy.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
+            100_000
+            < proxy.clients.buffered.size_bytes
+            <= 100_000 + client_count * client_limits.READ_SIZE_BYTES
         )
         assert proxy.clients.buffered.size_bytes == sum(
             connection.http.received.size_bytes for connection in connections
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -94,7 +94,7 @@
 async def test_queued_request_is_not_forwarded_after_client_disconnects(
     way: str, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A backend comes free in the very turn in which the client of a held request leaves."""
+    """An endpoint comes free in the very turn in which the client of a held request leaves."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)  # the connection that comes free is taken at once
 
     async with (
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -138,7 +138,7 @@
 async def test_request_read_after_its_client_disconnected_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It waited in the system, as it does while the event loop is busy; a kept connection is at harness."""
+    """It waited in the system, as it does while the event loop is busy; an idle connection is at hand."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -25,7 +25,7 @@
 from tests.support.stand_in_server import SilentEndpoint, StandInServer
 from tests.support.stepped_clock import run_loop_turns, wait_until
 
-PATHS = ["connection comes up", "kept connection", "kept connection settles", "further attempt"]
+PATHS = ["connection comes up", "idle connection", "idle connection settles", "further attempt"]
 
 
 class Hold:
@@ -101,7 +101,7 @@
         ) as proxy,
     ):
         endpoints = (first_endpoint, second_endpoint)
-        if path.startswith("kept connection"):
+        if path.startswith("idle connection"):
             await open_idle_connections(proxy, endpoints)
         gate, client = ConnectGates(proxy.pool), SocketClient(proxy)
         if path in ("connection comes up", "further attempt"):
@@ -123,7 +123,7 @@
 def hold(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Hold:
     """Hold each write, with limits that the test's paths need."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
-    if request.node.callspec.params["path"] == "kept connection":
+    if request.node.callspec.params["path"] == "idle connection":
         monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     return Hold(monkeypatch)
 
@@ -166,7 +166,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 async def test_unwritten_attempt_leaves_its_connection_to_another_waiting_attempt(way: str) -> None:
-    """Two wait for connections to one backend, and the first of them leaves as they come up."""
+    """Two wait for connections to one endpoint, and the first of them leaves as they come up."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         gate, leaver, stayer = ConnectGates(proxy.pool), SocketClient(proxy), SocketClient(proxy)
--- a/tests/net/client/test_request_forwarding.py
+++ b/tests/net/client/test_request_forwarding.py
@@ -74,9 +74,9 @@
     asked: list[bool] = []
     take = proxy.driver.accept_request
 
-    def listen(caller: ClientRequest) -> str:
-        asked.append(caller.is_retry)
-        return take(caller)
+    def listen(request: ClientRequest) -> str:
+        asked.append(request.is_retry)
+        return take(request)
 
     monkeypatch.setattr(proxy.driver, "accept_request", listen)
     assert response_status(await proxy.send_request(http_request())) == 200
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -84,14 +84,14 @@
 
 @dataclass
 class Visit:
-    """An attempt as its backend saw it."""
+    """An attempt as its endpoint saw it."""
 
     at: float
     step: int
     cell: int
     way: str
     wire: EndpointConnection
-    over: bool = False  # the backend has said its last word on it
+    over: bool = False  # the endpoint has said its last word on it
 
     @property
     def open(self) -> bool:
@@ -129,9 +129,9 @@
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    # Backends
+    # Endpoints
 
-    def backend(self, cell: int) -> ConnectionHandler:
+    def endpoint_handler(self, cell: int) -> ConnectionHandler:
         async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
             self.news += 1
             request_id = got[1].get("req-id", "none")
@@ -273,7 +273,7 @@
                 if said != request_id.encode() or not any(
                     visit_.way in {*made, "no length, end"} for visit_ in asked.visits
                 ):
-                    self.faults.append(f"{request_id}: served with {said!r}, which no backend made for it")
+                    self.faults.append(f"{request_id}: served with {said!r}, which no endpoint made for it")
             case 503:
                 if ran and asked.kind in ("write", "pay"):
                     self.faults.append(f"{request_id}: refused, though it may have run by {ran[0].way}")
@@ -310,7 +310,7 @@
 
     def handler(cell: int) -> ConnectionHandler:
         async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-            await worlds[0].backend(cell)(wire, got)
+            await worlds[0].endpoint_handler(cell)(wire, got)
 
         return handle
 
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -60,7 +60,7 @@
 
 
 OUTAGES: dict[str, Callable[[DiscoveryCall], None]] = {
-    "turned away": lambda call: call.send(http_response(503), end=True),
+    "rejected": lambda call: call.send(http_response(503), end=True),
     "reset": lambda call: call.writer.transport.abort(),
     "ends at once": lambda call: call.send(b"", end=True),
     "silent": lambda call: None,
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -76,7 +76,7 @@
         assert len(made.a.asked) == made.a.whole == 1
 
 
-MOODS = ["tells", "silent", "half a list", "half a head", "refuses", "turns away", "ends at once"]
+MOODS = ["tells", "silent", "half a list", "half a head", "refuses", "rejects", "ends at once"]
 
 
 class Moody(Versions):
@@ -93,9 +93,9 @@
         await reader.readuntil(b"\r\n\r\n")
         self.asked.append("")
         whole = self.answer(None)
-        said = {"half a list": whole[:-20], "half a head": whole[:9], "turns away": http_response(503)}
+        said = {"half a list": whole[:-20], "half a head": whole[:9], "rejects": http_response(503)}
         writer.write(said.get(self.mood, b""))
-        if self.mood in ("turns away", "ends at once"):
+        if self.mood in ("rejects", "ends at once"):
             return
         self.open.append(writer)
         try:
--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -13,16 +13,18 @@
 from tests.support.stepped_clock import wait_until
 
 USUAL, MOST = 200, 3_200
-TIMES, PLUS, PLUS_EACH = 2.0, 64_000, 500  # what the terms allow of the usual bytes, and for each backend
+TIMES, PLUS, PLUS_EACH = 2.0, 64_000, 500  # what the terms allow of the usual bytes, and for each endpoint
 
 
 class Fleet:
-    """Backends that are replaced one by one, and a discovery that counts what it sends of them."""
+    """Endpoints that are replaced one by one, and a discovery that counts what it sends of them."""
 
-    def __init__(self, backends: int) -> None:
+    def __init__(self, endpoint_count: int) -> None:
         self.rev = 1
         self.log: list[tuple[int, dict[str, object]]] = []  # each change and the version that it made
-        self.now = {f"s-{number:08x}": self.row(f"s-{number:08x}", number) for number in range(backends)}
+        self.now = {
+            f"s-{number:08x}": self.row(f"s-{number:08x}", number) for number in range(endpoint_count)
+        }
         self.sent = self.whole = 0
         self.open: list[asyncio.StreamWriter] = []
 
@@ -68,7 +70,7 @@
             self.say(writer, False, [row])
 
     def replace(self, number: int) -> None:
-        """One backend drains and ends, and another comes for it."""
+        """One endpoint drains and ends, and another comes for it."""
         old, new = f"s-{number:08x}", f"t-{number:08x}"
         self.change(self.row(old, number, "terminating"))
         self.change(self.row(new, number))
@@ -86,10 +88,10 @@
     def on_list(self, news: EndpointListMessage) -> None:
         if news.is_complete:
             self.held.clear()
-        for backend in news.endpoints:
-            self.held[news.uids[backend.id]] = backend.status.value
-            if backend.id not in news.addresses:
-                del self.held[news.uids[backend.id]]
+        for endpoint in news.endpoints:
+            self.held[news.uids[endpoint.id]] = endpoint.status.value
+            if endpoint.id not in news.addresses:
+                del self.held[news.uids[endpoint.id]]
 
     def on_broken(self) -> None:
         asyncio.get_running_loop().call_soon(self.watch.start)
@@ -100,14 +102,14 @@
         assert self.held.keys() == self.fleet.now.keys()
 
 
-async def course(backends: int) -> Fleet:
-    """Half of the backends are replaced, with trouble on the way, and discovery moves once."""
-    fleet = Fleet(backends)
+async def course(endpoint_count: int) -> Fleet:
+    """Half of the endpoints are replaced, with trouble on the way, and discovery moves once."""
+    fleet = Fleet(endpoint_count)
     async with StandInServer(fleet.handle) as first, StandInServer(fleet.handle) as second:
         follower = Follower((first.port, second.port), fleet)
         follower.watch.start()
         await follower.told()
-        for number in range(backends // 2):
+        for number in range(endpoint_count // 2):
             fleet.replace(number)
             if number % 20 == 0:
                 await follower.told()
@@ -133,6 +135,6 @@
 
 
 async def test_list_bytes_stay_within_the_limit_at_sixteen_times_the_endpoints() -> None:
-    usual, most = [await course(backends) for backends in (USUAL, MOST)]
+    usual, most = [await course(endpoint_count) for endpoint_count in (USUAL, MOST)]
     assert usual.whole == most.whole == 2  # at the start, and after the move
     assert most.sent <= TIMES * usual.sent + PLUS + PLUS_EACH * MOST, (usual.sent, most.sent)
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -38,7 +38,7 @@
 
 
 async def lists_until_the_end(proxy: LoopbackProxy) -> list[messages.EndpointListUpdate]:
-    """The lists that reach the module until the watch has ended."""
+    """The lists that reach the policy until the watch has ended."""
     taken: list[messages.EndpointListUpdate] = []
     feed = proxy.driver.events.put
 
@@ -53,7 +53,7 @@
 
 
 def played(said: bytes) -> tuple[list[messages.EndpointListUpdate], set[int], int | None]:
-    """The lists that reach the module, the backends that are known then, and the version to go on from."""
+    """The lists that reach the policy, the endpoints that are known then, and the version to go on from."""
     result: list[tuple[list[messages.EndpointListUpdate], set[int], int | None]] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -164,7 +164,7 @@
 
 @pytest.mark.parametrize("away", ["terminating", "terminated"])
 def test_return_of_an_endpoint_is_not_joined_with_its_removal(away: str) -> None:
-    """Its kept connections are the old one's."""
+    """Its idle connections are the old one's."""
     lists = [
         read_list(change(endpoint_entry("a", 9, state), rev=number))
         for number, state in ((2, away), (3, "in_service"))
--- a/tests/net/discovery/test_json_stream.py
+++ b/tests/net/discovery/test_json_stream.py
@@ -15,9 +15,10 @@
 READ = 65_536  # bytes that come at once
 
 
-def whole_list(backends: int, indent: int | None) -> bytes:
+def whole_list(endpoint_count: int, indent: int | None) -> bytes:
     targets = [
-        endpoint_entry(f"s-{number:08x}", 9_000, model="m2", capacity_hint=1.0) for number in range(backends)
+        endpoint_entry(f"s-{number:08x}", 9_000, model="m2", capacity_hint=1.0)
+        for number in range(endpoint_count)
     ]
     return json.dumps(endpoint_list(*targets), indent=indent).encode() + b"\n"
 
@@ -46,7 +47,7 @@
 def test_long_list_is_split_with_few_calls_for_each_endpoint(indent: int | None) -> None:
     """A proxy has part of a core, and a pushed list has a second: one that took longer to cut would be
     given up and fetched anew, for ever."""
-    few, many = (calls_to_cut(whole_list(backends, indent)) for backends in (100, 1_100))
+    few, many = (calls_to_cut(whole_list(endpoint_count, indent)) for endpoint_count in (100, 1_100))
     assert (many - few) / 1_000 <= 7  # two braces, and what is called for each
 
 
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -189,7 +189,7 @@
 
 
 def changes(*entries: object, **more: object) -> str:
-    """Changes of a list that begin with a sound one: the backend s-1 is gone."""
+    """Changes of a list that begin with a sound one: the endpoint s-1 is gone."""
     sound = endpoint_entry("s-1", 9, "terminated")
     return json.dumps({**endpoint_list(rev=2, full=False), "targets": [sound, *entries], **more}) + "\n"
 
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -65,7 +65,7 @@
 @EACH_CLOCK_STEP
 @pytest.mark.parametrize("kind", ["changes", "full"])
 async def test_start_by_a_wrong_clock_counts_from_its_receipt(step: int, kind: str) -> None:
-    """Only the clock of the backend or of discovery is wrong, or ours was as the process started."""
+    """Only the clock of the endpoint or of discovery is wrong, or ours was as the process started."""
 
     fed = ManualDriver()
     fed.apply_list(("a", 0), ("b", 0), full=True)
--- a/tests/net/discovery/test_watch_resumption.py
+++ b/tests/net/discovery/test_watch_resumption.py
@@ -104,7 +104,7 @@
 async def test_complete_list_is_requested_only_when_no_version_can_be_resumed(
     setup: messages.Settings, event: Event, whole: int
 ) -> None:
-    """At 3,200 backends it has half a megabyte."""
+    """At 3,200 endpoints it has half a megabyte."""
 
     async with play(setup) as made:
         await made.follows(made.a)
--- a/tests/net/discovery/versioned_discovery.py
+++ b/tests/net/discovery/versioned_discovery.py
@@ -55,7 +55,7 @@
 
     @property
     def uid(self) -> str:
-        """The one backend, another with each version."""
+        """The one endpoint, another with each version."""
         return f"{self.name}-{self.rev}"
 
     def list_now(self) -> dict[str, object]:
@@ -106,7 +106,7 @@
 
 @contextmanager
 def one_clock(clock: SteppedClock, proxy: LoopbackProxy) -> Iterator[None]:
-    """The module's clock goes with the event loop's."""
+    """The policy's clock goes with the event loop's."""
     started_at_us = proxy.driver.clock.now_us()
     proxy.driver.clock.now_us = lambda: started_at_us + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
     yield
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize(("heard", "ends"), [(True, Outcome.NOT_SENT), (False, Outcome.NO_CONNECTION)])
 async def test_attempt_without_a_connection_fails_over_in_time(heard: bool, ends: Outcome) -> None:
-    """As not sent where the backend is known to be there, as one that can't be reached otherwise."""
+    """As not sent where the endpoint is known to be there, as one that can't be reached otherwise."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
@@ -90,7 +90,7 @@
         for count in (2, 3, 4):
             await connects.advance(11.0)
             await connects.wait_for(count)
-        connects.open(3)  # the first to the other backend
+        connects.open(3)  # the first to the other endpoint
         first, _, body = await asked
         assert (first.split()[1], body) == ("200", b"x")
         assert first_endpoint.connection_count + second_endpoint.connection_count == 1
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -76,7 +76,7 @@
 
 
 async def test_surplus_connections_are_closed() -> None:
-    """Backends hold only so many."""
+    """Endpoints hold only so many."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
@@ -311,7 +311,7 @@
 
 
 async def test_attempt_waits_no_longer_than_the_connect_timeout_for_any_connection() -> None:
-    """The module counts on it for repeats within a window; what is coming goes on for others."""
+    """The policy counts on it for repeats within a window; what is coming goes on for others."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -45,7 +45,7 @@
 
 @asynccontextmanager
 async def fickle(chance: random.Random) -> AsyncIterator[StandInServer]:
-    """A backend that answers as it likes, or not at all, and may end the connection."""
+    """An endpoint that answers as it likes, or not at all, and may end the connection."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -64,7 +64,7 @@
 
 
 class Play:
-    """Attempts on two backends, and what chance does to them."""
+    """Attempts on two endpoints, and what chance does to them."""
 
     def __init__(self, chance: random.Random, ports: list[int]) -> None:
         self.chance, self.clock = chance, FrozenClock()
@@ -121,7 +121,7 @@
             self.ended[number] += 1
             self.out.pop(number, None)
             self.depth += 1
-            if self.depth < DEEPEST:  # as the module does, at once
+            if self.depth < DEEPEST:  # as the policy does, at once
                 for _ in range(self.chance.choice([0, 0, 1, 1, 2])):
                     self.act()
             self.depth -= 1
@@ -140,11 +140,11 @@
         self, connection: UpstreamConnection, attempt: UpstreamAttempt, request: UpstreamRequest
     ) -> None:
         faults = {
-            "sent to a backend that is disabled": attempt.endpoint not in self.up,
+            "sent to an endpoint that is disabled": attempt.endpoint not in self.up,
             "sent on a connection to another": connection.endpoint != attempt.endpoint,
             "sent though it is over": attempt.is_over,
             "sent behind another": connection.attempt is not None,
-            "sent on a kept connection what must not run twice": connection.was_idle
+            "sent on an idle connection what must not run twice": connection.was_idle
             and not request.is_idempotent,
         }
         self.wrong += [text for text, is_so in faults.items() if is_so]
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -67,7 +67,7 @@
 async def test_invalid_response_on_a_reused_connection_does_not_suspend_reuse(
     pool: ConnectionPool, said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It says nothing of how the backend treats connections: only ends do."""
+    """It says nothing of how the endpoint treats connections: only ends do."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     good = http_response(200, b"ok")
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -47,7 +47,7 @@
 
 
 async def fares(kind: str, *first: bytes | str) -> tuple[int, list[str]]:
-    """What a client gets, and the ids that backends saw, where the first of two sends is met with this."""
+    """What a client gets, and the ids that endpoints saw, where the first of two sends is met with this."""
     met = [first]
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -104,7 +104,7 @@
 async def test_abandoned_attempt_has_ended_at_its_endpoint_before_its_outcome(
     pool: ConnectionPool, how: str
 ) -> None:
-    """The next one may be written in the same turn, on a kept connection: it must be no second copy."""
+    """The next one may be written in the same turn, on an idle connection: it must be no second copy."""
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         if how == "invalid":
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -39,18 +39,18 @@
 
 @dataclass
 class Traffic:
-    """Clients of one process and the backend behind it, and what came of all requests."""
+    """Clients of one process and the endpoint behind it, and what came of all requests."""
 
     deadline_s: float
-    hangs: bool  # does the backend answer nothing that comes after the signal?
+    hangs: bool  # does the endpoint answer nothing that comes after the signal?
     stopping: asyncio.Event = field(default_factory=asyncio.Event)
     sent: int = 0
     answered: int = 0
     crossed: list[str] = field(default_factory=list)  # ids of those that a close with no answer crossed
-    seen: list[str] = field(default_factory=list)  # ids that came to the backend
+    seen: list[str] = field(default_factory=list)  # ids that came to the endpoint
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """The backend's side of a connection."""
+        """The endpoint's side of a connection."""
         while True:
             _, headers, _ = await read_http_message(reader)
             self.seen.append(headers["req-id"])
@@ -109,7 +109,7 @@
     return proxy_config(known=known, settings=raw_settings(lanes=[lane], limits=LIMITS))
 
 
-@pytest.mark.parametrize("hangs", [False, True], ids=["backends answer", "backends hang"])
+@pytest.mark.parametrize("hangs", [False, True], ids=["endpoints answer", "endpoints hang"])
 @pytest.mark.parametrize("stopped_at_s", [None, 0.0, 0.45])
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0])
 async def test_each_request_read_before_exit_gets_one_response(
