--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -29,7 +29,7 @@
 async def test_connection_is_not_closed_at_shutdown_while_its_request_arrives(
     proxy: LoopbackProxy, fresh: bool
 ) -> None:
-    """It is answered, and told that it was the last one; until then not all is said and done."""
+    """Its response is the last one on its connection; until then the listener is not drained."""
 
     client, other = SocketClient(proxy), SocketClient(proxy)
     await wait_until(lambda: len(proxy.clients.open_connections) == 2)
--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -35,7 +35,7 @@
 
 
 async def test_new_connection_is_not_evicted_by_the_next_one() -> None:
-    """Connections that asked once and stay fill the room: they go first, not who is about to ask."""
+    """Idle connections fill the limit: one of them is evicted, not one that is about to bring a request."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -85,7 +85,7 @@
 async def test_connection_is_not_evicted_while_its_request_arrives(
     fresh: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Where all others are busy, or about to be, the newcomer is one too many."""
+    """All other connections are busy or about to be, so the new one is answered 503."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -111,7 +111,7 @@
 async def test_connection_is_evicted_when_its_client_has_just_disconnected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What it has left unread is nobody's request any more."""
+    """The request that it left behind unread is not forwarded."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -83,7 +83,7 @@
 
 
 async def test_late_response_after_the_final_response_is_discarded() -> None:
-    """Where attempts are not cancelled, a late answer of an endpoint must go nowhere."""
+    """Attempts are not cancelled by these settings, so the endpoint responds once the request has ended."""
 
     late = asyncio.Event()
 
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -25,7 +25,7 @@
 @pytest.mark.parametrize("behind", [1, 3])
 @pytest.mark.parametrize("read", [True, False])
 async def test_pipelined_requests_are_answered_before_the_close_at_shutdown(behind: int, read: bool) -> None:
-    """Only the last answer ends the connection, be what follows read or still with the system."""
+    """Only the last response closes the connection, whether the requests behind were read or not."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         client = SocketClient(proxy)
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("why", ["closing", "asked", "surplus", "bad"])
 async def test_request_after_the_last_response_is_not_forwarded(why: str) -> None:
-    """The connection is shut by then; it is read on only so that its end resets nothing."""
+    """The connection lingers by then: it is read only so that its close does not reset the response."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
@@ -126,14 +126,14 @@
 
 
 async def shut(proxy: LoopbackProxy) -> list[ClientConnection]:
-    """The connections, once one of them has been shut."""
+    """Return the open connections, once one of them lingers."""
     await wait_until(lambda: any(connection.is_lingering for connection in proxy.clients.open_connections))
     return list(proxy.clients.open_connections)
 
 
 @pytest.mark.parametrize("last", [True, False])
 async def test_connection_is_not_evicted_while_it_writes_a_response(last: bool) -> None:
-    """Its connection counts as idle, or as about to end, from its last byte's hand-over on."""
+    """The connection counts as idle, or as lingering, as soon as the response is handed to the transport."""
 
     async with (
         StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize("last", [True, False])
 async def test_slowly_read_response_is_delivered_complete(last: bool) -> None:
-    """Also where it is the last one, and then the end comes behind it and not instead of its rest."""
+    """Also where it is the last one: the end of the stream follows the whole response."""
 
     async with (
         StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
@@ -217,7 +217,7 @@
 async def test_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(
     how: str, later: bool
 ) -> None:
-    """It comes after the last look at the connection: the client sends it once more on a new one."""
+    """It comes after the last check of the connection, so the client can safely send it again."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
@@ -287,7 +287,7 @@
 async def test_each_pipelined_request_up_to_the_last_gets_one_final_response(
     sent: list[bytes], statuses: list[int], on: int, whole: bool
 ) -> None:
-    """Also where the rest comes only while the first one is open."""
+    """Whether the requests come at once, or the others while the first one is open."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         client = SocketClient(proxy)
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -24,7 +24,7 @@
 
 
 class Turns:
-    """The most that is done of something in one turn of the event loop."""
+    """Counts how often something is done, in all and at most in one turn of the event loop."""
 
     def __init__(self) -> None:
         self.all = self.most = self._now = 0
@@ -45,7 +45,7 @@
 
 
 def chunks(count: int) -> bytes:
-    """A request whose body comes one byte a chunk."""
+    """Return a request with a body in chunks of one byte."""
     head = http_request("mark", request_id="chunks", Content_Length="0").replace(
         b"Content-Length: 0", b"Transfer-Encoding: chunked"
     )
@@ -111,7 +111,7 @@
 
 
 class Broken:
-    """A listener whose connections have ended before anything can be set on them."""
+    """A listening socket whose accepted connections have ended at once."""
 
     def __init__(self, listener: socket.socket) -> None:
         self._listener = listener
@@ -163,7 +163,7 @@
 async def test_connection_flood_uses_no_more_descriptors_than_its_limit(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also on the way from the accept to a place, and from a close to its end. A client then gets in."""
+    """Connections count from their accept until their socket is closed. A new client is served afterwards."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=64) as proxy,
@@ -192,7 +192,7 @@
 
 @contextmanager
 def no_descriptors() -> Iterator[None]:
-    """The system gives this process none for as long as this lasts."""
+    """Have the system refuse this process every further descriptor."""
     with socket.socket() as free:
         lowest = free.fileno()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -225,7 +225,7 @@
 async def test_descriptor_shortage_is_logged_once_when_it_begins_and_ends(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """It is met again every 0.05 s while it lasts, and who waits for one is served afterwards."""
+    """The accept is repeated every 0.05 s; a client that waited is served once the shortage is over."""
     caplog.set_level(logging.INFO, logger=ACCEPTOR_LOG)
     quiet_s = repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S
     async with (
@@ -270,7 +270,7 @@
 
 
 async def test_bytes_buffered_for_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whatever the system has of each of them: one read each at the most goes over the limit for all."""
+    """The total limit is exceeded by at most one read for each connection, however much the clients send."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES", 100_000)
     client_count = 40
 
@@ -301,7 +301,7 @@
 
 
 async def test_connection_is_not_evicted_while_its_request_is_parsed() -> None:
-    """All of it has come by then."""
+    """The whole request has been received by then."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("cancel", [True, False])
 async def test_retry_is_not_sent_after_client_disconnects(way: str, cancel: bool) -> None:
-    """The attempt fails in the very turn in which its client leaves, and is read first."""
+    """The attempt fails in the turn in which its client disconnects, and that failure is read first."""
 
     async with (
         SilentEndpoint() as first_endpoint,
@@ -94,7 +94,7 @@
 async def test_queued_request_is_not_forwarded_after_client_disconnects(
     way: str, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An endpoint comes free in the very turn in which the client of a held request leaves."""
+    """The endpoint has capacity again in the turn in which the client of a queued request disconnects."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)  # the connection that comes free is taken at once
 
     async with (
@@ -126,7 +126,7 @@
 
 
 async def begin(proxy: LoopbackProxy, client: SocketClient, paused: bool) -> ClientConnection:
-    """The client's request, and where it pauses so much behind it that the proxy ceases to read."""
+    """Send a request, and behind it, where reading is to pause, more bytes than are buffered."""
     before = set(proxy.clients.open_connections)
     client.socket.setblocking(False)
     sent = http_request(request_id="r0") + (
@@ -219,7 +219,7 @@
 async def test_client_disconnect_is_noticed_before_another_attempt_can_begin(
     way: str, where: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At once, or where it is not read with half of the time kept for an event loop that is late."""
+    """At once, or where reading is paused within half of the allowed time: the event loop may be late."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     async with waiting_request(where, cancel, paused) as waiting:
         proxy, connection = waiting.proxy, waiting.connection
@@ -262,7 +262,7 @@
 async def test_only_paused_connections_are_polled_for_a_disconnect(
     polled_transports: list[asyncio.BaseTransport], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An idle connection costs nothing, nor does one with a request open that is read."""
+    """Neither an idle connection is polled, nor one with an open request that is being read."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         clock, idle, busy = FrozenClock(), SocketClient(proxy), SocketClient(proxy)
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -45,7 +45,7 @@
 async def test_attempt_awaiting_its_connection_is_not_sent_after_client_disconnects(
     kind: str, cancel: bool
 ) -> None:
-    """Settings may forbid to call an attempt off, but this one has not been sent yet."""
+    """Also where attempts must not be cancelled, as this one has not been sent yet."""
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
@@ -71,7 +71,7 @@
 async def test_pipelined_request_behind_a_response_is_not_forwarded_after_client_disconnects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client's end has come, and what is queued for it still goes out: then the next request is read."""
+    """The next request is parsed once the response has been written, after the client's end of stream."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
@@ -108,7 +108,7 @@
 async def test_pipelined_request_behind_an_open_request_is_not_forwarded_after_client_disconnects(
     paused: bool, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its end shows though it stands behind more bytes than are taken in ahead of their turn."""
+    """The end of the stream is noticed behind more bytes than are buffered."""
     if paused:
         monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     clock, delayed = FrozenClock(), DelayedEndpoint()
@@ -138,7 +138,7 @@
 async def test_request_read_after_its_client_disconnected_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It waited in the system, as it does while the event loop is busy; an idle connection is at hand."""
+    """Its bytes wait in the system while the event loop is busy; an idle connection is available."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -29,7 +29,7 @@
 
 
 class Hold:
-    """Runs something between the clock that an attempt reads as it is written, and the write."""
+    """Runs `meanwhile` between the last look at the clock before an attempt is written, and its write."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.armed = False
@@ -76,7 +76,7 @@
 
 @dataclass
 class HeldWrite:
-    """An attempt that was held just before its write, and what is around it."""
+    """An attempt that was held just before its write, its client and its endpoints."""
 
     proxy: LoopbackProxy
     endpoints: tuple[StandInServer, StandInServer]
@@ -166,7 +166,7 @@
 
 @pytest.mark.parametrize("way", WAYS)
 async def test_unwritten_attempt_leaves_its_connection_to_another_waiting_attempt(way: str) -> None:
-    """Two wait for connections to one endpoint, and the first of them leaves as they come up."""
+    """Two attempts wait for connections, and the first client disconnects as these are established."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         gate, leaver, stayer = ConnectGates(proxy.pool), SocketClient(proxy), SocketClient(proxy)
--- a/tests/net/client/test_http_server_protocol.py
+++ b/tests/net/client/test_http_server_protocol.py
@@ -17,7 +17,7 @@
 
 
 def read_request(protocol: HttpServerProtocol) -> tuple[bytes, bytes] | None:
-    """The target and body of the next request, or none where it is not complete."""
+    """Return the target and body of the next request, or None where it is not complete."""
     target, body = b"", b""
     while True:
         match protocol.next_event():
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -64,7 +64,7 @@
 async def test_malformed_request_gets_an_error_and_a_close(
     sent: bytes, cut: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """At once, whether it comes in one piece or byte by byte."""
+    """At once, whether it is sent in one piece or byte by byte."""
 
     async with (
         StandInEndpoint(http_response(200)) as endpoint,
@@ -116,7 +116,7 @@
 async def test_connection_of_an_endless_request_is_closed_in_time(
     kind: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """However it keeps its bytes coming; the clock is stepped, a byte or a line each 0.05 s."""
+    """However it goes on sending: a byte or a line each 0.05 s, on a stepped clock."""
 
     async with (
         StandInEndpoint(http_response(200)) as endpoint,
@@ -145,7 +145,7 @@
 async def test_client_that_sends_60_mb_gets_an_error_and_a_close(
     head: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """What it sends is read for a while, so that the error is not lost, and takes no memory."""
+    """Its bytes are read and dropped for a while, so that a reset does not destroy the error response."""
 
     async with (
         StandInEndpoint(http_response(200)) as endpoint,
@@ -184,7 +184,7 @@
 @pytest.mark.parametrize("kind", FORMS)
 @pytest.mark.parametrize("cut", [1, 2, 7])
 async def test_valid_requests_are_forwarded_in_any_form_and_split(kind: str, cut: int) -> None:
-    """Two of them, one right behind the other: each gets its own answer, and is sent on as it was."""
+    """Two pipelined requests: each gets its own response, and is forwarded unchanged."""
 
     second = FORMS[kind].replace(b"f1", b"f2")
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
@@ -206,7 +206,7 @@
 
 @pytest.mark.parametrize("ahead", [True, False])
 async def test_empty_lines_after_a_request_leave_the_connection_idle(ahead: bool) -> None:
-    """They bring no answer, and the connection rests as if they had not come."""
+    """They get no response, and the idle time of the connection is not extended."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         client = SocketClient(proxy)
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -40,7 +40,7 @@
 
 
 async def came(proxy: LoopbackProxy, client: SocketClient, sent: bytes) -> ClientConnection:
-    """The connection of a client, once what it sent has been read."""
+    """Send the bytes, and return the client's connection once they have been read."""
     client.send(sent)
     name = client.socket.getsockname()
 
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("stop", STOPS)
 @pytest.mark.parametrize("reason", REASONS)
 async def test_partial_request_gets_an_error_when_its_connection_is_closed(stop: str, reason: str) -> None:
-    """Its client can read it though it goes on sending."""
+    """The client can read the response although it goes on sending."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
@@ -108,7 +108,7 @@
 
 
 async def test_unused_connection_is_evicted_before_one_with_a_partial_request() -> None:
-    """Before those that have brought a part of a request, though these came earlier."""
+    """Although the connection with the partial request is the older one."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("stop", STOPS)
 async def test_connection_with_a_later_partial_request_is_not_evicted(stop: str) -> None:
-    """Its connection has served its client before."""
+    """The connection has served a complete request before."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -151,7 +151,7 @@
 
 
 async def test_open_request_is_not_answered_503_at_exit() -> None:
-    """It may have run. One whose client still writes is: nothing of it was sent on."""
+    """It may have run. An incomplete request is answered 503, as nothing of it was forwarded."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         busy, half = SocketClient(proxy), SocketClient(proxy)
@@ -197,7 +197,7 @@
 async def test_exception_over_a_request_is_answered_500_and_spares_other_requests(
     where: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The error promises nothing, as the fault may have come after an attempt began."""
+    """The status is 500 and not 503, as the exception may come after an attempt has begun."""
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         other, client = SocketClient(proxy), SocketClient(proxy)
         await came(proxy, other, http_request(request_id="other"))
@@ -224,7 +224,7 @@
 
 
 async def test_request_completed_after_the_shutdown_deadline_is_answered_503() -> None:
-    """The shutdown has ended all requests by then; there is no time left for one more."""
+    """The shutdown has ended all requests by then, and no time is left for another."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         client, request = SocketClient(proxy), http_request(request_id="late")
@@ -249,7 +249,7 @@
 async def test_eviction_examines_a_bounded_number_of_partial_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its connections are as many as there are descriptors, and newcomers may be as many a second."""
+    """There may be as many connections as descriptors, and as many new ones in a second."""
     crowd = 2 * client_limits.MAX_SILENT_CANDIDATES
     looked_at = 0
     began = ClientConnection.has_unanswered_request.fget  # type: ignore[attr-defined]
--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -32,7 +32,7 @@
 async def test_deadline_of_a_pipelined_request_counts_from_its_last_byte(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """However long it waited behind others, and whenever these came."""
+    """However long it waited behind other requests, and whenever these were received."""
     clock, delayed = FrozenClock(), DelayedEndpoint()
     async with (
         StandInServer(delayed.handle) as endpoint,
--- a/tests/net/client/test_receive_buffer.py
+++ b/tests/net/client/test_receive_buffer.py
@@ -49,7 +49,7 @@
 def test_beyond_the_total_maximum_only_non_empty_buffers_are_over_limit(
     total: BufferedTotal, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One that is empty would otherwise never be read again while others are full."""
+    """An empty connection would otherwise not be read again as long as others are full."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES", 3)
     full, little, empty = (ReceiveBuffer(total) for _ in range(3))
     full.append(1.0, b"abc")
--- a/tests/net/client/test_request_forwarding.py
+++ b/tests/net/client/test_request_forwarding.py
@@ -62,7 +62,7 @@
 
 
 async def test_long_claimed_deadline_does_not_affect_other_requests(proxy: LoopbackProxy) -> None:
-    """No client waits longer than its class allows, and none tells how old another's request is."""
+    """Each deadline is capped by the class, and says nothing of the age of other requests."""
 
     assert response_status(await proxy.send_request(http_request(Req_Deadline="3600"))) == 200
     assert response_status(await proxy.send_request(http_request(request_id="a2"))) == 200
@@ -113,7 +113,7 @@
 async def test_only_the_request_class_decides_whether_an_idle_connection_is_reused(
     kind: str, kept: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A header does not: a client may give a key to what must not run twice."""
+    """An Idempotency-Key header does not decide: a client may send one with a non-idempotent class."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
@@ -128,7 +128,7 @@
 
 @pytest.fixture
 def policy_clock(monkeypatch: pytest.MonkeyPatch) -> Callable[[], SteppedClock]:
-    """Return what makes the stepped clock of the running loop, which the policy's clock follows as well."""
+    """Return what makes a clock that steps both the running event loop and the policy."""
 
     def make() -> SteppedClock:
         clock, now_us = FrozenClock(), Clock.now_us
@@ -156,7 +156,7 @@
 async def test_deadline_header_holds_the_time_remaining_when_the_attempt_is_written(
     policy_clock: Callable[[], SteppedClock], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first one and a further one, though the connection of each comes up late."""
+    """That of the first attempt and of the retry, although each connection is established late."""
     clock = policy_clock()
     async with (
         StandInEndpoint(http_response(500)) as endpoint,
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -144,7 +144,7 @@
 
 
 async def test_endpoint_400_is_not_retried_nor_counted_as_a_failure() -> None:
-    """A request that is no good is no good anywhere: trying it elsewhere would lower all endpoints."""
+    """The request is invalid at every endpoint: retries would count against all of them."""
 
     async with (
         StandInEndpoint(http_response(400)) as endpoint,
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -84,7 +84,7 @@
 
 @dataclass
 class Visit:
-    """An attempt as its endpoint saw it."""
+    """An attempt as its endpoint received it."""
 
     at: float
     step: int
@@ -108,7 +108,7 @@
 
 @dataclass
 class Asked:
-    """A request of a client's."""
+    """A request that a client sent, and what came of it."""
 
     kind: str
     visits: list[Visit] = field(default_factory=list)
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -47,7 +47,7 @@
 
 
 class Late:
-    """Sweeps the connections by hand, each sweep as late as it may be; the clock is stepped."""
+    """Steps the clock to each sweep of the connections, as late as an event loop may be."""
 
     def __init__(self, listener: ClientListener, clock: SteppedClock) -> None:
         self._listener, self.clock = listener, clock
@@ -61,7 +61,7 @@
 
 
 def error_or_close(client: SocketClient) -> bool:
-    """Has the client got an error, an end or a reset? An interim answer is none."""
+    """Return whether the client has received an error response, an end or a reset."""
     client.socket.setblocking(False)
     try:
         got = client.socket.recv(65_536)
@@ -82,7 +82,7 @@
 
 
 async def serve_first_request(client: SocketClient, clock: SteppedClock) -> StreamPair:
-    """Have the client's first request answered, and pass so much time that an idle one may stay."""
+    """Have the client's first request answered, and let the connection be idle for a while."""
     client.send(http_request(request_id="good"))
     reader, writer = await client.streams()
     assert response_status(await read_http_message(reader)) == 200
@@ -96,7 +96,7 @@
 async def test_stalled_client_gets_an_error_or_a_close_in_time(
     endpoint: StandInEndpoint, proxy: LoopbackProxy, stop: str, when: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Wherever it stops, with each sweep late, and also during the shutdown."""
+    """Wherever it stalls, with each sweep late, and also during the shutdown."""
     clock, client = FrozenClock(), SocketClient(proxy)
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)
     late = Late(proxy.listener, clock)
@@ -160,7 +160,7 @@
     first_sweep_s: float,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Each byte comes between the event loop's last reading and the check, forced; each check is late."""
+    """Each byte is sent between the event loop's last read and the check; each check is late."""
     clock, client = FrozenClock(), SocketClient(proxy)
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)
     late = Late(proxy.listener, clock)
@@ -183,7 +183,7 @@
 
 @pytest.mark.parametrize("fresh", [True, False])
 async def test_request_that_crosses_the_final_check_is_forwarded(fresh: bool) -> None:
-    """It is with the system as the time of its connection is over."""
+    """The system has received it as the time limit of its connection ends."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         clock, client = FrozenClock(), SocketClient(proxy)
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -84,7 +84,7 @@
 
 
 def all_is_small(discovery: StandInDiscovery, proxy: LoopbackProxy) -> None:
-    """Nothing of the calls that failed is left."""
+    """Assert that failed calls have left no task, timer or open call behind."""
     assert sum(not call.closed_by_proxy.is_set() for call in discovery.calls) <= 1
     assert running_watch_count() <= 1
     assert len(proxy.driver.balancer.outbox.timers) <= 2
@@ -98,7 +98,7 @@
 async def test_change_is_applied_in_time_after_a_long_outage_and_nothing_accumulates(
     setup: messages.Settings, mood: str, minutes: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Discovery is back just after a call has failed, or with a call out that it never answers."""
+    """Discovery returns just after a call has failed, or while one is open that it never answers."""
 
     async with watching_proxy(setup) as (discovery, proxy, clock):
         await advance_until(clock, lambda: len(discovery.calls) == 1)
@@ -150,7 +150,7 @@
 
 
 async def test_each_poll_waits_for_its_turn_at_an_overloaded_discovery() -> None:
-    """It tells each call after its turn of 2 s and then drops it, for minutes: no news is left out."""
+    """For minutes each poll is answered after 2 s and then reset: no version is missed."""
 
     async with watching_proxy(POLLED_SETTINGS) as (discovery, proxy, clock):
         for rev in range(1, 41):
@@ -164,7 +164,7 @@
 async def served_as(
     rev: int, discovery: StandInDiscovery, proxy: LoopbackProxy, clock: SteppedClock
 ) -> float:
-    """Has the call that is out told this version after its longest time in the queue."""
+    """Answer the open call with this version after its longest time in the queue."""
     waited = await advance_until(clock, lambda: discovery.calls[-1].closed_by_proxy.is_set(), POLL_QUEUE_S)
     discovery.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
     waited += await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == rev, 1.0)
@@ -177,7 +177,7 @@
 async def test_watch_that_falls_silent_repeatedly_is_replaced_in_time(
     setup: messages.Settings, beats: bool
 ) -> None:
-    """For minutes: each watch tells one version and stops, some after a beat."""
+    """For minutes: each watch delivers one version and falls silent, some after a heartbeat."""
 
     async with watching_proxy(setup) as (discovery, proxy, clock):
         for rev in range(1, 21):
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -38,7 +38,7 @@
 
 
 class Reloads:
-    """A configuration file, and a SIGHUP for each discovery that it comes to name."""
+    """A configuration file, which is reloaded with each discovery that it names."""
 
     def __init__(self, folder: Path, proxy: LoopbackProxy, port: int) -> None:
         self.folder = folder
@@ -137,7 +137,7 @@
 async def test_last_of_several_reloads_in_a_row_is_followed(
     setup: messages.Settings, mood: str, apart_s: float, tmp_path: Path
 ) -> None:
-    """Whatever the discoveries on the way do, the last one is followed in time and they are left."""
+    """Whatever the discoveries in between do, their watches end, and the last one is followed in time."""
     async with play(setup) as made, AsyncExitStack() as stack:
         await made.follows(made.a)
         reloads = Reloads(tmp_path, made.p, made.ports["a"])
--- a/tests/net/discovery/versioned_discovery.py
+++ b/tests/net/discovery/versioned_discovery.py
@@ -43,7 +43,7 @@
 
 
 class Versions:
-    """A discovery that numbers its versions: a watch gets what changed since, or else the whole list."""
+    """A discovery that numbers its versions: a watch gets the changes since then, or the complete list."""
 
     def __init__(self, name: str, rev: int = 1) -> None:
         self.name, self.rev, self.first = name, rev, rev
@@ -94,7 +94,7 @@
 
 
 async def pass_until(clock: SteppedClock, holds: Callable[[], bool], most_s: float = 20.0) -> float:
-    """Moves time on until something holds; the seconds that it took."""
+    """Step time until the condition holds, and return the seconds that it took."""
     began = clock.advanced_s
     while not holds():
         assert clock.advanced_s - began < most_s, "it never came"
@@ -106,14 +106,14 @@
 
 @contextmanager
 def one_clock(clock: SteppedClock, proxy: LoopbackProxy) -> Iterator[None]:
-    """The policy's clock goes with the event loop's."""
+    """Step the policy's clock together with the event loop's."""
     started_at_us = proxy.driver.clock.now_us()
     proxy.driver.clock.now_us = lambda: started_at_us + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
     yield
 
 
 class Play:
-    """A proxy, the discovery that it follows, and another one."""
+    """A proxy, the discovery that it follows, and another discovery."""
 
     def __init__(self, proxy: LoopbackProxy, clock: SteppedClock, a: Versions, b: Versions) -> None:
         self.p, self.clock, self.a, self.b = proxy, clock, a, b
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -72,7 +72,7 @@
 
 
 def test_no_other_module_reads_a_wall_clock() -> None:
-    """All the rest goes by the event loop, whose clock is monotonic."""
+    """All other modules use the event loop's clock, which is monotonic."""
     readers = set()
     for path in SOURCES.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/net/upstream/test_answers_without_length.py
+++ b/tests/net/upstream/test_answers_without_length.py
@@ -26,7 +26,7 @@
 
 
 async def say(wire: EndpointConnection, said: bytes, more: bool = False) -> None:
-    """Hands all of it to the system, which holds the last of it back while more is to come."""
+    """Hand all bytes to the system, which holds the last segment back where `more` follows."""
     while said:
         try:
             sent = wire.socket.send(said, socket.MSG_MORE if more else 0)
@@ -44,7 +44,7 @@
 async def test_close_delimited_response_is_forwarded_complete(
     head: str, body: str, end: str, kept: bool, shut: str, bytes_from_endpoints: bytearray
 ) -> None:
-    """All of them, where half are owed."""
+    """In every form of the head, the body, the end and the connection."""
     said = HEADS[head] + BODIES[body]
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
@@ -80,7 +80,7 @@
 async def test_reset_close_delimited_response_is_not_forwarded(
     head: str, body: str, end: str, kept: bool, kind: str, bytes_from_endpoints: bytearray
 ) -> None:
-    """After its last byte all the same: the client gets no answer that might be cut."""
+    """Also after its last byte: the client must not get a response that may be truncated."""
     said = HEADS[head] + BODIES[body]
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -36,7 +36,7 @@
 async def test_close_delimited_response_is_complete_at_the_end_of_the_stream(
     pool: ConnectionPool, head: bytes, outcome: Outcome, body: bytes, then: tuple[str, ...]
 ) -> None:
-    """HTTP/1.1 ends it there. All of it lies in the system as it is read; a reset after an end comes late."""
+    """As HTTP/1.1 says. Where a reset follows the end, both are with the system before the first read."""
 
     async with RawEndpoint(respond_with(head + body, *then)) as endpoint:
         for tries in (1, 2):  # the connection is not kept
@@ -69,7 +69,7 @@
 async def test_reset_does_not_complete_a_close_delimited_response(
     pool: ConnectionPool, at: int, seen_before: bool, bytes_from_endpoints: bytearray
 ) -> None:
-    """At each byte and after the last, be it read before the reset comes or with the reset behind it."""
+    """After any byte and after the last, whether the bytes are read before the reset or together with it."""
     said = (HEAD_WITHOUT_LENGTH + b"whole")[:at]
 
     async with RawEndpoint(respond_with(said) if seen_before else respond_with(said, "reset")) as endpoint:
@@ -85,7 +85,7 @@
 async def test_close_delimited_response_over_the_limit_is_rejected(
     pool: ConnectionPool, size: int, outcome: Outcome
 ) -> None:
-    """One byte more is known at once for no answer, though its connection stays open."""
+    """One byte over the limit ends the attempt at once, although the connection stays open."""
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         await asyncio.get_running_loop().sock_sendall(wire.socket, HEAD_WITHOUT_LENGTH + b"x" * size)
@@ -114,7 +114,7 @@
 async def test_interim_response_does_not_start_the_completion_timeout(
     pool: ConnectionPool, cut: int, bytes_from_endpoints: bytearray
 ) -> None:
-    """Only the answer itself has to come whole soon after its first byte, as the work is done by then."""
+    """Only the final response must be complete soon after its first byte, as the work is done by then."""
     interim, good = b"HTTP/1.1 103 x\r\n\r\n", http_response(200, b"ok")
 
     clock = FrozenClock()
@@ -154,7 +154,7 @@
 
 @pytest.mark.parametrize("kind", ["read", "write", "mark", "pay"])
 async def test_client_gets_a_close_delimited_response_unless_it_is_reset(kind: str) -> None:
-    """Served where the connection ends; where it is reset the request may have run."""
+    """After a proper end; after a reset the request may have run."""
 
     ends = ["reset", "end"]
 
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize(("heard", "ends"), [(True, Outcome.NOT_SENT), (False, Outcome.NO_CONNECTION)])
 async def test_attempt_without_a_connection_fails_over_in_time(heard: bool, ends: Outcome) -> None:
-    """As not sent where the endpoint is known to be there, as one that can't be reached otherwise."""
+    """As not sent where the endpoint was active recently, and as not connected otherwise."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
--- a/tests/net/upstream/test_connect_latency.py
+++ b/tests/net/upstream/test_connect_latency.py
@@ -29,7 +29,7 @@
 
 
 def test_expected_saving_tolerates_rounding_of_ages() -> None:
-    """`age + (time - age)` may be below `time`: a connection then counted as still coming for a step more."""
+    """`age + (time - age)` may be below `time`: the connection then counted as pending for a step more."""
     times, (age, longest) = ConnectLatency(), (0.09, 0.34)
     assert age + (longest - age) < longest
     for seconds in (0.05, longest):
@@ -40,7 +40,7 @@
 def test_cost_of_the_expected_saving_is_linear_in_pending_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each attempt that waits looks again and again, and meanwhile the event loop stands still."""
+    """Each waiting attempt computes it repeatedly, and blocks the event loop meanwhile."""
     searched = 0
 
     def counted(among: list[float], value: float) -> int:
--- a/tests/net/upstream/test_connect_pacing.py
+++ b/tests/net/upstream/test_connect_pacing.py
@@ -19,7 +19,7 @@
 
 
 class StoppedLoop(asyncio.SelectorEventLoop):
-    """An event loop that never runs; its clock stands where a test sets it."""
+    """An event loop that never runs; the test sets its clock."""
 
     now = 100.0
 
@@ -52,7 +52,7 @@
 
 
 def test_cancelled_connect_counts_as_a_sample_only_if_later_than_usual(pacing: ConnectPacing) -> None:
-    """Late connects mostly end so: were none counted, all would seem quick. A quick cancel tells nothing."""
+    """Late connects are mostly cancelled; if none counted, all connects would seem fast."""
     for _ in range(MIN_SAMPLES):
         pacing.record_success(ENDPOINT, 0.01)
     for _ in range(10 * MIN_SAMPLES):
@@ -97,7 +97,7 @@
 def test_no_extra_connection_is_opened_to_an_endpoint_that_fails_at_once(
     number: int, until_s: float, ends: str, loop: StoppedLoop, pacing: ConnectPacing
 ) -> None:
-    """One that refuses does so until it takes a connection again; a way may be back after a while."""
+    """A refusal counts until a connect succeeds, a missing route for one connect timeout."""
     for seconds in [0.01] * 8 + [0.2] * 2:
         pacing.record_success(ENDPOINT, seconds)
     ages_s = [0.05]
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -76,7 +76,7 @@
 
 
 async def test_surplus_connections_are_closed() -> None:
-    """Endpoints hold only so many."""
+    """An endpoint can hold only a limited number of connections."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
@@ -258,7 +258,7 @@
     up: bool,
     give_up_once_established: Callable[[str, ConnectionPool, UpstreamAttempt], list[bool]],
 ) -> None:
-    """Also where both stand, and the tasks that waited for them have been woken and have not run yet."""
+    """Also where both are established, and the tasks that await them have not run yet."""
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
@@ -311,7 +311,7 @@
 
 
 async def test_attempt_waits_no_longer_than_the_connect_timeout_for_any_connection() -> None:
-    """The policy counts on it for repeats within a window; what is coming goes on for others."""
+    """The policy relies on it for retries within a window; pending connects go on for other attempts."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
@@ -329,7 +329,7 @@
 
 
 async def test_connection_goes_to_the_next_attempt_when_the_first_missed_its_deadline_in_a_stall() -> None:
-    """The process stood still past the time of one, so that its timer has not fired yet."""
+    """The process was stalled past the first attempt's deadline, whose timer has not fired yet."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -45,7 +45,7 @@
 
 @asynccontextmanager
 async def fickle(chance: random.Random) -> AsyncIterator[StandInServer]:
-    """An endpoint that answers as it likes, or not at all, and may end the connection."""
+    """Run an endpoint that responds at random, or not at all, and may end the connection."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -64,7 +64,7 @@
 
 
 class Play:
-    """Attempts on two endpoints, and what chance does to them."""
+    """Attempts on two endpoints, and random events that happen to them."""
 
     def __init__(self, chance: random.Random, ports: list[int]) -> None:
         self.chance, self.clock = chance, FrozenClock()
@@ -267,7 +267,7 @@
 
 
 async def test_waiting_attempt_considers_an_extra_connection_a_few_times_only() -> None:
-    """It may wait for hundreds of times of what is usual, and each look takes the event loop's time."""
+    """It may wait hundreds of times longer than usual, and each decision takes the event loop's time."""
     async with fickle(random.Random(0)) as stand_in:
         pool, clock = ConnectionPool(1.0, 30.0, 10), FrozenClock()
         for _ in range(32):
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -24,7 +24,7 @@
 async def test_late_bytes_on_an_idle_connection_are_not_the_next_response(
     pool: ConnectionPool, what: str, unread: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Be it that it lies unread as the next request begins, in the same turn, or was read before."""
+    """Whether they are unread as the next request begins in the same turn, or were read before."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
@@ -54,7 +54,7 @@
 async def test_late_bytes_just_before_the_write_are_not_the_next_response(
     pool: ConnectionPool, what: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It comes in the very moment before the write: nothing is written, so nothing has run."""
+    """They come just before the write: nothing is written, so nothing has run."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     looks: list[bool] = []
     look = socket_state.has_unread_bytes
@@ -83,7 +83,7 @@
 async def test_connection_settles_before_reuse_so_that_a_second_response_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """However often it is wanted meanwhile; the second answer comes in the rest's last moment."""
+    """However often it is wanted meanwhile; the second response comes at the end of the settling time."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 20.0)
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
@@ -114,7 +114,7 @@
 async def test_request_survives_the_break_of_a_reused_connection(
     kind: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The break crosses the write, so it may have run: what must not run twice uses no kept one."""
+    """The break crosses the write, so it may have run: non-idempotent requests use no idle connection."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -44,7 +44,7 @@
     pool: ConnectionPool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A kept one may be gone already; new ones take the place of idle ones, so that these don't pile up."""
+    """An idle connection may be stale; new ones replace idle ones, so that these do not accumulate."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -67,7 +67,7 @@
 async def test_invalid_response_on_a_reused_connection_does_not_suspend_reuse(
     pool: ConnectionPool, said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It says nothing of how the endpoint treats connections: only ends do."""
+    """Only the end of a connection says how the endpoint treats idle ones."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     good = http_response(200, b"ok")
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -47,7 +47,7 @@
 
 
 async def fares(kind: str, *first: bytes | str) -> tuple[int, list[str]]:
-    """What a client gets, and the ids that endpoints saw, where the first of two sends is met with this."""
+    """Return the client's status and the ids that endpoints received, where the first attempt ends so."""
     met = [first]
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
@@ -67,7 +67,7 @@
 
 
 def may_have_run(kind: str) -> tuple[int, list[str]]:
-    """What becomes of a request whose first attempt may have run."""
+    """Return what `fares` returns for a request whose first attempt may have run."""
     return (502, ["r1"]) if kind == "pay" else (200, ["r1", "r1"])
 
 
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("refused", [False, True])
 async def test_attempt_opens_its_own_connection_when_shared_ones_fail(refused: bool) -> None:
-    """Unless the endpoint refuses, where one more would say nothing new."""
+    """Unless the endpoint refuses, where another connect would be refused as well."""
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(600.0, 300.0, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, [])
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -69,7 +69,7 @@
     narrow_transports: list[asyncio.Transport],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its endpoint has taken only a part: nothing has run yet, and the rest would make it run for nobody."""
+    """The endpoint has only a part of it: with the rest the request would run although nobody waits."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
@@ -104,7 +104,7 @@
 async def test_abandoned_attempt_has_ended_at_its_endpoint_before_its_outcome(
     pool: ConnectionPool, how: str
 ) -> None:
-    """The next one may be written in the same turn, on an idle connection: it must be no second copy."""
+    """The retry may be written in the same turn: the endpoints must never hold two copies."""
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         if how == "invalid":
@@ -192,7 +192,7 @@
     on_established: Callable[[ConnectionHook], None],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All that may end it, in each order of four, in one turn of the loop; the next request gets its own."""
+    """Four events in each order, in one turn of the event loop; the next request gets its own response."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     transports: list[asyncio.Transport] = []
     on_established(lambda connection: transports.append(connection.transport))
@@ -260,7 +260,7 @@
 async def test_attempt_has_one_outcome_when_ended_during_its_connect(
     new_pool: PoolFactory, moment: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
-    """All that may end it, in each order of two, as its connection comes up: and nothing is sent."""
+    """Two events in each order, as its connection is being established: nothing is sent."""
     crossing = ConnectCrossing(moment)
     on_established(crossing.established)
     orders = product(permutations(OUTCOMES_DURING_CONNECT, 2), (KEYED_REQUEST, UNSAFE_REQUEST))
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -51,7 +51,7 @@
 async def test_new_connection_that_ended_or_sent_bytes_early_carries_no_request(
     what: str, kind: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
-    """It broke before the request's last byte was written: that has surely not run and may go elsewhere."""
+    """It broke before the request was written, which has not run and is retried elsewhere."""
     early = EarlyBytes(what)
     on_established(early.established)
     handle = respond_with(http_response(200, b"served"))
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -116,7 +116,7 @@
 async def test_attempt_ended_as_its_connection_is_established_leaves_none_open(
     pool: ConnectionPool, how: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
-    """It stands, and the task that waited for it has been woken and has not run yet."""
+    """It is established, and the task that awaits it has been woken but has not run yet."""
     async with StandInEndpoint(http_response(200, b"ok")) as stand_in:
         endpoint = EndpointAddress(1, ("127.0.0.1", stand_in.port))
         ended: list[Outcome] = []
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -101,7 +101,7 @@
 async def test_late_copy_of_a_response_is_not_the_next_response(
     pool: ConnectionPool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A second copy comes just after the connection was kept: it is not taken again at once, nor then."""
+    """The copy comes just after the connection fell idle, which is not reused before it has settled."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 60.0)
 
     copy = asyncio.Event()
@@ -144,7 +144,7 @@
 
 
 async def test_deadline_header_holds_the_time_remaining_when_the_request_is_written() -> None:
-    """A connection may come up long after the decision to send."""
+    """A connection may be established long after the decision to send."""
 
     clock = FrozenClock()
     async with StandInEndpoint(http_response(200, b"ok")) as endpoint:
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -72,7 +72,7 @@
 
 
 def with_whole_floats(value: Any) -> Any:
-    """The same with each whole number written with a decimal point."""
+    """Return the value with each integer as a float."""
     if isinstance(value, dict):
         return {key: with_whole_floats(inner) for key, inner in value.items()}
     if isinstance(value, list):
@@ -81,7 +81,7 @@
 
 
 def test_integer_may_be_written_with_a_decimal_point(tmp_path: Path) -> None:
-    """JSON has one kind of number; a refusal to start serves nobody."""
+    """JSON has one kind of number, and a proxy that does not start serves nobody."""
     plain = config_with(("settings", "instances"), 3)
     told = ConfigSource(write_config(tmp_path, plain)).read()
     seed = plain["seed"]
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("seed", [0, -5, 2**64, 2**127, "0", "0x1f", "F" * 64])
 def test_seed_may_be_of_any_size(tmp_path: Path, seed: int | str) -> None:
-    """No float or timer takes it, and a proxy that does not start serves nobody."""
+    """It is used by no float or timer, and a proxy that does not start serves nobody."""
     told = ConfigSource(write_config(tmp_path, {**proxy_config(), "seed": seed})).read()
     assert told.seed == (seed if isinstance(seed, int) else int(seed, 16))
     Balancer(told.settings, told.seed)
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -72,7 +72,7 @@
 
 @pytest.fixture
 def limits(monkeypatch: pytest.MonkeyPatch) -> dict[str, tuple[int, int]]:
-    """Stands for this process's own limits, which other tests need as they are."""
+    """Stand in for this process's own limits, which other tests need unchanged."""
     held: dict[str, tuple[int, int]] = {}
     monkeypatch.setattr(resource, "getrlimit", lambda which: held["now"])
     monkeypatch.setattr(resource, "setrlimit", lambda which, pair: held.update(now=pair))
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0, 3.0])
 def test_listening_ends_in_time_for_the_last_responses(deadline_s: float) -> None:
-    """And 0.25 s are left for a hold-up and the end of the process."""
+    """0.25 s are left for a stall and the exit of the process."""
     answer_by = deadline_s + 0.2
     assert 0.4 < accept_time_s(answer_by) <= answer_by
     assert accept_time_s(answer_by) + FLUSH_S <= deadline_s + KILL_MORE_S - 0.25
@@ -39,7 +39,7 @@
 
 @dataclass
 class Traffic:
-    """Clients of one process and the endpoint behind it, and what came of all requests."""
+    """Clients of one process, the endpoint behind it, and the outcome of all requests."""
 
     deadline_s: float
     hangs: bool  # does the endpoint answer nothing that comes after the signal?
@@ -94,7 +94,7 @@
 
 
 async def hold_up(made: asyncio.subprocess.Process, at_s: float) -> None:
-    """Stops the process for a moment, `at_s` seconds from now."""
+    """Stop the process for a moment, `at_s` seconds from now."""
     await asyncio.sleep(at_s)
     made.send_signal(signal.SIGSTOP)
     await asyncio.sleep(HOLD_UP_S)
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -46,7 +46,7 @@
 
 
 async def test_sigterm_answers_every_request_before_exit(tmp_path: Path) -> None:
-    """What is out is answered, new connections and open ones are served for a while, then it ends."""
+    """Open requests are answered, and connections, old and new, served for a while before the exit."""
     async with SlowEndpoint() as endpoint:
         known = endpoint_list(endpoint_entry("a", endpoint.port))
         async with running_proxy_process(write_config(tmp_path, proxy_config(known=known))) as process:
@@ -74,7 +74,7 @@
 
 
 async def test_signals_during_shutdown_only_move_discovery(tmp_path: Path) -> None:
-    """A second SIGTERM, and a new configuration while what is out is still answered."""
+    """A second SIGTERM, and a new configuration while an open request is still answered."""
     async with SlowEndpoint() as endpoint, HeldListServer(is_held=True) as discovery:
         content = proxy_config(known=endpoint_list(endpoint_entry("a", endpoint.port)))
         async with running_proxy_process(write_config(tmp_path, content)) as process:
@@ -151,7 +151,7 @@
 async def test_process_survives_clients_that_exhaust_its_descriptors(
     tmp_path: Path, told: int, given: int
 ) -> None:
-    """It keeps to the lower limit of the two by itself, and serves beside a crowd that stays."""
+    """It uses the lower of the two limits, and serves beside idle clients that stay."""
 
     async with StandInEndpoint(http_response(200, b"x")) as endpoint:
         known = endpoint_list(endpoint_entry("a", endpoint.port))
@@ -215,7 +215,7 @@
 
 @pytest.mark.parametrize("known", [True, False])
 async def test_polled_list_is_awaited_only_without_a_cached_list(tmp_path: Path, known: bool) -> None:
-    """Nothing counts as told there before it has come, and the call may wait for its turn."""
+    """A polled list counts as notified only once it is received, and a poll may wait in a queue."""
     async with (
         StandInEndpoint(http_response(200, b"a")) as endpoint,
         HeldListServer(is_held=True) as discovery,
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -68,7 +68,7 @@
 
 
 class Moody:
-    """Discovery that is down in one of several ways, and may come back."""
+    """A discovery that fails in one of several ways, and may return."""
 
     def __init__(self, mood: str) -> None:
         self.mood, self.news = mood, b""
@@ -134,7 +134,7 @@
 
 
 async def ready(port: int) -> bool:
-    """What the front sees."""
+    """Return whether the proxy says that it is ready."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except ConnectionRefusedError:
@@ -172,7 +172,7 @@
 @MODES
 @MOODS
 async def test_ready_with_a_cached_list_while_discovery_is_down(tmp_path: Path, mode: str, mood: str) -> None:
-    """Where lists are pushed it first waits for discovery's word, as that counts from the first moment on."""
+    """Where lists are pushed it first waits for discovery, whose list counts as notified from the start."""
 
     async with moody(mood) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
         port = unused_port()
@@ -189,7 +189,7 @@
 async def test_ready_without_a_list_soon_after_discovery_returns(
     tmp_path: Path, mode: str, mood: str, known: object
 ) -> None:
-    """A call that hangs may be given up first, and a wait follows; the last call failed just before."""
+    """A call that hangs is given up first, and a backoff follows; the last call failed just before."""
 
     async with moody(mood) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
         port = unused_port()
@@ -209,7 +209,7 @@
 
 
 async def until_ready(made: asyncio.subprocess.Process, port: int) -> None:
-    """Until the front would take it in; the test's own patience is the terms' 10 s."""
+    """Wait until it is ready; the time limit of a test is the 10 s allowed for a start."""
     while not await ready(port):
         assert made.returncode is None, "it ended"
         await asyncio.sleep(0.02)
@@ -217,7 +217,7 @@
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
 async def test_processes_with_and_without_a_cached_list_become_ready(tmp_path: Path, mode: str) -> None:
-    """Discovery is silent at first; those without a list wait for it, the others don't."""
+    """Discovery is silent at first: processes without a cached list wait for it, the other does not."""
 
     async with (
         moody("silent") as discovery,
@@ -249,7 +249,7 @@
 
 
 async def until_read(path: Path) -> int:
-    """The writing end of a pipe, once somebody has it open for reading."""
+    """Return the writing end of a pipe, once a process has it open for reading."""
     while True:
         with contextlib.suppress(OSError):
             return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
