--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0, 3.0])
 def test_listening_ends_in_time_for_the_last_responses(deadline_s: float) -> None:
-    """And 0.25 s are left for a hold-up and the end of the process."""
+    """0.25 s are left for a stall and the exit of the process."""
     answer_by = deadline_s + 0.2
     assert 0.4 < accept_time_s(answer_by) <= answer_by
     assert accept_time_s(answer_by) + FLUSH_S <= deadline_s + KILL_MORE_S - 0.25
@@ -39,18 +39,18 @@
 
 @dataclass
 class Traffic:
-    """Clients of one process and the backend behind it, and what came of all requests."""
+    """Clients of one process, the endpoint behind it, and the outcome of all requests."""
 
     deadline_s: float
-    hangs: bool  # does the backend answer nothing that comes after the signal?
+    hangs: bool  # does the endpoint answer nothing that comes after the signal?
     stopping: asyncio.Event = field(default_factory=asyncio.Event)
     sent: int = 0
     answered: int = 0
     crossed: list[str] = field(default_factory=list)  # ids of those that a close with no answer crossed
-    seen: list[str] = field(default_factory=list)  # ids that came to the backend
+    seen: list[str] = field(default_factory=list)  # ids that came to the endpoint
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """The backend's side of a connection."""
+        """The endpoint's side of a connection."""
         while True:
             _, headers, _ = await read_http_message(reader)
             self.seen.append(headers["req-id"])
@@ -94,7 +94,7 @@
 
 
 async def hold_up(made: asyncio.subprocess.Process, at_s: float) -> None:
-    """Stops the process for a moment, `at_s` seconds from now."""
+    """Stop the process for a moment, `at_s` seconds from now."""
     await asyncio.sleep(at_s)
     made.send_signal(signal.SIGSTOP)
     await asyncio.sleep(HOLD_UP_S)
@@ -109,7 +109,7 @@
     return proxy_config(known=known, settings=raw_settings(lanes=[lane], limits=LIMITS))
 
 
-@pytest.mark.parametrize("hangs", [False, True], ids=["backends answer", "backends hang"])
+@pytest.mark.parametrize("hangs", [False, True], ids=["endpoints answer", "endpoints hang"])
 @pytest.mark.parametrize("stopped_at_s", [None, 0.0, 0.45])
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0])
 async def test_each_request_read_before_exit_gets_one_response(
