--- a/tests/scenarios/test_accept_failures.py
+++ b/tests/scenarios/test_accept_failures.py
@@ -48,14 +48,16 @@
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import wait_until
 
-OF_NO_CONNECTION = [
+ERRNOS_BEFORE_A_CONNECTION = [
     errno.EINTR,
     *ERRNOS_OF_RESOURCE_SHORTAGE,
     errno.EINVAL,
     errno.EIO,
-]  # all behind it stays in the queue
+]  # all connections stay in the queue
 EACH_ACCEPT = pytest.mark.parametrize(
-    "error", [*ERRNOS_OF_ONE_CONNECTION, *OF_NO_CONNECTION], ids=lambda number: errno.errorcode[number]
+    "error",
+    [*ERRNOS_OF_ONE_CONNECTION, *ERRNOS_BEFORE_A_CONNECTION],
+    ids=lambda number: errno.errorcode[number],
 )
 
 
@@ -65,16 +67,16 @@
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        rule = socket_failures.add("accept", accepted_on(p.port), error, times=5)
-        clients = [queue_request(p.port, f"r{n}") for n in range(8)]
-        lost = 5 if error in ERRNOS_OF_ONE_CONNECTION else 0
-        got = await asyncio.gather(*map(read_status_or_end, clients))
-        assert sorted(got) == [0] * lost + [200] * (8 - lost)
-        assert rule.hits == 5
-        assert len(b.received) == 8 - lost
+        failure = socket_failures.add("accept", accepted_on(proxy.port), error, times=5)
+        clients = [queue_request(proxy.port, f"r{number}") for number in range(8)]
+        lost_count = 5 if error in ERRNOS_OF_ONE_CONNECTION else 0
+        statuses = await asyncio.gather(*map(read_status_or_end, clients))
+        assert sorted(statuses) == [0] * lost_count + [200] * (8 - lost_count)
+        assert failure.hits == 5
+        assert len(endpoint.received) == 8 - lost_count
     assert not traceback_lines(caplog)
     assert len([line for line in problem_lines(caplog) if "connection" in line]) <= 1
 
@@ -87,26 +89,26 @@
     """What is open is answered, and each connection in the queue but the one that failed."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        reader, writer = await p.connect()
+        reader, writer = await proxy.connect()
         writer.write(http_request(request_id="open"))
         assert response_status(await read_http_message(reader)) == 200
         socket_failures.add(
-            "accept", accepted_on(p.port), error, times=1 if error in ERRNOS_OF_ONE_CONNECTION else 3
+            "accept", accepted_on(proxy.port), error, times=1 if error in ERRNOS_OF_ONE_CONNECTION else 3
         )
-        clients = [queue_request(p.port, f"r{n}") for n in range(6)]
-        p.listener.stop_listening()  # as the shutdown calls it, before the event loop has turned
-        assert not p.listener.is_drained
-        got = await asyncio.gather(*map(read_status_or_end, clients))
-        assert sorted(got) == [200 * (error not in ERRNOS_OF_ONE_CONNECTION), *[200] * 5]
+        clients = [queue_request(proxy.port, f"r{number}") for number in range(6)]
+        proxy.listener.stop_listening()  # as the shutdown calls it, before the event loop has turned
+        assert not proxy.listener.is_drained
+        statuses = await asyncio.gather(*map(read_status_or_end, clients))
+        assert sorted(statuses) == [200 * (error not in ERRNOS_OF_ONE_CONNECTION), *[200] * 5]
         writer.write(http_request(request_id="again"))
         assert response_status(await read_http_message(reader)) == 200
         writer.close()
-        await wait_until(lambda: p.listener.acceptor.listening_socket.fileno() < 0)
+        await wait_until(lambda: proxy.listener.acceptor.listening_socket.fileno() < 0)
         with pytest.raises(ConnectionRefusedError):
-            await p.connect()
+            await proxy.connect()
     assert not traceback_lines(caplog)
     assert len(problem_lines(caplog)) <= 1
 
@@ -115,24 +117,24 @@
 async def test_accept_that_keeps_failing_does_not_busy_the_event_loop(
     error: int, socket_failures: SocketFailures, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The listener stays readable all the while. Each wait is one timer, which the test lets run out."""
-    waits: list[float] = []
+    """The listening socket stays readable all the while; each pause between two tries is one timer."""
+    delays_s: list[float] = []
 
-    async with running_proxy(endpoint_entry("b", 9)) as p:
-        rule = socket_failures.add("accept", accepted_on(p.port), error, times=sys.maxsize)
-        call_later = p.listener.loop.call_later
+    async with running_proxy(endpoint_entry("b", 9)) as proxy:
+        failure = socket_failures.add("accept", accepted_on(proxy.port), error, times=sys.maxsize)
+        call_later = proxy.listener.loop.call_later
 
-        def waited(delay: float, *rest: Any) -> asyncio.TimerHandle:
-            if rest[0] == p.listener.acceptor.resume:
-                waits.append(delay)
-            return call_later(delay, *rest)
+        def record_delay(delay: float, *arguments: Any) -> asyncio.TimerHandle:
+            if arguments[0] == proxy.listener.acceptor.resume:
+                delays_s.append(delay)
+            return call_later(delay, *arguments)
 
-        monkeypatch.setattr(p.listener.loop, "call_later", waited)
-        client = queue_request(p.port, "r1")
+        monkeypatch.setattr(proxy.listener.loop, "call_later", record_delay)
+        client = queue_request(proxy.port, "r1")
         for _ in range(500):
             await asyncio.sleep(0)
-        assert 0 < rule.hits <= client_limits.MAX_ACCEPTS_PER_TURN * len(waits)
-        assert set(waits) == {client_limits.ACCEPT_RETRY_DELAY_S}
+        assert 0 < failure.hits <= client_limits.MAX_ACCEPTS_PER_TURN * len(delays_s)
+        assert set(delays_s) == {client_limits.ACCEPT_RETRY_DELAY_S}
         socket_failures.clear()
         client.close()
 
@@ -140,34 +142,40 @@
 async def test_accept_queue_is_served_during_shutdown_as_clients_leave(
     socket_failures: SocketFailures,
 ) -> None:
-    """More wait there than there is room for, and all that have one are still at work."""
+    """More connections wait there than the proxy may hold, and those that it holds have open requests."""
 
-    begun, go_on = 0, asyncio.Event()
+    started, may_respond = 0, asyncio.Event()
 
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal begun
+        nonlocal started
         while True:
             await read_http_message(reader)
-            begun += 1
-            await go_on.wait()
+            started += 1
+            await may_respond.wait()
             writer.write(http_response(200, b"x"))
 
-    async with StandInServer(hold) as b, running_proxy(endpoint_entry("b", b.port), max_connections=2) as p:
-        room = 2 + 8
-        first = [asyncio.ensure_future(read_status_or_end(queue_request(p.port, f"a{n}"))) for n in range(2)]
-        await wait_until(lambda: begun == 2)
-        rest = [queue_request(p.port, f"r{n}") for n in range(2 * room)]
-        p.listener.stop_listening()
-        p.listener.close_idle_connections()
-        assert p.clients.descriptor_count <= room
-        assert not p.listener.is_drained
-        go_on.set()
-        got = [asyncio.ensure_future(read_status_or_end(one)) for one in rest]
-        while not all(one.done() for one in got):
-            p.listener.close_idle_connections()
+    async with (
+        StandInServer(hold) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port), max_connections=2) as proxy,
+    ):
+        connection_limit = 2 + 8
+        first = [
+            asyncio.ensure_future(read_status_or_end(queue_request(proxy.port, f"a{number}")))
+            for number in range(2)
+        ]
+        await wait_until(lambda: started == 2)
+        remaining = [queue_request(proxy.port, f"r{number}") for number in range(2 * connection_limit)]
+        proxy.listener.stop_listening()
+        proxy.listener.close_idle_connections()
+        assert proxy.clients.descriptor_count <= connection_limit
+        assert not proxy.listener.is_drained
+        may_respond.set()
+        statuses = [asyncio.ensure_future(read_status_or_end(connection)) for connection in remaining]
+        while not all(status.done() for status in statuses):
+            proxy.listener.close_idle_connections()
             await asyncio.sleep(0)
-        assert all(one.result() in (200, 503) for one in got)
-        assert [await one for one in first] == [200, 200]
+        assert all(status.result() in (200, 503) for status in statuses)
+        assert [await status for status in first] == [200, 200]
 
 
 PROCESS = """
@@ -206,10 +214,10 @@
 """
 
 
-async def until_logged(made: asyncio.subprocess.Process, text: bytes) -> None:
-    """Reads the log of a process up to a line with this text."""
-    assert made.stderr is not None
-    while text not in (line := await made.stderr.readline()):
+async def until_logged(process: asyncio.subprocess.Process, text: bytes) -> None:
+    """Read the log of a process up to a line with this text."""
+    assert process.stderr is not None
+    while text not in (line := await process.stderr.readline()):
         assert line, "it ended"
 
 
@@ -217,53 +225,58 @@
 async def test_process_with_failing_accept_answers_all_and_exits_on_shutdown(
     failed: int, descriptors: int, tmp_path: Path
 ) -> None:
-    """Of one connection alone; and for a real lack of descriptors, which the settings don't tell of."""
+    """It fails for one connection, or for a real shortage of descriptors, which the settings don't name."""
 
-    begun, go_on = asyncio.Event(), asyncio.Event()
+    started, may_respond = asyncio.Event(), asyncio.Event()
 
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             _, headers, _ = await read_http_message(reader)
             if headers["req-id"] == "open":
-                begun.set()
-                await go_on.wait()
+                started.set()
+                await may_respond.wait()
             writer.write(http_response(200, b"x"))
 
-    async with StandInServer(hold) as b:
+    async with StandInServer(hold) as endpoint:
         # An answer is of use for long enough that one may still be open as it stops listening.
-        lane = {"name": "read", "idempotency": "safe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
-        settings = raw_settings(lanes=[{**lane, "lateValue": 0.5}], limits=LIMITS)
-        told = proxy_config(known=endpoint_list(endpoint_entry("b", b.port)), settings=settings)
-        env = {**os.environ, **write_config(tmp_path, told)}
+        request_class = {
+            "name": "read",
+            "idempotency": "safe",
+            "onTimeUs": 2_000_000,
+            "deadlineUs": 9_000_000,
+        }
+        settings = raw_settings(lanes=[{**request_class, "lateValue": 0.5}], limits=LIMITS)
+        config = proxy_config(known=endpoint_list(endpoint_entry("b", endpoint.port)), settings=settings)
+        env = {**os.environ, **write_config(tmp_path, config)}
         pipe = asyncio.subprocess.PIPE
         arguments = [sys.executable, "-c", PROCESS, str(failed), str(descriptors)]
-        made = await asyncio.create_subprocess_exec(*arguments, cwd=ROOT, env=env, stdin=pipe, stderr=pipe)
-        assert made.stdin is not None
-        assert made.stderr is not None
+        process = await asyncio.create_subprocess_exec(*arguments, cwd=ROOT, env=env, stdin=pipe, stderr=pipe)
+        assert process.stdin is not None
+        assert process.stderr is not None
         try:
-            port = await read_listening_port(made)
+            port = await read_listening_port(process)
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(http_request(request_id="open", Req_Deadline="9.0"))
-            await begun.wait()
+            await started.wait()
             # These keep their connections, and with them all descriptors.
-            crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(descriptors)]
+            idle_clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(descriptors)]
             if descriptors:
-                await until_logged(made, b"Too many open files")
-            made.send_signal(signal.SIGTERM)
-            await until_logged(made, b"about to stop listening")
-            clients = [queue_request(port, f"r{n}") for n in range(6)]
-            made.stdin.write(b"\n")
-            got = await asyncio.gather(*map(read_status_or_end, clients))
-            go_on.set()
+                await until_logged(process, b"Too many open files")
+            process.send_signal(signal.SIGTERM)
+            await until_logged(process, b"about to stop listening")
+            clients = [queue_request(port, f"r{number}") for number in range(6)]
+            process.stdin.write(b"\n")
+            statuses = await asyncio.gather(*map(read_status_or_end, clients))
+            may_respond.set()
             assert response_status(await read_http_message(reader)) == 200
             writer.close()
-            assert sorted(got) == [0 if failed else 200, *[200] * 5]
-            rest = await made.stderr.read()
-            assert await made.wait() == 0
-            assert b"Traceback" not in rest
-            for one in crowd:
-                one.close()
+            assert sorted(statuses) == [0 if failed else 200, *[200] * 5]
+            remaining = await process.stderr.read()
+            assert await process.wait() == 0
+            assert b"Traceback" not in remaining
+            for connection in idle_clients:
+                connection.close()
         finally:
-            if made.returncode is None:
-                made.kill()
-            await made.wait()
+            if process.returncode is None:
+                process.kill()
+            await process.wait()
--- a/tests/scenarios/test_connection_failures.py
+++ b/tests/scenarios/test_connection_failures.py
@@ -41,7 +41,7 @@
 from tests.support.stepped_clock import wait_until
 from tests.support.time_limit import run_in_event_loop
 
-SIDES = ["caller", "backend", "discovery"]
+SIDES = ["client", "endpoint", "discovery"]
 NEVER_ENDING = sys.maxsize  # times
 EACH_STANDING = pytest.mark.parametrize(
     "error", ERRNOS_OF_BROKEN_CONNECTION, ids=lambda number: errno.errorcode[number]
@@ -55,85 +55,87 @@
     name: str, side: str, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"said" * 50)) as b,
-        StandInListServer(endpoint_list(endpoint_entry("b", b.port))) as d,
-        running_proxy(discovery_port=d.port) as p,
+        StandInEndpoint(http_response(200, b"said" * 50)) as endpoint,
+        StandInListServer(endpoint_list(endpoint_entry("b", endpoint.port))) as discovery,
+        running_proxy(discovery_port=discovery.port) as proxy,
     ):
         sides = {
-            "caller": accepted_on(p.port),
-            "backend": connected_to(b.port),
-            "discovery": connected_to(d.port),
+            "client": accepted_on(proxy.port),
+            "endpoint": connected_to(endpoint.port),
+            "discovery": connected_to(discovery.port),
         }
-        rule = socket_failures.add(name, sides[side], times=NEVER_ENDING)
-        await wait_until(lambda: p.driver.is_ready)
+        failure = socket_failures.add(name, sides[side], times=NEVER_ENDING)
+        await wait_until(lambda: proxy.driver.is_ready)
         for number in range(2):
-            got = await p.send_request(http_request("mark", request_id=f"r{number}", body=b"asked" * 50))
-            assert (response_status(got), got[2]) == (200, b"said" * 50)
-        assert [body for _, _, body in b.received] == [b"asked" * 50] * 2
-        assert rule.hits > 50
-        assert d.connection_count == 1
+            response = await proxy.send_request(
+                http_request("mark", request_id=f"r{number}", body=b"asked" * 50)
+            )
+            assert (response_status(response), response[2]) == (200, b"said" * 50)
+        assert [body for _, _, body in endpoint.received] == [b"asked" * 50] * 2
+        assert failure.hits > 50
+        assert discovery.connection_count == 1
     assert not problem_lines(caplog)
 
 
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("name", ["recv", "send"])
 def test_interrupted_system_calls_are_repeated(name: str, side: str, socket_failures: SocketFailures) -> None:
-    """As it is told, though Python makes most such calls again by itself; and waits are, by real signals."""
+    """Calls are made to fail so, though Python repeats most itself; real signals interrupt waits."""
 
     async def test() -> None:
         async with (
-            StandInEndpoint(http_response(200, b"x")) as b,
-            StandInListServer(endpoint_list(endpoint_entry("b", b.port))) as d,
-            running_proxy(discovery_port=d.port) as p,
+            StandInEndpoint(http_response(200, b"x")) as endpoint,
+            StandInListServer(endpoint_list(endpoint_entry("b", endpoint.port))) as discovery,
+            running_proxy(discovery_port=discovery.port) as proxy,
         ):
             sides = {
-                "caller": accepted_on(p.port),
-                "backend": connected_to(b.port),
-                "discovery": connected_to(d.port),
+                "client": accepted_on(proxy.port),
+                "endpoint": connected_to(endpoint.port),
+                "discovery": connected_to(discovery.port),
             }
-            rule = socket_failures.add(name, sides[side], errno.EINTR, times=3)
-            await wait_until(lambda: p.driver.is_ready)
+            failure = socket_failures.add(name, sides[side], errno.EINTR, times=3)
+            await wait_until(lambda: proxy.driver.is_ready)
             for number in range(3):
-                assert response_status(await p.send_request(http_request(request_id=f"r{number}"))) == 200
-            assert rule.hits == 3
-            assert len(b.received) == 3
-            assert d.connection_count == 1
+                assert response_status(await proxy.send_request(http_request(request_id=f"r{number}"))) == 200
+            assert failure.hits == 3
+            assert len(endpoint.received) == 3
+            assert discovery.connection_count == 1
 
-    rings = 0
+    signal_count = 0
 
-    def ring(number: int, frame: object) -> None:
-        nonlocal rings
-        rings += 1
+    def count_signal(number: int, frame: object) -> None:
+        nonlocal signal_count
+        signal_count += 1
 
-    before = signal.signal(signal.SIGALRM, ring)
+    previous_handler = signal.signal(signal.SIGALRM, count_signal)
     signal.setitimer(signal.ITIMER_REAL, 0.0005, 0.0005)
     try:
         run_in_event_loop(test)
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0.0)
-        signal.signal(signal.SIGALRM, before)
-    assert rings
+        signal.signal(signal.SIGALRM, previous_handler)
+    assert signal_count
 
 
 @pytest.mark.parametrize("all_but", [0, 1, 40])
 async def test_request_counts_as_sent_with_its_last_byte(
     all_but: int, socket_failures: SocketFailures
 ) -> None:
-    """The system takes a byte at a time, and then no more for now; the backend reads all that and breaks."""
+    """The system takes one byte at a time and then no more; the endpoint reads these and closes."""
     request = UpstreamRequest(
         b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True, adds_deadline_header=False
     )
-    whole = b"GET /api HTTP/1.1\r\nhost: x\r\n\r\n"
-    all_but = min(all_but, len(whole) - 1)
+    complete = b"GET /api HTTP/1.1\r\nhost: x\r\n\r\n"
+    all_but = min(all_but, len(complete) - 1)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assert await reader.readexactly(len(whole) - all_but) == whole[: len(whole) - all_but]
+        assert await reader.readexactly(len(complete) - all_but) == complete[: len(complete) - all_but]
 
-    async with StandInServer(handle) as b:
+    async with StandInServer(handle) as endpoint:
         pool = ConnectionPool(5.0, 30.0, 10)
-        socket_failures.add("send", connected_to(b.port), times=len(whole) - all_but)
-        socket_failures.add("send", connected_to(b.port), errno.EAGAIN, times=NEVER_ENDING)
-        outcome, _ = await run_attempt(pool, ("127.0.0.1", b.port), request)
+        socket_failures.add("send", connected_to(endpoint.port), times=len(complete) - all_but)
+        socket_failures.add("send", connected_to(endpoint.port), errno.EAGAIN, times=NEVER_ENDING)
+        outcome, _ = await run_attempt(pool, ("127.0.0.1", endpoint.port), request)
         assert outcome is (Outcome.NO_CONNECTION if all_but else Outcome.RESET)
         pool.close()
 
@@ -144,37 +146,39 @@
 async def test_failed_client_connection_ends_only_its_own_attempt(
     name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    held: dict[str, asyncio.StreamWriter] = {}
+    writers: dict[str, asyncio.StreamWriter] = {}
     ended: list[str] = []
 
     async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         _, headers, _ = await read_http_message(reader)
-        held[headers["req-id"]] = writer
+        writers[headers["req-id"]] = writer
         await reader.read()
         ended.append(headers["req-id"])
 
-    async with StandInServer(hold) as b, running_proxy(endpoint_entry("b", b.port)) as p:
-        other_reader, other = await p.connect()
+    async with StandInServer(hold) as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+        other_reader, other = await proxy.connect()
         other.write(http_request(request_id="other"))
-        _, writer = await p.connect()
+        _, writer = await proxy.connect()
         writer.write(http_request(request_id="lost"))
-        await wait_until(lambda: len(held) == 2)
-        mine = writer.get_extra_info("sockname")
-        rule = socket_failures.add(
-            name, lambda made: accepted_on(p.port)(made) and made.getpeername() == mine, error
+        await wait_until(lambda: len(writers) == 2)
+        client_address = writer.get_extra_info("sockname")
+        failure = socket_failures.add(
+            name,
+            lambda checked: accepted_on(proxy.port)(checked) and checked.getpeername() == client_address,
+            error,
         )
         if name == "recv":
             writer.write(b"G")  # what comes makes it read
             await wait_until(lambda: ended == ["lost"])
         else:
-            held["lost"].write(http_response(200, b"x"))
-        await wait_until(lambda: rule.hits == 1 and len(p.clients.open_connections) == 1)
-        held["other"].write(http_response(200, b"y"))
+            writers["lost"].write(http_response(200, b"x"))
+        await wait_until(lambda: failure.hits == 1 and len(proxy.clients.open_connections) == 1)
+        writers["other"].write(http_response(200, b"y"))
         assert (await read_http_message(other_reader))[2] == b"y"
-        assert p.driver.is_idle
-        assert not p.driver.requests.attempts.in_flight
-        assert not p.clients.open_request_ids
-        assert len(held) == 2  # no attempt was made for it again
+        assert proxy.driver.is_idle
+        assert not proxy.driver.requests.attempts.in_flight
+        assert not proxy.clients.open_request_ids
+        assert len(writers) == 2  # no attempt was made for it again
         other.close()
         writer.close()
     assert not problem_lines(caplog)
@@ -197,18 +201,18 @@
             writer.write(b"HTTP")  # makes the proxy read
         await reader.read()
 
-    async with StandInServer(handle) as b:
+    async with StandInServer(handle) as endpoint:
         pool = ConnectionPool(5.0, 30.0, 10)
-        side = connected_to(b.port)
+        side = connected_to(endpoint.port)
         if "half" in when:
             socket_failures.add("send", side, times=half)
         if when == "half written, read":
             socket_failures.add("send", side, errno.EAGAIN, times=NEVER_ENDING)
         reads = when in ("half written, read", "written")
-        rule = socket_failures.add("recv" if reads else "send", side, error)
-        outcome, _ = await run_attempt(pool, ("127.0.0.1", b.port))
+        failure = socket_failures.add("recv" if reads else "send", side, error)
+        outcome, _ = await run_attempt(pool, ("127.0.0.1", endpoint.port))
         assert outcome is (Outcome.RESET if when == "written" else Outcome.NO_CONNECTION)
-        assert rule.hits == 1
+        assert failure.hits == 1
         await wait_until(lambda: not pool.connections.open)
         pool.close()
     assert not problem_lines(caplog)
@@ -220,17 +224,17 @@
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        assert response_status(await p.send_request(http_request(request_id="r1"))) == 200
-        await wait_until(lambda: bool(p.pool.idle.by_endpoint))
-        socket_failures.add("recv", connected_to(b.port), error)
-        b.writers[0].write(b"H")
-        await wait_until(lambda: not p.pool.idle.by_endpoint and not p.pool.connections.open)
-        assert response_status(await p.send_request(http_request(request_id="r2"))) == 200
-        assert b.connection_count == 2
-        assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
+        assert response_status(await proxy.send_request(http_request(request_id="r1"))) == 200
+        await wait_until(lambda: bool(proxy.pool.idle.by_endpoint))
+        socket_failures.add("recv", connected_to(endpoint.port), error)
+        endpoint.writers[0].write(b"H")
+        await wait_until(lambda: not proxy.pool.idle.by_endpoint and not proxy.pool.connections.open)
+        assert response_status(await proxy.send_request(http_request(request_id="r2"))) == 200
+        assert endpoint.connection_count == 2
+        assert proxy.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
     assert not problem_lines(caplog)
 
 
@@ -239,16 +243,16 @@
     socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        rule = socket_failures.add("shutdown", accepted_on(p.port), errno.ENOTCONN)
-        reader, writer = await p.connect()
+        failure = socket_failures.add("shutdown", accepted_on(proxy.port), errno.ENOTCONN)
+        reader, writer = await proxy.connect()
         writer.write(http_request() + b"nonsense\r\n\r\n")
         assert [response_status(await read_http_message(reader)) for _ in range(2)] == [200, 400]
-        await wait_until(lambda: rule.hits == 1)
+        await wait_until(lambda: failure.hits == 1)
         writer.close()
-        await wait_until(lambda: not p.clients.open_connections)
-        assert response_status(await p.send_request(http_request(request_id="a2"))) == 200
-        assert len(b.received) == 2
+        await wait_until(lambda: not proxy.clients.open_connections)
+        assert response_status(await proxy.send_request(http_request(request_id="a2"))) == 200
+        assert len(endpoint.received) == 2
     assert not problem_lines(caplog)
--- a/tests/scenarios/test_local_resource_shortage.py
+++ b/tests/scenarios/test_local_resource_shortage.py
@@ -40,65 +40,65 @@
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, wait_until
 
-OF_THIS_MACHINE = [
+SHORTAGES = [
     *(("socket", error) for error in ERRNOS_OF_RESOURCE_SHORTAGE),
     *(("connect", error) for error in (errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM)),
 ]
-EACH_LACK = pytest.mark.parametrize(
+EACH_SHORTAGE = pytest.mark.parametrize(
     ("name", "error"),
-    OF_THIS_MACHINE,
-    ids=[f"{name} {errno.errorcode[error]}" for name, error in OF_THIS_MACHINE],
+    SHORTAGES,
+    ids=[f"{name} {errno.errorcode[error]}" for name, error in SHORTAGES],
 )
 
 
-@EACH_LACK
+@EACH_SHORTAGE
 @pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
 async def test_local_resource_shortage_is_not_blamed_on_the_endpoint(
     name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        reader, writer = await p.connect()
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        rule = socket_failures.add(name, any_socket, error)
+        reader, writer = await proxy.connect()
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        failure = socket_failures.add(name, any_socket, error)
         writer.write(http_request())
         assert response_status(await read_http_message(reader)) == 200
-        assert rule.hits == 1
-        assert len(b.received) == 1
-        assert not p.pool.pacing.no_extra_until_s
-        [server] = p.driver.balancer.endpoints.states.values()
-        assert server.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
-        assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
+        assert failure.hits == 1
+        assert len(endpoint.received) == 1
+        assert not proxy.pool.pacing.no_extra_until_s
+        [state] = proxy.driver.balancer.endpoints.states.values()
+        assert state.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
+        assert proxy.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
         writer.close()
     assert not traceback_lines(caplog)
 
 
-@EACH_LACK
+@EACH_SHORTAGE
 @pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
 async def test_lasting_local_resource_shortage_rejects_requests_at_once(
     name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """After as many tries as the settings allow, which cost no retry, and none of them goes on."""
+    """Each makes as many attempts as the settings allow, costs no retry budget, and leaves nothing open."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(*(endpoint_entry(f"b{n}", b.port) for n in range(5))) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(*(endpoint_entry(f"b{number}", endpoint.port) for number in range(5))) as proxy,
     ):
-        reader, writer = await p.connect()
-        await wait_until(lambda: len(p.clients.open_connections) == 1)
-        rule = socket_failures.add(name, any_socket, error, times=sys.maxsize)
-        for answers in range(1, 31):
-            writer.write(http_request(request_id=f"r{answers}"))
+        reader, writer = await proxy.connect()
+        await wait_until(lambda: len(proxy.clients.open_connections) == 1)
+        failure = socket_failures.add(name, any_socket, error, times=sys.maxsize)
+        for request_count in range(1, 31):
+            writer.write(http_request(request_id=f"r{request_count}"))
             assert response_status(await read_http_message(reader)) == 503
-            assert rule.hits == 3 * answers
-            assert p.driver.is_idle
-        assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
-        assert not b.received
-        assert not p.pool.pending.by_endpoint
-        assert not p.pool.connections.open
-        assert not p.pool.waiting.by_endpoint
+            assert failure.hits == 3 * request_count
+            assert proxy.driver.is_idle
+        assert proxy.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
+        assert not endpoint.received
+        assert not proxy.pool.pending.by_endpoint
+        assert not proxy.pool.connections.open
+        assert not proxy.pool.waiting.by_endpoint
         socket_failures.clear()
         writer.write(http_request(request_id="last"))
         assert response_status(await read_http_message(reader)) == 200
@@ -109,41 +109,41 @@
 async def test_local_resource_shortage_beside_a_late_connect_is_not_retried_rapidly(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An attempt whose connection is late tries another one often, as one that fails at once is soon gone."""
+    """An attempt with a late connection opens another one; after one that fails at once there is a pause."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(60.0, 60.0, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, [0.005] * 10 + [1.0] * 5)
-        made, tried = pool.connector.open, 0
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, [0.005] * 10 + [1.0] * 5)
+        open_connection, connect_count = pool.connector.open, 0
 
-        async def lacks_all_but_the_first(endpoint: EndpointAddress) -> UpstreamConnection:
-            nonlocal tried
-            tried += 1
-            if tried > 1:
+        async def open_only_the_first(endpoint: EndpointAddress) -> UpstreamConnection:
+            nonlocal connect_count
+            connect_count += 1
+            if connect_count > 1:
                 raise OSError(errno.EADDRNOTAVAIL, "no local port")
-            return await made(endpoint)
+            return await open_connection(endpoint)
 
-        monkeypatch.setattr(pool.connector, "open", lacks_all_but_the_first)
-        calls.begin("a", timeout_s=5.0)
-        began = pool.loop.time()
+        monkeypatch.setattr(pool.connector, "open", open_only_the_first)
+        attempts.begin("a", timeout_s=5.0)
+        began_s = pool.loop.time()
         for _ in range(200):
             await connects.advance(0.003)
-        assert not calls.outcomes
-        assert 1 < tried <= 2 + (pool.loop.time() - began) / SHORTAGE_PAUSE_S
+        assert not attempts.outcomes
+        assert 1 < connect_count <= 2 + (pool.loop.time() - began_s) / SHORTAGE_PAUSE_S
         pool.close()
 
 
-class Unpolled:
-    """A poll that the system refuses."""
+class FailingPoll:
+    """A `select.poll` whose system call fails."""
 
     def __init__(self, error: int) -> None:
-        self.error, self.asked = error, 0
+        self.error, self.poll_count = error, 0
 
     def register(self, *args: object) -> None:
         pass
 
     def poll(self, *args: object) -> list[tuple[int, int]]:
-        self.asked += 1
+        self.poll_count += 1
         raise OSError(self.error, os.strerror(self.error))
 
 
@@ -152,16 +152,16 @@
 async def test_requests_are_served_when_poll_fails(
     error: int, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The careful answer counts: a resting connection is not used, no client has left, none is closed."""
+    """The safe assumption holds: no idle connection is reused or closed, and no client has left."""
 
     async with (
-        StandInEndpoint(http_response(200, b"x")) as b,
-        running_proxy(endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        failing = Unpolled(error)
-        reader, writer = await p.connect()
-        idle_reader, idle = await p.connect()
-        await wait_until(lambda: len(p.clients.open_connections) == 2)
+        failing = FailingPoll(error)
+        reader, writer = await proxy.connect()
+        idle_reader, idle = await proxy.connect()
+        await wait_until(lambda: len(proxy.clients.open_connections) == 2)
         clock = SteppedClock()
         with monkeypatch.context() as patch:
             patch.setattr("load_balancer.net.socket_state.select.poll", lambda: failing)
@@ -169,15 +169,15 @@
                 writer.write(http_request(request_id=f"r{number}"))
                 assert response_status(await read_http_message(reader)) == 200
                 clock.advance(SETTLE_S)
-            assert b.connection_count == 3
-            assert failing.asked
-            assert p.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
+            assert endpoint.connection_count == 3
+            assert failing.poll_count
+            assert proxy.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
             clock.advance(1.0)
-            p.listener.close_idle_connections()
-            p.listener.sweep()
-            assert len(p.clients.open_connections) == 2
-            assert not p.listener.is_drained
-        p.listener.close_idle_connections()  # it can tell again
+            proxy.listener.close_idle_connections()
+            proxy.listener.sweep()
+            assert len(proxy.clients.open_connections) == 2
+            assert not proxy.listener.is_drained
+        proxy.listener.close_idle_connections()  # it can tell again
         assert await idle_reader.read() == await reader.read() == b""
         writer.close()
         idle.close()
--- a/tests/scenarios/test_unreachable_endpoints.py
+++ b/tests/scenarios/test_unreachable_endpoints.py
@@ -33,53 +33,62 @@
 from tests.support.stepped_clock import FrozenClock
 from tests.support.units import MILLISECOND_US, SECOND_US
 
-NO_WAY = pytest.mark.parametrize(
+EACH_ROUTE_ERROR = pytest.mark.parametrize(
     "error", socket_state.NO_ROUTE_ERRNOS, ids=lambda number: errno.errorcode[number]
 )
 
 
-@NO_WAY
+@EACH_ROUTE_ERROR
 @pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
 async def test_unreachable_endpoint_keeps_its_share_and_is_used_again(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The requests that met it are served elsewhere. What its own refusal says is another matter."""
+    """The requests that met it are served elsewhere."""
 
     async with (
-        StandInEndpoint(http_response(200, b"a")) as a,
-        StandInEndpoint(http_response(200, b"b")) as b,
-        running_proxy(endpoint_entry("a", a.port), endpoint_entry("b", b.port)) as p,
+        StandInEndpoint(http_response(200, b"a")) as lost_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as other_endpoint,
+        running_proxy(
+            endpoint_entry("a", lost_endpoint.port), endpoint_entry("b", other_endpoint.port)
+        ) as proxy,
     ):
-        balancer = p.driver.balancer
-        known = {
-            p.driver.endpoint_list.endpoints.by_id[n].address[1]: server
-            for n, server in balancer.endpoints.states.items()
+        balancer = proxy.driver.balancer
+        states_by_port = {
+            proxy.driver.endpoint_list.endpoints.by_id[endpoint_id].address[1]: state
+            for endpoint_id, state in balancer.endpoints.states.items()
         }
-        lost, clock = known[a.port], FrozenClock()
-        p.step_policy_clock_with(clock)
-        rule = socket_failures.add("connect", connected_to(a.port), error, times=3)
-        asked = 0
-
-        async def ask() -> None:
-            nonlocal asked
-            asked += 1
-            assert response_status(await p.send_request(http_request(request_id=f"r{asked}"))) == 200
-
-        while rule.hits < 3:
-            await ask()
-            if p.driver.clock.now_us() < lost.unreachable_until_us:
+        lost_state, clock = states_by_port[lost_endpoint.port], FrozenClock()
+        proxy.step_policy_clock_with(clock)
+        failure = socket_failures.add("connect", connected_to(lost_endpoint.port), error, times=3)
+        request_count = 0
+
+        async def send_request() -> None:
+            nonlocal request_count
+            request_count += 1
+            assert (
+                response_status(await proxy.send_request(http_request(request_id=f"r{request_count}"))) == 200
+            )
+
+        while failure.hits < 3:
+            await send_request()
+            if proxy.driver.clock.now_us() < lost_state.unreachable_until_us:
                 clock.advance(COOL_DOWN_US / SECOND_US)
-        assert lost.detector.first_epoch_count == PRIOR_SAMPLES
-        assert lost.share == 1.0
-        assert not a.received
-        endpoint = next(e for e in p.driver.endpoint_list.endpoints.by_id.values() if e.address[1] == a.port)
+        assert lost_state.detector.first_epoch_count == PRIOR_SAMPLES
+        assert lost_state.share == 1.0
+        assert not lost_endpoint.received
+        lost_address = next(
+            address
+            for address in proxy.driver.endpoint_list.endpoints.by_id.values()
+            if address.address[1] == lost_endpoint.port
+        )
         assert (
-            p.pool.pacing.no_extra_until_s[endpoint] <= p.pool.loop.time() + p.pool.pacing.connect_timeout_s
+            proxy.pool.pacing.no_extra_until_s[lost_address]
+            <= proxy.pool.loop.time() + proxy.pool.pacing.connect_timeout_s
         )
-        while not a.received:
-            await ask()
-        assert not p.pool.pacing.no_extra_until_s
-        assert lost.unreachable_backoff_us == 0
+        while not lost_endpoint.received:
+            await send_request()
+        assert not proxy.pool.pacing.no_extra_until_s
+        assert lost_state.unreachable_backoff_us == 0
     assert not traceback_lines(caplog)
 
 
@@ -87,42 +96,42 @@
     """Four backends, a hundred requests a second; for 0.3 s one of them cannot be reached."""
     harness, number = BalancerHarness(endpoint_count=4), 0
 
-    def ask(reached: bool) -> int:
+    def send_request(is_reachable: bool) -> int:
         nonlocal number
         number += 1
         harness.now_us += 10 * MILLISECOND_US
         actions, attempt = harness.request(f"r{number}"), 0
         while True:
             [sent] = actions_of_type(actions, messages.StartAttempt)
-            if sent.endpoint_id or reached:
+            if sent.endpoint_id or is_reachable:
                 harness.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, attempt)
                 return sent.endpoint_id
             actions = harness.end_attempt(sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt)
             attempt += 1
 
     for _ in range(200):
-        ask(True)
-    server = harness.balancer.endpoints.states[0]
+        send_request(True)
+    state = harness.balancer.endpoints.states[0]
     for _ in range(30):
-        ask(False)
-    assert server.unreachable_until_us
-    harness.now_us = server.unreachable_until_us
-    assert server.share > 0.8
-    assert 60 < sum(ask(True) == 0 for _ in range(400)) < 140
+        send_request(False)
+    assert state.unreachable_until_us
+    harness.now_us = state.unreachable_until_us
+    assert state.share > 0.8
+    assert 60 < sum(send_request(True) == 0 for _ in range(400)) < 140
 
 
 def test_endpoint_unreachable_for_long_is_retried_at_intervals() -> None:
-    """And where there is no other, each time: it is lowered, never removed."""
-    harness, tries = BalancerHarness(endpoint_count=4), 0
+    """With no other endpoint it is tried each time: its share falls, and it is never removed."""
+    harness, attempt_count = BalancerHarness(endpoint_count=4), 0
     for number in range(6000):  # a minute
         harness.now_us += 10 * MILLISECOND_US
         actions, attempt = harness.request(f"r{number}"), 0
         while (sent := actions_of_type(actions, messages.StartAttempt)[0]).endpoint_id == 0:
-            tries += 1
+            attempt_count += 1
             actions = harness.end_attempt(sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt)
             attempt += 1
         harness.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, attempt)
-    assert 60 * SECOND_US / COOL_DOWN_US <= tries <= 60 * SECOND_US / COOL_DOWN_US + 5
+    assert 60 * SECOND_US / COOL_DOWN_US <= attempt_count <= 60 * SECOND_US / COOL_DOWN_US + 5
     alone = BalancerHarness(endpoint_count=1)
     for number in range(3):
         [sent] = actions_of_type(alone.request(f"r{number}"), messages.StartAttempt)
--- a/tests/scenarios/test_unreadable_configuration.py
+++ b/tests/scenarios/test_unreadable_configuration.py
@@ -51,24 +51,24 @@
         monkeypatch.setattr(Path, "read_bytes", read)
 
 
-SOUND = json.dumps(proxy_config(discovery="127.0.0.1:2"))
+VALID_CONFIG = json.dumps(proxy_config(discovery="127.0.0.1:2"))
 UNREADABLE: dict[str, int | str | None] = {
     "EIO": errno.EIO,
     "EMFILE": errno.EMFILE,
     "ENFILE": errno.ENFILE,
     "gone": None,
     "empty": "",
-    "half": SOUND[:-20],
+    "half": VALID_CONFIG[:-20],
 }
 
 
-def spoil(path: Path, file: ReadFile, how: int | str | None) -> None:
-    if how is None:
+def spoil(path: Path, file: ReadFile, fault: int | str | None) -> None:
+    if fault is None:
         path.unlink()
-    elif isinstance(how, int):
-        file.error = how
+    elif isinstance(fault, int):
+        file.error = fault
     else:
-        path.write_text(how)
+        path.write_text(fault)
 
 
 async def step(clock: SteppedClock, seconds: float) -> None:
@@ -77,75 +77,75 @@
         await asyncio.sleep(0)
 
 
-@pytest.mark.parametrize("how", UNREADABLE.values(), ids=UNREADABLE.keys())
+@pytest.mark.parametrize("fault", UNREADABLE.values(), ids=UNREADABLE.keys())
 async def test_briefly_unreadable_configuration_is_reloaded_once_readable(
-    how: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+    fault: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with running_proxy() as p:
-        clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
-        file = ReadFile(r.path, monkeypatch)
-        spoil(r.path, file, how)
-        r.assert_rejected("NODE_CONFIG")
+    async with running_proxy() as proxy:
+        clock, reload = SteppedClock(), ReloadHarness(tmp_path, proxy, caplog)
+        file = ReadFile(reload.path, monkeypatch)
+        spoil(reload.path, file, fault)
+        reload.assert_rejected("NODE_CONFIG")
         for _ in range(12):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
-        assert not r.moved
+        assert not reload.moved
         assert len(problem_lines(caplog)) == 1
         file.error = 0
-        r.path.write_text(SOUND)
+        reload.path.write_text(VALID_CONFIG)
         await step(clock, RELOAD_RETRY_INTERVAL_S)
-        assert r.moved == [("127.0.0.1", 2)]
+        assert reload.moved == [("127.0.0.1", 2)]
         assert len(problem_lines(caplog)) == 1
-        reads = file.reads
+        read_count = file.reads
         await step(clock, 10.0)
-        assert file.reads == reads
-        assert len(r.moved) == 1
+        assert file.reads == read_count
+        assert len(reload.moved) == 1
 
 
-@pytest.mark.parametrize("how", UNREADABLE.values(), ids=UNREADABLE.keys())
+@pytest.mark.parametrize("fault", UNREADABLE.values(), ids=UNREADABLE.keys())
 async def test_unreadable_configuration_is_given_up_and_the_old_one_kept(
-    how: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+    fault: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with running_proxy() as p:
-        clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
-        file = ReadFile(r.path, monkeypatch)
-        spoil(r.path, file, how)
-        r.assert_rejected("NODE_CONFIG")
+    async with running_proxy() as proxy:
+        clock, reload = SteppedClock(), ReloadHarness(tmp_path, proxy, caplog)
+        file = ReadFile(reload.path, monkeypatch)
+        spoil(reload.path, file, fault)
+        reload.assert_rejected("NODE_CONFIG")
         for _ in range(100):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
-        assert not r.moved
+        assert not reload.moved
         assert len(problem_lines(caplog)) == 1
         assert file.reads == 1 + MAX_RELOAD_RETRIES
         file.error = 0
-        r.assert_still_follows()  # at the next signal
+        reload.assert_still_follows()  # at the next signal
 
 
-@pytest.mark.parametrize("then", ["another signal", "the end", "another fault"])
+@pytest.mark.parametrize("end", ["another signal", "the end", "another fault"])
 async def test_configuration_rereads_end_with(
-    then: str, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+    end: str, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """And what another signal brought is taken over once."""
+    """What another signal brings is taken over once."""
 
-    async with running_proxy() as p:
-        clock, r = SteppedClock(), ReloadHarness(tmp_path, p, caplog)
-        file = ReadFile(r.path, monkeypatch)
-        spoil(r.path, file, None)
-        r.assert_rejected("NODE_CONFIG")
+    async with running_proxy() as proxy:
+        clock, reload = SteppedClock(), ReloadHarness(tmp_path, proxy, caplog)
+        file = ReadFile(reload.path, monkeypatch)
+        spoil(reload.path, file, None)
+        reload.assert_rejected("NODE_CONFIG")
         await step(clock, RELOAD_RETRY_INTERVAL_S)
-        if then == "the end":
-            r.reloader.close()
-        elif then == "another fault":  # it can be read, and cannot be used
-            r.path.write_text("[1]")
+        if end == "the end":
+            reload.reloader.close()
+        elif end == "another fault":  # it can be read, and cannot be used
+            reload.path.write_text("[1]")
             await step(clock, RELOAD_RETRY_INTERVAL_S)
             assert "field settings" in problem_lines(caplog)[-1]
             assert len(problem_lines(caplog)) == 2
         else:
-            r.assert_still_follows()
-        reads = file.reads
-        r.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:3")))
+            reload.assert_still_follows()
+        read_count = file.reads
+        reload.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:3")))
         for _ in range(30):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
-        assert file.reads == reads
-        assert r.moved == ([("127.0.0.1", 2)] if then == "another signal" else [])
+        assert file.reads == read_count
+        assert reload.moved == ([("127.0.0.1", 2)] if end == "another signal" else [])
 
 
 @pytest.mark.parametrize("serving", [True, False], ids=["serving", "not yet"])
@@ -161,10 +161,10 @@
         (tmp_path / "config.json").unlink()
         os.kill(os.getpid(), signal.SIGHUP)
         await wait_until(lambda: file.reads == 1)
-    reads = file.reads
+    read_count = file.reads
     for _ in range(100):
         await step(clock, RELOAD_RETRY_INTERVAL_S)
-    assert reads == file.reads < 1 + MAX_RELOAD_RETRIES
+    assert read_count == file.reads < 1 + MAX_RELOAD_RETRIES
 
 
 async def test_process_follows_a_configuration_replaced_during_the_signal(
@@ -179,22 +179,22 @@
         await reader.read()
 
     async with StandInServer(watch) as old, StandInServer(watch) as new:
-        told = proxy_config(discovery=f"127.0.0.1:{old.port}")
-        async with running_proxy_process(write_config(tmp_path, told)) as made:
-            await read_listening_port(made)
-            assert made.stderr is not None
+        config = proxy_config(discovery=f"127.0.0.1:{old.port}")
+        async with running_proxy_process(write_config(tmp_path, config)) as process:
+            await read_listening_port(process)
+            assert process.stderr is not None
             assert await asked.get() == old.port
             (tmp_path / "config.json").unlink()
-            made.send_signal(signal.SIGHUP)
-            while b"the old one stays" not in (line := await made.stderr.readline()):
+            process.send_signal(signal.SIGHUP)
+            while b"the old one stays" not in (line := await process.stderr.readline()):
                 assert line, "it ended"
-            write_config(tmp_path, {**told, "discovery": f"127.0.0.1:{new.port}"})
+            write_config(tmp_path, {**config, "discovery": f"127.0.0.1:{new.port}"})
             assert await asked.get() == new.port
             (tmp_path / "config.json").unlink()
-            made.send_signal(signal.SIGHUP)  # and one whose file never comes is no trouble at the end
-            while b"the old one stays" not in (line := await made.stderr.readline()):
+            process.send_signal(signal.SIGHUP)  # and one whose file never comes is no trouble at the end
+            while b"the old one stays" not in (line := await process.stderr.readline()):
                 assert line, "it ended"
-            made.send_signal(signal.SIGTERM)
-            rest = await made.stderr.read()
-            assert await made.wait() == 0
+            process.send_signal(signal.SIGTERM)
+            rest = await process.stderr.read()
+            assert await process.wait() == 0
             assert b"Traceback" not in rest
--- a/tests/scenarios/test_watch_failures.py
+++ b/tests/scenarios/test_watch_failures.py
@@ -43,24 +43,28 @@
 async def test_failed_watch_is_reopened_and_logged_once(
     name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Three times in a row; what discovery has then comes."""
+    """It fails three times in a row; the list that discovery has then arrives."""
 
-    async with StandInListServer(endpoint_list(endpoint_entry("b", 9), rev=7)) as d:
-        rule = socket_failures.add(
-            name, any_socket if name == "socket" else connected_to(d.port), error, times=3
+    async with StandInListServer(endpoint_list(endpoint_entry("b", 9), rev=7)) as discovery:
+        failure = socket_failures.add(
+            name, any_socket if name == "socket" else connected_to(discovery.port), error, times=3
         )
-        news: asyncio.Queue[EndpointListMessage | None] = asyncio.Queue()
+        received_lists: asyncio.Queue[EndpointListMessage | None] = asyncio.Queue()
         watch = EndpointWatch(
-            ("127.0.0.1", d.port), news.put_nowait, lambda: news.put_nowait(None), 60.0, 60.0
+            ("127.0.0.1", discovery.port),
+            received_lists.put_nowait,
+            lambda: received_lists.put_nowait(None),
+            60.0,
+            60.0,
         )
         for _ in range(3):
             watch.start()
-            assert await news.get() is None
-        assert rule.hits == 3
+            assert await received_lists.get() is None
+        assert failure.hits == 3
         watch.start()
-        told = await news.get()
-        assert told is not None
-        assert told.version == 7
+        message = await received_lists.get()
+        assert message is not None
+        assert message.version == 7
         watch.close()
     [line] = problem_lines(caplog)
     assert "watch on discovery broke: " in line
