--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -171,8 +171,8 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            first, headers, _ = await read_http_message(reader)
-            if "/status/load" in first:
+            start_line, headers, _ = await read_http_message(reader)
+            if "/status/load" in start_line:
                 writer.write(http_response(200, b"busy_reqs=0"))
             elif not lost:
                 lost.append(headers["req-id"])  # and its connection stays open
@@ -180,10 +180,12 @@
                 writer.write(http_response(200, b"x"))
 
     async with (
-        StandInServer(handle) as a,
-        StandInServer(handle) as b,
-        running_proxy(endpoint_entry("s-1", a.port), endpoint_entry("s-2", b.port), settings=PROBING) as p,
+        StandInServer(handle) as first,
+        StandInServer(handle) as second,
+        running_proxy(
+            endpoint_entry("s-1", first.port), endpoint_entry("s-2", second.port), settings=PROBING
+        ) as proxy,
     ):
-        assert (await p.send_request(http_request(request_id="a1")))[2] == b"x"
+        assert (await proxy.send_request(http_request(request_id="a1")))[2] == b"x"
         assert lost == ["a1"]
-        assert not p.driver.balancer.health.pending
+        assert not proxy.driver.balancer.health.pending
--- a/tests/scenarios/test_unreachable_endpoints.py
+++ b/tests/scenarios/test_unreachable_endpoints.py
@@ -7,18 +7,21 @@
 from __future__ import annotations
 
 import errno
+from itertools import count
 
 import pytest
 
 from load_balancer import messages
 from load_balancer.net import socket_state
+from load_balancer.net.addresses import EndpointAddress
 from load_balancer.policy.change_detector import PRIOR_SAMPLES
-from load_balancer.policy.endpoint_state import COOL_DOWN_US
+from load_balancer.policy.endpoint_state import COOL_DOWN_US, EndpointState
 from tests.support.balancer_harness import BalancerHarness, actions_of_type
 from tests.support.endpoint_lists import (
     endpoint_entry,
 )
 from tests.support.failing_sockets import (
+    SocketFailure,
     SocketFailures,
     connected_to,
 )
@@ -28,7 +31,7 @@
     response_status,
 )
 from tests.support.log_lines import traceback_lines
-from tests.support.loopback_proxy import running_proxy
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import FrozenClock
 from tests.support.units import MILLISECOND_US, SECOND_US
@@ -38,56 +41,55 @@
 )
 
 
+REQUEST_NUMBERS = count()
+
+
+def address_of(proxy: LoopbackProxy, endpoint: StandInEndpoint) -> EndpointAddress:
+    addresses = proxy.driver.endpoint_list.endpoints.by_id.values()
+    return next(known for known in addresses if known.address[1] == endpoint.port)
+
+
+async def check_served(proxy: LoopbackProxy) -> None:
+    """Send a request with an id of its own and check that it is served."""
+    request_id = f"r{next(REQUEST_NUMBERS)}"
+    assert response_status(await proxy.send_request(http_request(request_id=request_id))) == 200
+
+
+async def lose_route(
+    proxy: LoopbackProxy, lost_state: EndpointState, failure: SocketFailure, failure_count: int
+) -> None:
+    """Send requests until so many connects have failed, each time after the endpoint is avoided no more."""
+    clock = FrozenClock()
+    proxy.step_policy_clock_with(clock)
+    while failure.hits < failure_count:
+        await check_served(proxy)
+        if proxy.driver.clock.now_us() < lost_state.unreachable_until_us:
+            clock.advance(COOL_DOWN_US / SECOND_US)
+
+
 @EACH_ROUTE_ERROR
 @pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
 async def test_unreachable_endpoint_keeps_its_share_and_is_used_again(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The requests that met it are served elsewhere."""
-
     async with (
-        StandInEndpoint(http_response(200, b"a")) as lost_endpoint,
-        StandInEndpoint(http_response(200, b"b")) as other_endpoint,
-        running_proxy(
-            endpoint_entry("a", lost_endpoint.port), endpoint_entry("b", other_endpoint.port)
-        ) as proxy,
+        StandInEndpoint(http_response(200, b"a")) as lost,
+        StandInEndpoint(http_response(200, b"b")) as other,
+        running_proxy(endpoint_entry("a", lost.port), endpoint_entry("b", other.port)) as proxy,
     ):
-        balancer = proxy.driver.balancer
-        states_by_port = {
-            proxy.driver.endpoint_list.endpoints.by_id[endpoint_id].address[1]: state
-            for endpoint_id, state in balancer.endpoints.states.items()
-        }
-        lost_state, clock = states_by_port[lost_endpoint.port], FrozenClock()
-        proxy.step_policy_clock_with(clock)
-        failure = socket_failures.add("connect", connected_to(lost_endpoint.port), error, times=3)
-        request_count = 0
-
-        async def send_request() -> None:
-            nonlocal request_count
-            request_count += 1
-            assert (
-                response_status(await proxy.send_request(http_request(request_id=f"r{request_count}"))) == 200
-            )
-
-        while failure.hits < 3:
-            await send_request()
-            if proxy.driver.clock.now_us() < lost_state.unreachable_until_us:
-                clock.advance(COOL_DOWN_US / SECOND_US)
+        pacing, lost_address = proxy.pool.pacing, address_of(proxy, lost)
+        lost_state = proxy.driver.balancer.endpoints.states[lost_address.id]
+        failure = socket_failures.add("connect", connected_to(lost.port), error, times=3)
+        await lose_route(proxy, lost_state, failure, 3)
         assert lost_state.detector.first_epoch_count == PRIOR_SAMPLES
         assert lost_state.share == 1.0
-        assert not lost_endpoint.received
-        lost_address = next(
-            address
-            for address in proxy.driver.endpoint_list.endpoints.by_id.values()
-            if address.address[1] == lost_endpoint.port
-        )
-        assert (
-            proxy.pool.pacing.no_extra_until_s[lost_address]
-            <= proxy.pool.loop.time() + proxy.pool.pacing.connect_timeout_s
-        )
-        while not lost_endpoint.received:
-            await send_request()
-        assert not proxy.pool.pacing.no_extra_until_s
+        assert not lost.received
+        avoided_until_s = pacing.no_extra_until_s[lost_address]
+        assert avoided_until_s <= proxy.pool.loop.time() + pacing.connect_timeout_s
+        while not lost.received:
+            await check_served(proxy)
+        assert not pacing.no_extra_until_s
         assert lost_state.unreachable_backoff_us == 0
     assert not traceback_lines(caplog)
 
