--- a/tests/scenarios/test_accept_failures.py
+++ b/tests/scenarios/test_accept_failures.py
@@ -12,6 +12,8 @@
 import signal
 import socket
 import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
 
@@ -221,62 +223,78 @@
         assert line, "it ended"
 
 
-@pytest.mark.parametrize(("failed", "descriptors"), [(errno.ENETUNREACH, 0), (0, 40)], ids=["one", "EMFILE"])
-async def test_process_with_failing_accept_answers_all_and_exits_on_shutdown(
-    failed: int, descriptors: int, tmp_path: Path
-) -> None:
-    """It fails for one connection, or for a real shortage of descriptors, which the settings don't name."""
+class HoldingEndpoint(StandInServer):
+    """Responds to each request at once, but holds the one with the id "open" until it may respond."""
 
-    started, may_respond = asyncio.Event(), asyncio.Event()
+    def __init__(self) -> None:
+        super().__init__(self._respond)
+        self.is_holding, self.may_respond = asyncio.Event(), asyncio.Event()
 
-    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _respond(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             _, headers, _ = await read_http_message(reader)
             if headers["req-id"] == "open":
-                started.set()
-                await may_respond.wait()
+                self.is_holding.set()
+                await self.may_respond.wait()
             writer.write(http_response(200, b"x"))
 
-    async with StandInServer(hold) as endpoint:
-        # An answer is of use for long enough that one may still be open as it stops listening.
-        request_class = {
-            "name": "read",
-            "idempotency": "safe",
-            "onTimeUs": 2_000_000,
-            "deadlineUs": 9_000_000,
-        }
-        settings = raw_settings(lanes=[{**request_class, "lateValue": 0.5}], limits=LIMITS)
-        config = proxy_config(known=endpoint_list(endpoint_entry("b", endpoint.port)), settings=settings)
-        env = {**os.environ, **write_config(tmp_path, config)}
-        pipe = asyncio.subprocess.PIPE
-        arguments = [sys.executable, "-c", PROCESS, str(failed), str(descriptors)]
-        process = await asyncio.create_subprocess_exec(*arguments, cwd=ROOT, env=env, stdin=pipe, stderr=pipe)
-        assert process.stdin is not None
+
+@asynccontextmanager
+async def process_with_failing_accept(
+    tmp_path: Path, endpoint: StandInServer, failed: int, descriptors: int
+) -> AsyncIterator[asyncio.subprocess.Process]:
+    """Run a proxy process whose accept fails at shutdown, by this error or for want of descriptors."""
+    # A response is of use for long enough that a request may still be open as the process stops listening.
+    request_class = {"name": "read", "idempotency": "safe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
+    settings = raw_settings(lanes=[{**request_class, "lateValue": 0.5}], limits=LIMITS)
+    config = proxy_config(known=endpoint_list(endpoint_entry("b", endpoint.port)), settings=settings)
+    env = {**os.environ, **write_config(tmp_path, config)}
+    pipe = asyncio.subprocess.PIPE
+    arguments = [sys.executable, "-c", PROCESS, str(failed), str(descriptors)]
+    process = await asyncio.create_subprocess_exec(*arguments, cwd=ROOT, env=env, stdin=pipe, stderr=pipe)
+    try:
+        yield process
+    finally:
+        if process.returncode is None:
+            process.kill()
+        await process.wait()
+
+
+async def statuses_at_shutdown(process: asyncio.subprocess.Process, port: int) -> list[int]:
+    """Shut the process down, and return the statuses of six requests in its accept queue at that moment."""
+    assert process.stdin is not None
+    process.send_signal(signal.SIGTERM)
+    await until_logged(process, b"about to stop listening")
+    clients = [queue_request(port, f"r{number}") for number in range(6)]
+    process.stdin.write(b"\n")
+    return await asyncio.gather(*map(read_status_or_end, clients))
+
+
+@pytest.mark.parametrize(("failed", "descriptors"), [(errno.ENETUNREACH, 0), (0, 40)], ids=["one", "EMFILE"])
+async def test_process_with_failing_accept_answers_all_and_exits_on_shutdown(
+    failed: int, descriptors: int, tmp_path: Path
+) -> None:
+    """It fails for one connection, or for a real shortage of descriptors, which the settings don't name."""
+    async with (
+        HoldingEndpoint() as endpoint,
+        process_with_failing_accept(tmp_path, endpoint, failed, descriptors) as process,
+    ):
+        port = await read_listening_port(process)
+        reader, writer = await asyncio.open_connection("127.0.0.1", port)
+        writer.write(http_request(request_id="open", Req_Deadline="9.0"))
+        await endpoint.is_holding.wait()
+        # These keep their connections, and with them all descriptors.
+        idle_clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(descriptors)]
+        if descriptors:
+            await until_logged(process, b"Too many open files")
+        statuses = await statuses_at_shutdown(process, port)
+        endpoint.may_respond.set()
+        assert response_status(await read_http_message(reader)) == 200
+        writer.close()
+        assert sorted(statuses) == [0 if failed else 200, *[200] * 5]
         assert process.stderr is not None
-        try:
-            port = await read_listening_port(process)
-            reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(http_request(request_id="open", Req_Deadline="9.0"))
-            await started.wait()
-            # These keep their connections, and with them all descriptors.
-            idle_clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(descriptors)]
-            if descriptors:
-                await until_logged(process, b"Too many open files")
-            process.send_signal(signal.SIGTERM)
-            await until_logged(process, b"about to stop listening")
-            clients = [queue_request(port, f"r{number}") for number in range(6)]
-            process.stdin.write(b"\n")
-            statuses = await asyncio.gather(*map(read_status_or_end, clients))
-            may_respond.set()
-            assert response_status(await read_http_message(reader)) == 200
-            writer.close()
-            assert sorted(statuses) == [0 if failed else 200, *[200] * 5]
-            remaining = await process.stderr.read()
-            assert await process.wait() == 0
-            assert b"Traceback" not in remaining
-            for connection in idle_clients:
-                connection.close()
-        finally:
-            if process.returncode is None:
-                process.kill()
-            await process.wait()
+        remaining_log = await process.stderr.read()
+        assert await process.wait() == 0
+        assert b"Traceback" not in remaining_log
+        for client in idle_clients:
+            client.close()
