--- a/tests/scenarios/test_connection_failures.py
+++ b/tests/scenarios/test_connection_failures.py
@@ -10,6 +10,7 @@
 import errno
 import signal
 import sys
+from collections.abc import Iterator
 
 import pytest
 
@@ -25,6 +26,7 @@
 from tests.support.failing_sockets import (
     ERRNOS_OF_BROKEN_CONNECTION,
     SocketFailures,
+    SocketFilter,
     accepted_on,
     connected_to,
 )
@@ -35,11 +37,10 @@
     response_status,
 )
 from tests.support.log_lines import problem_lines
-from tests.support.loopback_proxy import running_proxy
+from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_discovery import StandInListServer
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import wait_until
-from tests.support.time_limit import run_in_event_loop
 
 SIDES = ["client", "endpoint", "discovery"]
 NEVER_ENDING = sys.maxsize  # times
@@ -48,6 +49,17 @@
 )
 
 
+def sockets_of(
+    side: str, endpoint: StandInServer, discovery: StandInServer, proxy: LoopbackProxy
+) -> SocketFilter:
+    """Select the proxy's sockets to one of these three sides."""
+    return {
+        "client": accepted_on(proxy.port),
+        "endpoint": connected_to(endpoint.port),
+        "discovery": connected_to(discovery.port),
+    }[side]
+
+
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("name", ["recv", "send"])
 @pytest.mark.usefixtures("no_problems_until_loop_closes")
@@ -59,12 +71,8 @@
         StandInListServer(endpoint_list(endpoint_entry("b", endpoint.port))) as discovery,
         running_proxy(discovery_port=discovery.port) as proxy,
     ):
-        sides = {
-            "client": accepted_on(proxy.port),
-            "endpoint": connected_to(endpoint.port),
-            "discovery": connected_to(discovery.port),
-        }
-        failure = socket_failures.add(name, sides[side], times=NEVER_ENDING)
+        sockets = sockets_of(side, endpoint, discovery, proxy)
+        failure = socket_failures.add(name, sockets, times=NEVER_ENDING)
         await wait_until(lambda: proxy.driver.is_ready)
         for number in range(2):
             response = await proxy.send_request(
@@ -77,44 +85,37 @@
     assert not problem_lines(caplog)
 
 
+@pytest.fixture
+def received_signals() -> Iterator[list[int]]:
+    """The signals that this process has received, two a millisecond; they interrupt its system calls."""
+    received: list[int] = []
+    previous_handler = signal.signal(signal.SIGALRM, lambda number, frame: received.append(number))
+    signal.setitimer(signal.ITIMER_REAL, 0.0005, 0.0005)
+    yield received
+    signal.setitimer(signal.ITIMER_REAL, 0.0)
+    signal.signal(signal.SIGALRM, previous_handler)
+
+
 @pytest.mark.parametrize("side", SIDES)
 @pytest.mark.parametrize("name", ["recv", "send"])
-def test_interrupted_system_calls_are_repeated(name: str, side: str, socket_failures: SocketFailures) -> None:
+async def test_interrupted_system_calls_are_repeated(
+    name: str, side: str, socket_failures: SocketFailures, received_signals: list[int]
+) -> None:
     """Calls are made to fail so, though Python repeats most itself; real signals interrupt waits."""
-
-    async def test() -> None:
-        async with (
-            StandInEndpoint(http_response(200, b"x")) as endpoint,
-            StandInListServer(endpoint_list(endpoint_entry("b", endpoint.port))) as discovery,
-            running_proxy(discovery_port=discovery.port) as proxy,
-        ):
-            sides = {
-                "client": accepted_on(proxy.port),
-                "endpoint": connected_to(endpoint.port),
-                "discovery": connected_to(discovery.port),
-            }
-            failure = socket_failures.add(name, sides[side], errno.EINTR, times=3)
-            await wait_until(lambda: proxy.driver.is_ready)
-            for number in range(3):
-                assert response_status(await proxy.send_request(http_request(request_id=f"r{number}"))) == 200
-            assert failure.hits == 3
-            assert len(endpoint.received) == 3
-            assert discovery.connection_count == 1
-
-    signal_count = 0
-
-    def count_signal(number: int, frame: object) -> None:
-        nonlocal signal_count
-        signal_count += 1
-
-    previous_handler = signal.signal(signal.SIGALRM, count_signal)
-    signal.setitimer(signal.ITIMER_REAL, 0.0005, 0.0005)
-    try:
-        run_in_event_loop(test)
-    finally:
-        signal.setitimer(signal.ITIMER_REAL, 0.0)
-        signal.signal(signal.SIGALRM, previous_handler)
-    assert signal_count
+    async with (
+        StandInEndpoint(http_response(200, b"x")) as endpoint,
+        StandInListServer(endpoint_list(endpoint_entry("b", endpoint.port))) as discovery,
+        running_proxy(discovery_port=discovery.port) as proxy,
+    ):
+        sockets = sockets_of(side, endpoint, discovery, proxy)
+        failure = socket_failures.add(name, sockets, errno.EINTR, times=3)
+        await wait_until(lambda: proxy.driver.is_ready)
+        for number in range(3):
+            assert response_status(await proxy.send_request(http_request(request_id=f"r{number}"))) == 200
+        assert failure.hits == 3
+        assert len(endpoint.received) == 3
+        assert discovery.connection_count == 1
+    assert received_signals
 
 
 @pytest.mark.parametrize("all_but", [0, 1, 40])
@@ -140,27 +141,38 @@
         pool.close()
 
 
+class HoldingEndpoint(StandInServer):
+    """Responds to no request by itself; a test writes the responses.
+
+    Attributes:
+        writer_by_id: The connection of each request, by the request's id.
+        ended_ids: The requests whose connections the proxy has closed.
+    """
+
+    def __init__(self) -> None:
+        super().__init__(self._hold)
+        self.writer_by_id: dict[str, asyncio.StreamWriter] = {}
+        self.ended_ids: list[str] = []
+
+    async def _hold(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        _, headers, _ = await read_http_message(reader)
+        self.writer_by_id[headers["req-id"]] = writer
+        await reader.read()
+        self.ended_ids.append(headers["req-id"])
+
+
 @EACH_STANDING
 @pytest.mark.parametrize("name", ["recv", "send"])
 @pytest.mark.usefixtures("no_problems_until_loop_closes")
 async def test_failed_client_connection_ends_only_its_own_attempt(
     name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    writers: dict[str, asyncio.StreamWriter] = {}
-    ended: list[str] = []
-
-    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        _, headers, _ = await read_http_message(reader)
-        writers[headers["req-id"]] = writer
-        await reader.read()
-        ended.append(headers["req-id"])
-
-    async with StandInServer(hold) as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
+    async with HoldingEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         other_reader, other = await proxy.connect()
         other.write(http_request(request_id="other"))
         _, writer = await proxy.connect()
         writer.write(http_request(request_id="lost"))
-        await wait_until(lambda: len(writers) == 2)
+        await wait_until(lambda: len(endpoint.writer_by_id) == 2)
         client_address = writer.get_extra_info("sockname")
         failure = socket_failures.add(
             name,
@@ -169,16 +181,16 @@
         )
         if name == "recv":
             writer.write(b"G")  # what comes makes it read
-            await wait_until(lambda: ended == ["lost"])
+            await wait_until(lambda: endpoint.ended_ids == ["lost"])
         else:
-            writers["lost"].write(http_response(200, b"x"))
+            endpoint.writer_by_id["lost"].write(http_response(200, b"x"))
         await wait_until(lambda: failure.hits == 1 and len(proxy.clients.open_connections) == 1)
-        writers["other"].write(http_response(200, b"y"))
+        endpoint.writer_by_id["other"].write(http_response(200, b"y"))
         assert (await read_http_message(other_reader))[2] == b"y"
         assert proxy.driver.is_idle
         assert not proxy.driver.requests.attempts.in_flight
         assert not proxy.clients.open_request_ids
-        assert len(writers) == 2  # no attempt was made for it again
+        assert len(endpoint.writer_by_id) == 2  # no attempt was made for it again
         other.close()
         writer.close()
     assert not problem_lines(caplog)
