--- a/tests/scenarios/test_stale_idle_connections.py
+++ b/tests/scenarios/test_stale_idle_connections.py
@@ -111,6 +111,19 @@
 ROOMY = balancer_settings(limits=messages.Limits(max_attempts=3, cancel=True))
 
 
+async def status_while_time_passes(
+    proxy: LoopbackProxy, clock: SteppedClock, request: bytes, step_s: float = 0.05, max_s: float = 2.5
+) -> str:
+    """Send a request, step time until its final response, and return the response's status."""
+    response = asyncio.ensure_future(proxy.send_request(request))
+    began_s = clock.advanced_s
+    while not response.done():
+        assert clock.advanced_s - began_s < max_s, "no final response"
+        clock.advance(step_s)
+        await run_loop_turns(30)
+    return (await response)[0].split()[1]
+
+
 @pytest.mark.parametrize("endpoint_count", [1, 3])
 @pytest.mark.parametrize("fault", ["reset", "end", "silence"])
 @pytest.mark.parametrize("kind", KINDS)
@@ -135,15 +148,8 @@
         clock.advance(3_600.0)
         statuses = []
         for number in range(4):
-            response = asyncio.ensure_future(
-                proxy.send_request(http_request(kind, request_id=f"r{number}", Req_Deadline="2.0"))
-            )
-            began_s = clock.advanced_s
-            while not response.done():
-                assert clock.advanced_s - began_s < 2.5, "no final answer"
-                clock.advance(0.05)
-                await run_loop_turns(30)
-            statuses.append((await response)[0].split()[1])
+            request = http_request(kind, request_id=f"r{number}", Req_Deadline="2.0")
+            statuses.append(await status_while_time_passes(proxy, clock, request))
         # With one silent endpoint there is nowhere to retry the first one; "pay" uses no idle connection.
         failed_count = fault == "silence" and endpoint_count == 1 and kind != "pay"
         assert statuses[failed_count:] == ["200"] * (4 - failed_count)
