--- a/tests/scenarios/test_stale_idle_connections.py
+++ b/tests/scenarios/test_stale_idle_connections.py
@@ -155,6 +155,16 @@
         assert statuses[failed_count:] == ["200"] * (4 - failed_count)
 
 
+async def leave_idle_in_pool(pool: ConnectionPool, endpoint: RawEndpoint, count: int) -> None:
+    """Leave exactly so many idle connections in a pool, each of which has carried a request."""
+    endpoint.reading.clear()
+    attempts = [RecordedAttempt(pool, endpoint.endpoint, GET) for _ in range(count)]
+    await wait_until(lambda: len(endpoint.accepted) == count)
+    endpoint.reading.set()
+    for attempt in attempts:
+        await attempt.result()
+
+
 @pytest.mark.parametrize(
     "case", ["time out", "given up", "cancelled", "a new connection", "it answers others"]
 )
@@ -169,12 +179,7 @@
     clock = SteppedClock()
     async with RawEndpoint(handle) as endpoint:
         pool = ConnectionPool(0.25, 1e6, 10)
-        endpoint.reading.clear()
-        idle_attempts = [RecordedAttempt(pool, endpoint.endpoint, GET) for _ in range(3)]
-        await wait_until(lambda: len(endpoint.accepted) == 3)
-        endpoint.reading.set()
-        for attempt in idle_attempts:
-            await attempt.result()
+        await leave_idle_in_pool(pool, endpoint, 3)
         clock.advance(60.0)
         request = UNSAFE_REQUEST if case == "a new connection" else KEYED_REQUEST
         attempt = RecordedAttempt(pool, endpoint.endpoint, request, 2.0)
@@ -193,6 +198,20 @@
         pool.close()
 
 
+class BreakingHandler:
+    """Resets the connection that the request "r1" comes on first, and responds to every other request."""
+
+    def __init__(self) -> None:
+        self.has_reset = False
+
+    async def handle(self, connection: EndpointConnection, request: HttpMessage) -> None:
+        if request[1]["req-id"] == "r1" and not self.has_reset:
+            self.has_reset = True
+            connection.reset()
+        else:
+            connection.send(http_response(200, b"x"))
+
+
 @pytest.mark.parametrize(("idle_for_s", "new_connections"), [(500.0, 0), (2_000.0, 1)])
 async def test_retry_uses_a_new_connection_only_after_a_break_of_a_long_idle_one(
     idle_for_s: float, new_connections: int, monkeypatch: pytest.MonkeyPatch
@@ -200,14 +219,7 @@
     """An endpoint that breaks a busy connection says nothing about connections to other endpoints."""
     monkeypatch.setattr(upstream_attempt, "LONG_IDLE_S", 1_000.0)  # real time never comes near this
 
-    async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
-        if request[1]["req-id"] == "r1" and not broken:
-            broken.append(connection)
-            connection.reset()
-        else:
-            connection.send(http_response(200, b"x"))
-
-    broken: list[EndpointConnection] = []
+    handle = BreakingHandler().handle
     async with (
         RawEndpoint(handle) as first_endpoint,
         RawEndpoint(handle) as second_endpoint,
