--- a/tests/policy/test_policy_rules_random.py
+++ b/tests/policy/test_policy_rules_random.py
@@ -202,7 +202,8 @@
         )
         self.handle(messages.Request(request_id, cls.name, time_left))
 
-    def change_list(self) -> None:
+    def random_entry(self) -> messages.Endpoint:
+        """Return a new state of a random endpoint, which may have restarted."""
         rng = self.rng
         endpoint_id = rng.randrange(10)
         status = rng.choice(
@@ -215,15 +216,18 @@
         )
         known = self.listed.get(endpoint_id)
         since = self.now_us if known is None or rng.random() < 0.3 else known.incarnation_us
-        entry = messages.Endpoint(
+        return messages.Endpoint(
             endpoint_id, status, "ab"[endpoint_id % 2], cell=endpoint_id % 3, incarnation_us=since
         )
-        if since == self.now_us:
-            self.warming_sends.pop(endpoint_id, None)
-            self.warm_sends.pop(endpoint_id, None)
+
+    def change_list(self) -> None:
+        entry = self.random_entry()
+        if entry.incarnation_us == self.now_us:
+            self.warming_sends.pop(entry.id, None)
+            self.warm_sends.pop(entry.id, None)
         self.version += 1
-        self.listed[endpoint_id] = entry
-        if rng.random() < 0.3:
+        self.listed[entry.id] = entry
+        if self.rng.random() < 0.3:
             kept = [
                 endpoint
                 for endpoint in self.listed.values()
@@ -247,11 +251,7 @@
     def step(self) -> None:
         rng = self.rng
         self.advance(rng.choice((0, 1, 5, 20, 20, 200)) * MILLISECOND_US)
-        for index in range(len(self.in_flight) - 1, -1, -1):
-            request_id, number = self.in_flight[index]
-            attempt = self.requests[request_id].attempts[number]
-            if attempt.at + attempt.send.timeout_us <= self.now_us:
-                self.finish_attempt(index, messages.Outcome.TIMEOUT)
+        self.time_out_attempts()
         kind = rng.random()
         if kind < 0.5:
             for _ in range(rng.choice((1, 1, 1, 6))):
@@ -269,6 +269,16 @@
             self.change_list()
         else:
             self.send_odd_event()
+        self.check_final_responses()
+
+    def time_out_attempts(self) -> None:
+        for index in range(len(self.in_flight) - 1, -1, -1):
+            request_id, number = self.in_flight[index]
+            attempt = self.requests[request_id].attempts[number]
+            if attempt.at + attempt.send.timeout_us <= self.now_us:
+                self.finish_attempt(index, messages.Outcome.TIMEOUT)
+
+    def check_final_responses(self) -> None:
         late = [
             request_id
             for request_id, pending in self.pending.items()
--- a/tests/scenarios/test_accept_failures.py
+++ b/tests/scenarios/test_accept_failures.py
@@ -141,23 +141,37 @@
         client.close()
 
 
-async def test_accept_queue_is_served_during_shutdown_as_clients_leave(
-    socket_failures: SocketFailures,
-) -> None:
-    """More connections wait there than the proxy may hold, and those that it holds have open requests."""
+class HoldingEndpoint(StandInServer):
+    """Holds its responses until it may respond: to all requests, or just to the one with a given id.
 
-    started, may_respond = 0, asyncio.Event()
+    Attributes:
+        held_count: How many requests it has held so far, even where it might respond at once.
+        is_holding: Set with the first of them.
+        may_respond: Set by the test to let all responses go.
+    """
 
-    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal started
+    def __init__(self, held_id: str | None = None) -> None:
+        super().__init__(self._respond)
+        self._held_id, self.held_count = held_id, 0
+        self.is_holding, self.may_respond = asyncio.Event(), asyncio.Event()
+
+    async def _respond(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            await read_http_message(reader)
-            started += 1
-            await may_respond.wait()
+            _, headers, _ = await read_http_message(reader)
+            if self._held_id in (None, headers["req-id"]):
+                self.held_count += 1
+                self.is_holding.set()
+                await self.may_respond.wait()
             writer.write(http_response(200, b"x"))
 
+
+async def test_accept_queue_is_served_during_shutdown_as_clients_leave(
+    socket_failures: SocketFailures,
+) -> None:
+    """More connections wait there than the proxy may hold, and those that it holds have open requests."""
+
     async with (
-        StandInServer(hold) as endpoint,
+        HoldingEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=2) as proxy,
     ):
         connection_limit = 2 + 8
@@ -165,13 +179,13 @@
             asyncio.ensure_future(read_status_or_end(queue_request(proxy.port, f"a{number}")))
             for number in range(2)
         ]
-        await wait_until(lambda: started == 2)
+        await wait_until(lambda: endpoint.held_count == 2)
         remaining = [queue_request(proxy.port, f"r{number}") for number in range(2 * connection_limit)]
         proxy.listener.stop_listening()
         proxy.listener.close_idle_connections()
         assert proxy.clients.descriptor_count <= connection_limit
         assert not proxy.listener.is_drained
-        may_respond.set()
+        endpoint.may_respond.set()
         statuses = [asyncio.ensure_future(read_status_or_end(connection)) for connection in remaining]
         while not all(status.done() for status in statuses):
             proxy.listener.close_idle_connections()
@@ -223,22 +237,6 @@
         assert line, "it ended"
 
 
-class HoldingEndpoint(StandInServer):
-    """Responds to each request at once, but holds the one with the id "open" until it may respond."""
-
-    def __init__(self) -> None:
-        super().__init__(self._respond)
-        self.is_holding, self.may_respond = asyncio.Event(), asyncio.Event()
-
-    async def _respond(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while True:
-            _, headers, _ = await read_http_message(reader)
-            if headers["req-id"] == "open":
-                self.is_holding.set()
-                await self.may_respond.wait()
-            writer.write(http_response(200, b"x"))
-
-
 @asynccontextmanager
 async def process_with_failing_accept(
     tmp_path: Path, endpoint: StandInServer, failed: int, descriptors: int
@@ -276,7 +274,7 @@
 ) -> None:
     """It fails for one connection, or for a real shortage of descriptors, which the settings don't name."""
     async with (
-        HoldingEndpoint() as endpoint,
+        HoldingEndpoint(held_id="open") as endpoint,
         process_with_failing_accept(tmp_path, endpoint, failed, descriptors) as process,
     ):
         port = await read_listening_port(process)
