--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import random
+from collections.abc import Iterable
 from dataclasses import replace
 
 import pytest
@@ -12,6 +13,7 @@
 from load_balancer.net.discovery import endpoint_watch
 from load_balancer.net.discovery.endpoint_list import EndpointListMessage, join_changes
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
+from load_balancer.net.discovery.endpoint_watch import EndpointWatch
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -22,7 +24,6 @@
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInServer
 from tests.support.stepped_clock import wait_until
-from tests.support.time_limit import run_in_event_loop
 
 STATES = ("in_service", "in_service", "terminating", "terminated")
 
@@ -50,26 +51,20 @@
     return taken[:-1]
 
 
-def played(said: bytes) -> tuple[list[messages.EndpointListUpdate], set[int], int | None]:
+async def played(said: bytes) -> tuple[list[messages.EndpointListUpdate], set[int], int | None]:
     """The lists that reach the module, the backends that are known then, and the version to go on from."""
-    result: list[tuple[list[messages.EndpointListUpdate], set[int], int | None]] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(WATCH_RESPONSE_HEAD + said)
 
-    async def test() -> None:
-        async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
-            taken = await lists_until_the_end(proxy)
-            result.append(
-                (taken, set(proxy.driver.balancer.endpoints.states), proxy.driver.endpoint_list.watch.version)
-            )
-
-    run_in_event_loop(test)
-    return result[0]
+    async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
+        taken = await lists_until_the_end(proxy)
+        known = set(proxy.driver.balancer.endpoints.states)
+        return taken, known, proxy.driver.endpoint_list.watch.version
 
 
-def test_changes_of_one_read_reach_the_policy_as_one_event() -> None:
+async def test_changes_of_one_read_reach_the_policy_as_one_event() -> None:
     said = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), endpoint_entry("b", 9), rev=1))
     for number in range(50):
         said += endpoint_list_chunk(change(endpoint_entry(f"s-{number}", 9), rev=2 + number)) + http_chunk(
@@ -77,7 +72,7 @@
         )
     said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminating"), rev=52))
     said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminated"), rev=53))
-    taken, known, since = played(said + b"0\r\n\r\n")
+    taken, known, since = await played(said + b"0\r\n\r\n")
     assert [(news.kind, news.version) for news in taken] == [
         (messages.EndpointListKind.COMPLETE, 1),
         (messages.EndpointListKind.CHANGES, 53),
@@ -89,11 +84,11 @@
 @pytest.mark.parametrize(
     "spoilt", [http_chunk('{"rev":'), http_chunk('{"rev":4}\n'), b"zz\r\n", b"0\r\n\r\n"]
 )
-def test_lists_before_an_invalid_one_are_applied(spoilt: bytes) -> None:
+async def test_lists_before_an_invalid_one_are_applied(spoilt: bytes) -> None:
     good = endpoint_list_chunk(change(endpoint_entry("a", 9), rev=2)) + endpoint_list_chunk(
         change(endpoint_entry("b", 9), rev=3)
     )
-    taken, known, since = played(good + spoilt + b"0\r\n\r\n")
+    taken, known, since = await played(good + spoilt + b"0\r\n\r\n")
     assert [news.version for news in taken] == [3]
     assert known == names("a", "b")
     assert since == 3
@@ -107,18 +102,17 @@
         whole, more = endpoint_list(endpoint_entry("a", 9), rev=1), change(endpoint_entry("b", 9), rev=2)
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(whole) + endpoint_list_chunk(more))
 
-    async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
-        take, broken = proxy.driver.endpoint_list.watch._on_list, asyncio.Event()
-
-        def fail_on_changes(news: EndpointListMessage) -> None:
-            if not news.is_complete:
-                raise RuntimeError("a fault")
-            take(news)
+    def fail_on_changes(message: EndpointListMessage) -> None:
+        if not message.is_complete:
+            raise RuntimeError("a fault")
 
-        proxy.driver.endpoint_list.watch._on_list = fail_on_changes
-        proxy.driver.endpoint_list.watch._on_break = broken.set
+    broken = asyncio.Event()
+    async with StandInServer(handle) as discovery:
+        watch = EndpointWatch(("127.0.0.1", discovery.port), fail_on_changes, broken.set, 60.0, 60.0)
+        watch.start()
         await broken.wait()
-        assert proxy.driver.endpoint_list.watch.version == 1
+        assert watch.version == 1
+        watch.close()
 
 
 def test_complete_lists_and_old_changes_are_not_joined() -> None:
@@ -171,44 +165,43 @@
     assert join_changes(lists) == lists
 
 
+def random_lists(rng: random.Random) -> list[EndpointListMessage]:
+    """Return a complete list and ten changes to it, some of them old, and perhaps a second complete one."""
+    lists = [read_list(endpoint_list(*(endpoint_entry(f"s-{number}", 9) for number in range(4)), rev=9))]
+    for rev in range(10, 20):
+        rows = [
+            endpoint_entry(
+                f"s-{rng.randrange(6)}", rng.randrange(9, 11), rng.choice(STATES), boot_ms=rng.randrange(2)
+            )
+            for _ in range(rng.choice((0, 1, 2)))
+        ]
+        lists.append(read_list(change(*rows, rev=rev - 3 * (rng.random() < 0.1))))
+    if rng.random() < 0.5:
+        lists.insert(rng.randrange(1, 11), replace(lists[0], version=rng.randrange(5, 15)))
+    return lists
+
+
+async def effect_of(lists: Iterable[EndpointListMessage]) -> tuple[object, ...]:
+    """Return what a proxy that has received these lists knows of endpoints."""
+    async with running_proxy() as proxy:
+        for message in lists:
+            proxy.driver.endpoint_list.receive(message)
+        endpoints, states = proxy.driver.endpoint_list.endpoints, proxy.driver.balancer.endpoints.states
+        return (
+            # The moment of a start is by the clock of each of the two drivers.
+            {number: replace(state.endpoint, started_us=None) for number, state in states.items()},
+            endpoints.by_id,
+            endpoints.up_ids,
+            set(proxy.pool.idle.reuse_from_s),
+            proxy.driver.balancer.endpoints.version,
+        )
+
+
 async def test_joined_changes_have_the_same_effect_as_single_ones() -> None:
     rng = random.Random(1)
-
     for _ in range(40):
-        lists = [read_list(endpoint_list(*(endpoint_entry(f"s-{number}", 9) for number in range(4)), rev=9))]
-        for rev in range(10, 20):
-            rows = [
-                endpoint_entry(
-                    f"s-{rng.randrange(6)}",
-                    rng.randrange(9, 11),
-                    rng.choice(STATES),
-                    boot_ms=rng.randrange(2),
-                )
-                for _ in range(rng.choice((0, 1, 2)))
-            ]
-            lists.append(read_list(change(*rows, rev=rev - 3 * (rng.random() < 0.1))))
-        if rng.random() < 0.5:
-            lists.insert(rng.randrange(1, 11), replace(lists[0], version=rng.randrange(5, 15)))
-        left = []
-        for taken in (lists, join_changes(lists)):
-            async with running_proxy() as proxy:
-                for news in taken:
-                    proxy.driver.endpoint_list.receive(news)
-                servers = proxy.driver.balancer.endpoints.states
-                left.append(
-                    (
-                        # The moment of a start is by the clock of each of the two drivers.
-                        {
-                            number: replace(server.endpoint, started_us=None)
-                            for number, server in servers.items()
-                        },
-                        proxy.driver.endpoint_list.endpoints.by_id,
-                        proxy.driver.endpoint_list.endpoints.up_ids,
-                        set(proxy.pool.idle.reuse_from_s),
-                        proxy.driver.balancer.endpoints.version,
-                    )
-                )
-        assert left[0] == left[1]
+        lists = random_lists(rng)
+        assert await effect_of(lists) == await effect_of(join_changes(lists))
 
 
 async def test_changes_that_come_while_reading_is_paused_are_joined(monkeypatch: pytest.MonkeyPatch) -> None:
