--- a/tests/policy/test_no_starvation.py
+++ b/tests/policy/test_no_starvation.py
@@ -65,10 +65,12 @@
 
 def lose_zones(fleet: SimulatedFleet, zones: str) -> None:
     """Remove the endpoints of these zones for a while; they come back warming up."""
-    lost_machines = [machine for machine in fleet.machines if machine.entry.zone in zones]
+    lost_machines = [machine for machine in fleet.endpoints if machine.entry.zone in zones]
     for machine in lost_machines:
         machine.mode = "silent"
-    fleet.tell([replace(machine.entry, status=messages.EndpointStatus.REMOVED) for machine in lost_machines])
+    fleet.send_list(
+        [replace(machine.entry, status=messages.EndpointStatus.REMOVED) for machine in lost_machines]
+    )
     fleet.run(fleet.now + AWAY_US)
     for machine in lost_machines:
         machine.mode = "sound"
@@ -78,7 +80,7 @@
 def simulate_day(fleet: SimulatedFleet, fault: str) -> None:
     """Simulate a day: "calm", with one endpoint in eight "failing" or "slow", or with a "zone" lost."""
     fleet.run(START_US + LENGTH_US // 6)
-    for machine in fleet.machines[::8]:
+    for machine in fleet.endpoints[::8]:
         if fault == "failing":
             machine.mode = "failing"
         elif fault == "slow":
@@ -96,7 +98,7 @@
         marks = [since, *sends, fleet.now]
         for begin, end in pairwise(marks):
             if end - begin >= NO_ATTEMPT_US:
-                arrived = sum(call.balancer == index and begin < call.at <= end for call in fleet.calls)
+                arrived = sum(call.balancer == index and begin < call.at <= end for call in fleet.requests)
                 worst = max(worst, arrived)
     return worst
 
@@ -110,7 +112,7 @@
     fleet = build_fleet(balancers, endpoints, calls, load, seed)
     simulate_day(fleet, fault)
     groups: dict[str, list[SimulatedRequest]] = defaultdict(list)
-    for call in fleet.calls:
+    for call in fleet.requests:
         if call.at < fleet.now - 5 * SECOND_US:  # those after may still be under way
             groups[call.cls].append(call)
             groups[str(call.tenant)].append(call)
@@ -138,7 +140,7 @@
     fleet.run(restored_at_us + 7 * SECOND_US)
     arrived = [
         call
-        for call in fleet.calls
+        for call in fleet.requests
         if restored_at_us + fleet.spread_us <= call.at < restored_at_us + 5 * SECOND_US
     ]
     for index in range(balancers):
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -46,7 +46,7 @@
     worst, sent, allowed = fleet.worst_cold()
     assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
     assert sent > 0
-    assert len(fleet.calls) >= 100
+    assert len(fleet.requests) >= 100
 
 
 def test_request_examines_no_more_endpoints_than_its_subset(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -105,17 +105,19 @@
     fleet.run(at_us - 300 * MILLISECOND_US)
     chosen = warming_machines(fleet, warming)
     if "held" in faults:
-        fleet.tell(
-            [replace(machine.entry, status=messages.EndpointStatus.DRAINING) for machine in fleet.machines],
+        fleet.send_list(
+            [replace(machine.entry, status=messages.EndpointStatus.DRAINING) for machine in fleet.endpoints],
             within=0,
         )
     elif warming != "one":
-        fleet.tell([replace(machine.entry, status=messages.EndpointStatus.REMOVED) for machine in chosen])
+        fleet.send_list(
+            [replace(machine.entry, status=messages.EndpointStatus.REMOVED) for machine in chosen]
+        )
     fleet.run(at_us)
     break_machines(fleet, faults)
     fleet.restart(chosen)
     if "held" in faults:
-        fleet.tell([machine.entry for machine in fleet.machines])
+        fleet.send_list([machine.entry for machine in fleet.endpoints])
     return chosen
 
 
@@ -146,16 +148,16 @@
 
 def warming_machines(fleet: SimulatedFleet, warming: str) -> list[SimulatedEndpoint]:
     return {
-        "one": fleet.machines[:1],
-        "zone": [machine for machine in fleet.machines if machine.entry.zone == "a"],
-        "all": fleet.machines,
+        "one": fleet.endpoints[:1],
+        "zone": [machine for machine in fleet.endpoints if machine.entry.zone == "a"],
+        "all": fleet.endpoints,
     }[warming]
 
 
 def break_machines(fleet: SimulatedFleet, faults: str) -> None:
     """Let a third or two of all machines fail in the way that the faults name."""
     for mode, parts in (("failing", (1,)), ("refusing", (0, 1)), ("silent", (0, 1))):
-        for number, machine in enumerate(fleet.machines):
+        for number, machine in enumerate(fleet.endpoints):
             if mode in faults and number % 3 in parts:
                 machine.mode = mode
 
@@ -173,15 +175,15 @@
 
 def remove_others_in_turn(fleet: SimulatedFleet, chosen: list[SimulatedEndpoint], until: int) -> None:
     """Remove one random other machine after another from the list, each for 0.4 s."""
-    others = [machine.entry for machine in fleet.machines if machine not in chosen]
+    others = [machine.entry for machine in fleet.endpoints if machine not in chosen]
     while others and fleet.now + 400 * MILLISECOND_US < until:
         leaves = fleet.rng.choice(others)
-        fleet.tell([replace(leaves, status=messages.EndpointStatus.REMOVED)])
+        fleet.send_list([replace(leaves, status=messages.EndpointStatus.REMOVED)])
         fleet.run(fleet.now + 400 * MILLISECOND_US)
-        fleet.tell([leaves])
+        fleet.send_list([leaves])
 
 
 def set_shares(fleet: SimulatedFleet, machines: list[SimulatedEndpoint], share: float) -> None:
-    for module in fleet.modules:
+    for module in fleet.policies:
         for machine in machines:
             module.endpoints.states[machine.entry.id].share = share
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -254,8 +254,8 @@
             starts.confirm()
         self.at(self.now + 2 * SECOND_US, self.beat)
 
-    def _hear(self, index: int, news: messages.EndpointListUpdate) -> None:
-        super()._hear(index, replace(news, endpoints=self.starts[index].assign(news.endpoints)))
+    def receive_list(self, index: int, news: messages.EndpointListUpdate) -> None:
+        super().receive_list(index, replace(news, endpoints=self.starts[index].assign(news.endpoints)))
         self.starts[index].confirm()
 
     def restart(self, chosen: Iterable[SimulatedEndpoint]) -> None:
@@ -264,7 +264,7 @@
             machine.restart(self.now)
             entries.append(replace(machine.entry, incarnation_us=self.now + self.theirs))
         self.at(
-            self.now + 500 * MILLISECOND_US, lambda: self.tell(entries, within=0)
+            self.now + 500 * MILLISECOND_US, lambda: self.send_list(entries, within=0)
         )  # discovery notices late
 
 
@@ -284,14 +284,14 @@
     fleet.run(fleet.now + 9 * SECOND_US)
     fleet.ours, fleet.theirs = ours, theirs
     fleet.run(fleet.now + 2 * SECOND_US)
-    fleet.restart(fleet.machines[:1])
+    fleet.restart(fleet.endpoints[:1])
     listed_at = fleet.now + 500 * MILLISECOND_US
     fleet.run(listed_at + 10 * SECOND_US)
 
     def sent(machine: SimulatedEndpoint, begins: int, us: int) -> int:
         return sum(begins <= at < begins + us for at, _ in machine.work)
 
-    cold, *warm = fleet.machines
+    cold, *warm = fleet.endpoints
     later = [sent(m, listed_at + 6 * SECOND_US, 3 * SECOND_US) for m in (cold, *warm)]
     return sent(cold, listed_at, 1 * SECOND_US), 3.0 * later[0] / sum(later[1:])
 
