--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -6,10 +6,12 @@
 import os
 import signal
 import time
-from collections.abc import Iterable
-from dataclasses import dataclass, field, replace
+from collections.abc import AsyncIterator, Iterable
+from contextlib import asynccontextmanager
+from dataclasses import replace
 from functools import cache
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 
@@ -28,97 +30,135 @@
     endpoint_list,
     endpoint_list_chunk,
 )
-from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
+from tests.support.http_messages import (
+    HttpMessage,
+    StreamPair,
+    http_chunk,
+    http_request,
+    http_response,
+    read_http_message,
+    response_status,
+)
 from tests.support.loopback_proxy import running_proxy
 from tests.support.manual_clocks import COLD_START_RULES, EACH_CLOCK_STEP, ManualClocks, list_with_starts
 from tests.support.proxy_process import LIMITS, proxy_config, raw_settings, unused_port, write_config
 from tests.support.simulated_fleet import SimulatedEndpoint, SimulatedFleet
-from tests.support.stand_in_server import StandInServer
-from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
+from tests.support.stand_in_server import SilentEndpoint, StandInServer
+from tests.support.stepped_clock import FrozenClock, advance_until, run_loop_turns, wait_until
 from tests.support.units import HOUR_US, MILLISECOND_US, SECOND_US
 
+HEARTBEAT = http_chunk("\n")
+LISTED_ENDPOINT = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9)))
+
 
-class Wall:
-    """The wall clock of this process, for whoever reads it."""
+class SteppedWallClock:
+    """The wall clock of this process, which a test can step."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.ahead = 0
-        real, real_ns = time.time, time.time_ns
-        monkeypatch.setattr(time, "time", lambda: real() + self.ahead / SECOND_US)
-        monkeypatch.setattr(time, "time_ns", lambda: real_ns() + self.ahead * 1000)
+        self.ahead_us = 0
+        time_s, time_ns = time.time, time.time_ns
+        monkeypatch.setattr(time, "time", lambda: time_s() + self.ahead_us / SECOND_US)
+        monkeypatch.setattr(time, "time_ns", lambda: time_ns() + self.ahead_us * 1000)
+
+    def step(self, by_us: int) -> None:
+        """Set the clock to another time."""
+        self.ahead_us += by_us
 
-    def step(self, us: int) -> None:
-        self.ahead += us
 
+class OpenWatchDiscovery(StandInServer):
+    """Sends each watch the same bytes at first, and then what the test sends.
 
-@dataclass
-class Agent:
-    """Discovery that says on its watches what a test says."""
+    Attributes:
+        watch_count: How many watches have been requested so far.
+    """
 
-    first: dict[str, object]
-    asked: list[str] = field(default_factory=list)
-    writers: list[asyncio.StreamWriter] = field(default_factory=list)
+    def __init__(self, first: bytes) -> None:
+        super().__init__(self._open_watch)
+        self.first = first
+        self.watch_count = 0
 
-    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0])
-        self.writers.append(writer)
-        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(self.first))
+    async def _open_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        self.watch_count += 1
+        writer.write(WATCH_RESPONSE_HEAD + self.first)
         await reader.read()
 
-    def say(self, said: bytes) -> None:
-        self.writers[-1].write(said)
+    def send(self, data: bytes) -> None:
+        """Send the bytes on the newest watch."""
+        self.writers[-1].write(data)
 
 
-def driver_on(discovery: StandInServer, times: ManualClocks) -> EventLoopDriver:
-    """Its watch doesn't end for silence, however slow the machine is."""
-    pool = ConnectionPool(0.25, 30.0, 10)
-    driver = EventLoopDriver(
-        balancer_settings(rules=COLD_START_RULES), 1, pool, ("127.0.0.1", discovery.port), times.clock()
-    )
-    driver.endpoint_list.watch._first_list_timeout_s = driver.endpoint_list.watch._heartbeat_timeout_s = 900.0
-    return driver
+class WatchingDriver:
+    """A driver that watches discovery; the event loop's clock stands still unless the test moves it.
+
+    Attributes:
+        confirmation_count: How often discovery has sent or confirmed the list, by the driver's start times.
+    """
+
+    def __init__(self, discovery: OpenWatchDiscovery, clock: Clock, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.discovery, self.loop_clock = discovery, FrozenClock()
+        self.confirmation_count = 0
+        confirm = StartTimes.confirm
+
+        def count_and_confirm(start_times: StartTimes) -> None:
+            confirm(start_times)
+            self.confirmation_count += 1
+
+        monkeypatch.setattr(StartTimes, "confirm", count_and_confirm)
+        pool, address = ConnectionPool(0.25, 30.0, 10), ("127.0.0.1", discovery.port)
+        self.driver = EventLoopDriver(balancer_settings(rules=COLD_START_RULES), 1, pool, address, clock)
+
+    async def receive_heartbeat(self) -> None:
+        """Send a heartbeat, and step time until the driver has read it."""
+        before = self.confirmation_count
+        self.discovery.send(HEARTBEAT)
+        await advance_until(self.loop_clock, lambda: self.confirmation_count > before, must_hold=True)
+
+    def age_us(self, uid: str) -> int:
+        """Return for how long the endpoint has run, as the policy sees it."""
+        state = self.driver.balancer.endpoints.states[endpoint_number(uid)]
+        return self.driver.clock.now_us() - state.started_us
 
 
 @pytest.mark.parametrize(
-    ("started_ms", "age_ms"), [(500, 500), (700, 700), (701, 0), (1500, 0)], ids=lambda n: f"{n}ms"
+    ("started_ms", "age_ms"),
+    [(500, 500), (700, 700), (701, 0), (1500, 0)],
+    ids=lambda duration_ms: f"{duration_ms}ms",
 )
-async def test_heartbeats_of_a_standing_watch_bound_the_next_start_time(started_ms: int, age_ms: int) -> None:
-    """The last one came 700 ms ago, and the list before it 2 s earlier."""
-
-    times, agent = ManualClocks(), Agent(endpoint_list(endpoint_entry("a", 9)))
-    async with StandInServer(agent.handle) as d:
-        driver = driver_on(d, times)
+async def test_heartbeats_of_a_standing_watch_bound_the_next_start_time(
+    started_ms: int, age_ms: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The last heartbeat came 700 ms ago, and the list before it 2 s earlier."""
+    clocks = ManualClocks()
+    async with OpenWatchDiscovery(LISTED_ENDPOINT) as discovery:
+        watching = WatchingDriver(discovery, clocks.clock(), monkeypatch)
+        driver = watching.driver
         driver.start(None)
         await driver.discovery_reported.wait()
-        times.advance(2 * SECOND_US)
-        confirmed = driver.endpoint_list.start_times._confirmed_at_us
-        agent.say(http_chunk("\n"))
-        await wait_until(lambda: driver.endpoint_list.start_times._confirmed_at_us != confirmed)
-        times.advance(700 * MILLISECOND_US)
-        stated = times.wall_us() // MILLISECOND_US - started_ms
-        agent.say(
-            endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9, boot_ms=stated), rev=2, full=False))
+        clocks.advance(2 * SECOND_US)
+        await watching.receive_heartbeat()
+        clocks.advance(700 * MILLISECOND_US)
+        restarted = endpoint_entry("a", 9, boot_ms=clocks.wall_us() // MILLISECOND_US - started_ms)
+        discovery.send(endpoint_list_chunk(endpoint_list(restarted, rev=2, full=False)))
+        states, number = driver.balancer.endpoints.states, endpoint_number("a")
+        await advance_until(
+            watching.loop_clock, lambda: states[number].endpoint.incarnation_us > 0, must_hold=True
         )
-        balancer, number = driver.balancer, endpoint_number("a")
-        await wait_until(lambda: balancer.endpoints.states[number].endpoint.incarnation_us > 0)
-        assert driver.clock.now_us() - balancer.endpoints.states[number].started_us == age_ms * MILLISECOND_US
+        assert watching.age_us("a") == age_ms * MILLISECOND_US
         driver.close()
 
 
-async def test_heartbeat_before_the_first_list_confirms_nothing() -> None:
-    async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        late = endpoint_list(endpoint_entry("a", 9, boot_ms=times.wall_us() // 1000 - 2000), rev=9)
-        writer.write(WATCH_RESPONSE_HEAD + http_chunk("\n") + endpoint_list_chunk(late))
-        await reader.read()
-
-    times = ManualClocks()
-    async with StandInServer(handle) as d:
-        driver = driver_on(d, times)
-        driver.start(list_with_starts(("a", times.wall_us() - HOUR_US)))
+async def test_heartbeat_before_the_first_list_confirms_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    clocks = ManualClocks()
+    restarted = endpoint_entry("a", 9, boot_ms=clocks.wall_us() // 1000 - 2000)
+    first = HEARTBEAT + endpoint_list_chunk(endpoint_list(restarted, rev=9))
+    async with OpenWatchDiscovery(first) as discovery:
+        watching = WatchingDriver(discovery, clocks.clock(), monkeypatch)
+        driver = watching.driver
+        driver.start(list_with_starts(("a", clocks.wall_us() - HOUR_US)))
         await driver.discovery_reported.wait()
-        [server] = driver.balancer.endpoints.states.values()
-        assert driver.clock.now_us() - server.started_us == 2 * SECOND_US
+        assert len(driver.balancer.endpoints.states) == 1
+        assert watching.age_us("a") == 2 * SECOND_US
         driver.close()
 
 
@@ -126,185 +166,224 @@
 async def test_watch_stands_over_a_clock_step_and_its_silence_is_timed_monotonically(
     step: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    wall, agent, clock = Wall(monkeypatch), Agent(endpoint_list(endpoint_entry("a", 9))), SteppedClock()
-    async with StandInServer(agent.handle) as d:
-        driver = EventLoopDriver(
-            balancer_settings(rules=COLD_START_RULES),
-            1,
-            ConnectionPool(0.25, 30.0, 10),
-            ("127.0.0.1", d.port),
-        )
-        driver.start(None)
-        await driver.discovery_reported.wait()
-        wall.step(step)
+    wall_clock = SteppedWallClock(monkeypatch)
+    async with OpenWatchDiscovery(LISTED_ENDPOINT) as discovery:
+        watching = WatchingDriver(discovery, Clock(), monkeypatch)
+        watching.driver.start(None)
+        await watching.driver.discovery_reported.wait()
+        wall_clock.step(step)
         for _ in range(3):
-            beat = driver.endpoint_list.start_times._confirmed_at_us
-            agent.say(http_chunk("\n"))
-            await wait_until(lambda beat=beat: driver.endpoint_list.start_times._confirmed_at_us != beat)  # type: ignore[misc]
-            clock.advance(2.0)
+            await watching.receive_heartbeat()
+            watching.loop_clock.advance(2.0)
             await run_loop_turns(30)
-            assert len(agent.asked) == 1
-        clock.advance(1.5)
-        await wait_until(lambda: len(agent.asked) == 2)
-        driver.close()
+            assert discovery.watch_count == 1
+        watching.loop_clock.advance(1.5)
+        await advance_until(watching.loop_clock, lambda: discovery.watch_count == 2, must_hold=True)
+        watching.driver.close()
 
 
 @EACH_CLOCK_STEP
-@pytest.mark.parametrize("ends", ["answered", "overdue"])
+@pytest.mark.parametrize("end", ["answered", "overdue"])
 async def test_waiting_request_keeps_its_deadline_over_a_clock_step(
-    step: int, ends: str, monkeypatch: pytest.MonkeyPatch
+    step: int, end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    begun, go_on = asyncio.Event(), asyncio.Event()
-
-    async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_http_message(reader)
-        begun.set()
-        await go_on.wait()
-        writer.write(http_response(200, b"x"))
-
-    wall, clock = Wall(monkeypatch), SteppedClock()
-    async with StandInServer(slow) as b, running_proxy(endpoint_entry("a", b.port)) as p:
-        asked = asyncio.ensure_future(p.send_request(http_request(Req_Deadline="3.0")))
-        await begun.wait()
-        wall.step(step)
+    wall_clock, clock = SteppedWallClock(monkeypatch), FrozenClock()
+    async with (
+        SilentEndpoint() as endpoint,
+        running_proxy(endpoint_entry("a", endpoint.port)) as proxy,
+    ):
+        response = asyncio.ensure_future(proxy.send_request(http_request(Req_Deadline="3.0")))
+        await wait_until(lambda: bool(endpoint.received))
+        wall_clock.step(step)
         clock.advance(2.5)
         await run_loop_turns(30)
-        assert not asked.done()
-        if ends == "answered":
-            go_on.set()
-            assert (await asked)[2] == b"x"
+        assert not response.done()
+        if end == "answered":
+            endpoint.writers[-1].write(http_response(200, b"x"))
+            assert (await response).body == b"x"
         else:
             clock.advance(0.6)
-            assert int((await asked)[0].split()[1]) in (502, 503)
-            assert p.driver.is_idle
+            assert response_status(await response) in (502, 503)
+            assert proxy.driver.is_idle
+
+
+@asynccontextmanager
+async def discovery_of(endpoint: StandInServer) -> AsyncIterator[OpenWatchDiscovery]:
+    """Run discovery that lists this endpoint."""
+    entry = endpoint_entry("a", endpoint.port)
+    async with OpenWatchDiscovery(endpoint_list_chunk(endpoint_list(entry))) as discovery:
+        yield discovery
+
+
+def serve_in_task(folder: Path, port: int, discovery: OpenWatchDiscovery) -> asyncio.Task[None]:
+    """Start the whole proxy in this process, listening on this port."""
+    config = proxy_config(
+        discovery=f"127.0.0.1:{discovery.port}",
+        listen=f"127.0.0.1:{port}",
+        settings=raw_settings(limits=LIMITS, registryMode="automatic"),
+    )
+    source = ConfigSource(write_config(folder, config))
+    return asyncio.ensure_future(serve_until_stopped(source.read(), source))
+
+
+async def connect_once_listening(port: int) -> StreamPair:
+    """Open a client's connection as soon as the proxy listens."""
+    while True:
+        await asyncio.sleep(0)
+        try:
+            return await asyncio.open_connection("127.0.0.1", port)
+        except ConnectionRefusedError:
+            continue
+
+
+async def advance_over_second_step(
+    clock: FrozenClock,
+    discovery: OpenWatchDiscovery,
+    wall_clock: SteppedWallClock,
+    step_us: int,
+    response: asyncio.Future[HttpMessage],
+) -> None:
+    """Let time pass with heartbeats until the response, at most 30 s; step the wall clock once on the way."""
+    began_s, has_stepped = clock.advanced_s, False
+    while not response.done() and clock.advanced_s - began_s < 30.0:
+        if clock.advanced_s - began_s > 2.5 and not has_stepped:  # the proxy accepts no connections by now
+            wall_clock.step(step_us)
+            has_stepped = True
+        discovery.send(HEARTBEAT)
+        clock.advance(0.1)
+        await run_loop_turns(30)
 
 
 @EACH_CLOCK_STEP
 async def test_shutdown_ends_in_time_over_a_clock_step(
     step: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A request that waits is answered as the deadline of the shutdown says, by real time."""
-
-    begun = asyncio.Event()
+    """A waiting request gets its response by the deadline of the shutdown, by the monotonic clock."""
+    wall_clock, clock, port = SteppedWallClock(monkeypatch), FrozenClock(), unused_port()
+    async with SilentEndpoint() as endpoint, discovery_of(endpoint) as discovery:
+        serving = serve_in_task(tmp_path, port, discovery)
+        reader, writer = await connect_once_listening(port)
+        writer.write(http_request(Req_Deadline="900"))
+        await wait_until(lambda: bool(endpoint.received))
+        os.kill(os.getpid(), signal.SIGTERM)
+        await run_loop_turns(30)
+        wall_clock.step(step)
+        response = asyncio.ensure_future(read_http_message(reader))
+        began_s = clock.advanced_s
+        await advance_over_second_step(clock, discovery, wall_clock, step, response)
+        assert response.done()
+        assert 2.8 < clock.advanced_s - began_s < 3.5
+        while not serving.done() and clock.advanced_s - began_s < 30.0:
+            clock.advance(0.1)
+            await run_loop_turns(30)
+        assert clock.advanced_s - began_s < 6.0  # though its client does not close the connection
+        await serving
+        writer.close()
 
-    async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await read_http_message(reader)
-        begun.set()
-        await reader.read()
 
-    wall, clock, port = Wall(monkeypatch), SteppedClock(), unused_port()
-    async with StandInServer(slow) as b:
-        agent = Agent(endpoint_list(endpoint_entry("a", b.port)))
-        async with StandInServer(agent.handle) as d:
-            fed = proxy_config(
-                discovery=f"127.0.0.1:{d.port}",
-                listen=f"127.0.0.1:{port}",
-                settings=raw_settings(limits=LIMITS, registryMode="automatic"),
-            )
-            source = ConfigSource(write_config(tmp_path, fed))
-            attending = asyncio.ensure_future(serve_until_stopped(source.read(), source))
-            writer = None
-            while writer is None:
-                await asyncio.sleep(0)
-                try:
-                    reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                except ConnectionRefusedError:
-                    continue
-            writer.write(http_request(Req_Deadline="900"))
-            await begun.wait()
-            os.kill(os.getpid(), signal.SIGTERM)
-            await run_loop_turns(30)
-            wall.step(step)
-            answered = asyncio.ensure_future(read_http_message(reader))
-            began, stepped_again = clock.advanced_s, False
-            while not answered.done() and clock.advanced_s - began < 30.0:
-                if clock.advanced_s - began > 2.5 and not stepped_again:  # it takes no new connections by now
-                    wall.step(step)
-                    stepped_again = True
-                agent.say(http_chunk("\n"))
-                clock.advance(0.1)
-                await run_loop_turns(30)
-            assert answered.done()
-            assert 2.8 < clock.advanced_s - began < 3.5
-            while not attending.done() and clock.advanced_s - began < 30.0:
-                clock.advance(0.1)
-                await run_loop_turns(30)
-            assert clock.advanced_s - began < 6.0  # though its client keeps the connection
-            await attending
-            writer.close()
-
-
-# What a backend is sent after its restart, in a stepped world
+# Attempts on an endpoint after its restart, in a simulated fleet
 
 
 class SteppedFleet(SimulatedFleet):
-    """Its backends state their starts by a wall clock; each balancer has one of its own."""
+    """A fleet whose endpoints state their starts by one wall clock, while its balancers read another one.
+
+    Attributes:
+        balancers_ahead_us: How far the wall clock of the balancers is ahead.
+        endpoints_ahead_us: How far the wall clock of the endpoints is ahead.
+    """
 
     def __post_init__(self) -> None:
-        self.ours, self.theirs = 0, 0  # how far these clocks are ahead
-        self.starts = [StartTimes(Clock(self.wall, lambda: self.now)) for _ in range(self.balancers)]
+        self.balancers_ahead_us, self.endpoints_ahead_us = 0, 0
+        self.start_times = [
+            StartTimes(Clock(self.balancer_wall_us, lambda: self.now)) for _ in range(self.balancers)
+        ]
         super().__post_init__()
-        self.at(self.now + 2 * SECOND_US, self.beat)
+        self.at(self.now + 2 * SECOND_US, self.send_heartbeats)
 
-    def wall(self) -> int:
-        return self.now + self.ours
+    def balancer_wall_us(self) -> int:
+        """Return the time of the balancers' wall clock."""
+        return self.now + self.balancers_ahead_us
 
-    def beat(self) -> None:
-        for starts in self.starts:
-            starts.confirm()
-        self.at(self.now + 2 * SECOND_US, self.beat)
+    def send_heartbeats(self) -> None:
+        """Confirm the list to all balancers, now and every two seconds."""
+        for start_times in self.start_times:
+            start_times.confirm()
+        self.at(self.now + 2 * SECOND_US, self.send_heartbeats)
 
-    def receive_list(self, index: int, news: messages.EndpointListUpdate) -> None:
-        super().receive_list(index, replace(news, endpoints=self.starts[index].assign(news.endpoints)))
-        self.starts[index].confirm()
+    def receive_list(self, index: int, update: messages.EndpointListUpdate) -> None:
+        """Hand a balancer a list with the starts by its own clock."""
+        endpoints = self.start_times[index].assign(update.endpoints)
+        super().receive_list(index, replace(update, endpoints=endpoints))
+        self.start_times[index].confirm()
 
     def restart(self, chosen: Iterable[SimulatedEndpoint]) -> None:
+        """Restart these endpoints now; discovery notices it half a second later."""
         entries = []
-        for machine in chosen:
-            machine.restart(self.now)
-            entries.append(replace(machine.entry, incarnation_us=self.now + self.theirs))
-        self.at(
-            self.now + 500 * MILLISECOND_US, lambda: self.send_list(entries, within=0)
-        )  # discovery notices late
+        for endpoint in chosen:
+            endpoint.restart(self.now)
+            entries.append(replace(endpoint.entry, incarnation_us=self.now + self.endpoints_ahead_us))
+        self.at(self.now + 500 * MILLISECOND_US, lambda: self.send_list(entries, within=0))
 
 
-@cache
-def calls_after_a_restart(ours: int, theirs: int, seed: int) -> tuple[int, float]:
-    """Calls to it in the first second after it was listed, and 6 s on as a share of a warm one's."""
-    reads = messages.RequestClass(
+def stepped_fleet(seed: int) -> SteppedFleet:
+    """Return one balancer before four endpoints at half of their load."""
+    read_class = messages.RequestClass(
         "read", 500 * MILLISECOND_US, 1 * SECOND_US, idempotency=messages.Idempotency.SAFE
     )
-    setup = messages.Settings(
-        classes=(reads,),
+    settings = messages.Settings(
+        classes=(read_class,),
         rules=replace(COLD_START_RULES, overload_multiple=1.5),
         limits=messages.Limits(2, cancel=True),
         tick_us=0,
     )
-    fleet = SteppedFleet(setup, 1, 4, per_window=100.0, load=0.5, seed=seed, zones=1, now=2 * HOUR_US)
+    return SteppedFleet(settings, 1, 4, per_window=100.0, load=0.5, seed=seed, zones=1, now=2 * HOUR_US)
+
+
+class RestartLoad(NamedTuple):
+    """The attempts that an endpoint gets after its restart.
+
+    Attributes:
+        first_second: How many it gets in the second after discovery has noticed.
+        share_when_warm: Six seconds later, its attempts as a share of the mean of the other endpoints.
+    """
+
+    first_second: int
+    share_when_warm: float
+
+
+@cache
+def load_after_restart(balancers_ahead_us: int, endpoints_ahead_us: int, seed: int) -> RestartLoad:
+    """Restart one endpoint of a fleet two seconds after its wall clocks were stepped."""
+    fleet = stepped_fleet(seed)
     fleet.run(fleet.now + 9 * SECOND_US)
-    fleet.ours, fleet.theirs = ours, theirs
+    fleet.balancers_ahead_us, fleet.endpoints_ahead_us = balancers_ahead_us, endpoints_ahead_us
     fleet.run(fleet.now + 2 * SECOND_US)
     fleet.restart(fleet.endpoints[:1])
-    listed_at = fleet.now + 500 * MILLISECOND_US
-    fleet.run(listed_at + 10 * SECOND_US)
-
-    def sent(machine: SimulatedEndpoint, begins: int, us: int) -> int:
-        return sum(begins <= at < begins + us for at, _ in machine.work)
-
-    cold, *warm = fleet.endpoints
-    later = [sent(m, listed_at + 6 * SECOND_US, 3 * SECOND_US) for m in (cold, *warm)]
-    return sent(cold, listed_at, 1 * SECOND_US), 3.0 * later[0] / sum(later[1:])
+    listed_at_us = fleet.now + 500 * MILLISECOND_US
+    fleet.run(listed_at_us + 10 * SECOND_US)
+
+    def attempt_count(endpoint: SimulatedEndpoint, begin_us: int, duration_us: int) -> int:
+        return sum(begin_us <= at_us < begin_us + duration_us for at_us, _ in endpoint.work)
+
+    restarted = fleet.endpoints[0]
+    later_counts = [
+        attempt_count(endpoint, listed_at_us + 6 * SECOND_US, 3 * SECOND_US) for endpoint in fleet.endpoints
+    ]
+    return RestartLoad(
+        attempt_count(restarted, listed_at_us, 1 * SECOND_US), 3.0 * later_counts[0] / sum(later_counts[1:])
+    )
 
 
 @EACH_CLOCK_STEP
 @pytest.mark.parametrize("where", ["everywhere", "elsewhere", "here"])
 def test_endpoint_restarted_after_a_clock_step_gets_its_usual_attempts(step: int, where: str) -> None:
-    ours, theirs = {"everywhere": (step, step), "elsewhere": (0, step), "here": (step, 0)}[where]
+    ahead_us = {"everywhere": (step, step), "elsewhere": (0, step), "here": (step, 0)}[where]
     seeds = range(2)
-    plain = [calls_after_a_restart(0, 0, seed) for seed in seeds]
-    stepped = [calls_after_a_restart(ours, theirs, seed) for seed in seeds]
+    usual = [load_after_restart(0, 0, seed) for seed in seeds]
+    stepped = [load_after_restart(*ahead_us, seed) for seed in seeds]
     if where == "everywhere":
-        assert stepped == plain
-    first, usual = sum(c for c, _ in stepped), sum(c for c, _ in plain)
-    assert 0.5 * usual <= first <= 1.25 * usual, (stepped, plain)
-    assert all(0.75 <= share <= 1.5 for _, share in stepped), stepped
+        assert stepped == usual
+    first_count = sum(load.first_second for load in stepped)
+    usual_count = sum(load.first_second for load in usual)
+    assert 0.5 * usual_count <= first_count <= 1.25 * usual_count, (stepped, usual)
+    assert all(0.75 <= load.share_when_warm <= 1.5 for load in stepped), stepped
