--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter as the deploy file starts it, over pipes."""
+"""The simulator's adapter runs as the deploy file starts it, and speaks over pipes."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from load_balancer.settings import read_settings
 from load_balancer.simulator import EVENT_READERS, read_request, write_action
 from tests.support.proxy_process import ROOT, deploy_command, raw_settings
+from tests.support.units import SECOND_US
 
-S = 1_000_000
 
-
-def run(text: str, hash_seed: int = 0) -> subprocess.CompletedProcess[str]:
+def run_adapter(text: str, hash_seed: int = 0) -> subprocess.CompletedProcess[str]:
+    """Return the end of an adapter that has read this text."""
     env = {**os.environ, "PYTHONHASHSEED": str(hash_seed)}
     return subprocess.run(
         deploy_command("sim"),
@@ -33,8 +33,17 @@
     )
 
 
-def start(seed: int = 5, **changes: Any) -> list[dict[str, Any]]:
-    rows = [{"backend": n, "condition": "IN", "campus": "z", "bay": n % 2, "sinceUs": None} for n in range(6)]
+def start_events(seed: int = 5, **changes: Any) -> list[dict[str, Any]]:
+    """Return the events that configure an instance and give it a list of six endpoints.
+
+    Args:
+        seed: The seed of the instance.
+        changes: Settings in place of the usual ones.
+    """
+    rows = [
+        {"backend": number, "condition": "IN", "campus": "z", "bay": number % 2, "sinceUs": None}
+        for number in range(6)
+    ]
     return [
         {"msg": "CONFIGURE", "rngSeed": seed, "settings": raw_settings(**changes)},
         {"msg": "MANIFEST", "bank": 0, "rows": rows},
@@ -42,63 +51,93 @@
     ]
 
 
-def request(request_id: str, cls: str = "read", time_left: int = 5 * S) -> dict[str, Any]:
-    return {"msg": "REQ", "msgId": request_id, "profile": cls, "patienceLeftUs": time_left, "unheardOf": 1}
+def request_event(request_id: str, cls: str = "read") -> dict[str, Any]:
+    """Return a request with 5 s of time remaining, and with a field that the adapter does not know."""
+    return {
+        "msg": "REQ",
+        "msgId": request_id,
+        "profile": cls,
+        "patienceLeftUs": 5 * SECOND_US,
+        "unheardOf": 1,
+    }
+
+
+def batch(number: int, events_by_instance: dict[int, list[dict[str, Any]]], at_us: int) -> dict[str, Any]:
+    """Return a batch of events as the simulator sends it."""
+    groups = [{"proxy": instance, "events": events} for instance, events in events_by_instance.items()]
+    return {"tUs": at_us, "n": number, "proxys": groups}
+
+
+def random_requests(instance: int, batch_number: int) -> list[dict[str, Any]]:
+    """Return up to three requests, which depend on nothing but the instance and the batch."""
+    rng = random.Random(instance * 1000 + batch_number)
+    return [
+        request_event(f"q{instance}_{batch_number}_{number}", rng.choice(("read", "pay")))
+        for number in range(rng.randrange(4))
+    ]
+
+
+def random_batches(instances: range, count: int = 60) -> list[dict[str, Any]]:
+    """Return so many batches; the first one starts the instances."""
+    starts = {instance: start_events(seed=instance) for instance in instances}
+    batches = [batch(0, starts, SECOND_US)]
+    for number in range(1, count):
+        events = {instance: random_requests(instance, number) for instance in instances}
+        batches.append(batch(number, events, SECOND_US + number * 5000))
+    return batches
 
 
-def batches(instances: range, steps: int = 60) -> list[dict[str, Any]]:
-    """Scripted batches; each instance's own events don't depend on which others there are."""
-    result = [{"tUs": S, "n": 0, "proxys": [{"proxy": p, "events": start(seed=p)} for p in instances]}]
-    for n in range(1, steps):
-        groups = []
-        for p in instances:
-            rng = random.Random(p * 1000 + n)
-            events = [request(f"q{p}_{n}_{k}", rng.choice(("read", "pay"))) for k in range(rng.randrange(4))]
-            groups.append({"proxy": p, "events": events})
-        result.append({"tUs": S + n * 5000, "n": n, "proxys": groups})
-    return result
+def replies_to(batches: list[dict[str, Any]], hash_seed: int = 0) -> list[dict[str, Any]]:
+    """Return the adapter's replies to these batches, which it has to understand."""
+    ended = run_adapter("".join(json.dumps(sent) + "\n" for sent in batches), hash_seed)
+    assert ended.returncode == 0, ended.stderr
+    return [json.loads(line) for line in ended.stdout.splitlines()]
 
 
-def replies(script: list[dict[str, Any]], hash_seed: int = 0) -> list[dict[str, Any]]:
-    done = run("".join(json.dumps(b) + "\n" for b in script), hash_seed)
-    assert done.returncode == 0, done.stderr
-    return [json.loads(line) for line in done.stdout.splitlines()]
+def decisions_in(reply: dict[str, Any]) -> list[dict[str, Any]]:
+    """Return the decisions of all instances in a reply."""
+    return [decision for group in reply["proxys"] for decision in group["decisions"]]
 
 
-def by_instance(answers: list[dict[str, Any]], instance: int) -> list[Any]:
-    return [[g["decisions"] for g in a["proxys"] if g["proxy"] == instance] for a in answers]
+def decisions_of(instance: int, replies: list[dict[str, Any]]) -> list[Any]:
+    """Return the decisions of one instance in each of the replies."""
+    return [
+        [group["decisions"] for group in reply["proxys"] if group["proxy"] == instance] for reply in replies
+    ]
 
 
 def test_simulator_starts_answers_and_exits() -> None:
-    answers = replies(batches(range(2)))
-    assert [a["n"] for a in answers] == list(range(60))
-    words = {d["msg"] for a in answers for g in a["proxys"] for d in g["decisions"]}
+    replies = replies_to(random_batches(range(2)))
+    assert [reply["n"] for reply in replies] == list(range(60))
+    words = {decision["msg"] for reply in replies for decision in decisions_in(reply)}
     assert {"TAIL", "CALL_OUT", "AFTER"} <= words
 
 
 def test_empty_input_and_empty_batch() -> None:
-    assert run("").returncode == 0
-    assert replies([{"tUs": 1, "n": 3, "proxys": []}]) == [{"n": 3, "proxys": []}]
+    assert run_adapter("").returncode == 0
+    assert replies_to([{"tUs": 1, "n": 3, "proxys": []}]) == [{"n": 3, "proxys": []}]
 
 
 def test_same_events_give_the_same_actions_for_any_hash_seed() -> None:
-    script = batches(range(3))
-    assert replies(script, 1) == replies(script, 2)
+    batches = random_batches(range(3))
+    assert replies_to(batches, hash_seed=1) == replies_to(batches, hash_seed=2)
 
 
 def test_instances_act_alike_in_one_process_and_in_several() -> None:
-    together = replies(batches(range(3)))
-    for p in range(3):
-        alone = replies(batches(range(p, p + 1)))
-        assert by_instance(alone, p) == by_instance(together, p)
+    together = replies_to(random_batches(range(3)))
+    for instance in range(3):
+        alone = replies_to(random_batches(range(instance, instance + 1)))
+        assert decisions_of(instance, alone) == decisions_of(instance, together)
 
 
-def batch_of(*events: Any) -> str:
-    return json.dumps({"tUs": S, "n": 0, "proxys": [{"proxy": 0, "events": list(events)}]})
+def batch_line(*events: Any) -> str:
+    """Return the line of a batch with these events of one instance."""
+    return json.dumps(batch(0, {0: list(events)}, SECOND_US))
 
 
-def without(fields: dict[str, Any], key: str) -> dict[str, Any]:
-    return {k: v for k, v in fields.items() if k != key}
+def without(fields: dict[str, Any], name: str) -> dict[str, Any]:
+    """Return all of the fields but one."""
+    return {other: value for other, value in fields.items() if other != name}
 
 
 ROW = {"backend": 1, "condition": "IN"}
@@ -114,43 +153,55 @@
     "groups no array": ('{"tUs":1,"n":1,"proxys":7}', "proxys"),
     "a group no object": ('{"tUs":1,"n":1,"proxys":[5]}', "proxys[0].proxy"),
     "no events": ('{"tUs":1,"n":1,"proxys":[{"proxy":1}]}', "proxys[0].events"),
-    "no msg": (batch_of({"msgId": "r"}), "msg"),
+    "no msg": (batch_line({"msgId": "r"}), "msg"),
     "list never sent": (
-        batch_of(*start()[:1], {"msg": "ANNOUNCE", "form": "all", "bank": 9}),
+        batch_line(*start_events()[:1], {"msg": "ANNOUNCE", "form": "all", "bank": 9}),
         "ANNOUNCE.bank",
     ),
-    "unknown form": (batch_of(*start()[:1], {"msg": "ANNOUNCE", "form": "odd", "bank": 0}), "ANNOUNCE.form"),
+    "unknown form": (
+        batch_line(*start_events()[:1], {"msg": "ANNOUNCE", "form": "odd", "bank": 0}),
+        "ANNOUNCE.form",
+    ),
     "row without id": (
-        batch_of({"msg": "MANIFEST", "bank": 0, "rows": [ROW, without(ROW, "backend")]}),
+        batch_line({"msg": "MANIFEST", "bank": 0, "rows": [ROW, without(ROW, "backend")]}),
         "MANIFEST.rows[1].backend",
     ),
     "row in no known condition": (
-        batch_of({"msg": "MANIFEST", "bank": 0, "rows": [{**ROW, "condition": "ODD"}]}),
+        batch_line({"msg": "MANIFEST", "bank": 0, "rows": [{**ROW, "condition": "ODD"}]}),
         "MANIFEST.rows[0].condition",
     ),
-    "request without class": (batch_of(*start(), without(request("r"), "profile")), "REQ.profile"),
-    "patience a text": (batch_of(*start(), {**request("r"), "patienceLeftUs": "5"}), "REQ.patienceLeftUs"),
-    "outcome without time": (batch_of(*start(), without(END, "rttUs")), "ATTEMPT_END.rttUs"),
-    "class twice": (batch_of(*start(lanes=raw_settings()["lanes"] * 2)[:1]), "field settings.lanes "),
-    "no classes": (batch_of(*start(lanes=[])[:1]), "field settings.lanes "),
-    "index too large": (batch_of(*start(instances=2, index=2)[:1]), "field settings.index "),
-    "negative tick": (batch_of(*start(tickUs=-1)[:1]), "field settings.tickUs "),
+    "request without class": (
+        batch_line(*start_events(), without(request_event("r"), "profile")),
+        "REQ.profile",
+    ),
+    "patience a text": (
+        batch_line(*start_events(), {**request_event("r"), "patienceLeftUs": "5"}),
+        "REQ.patienceLeftUs",
+    ),
+    "outcome without time": (batch_line(*start_events(), without(END, "rttUs")), "ATTEMPT_END.rttUs"),
+    "class twice": (
+        batch_line(*start_events(lanes=raw_settings()["lanes"] * 2)[:1]),
+        "field settings.lanes ",
+    ),
+    "no classes": (batch_line(*start_events(lanes=[])[:1]), "field settings.lanes "),
+    "index too large": (batch_line(*start_events(instances=2, index=2)[:1]), "field settings.index "),
+    "negative tick": (batch_line(*start_events(tickUs=-1)[:1]), "field settings.tickUs "),
 }
 
 
 @pytest.mark.parametrize(("line", "named"), MALFORMED.values(), ids=MALFORMED.keys())
 def test_invalid_line_is_reported_in_one_line(line: str, named: str) -> None:
     first = '{"tUs":1,"n":7,"proxys":[]}'
-    done = run(f"{first}\n{line}\n")
-    assert done.returncode == 2
-    [told] = done.stderr.splitlines()
-    assert "line 2" in told
-    assert named in told
-    assert done.stdout == '{"n":7,"proxys":[]}\n'
+    ended = run_adapter(f"{first}\n{line}\n")
+    assert ended.returncode == 2
+    [reported] = ended.stderr.splitlines()
+    assert "line 2" in reported
+    assert named in reported
+    assert ended.stdout == '{"n":7,"proxys":[]}\n'
 
 
 def test_line_that_is_not_utf8_is_reported_in_one_line() -> None:
-    done = subprocess.run(
+    ended = subprocess.run(
         deploy_command("sim"),
         input=b'{"tUs":1,"n":1,"proxys":[\xff]}\n',
         capture_output=True,
@@ -158,11 +209,11 @@
         check=False,
         timeout=60,
     )
-    assert done.returncode == 2
-    assert done.stdout == b""
-    [told] = done.stderr.decode().splitlines()
-    assert "line 1" in told
-    assert "UTF-8" in told
+    assert ended.returncode == 2
+    assert ended.stdout == b""
+    [reported] = ended.stderr.decode().splitlines()
+    assert "line 1" in reported
+    assert "UTF-8" in reported
 
 
 REQUIRED = {
@@ -179,78 +230,81 @@
 
 @pytest.mark.parametrize(("name", "path"), REQUIRED.items())
 def test_missing_setting_is_named_in_full(name: str, path: tuple[Any, ...] | None) -> None:
-    raw = raw_settings()
-    *way, last = path or (name,)
-    inner: Any = raw
-    for step in way:
-        inner = inner[step]
-    del inner[last]
-    done = run(batch_of({"msg": "CONFIGURE", "rngSeed": 1, "settings": raw}) + "\n")
-    assert done.returncode == 2
-    assert f"missing required field settings.{name}" in done.stderr
-    assert len(done.stderr.splitlines()) == 1
+    settings = raw_settings()
+    *outer_keys, last_key = path or (name,)
+    inner: Any = settings
+    for key in outer_keys:
+        inner = inner[key]
+    del inner[last_key]
+    ended = run_adapter(batch_line({"msg": "CONFIGURE", "rngSeed": 1, "settings": settings}) + "\n")
+    assert ended.returncode == 2
+    assert f"missing required field settings.{name}" in ended.stderr
+    assert len(ended.stderr.splitlines()) == 1
 
 
 def test_missing_optional_settings_have_documented_defaults() -> None:
-    raw = raw_settings()
-    bare = {key: raw[key] for key in ("lanes", "contract", "limits")}
-    read = read_settings(bare)
-    assert read == Settings(read.classes, read.rules, read.limits)
-    assert read.rules.max_poll_interval_us == Rules().max_poll_interval_us
+    all_settings = raw_settings()
+    required = {name: all_settings[name] for name in ("lanes", "contract", "limits")}
+    settings = read_settings(required)
+    assert settings == Settings(settings.classes, settings.rules, settings.limits)
+    assert settings.rules.max_poll_interval_us == Rules().max_poll_interval_us
 
 
 def test_unknown_parts_are_ignored() -> None:
-    odd = [{"msg": "NEWS", "a": 1}, {**END, "gauge": {"unheard_of": 3}, "extra": [1]}]
-    assert run(batch_of(*start(), *odd, request("r")) + "\n").returncode == 0
+    unknown = [{"msg": "NEWS", "a": 1}, {**END, "gauge": {"unheard_of": 3}, "extra": [1]}]
+    assert run_adapter(batch_line(*start_events(), *unknown, request_event("r")) + "\n").returncode == 0
+
 
+def endpoint_of_first_attempt(batches: list[dict[str, Any]]) -> int:
+    """Return the endpoint that the only attempt in the last of these batches goes to."""
+    last_reply = replies_to(batches)[-1]
+    return int(next(item["backend"] for item in decisions_in(last_reply) if item["msg"] == "CALL_OUT"))
 
-def answer(ending: int, last: bool = False) -> dict[str, Any]:
-    """What an instance does when its unsafe request's first attempt ends so."""
-    script = batches(range(1), steps=1)
-    script.append({"tUs": 2 * S, "n": 1, "proxys": [{"proxy": 0, "events": [request("r", "pay")]}]})
-    first = replies(script)[1]["proxys"][0]["decisions"]
-    backend = next(d["backend"] for d in first if d["msg"] == "CALL_OUT")
-    end = {"msg": "ATTEMPT_END", "msgId": "r", "attempt": 0, "backend": backend, "ending": ending}
-    end |= {"rttUs": 9, "last": last, "gauge": None}
-    script.append({"tUs": 3 * S, "n": 2, "proxys": [{"proxy": 0, "events": [end, {"msg": "NEWS"}]}]})
-    final = replies(script)[2]["proxys"]
-    return {d["msg"]: d for g in final for d in g["decisions"]}
+
+def decisions_after(ending: int) -> dict[str, dict[str, Any]]:
+    """Return by their words the decisions after the first attempt of an unsafe request has ended so."""
+    batches = random_batches(range(1), count=1)
+    batches.append(batch(1, {0: [request_event("r", "pay")]}, 2 * SECOND_US))
+    end = {"msg": "ATTEMPT_END", "msgId": "r", "attempt": 0, "backend": endpoint_of_first_attempt(batches)}
+    end |= {"ending": ending, "rttUs": 9, "last": False, "gauge": None}
+    batches.append(batch(2, {0: [end, {"msg": "NEWS"}]}, 3 * SECOND_US))
+    return {decision["msg"]: decision for decision in decisions_in(replies_to(batches)[2])}
 
 
 @pytest.mark.parametrize(("ending", "word"), [(20, "ABORT"), (60, "ABORT"), (999, "ABORT"), (30, "CALL_OUT")])
 def test_outcomes_are_read_from_the_wire(ending: int, word: str) -> None:
-    assert word in answer(ending)
+    assert word in decisions_after(ending)
 
 
 def test_client_retry_is_read_from_its_bit() -> None:
-    told = [read_request({**request("r"), "bitmap": bits}).retry for bits in (None, 0, 1, 2, 3, 4)]
-    assert told == [False, False, False, True, True, False]
+    retries = [read_request({**request_event("r"), "bitmap": bits}).retry for bits in (None, 0, 1, 2, 3, 4)]
+    assert retries == [False, False, False, True, True, False]
 
 
 def test_list_version_reused_within_a_batch_and_a_restart() -> None:
     events = [
-        *start(),
+        *start_events(),
         {"msg": "MANIFEST", "bank": 0, "rows": [{"backend": 77, "condition": "IN"}]},
         {"msg": "ANNOUNCE", "form": "all", "epoch": 2, "bank": 0},
-        request("a"),
+        request_event("a"),
         {"msg": "DOWN"},
-        request("lost"),
-        *start(),
-        request("b"),
+        request_event("lost"),
+        *start_events(),
+        request_event("b"),
     ]
-    [reply] = replies([{"tUs": S, "n": 0, "proxys": [{"proxy": 0, "events": events}]}])
-    sends = [d for d in reply["proxys"][0]["decisions"] if d["msg"] == "CALL_OUT"]
-    assert [d["msgId"] for d in sends] == ["a", "b"]
-    assert sends[0]["backend"] == 77
-    assert sends[1]["backend"] < 6
+    [reply] = replies_to([batch(0, {0: events}, SECOND_US)])
+    attempts = [item for item in reply["proxys"][0]["decisions"] if item["msg"] == "CALL_OUT"]
+    assert [attempt["msgId"] for attempt in attempts] == ["a", "b"]
+    assert attempts[0]["backend"] == 77
+    assert attempts[1]["backend"] < 6
 
 
 def test_health_checks_on_the_wire() -> None:
     assert write_action(messages.CheckHealth(7)) == {"msg": "INSPECT", "backend": 7}
-    assert write_action(messages.CancelTimer(7)) is None  # the wire has no such thing
-    said = {"backend": 7, "ending": 10, "gauge": {"busy_reqs": 2.5}}
-    assert EVENT_READERS["SAMPLED"](said) == messages.HealthCheckEnded(7, True, 2.5)
-    assert EVENT_READERS["SAMPLED"]({"backend": 7, "ending": 20, "gauge": None}) == messages.HealthCheckEnded(
-        7, True
-    )
-    assert EVENT_READERS["SAMPLED"]({"backend": 7, "ending": 40}) == messages.HealthCheckEnded(7, False)
+    assert write_action(messages.CancelTimer(7)) is None  # the wire has no such message
+    read_result = EVENT_READERS["SAMPLED"]
+    with_load = {"backend": 7, "ending": 10, "gauge": {"busy_reqs": 2.5}}
+    assert read_result(with_load) == messages.HealthCheckEnded(7, True, 2.5)
+    without_load = {"backend": 7, "ending": 20, "gauge": None}
+    assert read_result(without_load) == messages.HealthCheckEnded(7, True)
+    assert read_result({"backend": 7, "ending": 40}) == messages.HealthCheckEnded(7, False)
