--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -1,8 +1,9 @@
-"""What one proxy needs grows with its fleet no more than the operators allow: by counts, without times.
+"""What one proxy needs grows with its fleet no more than the operators allow, by counts without times.
 
-The plays of `benchmarks.fleet_growth` at a smaller size and by no clock: each step begins once the one before
-is over, so a busy machine makes them longer and changes no figure. CPU time is for the benchmark itself; here
-the work on one change and on one decision is counted in steps of the interpreter and in bytes.
+The tests run the plays of `benchmarks.fleet_growth` at a smaller size and by no clock: each step begins once
+the one before is over, so a busy machine makes them longer and changes no figure. CPU time is for the
+benchmark itself; here the work on one change and on one decision is counted in steps of the interpreter and
+in bytes.
 """
 
 from __future__ import annotations
@@ -31,11 +32,11 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.settings import read_settings
 
-TIMES = frozenset({"cpu_s"})
-USUAL = (100, 17)  # backends and balancers
-LARGE = [(1_600, 272), (1_600, 17)]
-PLAY = Scenario(*USUAL, calls=240, seconds=None, deadline_s=20.0, service_s=0.001)
-LISTS = replace(PLAY, calls=40, moves_at=(0.2,), silence_at=0.5)
+MEASURED_BY_TIME = frozenset({"cpu_s"})
+USUAL_FLEET = (100, 17)  # endpoints and balancers
+LARGE_FLEETS = [(1_600, 272), (1_600, 17)]
+PLAY = Scenario(*USUAL_FLEET, calls=240, seconds=None, deadline_s=20.0, service_s=0.001)
+LIST_PLAY = replace(PLAY, calls=40, moves_at=(0.2,), silence_at=0.5)
 
 BASE = Figures(1.0, 20e6, 25, 35, 100e3, 1.0)
 
@@ -55,53 +56,61 @@
     assert not broken(BASE, limits(BASE, 200))
 
 
+def figures_by_name(figures: Figures) -> dict[str, float]:
+    """Return the figures by their names."""
+    return {name: getattr(figures, name) for name in Figures.__slots__}
+
+
 @pytest.mark.parametrize("name", ["cpu_s", "peak_memory", "descriptors", "connections", "list_bytes"])
 def test_figure_just_above_its_limit_is_reported(name: str) -> None:
     limit = limits(BASE, 3_200)
-    at = {n: getattr(limit, n) for n in Figures.__slots__}
-    assert not broken(Figures(**at), limit)
-    [found] = broken(Figures(**{**at, name: at[name] * 1.001}), limit)
+    at_limit = figures_by_name(limit)
+    assert not broken(Figures(**at_limit), limit)
+    above_limit = Figures(**{**at_limit, name: at_limit[name] * 1.001})
+    [found] = broken(above_limit, limit)
     assert found.name == name
     assert name in str(found)
-    assert not broken(Figures(**{**at, name: at[name] * 1.001}), limit, but=frozenset({name}))
+    assert not broken(above_limit, limit, but=frozenset({name}))
 
 
 def test_served_share_just_below_its_limit_is_reported() -> None:
     limit = limits(BASE, 3_200)
-    at = {n: getattr(limit, n) for n in Figures.__slots__}
-    [found] = broken(Figures(**{**at, "share_served": 0.849}), limit)
+    [found] = broken(Figures(**{**figures_by_name(limit), "share_served": 0.849}), limit)
     assert found.name == "share_served"
 
 
 @pytest.mark.parametrize("seconds", [None, 10.0])
 def test_half_of_the_endpoints_are_replaced_evenly_over_the_play(seconds: float | None) -> None:
     steps = Scenario(100, 17, calls=300, seconds=seconds, moves_at=(0.3,), silence_at=0.5).steps()
-    times = {kind: [at for at, step in steps if step is kind] for kind in Step}
-    assert [at for at, _ in steps] == sorted(at for at, _ in steps)
-    assert (len(times[Step.REPLACE]), len(times[Step.REMOVE]), len(times[Step.CALL])) == (50, 50, 300)
-    for first, second in pairwise(times[Step.REPLACE]):
+    times = {kind: [time for time, step in steps if step is kind] for kind in Step}
+    all_times = [time for time, _ in steps]
+    replaced, removed = times[Step.REPLACE], times[Step.REMOVE]
+    assert all_times == sorted(all_times)
+    assert (len(replaced), len(removed), len(times[Step.CALL])) == (50, 50, 300)
+    for first, second in pairwise(replaced):
         assert second - first == pytest.approx(0.9 / 50)
-    assert all(gone > drains for drains, gone in zip(times[Step.REPLACE], times[Step.REMOVE], strict=True))
+    assert all(removed_at > drained_at for drained_at, removed_at in zip(replaced, removed, strict=True))
     assert (times[Step.MOVE], times[Step.SILENCE]) == ([0.3], [0.5])
 
 
 @cache
-def played(scenario: Scenario, fleet: tuple[int, int]) -> Result:
+def result_of(scenario: Scenario, fleet: tuple[int, int]) -> Result:
+    """Return the result of a play with this fleet, which is played once."""
     return play(replace(scenario, endpoints=fleet[0], instances=fleet[1]))
 
 
-@pytest.mark.parametrize("fleet", LARGE)
+@pytest.mark.parametrize("fleet", LARGE_FLEETS)
 def test_large_fleet_is_within_its_limits(fleet: tuple[int, int]) -> None:
-    """Half of its backends are replaced one by one under calls."""
-    base, large = played(PLAY, USUAL), played(PLAY, fleet)
-    assert not breaks([base, large], but=TIMES)
-    assert base.figures.share_served == 1.0  # else the large one's limit were nothing
-    assert (base.complete_lists, large.complete_lists) == (0, 0)  # as both know the list at their start
+    """Half of its endpoints are replaced one by one under requests."""
+    base, large = result_of(PLAY, USUAL_FLEET), result_of(PLAY, fleet)
+    assert not breaks([base, large], but=MEASURED_BY_TIME)
+    assert base.figures.share_served == 1.0  # without which the limit of the large one would mean nothing
+    assert (base.complete_lists, large.complete_lists) == (0, 0)  # as both have the list from their start
 
 
 def test_move_of_discovery_costs_one_complete_list_and_a_silent_watch_none() -> None:
-    base, large = played(LISTS, USUAL), played(LISTS, LARGE[0])
-    assert not breaks([base, large], but=TIMES)
+    base, large = result_of(LIST_PLAY, USUAL_FLEET), result_of(LIST_PLAY, LARGE_FLEETS[0])
+    assert not breaks([base, large], but=MEASURED_BY_TIME)
     for result in (base, large):
         assert result.watches >= 3  # the first, after the move and after the silence
         assert result.complete_lists == 1
@@ -109,13 +118,14 @@
 
 # Work, by count
 
-SIZES = {"usual": (200, 34), "many of both": (3_200, 544), "many backends": (3_200, 34)}
-REPLACED = 16  # backends, each in three changes
-DECISIONS = 40
+FLEETS = {"usual": (200, 34), "many of both": (3_200, 544), "many backends": (3_200, 34)}
+LARGE_FLEET_NAMES = ["many of both", "many backends"]
+REPLACED_COUNT = 16  # endpoints, each in three changes
+DECISION_COUNT = 40
 
 
-class Steps:
-    """Counts the interpreter's steps in all that is called while it is open."""
+class StepCounter:
+    """Counts the steps of the interpreter in all that is called in this context."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -125,117 +135,130 @@
         self.count += event == "opcode"
         return self._trace
 
-    def __enter__(self) -> Steps:
-        self._before = sys.gettrace()
+    def __enter__(self) -> StepCounter:
+        self._previous_trace = sys.gettrace()
         sys.settrace(self._trace)
         return self
 
-    def __exit__(self, *_: object) -> None:
-        sys.settrace(self._before)
+    def __exit__(self, *exception: object) -> None:
+        sys.settrace(self._previous_trace)
 
 
-class Held:
-    """Counts the bytes that were held at most besides what there was, while it is open: copies show here."""
+class PeakMemoryCounter:
+    """Counts the bytes allocated at most in this context, beside those before it; copies show here."""
 
     def __init__(self) -> None:
         self.count = 0
 
-    def __enter__(self) -> Held:
+    def __enter__(self) -> PeakMemoryCounter:
         tracemalloc.start()
         return self
 
-    def __exit__(self, *_: object) -> None:
+    def __exit__(self, *exception: object) -> None:
         self.count = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
 
 
-def backend_entry(number: int, state: str = "in_service") -> dict[str, object]:
+def fleet_entry(number: int, state: str = "in_service") -> dict[str, object]:
+    """Return the entry of one endpoint."""
     return {**entry(f"s-{number:08x}", f"127.0.0.1:{1 + number}", number // 8, 0), "state": state}
 
 
-def listed(*entries: dict[str, object], rev: int, full: bool = False) -> EndpointListMessage:
+def list_message(*entries: dict[str, object], rev: int, full: bool = False) -> EndpointListMessage:
+    """Return a list as the product reads it."""
     return read_list({"rev": rev, "all": full, "targets": list(entries)})
 
 
-def changes(backends: int) -> list[EndpointListMessage]:
-    """Replacements spread over the list, as discovery tells them: one drains, one comes, one is gone."""
-    news = []
-    for n in range(REPLACED):
-        old, new = n * backends // REPLACED, backends + n
-        news.append(listed(backend_entry(old, "terminating"), rev=3 * n + 2))
-        news.append(listed(backend_entry(new), rev=3 * n + 3))
-        news.append(listed(backend_entry(old, "terminated"), rev=3 * n + 4))
-    return news
+def replacements(endpoint_count: int) -> list[EndpointListMessage]:
+    """Return changes all over the list: an endpoint drains, a new one is added, the old one is removed."""
+    changes = []
+    for number in range(REPLACED_COUNT):
+        old, new = number * endpoint_count // REPLACED_COUNT, endpoint_count + number
+        changes.append(list_message(fleet_entry(old, "terminating"), rev=3 * number + 2))
+        changes.append(list_message(fleet_entry(new), rev=3 * number + 3))
+        changes.append(list_message(fleet_entry(old, "terminated"), rev=3 * number + 4))
+    return changes
+
+
+def settings_and_list(fleet: str) -> tuple[messages.Settings, EndpointListMessage]:
+    """Return the settings of one balancer in this fleet, and the complete list."""
+    endpoint_count, balancer_count = FLEETS[fleet]
+    entries = [fleet_entry(number) for number in range(endpoint_count)]
+    complete_list = list_message(*entries, rev=1, full=True)
+    return read_settings(settings(Scenario(endpoint_count, balancer_count))), complete_list
+
+
+async def count_work_of_changes(
+    fleet: str, counter_type: type[StepCounter] | type[PeakMemoryCounter]
+) -> list[int]:
+    """Return the work of each change, from discovery's entry to the shares of the policy."""
+    balancer_settings, complete_list = settings_and_list(fleet)
+    driver = EventLoopDriver(balancer_settings, 1, ConnectionPool(0.25, 30.0, 100), ("127.0.0.1", 1))
+    driver.endpoint_list.watch.start = lambda: None  # type: ignore[method-assign]
+    driver.start(complete_list)
+    counts = []
+    for change in replacements(FLEETS[fleet][0]):
+        with counter_type() as counter:
+            driver.endpoint_list.receive(change)
+            await asyncio.sleep(0)  # work that is put off to the loop's next turn counts as well
+        counts.append(counter.count)
+    driver.close()
+    return counts
 
 
-def told(size: str) -> tuple[messages.Settings, EndpointListMessage]:
-    """The settings and the whole list of a fleet."""
-    backends, balancers = SIZES[size]
-    listing = listed(*(backend_entry(n) for n in range(backends)), rev=1, full=True)
-    return read_settings(settings(Scenario(backends, balancers))), listing
+@cache
+def work_of_changes(fleet: str) -> tuple[float, float]:
+    """Return the mean steps and the median bytes of a change."""
 
+    async def count_both() -> tuple[list[int], list[int]]:
+        steps = await count_work_of_changes(fleet, StepCounter)
+        return steps, await count_work_of_changes(fleet, PeakMemoryCounter)
 
-@cache
-def work_of_changes(size: str) -> tuple[float, float]:
-    """The mean steps and the median bytes of a change, from discovery's entry to the module's shares."""
-
-    async def test() -> tuple[float, float]:
-        setup, listing = told(size)
-        results: list[list[int]] = []
-        for meter in (Steps, Held):
-            driver = EventLoopDriver(setup, 1, ConnectionPool(0.25, 30.0, 100), ("127.0.0.1", 1))
-            driver.endpoint_list.watch.start = lambda: None  # type: ignore[method-assign]
-            driver.start(listing)
-            results.append([])
-            for news in changes(SIZES[size][0]):
-                with meter() as counted:
-                    driver.endpoint_list.receive(news)
-                    await asyncio.sleep(0)  # what it puts off to the loop's next turn counts as well
-                results[-1].append(counted.count)
-            driver.close()
-        steps, held = results
-        return statistics.mean(steps), statistics.median(held)
-
-    return asyncio.run(test())
-
-
-@pytest.mark.parametrize("size", ["many of both", "many backends"])
-def test_change_costs_by_its_own_size(size: str) -> None:
-    """Sixteen times the backends bring sixteen times the changes, so hardly more is left for each."""
+    steps, peak_bytes = asyncio.run(count_both())
+    return statistics.mean(steps), statistics.median(peak_bytes)
+
+
+@pytest.mark.parametrize("fleet", LARGE_FLEET_NAMES)
+def test_change_costs_by_its_own_size(fleet: str) -> None:
+    """Sixteen times the endpoints bring sixteen times the changes, so hardly more is left for each."""
     usual_steps, usual_bytes = work_of_changes("usual")
-    steps, held = work_of_changes(size)
+    steps, peak_bytes = work_of_changes(fleet)
     assert steps <= 2 * usual_steps, "it walks the list"
-    assert held <= 2 * usual_bytes, "it copies the list"
+    assert peak_bytes <= 2 * usual_bytes, "it copies the list"
+
+
+def count_steps_of_decision(balancer: Balancer, number: int) -> int:
+    """Let a balancer decide on one request, whose attempt succeeds; return the steps that it took."""
+    now_us = number * 33_000
+    with StepCounter() as counter:
+        actions = balancer.handle(now_us, messages.Request(str(number), "read", 2_000_000))
+        [attempt] = [action for action in actions if isinstance(action, messages.StartAttempt)]
+        answered = messages.AttemptEnded(
+            str(number), 0, attempt.endpoint_id, messages.Outcome.OK, 10_000, last=True
+        )
+        balancer.handle(now_us + 10_000, answered)
+    return counter.count
 
 
 @cache
-def work_of_decisions(size: str) -> tuple[float, int]:
-    """The mean steps of the module over a request and its answer, and the backends that it chooses from."""
-    setup, listing = told(size)
-    balancer = Balancer(setup, 1)
-    balancer.handle(
-        0, messages.EndpointListUpdate(messages.EndpointListKind.COMPLETE, listing.version, listing.endpoints)
+def work_of_decisions(fleet: str) -> tuple[float, int]:
+    """Return the mean steps of the policy over a request and its answer, and the size of the subset."""
+    balancer_settings, complete_list = settings_and_list(fleet)
+    balancer = Balancer(balancer_settings, 1)
+    update = messages.EndpointListUpdate(
+        messages.EndpointListKind.COMPLETE, complete_list.version, complete_list.endpoints
     )
-    steps = []
-    for n in range(DECISIONS):
-        now = n * 33_000
-        with Steps() as counted:
-            actions = balancer.handle(now, messages.Request(str(n), "read", 2_000_000))
-            [send] = [action for action in actions if isinstance(action, messages.StartAttempt)]
-            answered = messages.AttemptEnded(
-                str(n), 0, send.endpoint_id, messages.Outcome.OK, 10_000, last=True
-            )
-            balancer.handle(now + 10_000, answered)
-        steps.append(counted.count)
+    balancer.handle(0, update)
+    steps = [count_steps_of_decision(balancer, number) for number in range(DECISION_COUNT)]
     return statistics.mean(steps), len(balancer.endpoints.subset)
 
 
-@pytest.mark.parametrize("size", ["many of both", "many backends"])
-def test_decision_costs_by_a_subset_that_the_limit_on_descriptors_allows(size: str) -> None:
-    """The limit on CPU time binds the sum over the day; a decision alone is bound by what it chooses from.
+@pytest.mark.parametrize("fleet", LARGE_FLEET_NAMES)
+def test_decision_costs_by_a_subset_that_the_limit_on_descriptors_allows(fleet: str) -> None:
+    """The limit on CPU time bounds the sum over the day; a decision is bounded by what it chooses from.
 
-    Each backend of the subset comes to hold a connection, so of these there may be twice as many and 40.
+    Each endpoint of the subset gets a connection in time, so of these there may be twice as many and 40.
     """
-    usual_steps, usual_subset = work_of_decisions("usual")
-    steps, _ = work_of_decisions(size)
-    assert steps <= (2 * usual_subset + 40) / usual_subset * usual_steps
+    usual_steps, usual_subset_size = work_of_decisions("usual")
+    steps, _ = work_of_decisions(fleet)
+    assert steps <= (2 * usual_subset_size + 40) / usual_subset_size * usual_steps
