--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -1,4 +1,4 @@
-"""What a change of the list costs follows the change and not the fleet, and the subset stays what it was.
+"""The cost of a change of the list follows the change and not the fleet, and the subset stays what it was.
 
 Costs are counted in calls of functions and lines run, so that they are the same on every machine.
 """
@@ -16,19 +16,22 @@
 import pytest
 
 from load_balancer import messages
+from load_balancer.messages import Endpoint, EndpointListKind, EndpointStatus
 from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.discovery.json_stream import JsonTextSplitter
+from load_balancer.policy.endpoint_state import EndpointState
 from load_balancer.policy.router import MAX_RETRY_CANDIDATES
 from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET, SUBSET_COVER, subset_size
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.loopback_proxy import running_proxy
 
-GROWTH = 1.5  # a change may cost this many times as much with sixteen times the backends
+MAX_GROWTH = 1.5  # a change may cost this many times as much with sixteen times the endpoints
+REPLACED_COUNT = 20
 
 
 def lines_run(work: Callable[[], object]) -> int:
-    """The lines of Python that a piece of work runs, in all functions that it calls."""
+    """Return how many lines of Python a piece of work runs, in all functions that it calls."""
     count = 0
 
     def trace(frame: FrameType, event: str, arg: Any) -> Any:
@@ -36,60 +39,84 @@
         count += event == "line"
         return trace
 
-    before = sys.gettrace()
+    previous_trace = sys.gettrace()
     sys.settrace(trace)
     try:
         work()
     finally:
-        sys.settrace(before)
+        sys.settrace(previous_trace)
     return count
 
 
-def step(n: int) -> tuple[messages.Endpoint, messages.Endpoint]:
-    """One backend leaves and another one comes."""
-    return messages.Endpoint(n, messages.EndpointStatus.REMOVED), messages.Endpoint(1_000_000 + n)
-
-
-def change_cost(backends: int, instances: int, index: int) -> int:
-    """Lines that the module runs for the replacement of 20 backends, one by one."""
-    harness = BalancerHarness(balancer_settings(instances=instances, index=index), backends)
+def change_cost(endpoint_count: int, instances: int, index: int) -> int:
+    """Return the lines that the policy runs for the replacement of 20 endpoints, one by one."""
+    settings = balancer_settings(instances=instances, index=index)
+    harness = BalancerHarness(settings, endpoint_count)
     version = 1
 
-    def replace() -> None:
+    def replace_endpoints() -> None:
         nonlocal version
-        for n in range(0, backends, backends // 20):
-            for change in step(n):
+        for number in range(0, endpoint_count, endpoint_count // REPLACED_COUNT):
+            for change in (Endpoint(number, EndpointStatus.REMOVED), Endpoint(1_000_000 + number)):
                 version += 1
-                harness.update_endpoint_list(change, kind=messages.EndpointListKind.CHANGES, version=version)
+                harness.update_endpoint_list(change, kind=EndpointListKind.CHANGES, version=version)
 
-    return lines_run(replace)
+    return lines_run(replace_endpoints)
 
 
 @pytest.mark.parametrize("share", [0.0, 0.5, 0.99])
 def test_policy_takes_a_change_at_the_cost_of_the_change(share: float) -> None:
     few = change_cost(200, 34, int(share * 34))
     many = change_cost(3200, 544, int(share * 544))
-    assert many < GROWTH * few, (few, many)
+    assert many < MAX_GROWTH * few, (few, many)
+
+
+def listed_states(harness: BalancerHarness) -> list[EndpointState]:
+    """Return the states of all endpoints on the list."""
+    return list(harness.balancer.endpoints.states.values())
+
+
+def up_states(harness: BalancerHarness) -> list[EndpointState]:
+    """Return the states of the endpoints that are up."""
+    return [state for state in listed_states(harness) if state.endpoint.status is EndpointStatus.UP]
 
 
 def plain_subset(harness: BalancerHarness) -> list[int]:
-    """The ids of the subset by plain computation from all that is up."""
-    setup, instances = harness.balancer.settings, harness.balancer.settings.instances
-    up = [
-        s
-        for s in harness.balancer.endpoints.states.values()
-        if s.endpoint.status is messages.EndpointStatus.UP
-    ]
-    up.sort(key=lambda s: (s.mixed_id, s.endpoint.id))
-    size = max(MIN_SUBSET, math.ceil(SUBSET_COVER * len(up) / instances))
-    first = setup.index * len(up) // instances
+    """Return the ids of the subset by plain computation from all endpoints that are up."""
+    settings = harness.balancer.settings
+    up = sorted(up_states(harness), key=lambda state: (state.mixed_id, state.endpoint.id))
+    size = max(MIN_SUBSET, math.ceil(SUBSET_COVER * len(up) / settings.instances))
+    first = settings.index * len(up) // settings.instances
     ring = up[first:] + up[:first]
-    home = [s for s in ring if setup.cross_zone_price <= 0 or s.endpoint.zone == setup.zone][:size]
-    away = [s for s in ring if setup.cross_zone_price > 0 and s.endpoint.zone != setup.zone]
-    return [s.endpoint.id for s in home + away[: max(MIN_REMOTE, size - len(home))]]
+    has_price = settings.cross_zone_price > 0
+    local = [state for state in ring if not has_price or state.endpoint.zone == settings.zone][:size]
+    remote = [state for state in ring if has_price and state.endpoint.zone != settings.zone]
+    return [state.endpoint.id for state in local + remote[: max(MIN_REMOTE, size - len(local))]]
+
+
+RANK_PERIOD = 2**32  # ids that differ by it have the same rank
+STATUSES = (EndpointStatus.UP, EndpointStatus.UP, *EndpointStatus)
+
+
+def random_endpoint(rng: random.Random, version: int) -> Endpoint:
+    """Return one of 36 endpoints, three of each rank, with another status, zone and incarnation each time."""
+    return Endpoint(
+        id=rng.randrange(12) + RANK_PERIOD * rng.randrange(3),
+        status=rng.choice(STATUSES),
+        zone=rng.choice("abc"),
+        incarnation_us=rng.choice((0, 0, version)),
+    )
 
 
-TIED = 2**32  # ids that differ by it have one rank
+def apply_random_list(harness: BalancerHarness, rng: random.Random, version: int) -> None:
+    """Apply a few changes or, seldom, a complete list; one in ten is older than the list that is held."""
+    entries = [random_endpoint(rng, version) for _ in range(rng.choice((0, 1, 1, 1, 3)))]
+    kind = EndpointListKind.CHANGES
+    if rng.random() < 0.08:
+        entries += [state.endpoint for state in listed_states(harness) if rng.random() < 0.8]
+        kind = rng.choice((EndpointListKind.COMPLETE, EndpointListKind.CACHED))
+    is_old = rng.random() < 0.1
+    harness.update_endpoint_list(*entries, kind=kind, version=version - 5 * is_old)
 
 
 @pytest.mark.parametrize("cross_zone_price", [0.0, 0.05])
@@ -98,79 +125,61 @@
     rng = random.Random(seed)
     instances = rng.choice((1, 3, 9))
     index = rng.randrange(instances)
-    harness = BalancerHarness(
-        balancer_settings(instances=instances, index=index, zone="a", cross_zone_price=cross_zone_price),
-        endpoint_count=0,
+    settings = balancer_settings(
+        instances=instances, index=index, zone="a", cross_zone_price=cross_zone_price
     )
+    harness = BalancerHarness(settings, endpoint_count=0)
+    endpoints, slow_start = harness.balancer.endpoints, harness.balancer.slow_start
     for version in range(1, 150):
-        entries = [
-            messages.Endpoint(
-                id=rng.randrange(12) + TIED * rng.randrange(3),
-                status=rng.choice(
-                    (messages.EndpointStatus.UP, messages.EndpointStatus.UP, *messages.EndpointStatus)
-                ),
-                zone=rng.choice("abc"),
-                incarnation_us=rng.choice((0, 0, version)),
-            )
-            for _ in range(rng.choice((0, 1, 1, 1, 3)))
-        ]
-        whole = rng.random() < 0.08
-        if whole:
-            entries += [s.endpoint for s in harness.balancer.endpoints.states.values() if rng.random() < 0.8]
-        kind = (
-            rng.choice((messages.EndpointListKind.COMPLETE, messages.EndpointListKind.CACHED))
-            if whole
-            else messages.EndpointListKind.CHANGES
-        )
-        old = rng.random() < 0.1
-        harness.update_endpoint_list(*entries, kind=kind, version=version - 5 * old)
-        balancer = harness.balancer
-        assert [s.endpoint.id for s in balancer.endpoints.subset] == plain_subset(harness)
-        assert all(balancer.endpoints.states[s.endpoint.id] is s for s in balancer.endpoints.subset)
-        ups = sum(s.endpoint.status is messages.EndpointStatus.UP for s in balancer.endpoints.states.values())
-        assert balancer.endpoints.sharing_balancers == max(
-            1.0, instances * len(balancer.endpoints.subset) / max(1, ups)
-        )
-        warm = (balancer.slow_start.warm_at_us(s) for s in balancer.endpoints.subset)
-        assert balancer.slow_start.first_warm_at_us == min(warm, default=0)
-
-
-async def driver_change_cost(backends: int, instances: int) -> int:
-    """Lines that driver and module run for 20 backends that drain, go and are replaced, one by one."""
-    listed = [endpoint_entry(f"s-{n}", 9) for n in range(backends)]
-    setup = balancer_settings(instances=instances, index=instances // 2)
-    async with running_proxy(*listed, settings=setup) as p:
+        apply_random_list(harness, rng, version)
+        assert [state.endpoint.id for state in endpoints.subset] == plain_subset(harness)
+        assert all(endpoints.states[state.endpoint.id] is state for state in endpoints.subset)
+        up_count = len(up_states(harness))
+        sharing = instances * len(endpoints.subset) / max(1, up_count)
+        assert endpoints.sharing_balancers == max(1.0, sharing)
+        warm_at_us = (slow_start.warm_at_us(state) for state in endpoints.subset)
+        assert slow_start.first_warm_at_us == min(warm_at_us, default=0)
+
+
+async def driver_change_cost(endpoint_count: int, instances: int) -> int:
+    """Return the lines of driver and policy for 20 endpoints that drain, go and are replaced, one by one."""
+    entries = [endpoint_entry(f"s-{number}", 9) for number in range(endpoint_count)]
+    settings = balancer_settings(instances=instances, index=instances // 2)
+    async with running_proxy(*entries, settings=settings) as proxy:
         changes = []
-        for n in range(0, backends, backends // 20):
-            changes += [endpoint_entry(f"s-{n}", 9, "terminating"), endpoint_entry(f"s-{n}", 9, "terminated")]
-            changes += [endpoint_entry(f"new-{n}", 9)]
-        lists = [read_list(endpoint_list(e, rev=at, full=False)) for at, e in enumerate(changes, 2)]
+        for number in range(0, endpoint_count, endpoint_count // REPLACED_COUNT):
+            changes.append(endpoint_entry(f"s-{number}", 9, "terminating"))
+            changes.append(endpoint_entry(f"s-{number}", 9, "terminated"))
+            changes.append(endpoint_entry(f"new-{number}", 9))
+        lists = [read_list(endpoint_list(entry, rev=rev, full=False)) for rev, entry in enumerate(changes, 2)]
 
-        def take() -> None:
-            for news in lists:
-                p.driver.endpoint_list.receive(news)
+        def receive_lists() -> None:
+            for changed in lists:
+                proxy.driver.endpoint_list.receive(changed)
 
-        return lines_run(take)
+        return lines_run(receive_lists)
 
 
 async def test_driver_takes_a_change_at_the_cost_of_the_change() -> None:
     few, many = await driver_change_cost(200, 34), await driver_change_cost(3200, 544)
-    assert many < GROWTH * few, (few, many)
+    assert many < MAX_GROWTH * few, (few, many)
+
+
+def covering_size(endpoint_count: int, instances: int) -> int:
+    """Return the size of a subset by which the balancers together cover all endpoints often enough."""
+    return max(MIN_SUBSET, math.ceil(SUBSET_COVER * endpoint_count / instances))
 
 
 @pytest.mark.parametrize("instances", [1, 3, 10, 34, 100, 200, 544])
 def test_subset_stays_within_the_descriptors_of_a_proxy(instances: int) -> None:
-    """At sixteen times the backends it may need twice the usual descriptors and 40 more."""
-    at_200 = covering(200, instances)
+    """At sixteen times the endpoints a proxy may need twice the usual descriptors and 40 more."""
+    at_200 = covering_size(200, instances)
     for usual in range(1, 201):
-        assert subset_size(usual, instances) == covering(usual, instances)
-        many = subset_size(16 * usual, instances)
-        assert many <= max(at_200, 2 * covering(usual, instances) + 40)
-        assert many >= min(at_200, covering(16 * usual, instances))
-
-
-def covering(backends: int, instances: int) -> int:
-    return max(MIN_SUBSET, math.ceil(SUBSET_COVER * backends / instances))
+        usual_size = covering_size(usual, instances)
+        assert subset_size(usual, instances) == usual_size
+        large_size = subset_size(16 * usual, instances)
+        assert large_size <= max(at_200, 2 * usual_size + 40)
+        assert large_size >= min(at_200, covering_size(16 * usual, instances))
 
 
 def test_subset_size_is_kept_when_balancers_grow_with_their_endpoints() -> None:
@@ -180,8 +189,8 @@
 
 
 def test_decision_does_not_examine_sixteen_times_the_endpoints() -> None:
-    def cost(backends: int) -> int:
-        harness = BalancerHarness(balancer_settings(instances=34, index=17), backends)
+    def cost(endpoint_count: int) -> int:
+        harness = BalancerHarness(balancer_settings(instances=34, index=17), endpoint_count)
         return lines_run(lambda: harness.request("r"))
 
     assert cost(3200) < 8 * cost(200)
@@ -190,54 +199,58 @@
 def test_list_is_split_without_a_step_for_each_end_of_a_string() -> None:
     """A release brings thousands of entries, most of them strings."""
 
-    def cost(entries: int) -> int:
-        text = json.dumps(endpoint_list(*(endpoint_entry(f"s-{n}", 9) for n in range(entries)))).encode()
+    def cost(entry_count: int) -> int:
+        entries = [endpoint_entry(f"s-{number}", 9) for number in range(entry_count)]
+        text = json.dumps(endpoint_list(*entries)).encode()
         return lines_run(lambda: list(JsonTextSplitter().feed(text)))
 
-    strings = json.dumps(endpoint_entry("s-1", 9)).count('"') // 2
-    steps = (cost(20) - cost(10)) / 10
+    string_count = json.dumps(endpoint_entry("s-1", 9)).count('"') // 2
+    lines_for_an_entry = (cost(20) - cost(10)) / 10
     lines_for_a_step = 6
-    assert steps < lines_for_a_step * (strings + 2)  # and an entry's two braces
+    assert lines_for_an_entry < lines_for_a_step * (string_count + 2)  # and an entry's two braces
 
 
-@pytest.mark.parametrize("key_scope", [messages.KeyScope.ZONE, messages.KeyScope.CELL])
-def test_retry_examines_a_bounded_number_of_its_zone_or_cell(
-    key_scope: messages.KeyScope,
-) -> None:
-    """It may go to all of them, and where they are few it does look at all."""
-    kind = messages.RequestClass(
+def harness_in_one_cell(key_scope: messages.KeyScope, endpoint_count: int, seed: int) -> BalancerHarness:
+    """Return a balancer whose keyed requests may go to one cell or zone, in which all endpoints are."""
+    keyed_class = messages.RequestClass(
         "write", 2_000_000, 5_000_000, messages.Idempotency.KEYED, key_scope, 4_000_000
     )
+    limits = messages.Limits(max_attempts=3, cancel=True)
+    settings = balancer_settings(classes=(keyed_class,), instances=1000, limits=limits)
+    harness = BalancerHarness(settings, endpoint_count=0, seed=seed)
+    harness.update_endpoint_list(*(Endpoint(number, zone="a", cell=1) for number in range(endpoint_count)))
+    return harness
+
+
+def retry_cost(key_scope: messages.KeyScope, endpoint_count: int, seed: int) -> tuple[int, set[int]]:
+    """Return the lines of a failed attempt and its retry, and the endpoints that the retry may go to."""
+    harness = harness_in_one_cell(key_scope, endpoint_count, seed)
+    balancer = harness.balancer
+    [attempt] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
+    [request] = balancer.open_requests.by_id.values()
+    lines = lines_run(lambda: harness.end_attempt(attempt, messages.Outcome.TIMEOUT))
+    eligible = balancer.router.eligible_endpoints(harness.now_us, request)
+    eligible_ids = {state.endpoint.id for state in eligible}
+    assert {state.endpoint.id for state in balancer.endpoints.subset} <= eligible_ids
+    return lines, eligible_ids
 
-    def play(backends: int, seed: int) -> tuple[int, set[int]]:
-        """The lines that a failed attempt costs with the one that follows, and what it may go to."""
-        setup = balancer_settings(
-            classes=(kind,), instances=1000, limits=messages.Limits(max_attempts=3, cancel=True)
-        )
-        harness = BalancerHarness(setup, endpoint_count=0, seed=seed)
-        harness.update_endpoint_list(*(messages.Endpoint(n, zone="a", cell=1) for n in range(backends)))
-        [send] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
-        [life] = harness.balancer.open_requests.by_id.values()
-        lines = lines_run(lambda: harness.end_attempt(send, messages.Outcome.TIMEOUT))
-        legal = {
-            server.endpoint.id for server in harness.balancer.router.eligible_endpoints(harness.now_us, life)
-        }
-        assert {server.endpoint.id for server in harness.balancer.endpoints.subset} <= legal
-        return lines, legal
-
-    few, legal = play(MAX_RETRY_CANDIDATES, 1)
-    assert legal == set(range(MAX_RETRY_CANDIDATES))
-    many, legal = play(3200, 1)
-    assert len(legal) == MAX_RETRY_CANDIDATES
-    assert legal != play(3200, 2)[1]
-    # Which zone and cell each one is in, and whether it is up, takes a few lines for each look at the list.
-    looks, lines_for_each = 2, 4
-    assert many < 2 * few + looks * lines_for_each * 3200
+
+@pytest.mark.parametrize("key_scope", [messages.KeyScope.ZONE, messages.KeyScope.CELL])
+def test_retry_examines_a_bounded_number_of_its_zone_or_cell(key_scope: messages.KeyScope) -> None:
+    """The retry may go to all of them, and where they are few it does examine all."""
+    few, eligible_ids = retry_cost(key_scope, MAX_RETRY_CANDIDATES, 1)
+    assert eligible_ids == set(range(MAX_RETRY_CANDIDATES))
+    many, eligible_ids = retry_cost(key_scope, 3200, 1)
+    assert len(eligible_ids) == MAX_RETRY_CANDIDATES
+    assert eligible_ids != retry_cost(key_scope, 3200, 2)[1]
+    # Which zone and cell each one is in, and whether it is up, takes a few lines for each pass over the list.
+    passes, lines_for_each = 2, 4
+    assert many < 2 * few + passes * lines_for_each * 3200
 
 
 def test_change_outside_the_subset_costs_little_for_each_member_of_the_subset() -> None:
     few, many = change_cost(200, 34, 17), change_cost(3200, 34, 17)
-    members = subset_size(3200, 34) - subset_size(200, 34)
+    added_members = subset_size(3200, 34) - subset_size(200, 34)
     lines_for_a_limit = 4
-    changes = 40
-    assert many < few + 1.2 * changes * members * lines_for_a_limit
+    changes = 2 * REPLACED_COUNT
+    assert many < few + 1.2 * changes * added_members * lines_for_a_limit
