--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -118,8 +118,8 @@
 
 # Work, by count
 
-FLEETS = {"usual": (200, 34), "many of both": (3_200, 544), "many backends": (3_200, 34)}
-LARGE_FLEET_NAMES = ["many of both", "many backends"]
+FLEETS = {"usual": (200, 34), "many of both": (3_200, 544), "many endpoints": (3_200, 34)}
+LARGE_FLEET_NAMES = ["many of both", "many endpoints"]
 REPLACED_COUNT = 16  # endpoints, each in three changes
 DECISION_COUNT = 40
 
