--- a/tests/scenarios/test_hold_ups.py
+++ b/tests/scenarios/test_hold_ups.py
@@ -117,24 +117,30 @@
         return 0.0 < self.remaining_s <= deadline_at_s - self.written_at_s + slack_s
 
 
-def record_deadline_writes(monkeypatch: pytest.MonkeyPatch) -> list[DeadlineWrite]:
-    """Return a list that grows with each deadline header written to an endpoint from now on.
-
-    They are recorded where the transport takes the bytes; asyncio has no public name for that class.
-    """
+async def transport_class(port: int) -> type[asyncio.Transport]:
+    """Return the class of the event loop's transports, by a connection to this port of loopback."""
+    _, writer = await asyncio.open_connection("127.0.0.1", port)
+    writer.close()
+    assert isinstance(writer.transport, asyncio.Transport)
+    return type(writer.transport)
+
+
+def record_deadline_writes(
+    monkeypatch: pytest.MonkeyPatch, transports: type[asyncio.Transport]
+) -> list[DeadlineWrite]:
+    """Return a list that grows with each deadline header that such a transport takes for an endpoint."""
     writes: list[DeadlineWrite] = []
     loop = asyncio.get_running_loop()
-    transport_class = asyncio.selector_events._SelectorSocketTransport  # type: ignore[attr-defined]
-    write = transport_class.write
+    write = transports.write
 
-    def record_and_write(transport: Any, data: bytes) -> None:
+    def record_and_write(transport: asyncio.Transport, data: bytes) -> None:
         # An endpoint gets the header in lower case, the proxy in the case of the tests' requests.
         before, header, rest = bytes(data).partition(b"req-deadline: ")
         if header and before.startswith((b"GET", b"POST")):
             writes.append(DeadlineWrite(float(rest.split(b"\r\n")[0]), loop.time()))
         write(transport, data)
 
-    monkeypatch.setattr(transport_class, "write", record_and_write)
+    monkeypatch.setattr(transports, "write", record_and_write)
     return writes
 
 
@@ -160,7 +166,8 @@
         proxy.step_policy_clock_with(clock)
         if reused:
             await leave_idle_connection(proxy, clock)
-        writes, stall = record_deadline_writes(monkeypatch), Stall(clock)
+        writes = record_deadline_writes(monkeypatch, await transport_class(endpoint.port))
+        stall = Stall(clock)
         with monkeypatch.context() as patch:
             STALLED_LINES[line](stall, patch, proxy)
             deadline_at_s = asyncio.get_running_loop().time() + DEADLINE_S
