--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -45,7 +45,7 @@
 SENT_BY_IDLE_CLIENTS = {
     "silent": b"",
     "half": b"GET /api HTTP/1.1\r\nHost: x\r\n",
-    "asked": http_request(path="/ready"),
+    "answered": http_request(path="/ready"),
 }
 
 
@@ -118,18 +118,21 @@
     kind: str, tmp_path: Path
 ) -> None:
     began_s, lines, discovery_socket = time.monotonic(), list[str](), bound_socket()
-    async with StandInEndpoint(http_response(200, b"a")) as a, StandInEndpoint(http_response(200, b"b")) as b:
-        config = config_before_endpoint(a, discovery_socket.getsockname()[1])
+    async with (
+        StandInEndpoint(http_response(200, b"a")) as first,
+        StandInEndpoint(http_response(200, b"b")) as second,
+    ):
+        config = config_before_endpoint(first, discovery_socket.getsockname()[1])
         async with running_proxy_process(write_config(tmp_path, config), MAX_DESCRIPTORS) as process:
             port = await read_listening_port(process, lines)
             assert process.stderr is not None
             log_end = asyncio.create_task(process.stderr.read())
             clients = IdleClients(port, SENT_BY_IDLE_CLIENTS[kind])
             await check_requests_among_idle_clients(process.pid, clients)
-            discovery = StandInListServer(endpoint_list(endpoint_entry("b", b.port), rev=2))
+            discovery = StandInListServer(endpoint_list(endpoint_entry("b", second.port), rev=2))
             await discovery.start(discovery_socket)
             await check_watch_among_idle_clients(port, discovery)
-            assert b.connection_count
+            assert second.connection_count
             process.send_signal(signal.SIGTERM)
             clients.close()
             assert await process.wait() == 0
