--- a/tests/scenarios/test_unreadable_configuration.py
+++ b/tests/scenarios/test_unreadable_configuration.py
@@ -167,33 +167,43 @@
     assert read_count == file.reads < 1 + MAX_RELOAD_RETRIES
 
 
-async def test_process_follows_a_configuration_replaced_during_the_signal(
-    tmp_path: Path,
-) -> None:
-    asked: asyncio.Queue[int] = asyncio.Queue()
+class RecordingDiscovery(StandInServer):
+    """Sends each watch a list and keeps it open; `watch_started` is set as one comes."""
+
+    def __init__(self) -> None:
+        super().__init__(self._send_list)
+        self.watch_started = asyncio.Event()
 
-    async def watch(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _send_list(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        asked.put_nowait(writer.get_extra_info("sockname")[1])
+        self.watch_started.set()
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9))))
         await reader.read()
 
-    async with StandInServer(watch) as old, StandInServer(watch) as new:
+
+async def reload_without_file(process: asyncio.subprocess.Process, path: Path) -> None:
+    """Remove the configuration file, signal a reload, and wait until the process has logged the refusal."""
+    assert process.stderr is not None
+    path.unlink()
+    process.send_signal(signal.SIGHUP)
+    while b"the old one stays" not in (line := await process.stderr.readline()):
+        assert line, "it ended"
+
+
+async def test_process_follows_a_configuration_replaced_during_the_signal(tmp_path: Path) -> None:
+    """At the end, a file that never comes is no fault either."""
+    async with RecordingDiscovery() as old, RecordingDiscovery() as new:
         config = proxy_config(discovery=f"127.0.0.1:{old.port}")
         async with running_proxy_process(write_config(tmp_path, config)) as process:
             await read_listening_port(process)
             assert process.stderr is not None
-            assert await asked.get() == old.port
-            (tmp_path / "config.json").unlink()
-            process.send_signal(signal.SIGHUP)
-            while b"the old one stays" not in (line := await process.stderr.readline()):
-                assert line, "it ended"
+            await old.watch_started.wait()
+            assert not new.watch_started.is_set()
+            await reload_without_file(process, tmp_path / "config.json")
             write_config(tmp_path, {**config, "discovery": f"127.0.0.1:{new.port}"})
-            assert await asked.get() == new.port
-            (tmp_path / "config.json").unlink()
-            process.send_signal(signal.SIGHUP)  # and one whose file never comes is no trouble at the end
-            while b"the old one stays" not in (line := await process.stderr.readline()):
-                assert line, "it ended"
+            await new.watch_started.wait()
+            assert old.connection_count == new.connection_count == 1
+            await reload_without_file(process, tmp_path / "config.json")
             process.send_signal(signal.SIGTERM)
             rest = await process.stderr.read()
             assert await process.wait() == 0
