--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -6,8 +6,8 @@
 import json
 import logging
 import signal
-from collections.abc import AsyncIterator
-from contextlib import AsyncExitStack, asynccontextmanager
+import socket
+from contextlib import AsyncExitStack
 from pathlib import Path
 from typing import Any
 
@@ -18,7 +18,14 @@
 from load_balancer.process.config import ConfigSource
 from load_balancer.process.reload import Reloader
 from tests.net.discovery.list_server import HeldListServer
-from tests.net.discovery.versioned_discovery import ASKED, BOTH, Play, Versions, pass_until, play
+from tests.net.discovery.versioned_discovery import (
+    ASKED,
+    BOTH,
+    FollowingProxy,
+    VersionedDiscovery,
+    following_proxy,
+    pass_until,
+)
 from tests.process.process_helpers import descriptor_count
 from tests.support.endpoint_lists import (
     endpoint_entry,
@@ -28,7 +35,7 @@
 from tests.support.loopback_proxy import LoopbackProxy
 from tests.support.proxy_process import proxy_config, read_listening_port, running_proxy_process, write_config
 from tests.support.stand_in_discovery import running_watch_count
-from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import wait_until
 
 MOVED_S = 4.0  # what discovery has to tell counts as told this long after SIGHUP
@@ -63,103 +70,101 @@
 async def test_reload_with_the_same_discovery_keeps_the_watch(
     setup: messages.Settings, tmp_path: Path
 ) -> None:
-    async with play(setup) as made:
-        await made.follows(made.a)
-        reloads = Reloads(tmp_path, made.p, made.ports["a"])
+    async with following_proxy(setup) as following:
+        await following.follow(following.first)
+        reloads = Reloads(tmp_path, following.proxy, following.first.port)
         [watch_task] = running_watch_tasks()
         for _ in range(3):
-            reloads.name(made.ports["a"])
-            await pass_until(made.clock, lambda: True)
-        made.a.change()
-        await made.follows(made.a)
+            reloads.name(following.first.port)
+            await pass_until(following.clock, lambda: True)
+        following.first.change()
+        await following.follow(following.first)
         assert running_watch_tasks() == [watch_task]
-        assert len(made.a.asked) == made.a.whole == 1
+        assert len(following.first.request_targets) == following.first.complete_list_count == 1
 
 
-MOODS = ["tells", "silent", "half a list", "half a head", "refuses", "rejects", "ends at once"]
+WAYS = ["tells", "silent", "half a list", "half a head", "refuses", "rejects", "ends at once"]
 
 
-class Moody(Versions):
+class FaultyDiscovery(VersionedDiscovery):
     """A discovery that meets its calls in one of these ways."""
 
-    def __init__(self, name: str, mood: str) -> None:
+    def __init__(self, name: str, way: str) -> None:
         super().__init__(name)
-        self.mood = mood
-
-    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.mood == "tells":
-            await super().handle(reader, writer)
+        self.way = way
+
+    async def start(self, listening_socket: socket.socket | None = None) -> None:
+        """Listen, or only keep the port where connections are to be refused."""
+        await super().start(listening_socket)
+        if self.way == "refuses":
+            assert self.server is not None
+            self.server.close()
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self.way == "tells":
+            await super().serve(reader, writer)
             return
         await reader.readuntil(b"\r\n\r\n")
-        self.asked.append("")
-        whole = self.answer(None)
+        self.request_targets.append("")
+        whole = self.response(None)
         said = {"half a list": whole[:-20], "half a head": whole[:9], "rejects": http_response(503)}
-        writer.write(said.get(self.mood, b""))
-        if self.mood in ("rejects", "ends at once"):
-            return
-        self.open.append(writer)
-        try:
-            await reader.read()
-        finally:
-            self.open.remove(writer)
-            self.ended += 1
-
-
-@asynccontextmanager
-async def moody(name: str, mood: str) -> AsyncIterator[tuple[Moody, StandInServer]]:
-    made = Moody(name, mood)
-    async with StandInServer(made.handle) as server:
-        if mood == "refuses":
-            assert server.server is not None
-            server.server.close()
-        yield made, server
+        writer.write(said.get(self.way, b""))
+        if self.way not in ("rejects", "ends at once"):
+            await self.keep_open(reader, writer)
 
 
-async def pass_seconds(made: Play, seconds: float) -> float:
-    began_s = made.clock.advanced_s
-    return await pass_until(made.clock, lambda: made.clock.advanced_s >= began_s + seconds)
+async def pass_seconds(following: FollowingProxy, seconds: float) -> float:
+    began_s = following.clock.advanced_s
+    return await pass_until(following.clock, lambda: following.clock.advanced_s >= began_s + seconds)
 
 
-async def follow_last(made: Play, last: Versions, setup: messages.Settings) -> float:
+async def follow_last(following: FollowingProxy, last: VersionedDiscovery, setup: messages.Settings) -> float:
     """Return the seconds until the last discovery is followed, whose queue is crowded where it is polled."""
     waited = 0.0
     if setup is ASKED:
-        waited = await pass_seconds(made, TURN_S)
-        last.silent = False
-        [writer] = last.open
-        writer.write(last.answer(None))
-    return waited + await made.follows(last)
+        waited = await pass_seconds(following, TURN_S)
+        last.is_silent = False
+        [writer] = last.open_writers
+        writer.write(last.response(None))
+    return waited + await following.follow(last)
 
 
 @BOTH
 @pytest.mark.parametrize("apart_s", [0.0, 0.3], ids=["at once", "0.3 s apart"])
-@pytest.mark.parametrize("mood", MOODS)
+@pytest.mark.parametrize("way", WAYS)
 async def test_last_of_several_reloads_in_a_row_is_followed(
-    setup: messages.Settings, mood: str, apart_s: float, tmp_path: Path
+    setup: messages.Settings, way: str, apart_s: float, tmp_path: Path
 ) -> None:
     """Whatever the discoveries in between do, their watches end, and the last one is followed in time."""
-    async with play(setup) as made, AsyncExitStack() as stack:
-        await made.follows(made.a)
-        reloads = Reloads(tmp_path, made.p, made.ports["a"])
-        on_the_way = [await stack.enter_async_context(moody(name, mood)) for name in "cd"]
-        last, last_server = await stack.enter_async_context(moody("e", "tells"))
-        last.silent = setup is ASKED  # it is crowded: the call has to wait for its turn there
-        for _, server in on_the_way:
-            reloads.name(server.port)
-            await pass_until(made.clock, lambda: True)
+    async with following_proxy(setup) as following, AsyncExitStack() as stack:
+        await following.follow(following.first)
+        reloads = Reloads(tmp_path, following.proxy, following.first.port)
+        on_the_way = [await stack.enter_async_context(FaultyDiscovery(name, way)) for name in "cd"]
+        last = await stack.enter_async_context(FaultyDiscovery("e", "tells"))
+        last.is_silent = setup is ASKED  # it is crowded: the call has to wait for its turn there
+        for discovery in on_the_way:
+            reloads.name(discovery.port)
+            await pass_until(following.clock, lambda: True)
             if apart_s:
-                await pass_seconds(made, apart_s)
-        reloads.name(last_server.port)
-        assert await follow_last(made, last, setup) < MOVED_S
-        assert last.whole == 1
-        assert len(last.asked) == 1
+                await pass_seconds(following, apart_s)
+        reloads.name(last.port)
+        assert await follow_last(following, last, setup) < MOVED_S
+        assert last.complete_list_count == 1
+        assert len(last.request_targets) == 1
         # What the others say by now, be it on a connection that they still hold, is nobody's news.
-        await wait_until(lambda: not made.a.open and not any(left.open for left, _ in on_the_way))
+        await wait_until(
+            lambda: not following.first.open_writers and not any(left.open_writers for left in on_the_way)
+        )
         assert running_watch_count() == 1
-        assert made.p.driver.endpoint_list.watch.is_running
-        calls = [len(left.asked) for left, _ in on_the_way], len(made.a.asked)
-        await pass_until(made.clock, lambda: len(last.asked) == 2)  # it has been silent for 3 s since
-        assert calls == ([len(left.asked) for left, _ in on_the_way], len(made.a.asked))
+        assert following.proxy.driver.endpoint_list.watch.is_running
+        calls = [len(left.request_targets) for left in on_the_way], len(following.first.request_targets)
+        await pass_until(
+            following.clock, lambda: len(last.request_targets) == 2
+        )  # it has been silent for 3 s since
+        assert calls == (
+            [len(left.request_targets) for left in on_the_way],
+            len(following.first.request_targets),
+        )
 
 
 @BOTH
@@ -168,19 +173,19 @@
 ) -> None:
     """Its bytes are with the system as the move comes: they came from an address that counts no more."""
 
-    async with play(setup) as made:
-        await made.follows(made.a)
+    async with following_proxy(setup) as following:
+        await following.follow(following.first)
         caplog.set_level(logging.INFO)
-        made.b.silent = True
-        made.a.change()  # written at once, and not read yet
-        made.move(made.b)
-        left = endpoint_number(made.a.uid)
-        await pass_until(made.clock, lambda: len(made.b.asked) == 2)
-        assert left not in made.p.driver.balancer.endpoints.states
-        made.b.silent = False
-        await made.follows(made.b)
-        assert left not in made.p.driver.endpoint_list.endpoints.by_id
-        assert not any(made.a.uid in record.getMessage() for record in caplog.records)
+        following.second.is_silent = True
+        following.first.change()  # written at once, and not read yet
+        following.move(following.second)
+        left = endpoint_number(following.first.uid)
+        await pass_until(following.clock, lambda: len(following.second.request_targets) == 2)
+        assert left not in following.proxy.driver.balancer.endpoints.states
+        following.second.is_silent = False
+        await following.follow(following.second)
+        assert left not in following.proxy.driver.endpoint_list.endpoints.by_id
+        assert not any(following.first.uid in record.getMessage() for record in caplog.records)
 
 
 def replace_config(folder: Path, content: dict[str, Any]) -> None:
--- a/tests/net/discovery/versioned_discovery.py
+++ b/tests/net/discovery/versioned_discovery.py
@@ -4,8 +4,9 @@
 
 import asyncio
 import re
-from collections.abc import AsyncIterator, Callable, Iterator
-from contextlib import asynccontextmanager, contextmanager
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager
+from dataclasses import dataclass
 
 import pytest
 
@@ -21,126 +22,126 @@
 from tests.support.http_messages import http_chunk
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInServer
-from tests.support.stepped_clock import FrozenClock, SteppedClock
+from tests.support.stepped_clock import FrozenClock, SteppedClock, advance_until
 from tests.support.units import SECOND_US
 
 STEP_S = 0.05
 
-
-TURNS = 40  # of the event loop between two steps: far more than a call and its answer take on loopback
-
-
 RULES = messages.Rules(0.4, 5 * SECOND_US, 3.0, SECOND_US, max_poll_interval_us=3_600 * SECOND_US)
-
-
 ASKED = balancer_settings(must_subscribe=True, rules=RULES)
-
-
 PUSHED = balancer_settings(rules=RULES)
-
-
 BOTH = pytest.mark.parametrize("setup", [ASKED, PUSHED], ids=["asked", "pushed"])
 
 
-class Versions:
-    """A discovery that numbers its versions: a watch gets the changes since then, or the complete list."""
+class VersionedDiscovery(StandInServer):
+    """A discovery that numbers its versions: a watch gets the changes since then, or the complete list.
+
+    Attributes:
+        name: The prefix of its endpoints' names.
+        rev: The present version.
+        request_targets: What each call has asked for.
+        complete_list_count: How many complete lists have been sent.
+        is_silent: Whether calls get no response.
+        open_writers: The calls that are open.
+    """
 
     def __init__(self, name: str, rev: int = 1) -> None:
-        self.name, self.rev, self.first = name, rev, rev
-        self.asked: list[str] = []  # what each call asked for
-        self.whole = 0  # whole lists that were sent
-        self.silent = False  # calls get no answer
-        self.ended = 0  # calls whose connection the proxy has ended
-        self.open: list[asyncio.StreamWriter] = []
+        super().__init__(self.serve)
+        self.name, self.rev = name, rev
+        self.request_targets: list[str] = []
+        self.complete_list_count = 0
+        self.is_silent = False
+        self.open_writers: list[asyncio.StreamWriter] = []
+        self._first_rev = rev
 
     @property
     def uid(self) -> str:
-        """The one endpoint, another with each version."""
+        """The name of the one endpoint, another with each version."""
         return f"{self.name}-{self.rev}"
 
-    def list_now(self) -> dict[str, object]:
+    def complete_list(self) -> dict[str, object]:
+        """Return the present list."""
         return endpoint_list(endpoint_entry(self.uid, 9), rev=self.rev)
 
     def changes(self, since: int) -> dict[str, object]:
+        """Return the changes since a version."""
         gone = [endpoint_entry(f"{self.name}-{rev}", 9, "terminated") for rev in range(since, self.rev)]
         return endpoint_list(*gone, endpoint_entry(self.uid, 9), rev=self.rev, full=False)
 
     def change(self) -> None:
-        """Tells a new version on the watches that stand."""
+        """Make a new version, and send its changes on all open watches."""
         self.rev += 1
-        for writer in self.open:
+        for writer in self.open_writers:
             writer.write(endpoint_list_chunk(self.changes(self.rev - 1)))
 
-    def answer(self, since: int | None) -> bytes:
-        if since is None or not self.first <= since <= self.rev:
-            self.whole += 1
-            return WATCH_RESPONSE_HEAD + endpoint_list_chunk(self.list_now())
+    def response(self, since: int | None) -> bytes:
+        """Return the response to a watch that knows this version, or none."""
+        if since is None or not self._first_rev <= since <= self.rev:
+            self.complete_list_count += 1
+            return WATCH_RESPONSE_HEAD + endpoint_list_chunk(self.complete_list())
         return WATCH_RESPONSE_HEAD + (
             endpoint_list_chunk(self.changes(since)) if since < self.rev else http_chunk("\n")
         )
 
-    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Respond to one call, and keep it open."""
         target = (await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1]
-        self.asked.append(target)
+        self.request_targets.append(target)
         found = re.search(r"since=(\d+)", target)
-        if not self.silent:
-            writer.write(self.answer(int(found[1]) if found else None))
-        self.open.append(writer)
+        if not self.is_silent:
+            writer.write(self.response(int(found[1]) if found else None))
+        await self.keep_open(reader, writer)
+
+    async def keep_open(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Count the call as open until the proxy ends it."""
+        self.open_writers.append(writer)
         try:
             await reader.read()
         finally:
-            self.open.remove(writer)
-            self.ended += 1
-
-
-async def pass_until(clock: SteppedClock, holds: Callable[[], bool], most_s: float = 20.0) -> float:
-    """Step time until the condition holds, and return the seconds that it took."""
-    began = clock.advanced_s
-    while not holds():
-        assert clock.advanced_s - began < most_s, "it never came"
-        clock.advance(STEP_S)
-        for _ in range(TURNS):
-            await asyncio.sleep(0)
-    return clock.advanced_s - began
+            self.open_writers.remove(writer)
 
 
-@contextmanager
-def one_clock(clock: SteppedClock, proxy: LoopbackProxy) -> Iterator[None]:
-    """Step the policy's clock together with the event loop's."""
-    started_at_us = proxy.driver.clock.now_us()
-    proxy.driver.clock.now_us = lambda: started_at_us + round(clock.advanced_s * 1e6)  # type: ignore[method-assign]
-    yield
+async def pass_until(clock: SteppedClock, condition: Callable[[], bool]) -> float:
+    """Step time until the condition holds, within 20 s, and return the seconds that it took."""
+    return await advance_until(clock, condition, 20.0, step_s=STEP_S, must_hold=True)
 
 
-class Play:
-    """A proxy, the discovery that it follows, and another discovery."""
+@dataclass
+class FollowingProxy:
+    """A proxy on a stepped clock, the discovery that it follows first, and another one."""
 
-    def __init__(self, proxy: LoopbackProxy, clock: SteppedClock, a: Versions, b: Versions) -> None:
-        self.p, self.clock, self.a, self.b = proxy, clock, a, b
-        self.ports: dict[str, int] = {}
+    proxy: LoopbackProxy
+    clock: SteppedClock
+    first: VersionedDiscovery
+    second: VersionedDiscovery
 
-    def holds(self, on: Versions) -> bool:
-        """Is the list that of this discovery, and a watch on it open?"""
-        return set(self.p.driver.balancer.endpoints.states) == {endpoint_number(on.uid)} and bool(on.open)
+    def is_following(self, discovery: VersionedDiscovery) -> bool:
+        """Return whether the list is that of this discovery, and a watch on it open."""
+        states = self.proxy.driver.balancer.endpoints.states
+        return set(states) == {endpoint_number(discovery.uid)} and bool(discovery.open_writers)
 
-    async def follows(self, on: Versions) -> float:
-        return await pass_until(self.clock, lambda: self.holds(on))
+    async def follow(self, discovery: VersionedDiscovery) -> float:
+        """Step time until the discovery is followed, and return the seconds that it took."""
+        return await pass_until(self.clock, lambda: self.is_following(discovery))
 
-    def move(self, to: Versions) -> None:
-        self.p.driver.move_discovery(("127.0.0.1", self.ports[to.name]))
+    def move(self, to: VersionedDiscovery) -> None:
+        """Have the proxy follow another discovery."""
+        self.proxy.driver.move_discovery(("127.0.0.1", to.port))
 
 
 @asynccontextmanager
-async def play(setup: messages.Settings, *known: dict[str, object]) -> AsyncIterator[Play]:
-    clock, a, b = FrozenClock(), Versions("a", 1), Versions("b", 3)
+async def following_proxy(
+    setup: messages.Settings, *known: dict[str, object]
+) -> AsyncIterator[FollowingProxy]:
+    """Run a proxy that follows the first of two discoveries, with these entries as its cached list."""
+    first, second = VersionedDiscovery("a", 1), VersionedDiscovery("b", 3)
     if known:
-        a.rev = 2
+        first.rev = 2
+    clock = FrozenClock()
     async with (
-        StandInServer(a.handle) as pa,
-        StandInServer(b.handle) as pb,
-        running_proxy(*known, settings=setup, discovery_port=pa.port) as proxy,
+        first,
+        second,
+        running_proxy(*known, settings=setup, discovery_port=first.port) as proxy,
     ):
-        with one_clock(clock, proxy):
-            made = Play(proxy, clock, a, b)
-            made.ports = {"a": pa.port, "b": pb.port}
-            yield made
+        proxy.step_policy_clock_with(clock)
+        yield FollowingProxy(proxy, clock, first, second)
