--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -124,11 +124,11 @@
         StandInServer(handle) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        told: list[messages.Event] = []
+        events: list[messages.Event] = []
         handle_event = proxy.driver.balancer.handle
 
         def listen(now: int, event: messages.Event) -> list[messages.Action]:
-            told.append(event)
+            events.append(event)
             return handle_event(now, event)
 
         monkeypatch.setattr(proxy.driver.balancer, "handle", listen)
@@ -136,7 +136,7 @@
         began = loop.time()
         assert response_status(await proxy.send_request(http_request(Req_Deadline="0.6"))) in (502, 503)
         assert loop.time() - began < 1.8  # by its own deadline, not by the class's aim of 2 s
-        [request] = [event_ for event_ in told if isinstance(event_, messages.Request)]
+        [request] = [event for event in events if isinstance(event, messages.Request)]
         assert 400_000 < request.time_left_us <= 600_000 - LAG_MARGIN_US
 
 
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -288,14 +288,14 @@
         env = write_config(
             tmp_path, proxy_config(known=endpoint_list(endpoint_entry("a", endpoint.port)), settings=told)
         )
-        async with running_proxy_process(env) as made:
-            reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(made))
+        async with running_proxy_process(env) as process:
+            reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(process))
             writer.write(STOPS[stop])
-            made.terminate()
+            process.terminate()
             got = await read_http_message(reader)
             assert response_status(got) in (408, 503)
             assert closes_connection(got)
             assert await reader.read() == b""
             writer.close()
-            assert await made.wait() == 0
+            assert await process.wait() == 0
             assert not endpoint.received
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -210,13 +210,13 @@
         before = asked.visits
         if asked.ended is not None and visit.step > asked.ended:
             self.faults.append(f"{request_id}: sent after its end")
-        if any(visit_.open for visit_ in before):
+        if any(visit.open for visit in before):
             self.faults.append(
-                f"{request_id}: a second copy, the first being {[visit_.way for visit_ in before]}"
+                f"{request_id}: a second copy, the first being {[visit.way for visit in before]}"
             )
         if len(before) >= MOST:
             self.faults.append(f"{request_id}: too many attempts")
-        ran = [visit_ for visit_ in before if visit_.way != "declined"]
+        ran = [visit for visit in before if visit.way != "declined"]
         if ran and asked.kind == "pay":
             self.faults.append(f"{request_id}: unsafe, and sent again after {ran[0].way}")
         if ran and asked.kind in ("write", "mark") and visit.at - ran[0].at > WINDOW_S:
@@ -267,11 +267,11 @@
     def judge(self, request_id: str, asked: Asked, said: bytes) -> None:
         """The rules, as the final answer comes in. A second one would be taken for the next request's."""
         made = {"answer", "answer twice", "answer, late again", "answer, then end", "answer after a while"}
-        ran = [visit_ for visit_ in asked.visits if visit_.way != "declined"]
+        ran = [visit for visit in asked.visits if visit.way != "declined"]
         match asked.status:
             case 200:
                 if said != request_id.encode() or not any(
-                    visit_.way in {*made, "no length, end"} for visit_ in asked.visits
+                    visit.way in {*made, "no length, end"} for visit in asked.visits
                 ):
                     self.faults.append(f"{request_id}: served with {said!r}, which no endpoint made for it")
             case 503:
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -59,8 +59,8 @@
             if chance.random() < 0.1:
                 return
 
-    async with StandInServer(handle) as made:
-        yield made
+    async with StandInServer(handle) as endpoint:
+        yield endpoint
 
 
 class Play:
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -93,12 +93,12 @@
     return None
 
 
-async def hold_up(made: asyncio.subprocess.Process, at_s: float) -> None:
+async def hold_up(process: asyncio.subprocess.Process, at_s: float) -> None:
     """Stop the process for a moment, `at_s` seconds from now."""
     await asyncio.sleep(at_s)
-    made.send_signal(signal.SIGSTOP)
+    process.send_signal(signal.SIGSTOP)
     await asyncio.sleep(HOLD_UP_S)
-    made.send_signal(signal.SIGCONT)
+    process.send_signal(signal.SIGCONT)
 
 
 def config_with_deadline(deadline_s: float, endpoint_port: int) -> dict[str, Any]:
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -38,9 +38,9 @@
 
 
 async def test_invalid_configuration_exits_with_one_line_and_code_2(tmp_path: Path) -> None:
-    async with running_proxy_process(write_config(tmp_path, proxy_config(listen=5))) as made:
-        out, err = await made.communicate()
-        assert (out, made.returncode) == (b"", 2)
+    async with running_proxy_process(write_config(tmp_path, proxy_config(listen=5))) as process:
+        out, err = await process.communicate()
+        assert (out, process.returncode) == (b"", 2)
         assert b"listen" in err
         assert err.count(b"\n") == 1
 
@@ -112,12 +112,12 @@
 
     env = {**os.environ, **write_config(tmp_path, proxy_config())}
     pipe = asyncio.subprocess.PIPE
-    made = await asyncio.create_subprocess_exec(
+    process = await asyncio.create_subprocess_exec(
         sys.executable, "-c", AT_ITS_END, cwd=ROOT, env=env, stderr=pipe
     )
-    await read_listening_port(made)
-    made.send_signal(signal.SIGTERM)
-    assert await made.wait() == 0
+    await read_listening_port(process)
+    process.send_signal(signal.SIGTERM)
+    assert await process.wait() == 0
 
 
 async def test_request_still_unanswered_at_the_shutdown_deadline_is_answered_502(tmp_path: Path) -> None:
@@ -134,16 +134,16 @@
         env = write_config(
             tmp_path, proxy_config(known=endpoint_list(endpoint_entry("a", endpoint.port)), settings=told)
         )
-        async with running_proxy_process(env) as made:
-            reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(made))
+        async with running_proxy_process(env) as process:
+            reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(process))
             writer.write(http_request("pay", Req_Deadline="9.0"))
             await begun.wait()
             loop = asyncio.get_running_loop()
-            made.send_signal(signal.SIGTERM)
+            process.send_signal(signal.SIGTERM)
             began = loop.time()
             first, _, _ = await read_http_message(reader)
             assert first.split()[1] == "502"  # it may have run: no refusal
-            assert await made.wait() == 0
+            assert await process.wait() == 0
             assert loop.time() - began < 3.7
 
 
@@ -156,18 +156,18 @@
     async with StandInEndpoint(http_response(200, b"x")) as endpoint:
         known = endpoint_list(endpoint_entry("a", endpoint.port))
         env = write_config(tmp_path, proxy_config(known=known, limits={"sockets": told}))
-        async with running_proxy_process(env, given) as made:
+        async with running_proxy_process(env, given) as process:
             said: list[str] = []
-            port = await read_listening_port(made, said)
+            port = await read_listening_port(process, said)
             crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(100)]
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(http_request())
             assert (await read_http_message(reader))[2] == b"x"
-            assert len(os.listdir(f"/proc/{made.pid}/fd")) <= 64
-            made.send_signal(signal.SIGTERM)
+            assert len(os.listdir(f"/proc/{process.pid}/fd")) <= 64
+            process.send_signal(signal.SIGTERM)
             for _, one in crowd:
                 one.close()
-            _, rest = await made.communicate()
+            _, rest = await process.communicate()
             lines = [*said, *rest.decode().splitlines()]
             assert not any("descriptor for" in line or "Traceback" in line for line in lines)
             assert any("the system gives 64 " in line for line in lines) == (given < told)
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -97,10 +97,10 @@
             listener = socket.create_server(("127.0.0.1", self.port), backlog=0)
             self.taken.append(listener)
             for _ in range(4):
-                made = socket.socket()
-                made.setblocking(False)
-                made.connect_ex(("127.0.0.1", self.port))
-                self.taken.append(made)
+                held_socket = socket.socket()
+                held_socket.setblocking(False)
+                held_socket.connect_ex(("127.0.0.1", self.port))
+                self.taken.append(held_socket)
         elif self.mood == "not there":
             held = socket.socket()  # the address is taken, and nobody listens
             held.bind(("127.0.0.1", self.port))
@@ -109,28 +109,28 @@
             self.server = await asyncio.start_server(self.handle, "127.0.0.1", self.port)
 
     async def come_back(self, news: dict[str, object]) -> None:
-        for made in self.taken:
-            made.close()
+        for held_socket in self.taken:
+            held_socket.close()
         self.taken.clear()
         self.mood, self.news = "answers", endpoint_list_chunk(news)
         if self.server is None:
             await self.start()
 
     def stop(self) -> None:
-        for made in self.taken:
-            made.close()
+        for held_socket in self.taken:
+            held_socket.close()
         if self.server is not None:
             self.server.close()
 
 
 @asynccontextmanager
 async def moody(mood: str) -> AsyncIterator[Moody]:
-    made = Moody(mood)
-    await made.start()
+    discovery = Moody(mood)
+    await discovery.start()
     try:
-        yield made
+        yield discovery
     finally:
-        made.stop()
+        discovery.stop()
 
 
 async def ready(port: int) -> bool:
@@ -208,10 +208,10 @@
         writer.close()
 
 
-async def until_ready(made: asyncio.subprocess.Process, port: int) -> None:
+async def until_ready(process: asyncio.subprocess.Process, port: int) -> None:
     """Wait until it is ready; the time limit of a test is the 10 s allowed for a start."""
     while not await ready(port):
-        assert made.returncode is None, "it ended"
+        assert process.returncode is None, "it ended"
         await asyncio.sleep(0.02)
 
 
@@ -225,7 +225,7 @@
         AsyncExitStack() as stack,
     ):
         news = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
-        made: list[asyncio.subprocess.Process] = []
+        processes: list[asyncio.subprocess.Process] = []
         ports = [unused_port() for _ in range(3)]
         for number, known in enumerate(
             (endpoint_list(endpoint_entry("a", endpoint.port)), None, SPOILT["an odd address"][0])
@@ -235,13 +235,13 @@
             env = write_config(
                 folder, {**told(mode, discovery.port, known), "listen": f"127.0.0.1:{ports[number]}"}
             )
-            made.append(await stack.enter_async_context(running_proxy_process(env)))
-        await until_ready(made[0], ports[0])
+            processes.append(await stack.enter_async_context(running_proxy_process(env)))
+        await until_ready(processes[0], ports[0])
         assert not await ready(ports[1])
         assert not await ready(ports[2])
         await discovery.come_back(news)
         for number in (1, 2):
-            await until_ready(made[number], ports[number])
+            await until_ready(processes[number], ports[number])
         assert [await served_by(port) for port in ports] == [b"x"] * 3
 
 
