--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,11 +18,17 @@
 from tests.support.time_limit import limited
 
 
+def pytest_configure(config: pytest.Config) -> None:
+    """Register the marker for a test that needs a longer bound."""
+    config.addinivalue_line("markers", "time_limit_s(seconds): bound on an asynchronous test in real time")
+
+
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_call(item: pytest.Item) -> Generator[None, None, None]:
     """Bound the real time of each asynchronous test."""
     if isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.obj):
-        item.obj = limited(item.obj)
+        marker = item.get_closest_marker("time_limit_s")
+        item.obj = limited(item.obj, *(marker.args if marker else ()))
     return (yield)
 
 
@@ -81,3 +87,11 @@
     """A proxy with the usual settings before that endpoint, which its list calls `s-1`."""
     async with running_proxy(endpoint_entry("s-1", endpoint.port)) as running:
         yield running
+
+
+@pytest.fixture
+def at_most_one_problem_until_loop_closes() -> Iterator[None]:
+    """Fail the test where more than one warning or worse is logged, also while its event loop is closed."""
+    with recorded_problem_lines() as lines:
+        yield
+    assert len(lines) <= 1
--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -1,4 +1,4 @@
-"""How long a request is held for a free backend: by its own time, as a refusal past half of that costs."""
+"""How long a request waits in the admission queue for a free endpoint, and when it is rejected instead."""
 
 from __future__ import annotations
 
@@ -9,50 +9,51 @@
 from tests.support.units import MILLISECOND_US, SECOND_US
 
 
-def full(setup: messages.Settings | None = None, backends: int = 2) -> BalancerHarness:
-    """All backends have as many calls as they may, and one more request is held."""
-    harness = BalancerHarness(setup or balancer_settings(), backends)
+def balancer_with_full_endpoints(
+    setup: messages.Settings | None = None, endpoints: int = 2
+) -> BalancerHarness:
+    """Return a balancer whose endpoints are all at their concurrency limit, with one request in its queue."""
+    harness = BalancerHarness(setup or balancer_settings(), endpoints)
     while not harness.balancer.queue:
         harness.request(f"c{harness.now_us}-{len(harness.actions)}", "pay")
     return harness
 
 
-def refused_after(harness: BalancerHarness, request_id: str, within: int) -> int | None:
-    """Microseconds from now to its refusal, stepped finely, or none."""
+def time_until_rejection_us(harness: BalancerHarness, request_id: str, within_us: int) -> int | None:
+    """Return the microseconds until the request is rejected, to a millisecond; None if it is not."""
     began = harness.now_us
-    while harness.now_us - began < within:
+    while harness.now_us - began < within_us:
         if any(
-            r.request == request_id for r in actions_of_type(harness.advance(MILLISECOND_US), messages.Reject)
+            reject.request == request_id
+            for reject in actions_of_type(harness.advance(MILLISECOND_US), messages.Reject)
         ):
             return harness.now_us - began
     return None
 
 
 @pytest.mark.parametrize(
-    "time_left", [900 * MILLISECOND_US, SECOND_US, 1_500 * MILLISECOND_US, 2 * SECOND_US, 5 * SECOND_US]
+    "time_left_us", [900 * MILLISECOND_US, SECOND_US, 1_500 * MILLISECOND_US, 2 * SECOND_US, 5 * SECOND_US]
 )
-@pytest.mark.parametrize("phase", [0, 3 * MILLISECOND_US, 11 * MILLISECOND_US, 19 * MILLISECOND_US])
-def test_one_for_which_nothing_comes_free_is_refused_by_half_of_its_own_time(
-    time_left: int, phase: int
-) -> None:
-    """Whatever the phase of the looks at the queue, and no sooner than that."""
-    harness = full()
-    harness.advance(phase)
-    harness.request("held", "read", time_left)
-    useful = min(time_left, 2 * SECOND_US)  # an answer after the aim of its class earns nothing
-    after = refused_after(harness, "held", 3 * SECOND_US)
-    assert after is not None
-    assert useful // 2 - 2 * MILLISECOND_US <= after <= useful // 2
+@pytest.mark.parametrize("phase_us", [0, 3 * MILLISECOND_US, 11 * MILLISECOND_US, 19 * MILLISECOND_US])
+def test_queued_request_is_rejected_within_half_of_its_useful_time(time_left_us: int, phase_us: int) -> None:
+    """It holds at any phase of the periodic queue scan, and the rejection comes no sooner."""
+    harness = balancer_with_full_endpoints()
+    harness.advance(phase_us)
+    harness.request("queued", "read", time_left_us)
+    useful_us = min(time_left_us, 2 * SECOND_US)  # an answer after its latency objective earns nothing
+    after_us = time_until_rejection_us(harness, "queued", 3 * SECOND_US)
+    assert after_us is not None
+    assert useful_us // 2 - 2 * MILLISECOND_US <= after_us <= useful_us // 2
 
 
-def held_again(outcome: messages.Outcome, after: int) -> BalancerHarness:
-    """A request whose first attempt has ended, its backend draining by now and the other one full."""
+def balancer_with_queued_retry(outcome: messages.Outcome, after_us: int) -> BalancerHarness:
+    """Return a balancer with a retry in its queue: one endpoint drains, the other is at its limit."""
     harness = BalancerHarness(balancer_settings(), 2)
     harness.request("first", "read", 5 * SECOND_US)
     [send] = actions_of_type(harness.actions, messages.StartAttempt)
     while not harness.balancer.queue:
         harness.request(f"c{len(harness.actions)}", "pay")
-    harness.advance(after)
+    harness.advance(after_us)
     draining = messages.Endpoint(
         send.endpoint_id, messages.EndpointStatus.DRAINING, cell=send.endpoint_id % 2
     )
@@ -63,17 +64,21 @@
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.NOT_SENT, messages.Outcome.NO_CONNECTION])
-def test_one_that_was_never_written_is_refused_by_half_of_its_time_from_its_arrival(
+def test_queued_retry_of_unwritten_request_is_rejected_by_half_of_its_time_since_arrival(
     outcome: messages.Outcome,
 ) -> None:
-    after = refused_after(held_again(outcome, 600 * MILLISECOND_US), "first", 3 * SECOND_US)
-    assert after is not None
-    assert 398 * MILLISECOND_US <= after <= 400 * MILLISECOND_US
+    after_us = time_until_rejection_us(
+        balancer_with_queued_retry(outcome, 600 * MILLISECOND_US), "first", 3 * SECOND_US
+    )
+    assert after_us is not None
+    assert 398 * MILLISECOND_US <= after_us <= 400 * MILLISECOND_US
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.ERROR, messages.Outcome.RESET])
-def test_one_that_was_written_is_held_for_as_long_again(outcome: messages.Outcome) -> None:
-    """A refusal of that one costs no more by coming later."""
-    after = refused_after(held_again(outcome, 200 * MILLISECOND_US), "first", 3 * SECOND_US)
-    assert after is not None
-    assert 998 * MILLISECOND_US <= after <= SECOND_US
+def test_queued_retry_of_written_request_waits_for_its_full_queue_time(outcome: messages.Outcome) -> None:
+    """A rejection of such a request costs no more when it comes later."""
+    after_us = time_until_rejection_us(
+        balancer_with_queued_retry(outcome, 200 * MILLISECOND_US), "first", 3 * SECOND_US
+    )
+    assert after_us is not None
+    assert 998 * MILLISECOND_US <= after_us <= SECOND_US
--- a/tests/policy/test_request_deadline.py
+++ b/tests/policy/test_request_deadline.py
@@ -1,4 +1,4 @@
-"""The end of an attempt and of a request before an answer would be of no use."""
+"""Attempts and requests end before their response would be of no use."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from tests.support.units import SECOND_US
 
 
-def test_an_attempt_ends_before_its_answer_would_be_late() -> None:
+def test_attempt_times_out_before_its_answer_would_be_late() -> None:
     harness = BalancerHarness()
     [send] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
     assert send.timeout_us <= UNSAFE_CLASS.latency_objective_us - 2 * harness.balancer.settings.tick_us
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-def test_what_is_out_at_the_end_is_cancelled_where_allowed(allowed: bool) -> None:
+def test_attempt_in_flight_at_the_deadline_is_cancelled_where_allowed(allowed: bool) -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=3, cancel=allowed)))
     harness.request("r")
     actions = harness.advance(6 * SECOND_US)  # no outcome comes
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""Two draws by share, the one with fewer own calls in flight; and the random subset."""
+"""Selection: the better of two draws by share, and the subset that it draws from."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 def test_draws_follow_shares() -> None:
     harness = BalancerHarness(endpoint_count=3)
-    for server, share in zip(harness.balancer.endpoints.states.values(), (1.0, 2.0, 5.0), strict=True):
-        server.share = share
+    for state, share in zip(harness.balancer.endpoints.states.values(), (1.0, 2.0, 5.0), strict=True):
+        state.share = share
     pool = list(harness.balancer.endpoints.states.values())
     counts = Counter(harness.balancer.selector.draw(pool).endpoint.id for _ in range(8000))
     assert abs(counts[0] - 1000) < 150
@@ -23,51 +23,51 @@
     assert abs(counts[2] - 5000) < 200
 
 
-def test_of_two_draws_the_one_with_fewer_calls_in_flight_wins() -> None:
+def test_endpoint_with_fewer_attempts_in_flight_wins_the_draw() -> None:
     harness = BalancerHarness(endpoint_count=1)
     harness.request("long")
     harness.update_endpoint_list(messages.Endpoint(0), messages.Endpoint(1), version=2)
     busy, idle = harness.balancer.endpoints.states.values()
     busy.share = 3.0
-    for n in range(20):
-        [send] = actions_of_type(harness.request(f"r{n}"), messages.StartAttempt)
+    for number in range(20):
+        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
         assert send.endpoint_id == idle.endpoint.id
-        assert [d.in_flight for d in send.draws] == [0, 1]
+        assert [draw.in_flight for draw in send.draws] == [0, 1]
         harness.end_attempt(send, messages.Outcome.OK)
 
 
-def test_an_overdue_call_counts_twice() -> None:
-    """A missing answer tells of a stuck backend long before its time-out."""
+def test_overdue_attempt_counts_twice() -> None:
+    """A missing response shows that an endpoint hangs long before the attempt times out."""
     harness = BalancerHarness(endpoint_count=1)
     [send] = actions_of_type(harness.request("stuck"), messages.StartAttempt)
-    [server] = harness.balancer.endpoints.states.values()
+    [state] = harness.balancer.endpoints.states.values()
     usual = int(harness.balancer.request_factory.classes["read"].usual_latency_us)
-    assert [server.load(harness.now_us + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
+    assert [state.load(harness.now_us + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
     harness.now_us += 3 * usual
     harness.end_attempt(send, messages.Outcome.OK, took=3 * usual)
-    assert server.load(harness.now_us) == 0
+    assert state.load(harness.now_us) == 0
 
 
-def test_the_draws_are_distinct() -> None:
+def test_draws_are_distinct() -> None:
     harness = BalancerHarness(endpoint_count=5)
-    for n in range(50):
-        [send] = actions_of_type(harness.request(f"r{n}"), messages.StartAttempt)
-        assert len({d.endpoint_id for d in send.draws}) == 2
+    for number in range(50):
+        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        assert len({draw.endpoint_id for draw in send.draws}) == 2
         harness.end_attempt(send, messages.Outcome.OK)
 
 
-def test_one_backend_and_none() -> None:
+def test_selection_from_one_endpoint_and_from_none() -> None:
     harness = BalancerHarness(endpoint_count=1)
-    assert [s.endpoint_id for s in actions_of_type(harness.request("a"), messages.StartAttempt)] == [0]
+    assert [send.endpoint_id for send in actions_of_type(harness.request("a"), messages.StartAttempt)] == [0]
     harness.update_endpoint_list()
     assert not actions_of_type(harness.request("b"), messages.StartAttempt)
 
 
-def test_the_subset_is_mixed_stable_and_refilled() -> None:
+def test_subset_is_shuffled_stable_and_refilled() -> None:
     subsets = set()
     for index in range(0, 40, 8):
         harness = BalancerHarness(balancer_settings(instances=40, index=index), endpoint_count=40)
-        before = [s.endpoint.id for s in harness.balancer.endpoints.subset]
+        before = [state.endpoint.id for state in harness.balancer.endpoints.subset]
         assert len(before) == MIN_SUBSET
         assert before != sorted(before)
         subsets.add(tuple(before))
@@ -76,36 +76,36 @@
             kind=messages.EndpointListKind.CHANGES,
             version=2,
         )
-        after = [s.endpoint.id for s in harness.balancer.endpoints.subset]
+        after = [state.endpoint.id for state in harness.balancer.endpoints.subset]
         assert len(after) == MIN_SUBSET
         assert before[0] not in after
         assert len(set(after) & set(before)) >= MIN_SUBSET - 2
     assert len(subsets) == 5
 
 
-def test_a_failing_backend_is_lowered_and_not_removed() -> None:
+def test_failing_endpoint_gets_less_and_is_not_ejected() -> None:
     harness, counts = BalancerHarness(endpoint_count=6), Counter[int]()
-    for n in range(600):
-        for send in actions_of_type(harness.request(f"r{n}", "pay"), messages.StartAttempt):
-            bad = send.endpoint_id == 0
+    for number in range(600):
+        for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
+            is_failing = send.endpoint_id == 0
             harness.now_us += 20 * MILLISECOND_US
             harness.end_attempt(
                 send,
-                messages.Outcome.ERROR if bad else messages.Outcome.OK,
-                took=5 * MILLISECOND_US if bad else 100 * MILLISECOND_US,
+                messages.Outcome.ERROR if is_failing else messages.Outcome.OK,
+                took=5 * MILLISECOND_US if is_failing else 100 * MILLISECOND_US,
             )
-            counts[send.endpoint_id] += n >= 300
+            counts[send.endpoint_id] += number >= 300
     fair = 300 / 6
     assert 0 < counts[0] < fair / 2
     assert harness.balancer.endpoints.states[0].share > 0
 
 
-def test_slow_backends_get_less_and_recover() -> None:
+def test_slow_endpoint_gets_less_and_recovers() -> None:
     harness = BalancerHarness(endpoint_count=6)
     shares = []
     for phase in range(3):
-        for n in range(500):
-            for send in actions_of_type(harness.request(f"r{phase}.{n}"), messages.StartAttempt):
+        for number in range(500):
+            for send in actions_of_type(harness.request(f"r{phase}.{number}"), messages.StartAttempt):
                 harness.now_us += 20 * MILLISECOND_US
                 slow = phase == 1 and send.endpoint_id == 0
                 harness.end_attempt(
@@ -116,7 +116,7 @@
     assert shares[2] > shares[1] * 1.5
 
 
-def test_own_cancels_and_unsent_attempts_are_no_samples() -> None:
+def test_cancelled_and_unsent_attempts_are_no_latency_samples() -> None:
     for outcome in (messages.Outcome.CANCELLED, messages.Outcome.NOT_SENT):
         harness = BalancerHarness(endpoint_count=1)
         [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
@@ -126,11 +126,11 @@
         assert len(harness.balancer.endpoints.states[0].in_flight) == len(again)
 
 
-ZONES = tuple(messages.Endpoint(n, zone="abc"[n % 3]) for n in range(12))
+ZONES = tuple(messages.Endpoint(number, zone="abc"[number % 3]) for number in range(12))
 
 
-def home_calls(price: float, busy: int = 0) -> int:
-    """Of 200 requests, one after another, those that stay in zone a, its backends busy beforehand."""
+def count_local_attempts(price: float, busy: int = 0) -> int:
+    """Return how many of 200 requests in a row stay in zone a, each endpoint there with `busy` attempts."""
     harness = BalancerHarness(
         balancer_settings(zone="a", cross_zone_price=price, limits=messages.Limits(max_attempts=3)),
         endpoint_count=0,
@@ -138,35 +138,37 @@
     harness.update_endpoint_list(*ZONES)
     harness.balancer.limit.attempts = 20.0
     harness.balancer.limit.split(harness.balancer.endpoints.subset)
-    read = harness.balancer.request_factory.classes["read"]
-    for server in harness.balancer.endpoints.states.values():
-        if server.endpoint.zone == "a":
-            server.in_flight = [
-                Attempt("busy", n, server, read, harness.now_us, 5 * SECOND_US) for n in range(busy)
+    read_class = harness.balancer.request_factory.classes["read"]
+    for state in harness.balancer.endpoints.states.values():
+        if state.endpoint.zone == "a":
+            state.in_flight = [
+                Attempt("busy", number, state, read_class, harness.now_us, 5 * SECOND_US)
+                for number in range(busy)
             ]
-    stayed = 0
-    for n in range(200):
-        [send] = actions_of_type(harness.request(f"r{n}"), messages.StartAttempt)
-        stayed += harness.balancer.endpoints.states[send.endpoint_id].endpoint.zone == "a"
+    local_count = 0
+    for number in range(200):
+        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        local_count += harness.balancer.endpoints.states[send.endpoint_id].endpoint.zone == "a"
         harness.end_attempt(send, messages.Outcome.OK)
-    return stayed
+    return local_count
 
 
-def test_calls_stay_in_their_zone_where_leaving_it_has_a_price() -> None:
-    assert home_calls(price=0.05) > 120 > 100 > home_calls(price=0.0)
+def test_requests_stay_in_their_zone_when_leaving_it_has_a_price() -> None:
+    assert count_local_attempts(price=0.05) > 120 > 100 > count_local_attempts(price=0.0)
 
 
-def test_a_busy_zone_sends_its_calls_over_to_others() -> None:
-    assert home_calls(price=0.05, busy=REMOTE_PENALTY + 2) < 80
+def test_busy_zone_spills_over_to_other_zones() -> None:
+    assert count_local_attempts(price=0.05, busy=REMOTE_PENALTY + 2) < 80
 
 
-def test_the_subset_holds_the_own_zone_and_a_way_out() -> None:
+def test_subset_holds_the_local_zone_and_some_remote_endpoints() -> None:
     harness = BalancerHarness(
         balancer_settings(zone="a", cross_zone_price=0.05, instances=3), endpoint_count=0
     )
     harness.update_endpoint_list(*ZONES)
-    zones = Counter(s.endpoint.zone for s in harness.balancer.endpoints.subset)
+    zones = Counter(state.endpoint.zone for state in harness.balancer.endpoints.subset)
     assert zones["a"] == 4
     assert zones["b"] + zones["c"] >= MIN_REMOTE
-    harness.update_endpoint_list(*(s for s in ZONES if s.zone != "a"), version=2)  # none of its own is left
+    remote = [endpoint for endpoint in ZONES if endpoint.zone != "a"]
+    harness.update_endpoint_list(*remote, version=2)
     assert len(harness.balancer.endpoints.subset) >= MIN_SUBSET
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -22,27 +22,28 @@
 from tests.support.stepped_clock import SteppedClock, wait_until
 
 
-async def test_a_keyed_repeat_is_not_late_where_the_proxy_stands_still_before_it_connects(
+async def test_keyed_retry_is_not_late_when_the_process_pauses_before_connecting(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The time for the connection runs from the decision to send, as the module counts it."""
 
-    async with keyed_request(100.0) as (request, seen):
+    async with keyed_request(100.0) as request:
         request.clock.advance(70.0)
-        begin = request.p.pool.start_attempt
+        begin = request.proxy.pool.start_attempt
 
         def stands_still(*what: Any) -> UpstreamAttempt:
             out = begin(*what)
             request.clock.advance(40.0)
             return out
 
-        monkeypatch.setattr(request.p.pool, "start_attempt", stands_still)
-        seen[0][1].reset()
+        monkeypatch.setattr(request.proxy.pool, "start_attempt", stands_still)
+        request.first_connection.reset()
         await request.status()
-        assert seen[-1][0] - seen[0][0] <= 100.0
+        first, last = request.received[0], request.received[-1]
+        assert last[0] - first[0] <= 100.0
 
 
-async def test_an_idle_connection_is_kept_where_the_proxy_stands_still_as_it_is_taken(
+async def test_idle_connection_is_kept_when_the_process_pauses_as_it_is_taken(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The attempt ends as too late; the connection has no timer any more, and none would ever close it."""
@@ -74,7 +75,7 @@
 
 @pytest.mark.parametrize("turn_s", [0.003, 0.01, 0.05])
 @pytest.mark.parametrize("turns", [1, 1000], ids=["one slow turn", "all turns slow"])
-async def test_a_connection_that_an_event_loop_is_late_to_see_is_not_taken_for_late(
+async def test_connection_noticed_late_by_the_event_loop_does_not_count_as_late(
     turn_s: float, turns: int
 ) -> None:
     """It stands at once, and any other one would cost the backend a handshake, and the proxy more turns."""
