--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -64,8 +64,8 @@
         StandInEndpoint(http_response(200, b"x" * 65536)) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        reader, writer = await proxy.connect()
-        reader._transport.pause_reading()  # type: ignore[attr-defined]
+        _, writer = await proxy.connect()
+        writer.transport.pause_reading()  # type: ignore[attr-defined]
         for number in range(2000):
             writer.write(http_request(request_id=f"r{number}"))
         while not proxy.clients.open_connections:
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -129,6 +129,17 @@
     return waited + await following.follow(last)
 
 
+async def reload_in_a_row(
+    reloads: Reloads, following: FollowingProxy, discoveries: list[FaultyDiscovery], apart_s: float
+) -> None:
+    """Name one discovery after another, so much time apart."""
+    for discovery in discoveries:
+        reloads.name(discovery.port)
+        await pass_until(following.clock, lambda: True)
+        if apart_s:
+            await pass_seconds(following, apart_s)
+
+
 @BOTH
 @pytest.mark.parametrize("apart_s", [0.0, 0.3], ids=["at once", "0.3 s apart"])
 @pytest.mark.parametrize("way", WAYS)
@@ -142,11 +153,7 @@
         on_the_way = [await stack.enter_async_context(FaultyDiscovery(name, way)) for name in "cd"]
         last = await stack.enter_async_context(FaultyDiscovery("e", "tells"))
         last.is_silent = setup is ASKED  # it is crowded: the call has to wait for its turn there
-        for discovery in on_the_way:
-            reloads.name(discovery.port)
-            await pass_until(following.clock, lambda: True)
-            if apart_s:
-                await pass_seconds(following, apart_s)
+        await reload_in_a_row(reloads, following, on_the_way, apart_s)
         reloads.name(last.port)
         assert await follow_last(following, last, setup) < MOVED_S
         assert last.complete_list_count == 1
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -25,6 +25,7 @@
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import (
     HttpMessage,
+    StreamPair,
     http_request,
     http_response,
     read_http_message,
@@ -59,6 +60,14 @@
     return transports
 
 
+async def send_partly(proxy: LoopbackProxy, kind: str, transports: list[asyncio.Transport]) -> StreamPair:
+    """Send a large request, and wait until a part of it is written to an endpoint, and a part is not."""
+    reader, writer = await proxy.connect()
+    writer.write(http_request(kind, request_id="big", body=b"x" * 65_536))
+    await wait_until(lambda: bool(transports) and transports[-1].get_write_buffer_size() > 0)
+    return reader, writer
+
+
 @pytest.mark.parametrize("kept", [False, True])
 @pytest.mark.parametrize("cancel", [False, True])
 @pytest.mark.parametrize("how", ["gone", "deadline", "end"])
@@ -83,11 +92,7 @@
             assert (await proxy.send_request(http_request("mark", request_id="first")))[2] == b"x"
         endpoint.reading.clear()
         clock = proxy.step_clocks()
-        reader, writer = await proxy.connect()
-        writer.write(http_request("mark" if kept else "pay", request_id="big", body=b"x" * 65_536))
-        await wait_until(
-            lambda: bool(narrow_transports) and narrow_transports[-1].get_write_buffer_size() > 0
-        )
+        reader, writer = await send_partly(proxy, "mark" if kept else "pay", narrow_transports)
         end_request(how, proxy, clock, writer)
         if how != "gone":  # at the end of the proxy the policy counts what is in flight as what may have run
             expected_status = 502 if how == "end" and not kept else 503
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value"), IMPOSSIBLE, ids=[f"{field_name(p)}={visit!r:.20}" for p, visit in IMPOSSIBLE]
+    ("path", "value"), IMPOSSIBLE, ids=[f"{field_name(path)}={value!r:.20}" for path, value in IMPOSSIBLE]
 )
 def test_impossible_value_is_named_in_the_error(tmp_path: Path, path: FieldPath, value: object) -> None:
     with pytest.raises(ConfigError) as raised:
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -6,6 +6,7 @@
 import resource
 import socket
 from pathlib import Path
+from typing import Any
 
 import pytest
 
@@ -93,6 +94,21 @@
         pass
 
 
+def bound_socket() -> socket.socket:
+    """Return a socket whose address is kept, and refuses connections until it listens."""
+    bound = socket.socket()
+    bound.bind(("127.0.0.1", 0))
+    return bound
+
+
+def pushed_config(discovery: socket.socket, endpoint_port: int) -> dict[str, Any]:
+    return proxy_config(
+        discovery=f"127.0.0.1:{discovery.getsockname()[1]}",
+        known=endpoint_list(endpoint_entry("a", endpoint_port)),
+        settings=raw_settings(limits=LIMITS, registryMode="automatic"),
+    )
+
+
 @pytest.mark.parametrize("sent", [b"", b"GET /api HTTP/1.1\r\nHost: x\r\n", http_request(path="/ready")])
 async def test_idle_clients_leave_descriptors_for_endpoints_and_discovery(
     sent: bytes, tmp_path: Path
@@ -104,13 +120,8 @@
         StandInEndpoint(http_response(200, b"b")) as new,
     ):
         discovery.present_list = endpoint_list(endpoint_entry("b", new.port), rev=2)
-        down = socket.socket()  # bound, so that the address is kept, and refusing until it listens
-        down.bind(("127.0.0.1", 0))
-        content = proxy_config(
-            discovery=f"127.0.0.1:{down.getsockname()[1]}",
-            known=endpoint_list(endpoint_entry("a", known.port)),
-            settings=raw_settings(limits=LIMITS, registryMode="automatic"),
-        )
+        down = bound_socket()
+        content = pushed_config(down, known.port)
         assert content["limits"]["sockets"] > GIVEN
         async with running_proxy_process(write_config(tmp_path, content), GIVEN) as process:
             port = await read_listening_port(process)
