--- a/tests/scenarios/test_no_files.py
+++ b/tests/scenarios/test_no_files.py
@@ -69,17 +69,18 @@
     async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(
-            WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("b", b.port), rev=2))
+            WATCH_RESPONSE_HEAD
+            + endpoint_list_chunk(endpoint_list(endpoint_entry("b", second_endpoint.port), rev=2))
         )
         await reader.read()
 
     async with (
-        StandInEndpoint(http_response(200, b"a")) as a,
-        StandInEndpoint(http_response(200, b"b")) as b,
-        StandInServer(tell) as d,
+        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
+        StandInServer(tell) as discovery,
     ):
-        told = proxy_config(known=endpoint_list(endpoint_entry("a", a.port)))
-        async with started(words, {**write_config(tmp_path, told), **env}, shell) as made:
+        config = proxy_config(known=endpoint_list(endpoint_entry("a", first_endpoint.port)))
+        async with started(words, {**write_config(tmp_path, config), **env}, shell) as made:
             said: list[str] = []
             port = await read_listening_port(made, said)
             for expected in (b"a", b"b"):
@@ -88,7 +89,7 @@
                 assert (await read_http_message(reader))[2] == expected
                 writer.close()
                 if expected == b"a":
-                    write_config(tmp_path, {**told, "discovery": f"127.0.0.1:{d.port}"})
+                    write_config(tmp_path, {**config, "discovery": f"127.0.0.1:{discovery.port}"})
                     made.send_signal(signal.SIGHUP)
                     assert made.stderr is not None
                     while "is b," not in said[-1]:
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -48,9 +48,9 @@
 ) -> None:
     """The attempt ends as too late; the connection has no timer any more, and none would ever close it."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as stand_in:
         pool = ConnectionPool(60.0, 30.0, 10)
-        calls, connects = RecordedAttempts(pool, b), ConnectGates(pool, [])
+        calls, connects = RecordedAttempts(pool, stand_in), ConnectGates(pool, [])
         calls.begin("a")
         await connects.wait_for(1)
         connects.open(0)
@@ -70,7 +70,7 @@
         assert pool.connections.open == set(pool.idle.by_endpoint.get(calls.endpoint, ()))
         await connects.advance(31.0)
         await wait_until(lambda: not pool.connections.open)
-        assert b.request_ids == ["a"]
+        assert stand_in.request_ids == ["a"]
 
 
 @pytest.mark.parametrize("turn_s", [0.003, 0.01, 0.05])
@@ -80,7 +80,7 @@
 ) -> None:
     """It stands at once, and any other one would cost the backend a handshake, and the proxy more turns."""
 
-    async with StandInEndpoint(http_response(200)) as b:
+    async with StandInEndpoint(http_response(200)) as stand_in:
         pool, clock, begun = ConnectionPool(60.0, 30.0, 10), SteppedClock(), 0
         for _ in range(WINDOW_SIZE):
             pool.pacing.latency.add(0.001)
@@ -92,7 +92,7 @@
             return await connect(endpoint)
 
         pool.connector.open = counted  # type: ignore[method-assign]
-        calls = RecordedAttempts(pool, b)
+        calls = RecordedAttempts(pool, stand_in)
         calls.begin("a", failover_within_s=30.0)
         slow = turns
         while not calls.outcomes:
