--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 import asyncio
+import weakref
 from collections import defaultdict
-from collections.abc import Sized
+from collections.abc import Callable, Sized
+from typing import Any
 
 import pytest
 
@@ -29,7 +31,31 @@
         parts_of(value, seen)
 
 
-def collection_sizes(proxy: LoopbackProxy) -> dict[str, int]:
+class TimerRecorder:
+    """Sees all timers that are set on the running event loop from now on."""
+
+    def __init__(self) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._timers: weakref.WeakSet[asyncio.TimerHandle] = weakref.WeakSet()
+        call_at = self._loop.call_at
+
+        def record_and_call_at(
+            when_s: float, callback: Callable[..., object], *args: Any, **named: Any
+        ) -> asyncio.TimerHandle:
+            timer = call_at(when_s, callback, *args, **named)
+            self._timers.add(timer)
+            return timer
+
+        self._loop.call_at = record_and_call_at  # type: ignore[method-assign, assignment]
+
+    @property
+    def pending_count(self) -> int:
+        """How many timers are set that have not been cancelled and are still to fire."""
+        now_s = self._loop.time()
+        return sum(not timer.cancelled() and timer.when() > now_s for timer in self._timers)
+
+
+def collection_sizes(proxy: LoopbackProxy, timers: TimerRecorder) -> dict[str, int]:
     """Return the size of every collection that lives as long as the process."""
     parts: dict[int, object] = {}
     for owner in (proxy.driver, proxy.pool, proxy.listener, proxy.clients):
@@ -40,16 +66,14 @@
             if isinstance(value, Sized) and not isinstance(value, str | bytes):
                 counted[f"{type(part).__name__}.{name}"] += len(value)
     counted["tasks"] = len(asyncio.all_tasks())
-    # Cancelled timers leave the loop in groups of about a hundred.
-    loop = asyncio.get_running_loop()
-    counted["timers"] = sum(not handle.cancelled() for handle in loop._scheduled)  # type: ignore[attr-defined]
+    counted["timers"] = timers.pending_count
     return counted
 
 
-async def collection_sizes_at_rest(proxy: LoopbackProxy) -> dict[str, int]:
+async def collection_sizes_at_rest(proxy: LoopbackProxy, timers: TimerRecorder) -> dict[str, int]:
     """Return the sizes once the timer of the periodic scan of attempts, if one is set, has fired."""
     await wait_until(lambda: not proxy.driver.timers)
-    return collection_sizes(proxy)
+    return collection_sizes(proxy, timers)
 
 
 async def replace_endpoint_and_send_request(
@@ -58,7 +82,7 @@
     """Put a new endpoint in the place of the one before, and send a request on a new client connection.
 
     The endpoint before is gone without draining. Every other client closes its connection, the others keep it
-    open for as long as their caller keeps what is returned.
+    open for as long as what is returned is referred to.
     """
     change = endpoint_list(
         endpoint_entry(f"s-{number}", port, "terminated"),
@@ -81,6 +105,7 @@
     first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
+    timers = TimerRecorder()
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry(f"s-{first}", endpoint.port), max_connections=20) as proxy,
@@ -89,12 +114,12 @@
             await replace_endpoint_and_send_request(proxy, endpoint.port, number)
             for number in range(first, first + WARM_UP_ROUNDS)
         ]
-        before = await collection_sizes_at_rest(proxy)
+        before = await collection_sizes_at_rest(proxy, timers)
         clients += [
             await replace_endpoint_and_send_request(proxy, endpoint.port, number)
             for number in range(first + WARM_UP_ROUNDS, first + WARM_UP_ROUNDS + MEASURED_ROUNDS)
         ]
-        after = await collection_sizes_at_rest(proxy)
+        after = await collection_sizes_at_rest(proxy, timers)
         assert before.keys() == after.keys()
         grown = {name: (before[name], after[name]) for name in after if after[name] > before[name]}
         assert not grown, grown
