--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -24,7 +24,7 @@
 
 
 class Turns:
-    """The most that is done of something in one turn of the event loop."""
+    """Counts how often something is done, in all and at most in one turn of the event loop."""
 
     def __init__(self) -> None:
         self.all = self.most = self._now = 0
@@ -45,7 +45,7 @@
 
 
 def chunks(count: int) -> bytes:
-    """A request whose body comes one byte a chunk."""
+    """Return a request with a body in chunks of one byte."""
     head = http_request("mark", request_id="chunks", Content_Length="0").replace(
         b"Content-Length: 0", b"Transfer-Encoding: chunked"
     )
@@ -111,7 +111,7 @@
 
 
 class Broken:
-    """A listener whose connections have ended before anything can be set on them."""
+    """A listening socket whose accepted connections have ended at once."""
 
     def __init__(self, listener: socket.socket) -> None:
         self._listener = listener
@@ -163,7 +163,7 @@
 async def test_connection_flood_uses_no_more_descriptors_than_its_limit(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also on the way from the accept to a place, and from a close to its end. A client then gets in."""
+    """Connections count from their accept until their socket is closed. A new client is served afterwards."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=64) as proxy,
@@ -192,7 +192,7 @@
 
 @contextmanager
 def no_descriptors() -> Iterator[None]:
-    """The system gives this process none for as long as this lasts."""
+    """Have the system refuse this process every further descriptor."""
     with socket.socket() as free:
         lowest = free.fileno()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -215,39 +215,39 @@
     return failures.all
 
 
+ACCEPTOR_LOG = "load_balancer.net.client.connection_acceptor"
+
+
+def acceptor_lines(caplog: pytest.LogCaptureFixture) -> list[str]:
+    return [record.getMessage() for record in caplog.records if record.name == ACCEPTOR_LOG]
+
+
 async def test_descriptor_shortage_is_logged_once_when_it_begins_and_ends(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """It is met again every 0.05 s while it lasts, and who waits for one is served afterwards."""
-    caplog.set_level(logging.INFO, logger="load_balancer.net.client.connection_acceptor")
-
-    def lines() -> list[str]:
-        return [
-            record.getMessage()
-            for record in caplog.records
-            if record.name == "load_balancer.net.client.connection_acceptor"
-        ]
-
+    """The accept is repeated every 0.05 s; a client that waited is served once the shortage is over."""
+    caplog.set_level(logging.INFO, logger=ACCEPTOR_LOG)
+    quiet_s = repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
         clock = FrozenClock()
-        for _ in range(2):  # a second spell is told of again
+        for _ in range(2):  # a second shortage is logged again
             caplog.clear()
             client = SocketClient(proxy)
             failure_count = await fail_to_accept(proxy, clock, times=30)
-            assert lines() == ["no descriptor for a connection: [Errno 24] Too many open files"]
+            begin = "no descriptor for a connection: [Errno 24] Too many open files"
+            assert acceptor_lines(caplog) == [begin]
             client.send(http_request(path="/ready"))
-            reader, writer = await client.streams()
-            assert response_status(await read_http_message(reader)) == 200
-            clock.advance(repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
-            await wait_until(lambda: len(lines()) > 1)
-            assert lines()[1:] == [f"no descriptor for a connection: over, {failure_count} times in all"]
-            writer.close()
-            clock.advance(repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S)
+            assert await client.read_statuses(1) == [200]
+            clock.advance(quiet_s)
+            await wait_until(lambda: len(acceptor_lines(caplog)) > 1)
+            end = f"no descriptor for a connection: over, {failure_count} times in all"
+            assert acceptor_lines(caplog)[1:] == [end]
+            clock.advance(quiet_s)
             await run_loop_turns()
-            assert len(lines()) == 2
+            assert len(acceptor_lines(caplog)) == 2
 
 
 async def test_connections_aborted_before_accept_are_logged_once(
@@ -270,13 +270,13 @@
 
 
 async def test_bytes_buffered_for_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whatever the system has of each of them: one read each at the most goes over the limit for all."""
+    """The total limit is exceeded by at most one read for each connection, however much the clients send."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES", 100_000)
-    callers = 40
+    client_count = 40
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        clients = [SocketClient(proxy) for _ in range(callers)]
-        await wait_until(lambda: len(proxy.clients.open_connections) == callers)
+        clients = [SocketClient(proxy) for _ in range(client_count)]
+        await wait_until(lambda: len(proxy.clients.open_connections) == client_count)
         for number, client in enumerate(clients):  # all of it before any is read
             client.socket.setblocking(False)
             client.socket.send(
@@ -285,9 +285,11 @@
             )
         connections = list(proxy.clients.open_connections)
         await wait_until(lambda: all(not connection.transport.is_reading() for connection in connections))
-        assert len(proxy.driver.requests) == callers  # each with its own request open
+        assert len(proxy.driver.requests) == client_count  # each with its own request open
         assert (
-            100_000 < proxy.clients.buffered.size_bytes <= 100_000 + callers * client_limits.READ_SIZE_BYTES
+            100_000
+            < proxy.clients.buffered.size_bytes
+            <= 100_000 + client_count * client_limits.READ_SIZE_BYTES
         )
         assert proxy.clients.buffered.size_bytes == sum(
             connection.http.received.size_bytes for connection in connections
@@ -299,7 +301,7 @@
 
 
 async def test_connection_is_not_evicted_while_its_request_is_parsed() -> None:
-    """All of it has come by then."""
+    """The whole request has been received by then."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -45,7 +45,7 @@
 async def test_attempt_awaiting_its_connection_is_not_sent_after_client_disconnects(
     kind: str, cancel: bool
 ) -> None:
-    """Settings may forbid to call an attempt off, but this one has not been sent yet."""
+    """Also where attempts must not be cancelled, as this one has not been sent yet."""
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
@@ -71,7 +71,7 @@
 async def test_pipelined_request_behind_a_response_is_not_forwarded_after_client_disconnects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The client's end has come, and what is queued for it still goes out: then the next request is read."""
+    """The next request is parsed once the response has been written, after the client's end of stream."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
@@ -94,43 +94,43 @@
         assert proxy.driver.is_idle
 
 
+def pipelined_requests(count: int) -> bytes:
+    """Return requests that are read in more than one go, so that a pause holds some of them back.
+
+    The rest and the end of the stream fit into the system's receive buffer, so that the end can be seen.
+    """
+    body = b"x" * 12_000
+    return b"".join(http_request("mark", request_id=f"r{number}", body=body) for number in range(count))
+
+
 @pytest.mark.parametrize("paused", [False, True])
 @pytest.mark.parametrize("cancel", [True, False])
 async def test_pipelined_request_behind_an_open_request_is_not_forwarded_after_client_disconnects(
     paused: bool, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its end shows though it stands behind more bytes than are taken in ahead of their turn."""
+    """The end of the stream is noticed behind more bytes than are buffered."""
     if paused:
         monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     clock, delayed = FrozenClock(), DelayedEndpoint()
-    limits = messages.Limits(max_attempts=3, cancel=cancel)
+    settings = balancer_settings(limits=messages.Limits(max_attempts=3, cancel=cancel))
     async with (
         StandInServer(delayed.handle) as endpoint,
-        running_proxy(
-            endpoint_entry("s-1", endpoint.port), settings=balancer_settings(limits=limits)
-        ) as proxy,
+        running_proxy(endpoint_entry("s-1", endpoint.port), settings=settings) as proxy,
     ):
         _, writer = await proxy.connect()
-        # Read in more than one go, so that the pause holds some of it back; the rest and the end of the
-        # stream fit into the system's receive buffer, so that the end can be seen.
-        body = b"x" * 12_000
-        writer.write(
-            b"".join(http_request("mark", request_id=f"r{number}", body=body) for number in range(6))
-        )
+        writer.write(pipelined_requests(6))
         await wait_until(lambda: bool(delayed.request_ids))
         [connection] = proxy.clients.open_connections
         await wait_until(lambda: connection.transport.is_reading() is not paused)
         writer.close()
-        for _ in range(100):
-            await asyncio.sleep(0)
+        await run_loop_turns(100)
         while not proxy.driver.is_idle:
             clock.advance(client_limits.PRESENCE_POLL_INTERVAL_S)
             await run_loop_turns()
         assert clock.advanced_s < 1.0  # the request's deadline has not ended it
         delayed.may_respond.set()
-        await wait_until(
-            lambda: not proxy.driver.requests.attempts.in_flight and not proxy.clients.open_connections
-        )
+        attempts = proxy.driver.requests.attempts
+        await wait_until(lambda: not attempts.in_flight and not proxy.clients.open_connections)
         assert delayed.request_ids == ["r0"]
         assert proxy.clients.buffered.size_bytes == 0
 
@@ -138,7 +138,7 @@
 async def test_request_read_after_its_client_disconnected_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It waited in the system, as it does while the event loop is busy; a kept connection is at harness."""
+    """Its bytes wait in the system while the event loop is busy; an idle connection is available."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -22,10 +22,18 @@
 from tests.support.attempts import HEAD_WITHOUT_LENGTH, INVALID_RESPONSES
 from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
-from tests.support.http_messages import HttpMessage, http_request, http_response, read_http_message
+from tests.support.http_messages import (
+    HttpMessage,
+    StreamPair,
+    closes_connection,
+    http_request,
+    http_response,
+    read_http_message,
+    response_status,
+)
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.raw_endpoint import ConnectionHandler, EndpointConnection, RawEndpoint
-from tests.support.stepped_clock import SteppedClock
+from tests.support.stepped_clock import SteppedClock, run_loop_turns
 from tests.support.units import SECOND_US
 
 STEP_S = 5.0
@@ -76,14 +84,14 @@
 
 @dataclass
 class Visit:
-    """An attempt as its backend saw it."""
+    """An attempt as its endpoint received it."""
 
     at: float
     step: int
     cell: int
     way: str
     wire: EndpointConnection
-    over: bool = False  # the backend has said its last word on it
+    over: bool = False  # the endpoint has said its last word on it
 
     @property
     def open(self) -> bool:
@@ -100,7 +108,7 @@
 
 @dataclass
 class Asked:
-    """A request of a client's."""
+    """A request that a client sent, and what came of it."""
 
     kind: str
     visits: list[Visit] = field(default_factory=list)
@@ -121,9 +129,9 @@
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    # Backends
+    # Endpoints
 
-    def backend(self, cell: int) -> ConnectionHandler:
+    def endpoint_handler(self, cell: int) -> ConnectionHandler:
         async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
             self.news += 1
             request_id = got[1].get("req-id", "none")
@@ -202,13 +210,13 @@
         before = asked.visits
         if asked.ended is not None and visit.step > asked.ended:
             self.faults.append(f"{request_id}: sent after its end")
-        if any(visit_.open for visit_ in before):
+        if any(visit.open for visit in before):
             self.faults.append(
-                f"{request_id}: a second copy, the first being {[visit_.way for visit_ in before]}"
+                f"{request_id}: a second copy, the first being {[visit.way for visit in before]}"
             )
         if len(before) >= MOST:
             self.faults.append(f"{request_id}: too many attempts")
-        ran = [visit_ for visit_ in before if visit_.way != "declined"]
+        ran = [visit for visit in before if visit.way != "declined"]
         if ran and asked.kind == "pay":
             self.faults.append(f"{request_id}: unsafe, and sent again after {ran[0].way}")
         if ran and asked.kind in ("write", "mark") and visit.at - ran[0].at > WINDOW_S:
@@ -219,53 +227,53 @@
     # Clients
 
     async def client(self, number: int, requests: int) -> None:
+        """Send requests one after another, on a new connection wherever the last one is over."""
         rng = random.Random(f"{self.seed} client {number}")
         streams = None
         for index in range(requests):
-            request_id, kind = (
-                f"r{number}-{index}",
-                rng.choice([request_class.name for request_class in CLASSES]),
-            )
-            body = b"" if kind == "read" else b"b" * rng.randrange(2000)
-            leaves = rng.randrange(30) if rng.random() < 0.2 else None
             streams = streams or await self.p.connect()
-            reader, writer = streams
-            asked = self.asked[request_id] = Asked(kind)
-            writer.write(http_request(kind, request_id=request_id, body=body, Req_Deadline="500"))
-            got = asyncio.ensure_future(read_http_message(reader))
-            if leaves is not None:
-                for _ in range(leaves):
-                    await asyncio.sleep(0)
-                if not got.done():
-                    got.cancel()
-                    writer.transport.abort()
-                    streams, asked.ended = None, self.step
-                    self.news += 1
-                    continue
-            try:
-                first, headers, said = await got
-            except (asyncio.IncompleteReadError, ConnectionError):
-                self.faults.append(f"{request_id}: lost")
-                streams = None
-                continue
-            self.news += 1
-            asked.ended, asked.status = self.step, int(first.split()[1])
-            self.judge(request_id, asked, said)
-            if headers.get("connection") == "close":
+            kind = rng.choice([request_class.name for request_class in CLASSES])
+            if not await self.request(rng, f"r{number}-{index}", kind, streams):
                 streams = None
         if streams is not None:
             streams[1].close()
 
+    async def request(self, rng: random.Random, request_id: str, kind: str, streams: StreamPair) -> bool:
+        """Send one request and check its response, or leave; return whether the connection goes on."""
+        reader, writer = streams
+        body = b"" if kind == "read" else b"b" * rng.randrange(2000)
+        leaves_after = rng.randrange(30) if rng.random() < 0.2 else None
+        asked = self.asked[request_id] = Asked(kind)
+        writer.write(http_request(kind, request_id=request_id, body=body, Req_Deadline="500"))
+        got = asyncio.ensure_future(read_http_message(reader))
+        if leaves_after is not None:
+            await run_loop_turns(leaves_after)
+            if not got.done():
+                got.cancel()
+                writer.transport.abort()
+                asked.ended = self.step
+                self.news += 1
+                return False
+        try:
+            response = await got
+        except (asyncio.IncompleteReadError, ConnectionError):
+            self.faults.append(f"{request_id}: lost")
+            return False
+        self.news += 1
+        asked.ended, asked.status = self.step, response_status(response)
+        self.judge(request_id, asked, response.body)
+        return not closes_connection(response)
+
     def judge(self, request_id: str, asked: Asked, said: bytes) -> None:
         """The rules, as the final answer comes in. A second one would be taken for the next request's."""
         made = {"answer", "answer twice", "answer, late again", "answer, then end", "answer after a while"}
-        ran = [visit_ for visit_ in asked.visits if visit_.way != "declined"]
+        ran = [visit for visit in asked.visits if visit.way != "declined"]
         match asked.status:
             case 200:
                 if said != request_id.encode() or not any(
-                    visit_.way in {*made, "no length, end"} for visit_ in asked.visits
+                    visit.way in {*made, "no length, end"} for visit in asked.visits
                 ):
-                    self.faults.append(f"{request_id}: served with {said!r}, which no backend made for it")
+                    self.faults.append(f"{request_id}: served with {said!r}, which no endpoint made for it")
             case 503:
                 if ran and asked.kind in ("write", "pay"):
                     self.faults.append(f"{request_id}: refused, though it may have run by {ran[0].way}")
@@ -288,38 +296,40 @@
             task.result()
 
 
-@asynccontextmanager
-async def running_world(seed: int) -> AsyncIterator[World]:
-    """Run a proxy before six endpoints that are as faulty as the seed says, and one that refuses connects."""
+def world_settings(seed: int) -> messages.Settings:
     limits = messages.Limits(
         max_attempts=MOST, cancel=seed % 2 == 0, connect_timeout_us=round(CONNECT_S * SECOND_US)
     )
+    return balancer_settings(classes=CLASSES, limits=limits)
+
+
+@asynccontextmanager
+async def running_world(seed: int) -> AsyncIterator[World]:
+    """Run a proxy before six endpoints that are as faulty as the seed says, and one that refuses connects."""
     worlds: list[World] = []
 
     def handler(cell: int) -> ConnectionHandler:
         async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-            await worlds[0].backend(cell)(wire, got)
+            await worlds[0].endpoint_handler(cell)(wire, got)
 
         return handle
 
     async with AsyncExitStack() as stack:
         closed = stack.enter_context(socket.socket())
         closed.bind(("127.0.0.1", 0))
-        endpoints = [await stack.enter_async_context(RawEndpoint(handler(number % 2))) for number in range(6)]
-        entries = [
-            endpoint_entry(f"s-{index}", endpoint.port, pod_group=index % 2)
-            for index, endpoint in enumerate(endpoints)
-        ]
-        p = await stack.enter_async_context(
+        entries = [endpoint_entry("s-closed", closed.getsockname()[1])]
+        for number in range(6):
+            endpoint = await stack.enter_async_context(RawEndpoint(handler(number % 2)))
+            entries.insert(number, endpoint_entry(f"s-{number}", endpoint.port, pod_group=number % 2))
+        proxy = await stack.enter_async_context(
             running_proxy(
                 *entries,
-                endpoint_entry("s-closed", closed.getsockname()[1]),
-                settings=balancer_settings(classes=CLASSES, limits=limits),
+                settings=world_settings(seed),
                 connect_timeout_s=CONNECT_S,
                 idle_timeout_s=9000.0,
             )
         )
-        worlds.append(World(seed, p))
+        worlds.append(World(seed, proxy))
         yield worlds[0]
 
 
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -13,13 +13,14 @@
 from load_balancer import messages
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.net.discovery.endpoint_watch import BREAK_LOG_WINDOW_S
+from tests.net.discovery.list_server import HeldListServer
+from tests.process.process_helpers import wait_for_log_line
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
     endpoint_list,
-    endpoint_list_chunk,
 )
-from tests.support.http_messages import http_chunk, http_request, http_response, read_http_message
+from tests.support.http_messages import http_chunk, http_request, http_response, send_request_to
 from tests.support.loopback_proxy import LoopbackProxy
 from tests.support.proxy_process import (
     LIMITS,
@@ -44,7 +45,7 @@
     running_watch_count,
     watching_proxy,
 )
-from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, advance_until
 
 JUMPS = 300  # of the clock in an outage, however long
@@ -59,7 +60,7 @@
 
 
 OUTAGES: dict[str, Callable[[DiscoveryCall], None]] = {
-    "turned away": lambda call: call.send(http_response(503), end=True),
+    "rejected": lambda call: call.send(http_response(503), end=True),
     "reset": lambda call: call.writer.transport.abort(),
     "ends at once": lambda call: call.send(b"", end=True),
     "silent": lambda call: None,
@@ -83,7 +84,7 @@
 
 
 def all_is_small(discovery: StandInDiscovery, proxy: LoopbackProxy) -> None:
-    """Nothing of the calls that failed is left."""
+    """Assert that failed calls have left no task, timer or open call behind."""
     assert sum(not call.closed_by_proxy.is_set() for call in discovery.calls) <= 1
     assert running_watch_count() <= 1
     assert len(proxy.driver.balancer.outbox.timers) <= 2
@@ -97,7 +98,7 @@
 async def test_change_is_applied_in_time_after_a_long_outage_and_nothing_accumulates(
     setup: messages.Settings, mood: str, minutes: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Discovery is back just after a call has failed, or with a call out that it never answers."""
+    """Discovery returns just after a call has failed, or while one is open that it never answers."""
 
     async with watching_proxy(setup) as (discovery, proxy, clock):
         await advance_until(clock, lambda: len(discovery.calls) == 1)
@@ -149,7 +150,7 @@
 
 
 async def test_each_poll_waits_for_its_turn_at_an_overloaded_discovery() -> None:
-    """It tells each call after its turn of 2 s and then drops it, for minutes: no news is left out."""
+    """For minutes each poll is answered after 2 s and then reset: no version is missed."""
 
     async with watching_proxy(POLLED_SETTINGS) as (discovery, proxy, clock):
         for rev in range(1, 41):
@@ -163,7 +164,7 @@
 async def served_as(
     rev: int, discovery: StandInDiscovery, proxy: LoopbackProxy, clock: SteppedClock
 ) -> float:
-    """Has the call that is out told this version after its longest time in the queue."""
+    """Answer the open call with this version after its longest time in the queue."""
     waited = await advance_until(clock, lambda: discovery.calls[-1].closed_by_proxy.is_set(), POLL_QUEUE_S)
     discovery.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
     waited += await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == rev, 1.0)
@@ -176,7 +177,7 @@
 async def test_watch_that_falls_silent_repeatedly_is_replaced_in_time(
     setup: messages.Settings, beats: bool
 ) -> None:
-    """For minutes: each watch tells one version and stops, some after a beat."""
+    """For minutes: each watch delivers one version and falls silent, some after a heartbeat."""
 
     async with watching_proxy(setup) as (discovery, proxy, clock):
         for rev in range(1, 21):
@@ -190,57 +191,47 @@
             all_is_small(discovery, proxy)
 
 
+async def wait_for_held_list(
+    mode: str, process: asyncio.subprocess.Process, port: int, discovery: HeldListServer
+) -> None:
+    """Let the held list go, and wait until the process has applied it."""
+    if mode == "automatic":  # what the agent has counts as told at once: no request before it
+        with pytest.raises(ConnectionRefusedError):
+            await asyncio.open_connection("127.0.0.1", port)
+        discovery.may_respond.set()
+        await read_listening_port(process)
+    else:
+        await read_listening_port(process)
+        discovery.may_respond.set()
+        await wait_for_log_line(process, "is b,")
+
+
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
 async def test_restart_with_a_cached_list_applies_a_drain_before_the_first_request(
     tmp_path: Path, mode: str
 ) -> None:
     """Its list knows `a` alone. Discovery is slow, then tells that `a` drains and that `b` is there."""
-
-    async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        asked.set()
-        await turn.wait()
-        news = endpoint_list(
-            endpoint_entry("a", first_endpoint.port, "terminating"),
-            endpoint_entry("b", second_endpoint.port),
-            rev=7,
-            full=False,
-        )
-        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(news))
-        await reader.read()
-
-    asked, turn = asyncio.Event(), asyncio.Event()
+    discovery = HeldListServer(is_held=True)
     async with (
-        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
-        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
-        StandInServer(slow) as discovery,
+        StandInEndpoint(http_response(200, b"a")) as drained,
+        StandInEndpoint(http_response(200, b"b")) as new,
+        discovery,
     ):
+        drain = endpoint_entry("a", drained.port, "terminating")
+        discovery.present_list = endpoint_list(drain, endpoint_entry("b", new.port), rev=7, full=False)
         for _ in range(2):  # killed outright and started again, under its name and address
-            turn.clear()
-            asked.clear()
+            discovery.may_respond.clear()
+            discovery.requested.clear()
             port = unused_port()
             told = proxy_config(
                 listen=f"127.0.0.1:{port}",
                 discovery=f"127.0.0.1:{discovery.port}",
-                known=endpoint_list(endpoint_entry("a", first_endpoint.port), rev=1),
+                known=endpoint_list(endpoint_entry("a", drained.port), rev=1),
                 settings=raw_settings(limits=LIMITS, registryMode=mode),
             )
-            async with running_proxy_process(write_config(tmp_path, told)) as made:
-                assert made.stderr is not None
-                await asked.wait()
-                if mode == "automatic":  # what the agent has counts as told at once: no request before it
-                    with pytest.raises(ConnectionRefusedError):
-                        await asyncio.open_connection("127.0.0.1", port)
-                    turn.set()
-                    await read_listening_port(made)
-                else:
-                    await read_listening_port(made)
-                    turn.set()
-                    while b"is b," not in (line := await made.stderr.readline()):
-                        assert line, "it ended"
+            async with running_proxy_process(write_config(tmp_path, told)) as process:
+                await discovery.requested.wait()
+                await wait_for_held_list(mode, process, port, discovery)
                 for number in range(10):
-                    reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    writer.write(http_request(request_id=f"r{number}"))
-                    assert (await read_http_message(reader))[2] == b"b"
-                    writer.close()
-        assert first_endpoint.received == []
+                    assert (await send_request_to(port, http_request(request_id=f"r{number}"))).body == b"b"
+        assert drained.received == []
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -25,6 +25,7 @@
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import (
     HttpMessage,
+    StreamPair,
     http_request,
     http_response,
     read_http_message,
@@ -59,6 +60,14 @@
     return transports
 
 
+async def send_partly(proxy: LoopbackProxy, kind: str, transports: list[asyncio.Transport]) -> StreamPair:
+    """Send a large request, and wait until a part of it is written to an endpoint, and a part is not."""
+    reader, writer = await proxy.connect()
+    writer.write(http_request(kind, request_id="big", body=b"x" * 65_536))
+    await wait_until(lambda: bool(transports) and transports[-1].get_write_buffer_size() > 0)
+    return reader, writer
+
+
 @pytest.mark.parametrize("kept", [False, True])
 @pytest.mark.parametrize("cancel", [False, True])
 @pytest.mark.parametrize("how", ["gone", "deadline", "end"])
@@ -69,7 +78,7 @@
     narrow_transports: list[asyncio.Transport],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its endpoint has taken only a part: nothing has run yet, and the rest would make it run for nobody."""
+    """The endpoint has only a part of it: with the rest the request would run although nobody waits."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
@@ -83,11 +92,7 @@
             assert (await proxy.send_request(http_request("mark", request_id="first")))[2] == b"x"
         endpoint.reading.clear()
         clock = proxy.step_clocks()
-        reader, writer = await proxy.connect()
-        writer.write(http_request("mark" if kept else "pay", request_id="big", body=b"x" * 65_536))
-        await wait_until(
-            lambda: bool(narrow_transports) and narrow_transports[-1].get_write_buffer_size() > 0
-        )
+        reader, writer = await send_partly(proxy, "mark" if kept else "pay", narrow_transports)
         end_request(how, proxy, clock, writer)
         if how != "gone":  # at the end of the proxy the policy counts what is in flight as what may have run
             expected_status = 502 if how == "end" and not kept else 503
@@ -104,7 +109,7 @@
 async def test_abandoned_attempt_has_ended_at_its_endpoint_before_its_outcome(
     pool: ConnectionPool, how: str
 ) -> None:
-    """The next one may be written in the same turn, on a kept connection: it must be no second copy."""
+    """The retry may be written in the same turn: the endpoints must never hold two copies."""
 
     async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
         if how == "invalid":
@@ -192,7 +197,7 @@
     on_established: Callable[[ConnectionHook], None],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All that may end it, in each order of four, in one turn of the loop; the next request gets its own."""
+    """Four events in each order, in one turn of the event loop; the next request gets its own response."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     transports: list[asyncio.Transport] = []
     on_established(lambda connection: transports.append(connection.transport))
@@ -260,7 +265,7 @@
 async def test_attempt_has_one_outcome_when_ended_during_its_connect(
     new_pool: PoolFactory, moment: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
-    """All that may end it, in each order of two, as its connection comes up: and nothing is sent."""
+    """Two events in each order, as its connection is being established: nothing is sent."""
     crossing = ConnectCrossing(moment)
     on_established(crossing.established)
     orders = product(permutations(OUTCOMES_DURING_CONNECT, 2), (KEYED_REQUEST, UNSAFE_REQUEST))
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -15,6 +15,8 @@
 import pytest
 
 from load_balancer.process.config import ConfigSource
+from tests.net.discovery.list_server import HeldListServer
+from tests.process.process_helpers import SlowEndpoint
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -31,7 +33,7 @@
     unused_port,
     write_config,
 )
-from tests.support.stand_in_server import StandInEndpoint, StandInServer
+from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock
 
 READY_S = 10.0  # by the terms, for nine in ten
@@ -66,7 +68,7 @@
 
 
 class Moody:
-    """Discovery that is down in one of several ways, and may come back."""
+    """A discovery that fails in one of several ways, and may return."""
 
     def __init__(self, mood: str) -> None:
         self.mood, self.news = mood, b""
@@ -95,10 +97,10 @@
             listener = socket.create_server(("127.0.0.1", self.port), backlog=0)
             self.taken.append(listener)
             for _ in range(4):
-                made = socket.socket()
-                made.setblocking(False)
-                made.connect_ex(("127.0.0.1", self.port))
-                self.taken.append(made)
+                held_socket = socket.socket()
+                held_socket.setblocking(False)
+                held_socket.connect_ex(("127.0.0.1", self.port))
+                self.taken.append(held_socket)
         elif self.mood == "not there":
             held = socket.socket()  # the address is taken, and nobody listens
             held.bind(("127.0.0.1", self.port))
@@ -107,32 +109,32 @@
             self.server = await asyncio.start_server(self.handle, "127.0.0.1", self.port)
 
     async def come_back(self, news: dict[str, object]) -> None:
-        for made in self.taken:
-            made.close()
+        for held_socket in self.taken:
+            held_socket.close()
         self.taken.clear()
         self.mood, self.news = "answers", endpoint_list_chunk(news)
         if self.server is None:
             await self.start()
 
     def stop(self) -> None:
-        for made in self.taken:
-            made.close()
+        for held_socket in self.taken:
+            held_socket.close()
         if self.server is not None:
             self.server.close()
 
 
 @asynccontextmanager
 async def moody(mood: str) -> AsyncIterator[Moody]:
-    made = Moody(mood)
-    await made.start()
+    discovery = Moody(mood)
+    await discovery.start()
     try:
-        yield made
+        yield discovery
     finally:
-        made.stop()
+        discovery.stop()
 
 
 async def ready(port: int) -> bool:
-    """What the front sees."""
+    """Return whether the proxy says that it is ready."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except ConnectionRefusedError:
@@ -170,7 +172,7 @@
 @MODES
 @MOODS
 async def test_ready_with_a_cached_list_while_discovery_is_down(tmp_path: Path, mode: str, mood: str) -> None:
-    """Where lists are pushed it first waits for discovery's word, as that counts from the first moment on."""
+    """Where lists are pushed it first waits for discovery, whose list counts as notified from the start."""
 
     async with moody(mood) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
         port = unused_port()
@@ -187,7 +189,7 @@
 async def test_ready_without_a_list_soon_after_discovery_returns(
     tmp_path: Path, mode: str, mood: str, known: object
 ) -> None:
-    """A call that hangs may be given up first, and a wait follows; the last call failed just before."""
+    """A call that hangs is given up first, and a backoff follows; the last call failed just before."""
 
     async with moody(mood) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
         port = unused_port()
@@ -206,16 +208,16 @@
         writer.close()
 
 
-async def until_ready(made: asyncio.subprocess.Process, port: int) -> None:
-    """Until the front would take it in; the test's own patience is the terms' 10 s."""
+async def until_ready(process: asyncio.subprocess.Process, port: int) -> None:
+    """Wait until it is ready; the time limit of a test is the 10 s allowed for a start."""
     while not await ready(port):
-        assert made.returncode is None, "it ended"
+        assert process.returncode is None, "it ended"
         await asyncio.sleep(0.02)
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
 async def test_processes_with_and_without_a_cached_list_become_ready(tmp_path: Path, mode: str) -> None:
-    """Discovery is silent at first; those without a list wait for it, the others don't."""
+    """Discovery is silent at first: processes without a cached list wait for it, the other does not."""
 
     async with (
         moody("silent") as discovery,
@@ -223,7 +225,7 @@
         AsyncExitStack() as stack,
     ):
         news = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
-        made: list[asyncio.subprocess.Process] = []
+        processes: list[asyncio.subprocess.Process] = []
         ports = [unused_port() for _ in range(3)]
         for number, known in enumerate(
             (endpoint_list(endpoint_entry("a", endpoint.port)), None, SPOILT["an odd address"][0])
@@ -233,13 +235,13 @@
             env = write_config(
                 folder, {**told(mode, discovery.port, known), "listen": f"127.0.0.1:{ports[number]}"}
             )
-            made.append(await stack.enter_async_context(running_proxy_process(env)))
-        await until_ready(made[0], ports[0])
+            processes.append(await stack.enter_async_context(running_proxy_process(env)))
+        await until_ready(processes[0], ports[0])
         assert not await ready(ports[1])
         assert not await ready(ports[2])
         await discovery.come_back(news)
         for number in (1, 2):
-            await until_ready(made[number], ports[number])
+            await until_ready(processes[number], ports[number])
         assert [await served_by(port) for port in ports] == [b"x"] * 3
 
 
@@ -247,7 +249,7 @@
 
 
 async def until_read(path: Path) -> int:
-    """The writing end of a pipe, once somebody has it open for reading."""
+    """Return the writing end of a pipe, once a process has it open for reading."""
     while True:
         with contextlib.suppress(OSError):
             return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
@@ -265,71 +267,79 @@
 
 
 async def until_at(
-    stage: str, made: asyncio.subprocess.Process, port: int, asked: asyncio.Event, begun: asyncio.Event
+    stage: str,
+    process: asyncio.subprocess.Process,
+    port: int,
+    endpoint: SlowEndpoint,
+    discovery: HeldListServer,
 ) -> StreamPair | None:
-    """Waits for a stage of the start; where it serves, returns the connection of the call, which is held."""
+    """Wait for a stage of the start; where it serves, return the connection of the request that is held."""
     if stage not in ("just begun", "reading its configuration"):
-        await asked.wait()
+        await discovery.requested.wait()
     if stage in ("ready", "serving"):
-        await until_ready(made, port)
+        await until_ready(process, port)
     if stage != "serving":
         return None
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(http_request(request_id="slow"))
-    await begun.wait()
+    await endpoint.slow_received.wait()
     return reader, writer
 
 
+async def end_at(
+    stage: str,
+    number: signal.Signals,
+    process: asyncio.subprocess.Process,
+    port: int,
+    endpoint: SlowEndpoint,
+    discovery: HeldListServer,
+) -> tuple[int, StreamPair | None]:
+    """End the process at this stage; return its code, and the connection of a request that was held."""
+    held = await until_at(stage, process, port, endpoint, discovery)
+    process.send_signal(number)
+    if number is signal.SIGTERM and stage == "serving":
+        endpoint.may_respond.set()
+    return await process.wait(), held
+
+
+@asynccontextmanager
+async def starting_process(
+    stage: str, folder: Path, env: dict[str, str]
+) -> AsyncIterator[asyncio.subprocess.Process]:
+    """Start a process, which waits in the read of its configuration where that is the stage to end it at."""
+    if stage != "reading its configuration":
+        async with running_proxy_process(env) as process:
+            yield process
+        return
+    pipe = folder / "pipe"
+    os.mkfifo(pipe)
+    async with running_proxy_process({"NODE_CONFIG": str(pipe)}) as process:
+        writing_end = await until_read(pipe)
+        await until_blocked(process.pid)
+        try:
+            yield process
+        finally:
+            os.close(writing_end)
+
+
 @pytest.mark.parametrize("stage", STAGES)
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM], ids=["SIGKILL", "SIGTERM"])
 async def test_process_ended_at_any_stage_of_its_start_can_restart(
     tmp_path: Path, stage: str, number: signal.Signals
 ) -> None:
     """SIGTERM ends it with no error; the next one binds and serves though clients hold connections."""
-
-    asked, begun, go_on = asyncio.Event(), asyncio.Event(), asyncio.Event()
-
-    async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await reader.readuntil(b"\r\n\r\n")
-        asked.set()
-        if stage == "waiting for discovery":
-            await go_on.wait()
-        writer.write(
-            WATCH_RESPONSE_HEAD
-            + endpoint_list_chunk(endpoint_list(endpoint_entry("a", endpoint.port), rev=2))
-        )
-        await reader.read()
-
-    async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while True:
-            _, headers, _ = await read_http_message(reader)
-            if headers["req-id"] == "slow":
-                begun.set()
-                await go_on.wait()
-            writer.write(http_response(200, b"x"))
-
-    async with StandInServer(slow) as endpoint, StandInServer(hold) as discovery:
+    endpoint, discovery = SlowEndpoint(b"x"), HeldListServer(is_held=stage == "waiting for discovery")
+    async with endpoint, discovery:
+        discovery.present_list = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
         port = unused_port()
-        env = write_config(
-            tmp_path, {**told("automatic", discovery.port, None), "listen": f"127.0.0.1:{port}"}
-        )
-        pipe = tmp_path / "pipe"
-        os.mkfifo(pipe)
-        reading = stage == "reading its configuration"
-        async with running_proxy_process({"NODE_CONFIG": str(pipe)} if reading else env) as first:
-            end = await until_read(pipe) if reading else None
-            if reading:
-                await until_blocked(first.pid)
-            held = await until_at(stage, first, port, asked, begun)
-            first.send_signal(number)
-            if number is signal.SIGTERM and stage == "serving":
-                go_on.set()
-            code = await first.wait()
-            if end is not None:
-                os.close(end)
+        content = {**told("automatic", discovery.port, None), "listen": f"127.0.0.1:{port}"}
+        env = write_config(tmp_path, content)
+        async with starting_process(stage, tmp_path, env) as first:
+            code, held = await end_at(stage, number, first, port, endpoint, discovery)
             # Before its first line has run the system's own end is the only one.
             assert code in ((0, -number) if stage == "just begun" else (0,)) or number is signal.SIGKILL
-            go_on.set()
+            endpoint.may_respond.set()
+            discovery.may_respond.set()
             async with running_proxy_process(env) as second:
                 await until_ready(second, port)
                 assert await served_by(port) == b"x"
