--- a/load_balancer/messages/actions.py
+++ b/load_balancer/messages/actions.py
@@ -11,20 +11,20 @@
 
     endpoint_id: int
     share: float
-    in_flight: int  # own attempts; an overdue one counts twice, one that failed for a while longer
+    load: int  # own attempts; an overdue one counts twice, one that failed for a while longer
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
     """Start an attempt and end it with a time-out after `timeout_us`."""
 
-    request: str
+    request_id: str
     endpoint_id: int
     timeout_us: int
     draws: tuple[Draw, ...] = ()  # why this endpoint: the draws, the winner first
     # Where no connection to this endpoint comes up, the attempt should end as not sent within this time, so
     # that the request may still go to another endpoint. 0: the attempt should wait for a connection.
-    relocate_within_us: int = 0
+    max_connection_wait_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,15 +38,15 @@
 class CancelAttempt:
     """Give up waiting for an attempt."""
 
-    request: str
-    attempt: int
+    request_id: str
+    attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
     """Final response: not done, and trying again is harmless."""
 
-    request: str
+    request_id: str
     retry_after_us: int = 0  # when the client may best come back; 0: no advice
 
 
@@ -54,14 +54,14 @@
 class Fail:
     """Final response: failed, with no promise about the effect."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
     """Ask for a `TimerFired` at a time."""
 
-    timer: int
+    timer_id: int
     at_us: int
 
 
@@ -69,7 +69,7 @@
 class CancelTimer:
     """Cancel a timer. One that cannot be cancelled any more may still fire."""
 
-    timer: int
+    timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/load_balancer/messages/events.py
+++ b/load_balancer/messages/events.py
@@ -33,7 +33,7 @@
 
     id: str
     class_name: str
-    time_left_us: int
+    time_remaining_us: int
     tenant: str | None = None
     retry: bool = False  # the client says that it has sent the request before
 
@@ -42,27 +42,27 @@
 class AttemptEnded:
     """An attempt has ended; every `StartAttempt` gets exactly one of these."""
 
-    request: str
-    attempt: int  # numbered 0, 1, 2 ... in the order in which they were sent
+    request_id: str
+    attempt_number: int  # numbered 0, 1, 2 ... in the order in which they were sent
     endpoint_id: int
     outcome: Outcome
-    took_us: int
-    last: bool  # the request is over: its response went to the client
+    duration_us: int
+    is_request_finished: bool  # the request is over: its response went to the client
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
     """The answer of a streamed request has begun; it belongs to the client from now on."""
 
-    request: str
-    attempt: int
+    request_id: str
+    attempt_number: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
     """A timer set by this balancer is due."""
 
-    timer: int
+    timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     """A health check has ended; every `CheckHealth` gets exactly one of these."""
 
     endpoint_id: int
-    alive: bool  # the endpoint answered, or could not be asked
+    is_alive: bool  # the endpoint answered, or could not be asked
     in_flight: float | None = None  # by its load report, where it has one: late and a little noisy
 
 
@@ -78,7 +78,7 @@
 class ClientGone:
     """The client has left; no response is owed any more."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
--- a/load_balancer/messages/settings.py
+++ b/load_balancer/messages/settings.py
@@ -126,8 +126,8 @@
     index: int = 0  # this balancer's number among them, from 0
     zone: str = ""  # where this balancer is
     # Prices, as shares of a request's weight.
-    cross_zone_price: float = 0.0  # of an attempt that leaves the zone
-    handshake_price: float = 0.0  # of a new connection
+    cross_zone_cost: float = 0.0  # of an attempt that leaves the zone
+    handshake_cost: float = 0.0  # of a new connection
     must_subscribe: bool = False  # discovery sends the endpoint list only on request
     tick_us: int = 1_000  # events are handed over at this interval
 
@@ -145,6 +145,6 @@
         _require("worst_class_weight", "is outside 0 to 1", holds=0 <= self.worst_class_weight <= 1)
         _require("instances", "is below one", holds=self.instances >= 1)
         _require("index", "is not below instances", holds=0 <= self.index < self.instances)
-        _require("cross_zone_price", "is negative", holds=self.cross_zone_price >= 0)
-        _require("handshake_price", "is negative", holds=self.handshake_price >= 0)
+        _require("cross_zone_cost", "is negative", holds=self.cross_zone_cost >= 0)
+        _require("handshake_cost", "is negative", holds=self.handshake_cost >= 0)
         _require("tick_us", "is negative", holds=self.tick_us >= 0)
--- a/load_balancer/net/driver/action_performer.py
+++ b/load_balancer/net/driver/action_performer.py
@@ -87,8 +87,8 @@
 
     def _end_request(self, action: messages.Reject | messages.Fail) -> None:
         if isinstance(action, messages.Fail):
-            self._requests.respond(action.request, BAD_GATEWAY)
+            self._requests.respond(action.request_id, BAD_GATEWAY)
             return
         after_us = action.retry_after_us
         headers = ((b"retry-after", b"%.3f" % (after_us / 1e6)),) if after_us > 0 else ()
-        self._requests.respond(action.request, ClientResponse(503, headers=headers))
+        self._requests.respond(action.request_id, ClientResponse(503, headers=headers))
--- a/load_balancer/net/driver/attempt_dispatcher.py
+++ b/load_balancer/net/driver/attempt_dispatcher.py
@@ -83,7 +83,7 @@
             action: The policy's decision.
             decided_at_s: The event loop's time of the decision, which the limits of the attempt count from.
         """
-        request = self._requests.get(action.request)
+        request = self._requests.get(action.request_id)
         endpoint = self._endpoints.find(action.endpoint_id)
         started_at_us = self._clock.now_us()
         if request is None:
@@ -103,7 +103,7 @@
             self._to_upstream_request(request),
             action.timeout_us / 1e6,
             on_outcome,
-            action.relocate_within_us / 1e6,
+            action.max_connection_wait_us / 1e6,
             decided_at_s,
         )
         if not attempt.is_over:
@@ -111,10 +111,10 @@
 
     def cancel(self, action: messages.CancelAttempt) -> None:
         """Cancel an attempt; do nothing where it has ended."""
-        attempt = self._attempts.in_flight.get(AttemptKey(action.request, action.attempt))
+        attempt = self._attempts.in_flight.get(AttemptKey(action.request_id, action.attempt_number))
         if attempt is None:
             return
-        if action.request in self._requests:
+        if action.request_id in self._requests:
             attempt.cancel_unanswered()
         else:  # nobody waits for it, which says nothing of its endpoint
             attempt.cancel()
@@ -165,7 +165,7 @@
 def _log_unknown(what: str, action: messages.StartAttempt) -> None:
     log.error(
         "cannot start an attempt of request %s on endpoint %d: the %s is unknown",
-        action.request,
+        action.request_id,
         action.endpoint_id,
         what,
     )
--- a/load_balancer/net/driver/event_loop_driver.py
+++ b/load_balancer/net/driver/event_loop_driver.py
@@ -147,7 +147,7 @@
         decided_at_s = self._loop.time()
         now_us = self.clock.now_us()
         if isinstance(event, messages.Request):
-            event = replace(event, time_left_us=self.requests.time_remaining_us(event.id))
+            event = replace(event, time_remaining_us=self.requests.time_remaining_us(event.id))
         try:
             actions = self.balancer.handle(now_us, event)
         except Exception:  # one request's fault would end the whole proxy, and all open requests be lost
@@ -159,5 +159,5 @@
     def _fail_request_of(self, event: messages.Event) -> None:
         """Respond at once where the event says whose request it is; others are ended at their deadline."""
         match event:
-            case messages.Request(id=request_id) | messages.AttemptEnded(request=request_id):
+            case messages.Request(id=request_id) | messages.AttemptEnded(request_id=request_id):
                 self.requests.fail(request_id)
--- a/load_balancer/net/driver/health_check_sender.py
+++ b/load_balancer/net/driver/health_check_sender.py
@@ -38,7 +38,7 @@
         """Send a health check. One of an endpoint that has left the list fails at once."""
         endpoint = self._endpoints.find(action.endpoint_id)
         if endpoint is None:
-            self._events.put(messages.HealthCheckEnded(action.endpoint_id, alive=False))
+            self._events.put(messages.HealthCheckEnded(action.endpoint_id, is_alive=False))
             return
         on_outcome = partial(self._finish, action.endpoint_id)
         self._pool.start_attempt(endpoint, HEALTH_CHECK_REQUEST, HEALTH_CHECK_TIMEOUT_S, on_outcome)
--- a/load_balancer/net/driver/policy_timers.py
+++ b/load_balancer/net/driver/policy_timers.py
@@ -31,11 +31,11 @@
     def set(self, action: messages.SetTimer) -> None:
         """Set a timer. One whose time has passed fires in the next turn of the event loop."""
         delay_s = max(0.0, (action.at_us - self._clock.now_us()) / 1e6)
-        self._handles[action.timer] = self._loop.call_later(delay_s, self._fire, action.timer)
+        self._handles[action.timer_id] = self._loop.call_later(delay_s, self._fire, action.timer_id)
 
     def cancel(self, action: messages.CancelTimer) -> None:
         """Cancel a timer; do nothing where it has fired."""
-        handle = self._handles.pop(action.timer, None)
+        handle = self._handles.pop(action.timer_id, None)
         if handle is not None:
             handle.cancel()
 
--- a/load_balancer/policy/attempt_dispatcher.py
+++ b/load_balancer/policy/attempt_dispatcher.py
@@ -72,7 +72,7 @@
 
     def end(self, event: messages.AttemptEnded) -> EndpointAttempt | None:
         """Record the outcome of an attempt and return it; none where no such attempt is in flight."""
-        attempt = self.in_flight.pop((event.request, event.attempt), None)
+        attempt = self.in_flight.pop((event.request_id, event.attempt_number), None)
         if attempt is None:
             return None
         attempt.outcome = event.outcome
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -92,17 +92,17 @@
             case messages.AttemptEnded():
                 self.requests.attempt_ended(now_us, event)
             case messages.TimerFired():
-                self._timer_fired(now_us, event.timer)
+                self._timer_fired(now_us, event.timer_id)
             case messages.EndpointListUpdate():
                 self._list_updated(now_us, event)
             case messages.HealthCheckEnded():
                 self.health.check_ended(now_us, event)
             case messages.ClientGone():
-                self.open_requests.client_gone(event.request)
+                self.open_requests.client_gone(event.request_id)
             case messages.ShutdownStarted():
                 self.open_requests.finish_all()
             case messages.StreamStarted():
-                self.open_requests.stream_started(event.request)
+                self.open_requests.stream_started(event.request_id)
 
     def _timer_fired(self, now_us: int, timer: int) -> None:
         match self.outbox.timer_fired(timer):
--- a/load_balancer/policy/class_state.py
+++ b/load_balancer/policy/class_state.py
@@ -37,11 +37,11 @@
         that of first attempts tells no age. No age is derived from the time left of other clients.
         """
         if not request.retry:
-            self.longest_first_time_left_us = max(self.longest_first_time_left_us, request.time_left_us)
+            self.longest_first_time_left_us = max(self.longest_first_time_left_us, request.time_remaining_us)
             return 0
-        if abs(request.time_left_us - self.longest_first_time_left_us) <= tolerance_us:
+        if abs(request.time_remaining_us - self.longest_first_time_left_us) <= tolerance_us:
             return 0
-        return max(0, self.settings.deadline_us - request.time_left_us)
+        return max(0, self.settings.deadline_us - request.time_remaining_us)
 
     def add_result(self, *, served_in_time: bool) -> None:
         """Count a finished request into the share that is served."""
--- a/load_balancer/policy/health_check.py
+++ b/load_balancer/policy/health_check.py
@@ -56,7 +56,7 @@
         """Take over the result of a check."""
         for state in self.pending.pop(event.endpoint_id, []):
             state.health.is_pending = False
-            if event.alive:
+            if event.is_alive:
                 state.health.missed_checks = 0
                 if event.in_flight is not None:
                     self._abandon_lost_attempts(now_us, state, event.in_flight)
--- a/load_balancer/policy/request_factory.py
+++ b/load_balancer/policy/request_factory.py
@@ -30,7 +30,7 @@
         request_class = self._class_of(event)
         request_class.requests += 1
         priority = self._priority(now_us, event, request_class)
-        deadline_us = now_us + event.time_left_us
+        deadline_us = now_us + event.time_remaining_us
         age_us = request_class.age_us(event, self._margin_us)
         useful_until_us = min(deadline_us, now_us + request_class.useful_us - age_us)
         max_wait_us = int(QUEUE_SHARE * (useful_until_us - now_us))
@@ -48,8 +48,10 @@
     def _class_of(self, event: messages.Request) -> ClassState:
         request_class = self.classes.get(event.class_name)
         if request_class is None:  # not in the settings: handled with all caution, as unsafe to repeat
-            time_left_us = max(1, event.time_left_us)
-            request_class = ClassState(messages.RequestClass(event.class_name, time_left_us, time_left_us))
+            time_remaining_us = max(1, event.time_remaining_us)
+            request_class = ClassState(
+                messages.RequestClass(event.class_name, time_remaining_us, time_remaining_us)
+            )
             self.classes[event.class_name] = request_class
         return request_class
 
--- a/load_balancer/policy/request_handler.py
+++ b/load_balancer/policy/request_handler.py
@@ -47,11 +47,11 @@
         if attempt is None:
             return
         in_flight = len(self._dispatcher.in_flight)
-        self._learner.learn(now_us, attempt, event.outcome, event.took_us, in_flight)
-        request = self._open_requests.by_id.get(event.request)
+        self._learner.learn(now_us, attempt, event.outcome, event.duration_us, in_flight)
+        request = self._open_requests.by_id.get(event.request_id)
         if request is None:
             return
-        if event.last or event.outcome is messages.Outcome.OK:
+        if event.is_request_finished or event.outcome is messages.Outcome.OK:
             self._complete(request, event)
         elif event.outcome is messages.Outcome.UNUSABLE:
             self._open_requests.finish(request, is_unusable=True)
@@ -63,7 +63,7 @@
     def _complete(self, request: RequestState, event: messages.AttemptEnded) -> None:
         """Forget a request that has had its response from the endpoint."""
         objective_us = request.request_class.settings.latency_objective_us
-        in_time = event.outcome is messages.Outcome.OK and event.took_us <= objective_us
+        in_time = event.outcome is messages.Outcome.OK and event.duration_us <= objective_us
         request.request_class.add_result(served_in_time=in_time)
         self._open_requests.remove(request)
 
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -31,7 +31,7 @@
 
     def is_remote(self, endpoint: messages.Endpoint) -> bool:
         """Tell whether an attempt to this endpoint leaves the own zone at a price."""
-        return self._settings.cross_zone_price > 0.0 and endpoint.zone != self._settings.zone
+        return self._settings.cross_zone_cost > 0.0 and endpoint.zone != self._settings.zone
 
     def pick(self, now_us: int, candidates: Sequence[EndpointState]) -> Selection:
         """Select, of two draws by share, the endpoint with fewer own attempts in flight.
--- a/load_balancer/process/server.py
+++ b/load_balancer/process/server.py
@@ -66,7 +66,7 @@
     settings = config.settings
     limits = divide_descriptors(config.sockets)
     pool = ConnectionPool(
-        config.connect_timeout_s, config.idle_s, limits.upstream_connections, settings.handshake_price
+        config.connect_timeout_s, config.idle_s, limits.upstream_connections, settings.handshake_cost
     )
     driver = EventLoopDriver(settings, config.seed, pool, config.discovery)
     classes = {request_class.name: request_class for request_class in settings.classes}
--- a/load_balancer/simulator.py
+++ b/load_balancer/simulator.py
@@ -78,7 +78,7 @@
     return messages.Request(
         id=required_field(event, "msgId", str, "REQ."),
         class_name=required_field(event, "profile", str, "REQ."),
-        time_left_us=required_field(event, "patienceLeftUs", int, "REQ."),
+        time_remaining_us=required_field(event, "patienceLeftUs", int, "REQ."),
         tenant=owner if isinstance(owner, str) else None,
         retry=bool(optional_field(event, "bitmap", 0, "REQ.") & CLIENT_RETRY_BIT),
     )
@@ -88,12 +88,12 @@
     """Read an ATTEMPT_END event. Raises FieldError."""
     prefix = "ATTEMPT_END."
     return messages.AttemptEnded(
-        request=required_field(event, "msgId", str, prefix),
-        attempt=required_field(event, "attempt", int, prefix),
+        request_id=required_field(event, "msgId", str, prefix),
+        attempt_number=required_field(event, "attempt", int, prefix),
         endpoint_id=required_field(event, "backend", int, prefix),
         outcome=OUTCOMES.get(required_field(event, "ending", int, prefix), messages.Outcome.UNKNOWN),
-        took_us=required_field(event, "rttUs", int, prefix),
-        last=optional_field(event, "last", default=False, prefix=prefix),
+        duration_us=required_field(event, "rttUs", int, prefix),
+        is_request_finished=optional_field(event, "last", default=False, prefix=prefix),
     )
 
 
@@ -130,16 +130,16 @@
         case messages.StartAttempt():
             return {
                 "msg": "CALL_OUT",
-                "msgId": action.request,
+                "msgId": action.request_id,
                 "backend": action.endpoint_id,
                 "tryForUs": action.timeout_us,
             }
         case messages.CancelAttempt():
-            return {"msg": "RECALL", "msgId": action.request, "attempt": action.attempt}
+            return {"msg": "RECALL", "msgId": action.request_id, "attempt": action.attempt_number}
         case messages.Reject():
-            return {"msg": "REFUSE", "msgId": action.request, "notBeforeForUs": action.retry_after_us}
+            return {"msg": "REFUSE", "msgId": action.request_id, "notBeforeForUs": action.retry_after_us}
         case messages.Fail():
-            return {"msg": "ABORT", "msgId": action.request}
+            return {"msg": "ABORT", "msgId": action.request_id}
         case _:
             return write_instance_action(action)
 
@@ -157,7 +157,7 @@
         case messages.CancelTimer():
             return None
         case messages.SetTimer():
-            return {"msg": "AFTER", "fireAtUs": action.at_us, "handle": action.timer}
+            return {"msg": "AFTER", "fireAtUs": action.at_us, "handle": action.timer_id}
         case messages.CheckHealth():
             return {"msg": "INSPECT", "backend": action.endpoint_id}
         case messages.Subscribe():
--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -234,7 +234,7 @@
         actions = balancer.handle(now_us, messages.Request(str(number), "read", 2_000_000))
         [attempt] = [action for action in actions if isinstance(action, messages.StartAttempt)]
         answered = messages.AttemptEnded(
-            str(number), 0, attempt.endpoint_id, messages.Outcome.OK, 10_000, last=True
+            str(number), 0, attempt.endpoint_id, messages.Outcome.OK, 10_000, is_request_finished=True
         )
         balancer.handle(now_us + 10_000, answered)
     return counter.count
--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -88,7 +88,7 @@
     size = max(MIN_SUBSET, math.ceil(SUBSET_COVER * len(up) / settings.instances))
     first = settings.index * len(up) // settings.instances
     ring = up[first:] + up[:first]
-    has_price = settings.cross_zone_price > 0
+    has_price = settings.cross_zone_cost > 0
     local = [state for state in ring if not has_price or state.endpoint.zone == settings.zone][:size]
     remote = [state for state in ring if has_price and state.endpoint.zone != settings.zone]
     return [state.endpoint.id for state in local + remote[: max(MIN_REMOTE, size - len(local))]]
@@ -119,15 +119,13 @@
     harness.update_endpoint_list(*entries, kind=kind, version=version - 5 * is_old)
 
 
-@pytest.mark.parametrize("cross_zone_price", [0.0, 0.05])
+@pytest.mark.parametrize("cross_zone_cost", [0.0, 0.05])
 @pytest.mark.parametrize("seed", range(6))
-def test_incrementally_updated_ring_gives_the_plain_subset(seed: int, cross_zone_price: float) -> None:
+def test_incrementally_updated_ring_gives_the_plain_subset(seed: int, cross_zone_cost: float) -> None:
     rng = random.Random(seed)
     instances = rng.choice((1, 3, 9))
     index = rng.randrange(instances)
-    settings = balancer_settings(
-        instances=instances, index=index, zone="a", cross_zone_price=cross_zone_price
-    )
+    settings = balancer_settings(instances=instances, index=index, zone="a", cross_zone_cost=cross_zone_cost)
     harness = BalancerHarness(settings, endpoint_count=0)
     endpoints, slow_start = harness.balancer.endpoints, harness.balancer.slow_start
     for version in range(1, 150):
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -97,9 +97,9 @@
 
 
 def test_negative_handshake_price_is_rejected() -> None:
-    assert balancer_settings(handshake_price=0.03).handshake_price == 0.03
+    assert balancer_settings(handshake_cost=0.03).handshake_cost == 0.03
     with pytest.raises(ValueError, match="handshake"):
-        balancer_settings(handshake_price=-1.0)
+        balancer_settings(handshake_cost=-1.0)
 
 
 def test_policy_bounds_the_time_to_fail_over() -> None:
@@ -107,12 +107,12 @@
         balancer_settings(limits=messages.Limits(max_attempts=2, cancel=True)), endpoint_count=2
     )
     send = actions_of_type(harness.request("a"), messages.StartAttempt)[0]
-    assert 0 < send.relocate_within_us < send.timeout_us
+    assert 0 < send.max_connection_wait_us < send.timeout_us
     further = actions_of_type(harness.end_attempt(send, Outcome.NOT_SENT), messages.StartAttempt)[0]
     assert further.endpoint_id != send.endpoint_id
-    assert further.relocate_within_us == 0  # no third attempt is allowed
+    assert further.max_connection_wait_us == 0  # no third attempt is allowed
     alone = BalancerHarness(balancer_settings(), endpoint_count=1)
-    assert actions_of_type(alone.request("a"), messages.StartAttempt)[0].relocate_within_us == 0
+    assert actions_of_type(alone.request("a"), messages.StartAttempt)[0].max_connection_wait_us == 0
 
 
 def test_unsent_attempt_is_repeated_though_the_retry_budget_is_spent() -> None:
--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -24,7 +24,7 @@
     began = harness.now_us
     while harness.now_us - began < within_us:
         if any(
-            reject.request == request_id
+            reject.request_id == request_id
             for reject in actions_of_type(harness.advance(MILLISECOND_US), messages.Reject)
         ):
             return harness.now_us - began
@@ -32,15 +32,18 @@
 
 
 @pytest.mark.parametrize(
-    "time_left_us", [900 * MILLISECOND_US, SECOND_US, 1_500 * MILLISECOND_US, 2 * SECOND_US, 5 * SECOND_US]
+    "time_remaining_us",
+    [900 * MILLISECOND_US, SECOND_US, 1_500 * MILLISECOND_US, 2 * SECOND_US, 5 * SECOND_US],
 )
 @pytest.mark.parametrize("phase_us", [0, 3 * MILLISECOND_US, 11 * MILLISECOND_US, 19 * MILLISECOND_US])
-def test_queued_request_is_rejected_within_half_of_its_useful_time(time_left_us: int, phase_us: int) -> None:
+def test_queued_request_is_rejected_within_half_of_its_useful_time(
+    time_remaining_us: int, phase_us: int
+) -> None:
     """It holds at any phase of the periodic queue scan, and the rejection comes no sooner."""
     harness = balancer_with_full_endpoints()
     harness.advance(phase_us)
-    harness.request("queued", "read", time_left_us)
-    useful_us = min(time_left_us, 2 * SECOND_US)  # an answer after its latency objective earns nothing
+    harness.request("queued", "read", time_remaining_us)
+    useful_us = min(time_remaining_us, 2 * SECOND_US)  # an answer after its latency objective earns nothing
     after_us = time_until_rejection_us(harness, "queued", 3 * SECOND_US)
     assert after_us is not None
     assert useful_us // 2 - 2 * MILLISECOND_US <= after_us <= useful_us // 2
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -32,7 +32,12 @@
             took = (1900 if late else 300) * MILLISECOND_US
             harness.handle(
                 messages.AttemptEnded(
-                    request_id, attempt_number, endpoint_id, messages.Outcome.OK, took, last=True
+                    request_id,
+                    attempt_number,
+                    endpoint_id,
+                    messages.Outcome.OK,
+                    took,
+                    is_request_finished=True,
                 )
             )
     assert harness.balancer.limit.attempts >= initial_limit
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -69,14 +69,14 @@
         for cancel in actions_of_type(
             harness.advance(int(3 * usual_latency_us) + 200 * MILLISECOND_US), messages.CancelAttempt
         )
-        if cancel.request == "a"
+        if cancel.request_id == "a"
     ]
     assert cancels == ([messages.CancelAttempt("a", 0)] if again else [])
     if again:
         [resend] = actions_of_type(
             harness.end_attempt(send, messages.Outcome.CANCELLED), messages.StartAttempt
         )
-        assert resend.request == "a"
+        assert resend.request_id == "a"
         assert resend.endpoint_id != send.endpoint_id
 
 
@@ -93,7 +93,7 @@
     assert (
         len(health_checks_within(harness, 1100 * MILLISECOND_US)) == 1
     )  # the next hanging attempt is checked sooner
-    assert again.request == "a"
+    assert again.request_id == "a"
     assert again.endpoint_id != first.endpoint_id
 
 
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -78,7 +78,7 @@
     assert 0 < len(sends) < 10
     assert not actions_of_type(harness.request("dear", "pay"), messages.StartAttempt)
     next_send, *_ = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.OK), messages.StartAttempt)
-    assert next_send.request == "dear"
+    assert next_send.request_id == "dear"
     refused = actions_of_type(harness.advance(1 * SECOND_US), messages.Reject)
     assert len(refused) >= 5
 
@@ -103,7 +103,7 @@
             harness.end_attempt(busy_send, messages.Outcome.OK, took=300 * MILLISECOND_US),
             messages.StartAttempt,
         )
-        first_send[part] = send.request
+        first_send[part] = send.request_id
     assert first_send == {0.0: "twice the worth", 0.6: "least served"}
 
 
@@ -120,7 +120,7 @@
         harness.handle(messages.Request("m", "read", 5 * SECOND_US, "modest")), messages.StartAttempt
     )
     send, *_ = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.OK), messages.StartAttempt)
-    assert send.request == "m"
+    assert send.request_id == "m"
 
 
 def test_request_that_cannot_meet_its_latency_objective_is_rejected_at_once() -> None:
@@ -275,11 +275,11 @@
         int(waited_share * harness.balancer.request_factory.classes["read"].settings.latency_objective_us)
     )
     waiting = f"r{len(sends)}"
-    assert [action.request for action in actions_of_type(done, messages.Reject)] == (
+    assert [action.request_id for action in actions_of_type(done, messages.Reject)] == (
         [] if served else [waiting]
     )
     done = [action for send in sends for action in harness.end_attempt(send, messages.Outcome.OK)]
-    assert [action.request for action in actions_of_type(done, messages.StartAttempt)] == (
+    assert [action.request_id for action in actions_of_type(done, messages.StartAttempt)] == (
         [waiting] if served else []
     )
 
@@ -306,9 +306,9 @@
     """It counts as a first attempt again and is sent at once; the next free place is the other request's."""
     harness, sends = busy_warming_endpoints()
     after = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.NOT_SENT), messages.StartAttempt)
-    assert [(send.request, send.endpoint_id) for send in after] == [("r0", sends[0].endpoint_id)]
+    assert [(send.request_id, send.endpoint_id) for send in after] == [("r0", sends[0].endpoint_id)]
     after = actions_of_type(harness.end_attempt(sends[1], messages.Outcome.OK), messages.StartAttempt)
-    assert [(send.request, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
+    assert [(send.request_id, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
 
 
 def test_queued_request_with_rejected_attempt_does_not_hold_back_first_attempts() -> None:
@@ -318,7 +318,7 @@
         harness.end_attempt(sends[0], messages.Outcome.REJECTED), messages.StartAttempt
     )
     after = actions_of_type(harness.end_attempt(sends[1], messages.Outcome.UNUSABLE), messages.StartAttempt)
-    assert [(send.request, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
+    assert [(send.request_id, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
 
 
 @pytest.mark.parametrize("max_attempts", [1, 3, 20])
@@ -333,7 +333,7 @@
         assert sends <= max_attempts
         actions = harness.end_attempt(again[0], messages.Outcome.NOT_SENT, took=0, attempt=sends - 1)
     assert sends == max_attempts
-    assert [action.request for action in actions_of_type(actions, messages.Reject)] == ["r"]
+    assert [action.request_id for action in actions_of_type(actions, messages.Reject)] == ["r"]
     assert not harness.balancer.open_requests.by_id
     assert not harness.balancer.dispatcher.in_flight
     assert not harness.balancer.queue
--- a/tests/policy/test_policy_rules_random.py
+++ b/tests/policy/test_policy_rules_random.py
@@ -108,8 +108,8 @@
             case messages.StartAttempt():
                 self.check_start_attempt(action)
             case messages.Reject():
-                assert action.request in self.pending, "lost: a second final answer"
-                pending = self.pending.pop(action.request)
+                assert action.request_id in self.pending, "lost: a second final answer"
+                pending = self.pending.pop(action.request_id)
                 keyed_everywhere = (pending.cls.idempotency, pending.cls.key_scope) == (
                     messages.Idempotency.KEYED,
                     messages.KeyScope.ALL,
@@ -120,18 +120,18 @@
                 )
                 assert self.now_us <= pending.deadline + FINAL_SLACK, "lost: rejected too late"
             case messages.Fail():
-                assert action.request in self.pending, "lost: a second final answer"
-                pending = self.pending.pop(action.request)
+                assert action.request_id in self.pending, "lost: a second final answer"
+                pending = self.pending.pop(action.request_id)
                 assert self.now_us <= pending.deadline + FINAL_SLACK, "lost: failed too late"
             case messages.CancelAttempt():
                 assert self.setup.limits.cancel
-                assert action.attempt < len(self.requests[action.request].attempts)
+                assert action.attempt_number < len(self.requests[action.request_id].attempts)
             case messages.SetTimer():
                 assert action.at_us >= self.now_us
 
     def check_start_attempt(self, send: messages.StartAttempt) -> None:
-        assert send.request in self.pending, "lost: sent after the end"
-        pending = self.pending[send.request]
+        assert send.request_id in self.pending, "lost: sent after the end"
+        pending = self.pending[send.request_id]
         endpoint = self.listed.get(send.endpoint_id)
         assert endpoint is not None, "drain: sent to an endpoint that drains or is gone"
         assert endpoint.status is messages.EndpointStatus.UP, (
@@ -153,7 +153,7 @@
                 if pending.cls.key_scope is messages.KeyScope.CELL:
                     assert endpoint.cell == first.endpoint.cell, "twice: another cell"
         self.check_slow_start(endpoint)
-        self.in_flight.append((send.request, len(pending.attempts)))
+        self.in_flight.append((send.request_id, len(pending.attempts)))
         pending.attempts.append(SentAttempt(send, endpoint, self.now_us))
 
     def check_slow_start(self, endpoint: messages.Endpoint) -> None:
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -32,7 +32,7 @@
     for number in range(20):
         [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
         assert send.endpoint_id == idle.endpoint.id
-        assert [draw.in_flight for draw in send.draws] == [0, 1]
+        assert [draw.load for draw in send.draws] == [0, 1]
         harness.end_attempt(send, messages.Outcome.OK)
 
 
@@ -123,7 +123,7 @@
         mean = harness.balancer.endpoints.states[0].detector.mean
         again = actions_of_type(harness.end_attempt(send, outcome), messages.StartAttempt)
         assert harness.balancer.endpoints.states[0].detector.mean == mean
-        assert len(harness.balancer.endpoints.states[0].in_flight) == len(again)
+        assert len(harness.balancer.endpoints.states[0].load) == len(again)
 
 
 ZONES = tuple(messages.Endpoint(number, zone="abc"[number % 3]) for number in range(12))
@@ -132,7 +132,7 @@
 def count_local_attempts(price: float, busy: int = 0) -> int:
     """Return how many of 200 requests in a row stay in zone a, each endpoint there with `busy` attempts."""
     harness = BalancerHarness(
-        balancer_settings(zone="a", cross_zone_price=price, limits=messages.Limits(max_attempts=3)),
+        balancer_settings(zone="a", cross_zone_cost=price, limits=messages.Limits(max_attempts=3)),
         endpoint_count=0,
     )
     harness.update_endpoint_list(*ZONES)
@@ -141,7 +141,7 @@
     read_class = harness.balancer.request_factory.classes["read"]
     for state in harness.balancer.endpoints.states.values():
         if state.endpoint.zone == "a":
-            state.in_flight = [
+            state.load = [
                 Attempt("busy", number, state, read_class, harness.now_us, 5 * SECOND_US)
                 for number in range(busy)
             ]
@@ -163,7 +163,7 @@
 
 def test_subset_holds_the_local_zone_and_some_remote_endpoints() -> None:
     harness = BalancerHarness(
-        balancer_settings(zone="a", cross_zone_price=0.05, instances=3), endpoint_count=0
+        balancer_settings(zone="a", cross_zone_cost=0.05, instances=3), endpoint_count=0
     )
     harness.update_endpoint_list(*ZONES)
     zones = Counter(state.endpoint.zone for state in harness.balancer.endpoints.subset)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -256,7 +256,9 @@
     checks = actions_of_type(harness.advance(250 * MILLISECOND_US), messages.CheckHealth)
     assert len(checks) == 1
     harness.balancer.endpoints.states[0].warming.bucket.tokens = 0.0
-    again = actions_of_type(harness.handle(messages.HealthCheckEnded(0, alive=False)), messages.CheckHealth)
+    again = actions_of_type(
+        harness.handle(messages.HealthCheckEnded(0, is_alive=False)), messages.CheckHealth
+    )
     assert len(checks) + len(again) == check_count
 
 
--- a/tests/policy/test_unsent_attempts.py
+++ b/tests/policy/test_unsent_attempts.py
@@ -24,7 +24,7 @@
     harness = balancer_with_warming_endpoints()
     [send] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
     done = harness.end_attempt(send, messages.Outcome.NOT_SENT, took=0)
-    assert [again.request for again in actions_of_type(done, messages.StartAttempt)] == ["r"]
+    assert [again.request_id for again in actions_of_type(done, messages.StartAttempt)] == ["r"]
     assert not actions_of_type(done, messages.Reject)
 
 
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -95,7 +95,7 @@
         """Return the actions that come of the end of an attempt, which took so many microseconds."""
         is_ok = outcome is messages.Outcome.OK
         return self.handle(
-            messages.AttemptEnded(send.request, attempt, send.endpoint_id, outcome, took, is_ok)
+            messages.AttemptEnded(send.request_id, attempt, send.endpoint_id, outcome, took, is_ok)
         )
 
     def advance(self, duration_us: int) -> list[messages.Action]:
@@ -105,10 +105,10 @@
             due = [a for a in self.actions if isinstance(a, messages.SetTimer) and a.at_us <= end_us]
             if not due:
                 break
-            timer = min(due, key=lambda a: (a.at_us, a.timer))
+            timer = min(due, key=lambda a: (a.at_us, a.timer_id))
             self.actions.remove(timer)
             self.now_us = max(self.now_us, timer.at_us)
-            fired += self.handle(messages.TimerFired(timer.timer))
+            fired += self.handle(messages.TimerFired(timer.timer_id))
         self.now_us = end_us
         return fired
 
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -286,14 +286,14 @@
                 case messages.StartAttempt():
                     self._start_attempt(index, action)
                 case messages.SetTimer():
-                    self.at(max(self.now, action.at_us), partial(self._fire, index, action.timer))
+                    self.at(max(self.now, action.at_us), partial(self._fire, index, action.timer_id))
                 case messages.CancelTimer():
-                    self.cancelled_timers.add((index, action.timer))
+                    self.cancelled_timers.add((index, action.timer_id))
                 case messages.CancelAttempt():
-                    key = AttemptKey(index, action.request, action.attempt)
+                    key = AttemptKey(index, action.request_id, action.attempt_number)
                     self.at(self.now, partial(self._end_attempt, key, messages.Outcome.CANCELLED))
                 case messages.Reject() | messages.Fail():
-                    self.requests_by_id[action.request].is_over = True
+                    self.requests_by_id[action.request_id].is_over = True
                 case messages.CheckHealth():
                     self._check_health(index, action.endpoint_id)
                 case _:
@@ -310,11 +310,11 @@
         endpoint.work.append((self.now, listed_us == endpoint.entry.incarnation_us))
 
     def _start_attempt(self, index: int, action: messages.StartAttempt) -> None:
-        request = self.requests_by_id[action.request]
+        request = self.requests_by_id[action.request_id]
         endpoint = self.endpoints[action.endpoint_id]
         self.attempts.append((self.now, index))
         self._record_work(index, endpoint)
-        key = AttemptKey(index, action.request, request.attempt_count)
+        key = AttemptKey(index, action.request_id, request.attempt_count)
         request.attempt_count += 1
         self.in_flight[key] = AttemptInFlight(self.now, action.endpoint_id)
         work = request.work * self.rng.uniform(0.8, 1.2)
