--- a/load_balancer/messages/__init__.py
+++ b/load_balancer/messages/__init__.py
@@ -1,8 +1,8 @@
-"""The messages between the policy and its edges: settings and events go in, actions come out.
+"""The interface of the policy: settings and events are its input, actions are its output.
 
-A proxy builds a `Settings`, makes one `load_balancer.Balancer` from it, feeds it events with the
-current time, and carries out the actions it gets back, in their order. All times are whole
-microseconds of one clock that never runs backwards. Nothing here decides anything.
+A proxy builds a `Settings`, creates one `load_balancer.Balancer` from it, passes events to it with the
+current time, and performs the returned actions in order. All times are integers in microseconds on one
+monotonic clock. This package contains data types only, none of the policy's decisions.
 """
 
 from load_balancer.messages.actions import (
--- a/load_balancer/messages/actions.py
+++ b/load_balancer/messages/actions.py
@@ -1,4 +1,4 @@
-"""The actions that come out of a balancer. All times are whole microseconds."""
+"""The actions that a balancer returns. All times are integers in microseconds."""
 
 from __future__ import annotations
 
@@ -7,36 +7,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Draw:
-    """An endpoint that a selection looked at, with the numbers that decided."""
+    """A candidate of an endpoint selection, with the values that it was compared by."""
 
     endpoint_id: int
     share: float
-    load: int  # own attempts; an overdue one counts twice, one that failed for a while longer
+    # Attempts of this balancer in flight. An overdue attempt counts as two, and a failed attempt goes on
+    # counting for the usual latency of its class.
+    load: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Start an attempt and end it with a time-out after `timeout_us`."""
+    """Start an attempt that ends with `Outcome.TIMEOUT` after `timeout_us`."""
 
     request_id: str
     endpoint_id: int
     timeout_us: int
-    draws: tuple[Draw, ...] = ()  # why this endpoint: the draws, the winner first
-    # Where no connection to this endpoint comes up, the attempt should end as not sent within this time, so
-    # that the request may still go to another endpoint. 0: the attempt should wait for a connection.
+    draws: tuple[Draw, ...] = ()  # the candidates of the selection, the selected one first
+    # If no connection to the endpoint is established within this time, the attempt should end with
+    # `Outcome.NOT_SENT`, so that the request can still go to another endpoint. 0: no limit but the time-out.
     max_connection_wait_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Check the health of an endpoint, and ask how many requests it has in flight."""
+    """Check the health of an endpoint and read its load report: how many requests it has in flight."""
 
     endpoint_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Give up waiting for an attempt."""
+    """Cancel an attempt."""
 
     request_id: str
     attempt_number: int
@@ -44,22 +46,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final response: not done, and trying again is harmless."""
+    """Send the final response that the request was not executed and may safely be sent again."""
 
     request_id: str
-    retry_after_us: int = 0  # when the client may best come back; 0: no advice
+    retry_after_us: int = 0  # for the Retry-After header; 0: no header
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final response: failed, with no promise about the effect."""
+    """Send the final response that the request failed; it may or may not have been executed."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` at a time."""
+    """Set a timer, which is reported as `TimerFired` at `at_us`."""
 
     timer_id: int
     at_us: int
@@ -67,14 +69,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelTimer:
-    """Cancel a timer. One that cannot be cancelled any more may still fire."""
+    """Cancel a timer. It may still fire if it is too late to cancel it."""
 
     timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for the endpoint list and all later changes."""
+    """Request the endpoint list and all later changes from discovery."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Write a log line for whoever is on call."""
+    """Write a log line for the operators."""
 
     text: str
 
--- a/load_balancer/messages/endpoints.py
+++ b/load_balancer/messages/endpoints.py
@@ -1,4 +1,4 @@
-"""The entries of the endpoint list, as discovery states them."""
+"""The entries of the endpoint list, as discovery publishes them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EndpointStatus(Enum):
-    """What the endpoint list says of an endpoint."""
+    """The status of an endpoint in the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -22,6 +22,8 @@
     status: EndpointStatus = EndpointStatus.UP
     zone: str = ""
     cell: int = 0
-    incarnation_us: int = 0  # its latest start as stated, which tells it from earlier ones; 0: long ago
-    # The moment of that start on the balancer's clock; none: it was stated on that clock.
+    # The latest start of the endpoint as published, which identifies the incarnation. 0: unknown; the
+    # endpoint counts as warm.
+    incarnation_us: int = 0
+    # The same start on the balancer's clock. None: `incarnation_us` is on that clock already.
     started_us: int | None = None
--- a/load_balancer/messages/events.py
+++ b/load_balancer/messages/events.py
@@ -1,4 +1,4 @@
-"""The events that go into a balancer. All times are whole microseconds."""
+"""The events that a balancer handles. All times are integers in microseconds."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class EndpointListKind(Enum):
-    """What an `EndpointListUpdate` holds."""
+    """The kind of an `EndpointListUpdate`."""
 
-    CHANGES = "changes"  # only what changed
-    COMPLETE = "full"  # everything; an endpoint that is absent is removed
-    CACHED = "remembered"  # everything as last known before a start, perhaps stale
-    FAILED = "failed"  # a subscription or a fetch failed, or the subscription broke
+    CHANGES = "changes"  # only the entries that have changed
+    COMPLETE = "full"  # the complete list; endpoints that are not in it are removed
+    CACHED = "remembered"  # a complete list from before the start of the process, which may be stale
+    FAILED = "failed"  # a request to discovery failed, or the watch was interrupted
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,30 +29,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request that is owed exactly one final response within the time left."""
+    """A request, which needs exactly one final response within `time_remaining_us`."""
 
     id: str
     class_name: str
     time_remaining_us: int
     tenant: str | None = None
-    retry: bool = False  # the client says that it has sent the request before
+    retry: bool = False  # the client has marked the request as a retry of its own
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended; every `StartAttempt` gets exactly one of these."""
+    """An attempt has ended. Each `StartAttempt` leads to exactly one such event."""
 
     request_id: str
-    attempt_number: int  # numbered 0, 1, 2 ... in the order in which they were sent
+    attempt_number: int  # counts the attempts of the request from 0, in the order of their start
     endpoint_id: int
     outcome: Outcome
     duration_us: int
-    is_request_finished: bool  # the request is over: its response went to the client
+    is_request_finished: bool  # the client has received its response, or has left
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The answer of a streamed request has begun; it belongs to the client from now on."""
+    """The response to a streamed request has begun and is being forwarded to the client."""
 
     request_id: str
     attempt_number: int
@@ -60,30 +60,30 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by this balancer is due."""
+    """A timer that this balancer has set is due."""
 
     timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
-    """A health check has ended; every `CheckHealth` gets exactly one of these."""
+    """A health check has ended. Each `CheckHealth` leads to exactly one such event."""
 
     endpoint_id: int
-    is_alive: bool  # the endpoint answered, or could not be asked
-    in_flight: float | None = None  # by its load report, where it has one: late and a little noisy
+    is_alive: bool  # the endpoint responded, or the check could not be sent
+    in_flight: float | None = None  # from its load report if it has one; may be outdated or inexact
 
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client has left; no response is owed any more."""
+    """The client has disconnected and needs no response any more."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """The proxy shuts down: every open request is owed its final response now."""
+    """The proxy is shutting down, and every open request needs its final response now."""
 
 
 Event = (
--- a/load_balancer/messages/outcomes.py
+++ b/load_balancer/messages/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt ended."""
+"""The outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """The outcome of an attempt."""
 
     OK = "ok"
     ERROR = "error"
     REJECTED = "rejected"
     TIMEOUT = "timeout"
     NO_CONNECTION = "no connection"
-    UNREACHABLE = "unreachable"  # there was no route to the endpoint, which may be as it was
+    UNREACHABLE = "unreachable"  # there was no route to the endpoint, which may be healthy
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
-    UNUSABLE = "unusable"  # the endpoint can't use the request as it is; no other one could
+    UNUSABLE = "unusable"  # the endpoint refused the request as invalid, as any other would
     UNKNOWN = "unknown"
 
     @property
     def proves_never_run(self) -> bool:
-        """Tell whether the outcome proves that the endpoint did not run the request."""
+        """Whether the outcome proves that the endpoint did not run the request."""
         return self in (
             Outcome.REJECTED,
             Outcome.NO_CONNECTION,
