--- a/load_balancer/policy/admission_queue.py
+++ b/load_balancer/policy/admission_queue.py
@@ -15,7 +15,7 @@
 from load_balancer.policy.outbox import Outbox, QueueScan
 from load_balancer.policy.request_state import RequestState
 
-QUEUE_SCAN_US = 20_000  # queued requests are looked at this often
+QUEUE_SCAN_INTERVAL_US = 20_000  # queued requests are looked at this often
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -36,13 +36,13 @@
         outbox: Outbox,
         open_requests: OpenRequests,
         dispatcher: AttemptDispatcher,
-        limit: ConcurrencyLimit,
+        concurrency_limit: ConcurrencyLimit,
     ) -> None:
         """Start empty."""
         self._outbox = outbox
         self._open_requests = open_requests
         self._dispatcher = dispatcher
-        self._limit = limit
+        self._concurrency_limit = concurrency_limit
         self._entries: list[QueueEntry] = []
         self._sequence = 0
         self._is_scan_scheduled = False
@@ -58,20 +58,20 @@
 
     def add(self, now_us: int, request: RequestState) -> None:
         """Queue a request that has found no open endpoint, for as long as waiting can be useful."""
-        self._limit.note_reached()
-        request.queued_until_us = now_us + self._wait_us(now_us, request)
+        self._concurrency_limit.note_reached()
+        request.queued_until_us = now_us + self._queue_wait_us(now_us, request)
         self._sequence += 1
         insort(self._entries, QueueEntry(-request.priority, now_us, self._sequence, request.id))
 
     @staticmethod
-    def _wait_us(now_us: int, request: RequestState) -> int:
+    def _queue_wait_us(now_us: int, request: RequestState) -> int:
         usual_us = int(request.request_class.usual_latency_us)
-        wait_us = min(request.max_wait_us, request.useful_until_us - usual_us - now_us)
+        wait_us = min(request.max_queue_wait_us, request.useful_until_us - usual_us - now_us)
         if not request.may_have_been_written and now_us < request.free_rejection_until_us:
             wait_us = min(wait_us, request.free_rejection_until_us - now_us)
         return wait_us
 
-    def scan_due(self) -> None:
+    def mark_scan_fired(self) -> None:
         """Note that the timer of the next look at the queue has fired."""
         self._is_scan_scheduled = False
 
@@ -85,16 +85,16 @@
 
     def _schedule_scan(self, now_us: int) -> None:
         self._is_scan_scheduled = True
-        first_due_us = min(
+        earliest_expiry_us = min(
             self._open_requests.by_id[request_id].queued_until_us for request_id in self.request_ids
         )
-        self._outbox.set_timer(min(now_us + QUEUE_SCAN_US, first_due_us), QueueScan())
+        self._outbox.set_timer(min(now_us + QUEUE_SCAN_INTERVAL_US, earliest_expiry_us), QueueScan())
 
     def _send_or_finish_waiting(self, now_us: int) -> None:
         """Send queued requests, the most valuable first; finish those that have waited long enough."""
         waiting, self._entries = self._entries, []
-        first_attempts_fit = True
-        retries_fit = True
+        may_send_first_attempts = True
+        may_send_retries = True
         for entry in waiting:
             request = self._open_requests.by_id.get(entry.request_id)
             if request is None:
@@ -102,11 +102,11 @@
             if now_us >= request.queued_until_us:
                 self._open_requests.finish(request)
                 continue
-            fits = first_attempts_fit and (retries_fit or not request.was_sent)
-            if fits and self._dispatcher.send(now_us, request):
+            is_sendable = may_send_first_attempts and (may_send_retries or not request.was_sent)
+            if is_sendable and self._dispatcher.send(now_us, request):
                 continue
             # A retry finds fewer endpoints open than a first attempt, so its failure says nothing of those.
             if not request.may_have_run:
-                first_attempts_fit = first_attempts_fit and request.was_sent
-                retries_fit = False
+                may_send_first_attempts = may_send_first_attempts and request.was_sent
+                may_send_retries = False
             self._entries.append(entry)
--- a/load_balancer/policy/attempt.py
+++ b/load_balancer/policy/attempt.py
@@ -15,7 +15,7 @@
 EndpointT = TypeVar("EndpointT")
 
 
-class LastAttempt(Enum):
+class LastAttemptResult(Enum):
     """How the last attempt at an endpoint ended."""
 
     NONE = auto()
--- a/load_balancer/policy/attempt_dispatcher.py
+++ b/load_balancer/policy/attempt_dispatcher.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from load_balancer import messages
-from load_balancer.policy.attempt import Attempt, LastAttempt
+from load_balancer.policy.attempt import Attempt, LastAttemptResult
 from load_balancer.policy.endpoint_state import EndpointAttempt
 from load_balancer.policy.outbox import Outbox
 from load_balancer.policy.request_state import RequestState
-from load_balancer.policy.router import Choice, Router
+from load_balancer.policy.router import EndpointChoice, Router
 from load_balancer.policy.scan_timer import ScanTimer
 from load_balancer.policy.slow_start import SlowStart
 
@@ -41,20 +41,20 @@
         attempt = Attempt(request.id, number, choice.endpoint, request.request_class, now_us, timeout_us)
         self.in_flight[request.id, number] = attempt
         request.attempts.append(attempt)
-        self._count_at_endpoint(now_us, attempt)
+        self._record_at_endpoint(now_us, attempt)
         self._outbox.add(
             messages.StartAttempt(
                 request.id,
                 choice.endpoint.endpoint.id,
                 timeout_us,
                 choice.draws,
-                self._relocation_time_us(request, choice, timeout_us),
+                self._max_connection_wait_us(request, choice, timeout_us),
             )
         )
         self._scan_timer.schedule(now_us)
         return True
 
-    def _count_at_endpoint(self, now_us: int, attempt: EndpointAttempt) -> None:
+    def _record_at_endpoint(self, now_us: int, attempt: EndpointAttempt) -> None:
         state = attempt.endpoint
         state.in_flight.append(attempt)
         self._slow_start.attempt_sent(now_us, state, is_first=attempt.number == 0)
@@ -64,13 +64,13 @@
         limit = state.concurrency_limit
         state.paused_until_us = now_us + int(usual_us / limit) if limit < 1.0 else 0
 
-    def _relocation_time_us(self, request: RequestState, choice: Choice, timeout_us: int) -> int:
+    def _max_connection_wait_us(self, request: RequestState, choice: EndpointChoice, timeout_us: int) -> int:
         """Return within which time the attempt may still be moved to another endpoint; 0 where it can't."""
         if not (choice.has_untried_alternative and request.has_attempts_left(self._limits.max_attempts)):
             return 0
         return max(0, timeout_us - int(request.request_class.usual_latency_us))
 
-    def end(self, event: messages.AttemptEnded) -> EndpointAttempt | None:
+    def finish(self, event: messages.AttemptEnded) -> EndpointAttempt | None:
         """Record the outcome of an attempt and return it; none where no such attempt is in flight."""
         attempt = self.in_flight.pop((event.request_id, event.attempt_number), None)
         if attempt is None:
@@ -83,7 +83,7 @@
         """Give up waiting for an answer. The attempt stays in flight until its end is reported."""
         state = attempt.endpoint
         usual_us = attempt.request_class.usual_latency_us
-        state.last_attempt = LastAttempt.FAILED
+        state.last_attempt = LastAttemptResult.FAILED
         state.add_latency(attempt.timeout_us / usual_us)
         state.cool_down(now_us, attempt.request_class.settings.name)
         state.failure_penalty_ends_us.append(now_us + int(usual_us))
--- a/load_balancer/policy/attempt_rate.py
+++ b/load_balancer/policy/attempt_rate.py
@@ -4,7 +4,7 @@
 
 import math
 
-RATE_MEMORY_US = 2_000_000  # time constant of the decay
+RATE_TIME_CONSTANT_US = 2_000_000  # time constant of the decay
 
 
 class AttemptRate:
@@ -17,9 +17,9 @@
 
     def per_us(self, now_us: int) -> float:
         """Return the recent rate, in first attempts per microsecond."""
-        self._count *= math.exp((self._updated_at_us - now_us) / RATE_MEMORY_US)
+        self._count *= math.exp((self._updated_at_us - now_us) / RATE_TIME_CONSTANT_US)
         self._updated_at_us = now_us
-        return self._count / RATE_MEMORY_US
+        return self._count / RATE_TIME_CONSTANT_US
 
     def add(self, now_us: int) -> None:
         """Count a first attempt."""
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -28,7 +28,7 @@
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.policy.subscription import Subscription
 
-MARGIN_TICKS = 2  # of the settings' `tick_us`: kept back from deadlines
+DEADLINE_MARGIN_TICKS = 2  # of the settings' `tick_us`: kept back from deadlines
 
 
 class Balancer:
@@ -38,7 +38,7 @@
         """Build the parts, from what endpoints are to what requests do. Equal seeds and events act alike."""
         limits = settings.limits
         self.settings = settings
-        self.margin_us = MARGIN_TICKS * settings.tick_us
+        self.margin_us = DEADLINE_MARGIN_TICKS * settings.tick_us
         self.outbox = outbox = Outbox()
         # A random stream of its own: asking discovery again leaves the draws alone.
         self.subscription = Subscription(settings, random.Random(seed + 1), outbox)
@@ -46,18 +46,18 @@
         self.selector = Selector(settings, seed)
         self.slow_start = SlowStart(settings)
         self.endpoints = EndpointList(settings, outbox, self.selector.is_remote, self.slow_start)
-        self.limit = ConcurrencyLimit()
+        self.concurrency_limit = ConcurrencyLimit()
         self.router = Router(settings, self.endpoints, self.slow_start, self.selector, self.margin_us)
 
         self.scan_timer = ScanTimer(limits, outbox)
         self.dispatcher = AttemptDispatcher(limits, outbox, self.router, self.slow_start, self.scan_timer)
         self.open_requests = OpenRequests(limits, outbox, self.margin_us)
-        self.queue = AdmissionQueue(outbox, self.open_requests, self.dispatcher, self.limit)
+        self.queue = AdmissionQueue(outbox, self.open_requests, self.dispatcher, self.concurrency_limit)
         self.request_factory = RequestFactory(settings, self.margin_us)
         self.retry_budget = RetryBudget()
-        self.requests = self._new_request_handler()
+        self.request_handler = self._new_request_handler()
 
-        self.health = HealthChecker(
+        self.health_checker = HealthChecker(
             outbox, self.scan_timer, may_check=self.slow_start.pay_for_check, abandon=self.dispatcher.abandon
         )
         self.silent_attempts = SilentAttemptDetector(
@@ -70,7 +70,7 @@
             self.open_requests,
             self.dispatcher,
             self.queue,
-            OutcomeLearner(self.outbox, self.endpoints, self.slow_start, self.limit),
+            OutcomeLearner(self.outbox, self.endpoints, self.slow_start, self.concurrency_limit),
             RetryRule(self.settings.limits, self.router, self.retry_budget),
         )
 
@@ -88,48 +88,48 @@
     def _dispatch(self, now_us: int, event: messages.Event) -> None:
         match event:
             case messages.Request():
-                self.requests.request_arrived(now_us, event)
+                self.request_handler.handle_request(now_us, event)
             case messages.AttemptEnded():
-                self.requests.attempt_ended(now_us, event)
+                self.request_handler.handle_attempt_ended(now_us, event)
             case messages.TimerFired():
-                self._timer_fired(now_us, event.timer_id)
+                self._handle_timer(now_us, event.timer_id)
             case messages.EndpointListUpdate():
-                self._list_updated(now_us, event)
+                self._apply_list_update(now_us, event)
             case messages.HealthCheckEnded():
-                self.health.check_ended(now_us, event)
+                self.health_checker.check_ended(now_us, event)
             case messages.ClientGone():
-                self.open_requests.client_gone(event.request_id)
+                self.open_requests.handle_client_gone(event.request_id)
             case messages.ShutdownStarted():
                 self.open_requests.finish_all()
             case messages.StreamStarted():
-                self.open_requests.stream_started(event.request_id)
+                self.open_requests.handle_stream_started(event.request_id)
 
-    def _timer_fired(self, now_us: int, timer: int) -> None:
-        match self.outbox.timer_fired(timer):
+    def _handle_timer(self, now_us: int, timer_id: int) -> None:
+        match self.outbox.pop_timer(timer_id):
             case RequestDeadline(request_id=request_id):
-                self.open_requests.deadline_due(request_id)
+                self.open_requests.handle_deadline(request_id)
             case QueueScan():
-                self.queue.scan_due()
+                self.queue.mark_scan_fired()
             case AttemptScan():
                 self._scan_attempts(now_us)
             case Resubscribe():
                 self.subscription.subscribe(now_us)
 
     def _scan_attempts(self, now_us: int) -> None:
-        self.scan_timer.fired()
+        self.scan_timer.mark_fired()
         if self.settings.limits.health_checks:
-            self.health.check_endpoints(now_us, self.endpoints, self.dispatcher.in_flight.values())
+            self.health_checker.check_endpoints(now_us, self.endpoints, self.dispatcher.in_flight.values())
         else:
             self.silent_attempts.abandon_silent(now_us)
 
-    def _list_updated(self, now_us: int, update: messages.EndpointListUpdate) -> None:
+    def _apply_list_update(self, now_us: int, update: messages.EndpointListUpdate) -> None:
         if update.kind is messages.EndpointListKind.FAILED:
-            self.subscription.subscription_failed(now_us)
+            self.subscription.handle_failure(now_us)
             return
         if update.kind is not messages.EndpointListKind.CACHED:
-            self.subscription.list_received()
+            self.subscription.reset_backoff()
         self.endpoints.apply(now_us, update)
-        sharing_balancers = self.endpoints.sharing_balancers
-        self.slow_start.subset_changed(now_us, self.endpoints.subset, sharing_balancers)
-        self.limit.share_among(sharing_balancers)
-        self.limit.split(self.endpoints.subset)
+        balancers_per_endpoint = self.endpoints.balancers_per_endpoint
+        self.slow_start.subset_changed(now_us, self.endpoints.subset, balancers_per_endpoint)
+        self.concurrency_limit.share_among(balancers_per_endpoint)
+        self.concurrency_limit.split(self.endpoints.subset)
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         """Start without a limit: the first endpoint list sets it."""
         self.attempts = 0.0  # own attempts that an endpoint may have in flight
-        self.sharing_balancers = 1.0  # balancers that have each endpoint in their subset
+        self.balancers_per_endpoint = 1.0  # balancers that have each endpoint in their subset
         self._was_reached = False  # since the limit last grew
         self._relative_latency = 0.0  # running mean
         self._decreased_at_us = 0
@@ -40,9 +40,9 @@
         the first late answers.
         """
         balancers = max(1.0, balancers)
-        total = self.attempts * self.sharing_balancers if self.attempts else 0.0
+        total = self.attempts * self.balancers_per_endpoint if self.attempts else 0.0
         initial = max(INITIAL_LIMIT, min(INITIAL_SHARED_LIMIT, balancers))
-        self.sharing_balancers = balancers
+        self.balancers_per_endpoint = balancers
         self.attempts = (total or initial) / balancers
 
     def note_reached(self) -> None:
@@ -73,11 +73,11 @@
     def _decrease(self, now_us: int, attempt: EndpointAttempt) -> None:
         if attempt.sent_at_us < self._decreased_at_us:
             return
-        self.attempts = max(MIN_LIMIT / self.sharing_balancers, self.attempts * LIMIT_DECREASE)
+        self.attempts = max(MIN_LIMIT / self.balancers_per_endpoint, self.attempts * LIMIT_DECREASE)
         self._decreased_at_us = now_us
 
     def _increase(self, subset_size: int) -> None:
-        self.attempts += LIMIT_INCREASE / self.sharing_balancers / max(1.0, self.attempts * subset_size)
+        self.attempts += LIMIT_INCREASE / self.balancers_per_endpoint / max(1.0, self.attempts * subset_size)
         self._was_reached = False
 
     @staticmethod
--- a/load_balancer/policy/endpoint_list.py
+++ b/load_balancer/policy/endpoint_list.py
@@ -13,7 +13,7 @@
 NO_VERSION = -1
 # Endpoints that have left the subset and may keep idle connections: some come back, as their place is at its
 # edge, and the others would hold a descriptor each until their connections expire.
-MAX_DEPARTED = 8
+MAX_FORMER_MEMBERS = 8
 
 
 class EndpointList:
@@ -34,7 +34,7 @@
             settings.index, settings.instances, lambda state: is_remote(state.endpoint)
         )
         self.states: dict[int, EndpointState] = {}
-        self.departed: dict[int, None] = {}  # ids of those that left the subset, the longest gone first
+        self.former_members: dict[int, None] = {}  # ids of those that left the subset, the longest gone first
         self.subset: list[EndpointState] = []
         self.version = NO_VERSION
 
@@ -47,7 +47,7 @@
         return self.states.get(endpoint_id)
 
     @property
-    def sharing_balancers(self) -> float:
+    def balancers_per_endpoint(self) -> float:
         """The number of balancers that have each endpoint in their subset, on average and at least one."""
         return max(1.0, self._instances * len(self.subset) / max(1, len(self.ring)))
 
@@ -60,11 +60,11 @@
         for endpoint in update.endpoints:
             self._apply_entry(now_us, endpoint, is_stale=is_stale)
         if is_complete:
-            self._drop_unlisted({endpoint.id for endpoint in update.endpoints})
+            self._remove_unlisted({endpoint.id for endpoint in update.endpoints})
         # A complete list sets the version anew, also a lower one: otherwise the changes of a new discovery
         # with lower versions would all count as stale.
         self.version = max(self.version, update.version) if is_stale else update.version
-        self._choose_subset()
+        self._update_subset()
 
     def _apply_entry(self, now_us: int, endpoint: messages.Endpoint, *, is_stale: bool) -> None:
         # A stale change may still take an endpoint away, never bring one back.
@@ -74,7 +74,7 @@
         elif not is_stale or is_known_draining:
             self._add_or_update(now_us, endpoint)
 
-    def _drop_unlisted(self, listed: set[int]) -> None:
+    def _remove_unlisted(self, listed: set[int]) -> None:
         self.states = {
             endpoint_id: state for endpoint_id, state in self.states.items() if endpoint_id in listed
         }
@@ -97,26 +97,26 @@
         if state is not None:
             self.ring.remove(state)
 
-    def _choose_subset(self) -> None:
+    def _update_subset(self) -> None:
         """Choose the subset anew. The cost grows with the size of the subset, not of the fleet."""
-        before, self.subset = self.subset, self.ring.subset()
-        if self.subset != before:
-            self._close_departed(before)
+        previous_subset, self.subset = self.subset, self.ring.subset()
+        if self.subset != previous_subset:
+            self._close_former_members(previous_subset)
 
-    def _close_departed(self, before: list[EndpointState]) -> None:
+    def _close_former_members(self, previous_subset: list[EndpointState]) -> None:
         """Close idle connections to the endpoints that left the subset longest ago, beyond a few."""
         current = {state.endpoint.id for state in self.subset}
-        for state in before:
+        for state in previous_subset:
             if state.endpoint.id not in current:
-                self.departed[state.endpoint.id] = None
+                self.former_members[state.endpoint.id] = None
         # The driver itself closes connections to endpoints that are removed or draining.
-        self.departed = {
+        self.former_members = {
             endpoint_id: None
-            for endpoint_id in self.departed
+            for endpoint_id in self.former_members
             if endpoint_id not in current and self._is_up(endpoint_id)
         }
-        for endpoint_id in list(self.departed)[:-MAX_DEPARTED]:
-            del self.departed[endpoint_id]
+        for endpoint_id in list(self.former_members)[:-MAX_FORMER_MEMBERS]:
+            del self.former_members[endpoint_id]
             self._outbox.add(messages.CloseIdle(endpoint_id))
 
     def _is_up(self, endpoint_id: int) -> bool:
--- a/load_balancer/policy/endpoint_state.py
+++ b/load_balancer/policy/endpoint_state.py
@@ -8,7 +8,7 @@
 from typing import TypeAlias
 
 from load_balancer import messages
-from load_balancer.policy.attempt import Attempt, HangLimit, LastAttempt
+from load_balancer.policy.attempt import Attempt, HangLimit, LastAttemptResult
 from load_balancer.policy.change_detector import ChangeDetector
 from load_balancer.policy.endpoint_health import EndpointHealth
 from load_balancer.policy.subset import mixed_id
@@ -42,7 +42,7 @@
         self.unreachable_until_us = 0  # avoided, as there was no route to it
         self.unreachable_backoff_us = 0
         self.responded_at_us = 0  # when it last answered anything
-        self.last_attempt = LastAttempt.NONE
+        self.last_attempt = LastAttemptResult.NONE
 
     @property
     def is_up(self) -> bool:
--- a/load_balancer/policy/open_requests.py
+++ b/load_balancer/policy/open_requests.py
@@ -30,21 +30,21 @@
     def remove(self, request: RequestState) -> None:
         """Forget a request that is owed no final response of the balancer's own any more."""
         del self.by_id[request.id]
-        self._outbox.drop_timer(request.deadline_timer)
+        self._outbox.cancel_timer(request.deadline_timer)
 
-    def client_gone(self, request_id: str) -> None:
+    def handle_client_gone(self, request_id: str) -> None:
         """Forget a request whose client has left: nothing is owed any more."""
         request = self.by_id.get(request_id)
         if request is not None:
             self.remove(request)
             self._cancel_attempts(request)
 
-    def stream_started(self, request_id: str) -> None:
+    def handle_stream_started(self, request_id: str) -> None:
         """Note that the answer has begun; it belongs to the client from now on."""
         if request_id in self.by_id:
             self.by_id[request_id].is_streaming = True
 
-    def deadline_due(self, request_id: str) -> None:
+    def handle_deadline(self, request_id: str) -> None:
         """Finish a request whose time is up."""
         request = self.by_id.get(request_id)
         if request is not None and not request.is_streaming:
@@ -63,7 +63,7 @@
         self.remove(request)
         request.request_class.add_result(served_in_time=False)
         self._cancel_attempts(request)
-        if is_unusable or not request.is_rejection_harmless:
+        if is_unusable or not request.is_safe_to_retry:
             self._outbox.add(messages.Fail(request.id))
             return
         # By the time that an answer of its class takes, each endpoint has finished a request once.
--- a/load_balancer/policy/outbox.py
+++ b/load_balancer/policy/outbox.py
@@ -39,7 +39,7 @@
         """Start empty."""
         self._actions: list[messages.Action] = []
         self.timers: dict[int, TimerPurpose] = {}
-        self._last_timer = 0
+        self._last_timer_id = 0
 
     def add(self, action: messages.Action) -> None:
         """Append an action."""
@@ -52,16 +52,16 @@
 
     def set_timer(self, at_us: int, purpose: TimerPurpose) -> int:
         """Ask for a timer at a time of the balancer's clock; return its number."""
-        self._last_timer += 1
-        self.timers[self._last_timer] = purpose
-        self.add(messages.SetTimer(self._last_timer, at_us))
-        return self._last_timer
+        self._last_timer_id += 1
+        self.timers[self._last_timer_id] = purpose
+        self.add(messages.SetTimer(self._last_timer_id, at_us))
+        return self._last_timer_id
 
-    def drop_timer(self, timer: int) -> None:
+    def cancel_timer(self, timer_id: int) -> None:
         """Take a timer back unless it has fired. Bounds memory: most timers would outlast their request."""
-        if self.timers.pop(timer, None) is not None:
-            self.add(messages.CancelTimer(timer))
+        if self.timers.pop(timer_id, None) is not None:
+            self.add(messages.CancelTimer(timer_id))
 
-    def timer_fired(self, timer: int) -> TimerPurpose | None:
+    def pop_timer(self, timer_id: int) -> TimerPurpose | None:
         """Return what a timer was set for, or none where it is no longer wanted."""
-        return self.timers.pop(timer, None)
+        return self.timers.pop(timer_id, None)
--- a/load_balancer/policy/outcome_learner.py
+++ b/load_balancer/policy/outcome_learner.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from load_balancer import messages
-from load_balancer.policy.attempt import LastAttempt
+from load_balancer.policy.attempt import LastAttemptResult
 from load_balancer.policy.concurrency_limit import ConcurrencyLimit
 from load_balancer.policy.endpoint_list import EndpointList
 from load_balancer.policy.endpoint_state import EndpointAttempt, EndpointState
@@ -65,11 +65,11 @@
             state.note_response(now_us)
         self._add_latency(state, latency_us / request_class.usual_latency_us)
         if outcome is messages.Outcome.OK:
-            state.last_attempt = LastAttempt.SUCCEEDED
+            state.last_attempt = LastAttemptResult.SUCCEEDED
             self._slow_start.note_answer(now_us, state)
             request_class.add_latency(latency_us)
         else:
-            state.last_attempt = LastAttempt.FAILED
+            state.last_attempt = LastAttemptResult.FAILED
             penalty_ends_us = attempt.sent_at_us + int(request_class.usual_latency_us)
             state.failure_penalty_ends_us.append(penalty_ends_us)
         if outcome in CLASS_FAILURE_OUTCOMES:
--- a/load_balancer/policy/request_factory.py
+++ b/load_balancer/policy/request_factory.py
@@ -10,7 +10,7 @@
 
 # A request waits in the queue for this share of its useful time. With less, what could still be served would
 # be rejected; past half of its time a rejection costs more than the answer may yet earn.
-QUEUE_SHARE = 0.5
+MAX_QUEUE_WAIT_SHARE = 0.5
 
 
 class RequestFactory:
@@ -27,13 +27,13 @@
 
     def create(self, now_us: int, event: messages.Request) -> RequestState:
         """Count a request that has arrived, and return its state."""
-        request_class = self._class_of(event)
+        request_class = self._class_state(event)
         request_class.requests += 1
         priority = self._priority(now_us, event, request_class)
         deadline_us = now_us + event.time_remaining_us
         age_us = request_class.age_us(event, self._margin_us)
         useful_until_us = min(deadline_us, now_us + request_class.useful_us - age_us)
-        max_wait_us = int(QUEUE_SHARE * (useful_until_us - now_us))
+        max_queue_wait_us = int(MAX_QUEUE_WAIT_SHARE * (useful_until_us - now_us))
         return RequestState(
             id=event.id,
             request_class=request_class,
@@ -41,11 +41,11 @@
             deadline_us=deadline_us,
             # Past its useful time an answer earns nothing, and a late failure costs: end just before.
             useful_until_us=useful_until_us - self._margin_us,
-            max_wait_us=max_wait_us,
-            free_rejection_until_us=now_us + max_wait_us,
+            max_queue_wait_us=max_queue_wait_us,
+            free_rejection_until_us=now_us + max_queue_wait_us,
         )
 
-    def _class_of(self, event: messages.Request) -> ClassState:
+    def _class_state(self, event: messages.Request) -> ClassState:
         request_class = self.classes.get(event.class_name)
         if request_class is None:  # not in the settings: handled with all caution, as unsafe to repeat
             time_remaining_us = max(1, event.time_remaining_us)
--- a/load_balancer/policy/request_handler.py
+++ b/load_balancer/policy/request_handler.py
@@ -32,7 +32,7 @@
         self._learner = learner
         self._retry_rule = retry_rule
 
-    def request_arrived(self, now_us: int, event: messages.Request) -> None:
+    def handle_request(self, now_us: int, event: messages.Request) -> None:
         """Take in a request, and send, queue or finish it. One that is open already is left as it is."""
         if event.id in self._open_requests.by_id:
             return
@@ -41,9 +41,9 @@
         self._retry_rule.budget.earn()
         self._dispatch(now_us, request)
 
-    def attempt_ended(self, now_us: int, event: messages.AttemptEnded) -> None:
+    def handle_attempt_ended(self, now_us: int, event: messages.AttemptEnded) -> None:
         """Learn from an attempt's end, and retry or finish its request."""
-        attempt = self._dispatcher.end(event)
+        attempt = self._dispatcher.finish(event)
         if attempt is None:
             return
         in_flight = len(self._dispatcher.in_flight)
@@ -69,7 +69,7 @@
 
     def _dispatch(self, now_us: int, request: RequestState) -> None:
         """Send the request, queue it for a while, or finish it where it can't be useful any more."""
-        if not request.can_be_useful(now_us):
+        if not request.can_finish_in_time(now_us):
             self._open_requests.finish(request)
         elif not self._dispatcher.send(now_us, request):
             self._queue.add(now_us, request)
--- a/load_balancer/policy/request_priority.py
+++ b/load_balancer/policy/request_priority.py
@@ -13,11 +13,11 @@
     request_class: ClassState, classes: Collection[ClassState], worst_class_weight: float
 ) -> float:
     """Return what an answer adds to the goal for each microsecond of work that it takes."""
-    requests = sum(other.requests for other in classes)
-    mean_weight = sum(other.requests * other.settings.priority_weight for other in classes) / requests
+    total_requests = sum(other.requests for other in classes)
+    mean_weight = sum(other.requests * other.settings.priority_weight for other in classes) / total_requests
     value = (1.0 - worst_class_weight) * request_class.settings.priority_weight
     value /= max(mean_weight, MIN_MEAN_WEIGHT)
     # Without this one class could go all but unserved where the goal counts the worst one by itself.
     if request_class.served_share <= min(other.served_share for other in classes):
-        value += worst_class_weight * requests / request_class.requests
+        value += worst_class_weight * total_requests / request_class.requests
     return value / request_class.usual_latency_us
--- a/load_balancer/policy/request_state.py
+++ b/load_balancer/policy/request_state.py
@@ -27,7 +27,7 @@
     useful_until_us: int  # past this an answer earns nothing
     deadline_timer: int = 0
     queued_until_us: int = 0
-    max_wait_us: int = 0  # in the admission queue at once
+    max_queue_wait_us: int = 0  # in the admission queue at once
     free_rejection_until_us: int = 0  # past this a rejection costs also where nothing was written
     is_streaming: bool = False  # the answer has begun: the client has it, and no deadline runs
     attempts: list[EndpointAttempt] = field(default_factory=list)
@@ -48,7 +48,7 @@
         return any(attempt.outcome is not messages.Outcome.NOT_SENT for attempt in self.attempts)
 
     @property
-    def is_rejection_harmless(self) -> bool:
+    def is_safe_to_retry(self) -> bool:
         """Tell whether the client may be told "not done, trying again is harmless".
 
         By rule 2 of the wire: of an idempotent class, of a class with keys that all endpoints share, and
@@ -65,6 +65,6 @@
         """Tell whether the site's limit allows a further attempt."""
         return len(self.attempts) < max_attempts
 
-    def can_be_useful(self, now_us: int) -> bool:
+    def can_finish_in_time(self, now_us: int) -> bool:
         """Tell whether an answer would come in time that takes as long as is usual for the class."""
         return now_us + self.request_class.usual_latency_us <= self.useful_until_us
--- a/load_balancer/policy/retry.py
+++ b/load_balancer/policy/retry.py
@@ -24,6 +24,6 @@
         Attempts never overlap, so none of the request is in flight here.
         """
         is_allowed = any(state.is_up for state in self._router.eligible_endpoints(now_us, request))
-        price = 0.0 if last_outcome is messages.Outcome.NOT_SENT else 1.0
+        cost = 0.0 if last_outcome is messages.Outcome.NOT_SENT else 1.0
         has_attempts_left = request.has_attempts_left(self._limits.max_attempts)
-        return is_allowed and has_attempts_left and self.budget.try_spend(price)
+        return is_allowed and has_attempts_left and self.budget.try_spend(cost)
--- a/load_balancer/policy/router.py
+++ b/load_balancer/policy/router.py
@@ -14,12 +14,12 @@
 
 # A busy machine stalls a proxy's process for so long, by the platform's terms: an attempt may be written this
 # long after the last check that it still may be. A keyed retry past what endpoints remember may run twice.
-PROCESS_STALL_US = 150_000
+MAX_PROCESS_STALL_US = 150_000
 MAX_RETRY_CANDIDATES = 64  # endpoints that a retry looks at, where it may go to more than the subset
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class EndpointChoice:
     """An endpoint for an attempt, and why."""
 
     endpoint: EndpointState
@@ -48,18 +48,20 @@
     def eligible_endpoints(self, now_us: int, request: RequestState) -> Iterable[EndpointState]:
         """Return the endpoints where the request can't have an effect twice, by rule 2 of the wire."""
         settings = request.request_class.settings
-        ran = [attempt for attempt in request.attempts if attempt.may_have_run]
-        if not ran or settings.idempotency is messages.Idempotency.SAFE:
+        possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
+        if not possibly_run or settings.idempotency is messages.Idempotency.SAFE:
             return self._endpoints.subset
         if settings.idempotency is messages.Idempotency.UNSAFE:
             return ()
         # The retry is written once a connection stands, and must still fall into the deduplication window.
-        written_by_us = now_us + self._margin_us + self._settings.limits.connect_timeout_us + PROCESS_STALL_US
-        if written_by_us >= ran[0].sent_at_us + settings.deduplication_window_us:
+        latest_write_at_us = (
+            now_us + self._margin_us + self._settings.limits.connect_timeout_us + MAX_PROCESS_STALL_US
+        )
+        if latest_write_at_us >= possibly_run[0].sent_at_us + settings.deduplication_window_us:
             return ()
         if settings.key_scope is messages.KeyScope.ALL:
             return self._endpoints.subset
-        return self._endpoints_sharing_keys(ran[0].endpoint.endpoint, settings.key_scope)
+        return self._endpoints_sharing_keys(possibly_run[0].endpoint.endpoint, settings.key_scope)
 
     def _endpoints_sharing_keys(
         self, first: messages.Endpoint, key_scope: messages.KeyScope
@@ -89,7 +91,7 @@
         count = min(len(others), max(0, MAX_RETRY_CANDIDATES - len(in_subset)))
         return in_subset + self._selector.random.sample(others, count)
 
-    def is_open(self, now_us: int, state: EndpointState, *, is_retry: bool) -> bool:
+    def is_available(self, now_us: int, state: EndpointState, *, is_retry: bool) -> bool:
         """Tell whether this endpoint may be sent an attempt now."""
         if not state.is_up or state.health.is_silent:
             return False
@@ -97,30 +99,30 @@
             return False
         return self._slow_start.admits(now_us, state, is_retry=is_retry)
 
-    def has_open_alternative(self, now_us: int, request: RequestState, current: EndpointState) -> bool:
+    def has_available_alternative(self, now_us: int, request: RequestState, current: EndpointState) -> bool:
         """Tell whether a retry of the request could go to another endpoint now."""
         return any(
-            state is not current and self.is_open(now_us, state, is_retry=True)
+            state is not current and self.is_available(now_us, state, is_retry=True)
             for state in self.eligible_endpoints(now_us, request)
         )
 
-    def choose(self, now_us: int, request: RequestState) -> Choice | None:
+    def choose(self, now_us: int, request: RequestState) -> EndpointChoice | None:
         """Return the endpoint for the request's next attempt; none where no endpoint is open."""
         candidates = [
             state
             for state in self.eligible_endpoints(now_us, request)
-            if self.is_open(now_us, state, is_retry=request.was_sent)
+            if self.is_available(now_us, state, is_retry=request.was_sent)
         ]
         if not candidates:
             return None
-        not_tried = [
+        untried = [
             state
             for state in candidates
             if all(attempt.endpoint is not state for attempt in request.attempts)
         ]
         # An endpoint may fail one class alone, while its answers to others keep its share up.
         name = request.request_class.settings.name
-        healthy = [state for state in not_tried if not state.is_avoided(now_us, name)]
-        selection = self._selector.pick(now_us, healthy or not_tried or candidates)
-        has_alternative = any(state is not selection.endpoint for state in not_tried)
-        return Choice(selection.endpoint, selection.draws, has_untried_alternative=has_alternative)
+        healthy = [state for state in untried if not state.is_avoided(now_us, name)]
+        selection = self._selector.pick(now_us, healthy or untried or candidates)
+        has_alternative = any(state is not selection.endpoint for state in untried)
+        return EndpointChoice(selection.endpoint, selection.draws, has_untried_alternative=has_alternative)
--- a/load_balancer/policy/scan_timer.py
+++ b/load_balancer/policy/scan_timer.py
@@ -23,6 +23,6 @@
             self._is_set = True
             self._outbox.set_timer(now_us + SCAN_INTERVAL_US, AttemptScan())
 
-    def fired(self) -> None:
+    def mark_fired(self) -> None:
         """Note that the timer has fired."""
         self._is_set = False
--- a/load_balancer/policy/silent_attempts.py
+++ b/load_balancer/policy/silent_attempts.py
@@ -65,6 +65,6 @@
         request = self._open_requests.by_id.get(attempt.request_id)
         if request is None or request.is_streaming:
             return False
-        if not request.has_attempts_left(self._limits.max_attempts) or not request.can_be_useful(now_us):
+        if not request.has_attempts_left(self._limits.max_attempts) or not request.can_finish_in_time(now_us):
             return False
-        return self._router.has_open_alternative(now_us, request, attempt.endpoint)
+        return self._router.has_available_alternative(now_us, request, attempt.endpoint)
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -15,7 +15,7 @@
 from collections.abc import Sequence
 
 from load_balancer import messages
-from load_balancer.policy.attempt import LastAttempt
+from load_balancer.policy.attempt import LastAttemptResult
 from load_balancer.policy.attempt_rate import AttemptRate
 from load_balancer.policy.endpoint_state import EndpointState
 from load_balancer.policy.phase import staggered_phase
@@ -42,7 +42,7 @@
         self._rules = settings.rules
         self.first_attempts = AttemptRate()
         self._subset: Sequence[EndpointState] = ()
-        self._sharing_balancers = 1.0
+        self._balancers_per_endpoint = 1.0
         self.first_warm_at_us = 0  # when the first endpoint of the subset is warm; until then all are warming
         # Own first attempts per microsecond when the subset last lost its only warm endpoints.
         self._rate_before_all_warming = 0.0
@@ -52,9 +52,11 @@
         phase = staggered_phase(self._settings.index, endpoint_id)
         return WarmingState(phase, now_us, TokenBucket(1.0 - phase, updated_at_us=now_us))
 
-    def subset_changed(self, now_us: int, subset: Sequence[EndpointState], sharing_balancers: float) -> None:
+    def subset_changed(
+        self, now_us: int, subset: Sequence[EndpointState], balancers_per_endpoint: float
+    ) -> None:
         """Take over the subset, and how many balancers have each endpoint in theirs."""
-        self._sharing_balancers = sharing_balancers
+        self._balancers_per_endpoint = balancers_per_endpoint
         if subset == self._subset:  # the start of an incarnation never moves
             return
         self._subset = subset
@@ -96,7 +98,7 @@
 
     def admits_untested(self, now_us: int, state: EndpointState, capacity: float) -> bool:
         """Tell whether an endpoint may get this balancer's first attempt ever, without a token."""
-        is_untested = state.last_attempt is LastAttempt.NONE
+        is_untested = state.last_attempt is LastAttemptResult.NONE
         return is_untested and self.is_first_attempt_slot(now_us, state, capacity)
 
     @staticmethod
@@ -116,15 +118,15 @@
         window_us = self._rules.overload_window_us
         # Without the attempts of a burst that has come since, as that raises no capacity.
         rate = self._rate_before_all_warming or self.first_attempts.per_us(now_us)
-        rate *= self._sharing_balancers / max(1, len(self._subset))  # an endpoint's, from all balancers
+        rate *= self._balancers_per_endpoint / max(1, len(self._subset))  # an endpoint's, from all balancers
         budget = rate * window_us * self._rules.overload_multiple * capacity
         slots_per_window = (UNBUDGETED_FIRST_ATTEMPTS + UNBUDGETED_DEVIATIONS * math.sqrt(budget)) / 2.0
         # Many unused slots would make a burst together: a slot ends after a window, and comes again.
         windows = 1.0 + (now_us - state.warming.admitted_at_us) / window_us
-        position = slots_per_window * windows - state.warming.phase * self._sharing_balancers
+        position = slots_per_window * windows - state.warming.phase * self._balancers_per_endpoint
         return (
-            slots_per_window >= self._sharing_balancers
-            or position % self._sharing_balancers < slots_per_window
+            slots_per_window >= self._balancers_per_endpoint
+            or position % self._balancers_per_endpoint < slots_per_window
         )
 
     def pay_for_check(self, now_us: int, state: EndpointState) -> bool:
@@ -160,10 +162,10 @@
     def _refill_rate(self, now_us: int, state: EndpointState) -> float:
         """Return the tokens per microsecond of this balancer's bucket for an endpoint."""
         # A minimum of each balancer would be too much of them all: together it is one attempt a window.
-        min_rate = 1.0 / (self._sharing_balancers * self._rules.overload_window_us)
+        min_rate = 1.0 / (self._balancers_per_endpoint * self._rules.overload_window_us)
         rate = max(self._usual_rate(now_us) / max(1, len(self._subset)), min_rate)
         if state not in self._subset:  # it gets retries only, but from all balancers
-            rate *= RETRIES_PER_REQUEST * self._sharing_balancers / max(1, self._settings.instances)
+            rate *= RETRIES_PER_REQUEST * self._balancers_per_endpoint / max(1, self._settings.instances)
         return rate * (BUDGET_SAFETY * self._rules.overload_multiple * self.capacity(now_us, state))
 
     def _usual_rate(self, now_us: int) -> float:
--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -134,7 +134,7 @@
         assert all(endpoints.states[state.endpoint.id] is state for state in endpoints.subset)
         up_count = len(up_states(harness))
         sharing = instances * len(endpoints.subset) / max(1, up_count)
-        assert endpoints.sharing_balancers == max(1.0, sharing)
+        assert endpoints.balancers_per_endpoint == max(1.0, sharing)
         warm_at_us = (slow_start.warm_at_us(state) for state in endpoints.subset)
         assert slow_start.first_warm_at_us == min(warm_at_us, default=0)
 
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -18,8 +18,8 @@
     DISCOVERY_QUEUE_US,
     FIRST_BACKOFF_US,
     MAX_BACKOFF_US,
-    NOTIFIED_US,
-    SLACK_US,
+    NOTIFICATION_LIMIT_US,
+    NOTIFICATION_MARGIN_US,
 )
 from tests.process.process_helpers import SlowEndpoint
 from tests.support.endpoint_lists import (
@@ -51,17 +51,21 @@
 
 
 def test_timeouts_and_backoff_fit_the_notification_deadline() -> None:
-    assert (NOTIFIED_US, DISCOVERY_QUEUE_US) == (LIST_DEADLINE_S * SECOND_US, POLL_QUEUE_S * SECOND_US)
+    assert (NOTIFICATION_LIMIT_US, DISCOVERY_QUEUE_US) == (
+        LIST_DEADLINE_S * SECOND_US,
+        POLL_QUEUE_S * SECOND_US,
+    )
     assert POLLED_LIST_TIMEOUT_S > POLL_QUEUE_S  # a call is not given up before its turn
     assert (
-        MAX_BACKOFF_US + DISCOVERY_QUEUE_US + FIRST_BACKOFF_US + DISCOVERY_QUEUE_US + SLACK_US <= NOTIFIED_US
+        MAX_BACKOFF_US + DISCOVERY_QUEUE_US + FIRST_BACKOFF_US + DISCOVERY_QUEUE_US + NOTIFICATION_MARGIN_US
+        <= NOTIFICATION_LIMIT_US
     )
     assert (
         max(POLLED_LIST_TIMEOUT_S, HEARTBEAT_TIMEOUT_S) * SECOND_US
         + FIRST_BACKOFF_US
         + DISCOVERY_QUEUE_US
-        + SLACK_US
-        <= NOTIFIED_US
+        + NOTIFICATION_MARGIN_US
+        <= NOTIFICATION_LIMIT_US
     )
 
 
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -12,7 +12,7 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.policy.attempt import LastAttempt
+from load_balancer.policy.attempt import LastAttemptResult
 from load_balancer.policy.slow_start import BUDGET_SAFETY, TOKEN_EXPIRY_WINDOWS, UNBUDGETED_FIRST_ATTEMPTS
 from tests.policy.test_slow_start_fleet import TIGHT
 from tests.policy.warming_fleet import RULES, warming_fleet
@@ -165,7 +165,7 @@
         BUDGET_SAFETY
         * RULES.overload_multiple
         * RULES.start_capacity
-        / (harness.balancer.endpoints.sharing_balancers * RULES.overload_window_us)
+        / (harness.balancer.endpoints.balancers_per_endpoint * RULES.overload_window_us)
     )
     for _ in range(int(1.5 / rate / step)):  # one token becomes due
         harness.now_us += step
@@ -178,8 +178,8 @@
 def test_credit_of_an_answer_expires_unused() -> None:
     harness = balancer_with_warming_endpoints(30, 0, 6, replace(RULES, slow_start_us=600 * SECOND_US))
     state = harness.balancer.endpoints.subset[0]
-    state.last_attempt = LastAttempt.SUCCEEDED
+    state.last_attempt = LastAttemptResult.SUCCEEDED
     state.warming.answer_credit_until_us = harness.now_us + SECOND_US
     state.warming.bucket.tokens = -1.0
-    assert harness.balancer.router.is_open(harness.now_us, state, is_retry=False)
-    assert not harness.balancer.router.is_open(harness.now_us + SECOND_US, state, is_retry=False)
+    assert harness.balancer.router.is_available(harness.now_us, state, is_retry=False)
+    assert not harness.balancer.router.is_available(harness.now_us + SECOND_US, state, is_retry=False)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -11,7 +11,7 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.policy.attempt_rate import RATE_MEMORY_US
+from load_balancer.policy.attempt_rate import RATE_TIME_CONSTANT_US
 from load_balancer.policy.endpoint_state import EndpointState
 from load_balancer.policy.slow_start import UNBUDGETED_FIRST_ATTEMPTS, SlowStart
 from tests.policy.warming_fleet import RULES, warming_fleet
@@ -158,7 +158,7 @@
                 messages.StartAttempt,
             )
     assert sent == 9
-    assert harness.balancer.slow_start.first_attempts.per_us(harness.now_us) <= 3 / RATE_MEMORY_US
+    assert harness.balancer.slow_start.first_attempts.per_us(harness.now_us) <= 3 / RATE_TIME_CONSTANT_US
 
 
 def test_endpoint_outside_the_subset_gets_smaller_quotas_from_more_balancers() -> None:
@@ -183,7 +183,7 @@
             harness.now_us - 100 * MILLISECOND_US,
         )
         earned.append(harness.balancer.slow_start.refill(harness.now_us, state))
-    assert 0 < earned[1] * 40 <= 0.21 * earned[0] * harness.balancer.endpoints.sharing_balancers
+    assert 0 < earned[1] * 40 <= 0.21 * earned[0] * harness.balancer.endpoints.balancers_per_endpoint
 
 
 # With all warming, endpoints that fail answer one attempt at a time as fast as it comes
--- a/tests/scenarios/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -10,7 +10,7 @@
 from load_balancer import messages
 from load_balancer.messages import EndpointListKind, EndpointStatus
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
-from load_balancer.policy.endpoint_list import MAX_DEPARTED
+from load_balancer.policy.endpoint_list import MAX_FORMER_MEMBERS
 from load_balancer.simulator import write_action
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
@@ -62,7 +62,7 @@
         connected_ids = ((connected_ids | subset_ids(harness)) & listed_ids) - closed_ids
         max_outside = max(max_outside, len(connected_ids - subset_ids(harness)))
     assert closed_count
-    assert max_outside == MAX_DEPARTED
+    assert max_outside == MAX_FORMER_MEMBERS
 
 
 def ids_ranked_before(mixed_id: int, count: int) -> list[int]:
@@ -79,7 +79,7 @@
     initial_ids = [state.endpoint.id for state in endpoints.subset]
 
     # Endpoints that stand before the first one of the subset push out its last ones until they are removed.
-    new_ids = ids_ranked_before(first_on_ring.mixed_id, MAX_DEPARTED + 2)
+    new_ids = ids_ranked_before(first_on_ring.mixed_id, MAX_FORMER_MEMBERS + 2)
     closed_ids = []
     for version, number in enumerate(new_ids, 2):
         closed_ids += apply_changes(harness, version, messages.Endpoint(number))
@@ -89,7 +89,7 @@
     removals = (messages.Endpoint(number, EndpointStatus.REMOVED) for number in new_ids)
     assert not apply_changes(harness, 100, *removals)
     assert subset_ids(harness) == set(initial_ids)
-    assert not endpoints.departed
+    assert not endpoints.former_members
 
 
 def test_simulator_writes_close_idle_in_its_wire_form() -> None:
