--- a/load_balancer/__init__.py
+++ b/load_balancer/__init__.py
@@ -1,4 +1,4 @@
-"""A load-balancing HTTP/1.1 proxy. `Balancer`, its policy, can be used without any socket."""
+"""A load-balancing HTTP/1.1 proxy. `Balancer`, its policy, does no I/O and can be used on its own."""
 
 from load_balancer.policy.balancer import Balancer
 
--- a/load_balancer/policy/__init__.py
+++ b/load_balancer/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of a balancer: no clock, socket, thread or global state."""
+"""The decisions of a balancer, without clocks, sockets, threads or global state."""
--- a/load_balancer/policy/admission_queue.py
+++ b/load_balancer/policy/admission_queue.py
@@ -1,7 +1,7 @@
-"""The admission queue: requests that wait for an endpoint with room, the most valuable first.
+"""The admission queue, which holds requests until an endpoint is available for them.
 
-A request that no endpoint is open for waits here for part of its time. The balancer has the queue looked at
-after each event and by a timer; a request whose wait is over gets its final response.
+Requests are sent in the order of their priority. The balancer scans the queue after each event and on a
+timer. A request whose wait expires in the queue gets its final response.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from load_balancer.policy.outbox import Outbox, QueueScan
 from load_balancer.policy.request_state import RequestState
 
-QUEUE_SCAN_INTERVAL_US = 20_000  # queued requests are looked at this often
+QUEUE_SCAN_INTERVAL_US = 20_000  # between scans of the queue
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class QueueEntry:
-    """A place in the queue: the most valuable request first, then in order of arrival."""
+    """An entry of the queue, which sorts by descending priority and then by arrival."""
 
     negative_priority: float
     queued_at_us: int
@@ -29,7 +29,7 @@
 
 
 class AdmissionQueue:
-    """Requests that wait for an endpoint, the most valuable first."""
+    """Priority queue of the requests for which no endpoint is available."""
 
     def __init__(
         self,
@@ -38,7 +38,14 @@
         dispatcher: AttemptDispatcher,
         concurrency_limit: ConcurrencyLimit,
     ) -> None:
-        """Start empty."""
+        """Start with an empty queue.
+
+        Args:
+            outbox: Collects the timers.
+            open_requests: Finishes the requests that have waited too long.
+            dispatcher: Sends the requests.
+            concurrency_limit: Is notified of requests for which no endpoint was available.
+        """
         self._outbox = outbox
         self._open_requests = open_requests
         self._dispatcher = dispatcher
@@ -48,16 +55,16 @@
         self._is_scan_scheduled = False
 
     def __bool__(self) -> bool:
-        """Tell whether a request waits."""
+        """Return whether any request is queued."""
         return bool(self._entries)
 
     @property
     def request_ids(self) -> list[str]:
-        """The ids of the requests that wait, the most valuable first."""
+        """The ids of the queued requests, by descending priority."""
         return [entry.request_id for entry in self._entries]
 
     def add(self, now_us: int, request: RequestState) -> None:
-        """Queue a request that has found no open endpoint, for as long as waiting can be useful."""
+        """Queue a request that no endpoint is available for, as long as its response can have a value."""
         self._concurrency_limit.note_reached()
         request.queued_until_us = now_us + self._queue_wait_us(now_us, request)
         self._sequence += 1
@@ -72,11 +79,11 @@
         return wait_us
 
     def mark_scan_fired(self) -> None:
-        """Note that the timer of the next look at the queue has fired."""
+        """Record that the timer of the next scan has fired."""
         self._is_scan_scheduled = False
 
     def dispatch_waiting(self, now_us: int) -> None:
-        """Send queued requests where endpoints are open, and schedule the next look where some still wait."""
+        """Send queued requests to available endpoints, and schedule the next scan if any remain queued."""
         if not self._entries:
             return
         self._send_or_finish_waiting(now_us)
@@ -91,7 +98,7 @@
         self._outbox.set_timer(min(now_us + QUEUE_SCAN_INTERVAL_US, earliest_expiry_us), QueueScan())
 
     def _send_or_finish_waiting(self, now_us: int) -> None:
-        """Send queued requests, the most valuable first; finish those that have waited long enough."""
+        """Send queued requests by descending priority, and finish those whose wait has expired."""
         waiting, self._entries = self._entries, []
         may_send_first_attempts = True
         may_send_retries = True
@@ -105,7 +112,8 @@
             is_sendable = may_send_first_attempts and (may_send_retries or not request.was_sent)
             if is_sendable and self._dispatcher.send(now_us, request):
                 continue
-            # A retry finds fewer endpoints open than a first attempt, so its failure says nothing of those.
+            # No later request is tried that would find no endpoint either. A retry has fewer endpoints than a
+            # first attempt, and a request that may have run has fewer still, so neither rules out those.
             if not request.may_have_run:
                 may_send_first_attempts = may_send_first_attempts and request.was_sent
                 may_send_retries = False
--- a/load_balancer/policy/attempt.py
+++ b/load_balancer/policy/attempt.py
@@ -1,6 +1,6 @@
-"""One attempt of a request: a record that endpoints, requests and health checks share.
+"""The record of one attempt, which is shared by endpoints, requests and health checks.
 
-It refers to its endpoint without knowing what the policy keeps of endpoints: `endpoint_state` names the type.
+The type of the endpoint is a parameter, which `endpoint_state` fills in, to avoid a circular import.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class LastAttemptResult(Enum):
-    """How the last attempt at an endpoint ended."""
+    """The result of the last attempt at an endpoint."""
 
     NONE = auto()
     SUCCEEDED = auto()
@@ -25,15 +25,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HangLimit:
-    """When an attempt counts as hanging: after so many usual latencies, and this long at least."""
+    """The time in flight after which an attempt counts as hanging: the longer of two limits."""
 
-    usual_latencies: float
+    usual_latencies: float  # as a multiple of the usual latency of the class
     min_us: int
 
 
 @dataclass(slots=True, eq=False)
 class Attempt(Generic[EndpointT]):
-    """One attempt of a request at one endpoint."""
+    """An attempt of a request at one endpoint."""
 
     request_id: str
     number: int
@@ -41,15 +41,15 @@
     request_class: ClassState
     sent_at_us: int
     timeout_us: int
-    outcome: messages.Outcome | None = None  # none while it is in flight
-    is_abandoned: bool = False  # given up, its end still to come
+    outcome: messages.Outcome | None = None  # None while the attempt is in flight
+    is_abandoned: bool = False  # cancelled by the balancer, but its end is not reported yet
 
     def is_hanging(self, now_us: int, limit: HangLimit) -> bool:
-        """Tell whether the attempt has been in flight for longer than the limit."""
+        """Return whether the attempt has been in flight for at least the limit."""
         usual_us = int(limit.usual_latencies * self.request_class.usual_latency_us)
         return now_us >= self.sent_at_us + max(limit.min_us, usual_us)
 
     @property
     def may_have_run(self) -> bool:
-        """Return False only where the outcome proves that the endpoint never ran the request."""
+        """Whether the endpoint may have run the request; False only if the outcome proves that it did not."""
         return self.outcome is None or not self.outcome.proves_never_run
--- a/load_balancer/policy/attempt_dispatcher.py
+++ b/load_balancer/policy/attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatch of attempts: sends requests to endpoints, and owns the attempts in flight."""
+"""The start, cancellation and end of attempts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AttemptDispatcher:
-    """Starts attempts, gives them up, and keeps those in flight."""
+    """Starts and cancels attempts, and owns the attempts in flight."""
 
     def __init__(
         self,
@@ -23,7 +23,15 @@
         slow_start: SlowStart,
         scan_timer: ScanTimer,
     ) -> None:
-        """Start without attempts; `scan_timer` is set as attempts go out."""
+        """Start without attempts.
+
+        Args:
+            limits: The limits of the site.
+            outbox: Collects the actions.
+            router: Chooses the endpoint of an attempt.
+            slow_start: Is notified of attempts, which use its tokens.
+            scan_timer: Is set while attempts are in flight.
+        """
         self._limits = limits
         self._outbox = outbox
         self._router = router
@@ -32,7 +40,7 @@
         self.in_flight: dict[tuple[str, int], EndpointAttempt] = {}  # by request id and attempt number
 
     def send(self, now_us: int, request: RequestState) -> bool:
-        """Send the request to an endpoint that it may go to; return False where none is open."""
+        """Send the request to an endpoint, or return False if none is available."""
         choice = self._router.choose(now_us, request)
         if choice is None:
             return False
@@ -58,20 +66,21 @@
         state = attempt.endpoint
         state.in_flight.append(attempt)
         self._slow_start.attempt_sent(now_us, state, is_first=attempt.number == 0)
-        # Many balancers could overload an endpoint with one attempt each: a limit below one is kept by a
-        # pause after each attempt, so that by Little's law the mean in flight stays within it.
+        # Many balancers with one attempt each could overload an endpoint. A concurrency limit below one is
+        # enforced by a pause after each attempt, so that by Little's law the mean number of attempts in
+        # flight stays within the limit.
         usual_us = attempt.request_class.usual_latency_us
         limit = state.concurrency_limit
         state.paused_until_us = now_us + int(usual_us / limit) if limit < 1.0 else 0
 
     def _max_connection_wait_us(self, request: RequestState, choice: EndpointChoice, timeout_us: int) -> int:
-        """Return within which time the attempt may still be moved to another endpoint; 0 where it can't."""
+        """Return how long the attempt may wait for a connection; 0 if the request has no alternative."""
         if not (choice.has_untried_alternative and request.has_attempts_left(self._limits.max_attempts)):
             return 0
         return max(0, timeout_us - int(request.request_class.usual_latency_us))
 
     def finish(self, event: messages.AttemptEnded) -> EndpointAttempt | None:
-        """Record the outcome of an attempt and return it; none where no such attempt is in flight."""
+        """Record the outcome of an attempt and return the attempt, or None if it is not in flight."""
         attempt = self.in_flight.pop((event.request_id, event.attempt_number), None)
         if attempt is None:
             return None
@@ -80,7 +89,7 @@
         return attempt
 
     def abandon(self, now_us: int, attempt: EndpointAttempt) -> None:
-        """Give up waiting for an answer. The attempt stays in flight until its end is reported."""
+        """Cancel an attempt and count it as failed. It stays in flight until its end is reported."""
         state = attempt.endpoint
         usual_us = attempt.request_class.usual_latency_us
         state.last_attempt = LastAttemptResult.FAILED
--- a/load_balancer/policy/attempt_rate.py
+++ b/load_balancer/policy/attempt_rate.py
@@ -1,22 +1,22 @@
-"""The rate of a balancer's own first attempts, by which slow start estimates what endpoints usually get."""
+"""The rate of first attempts, from which slow start estimates the usual load of an endpoint."""
 
 from __future__ import annotations
 
 import math
 
-RATE_TIME_CONSTANT_US = 2_000_000  # time constant of the decay
+RATE_TIME_CONSTANT_US = 2_000_000  # of the exponential decay
 
 
 class AttemptRate:
-    """An exponentially decaying count of first attempts. Retries tell nothing of what an endpoint takes."""
+    """Exponentially decaying rate of first attempts. Retries do not show how much load an endpoint gets."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Start at a rate of zero."""
         self._count = 0.0
         self._updated_at_us = 0
 
     def per_us(self, now_us: int) -> float:
-        """Return the recent rate, in first attempts per microsecond."""
+        """Return the current rate, in first attempts per microsecond."""
         self._count *= math.exp((self._updated_at_us - now_us) / RATE_TIME_CONSTANT_US)
         self._updated_at_us = now_us
         return self._count / RATE_TIME_CONSTANT_US
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -1,7 +1,7 @@
-"""The dispatch of a balancer's events to the parts that decide.
+"""The balancer, which dispatches events to the components of the policy and collects their actions.
 
-`Balancer.handle` is called by the event loop driver and by the simulator's adapter, which carry out the
-actions that it returns. One instance owns all of its parts; instances share nothing.
+`Balancer.handle` is called by the event loop driver and by the simulator's adapter, which perform the
+actions that it returns. Each instance owns all of its components; instances share no state.
 """
 
 from __future__ import annotations
@@ -28,19 +28,24 @@
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.policy.subscription import Subscription
 
-DEADLINE_MARGIN_TICKS = 2  # of the settings' `tick_us`: kept back from deadlines
+DEADLINE_MARGIN_TICKS = 2  # ticks of `Settings.tick_us` by which deadlines are brought forward
 
 
 class Balancer:
-    """One instance. Feed it events with `handle`, carry out the actions it returns, in order."""
+    """One load balancer, which turns events into actions that are to be performed in order."""
 
     def __init__(self, settings: messages.Settings, seed: int) -> None:
-        """Build the parts, from what endpoints are to what requests do. Equal seeds and events act alike."""
+        """Create the components of the policy.
+
+        Args:
+            settings: The settings of this balancer.
+            seed: The seed of its random numbers. The same seed and events give the same actions.
+        """
         limits = settings.limits
         self.settings = settings
         self.margin_us = DEADLINE_MARGIN_TICKS * settings.tick_us
         self.outbox = outbox = Outbox()
-        # A random stream of its own: asking discovery again leaves the draws alone.
+        # A separate random number generator, so that subscriptions do not change the selection of endpoints.
         self.subscription = Subscription(settings, random.Random(seed + 1), outbox)
 
         self.selector = Selector(settings, seed)
@@ -75,12 +80,12 @@
         )
 
     def start(self, now_us: int) -> list[messages.Action]:
-        """Return the first actions, before any event."""
+        """Return the actions to perform before the first event."""
         self.subscription.start()
         return self.outbox.drain()
 
     def handle(self, now_us: int, event: messages.Event) -> list[messages.Action]:
-        """Take one event and return the actions to perform, in order. `now_us` never runs backwards."""
+        """Handle one event and return the actions to perform, in order. `now_us` must never decrease."""
         self._dispatch(now_us, event)
         self.queue.dispatch_waiting(now_us)
         return self.outbox.drain()
--- a/load_balancer/policy/endpoint_list.py
+++ b/load_balancer/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the endpoints by the updates that discovery has sent, and the subset that is used."""
+"""The endpoint list, maintained from the updates of discovery, and the subset that the balancer uses."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from load_balancer.policy.subset import Ring
 
 NO_VERSION = -1
-# Endpoints that have left the subset and may keep idle connections: some come back, as their place is at its
-# edge, and the others would hold a descriptor each until their connections expire.
+# Endpoints that have left the subset and may keep idle connections. Some return soon, as they are at the edge
+# of the subset. Without a limit, the others would hold a descriptor each until their connections expire.
 MAX_FORMER_MEMBERS = 8
 
 
 class EndpointList:
-    """The endpoints known to one balancer, and the subset of them that it sends to."""
+    """The endpoints known to a balancer, and the subset of them that it sends requests to."""
 
     def __init__(
         self,
@@ -26,7 +26,14 @@
         is_remote: Callable[[messages.Endpoint], bool],
         slow_start: SlowStart,
     ) -> None:
-        """Start empty; `slow_start` gives each new incarnation its token bucket."""
+        """Start with an empty list.
+
+        Args:
+            settings: The settings of the balancer.
+            outbox: Collects the actions that close idle connections.
+            is_remote: Returns whether an endpoint is in another zone and so has a cost.
+            slow_start: Creates the warming state of each new incarnation.
+        """
         self._instances = settings.instances
         self._outbox = outbox
         self._slow_start = slow_start
@@ -34,25 +41,26 @@
             settings.index, settings.instances, lambda state: is_remote(state.endpoint)
         )
         self.states: dict[int, EndpointState] = {}
-        self.former_members: dict[int, None] = {}  # ids of those that left the subset, the longest gone first
+        # Ids of the endpoints that have left the subset, in the order in which they left.
+        self.former_members: dict[int, None] = {}
         self.subset: list[EndpointState] = []
         self.version = NO_VERSION
 
     def __iter__(self) -> Iterator[EndpointState]:
-        """Iterate over all endpoints, those that are draining included."""
+        """Iterate over all endpoints, including draining ones."""
         return iter(self.states.values())
 
     def get(self, endpoint_id: int) -> EndpointState | None:
-        """Return an endpoint of the list; None where it is not listed."""
+        """Return the state of an endpoint, or None if it is not in the list."""
         return self.states.get(endpoint_id)
 
     @property
     def balancers_per_endpoint(self) -> float:
-        """The number of balancers that have each endpoint in their subset, on average and at least one."""
+        """The mean number of balancers per endpoint that have it in their subset; at least one."""
         return max(1.0, self._instances * len(self.subset) / max(1, len(self.ring)))
 
     def apply(self, now_us: int, update: messages.EndpointListUpdate) -> None:
-        """Take over an update of any kind but `FAILED`."""
+        """Apply an update of any kind but `FAILED`."""
         is_complete = update.kind is not messages.EndpointListKind.CHANGES
         is_stale = not is_complete and update.version < self.version
         if is_complete:
@@ -61,13 +69,13 @@
             self._apply_entry(now_us, endpoint, is_stale=is_stale)
         if is_complete:
             self._remove_unlisted({endpoint.id for endpoint in update.endpoints})
-        # A complete list sets the version anew, also a lower one: otherwise the changes of a new discovery
-        # with lower versions would all count as stale.
+        # A complete list may lower the version. Otherwise, all changes of a new discovery with lower
+        # versions would count as stale.
         self.version = max(self.version, update.version) if is_stale else update.version
         self._update_subset()
 
     def _apply_entry(self, now_us: int, endpoint: messages.Endpoint, *, is_stale: bool) -> None:
-        # A stale change may still take an endpoint away, never bring one back.
+        # A stale change may remove or drain an endpoint, but never add one or make it available again.
         is_known_draining = endpoint.status is messages.EndpointStatus.DRAINING and endpoint.id in self.states
         if endpoint.status is messages.EndpointStatus.REMOVED:
             self._remove(endpoint.id)
@@ -80,10 +88,10 @@
         }
 
     def _add_or_update(self, now_us: int, endpoint: messages.Endpoint) -> None:
-        """Take over an entry. An endpoint that has restarted under its id gets a new state."""
+        """Add or update an endpoint. An endpoint that has restarted under the same id gets a new state."""
         state = self.states.get(endpoint.id)
         if state is not None:
-            self.ring.remove(state)  # before its zone changes, which tells where it stands there
+            self.ring.remove(state)  # before its zone changes, as the zone determines its place in the ring
         if state is not None and state.endpoint.incarnation_us == endpoint.incarnation_us:
             state.endpoint = endpoint
         else:
@@ -98,18 +106,18 @@
             self.ring.remove(state)
 
     def _update_subset(self) -> None:
-        """Choose the subset anew. The cost grows with the size of the subset, not of the fleet."""
+        """Recompute the subset. The cost grows with the size of the subset, not of the fleet."""
         previous_subset, self.subset = self.subset, self.ring.subset()
         if self.subset != previous_subset:
             self._close_former_members(previous_subset)
 
     def _close_former_members(self, previous_subset: list[EndpointState]) -> None:
-        """Close idle connections to the endpoints that left the subset longest ago, beyond a few."""
+        """Close idle connections to endpoints that have left the subset, except to the most recent ones."""
         current = {state.endpoint.id for state in self.subset}
         for state in previous_subset:
             if state.endpoint.id not in current:
                 self.former_members[state.endpoint.id] = None
-        # The driver itself closes connections to endpoints that are removed or draining.
+        # The driver closes the connections to removed and draining endpoints on its own.
         self.former_members = {
             endpoint_id: None
             for endpoint_id in self.former_members
--- a/load_balancer/policy/request_factory.py
+++ b/load_balancer/policy/request_factory.py
@@ -1,4 +1,4 @@
-"""Builds the state of a request as it arrives: its class, its priority and the times that it must keep."""
+"""The creation of request states: the class, the priority and the time limits of a new request."""
 
 from __future__ import annotations
 
@@ -8,16 +8,22 @@
 from load_balancer.policy.request_state import RequestState
 from load_balancer.policy.tenant_quota import TenantQuota
 
-# A request waits in the queue for this share of its useful time. With less, what could still be served would
-# be rejected; past half of its time a rejection costs more than the answer may yet earn.
+# A request waits in the admission queue for at most this share of its useful time. A smaller share would
+# reject requests that could still be served. After half of the useful time, a rejection costs more than the
+# response could still earn.
 MAX_QUEUE_WAIT_SHARE = 0.5
 
 
 class RequestFactory:
-    """Owns what is known of classes and tenants, and builds requests from it."""
+    """Creates request states. Owns the states of the classes and the quotas of the tenants."""
 
     def __init__(self, settings: messages.Settings, margin_us: int) -> None:
-        """Start from the settings; `margin_us` is kept back from deadlines."""
+        """Create the states of the classes and the quotas.
+
+        Args:
+            settings: The settings of the balancer.
+            margin_us: The time by which deadlines are brought forward.
+        """
         self._settings = settings
         self._margin_us = margin_us
         self.classes = {settings.name: ClassState(settings) for settings in settings.classes}
@@ -26,7 +32,7 @@
         }
 
     def create(self, now_us: int, event: messages.Request) -> RequestState:
-        """Count a request that has arrived, and return its state."""
+        """Return the state of a new request, and count the request in its class and its tenant's quota."""
         request_class = self._class_state(event)
         request_class.requests += 1
         priority = self._priority(now_us, event, request_class)
@@ -39,7 +45,8 @@
             request_class=request_class,
             priority=priority,
             deadline_us=deadline_us,
-            # Past its useful time an answer earns nothing, and a late failure costs: end just before.
+            # A response after the useful time earns nothing, and a late failure has a cost: attempts time out
+            # just before.
             useful_until_us=useful_until_us - self._margin_us,
             max_queue_wait_us=max_queue_wait_us,
             free_rejection_until_us=now_us + max_queue_wait_us,
@@ -47,7 +54,7 @@
 
     def _class_state(self, event: messages.Request) -> ClassState:
         request_class = self.classes.get(event.class_name)
-        if request_class is None:  # not in the settings: handled with all caution, as unsafe to repeat
+        if request_class is None:  # a class that is not in the settings counts as unsafe to repeat
             time_remaining_us = max(1, event.time_remaining_us)
             request_class = ClassState(
                 messages.RequestClass(event.class_name, time_remaining_us, time_remaining_us)
--- a/load_balancer/policy/request_handler.py
+++ b/load_balancer/policy/request_handler.py
@@ -1,4 +1,4 @@
-"""The way of a request: what happens as it arrives, and as one of its attempts ends."""
+"""The handling of requests: on arrival, and when one of their attempts ends."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RequestHandler:
-    """Sends, queues, retries or finishes requests. It has no state of its own."""
+    """Sends, queues, retries or finishes requests. It keeps no state of its own."""
 
     def __init__(
         self,
@@ -24,7 +24,16 @@
         learner: OutcomeLearner,
         retry_rule: RetryRule,
     ) -> None:
-        """Take the parts that a request goes through."""
+        """Store the components.
+
+        Args:
+            factory: Creates the state of a new request.
+            open_requests: The requests without a final response.
+            dispatcher: Starts attempts.
+            queue: Holds requests for which no endpoint is available.
+            learner: Updates endpoint and class statistics from the outcomes of attempts.
+            retry_rule: Decides about retries.
+        """
         self._factory = factory
         self._open_requests = open_requests
         self._dispatcher = dispatcher
@@ -33,7 +42,7 @@
         self._retry_rule = retry_rule
 
     def handle_request(self, now_us: int, event: messages.Request) -> None:
-        """Take in a request, and send, queue or finish it. One that is open already is left as it is."""
+        """Send, queue or finish a new request. A request whose id is open already is ignored."""
         if event.id in self._open_requests.by_id:
             return
         request = self._factory.create(now_us, event)
@@ -42,7 +51,7 @@
         self._dispatch(now_us, request)
 
     def handle_attempt_ended(self, now_us: int, event: messages.AttemptEnded) -> None:
-        """Learn from an attempt's end, and retry or finish its request."""
+        """Learn from the outcome of an attempt, and complete, retry or finish its request."""
         attempt = self._dispatcher.finish(event)
         if attempt is None:
             return
@@ -61,14 +70,14 @@
             self._open_requests.finish(request)
 
     def _complete(self, request: RequestState, event: messages.AttemptEnded) -> None:
-        """Forget a request that has had its response from the endpoint."""
+        """Remove a request that has its response, and count in its class whether it was served in time."""
         objective_us = request.request_class.settings.latency_objective_us
         in_time = event.outcome is messages.Outcome.OK and event.duration_us <= objective_us
         request.request_class.add_result(served_in_time=in_time)
         self._open_requests.remove(request)
 
     def _dispatch(self, now_us: int, request: RequestState) -> None:
-        """Send the request, queue it for a while, or finish it where it can't be useful any more."""
+        """Send the request, or queue it if no endpoint is available, or finish it if it is too late."""
         if not request.can_finish_in_time(now_us):
             self._open_requests.finish(request)
         elif not self._dispatcher.send(now_us, request):
--- a/load_balancer/policy/request_state.py
+++ b/load_balancer/policy/request_state.py
@@ -1,4 +1,4 @@
-"""One request from its arrival to its final response, with the attempts that were made for it."""
+"""The state of a request, from its arrival to its final response, with all of its attempts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from load_balancer.policy.class_state import ClassState
 from load_balancer.policy.endpoint_state import EndpointAttempt
 
-# No endpoint got the complete request.
+# The outcomes of attempts for which no endpoint has received the complete request.
 UNWRITTEN_OUTCOMES = (
     messages.Outcome.NOT_SENT,
     messages.Outcome.NO_CONNECTION,
@@ -18,41 +18,42 @@
 
 @dataclass(slots=True, eq=False)
 class RequestState:
-    """A request from its arrival to its final response. Times are those of the balancer's clock."""
+    """The state of a request, from its arrival to its final response. Times are on the balancer's clock."""
 
     id: str
     request_class: ClassState
-    priority: float  # what an answer adds to the goal for each microsecond of work
+    priority: float  # value of a response per microsecond of work
     deadline_us: int
-    useful_until_us: int  # past this an answer earns nothing
+    useful_until_us: int  # a later response has no value
     deadline_timer: int = 0
     queued_until_us: int = 0
-    max_queue_wait_us: int = 0  # in the admission queue at once
-    free_rejection_until_us: int = 0  # past this a rejection costs also where nothing was written
-    is_streaming: bool = False  # the answer has begun: the client has it, and no deadline runs
+    max_queue_wait_us: int = 0  # longest time in the admission queue without an attempt in between
+    # A later rejection has a cost even if nothing was written to an endpoint.
+    free_rejection_until_us: int = 0
+    is_streaming: bool = False  # the response is being forwarded, and the deadline no longer applies
     attempts: list[EndpointAttempt] = field(default_factory=list)
 
     @property
     def may_have_run(self) -> bool:
-        """Return False only where every attempt is proved never to have run."""
+        """Whether an endpoint may have run the request; False only if every attempt provably did not run."""
         return any(attempt.may_have_run for attempt in self.attempts)
 
     @property
     def may_have_been_written(self) -> bool:
-        """Tell whether an attempt may have been written completely to an endpoint."""
+        """Whether an endpoint may have received the complete request."""
         return any(attempt.outcome not in UNWRITTEN_OUTCOMES for attempt in self.attempts)
 
     @property
     def was_sent(self) -> bool:
-        """Tell whether any attempt was sent. One that ended unsent has cost no endpoint anything."""
+        """Whether an attempt was sent. An attempt that ended as not sent has put no load on an endpoint."""
         return any(attempt.outcome is not messages.Outcome.NOT_SENT for attempt in self.attempts)
 
     @property
     def is_safe_to_retry(self) -> bool:
-        """Tell whether the client may be told "not done, trying again is harmless".
+        """Whether the client may be told that it can safely send the request again.
 
-        By rule 2 of the wire: of an idempotent class, of a class with keys that all endpoints share, and
-        of any request that is proved never to have run.
+        By rule 2 of the wire protocol, this holds for idempotent classes, for keyed classes whose keys all
+        endpoints share, and for requests that provably have not run.
         """
         settings = self.request_class.settings
         if settings.idempotency is messages.Idempotency.SAFE:
@@ -62,9 +63,9 @@
         return not self.may_have_run
 
     def has_attempts_left(self, max_attempts: int) -> bool:
-        """Tell whether the site's limit allows a further attempt."""
+        """Return whether the limit on attempts per request allows a further attempt."""
         return len(self.attempts) < max_attempts
 
     def can_finish_in_time(self, now_us: int) -> bool:
-        """Tell whether an answer would come in time that takes as long as is usual for the class."""
+        """Return whether a response with the usual latency of the class would still have a value."""
         return now_us + self.request_class.usual_latency_us <= self.useful_until_us
--- a/load_balancer/policy/retry.py
+++ b/load_balancer/policy/retry.py
@@ -1,4 +1,4 @@
-"""Retries: whether a request whose attempts have all failed gets a further one."""
+"""The decision whether a request is retried after a failed attempt."""
 
 from __future__ import annotations
 
@@ -9,19 +9,25 @@
 
 
 class RetryRule:
-    """Decides whether a request whose attempts have all failed gets a further one."""
+    """Decides whether a request whose attempts have all failed is retried."""
 
     def __init__(self, limits: messages.Limits, router: Router, budget: RetryBudget) -> None:
-        """Take the site's limit on attempts, and the budget that retries are paid from."""
+        """Store the components.
+
+        Args:
+            limits: The limits of the site, of which the number of attempts per request applies.
+            router: Determines the endpoints that a retry may be sent to.
+            budget: The retry budget that retries are charged to.
+        """
         self._limits = limits
         self._router = router
         self.budget = budget
 
     def claim_retry(self, now_us: int, request: RequestState, last_outcome: messages.Outcome) -> bool:
-        """Pay for a retry and return True; return False where none is allowed or affordable.
+        """Charge a retry to the budget and return True, or return False if no retry is possible.
 
-        The one after an attempt that was not sent costs nothing: there is no work that it would double.
-        Attempts never overlap, so none of the request is in flight here.
+        A retry after an attempt that was not sent costs nothing, as it repeats no work. Attempts of a request
+        never overlap, so none is in flight at this point.
         """
         is_allowed = any(state.is_up for state in self._router.eligible_endpoints(now_us, request))
         cost = 0.0 if last_outcome is messages.Outcome.NOT_SENT else 1.0
--- a/load_balancer/policy/router.py
+++ b/load_balancer/policy/router.py
@@ -1,4 +1,4 @@
-"""Routing: to which endpoints an attempt of a request may go, and which of them gets it."""
+"""Routing: the endpoints that an attempt of a request may be sent to, and the choice among them."""
 
 from __future__ import annotations
 
@@ -12,23 +12,24 @@
 from load_balancer.policy.selection import Selector
 from load_balancer.policy.slow_start import SlowStart
 
-# A busy machine stalls a proxy's process for so long, by the platform's terms: an attempt may be written this
-# long after the last check that it still may be. A keyed retry past what endpoints remember may run twice.
+# The longest stall of the process on a busy machine, by the rules of the platform. An attempt may be written
+# this long after the last check that it still may be sent. A keyed retry that is written after the
+# deduplication window may run twice.
 MAX_PROCESS_STALL_US = 150_000
-MAX_RETRY_CANDIDATES = 64  # endpoints that a retry looks at, where it may go to more than the subset
+MAX_RETRY_CANDIDATES = 64  # considered for a retry that may go outside of the subset
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointChoice:
-    """An endpoint for an attempt, and why."""
+    """The endpoint that was chosen for an attempt, with the candidates it was compared with."""
 
     endpoint: EndpointState
     draws: tuple[messages.Draw, ...]
-    has_untried_alternative: bool  # another endpoint is open that the request has not been sent to
+    has_untried_alternative: bool  # another endpoint is available that the request was not sent to
 
 
 class Router:
-    """Chooses among the endpoints that the class of a request, its attempts and their limits allow."""
+    """Chooses endpoints for attempts, subject to idempotency, concurrency limits, health and slow start."""
 
     def __init__(
         self,
@@ -38,7 +39,15 @@
         selector: Selector,
         margin_us: int,
     ) -> None:
-        """Take the parts that decide; `margin_us` is kept back from the deduplication window."""
+        """Store the components.
+
+        Args:
+            settings: The settings of the balancer.
+            endpoints: The endpoint list with the subset.
+            slow_start: Limits attempts to endpoints that are warming up.
+            selector: Selects one of several endpoints.
+            margin_us: The time by which the end of the deduplication window is brought forward.
+        """
         self._settings = settings
         self._endpoints = endpoints
         self._slow_start = slow_start
@@ -46,14 +55,15 @@
         self._margin_us = margin_us
 
     def eligible_endpoints(self, now_us: int, request: RequestState) -> Iterable[EndpointState]:
-        """Return the endpoints where the request can't have an effect twice, by rule 2 of the wire."""
+        """Return the endpoints where the request cannot take effect twice, by rule 2 of the wire protocol."""
         settings = request.request_class.settings
         possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
         if not possibly_run or settings.idempotency is messages.Idempotency.SAFE:
             return self._endpoints.subset
         if settings.idempotency is messages.Idempotency.UNSAFE:
             return ()
-        # The retry is written once a connection stands, and must still fall into the deduplication window.
+        # The retry is written once a connection is established, and the deduplication window must not have
+        # ended by then.
         latest_write_at_us = (
             now_us + self._margin_us + self._settings.limits.connect_timeout_us + MAX_PROCESS_STALL_US
         )
@@ -66,7 +76,7 @@
     def _endpoints_sharing_keys(
         self, first: messages.Endpoint, key_scope: messages.KeyScope
     ) -> Iterable[EndpointState]:
-        """Return the endpoints that drop repeats of what this one has run."""
+        """Return the endpoints that drop duplicates of what `first` has run, or a sample of them."""
         if key_scope is messages.KeyScope.ZONE:
             return self._sample_candidates(
                 [state for state in self._endpoints if state.endpoint.zone == first.zone]
@@ -77,13 +87,15 @@
         )
 
     def _sample_candidates(self, candidates: list[EndpointState]) -> list[EndpointState]:
-        """Return all of a few endpoints; of many those of the subset and a random sample of the others.
+        """Return all candidates if they are few, else those of the subset and a random sample of the others.
 
-        Looking at each endpoint has a cost. Without chance all balancers would retry at the same ones.
+        Checking each endpoint is expensive in a large fleet. The sample is random, as otherwise all balancers
+        would send their retries to the same endpoints.
         """
         if len(candidates) <= MAX_RETRY_CANDIDATES:
             return candidates
-        # Over thousands of endpoints a call of `is_up` for each would be most of the cost.
+        # The status is compared directly: for thousands of endpoints, calls of `is_up` would be most of the
+        # cost.
         up = [state for state in candidates if state.endpoint.status is messages.EndpointStatus.UP]
         subset = set(self._endpoints.subset)
         in_subset = [state for state in up if state in subset]
@@ -92,7 +104,7 @@
         return in_subset + self._selector.random.sample(others, count)
 
     def is_available(self, now_us: int, state: EndpointState, *, is_retry: bool) -> bool:
-        """Tell whether this endpoint may be sent an attempt now."""
+        """Return whether the endpoint may be sent an attempt now."""
         if not state.is_up or state.health.is_silent:
             return False
         if state.load(now_us) >= state.concurrency_limit or now_us < state.paused_until_us:
@@ -100,14 +112,14 @@
         return self._slow_start.admits(now_us, state, is_retry=is_retry)
 
     def has_available_alternative(self, now_us: int, request: RequestState, current: EndpointState) -> bool:
-        """Tell whether a retry of the request could go to another endpoint now."""
+        """Return whether a retry of the request could be sent to an endpoint other than `current` now."""
         return any(
             state is not current and self.is_available(now_us, state, is_retry=True)
             for state in self.eligible_endpoints(now_us, request)
         )
 
     def choose(self, now_us: int, request: RequestState) -> EndpointChoice | None:
-        """Return the endpoint for the request's next attempt; none where no endpoint is open."""
+        """Return the endpoint for the next attempt of the request, or None if no endpoint is available."""
         candidates = [
             state
             for state in self.eligible_endpoints(now_us, request)
@@ -120,7 +132,7 @@
             for state in candidates
             if all(attempt.endpoint is not state for attempt in request.attempts)
         ]
-        # An endpoint may fail one class alone, while its answers to others keep its share up.
+        # An endpoint may fail for one class only, while its responses to other classes keep its share high.
         name = request.request_class.settings.name
         healthy = [state for state in untried if not state.is_avoided(now_us, name)]
         selection = self._selector.pick(now_us, healthy or untried or candidates)
--- a/load_balancer/policy/subscription.py
+++ b/load_balancer/policy/subscription.py
@@ -1,4 +1,4 @@
-"""Subscription to discovery: when to open the watch again after it broke."""
+"""The subscription to discovery, with the backoff before a failed watch is opened again."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 from load_balancer import messages
 from load_balancer.policy.outbox import Outbox, Resubscribe
 
-PUSH_WATCH_INTERVAL_US = 100_000  # where lists are pushed, the watch is opened this often
-FIRST_BACKOFF_US = 500_000  # before asking for the list again elsewhere
-BACKOFF_JITTER = 0.3  # share of a backoff that chance may take off
-MAX_BACKOFF_SHARE = 0.125  # longest backoff, as a share of the longest time between polls
-# Longest backoff, whatever the settings say. A change counts as notified 6 s after discovery had it and could
-# be reached, or after a watch fell silent. A backoff runs from the beginning of the failed call, but a first
-# one is kept behind its end in any case. These sums stay below, with time for the way and a late event loop:
-# - a call has just failed at once: the longest backoff, 2 s in discovery's queue and refused, a first
-#   backoff, 2 s in the queue and served; this one binds;
-# - a call has just begun: given up without a word after 2.5 s, a first backoff, 2 s in the queue and served;
-# - a watch has fallen silent: given up after 3 s, a first backoff, 2 s in the queue and served.
+PUSH_WATCH_INTERVAL_US = 100_000  # between watches, if discovery pushes lists without a subscription
+FIRST_BACKOFF_US = 500_000  # before the first retry of a subscription, if lists are not pushed
+BACKOFF_JITTER = 0.3  # a backoff is shortened by a random share of up to this
+MAX_BACKOFF_SHARE = 0.125  # the longest backoff, as a share of `max_poll_interval_us`
+# Upper bound on the longest backoff, for all settings. By the protocol, the balancer must have a change 6 s
+# after discovery has it and is reachable, or after a watch becomes silent. A backoff counts from the start of
+# the failed call, but the next call starts at least a first backoff after its end. The margin covers network
+# latency and event loop delays. The worst case of each failure stays within the limit:
+# - A call has failed immediately: the longest backoff, 2 s in discovery's queue until the next call is
+#   refused, a first backoff, and 2 s in the queue until the list is sent. This case determines the bound.
+# - A call has just started: a time-out without a response after 2.5 s, a first backoff, 2 s in the queue.
+# - A watch has become silent: a time-out after 3 s, a first backoff, 2 s in the queue.
 NOTIFICATION_LIMIT_US = 6_000_000
 DISCOVERY_QUEUE_US = 2_000_000
 NOTIFICATION_MARGIN_US = 250_000
@@ -25,10 +26,16 @@
 
 
 class Subscription:
-    """Asks for the endpoint list, and again each time that the watch breaks."""
+    """Subscribes to the endpoint list, and again with a backoff each time that the watch fails."""
 
     def __init__(self, settings: messages.Settings, jitter: random.Random, outbox: Outbox) -> None:
-        """Take the settings of discovery, and a random source of its own for jitter."""
+        """Start without a subscription.
+
+        Args:
+            settings: The settings of the balancer.
+            jitter: The random number generator for the jitter of backoffs.
+            outbox: Collects the subscriptions and timers.
+        """
         self._must_subscribe = settings.must_subscribe
         self.jitter = jitter
         self._outbox = outbox
@@ -39,27 +46,28 @@
         self._max_backoff_us = max(FIRST_BACKOFF_US, min(MAX_BACKOFF_US, configured_max_us))
 
     def start(self) -> None:
-        """Subscribe for the first time, where lists come only to those who ask."""
+        """Subscribe if discovery sends lists to subscribers only."""
         if self._must_subscribe:
             self._outbox.add(messages.Subscribe())
 
     def subscribe(self, now_us: int) -> None:
-        """Open the watch."""
+        """Subscribe to the endpoint list, which opens a watch."""
         self._subscribed_at_us = now_us
         self._outbox.add(messages.Subscribe())
 
     def reset_backoff(self) -> None:
-        """Note that discovery has answered: the next failure is a first one again."""
+        """Reset the backoff, as discovery has sent a list."""
         self.backoff_us = FIRST_BACKOFF_US
 
     def handle_failure(self, now_us: int) -> None:
-        """Schedule the next subscription after a call to discovery failed or the watch broke."""
+        """Schedule the next subscription after a call to discovery or the watch has failed."""
         if not self._must_subscribe:
-            # Pushed lists count as notified even without a watch, and opening one costs discovery nothing.
+            # With pushed lists, the balancer is expected to have each change even while no watch is open. A
+            # new watch puts no load on discovery, so it needs no backoff.
             self._schedule_subscription(max(now_us, self._subscribed_at_us + PUSH_WATCH_INTERVAL_US))
             return
-        # Jitter keeps the balancers from asking all at the same moment when discovery is back. A call
-        # that lasted long has kept load from discovery, so the backoff counts from its beginning.
+        # Jitter keeps the balancers from subscribing all at once when discovery recovers. During a long call
+        # the balancer makes no other calls, so the backoff counts from the start of the call.
         jitter_factor = self.jitter.uniform(1.0 - BACKOFF_JITTER, 1.0)
         at_us = max(
             now_us + int(jitter_factor * FIRST_BACKOFF_US),
