--- a/load_balancer/policy/open_requests.py
+++ b/load_balancer/policy/open_requests.py
@@ -31,12 +31,12 @@
         """Add a request and set the timer for its deadline."""
         self.by_id[request.id] = request
         at_us = max(now_us, request.deadline_us - self._margin_us)
-        request.deadline_timer = self._outbox.set_timer(at_us, RequestDeadline(request.id))
+        request.deadline_timer_id = self._outbox.set_timer(at_us, RequestDeadline(request.id))
 
     def remove(self, request: RequestState) -> None:
         """Remove a request that needs no final response from the balancer any more, and cancel its timer."""
         del self.by_id[request.id]
-        self._outbox.cancel_timer(request.deadline_timer)
+        self._outbox.cancel_timer(request.deadline_timer_id)
 
     def handle_client_gone(self, request_id: str) -> None:
         """Remove a request whose client has disconnected, and cancel its attempts."""
--- a/load_balancer/policy/request_state.py
+++ b/load_balancer/policy/request_state.py
@@ -25,7 +25,7 @@
     priority: float  # value of a response per microsecond of work
     deadline_us: int
     useful_until_us: int  # a later response has no value
-    deadline_timer: int = 0
+    deadline_timer_id: int = 0
     queued_until_us: int = 0
     max_queue_wait_us: int = 0  # longest time in the admission queue without an attempt in between
     # A later rejection has a cost even if nothing was written to an endpoint.
--- a/load_balancer/policy/subscription.py
+++ b/load_balancer/policy/subscription.py
@@ -40,7 +40,7 @@
         self.jitter = jitter
         self._outbox = outbox
         self._subscribed_at_us = 0
-        self._timer = 0
+        self._timer_id = 0
         self.backoff_us = FIRST_BACKOFF_US
         configured_max_us = int(MAX_BACKOFF_SHARE * settings.rules.max_poll_interval_us)
         self._max_backoff_us = max(FIRST_BACKOFF_US, min(MAX_BACKOFF_US, configured_max_us))
@@ -77,5 +77,5 @@
         self.backoff_us = min(2 * self.backoff_us, self._max_backoff_us)
 
     def _schedule_subscription(self, at_us: int) -> None:
-        self._outbox.cancel_timer(self._timer)
-        self._timer = self._outbox.set_timer(at_us, Resubscribe())
+        self._outbox.cancel_timer(self._timer_id)
+        self._timer_id = self._outbox.set_timer(at_us, Resubscribe())
