--- a/load_balancer/messages/actions.py
+++ b/load_balancer/messages/actions.py
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Send the final response that the request was not executed and may safely be sent again."""
+    """Send the final response that the request is rejected and can safely be sent again."""
 
     request_id: str
     retry_after_us: int = 0  # for the Retry-After header; 0: no header
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Send the final response that the request failed; it may or may not have been executed."""
+    """Send the final response that the request failed; it may or may not have been run."""
 
     request_id: str
 
--- a/load_balancer/messages/events.py
+++ b/load_balancer/messages/events.py
@@ -71,7 +71,7 @@
 
     endpoint_id: int
     is_alive: bool  # the endpoint responded, or the check could not be sent
-    in_flight: float | None = None  # from its load report if it has one; may be outdated or inexact
+    in_flight: float | None = None  # from its load report if it has one; delayed and slightly noisy
 
 
 @dataclass(frozen=True, slots=True)
--- a/load_balancer/policy/admission_queue.py
+++ b/load_balancer/policy/admission_queue.py
@@ -112,8 +112,9 @@
             is_sendable = may_send_first_attempts and (may_send_retries or not request.was_sent)
             if is_sendable and self._dispatcher.send(now_us, request):
                 continue
-            # No later request is tried that would find no endpoint either. A retry has fewer endpoints than a
-            # first attempt, and a request that may have run has fewer still, so neither rules out those.
+            # Later requests that cannot be sent are not tried. A retry has fewer endpoints than a first
+            # attempt, so it holds back retries only. A request that may have run has even fewer endpoints and
+            # holds back none.
             if not request.may_have_run:
                 may_send_first_attempts = may_send_first_attempts and request.was_sent
                 may_send_retries = False
