--- a/load_balancer/policy/admission_queue.py
+++ b/load_balancer/policy/admission_queue.py
@@ -58,7 +58,7 @@
 
     def add(self, now_us: int, request: RequestState) -> None:
         """Queue a request that has found no open endpoint, for as long as waiting can be useful."""
-        self._limit.note_reached()
+        self._limit.mark_reached()
         request.queued_until_us = now_us + self._wait_us(now_us, request)
         self._sequence += 1
         insort(self._entries, QueueEntry(-request.priority, now_us, self._sequence, request.id))
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -58,7 +58,10 @@
         self.requests = self._new_request_handler()
 
         self.health = HealthChecker(
-            outbox, self.scan_timer, may_check=self.slow_start.pay_for_check, abandon=self.dispatcher.abandon
+            outbox,
+            self.scan_timer,
+            try_spend_check_token=self.slow_start.try_spend_check_token,
+            abandon=self.dispatcher.abandon,
         )
         self.silent_attempts = SilentAttemptDetector(
             limits, self.open_requests, self.dispatcher, self.router, self.retry_budget, self.scan_timer
@@ -131,5 +134,5 @@
         self.endpoints.apply(now_us, update)
         sharing_balancers = self.endpoints.sharing_balancers
         self.slow_start.subset_changed(now_us, self.endpoints.subset, sharing_balancers)
-        self.limit.share_among(sharing_balancers)
+        self.limit.set_sharing_balancers(sharing_balancers)
         self.limit.split(self.endpoints.subset)
--- a/load_balancer/policy/class_state.py
+++ b/load_balancer/policy/class_state.py
@@ -16,17 +16,19 @@
     def __init__(self, settings: messages.RequestClass) -> None:
         """Start from the settings alone."""
         self.settings = settings
-        self.useful_us = settings.latency_objective_us if settings.late_weight <= 0 else settings.deadline_us
+        self.useful_period_us = (
+            settings.latency_objective_us if settings.late_weight <= 0 else settings.deadline_us
+        )
         self.usual_latency_us = INITIAL_LATENCY_SHARE * settings.latency_objective_us
-        self.answers = 0
+        self.latency_samples = 0
         self.requests = 0
         self.served_share = 1.0  # running share of its requests that got an answer in time
-        self.longest_first_time_left_us = 0  # of requests that are no client retries
+        self.longest_first_time_remaining_us = 0  # of requests that are no client retries
 
     def add_latency(self, latency_us: int) -> None:
         """Learn from the latency of a successful attempt, microseconds."""
-        self.answers += 1
-        weight = max(LATENCY_ALPHA, 1.0 / self.answers)
+        self.latency_samples += 1
+        weight = max(LATENCY_ALPHA, 1.0 / self.latency_samples)
         self.usual_latency_us += weight * (latency_us - self.usual_latency_us)
         self.usual_latency_us = max(self.usual_latency_us, 1.0)
 
@@ -37,9 +39,11 @@
         that of first attempts tells no age. No age is derived from the time left of other clients.
         """
         if not request.retry:
-            self.longest_first_time_left_us = max(self.longest_first_time_left_us, request.time_left_us)
+            self.longest_first_time_remaining_us = max(
+                self.longest_first_time_remaining_us, request.time_left_us
+            )
             return 0
-        if abs(request.time_left_us - self.longest_first_time_left_us) <= tolerance_us:
+        if abs(request.time_left_us - self.longest_first_time_remaining_us) <= tolerance_us:
             return 0
         return max(0, self.settings.deadline_us - request.time_left_us)
 
--- a/load_balancer/policy/endpoint_state.py
+++ b/load_balancer/policy/endpoint_state.py
@@ -11,11 +11,13 @@
 from load_balancer.policy.attempt import Attempt, HangLimit, LastAttempt
 from load_balancer.policy.change_detector import ChangeDetector
 from load_balancer.policy.endpoint_health import EndpointHealth
-from load_balancer.policy.subset import mixed_id
+from load_balancer.policy.subset import hashed_id
 from load_balancer.policy.warming_state import WarmingState
 
 OVERDUE_LATENCIES = 2.0  # an attempt in flight for this many usual latencies counts as two
-FIRST_UNREACHABLE_US = 250_000  # an endpoint without a route is avoided for this long, doubled each time
+FIRST_UNREACHABLE_BACKOFF_US = (
+    250_000  # an endpoint without a route is avoided for this long, doubled each time
+)
 COOL_DOWN_US = 5_000_000  # one that lost or failed a request of a class is avoided for that class
 
 
@@ -27,8 +29,8 @@
         self.endpoint = endpoint
         # Fixed once: no later entry for the same incarnation makes it older or younger. 0: long ago.
         self.started_us = endpoint.incarnation_us if endpoint.started_us is None else endpoint.started_us
-        self.mixed_id = mixed_id(endpoint.id)
-        self.ring_position = (self.mixed_id, endpoint.id)
+        self.hashed_id = hashed_id(endpoint.id)
+        self.ring_position = (self.hashed_id, endpoint.id)
         self.detector = ChangeDetector()
         self.health = EndpointHealth()
         self.warming = warming
@@ -80,11 +82,11 @@
         """Avoid the endpoint for a while. Its share stays, as its route may have failed for a moment only."""
         if now_us < self.unreachable_until_us:  # an attempt that was in flight when the route failed
             return
-        backoff_us = max(FIRST_UNREACHABLE_US, 2 * self.unreachable_backoff_us)
+        backoff_us = max(FIRST_UNREACHABLE_BACKOFF_US, 2 * self.unreachable_backoff_us)
         self.unreachable_backoff_us = min(COOL_DOWN_US, backoff_us)
         self.unreachable_until_us = now_us + self.unreachable_backoff_us
 
-    def note_response(self, now_us: int) -> None:
+    def record_response(self, now_us: int) -> None:
         """Note that the endpoint has answered something: it is there, and so is the route to it."""
         self.responded_at_us = now_us
         self.unreachable_backoff_us = 0
--- a/load_balancer/policy/health_check.py
+++ b/load_balancer/policy/health_check.py
@@ -15,26 +15,32 @@
 from load_balancer.policy.outbox import Outbox
 from load_balancer.policy.scan_timer import ScanTimer
 
-SUSPECT_LIMIT = HangLimit(3.0, 1_000_000)
-SUSPECT_LIMIT_AFTER_LOSS = HangLimit(2.0, 800_000)  # for a while after an answer was lost
-LOSS_MEMORY_US = 20_000_000  # how long that limit holds
-REPORT_AGE_US = 700_000  # a load report may be this old
-REPORT_NOISE = 1.2  # and too low by this factor
+HANG_LIMIT = HangLimit(3.0, 1_000_000)
+HANG_LIMIT_AFTER_LOSS = HangLimit(2.0, 800_000)  # for a while after an answer was lost
+AFTER_LOSS_PERIOD_US = 20_000_000  # how long that limit holds
+MAX_REPORT_AGE_US = 700_000  # a load report may be this old
+REPORT_ERROR_FACTOR = 1.2  # and too low by this factor
 
-MayCheck = Callable[[int, EndpointState], bool]
+TrySpendCheckToken = Callable[[int, EndpointState], bool]
 Abandon = Callable[[int, EndpointAttempt], None]
 
 
 class HealthChecker:
     """Checks endpoints whose attempts hang, and gives up attempts whose answers are lost."""
 
-    def __init__(self, outbox: Outbox, scan_timer: ScanTimer, may_check: MayCheck, abandon: Abandon) -> None:
-        """Start without checks; `may_check` pays for a check out of the slow-start budget."""
+    def __init__(
+        self,
+        outbox: Outbox,
+        scan_timer: ScanTimer,
+        try_spend_check_token: TrySpendCheckToken,
+        abandon: Abandon,
+    ) -> None:
+        """Start without checks; `try_spend_check_token` pays for a check out of the slow-start budget."""
         self._outbox = outbox
-        self._may_check = may_check
+        self._try_spend_check_token = try_spend_check_token
         self._abandon = abandon
         self._scan_timer = scan_timer
-        self._answer_lost_at_us: int | None = None
+        self._response_lost_at_us: int | None = None
         self.pending: dict[
             int, list[EndpointState]
         ] = {}  # by endpoint id: incarnations that are being checked
@@ -47,7 +53,9 @@
         limit = self._hang_limit(now_us)
         for state in dict.fromkeys([*silent, *(attempt.endpoint for attempt in in_flight)]):
             is_hanging = state.has_hanging_attempt(now_us, limit)
-            if state.health.is_due(now_us, has_hanging_attempt=is_hanging) and self._may_check(now_us, state):
+            if state.health.is_due(now_us, has_hanging_attempt=is_hanging) and self._try_spend_check_token(
+                now_us, state
+            ):
                 self._start_check(now_us, state)
         if in_flight or silent:
             self._scan_timer.schedule(now_us)
@@ -64,10 +72,11 @@
                 self._check_missed(now_us, state)
 
     def _hang_limit(self, now_us: int) -> HangLimit:
-        lost_lately = (
-            self._answer_lost_at_us is not None and now_us < self._answer_lost_at_us + LOSS_MEMORY_US
+        lost_recently = (
+            self._response_lost_at_us is not None
+            and now_us < self._response_lost_at_us + AFTER_LOSS_PERIOD_US
         )
-        return SUSPECT_LIMIT_AFTER_LOSS if lost_lately else SUSPECT_LIMIT
+        return HANG_LIMIT_AFTER_LOSS if lost_recently else HANG_LIMIT
 
     def _start_check(self, now_us: int, state: EndpointState) -> None:
         state.health.check_started(now_us)
@@ -76,7 +85,7 @@
 
     def _check_missed(self, now_us: int, state: EndpointState) -> None:
         state.health.missed_checks += 1
-        if not state.health.is_silent and self._may_check(now_us, state):
+        if not state.health.is_silent and self._try_spend_check_token(now_us, state):
             self._start_check(now_us, state)
         elif state.health.is_silent:
             # Its host may have vanished: then its connections stay open and never bring anything.
@@ -88,9 +97,9 @@
         reportable = [
             attempt
             for attempt in state.in_flight
-            if attempt.sent_at_us <= state.health.checked_at_us - REPORT_AGE_US
+            if attempt.sent_at_us <= state.health.checked_at_us - MAX_REPORT_AGE_US
         ]
-        lost = len(reportable) - math.ceil(REPORT_NOISE * reported - (REPORT_NOISE - 1.0))
+        lost = len(reportable) - math.ceil(REPORT_ERROR_FACTOR * reported - (REPORT_ERROR_FACTOR - 1.0))
         limit = self._hang_limit(now_us)
         hanging = sorted(
             (attempt for attempt in reportable if attempt.is_hanging(now_us, limit)),
@@ -100,6 +109,6 @@
             waiting = len(reportable)
             text = f"{state.endpoint.id} holds {reported:.1f} and we wait for {waiting}: answers are lost"
             self._outbox.add(messages.Log(text))
-            self._answer_lost_at_us = now_us
+            self._response_lost_at_us = now_us
         for attempt in hanging[: max(0, lost)]:
             self._abandon(now_us, attempt)
--- a/load_balancer/policy/outcome_learner.py
+++ b/load_balancer/policy/outcome_learner.py
@@ -51,22 +51,22 @@
             attempt.endpoint.mark_unreachable(now_us)
             return
         latency_us = took_us if outcome is messages.Outcome.OK else attempt.timeout_us
-        self._learn_of_endpoint(now_us, attempt, outcome, latency_us)
+        self._update_endpoint(now_us, attempt, outcome, latency_us)
         if outcome not in OUTCOMES_WITHOUT_LOAD_SIGNAL:
             relative = attempt.request_class.relative_latency(latency_us)
-            self._limit.add_answer(now_us, attempt, relative, self._endpoints.subset, in_flight)
+            self._limit.add_latency_sample(now_us, attempt, relative, self._endpoints.subset, in_flight)
 
-    def _learn_of_endpoint(
+    def _update_endpoint(
         self, now_us: int, attempt: EndpointAttempt, outcome: messages.Outcome, latency_us: int
     ) -> None:
         state = attempt.endpoint
         request_class = attempt.request_class
         if outcome in RESPONSE_OUTCOMES:
-            state.note_response(now_us)
+            state.record_response(now_us)
         self._add_latency(state, latency_us / request_class.usual_latency_us)
         if outcome is messages.Outcome.OK:
             state.last_attempt = LastAttempt.SUCCEEDED
-            self._slow_start.note_answer(now_us, state)
+            self._slow_start.add_response_credit(now_us, state)
             request_class.add_latency(latency_us)
         else:
             state.last_attempt = LastAttempt.FAILED
--- a/load_balancer/policy/request_factory.py
+++ b/load_balancer/policy/request_factory.py
@@ -32,7 +32,7 @@
         priority = self._priority(now_us, event, request_class)
         deadline_us = now_us + event.time_left_us
         age_us = request_class.age_us(event, self._margin_us)
-        useful_until_us = min(deadline_us, now_us + request_class.useful_us - age_us)
+        useful_until_us = min(deadline_us, now_us + request_class.useful_period_us - age_us)
         max_wait_us = int(QUEUE_SHARE * (useful_until_us - now_us))
         return RequestState(
             id=event.id,
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -10,7 +10,7 @@
 from load_balancer.policy.endpoint_state import EndpointState
 
 REMOTE_WEIGHT = 0.3  # a draw's weight for an endpoint in another zone, where crossing has a price
-REMOTE_PENALTY = 2  # attempts in flight that such an endpoint counts as having besides its own
+REMOTE_PENALTY_ATTEMPTS = 2  # attempts in flight that such an endpoint counts as having besides its own
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
         return Selection(drawn[0], draws)
 
     def _comparable_load(self, now_us: int, state: EndpointState) -> int:
-        return state.load(now_us) + REMOTE_PENALTY * self.is_remote(state.endpoint)
+        return state.load(now_us) + REMOTE_PENALTY_ATTEMPTS * self.is_remote(state.endpoint)
 
     def _weight(self, state: EndpointState) -> float:
         return state.share * (REMOTE_WEIGHT if self.is_remote(state.endpoint) else 1.0)
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -23,14 +23,14 @@
 from load_balancer.policy.token_bucket import TokenBucket
 from load_balancer.policy.warming_state import WarmingState
 
-BUDGET_SAFETY = 0.7  # share of the budget that is used
+BUDGET_UTILIZATION = 0.7  # share of the budget that is used
 # A token expires after this share of a window: all tokens of a window, and all that were saved from before
 # it, then make one budget, however late the balancers come to spend them.
-TOKEN_EXPIRY_WINDOWS = 1.0 / BUDGET_SAFETY - 1.0
+TOKEN_EXPIRY_WINDOWS = 1.0 / BUDGET_UTILIZATION - 1.0
 MAX_BURST_ATTEMPTS = 2.0  # attempts that may follow each other at once
 UNBUDGETED_FIRST_ATTEMPTS = 2.0  # first attempts without a token in a window, from all balancers
 # Further such ones, in roots of the budget (its standard deviations): the rule allows this much for chance.
-UNBUDGETED_DEVIATIONS = 2.0
+UNBUDGETED_STANDARD_DEVIATIONS = 2.0
 
 
 class SlowStart:
@@ -89,7 +89,7 @@
         if now_us < self.first_warm_at_us and state in self._subset:
             is_admitted = (
                 not is_retry and self.admits_untested(now_us, state, capacity)
-            ) or self.admits_after_answer(now_us, state)
+            ) or self.admits_after_response(now_us, state)
             if is_admitted and state.load(now_us) < 1:
                 return True
         return self.refill(now_us, state) >= 1.0
@@ -100,12 +100,12 @@
         return is_untested and self.is_first_attempt_slot(now_us, state, capacity)
 
     @staticmethod
-    def admits_after_answer(now_us: int, state: EndpointState) -> bool:
+    def admits_after_response(now_us: int, state: EndpointState) -> bool:
         """Tell whether an answer has made room for one attempt, no faster than the endpoint answers.
 
         A failing endpoint answers at any speed, so what follows a failure needs a token.
         """
-        return now_us < state.warming.answer_credit_until_us
+        return now_us < state.warming.response_credit_until_us
 
     def is_first_attempt_slot(self, now_us: int, state: EndpointState, capacity: float) -> bool:
         """Tell whether now is this balancer's slot, by its phase, for a first attempt without a token.
@@ -118,16 +118,18 @@
         rate = self._rate_before_all_warming or self.first_attempts.per_us(now_us)
         rate *= self._sharing_balancers / max(1, len(self._subset))  # an endpoint's, from all balancers
         budget = rate * window_us * self._rules.overload_multiple * capacity
-        slots_per_window = (UNBUDGETED_FIRST_ATTEMPTS + UNBUDGETED_DEVIATIONS * math.sqrt(budget)) / 2.0
+        slots_per_window = (
+            UNBUDGETED_FIRST_ATTEMPTS + UNBUDGETED_STANDARD_DEVIATIONS * math.sqrt(budget)
+        ) / 2.0
         # Many unused slots would make a burst together: a slot ends after a window, and comes again.
-        windows = 1.0 + (now_us - state.warming.admitted_at_us) / window_us
+        windows = 1.0 + (now_us - state.warming.first_listed_at_us) / window_us
         position = slots_per_window * windows - state.warming.phase * self._sharing_balancers
         return (
             slots_per_window >= self._sharing_balancers
             or position % self._sharing_balancers < slots_per_window
         )
 
-    def pay_for_check(self, now_us: int, state: EndpointState) -> bool:
+    def try_spend_check_token(self, now_us: int, state: EndpointState) -> bool:
         """Pay a token for a health check, which counts like an attempt; return False where there is none."""
         if self.capacity(now_us, state) >= 1.0:
             return True
@@ -140,10 +142,10 @@
         if is_first:
             self.first_attempts.add(now_us)
 
-    def note_answer(self, now_us: int, state: EndpointState) -> None:
+    def add_response_credit(self, now_us: int, state: EndpointState) -> None:
         """Note a successful answer, which makes room for one more attempt for a while."""
         credit_us = int(TOKEN_EXPIRY_WINDOWS * self._rules.overload_window_us)
-        state.warming.answer_credit_until_us = now_us + credit_us
+        state.warming.response_credit_until_us = now_us + credit_us
 
     def refill(self, now_us: int, state: EndpointState) -> float:
         """Refill the bucket of an endpoint, let tokens beyond the burst expire, and return what it holds."""
@@ -161,12 +163,12 @@
         """Return the tokens per microsecond of this balancer's bucket for an endpoint."""
         # A minimum of each balancer would be too much of them all: together it is one attempt a window.
         min_rate = 1.0 / (self._sharing_balancers * self._rules.overload_window_us)
-        rate = max(self._usual_rate(now_us) / max(1, len(self._subset)), min_rate)
+        rate = max(self._first_attempt_rate(now_us) / max(1, len(self._subset)), min_rate)
         if state not in self._subset:  # it gets retries only, but from all balancers
             rate *= RETRIES_PER_REQUEST * self._sharing_balancers / max(1, self._settings.instances)
-        return rate * (BUDGET_SAFETY * self._rules.overload_multiple * self.capacity(now_us, state))
+        return rate * (BUDGET_UTILIZATION * self._rules.overload_multiple * self.capacity(now_us, state))
 
-    def _usual_rate(self, now_us: int) -> float:
+    def _first_attempt_rate(self, now_us: int) -> float:
         """Return own first attempts per microsecond.
 
         While all of the subset warms up it counts no less than before: the buckets hold it down.
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -14,7 +14,7 @@
 from typing import Generic, Protocol, TypeVar
 
 MIN_SUBSET = 3  # endpoints in the subset at least, where there are as many: fewer are each better known
-SUBSET_COVER = 2  # balancers that should have each endpoint in their subset, on average
+SUBSETS_PER_ENDPOINT = 2  # balancers that should have each endpoint in their subset, on average
 # What a proxy needs may grow by this much as a fleet grows to sixteen times its usual size, by the limits on
 # its descriptors: each endpoint of its subset comes to hold one connection of it.
 FLEET_GROWTH = 16
@@ -29,7 +29,7 @@
 RING_POSITION = attrgetter("ring_position")
 
 
-def mixed_id(endpoint_id: int) -> int:
+def hashed_id(endpoint_id: int) -> int:
     """Return the id mixed, so that neighbouring ids lie apart. It is the same at every balancer."""
     return endpoint_id * RING_MULTIPLIER % RING_SIZE
 
@@ -137,7 +137,7 @@
 
 def _covering_size(endpoints: int, instances: int) -> int:
     """Return the size of subsets that give each endpoint to as many balancers as it should have."""
-    return math.ceil(SUBSET_COVER * endpoints / instances)
+    return math.ceil(SUBSETS_PER_ENDPOINT * endpoints / instances)
 
 
 def arc(members: list[Member], start: RingPosition, size: int) -> list[Member]:
--- a/load_balancer/policy/token_bucket.py
+++ b/load_balancer/policy/token_bucket.py
@@ -28,9 +28,9 @@
         self.add((now_us - self.updated_at_us) * tokens_per_us)
         self.updated_at_us = now_us
 
-    def try_spend(self, price: float = 1.0) -> bool:
+    def try_spend(self, cost: float = 1.0) -> bool:
         """Take tokens out and return True; return False and take none where there are too few."""
-        if self.tokens < price:
+        if self.tokens < cost:
             return False
-        self.tokens -= price
+        self.tokens -= cost
         return True
--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -21,7 +21,7 @@
 from load_balancer.net.discovery.json_stream import JsonTextSplitter
 from load_balancer.policy.endpoint_state import EndpointState
 from load_balancer.policy.router import MAX_RETRY_CANDIDATES
-from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET, SUBSET_COVER, subset_size
+from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET, SUBSETS_PER_ENDPOINT, subset_size
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.loopback_proxy import running_proxy
@@ -84,8 +84,8 @@
 def plain_subset(harness: BalancerHarness) -> list[int]:
     """Return the ids of the subset by plain computation from all endpoints that are up."""
     settings = harness.balancer.settings
-    up = sorted(up_states(harness), key=lambda state: (state.mixed_id, state.endpoint.id))
-    size = max(MIN_SUBSET, math.ceil(SUBSET_COVER * len(up) / settings.instances))
+    up = sorted(up_states(harness), key=lambda state: (state.hashed_id, state.endpoint.id))
+    size = max(MIN_SUBSET, math.ceil(SUBSETS_PER_ENDPOINT * len(up) / settings.instances))
     first = settings.index * len(up) // settings.instances
     ring = up[first:] + up[:first]
     has_price = settings.cross_zone_price > 0
@@ -167,7 +167,7 @@
 
 def covering_size(endpoint_count: int, instances: int) -> int:
     """Return the size of a subset by which the balancers together cover all endpoints often enough."""
-    return max(MIN_SUBSET, math.ceil(SUBSET_COVER * endpoint_count / instances))
+    return max(MIN_SUBSET, math.ceil(SUBSETS_PER_ENDPOINT * endpoint_count / instances))
 
 
 @pytest.mark.parametrize("instances", [1, 3, 10, 34, 100, 200, 544])
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -171,7 +171,7 @@
         messages.Endpoint(0, incarnation_us=harness.now_us), kind=messages.EndpointListKind.CHANGES, version=2
     )
     fresh = harness.balancer.endpoints.states[0]
-    assert (fresh.share, fresh.in_flight, fresh.mixed_id) == (1.0, [], state.mixed_id)
+    assert (fresh.share, fresh.in_flight, fresh.hashed_id) == (1.0, [], state.hashed_id)
 
 
 def test_outcome_from_removed_endpoint_ends_its_request() -> None:
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -164,8 +164,8 @@
 async def test_lost_response_is_detected_and_its_request_retried_on_real_sockets(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(health_check, "SUSPECT_LIMIT", HangLimit(0.0, 60 * MILLISECOND_US))
-    monkeypatch.setattr(health_check, "REPORT_AGE_US", 0)
+    monkeypatch.setattr(health_check, "HANG_LIMIT", HangLimit(0.0, 60 * MILLISECOND_US))
+    monkeypatch.setattr(health_check, "MAX_REPORT_AGE_US", 0)
     monkeypatch.setattr(scan_timer, "SCAN_INTERVAL_US", 10 * MILLISECOND_US)
     lost: list[str] = []
 
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -32,7 +32,7 @@
 
 def test_concurrency_limit_falls_with_late_answers_and_recovers() -> None:
     harness = BalancerHarness()
-    limits = [harness.balancer.limit.attempts]
+    limits = [harness.balancer.limit.attempts_per_endpoint]
     for phase, took_us in enumerate((1500 * MILLISECOND_US, 50 * MILLISECOND_US)):
         in_flight: list[messages.StartAttempt] = []
         for number in range(400):
@@ -47,7 +47,7 @@
                     harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
                     messages.StartAttempt,
                 )
-        limits.append(harness.balancer.limit.attempts)
+        limits.append(harness.balancer.limit.attempts_per_endpoint)
         while in_flight:
             in_flight += actions_of_type(
                 harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
@@ -67,7 +67,7 @@
         for number in range(40)
         for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
     ]
-    assert 0 < sum(send.endpoint_id == 0 for send in sends) <= harness.balancer.limit.attempts
+    assert 0 < sum(send.endpoint_id == 0 for send in sends) <= harness.balancer.limit.attempts_per_endpoint
 
 
 def test_queued_requests_are_sent_by_priority_and_rejected_when_their_wait_ends() -> None:
@@ -205,12 +205,16 @@
     harness = BalancerHarness(balancer_settings(instances=400), endpoint_count=40)
     balancer = harness.balancer
     assert balancer.endpoints.sharing_balancers == 400 * len(balancer.endpoints.subset) / 40
-    assert balancer.limit.attempts * balancer.endpoints.sharing_balancers == pytest.approx(
+    assert balancer.limit.attempts_per_endpoint * balancer.endpoints.sharing_balancers == pytest.approx(
         INITIAL_SHARED_LIMIT
     )
     sent_count = count_sent_attempts(harness, 10, took_us=400 * MILLISECOND_US)
     # By Little's law: the limit of each endpoint of the subset, over the 400 ms that an attempt takes.
-    assert 0 < sent_count <= 1.5 * balancer.limit.attempts * len(balancer.endpoints.subset) * 10 / 0.4
+    assert (
+        0
+        < sent_count
+        <= 1.5 * balancer.limit.attempts_per_endpoint * len(balancer.endpoints.subset) * 10 / 0.4
+    )
 
 
 def test_concurrency_limit_falls_below_one_only_under_overload() -> None:
@@ -218,7 +222,7 @@
     for took_us in (800 * MILLISECOND_US, 1800 * MILLISECOND_US):  # late; under overload
         harness = BalancerHarness(balancer_settings(instances=8), endpoint_count=4)
         count_sent_attempts(harness, 60, took_us)
-        limits.append(harness.balancer.limit.attempts)
+        limits.append(harness.balancer.limit.attempts_per_endpoint)
     assert limits[0] == pytest.approx(1.0, abs=0.1)
     assert MIN_LIMIT / 8 <= limits[1] < 0.5
 
@@ -255,11 +259,11 @@
 def test_failed_connection_does_not_lower_the_concurrency_limit() -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)))
     for number in range(40):
-        limit_before = harness.balancer.limit.attempts
+        limit_before = harness.balancer.limit.attempts_per_endpoint
         [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
         harness.end_attempt(send, messages.Outcome.NO_CONNECTION, took=1)
         harness.advance(500 * MILLISECOND_US)
-        assert harness.balancer.limit.attempts >= limit_before
+        assert harness.balancer.limit.attempts_per_endpoint >= limit_before
 
 
 @pytest.mark.parametrize(("waited_share", "served"), [(0.45, True), (0.55, False)])
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -6,7 +6,7 @@
 
 from load_balancer import messages
 from load_balancer.policy.attempt import Attempt
-from load_balancer.policy.selection import REMOTE_PENALTY
+from load_balancer.policy.selection import REMOTE_PENALTY_ATTEMPTS
 from load_balancer.policy.subset import MIN_REMOTE, MIN_SUBSET
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.units import MILLISECOND_US, SECOND_US
@@ -158,7 +158,7 @@
 
 
 def test_busy_zone_spills_over_to_other_zones() -> None:
-    assert count_local_attempts(price=0.05, busy=REMOTE_PENALTY + 2) < 80
+    assert count_local_attempts(price=0.05, busy=REMOTE_PENALTY_ATTEMPTS + 2) < 80
 
 
 def test_subset_holds_the_local_zone_and_some_remote_endpoints() -> None:
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -13,7 +13,11 @@
 
 from load_balancer import messages
 from load_balancer.policy.attempt import LastAttempt
-from load_balancer.policy.slow_start import BUDGET_SAFETY, TOKEN_EXPIRY_WINDOWS, UNBUDGETED_FIRST_ATTEMPTS
+from load_balancer.policy.slow_start import (
+    BUDGET_UTILIZATION,
+    TOKEN_EXPIRY_WINDOWS,
+    UNBUDGETED_FIRST_ATTEMPTS,
+)
 from tests.policy.test_slow_start_fleet import TIGHT
 from tests.policy.warming_fleet import RULES, warming_fleet
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
@@ -162,7 +166,7 @@
     state = harness.balancer.endpoints.subset[0]
     state.warming.bucket.tokens, due_steps, step = 0.0, 0, 10 * MILLISECOND_US
     rate = (
-        BUDGET_SAFETY
+        BUDGET_UTILIZATION
         * RULES.overload_multiple
         * RULES.start_capacity
         / (harness.balancer.endpoints.sharing_balancers * RULES.overload_window_us)
@@ -172,14 +176,14 @@
         due_steps += harness.balancer.slow_start.refill(harness.now_us, state) >= 1.0
     kept = due_steps * step / RULES.overload_window_us
     assert 0 < kept <= TOKEN_EXPIRY_WINDOWS + 0.05
-    assert (1.0 + TOKEN_EXPIRY_WINDOWS) * BUDGET_SAFETY <= 1.0 + 1e-9
+    assert (1.0 + TOKEN_EXPIRY_WINDOWS) * BUDGET_UTILIZATION <= 1.0 + 1e-9
 
 
 def test_credit_of_an_answer_expires_unused() -> None:
     harness = balancer_with_warming_endpoints(30, 0, 6, replace(RULES, slow_start_us=600 * SECOND_US))
     state = harness.balancer.endpoints.subset[0]
     state.last_attempt = LastAttempt.SUCCEEDED
-    state.warming.answer_credit_until_us = harness.now_us + SECOND_US
+    state.warming.response_credit_until_us = harness.now_us + SECOND_US
     state.warming.bucket.tokens = -1.0
     assert harness.balancer.router.is_open(harness.now_us, state, is_retry=False)
     assert not harness.balancer.router.is_open(harness.now_us + SECOND_US, state, is_retry=False)
--- a/tests/scenarios/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -65,10 +65,10 @@
     assert max_outside == MAX_DEPARTED
 
 
-def ids_ranked_before(mixed_id: int, count: int) -> list[int]:
+def ids_ranked_before(hashed_id: int, count: int) -> list[int]:
     """Return so many ids of endpoints that stand on the ring before this position."""
     mixed = ((number * 2_654_435_761 % 2**32, number) for number in range(1_000, 100_000))
-    return [number for rank, number in mixed if rank < mixed_id][:count]
+    return [number for rank, number in mixed if rank < hashed_id][:count]
 
 
 def test_longest_departed_endpoint_is_closed_first_and_returned_one_is_kept() -> None:
@@ -79,7 +79,7 @@
     initial_ids = [state.endpoint.id for state in endpoints.subset]
 
     # Endpoints that stand before the first one of the subset push out its last ones until they are removed.
-    new_ids = ids_ranked_before(first_on_ring.mixed_id, MAX_DEPARTED + 2)
+    new_ids = ids_ranked_before(first_on_ring.hashed_id, MAX_DEPARTED + 2)
     closed_ids = []
     for version, number in enumerate(new_ids, 2):
         closed_ids += apply_changes(harness, version, messages.Endpoint(number))
