--- a/load_balancer/policy/change_detector.py
+++ b/load_balancer/policy/change_detector.py
@@ -1,29 +1,29 @@
-"""Detects shifts of a latency stream with a two-sided Cusum over an exponentially weighted mean.
+"""Detection of shifts in a latency stream with a two-sided CUSUM over an exponentially weighted mean.
 
 After Cardellini and Iannucci, "Improving SOA Applications Response Time with Service Overload
-Detection" (HPDC 2012); see docs/design.md. Each `EndpointState` owns one detector and feeds it.
+Detection" (HPDC 2012); see docs/design.md. Each `EndpointState` has one detector.
 """
 
 from __future__ import annotations
 
 import math
 
-MEAN_ALPHA = 0.05  # weight of a new sample in the mean; the poster's 0.5 scored lower everywhere, by little
-DETECTABLE_SHIFT = 0.25  # smallest shift looked for, as a share of the first-epoch mean; the poster's value
-RUN_LENGTH = 30  # samples between false alarms that the threshold is set for; at size a day brings ten
-SPREAD_ALPHA = 0.05  # weight of a new sample in the running spread: slower than the mean by far
-PRIOR_SAMPLES = 5.0  # samples that a new detector counts as seen at the usual value
-MIN_EPOCH_MEAN = 0.05  # an epoch mean never falls below this, so that a share stays finite
-MAX_EXPONENT = 700.0  # math.exp overflows just above
+MEAN_ALPHA = 0.05  # weight of a new sample in the mean; the published 0.5 scored slightly lower everywhere
+DETECTABLE_SHIFT = 0.25  # smallest shift to detect, as a share of the first-epoch mean; the published value
+RUN_LENGTH = 30  # nominal samples between false alarms; a full-size fleet sees ten alarms a day
+SPREAD_ALPHA = 0.05  # weight of a new sample in the running variance
+PRIOR_SAMPLES = 5.0  # samples of the usual value that a new detector starts with
+MIN_EPOCH_MEAN = 0.05  # lower bound of an epoch mean, so that a share stays finite
+MAX_EXPONENT = 700.0  # math.exp overflows slightly above
 BISECTION_STEPS = 40
 
 
 def siegmund_threshold(shift: float, spread: float, run_length: float) -> float:
-    """Return the Cusum threshold at which a stream without change alarms once in `run_length` samples.
+    """Return the CUSUM threshold at which a stream without a shift alarms once per `run_length` samples.
 
-    `shift` and `spread` are in the unit of the samples, and so is the result. Inverts Siegmund's
-    ARL = (exp(2kb) - 2kb - 1) / (2k^2) with k = shift/spread and b = H/spread + 1.166. As
-    e^x >= 1 + x + x^2/2, x = 2kb lies below 2k sqrt(ARL).
+    `shift`, `spread` and the result are in the unit of the samples. The function inverts Siegmund's formula
+    ARL = (exp(2kb) - 2kb - 1) / (2k^2) for the average run length, with k = shift/spread and
+    b = H/spread + 1.166, where H is the threshold. As e^x >= 1 + x + x^2/2, x = 2kb is at most 2k sqrt(ARL).
     """
     if spread <= 0.0:
         return 0.0
@@ -40,27 +40,28 @@
 
 
 class ChangeDetector:
-    """A mean that follows the samples, and two sums that tell when it has really moved.
+    """Moving mean of the samples, with an upper and a lower CUSUM that detect its shifts.
 
-    Samples come in units of what is usual, so that the first epoch's mean is 1.
+    A detected shift opens a new epoch. Samples are relative to the usual value, so the first epoch has a mean
+    of 1.
     """
 
     def __init__(self) -> None:
-        """Start the first epoch, with the usual value counted as the first few samples."""
+        """Open the first epoch, with `PRIOR_SAMPLES` samples of the usual value."""
         self.mean = 1.0
-        self.spread_squared = 1.0  # latencies spread about as widely as their mean
-        # Without these prior samples a handful of calls would open an epoch.
+        self.spread_squared = 1.0  # the standard deviation of latencies is close to their mean
+        # Without these prior samples a few latencies would open an epoch.
         self.first_epoch_sum = PRIOR_SAMPLES
         self.first_epoch_count = PRIOR_SAMPLES
         self.upper_sum = 0.0
         self.lower_sum = 0.0
-        self.upper_count = 0  # samples since the upper edge last changed
-        self.lower_count = 0
+        self.upper_count = 0  # samples since the last upward shift
+        self.lower_count = 0  # samples since the last downward shift
         self.epoch = 0
         self.epoch_mean = 1.0
 
     def add(self, sample: float) -> bool:
-        """Add a sample; return True where it opens a new epoch, whose mean is then `epoch_mean`."""
+        """Add a sample; return True if it opens a new epoch, whose mean is then `epoch_mean`."""
         previous_mean = self._update_mean(sample)
         allowance = DETECTABLE_SHIFT * self.first_epoch_sum / self.first_epoch_count
         self.upper_sum = max(0.0, self.upper_sum + sample - (self.mean + allowance))
@@ -80,7 +81,7 @@
         return True
 
     def _update_mean(self, sample: float) -> float:
-        """Move the mean and the spread, and return the mean before."""
+        """Update the mean and the spread, and return the previous mean."""
         alpha = MEAN_ALPHA
         if self.epoch == 0:
             self.first_epoch_sum += sample
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -1,9 +1,9 @@
-"""The concurrency limit: how many own attempts each endpoint of the subset may have in flight.
+"""Concurrency limit: how many attempts of this balancer each endpoint of the subset may have in flight.
 
-One limit holds for all endpoints of the subset and is split among them by share. The latencies of a single
-endpoint are too noisy a signal, as one heavy request looks like a queue. The balancer tells the limit of
-changes of the subset, the queue tells it of requests that found no endpoint, and what is learned from
-outcomes grows or cuts it.
+One limit applies to all endpoints of the subset and is split among them by share. The latencies of a single
+endpoint are too noisy for a limit of its own, as one expensive request looks like a queue. The balancer
+updates the limit on changes of the subset, the admission queue reports requests that found no open endpoint,
+and the latencies of attempts raise or lower the limit.
 """
 
 from __future__ import annotations
@@ -12,34 +12,32 @@
 
 from load_balancer.policy.endpoint_state import EndpointAttempt, EndpointState
 
-INITIAL_LIMIT = 4.0  # attempts an endpoint may have in flight before anything is known, of all balancers
-INITIAL_SHARED_LIMIT = 10.0  # the same where many balancers share it, so that each can have up to one
-MIN_LIMIT = 1.0  # the least attempts an endpoint may have in flight, from all balancers
-# The limit falls below one attempt of each balancer where answers take this many times as long as good ones.
+INITIAL_LIMIT = 4.0  # attempts in flight per endpoint, from all balancers, before any response
+INITIAL_SHARED_LIMIT = 10.0  # the same with many balancers per endpoint, so that each can have up to one
+MIN_LIMIT = 1.0  # minimum of attempts in flight per endpoint, from all balancers
+# The limit falls below one attempt per balancer only if latencies exceed good ones by this factor.
 OVERLOAD_LATENCY_RATIO = 1.6
-LIMIT_DECREASE_FACTOR = 0.9  # the limit is multiplied by this when an answer comes late
-LIMIT_INCREASE_PER_ROUND = (
-    0.5  # attempts an endpoint that the limit grows by in a round of answers in good time
-)
-MIN_LATENCY_SAMPLES = 4.0  # answers in the running mean of relative latencies, at least
+LIMIT_DECREASE_FACTOR = 0.9  # multiplies the limit when responses are late
+LIMIT_INCREASE_PER_ROUND = 0.5  # attempts per endpoint, added in a round of responses with good latency
+MIN_LATENCY_SAMPLES = 4.0  # minimum sample count of the running mean of relative latencies
 
 
 class ConcurrencyLimit:
-    """One limit for all endpoints of the subset, split by share."""
+    """Limit on attempts in flight that is common to all endpoints of the subset and split by share."""
 
     def __init__(self) -> None:
-        """Start without a limit: the first endpoint list sets it."""
-        self.attempts_per_endpoint = 0.0  # own attempts that an endpoint may have in flight
+        """Create an unset limit; the first endpoint list sets it."""
+        self.attempts_per_endpoint = 0.0  # of this balancer, in flight
         self.sharing_balancers = 1.0  # balancers that have each endpoint in their subset
-        self._was_reached = False  # since the limit last grew
+        self._was_reached = False  # since the limit was last raised
         self._relative_latency = 0.0  # running mean
         self._decreased_at_us = 0
 
     def set_sharing_balancers(self, balancers: float) -> None:
-        """Take over the number of balancers that have each endpoint in their subset.
+        """Set the number of balancers that have each endpoint in their subset.
 
-        The starting limit is divided by it: all of them together would overload the endpoints before
-        the first late answers.
+        The initial limit is divided by that number: undivided limits would let the balancers together
+        overload the endpoints before the first late responses lower the limits.
         """
         balancers = max(1.0, balancers)
         total = self.attempts_per_endpoint * self.sharing_balancers if self.attempts_per_endpoint else 0.0
@@ -48,7 +46,7 @@
         self.attempts_per_endpoint = (total or initial) / balancers
 
     def mark_reached(self) -> None:
-        """Note that a request has found no endpoint below its limit, so that the limit may grow."""
+        """Record that a request found no endpoint below its limit, so that the limit may be raised."""
         self._was_reached = True
 
     def add_latency_sample(
@@ -59,9 +57,13 @@
         subset: Sequence[EndpointState],
         total_in_flight: int,
     ) -> None:
-        """Grow the limit a little while it is reached, cut it once for each round of late answers."""
-        # Of many answers a few are always late together by chance, so the mean runs over one round of
-        # those in flight; where there are few it must be quick, and others even it out.
+        """Add a relative latency; raise the limit while it is reached, lower it while latencies are high.
+
+        Attempts that were sent before the last decrease don't lower the limit again.
+        """
+        # Among many responses a few are always late together by chance, so the mean covers as many samples as
+        # there are attempts in flight. With few in flight it must react fast, and the limits of the other
+        # balancers average out its noise.
         capped = min(relative_latency, 2.0 * OVERLOAD_LATENCY_RATIO)
         self._relative_latency += (capped - self._relative_latency) / max(
             MIN_LATENCY_SAMPLES, total_in_flight
@@ -93,12 +95,14 @@
         return 1.0 <= state.concurrency_limit - 1 <= len(state.in_flight) + 1
 
     def split(self, subset: Sequence[EndpointState]) -> None:
-        """Give each endpoint its part of the limit."""
-        # Worked out at each change of the list, for up to 64 endpoints: written so as to call nothing.
+        """Set the limit of each endpoint of the subset by its share."""
+        # Runs on each endpoint list update and latency sample, for up to 64 endpoints: the loop avoids calls
+        # to be fast.
         mean_share = sum([state.share for state in subset]) / max(1, len(subset))
         highest = self.attempts_per_endpoint
         lowest = min(1.0, highest)
         for state in subset:
             part = highest * (state.share / mean_share) if state.share < mean_share else highest
-            # A low share alone pauses no endpoint: the draws lower it, and it must be seen to recover.
+            # A low share alone doesn't lower the limit below one attempt, which would pause the endpoint: the
+            # draws already send it less, and its recovery shows only in attempts at it.
             state.concurrency_limit = part if part > lowest else lowest
--- a/load_balancer/policy/endpoint_health.py
+++ b/load_balancer/policy/endpoint_health.py
@@ -1,31 +1,30 @@
-"""The health checks of one endpoint: whether one is pending, how many were missed, when the next is due."""
+"""Health-check state of one endpoint: a pending check, missed checks in a row, when the next one is due."""
 
 from __future__ import annotations
 
-MAX_MISSED_CHECKS = (
-    2  # in a row, after which the endpoint counts as silent: one may meet a pause of its process
-)
-FIRST_BACKOFF_US = 400_000  # before the next check, doubled each time: most attempts that hang just take long
-SILENT_INTERVAL_US = 500_000  # a silent endpoint is checked this often
+# In a row, after which an endpoint counts as silent. A pause of its process may cause a single missed check.
+MAX_MISSED_CHECKS = 2
+FIRST_BACKOFF_US = 400_000  # before the next check, doubled each time: most hanging attempts are only slow
+SILENT_INTERVAL_US = 500_000  # between checks of a silent endpoint
 
 
 class EndpointHealth:
-    """The health checks of one incarnation of an endpoint."""
+    """Health-check state of one incarnation of an endpoint."""
 
     def __init__(self) -> None:
-        """Start unchecked."""
+        """Create a state without checks."""
         self.is_pending = False
         self.checked_at_us = 0
         self.backoff_us = 0
-        self.missed_checks = 0  # checks without an answer, in a row
+        self.missed_checks = 0  # checks without a response, in a row
 
     @property
     def is_silent(self) -> bool:
-        """Tell whether the endpoint has left too many checks in a row unanswered."""
+        """Return whether the endpoint has missed `MAX_MISSED_CHECKS` checks in a row."""
         return self.missed_checks >= MAX_MISSED_CHECKS
 
     def is_due(self, now_us: int, *, has_hanging_attempt: bool) -> bool:
-        """Tell whether a check is due: own attempts hang, or the endpoint was silent at the last check."""
+        """Return whether a check is due: an attempt of this balancer hangs, or the endpoint is silent."""
         if self.is_pending:
             return False
         if self.is_silent:
@@ -36,7 +35,7 @@
         return now_us >= self.checked_at_us + self.backoff_us
 
     def check_started(self, now_us: int) -> None:
-        """Note that a check was sent."""
+        """Record that a check was sent, and double the backoff."""
         self.is_pending = True
         self.checked_at_us = now_us
         self.backoff_us = max(FIRST_BACKOFF_US, 2 * self.backoff_us)
--- a/load_balancer/policy/endpoint_state.py
+++ b/load_balancer/policy/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What one balancer knows of one endpoint: its share, its attempts in flight, its health.
+"""State of one endpoint at one balancer: its share, its attempts in flight, its health.
 
 The endpoint list owns these records. Outcomes, health checks and slow start update them.
 """
@@ -14,48 +14,50 @@
 from load_balancer.policy.subset import hashed_id
 from load_balancer.policy.warming_state import WarmingState
 
-OVERDUE_LATENCIES = 2.0  # an attempt in flight for this many usual latencies counts as two
-FIRST_UNREACHABLE_BACKOFF_US = (
-    250_000  # an endpoint without a route is avoided for this long, doubled each time
-)
-COOL_DOWN_US = 5_000_000  # one that lost or failed a request of a class is avoided for that class
+OVERDUE_LATENCIES = 2.0  # an attempt in flight for longer than this many usual latencies counts as two
+FIRST_UNREACHABLE_BACKOFF_US = 250_000  # an endpoint without a route is avoided this long; doubles each time
+# An endpoint that lost or failed a request of a class is avoided for that class this long. This is also the
+# longest backoff of an endpoint without a route.
+COOL_DOWN_US = 5_000_000
 
 
 class EndpointState:
-    """One incarnation of an endpoint. A restart makes a new one."""
+    """State of one incarnation of an endpoint. A restarted endpoint gets a new state."""
 
     def __init__(self, endpoint: messages.Endpoint, warming: WarmingState) -> None:
-        """Start with a full share and nothing in flight."""
+        """Create a state with a share of 1 and no attempts in flight."""
         self.endpoint = endpoint
-        # Fixed once: no later entry for the same incarnation makes it older or younger. 0: long ago.
+        # Set once: later list entries for the same incarnation don't change it. 0 means long past.
         self.started_us = endpoint.incarnation_us if endpoint.started_us is None else endpoint.started_us
         self.hashed_id = hashed_id(endpoint.id)
         self.ring_position = (self.hashed_id, endpoint.id)
         self.detector = ChangeDetector()
         self.health = EndpointHealth()
         self.warming = warming
-        self.share = 1.0  # samples are in units of what is usual, so 1/mean starts at 1
+        self.share = 1.0  # 1 / mean of the samples, which are relative to the usual latency
         self.in_flight: list[EndpointAttempt] = []  # of this balancer
-        # Own attempts that it may have in flight; below one: the part of the time in which it may have one.
+        # Attempts of this balancer that may be in flight; below one, the share of time in which one may be.
         self.concurrency_limit = 1.0
-        self.paused_until_us = 0  # no attempt is sent before, where the limit is below one
-        self.failure_penalty_ends_us: list[int] = []  # until when failed attempts still count as in flight
-        self.cool_down_until_us: dict[str, int] = {}  # by class, of which it lost or failed a request
-        self.unreachable_until_us = 0  # avoided, as there was no route to it
+        self.paused_until_us = 0  # no attempt is sent before, if the limit is below one
+        self.failure_penalty_ends_us: list[int] = []  # when failed attempts stop counting as in flight
+        self.cool_down_until_us: dict[str, int] = {}  # by request class, after a failed request of it
+        self.unreachable_until_us = 0  # avoided until then, as there was no route to it
         self.unreachable_backoff_us = 0
-        self.responded_at_us = 0  # when it last answered anything
+        self.responded_at_us = 0  # when it last sent a response of any kind
         self.last_attempt = LastAttempt.NONE
 
     @property
     def is_up(self) -> bool:
-        """Tell whether the endpoint may be sent new attempts, by the endpoint list."""
+        """Return whether the endpoint list allows new attempts at the endpoint."""
         return self.endpoint.status is messages.EndpointStatus.UP
 
     def load(self, now_us: int) -> int:
-        """Return own attempts in flight, overdue ones twice, failed ones as long as is usual for their class.
+        """Return the number of this balancer's attempts in flight, with overdue and failed ones weighted.
 
-        So an endpoint that hangs is noticed before its attempts time out. One that fails at once would
-        otherwise always look idle and draw every request that waits.
+        An overdue attempt counts twice, so that a hanging endpoint gets fewer requests before its attempts
+        time out. A failed attempt counts until the usual latency of its class has passed since it was sent:
+        an endpoint that fails immediately would otherwise always appear idle and attract every queued
+        request.
         """
         overdue = sum(
             now_us - attempt.sent_at_us > OVERDUE_LATENCIES * attempt.request_class.usual_latency_us
@@ -68,18 +70,18 @@
         return len(self.in_flight) + overdue + len(self.failure_penalty_ends_us)
 
     def has_hanging_attempt(self, now_us: int, limit: HangLimit) -> bool:
-        """Tell whether an own attempt has been in flight for longer than the limit."""
+        """Return whether an attempt of this balancer has been in flight for longer than the limit."""
         return any(attempt.is_hanging(now_us, limit) for attempt in self.in_flight)
 
     def add_latency(self, relative_latency: float) -> bool:
-        """Add a latency in units of the usual one; return True where it opens an epoch with a new share."""
+        """Add a latency relative to the usual one; return True if it opens an epoch with a new share."""
         opened = self.detector.add(relative_latency)
         if opened:
             self.share = 1.0 / self.detector.epoch_mean
         return opened
 
     def mark_unreachable(self, now_us: int) -> None:
-        """Avoid the endpoint for a while. Its share stays, as its route may have failed for a moment only."""
+        """Avoid the endpoint for the backoff. Its share stays, as the route failure may be brief."""
         if now_us < self.unreachable_until_us:  # an attempt that was in flight when the route failed
             return
         backoff_us = max(FIRST_UNREACHABLE_BACKOFF_US, 2 * self.unreachable_backoff_us)
@@ -87,16 +89,16 @@
         self.unreachable_until_us = now_us + self.unreachable_backoff_us
 
     def record_response(self, now_us: int) -> None:
-        """Note that the endpoint has answered something: it is there, and so is the route to it."""
+        """Record a response of any kind, which shows that the endpoint is reachable."""
         self.responded_at_us = now_us
         self.unreachable_backoff_us = 0
 
     def cool_down(self, now_us: int, class_name: str) -> None:
-        """Avoid the endpoint for a while for requests of a class of which it has lost or failed one."""
+        """Avoid the endpoint for `COOL_DOWN_US` for requests of a class, after it failed one of them."""
         self.cool_down_until_us[class_name] = now_us + COOL_DOWN_US
 
     def is_avoided(self, now_us: int, class_name: str) -> bool:
-        """Tell whether to prefer others for this class: the endpoint failed it lately, or has no route."""
+        """Return whether to prefer other endpoints for this class: a recent failure of it, or no route."""
         return now_us < max(self.unreachable_until_us, self.cool_down_until_us.get(class_name, 0))
 
 
--- a/load_balancer/policy/health_check.py
+++ b/load_balancer/policy/health_check.py
@@ -1,7 +1,7 @@
-"""Health checks: find answers that were lost on the way, and endpoints that have fallen silent.
+"""Health checks, which detect lost responses and endpoints that no longer respond.
 
-An endpoint with a hanging attempt is asked how many requests it has in flight. Where the site allows no
-health checks, `silent_attempts` takes the place of this.
+A health check asks an endpoint with a hanging attempt how many requests it has in flight. If the site allows
+no health checks, `silent_attempts` is used instead.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from load_balancer.policy.scan_timer import ScanTimer
 
 HANG_LIMIT = HangLimit(3.0, 1_000_000)
-HANG_LIMIT_AFTER_LOSS = HangLimit(2.0, 800_000)  # for a while after an answer was lost
-AFTER_LOSS_PERIOD_US = 20_000_000  # how long that limit holds
+HANG_LIMIT_AFTER_LOSS = HangLimit(2.0, 800_000)  # for AFTER_LOSS_PERIOD_US after a response was lost
+AFTER_LOSS_PERIOD_US = 20_000_000
 MAX_REPORT_AGE_US = 700_000  # a load report may be this old
-REPORT_ERROR_FACTOR = 1.2  # and too low by this factor
+REPORT_ERROR_FACTOR = 1.2  # a load report may be too low by this factor
 
 TrySpendCheckToken = Callable[[int, EndpointState], bool]
 Abandon = Callable[[int, EndpointAttempt], None]
 
 
 class HealthChecker:
-    """Checks endpoints whose attempts hang, and gives up attempts whose answers are lost."""
+    """Checks endpoints whose attempts hang, and abandons attempts whose responses are lost."""
 
     def __init__(
         self,
@@ -35,20 +35,25 @@
         try_spend_check_token: TrySpendCheckToken,
         abandon: Abandon,
     ) -> None:
-        """Start without checks; `try_spend_check_token` pays for a check out of the slow-start budget."""
+        """Create a checker without pending checks.
+
+        Args:
+            outbox: Receives the checks and log lines.
+            scan_timer: Schedules the next call of `check_endpoints`.
+            try_spend_check_token: Charges a check to the slow-start budget; returns False if that is spent.
+            abandon: Abandons an attempt in flight.
+        """
         self._outbox = outbox
         self._try_spend_check_token = try_spend_check_token
         self._abandon = abandon
         self._scan_timer = scan_timer
         self._response_lost_at_us: int | None = None
-        self.pending: dict[
-            int, list[EndpointState]
-        ] = {}  # by endpoint id: incarnations that are being checked
+        self.pending: dict[int, list[EndpointState]] = {}  # incarnations with a pending check, by endpoint id
 
     def check_endpoints(
         self, now_us: int, endpoints: Iterable[EndpointState], in_flight: Collection[EndpointAttempt]
     ) -> None:
-        """Check endpoints whose attempts hang: nothing else tells of an answer that was lost on the way."""
+        """Check silent endpoints, and those whose attempts hang: only a check reveals a lost response."""
         silent = [state for state in endpoints if state.health.is_silent]
         limit = self._hang_limit(now_us)
         for state in dict.fromkeys([*silent, *(attempt.endpoint for attempt in in_flight)]):
@@ -61,7 +66,7 @@
             self._scan_timer.schedule(now_us)
 
     def check_ended(self, now_us: int, event: messages.HealthCheckEnded) -> None:
-        """Take over the result of a check."""
+        """Apply the result of a check to all incarnations that were checked."""
         for state in self.pending.pop(event.endpoint_id, []):
             state.health.is_pending = False
             if event.alive:
@@ -88,12 +93,15 @@
         if not state.health.is_silent and self._try_spend_check_token(now_us, state):
             self._start_check(now_us, state)
         elif state.health.is_silent:
-            # Its host may have vanished: then its connections stay open and never bring anything.
+            # The host may be gone: its connections then stay open and never deliver a response.
             for attempt in list(state.in_flight):
                 self._abandon(now_us, attempt)
 
     def _abandon_lost_attempts(self, now_us: int, state: EndpointState, reported: float) -> None:
-        """Give up the attempts that an endpoint has no more, by its load report over all balancers."""
+        """Abandon attempts that the endpoint no longer has in flight.
+
+        `reported` is the endpoint's number of requests in flight, from all balancers.
+        """
         reportable = [
             attempt
             for attempt in state.in_flight
--- a/load_balancer/policy/outcome_learner.py
+++ b/load_balancer/policy/outcome_learner.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt teaches of its endpoint, of its class and of the load of all endpoints."""
+"""Updates of the endpoint, the request class and the concurrency limit from the outcome of an attempt."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from load_balancer.policy.outbox import Outbox
 from load_balancer.policy.slow_start import SlowStart
 
-# The fault is the balancer's or the client's: the outcome says nothing of the endpoint.
+# Caused by the balancer or the client: these outcomes are no evidence about the endpoint.
 OUTCOMES_WITHOUT_EVIDENCE = (
     messages.Outcome.CANCELLED,
     messages.Outcome.NOT_SENT,
     messages.Outcome.UNUSABLE,
 )
 RESPONSE_OUTCOMES = (messages.Outcome.OK, messages.Outcome.ERROR, messages.Outcome.REJECTED)
-# The endpoint may fail requests of this class alone.
+# The endpoint may fail only requests of the same class.
 CLASS_FAILURE_OUTCOMES = (messages.Outcome.ERROR, messages.Outcome.TIMEOUT)
-# These tell nothing of how crowded endpoints are: a connection that does not come up tells of that endpoint
-# alone, and says so at once.
+# These don't indicate the load of the endpoints: a connection that is not established, for example, is a
+# failure of that endpoint alone and is reported immediately.
 OUTCOMES_WITHOUT_LOAD_SIGNAL = (
     messages.Outcome.ERROR,
     messages.Outcome.RESET,
@@ -30,12 +30,12 @@
 
 
 class OutcomeLearner:
-    """Updates endpoint states, classes and the concurrency limit from the outcomes of attempts."""
+    """Updates endpoint states, request classes and the concurrency limit from the outcomes of attempts."""
 
     def __init__(
         self, outbox: Outbox, endpoints: EndpointList, slow_start: SlowStart, limit: ConcurrencyLimit
     ) -> None:
-        """Take the parts that learn."""
+        """Create a learner that updates these parts of the policy."""
         self._outbox = outbox
         self._endpoints = endpoints
         self._slow_start = slow_start
@@ -44,7 +44,15 @@
     def learn(
         self, now_us: int, attempt: EndpointAttempt, outcome: messages.Outcome, took_us: int, in_flight: int
     ) -> None:
-        """Learn from an attempt that took `took_us`; `in_flight` counts the other own attempts in flight."""
+        """Update the state from the outcome of an attempt.
+
+        Args:
+            now_us: The present time.
+            attempt: The attempt that ended.
+            outcome: Its outcome.
+            took_us: The time from its start to its end.
+            in_flight: The number of other attempts of this balancer in flight.
+        """
         if outcome in OUTCOMES_WITHOUT_EVIDENCE:
             return
         if outcome is messages.Outcome.UNREACHABLE:
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Selection of an endpoint: the fewer in flight of two share-weighted draws."""
+"""Selection of an endpoint: of two share-weighted random draws, the one with fewer attempts in flight."""
 
 from __future__ import annotations
 
@@ -9,34 +9,40 @@
 from load_balancer import messages
 from load_balancer.policy.endpoint_state import EndpointState
 
-REMOTE_WEIGHT = 0.3  # a draw's weight for an endpoint in another zone, where crossing has a price
-REMOTE_PENALTY_ATTEMPTS = 2  # attempts in flight that such an endpoint counts as having besides its own
+REMOTE_WEIGHT = 0.3  # factor on the weight of an endpoint in another zone, if crossing zones has a price
+REMOTE_PENALTY_ATTEMPTS = 2  # added to the attempts in flight of such an endpoint when loads are compared
 
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """The endpoint that was selected, and the draws it was selected from, the winner first."""
+    """The selected endpoint, and the draws that it was selected from, the selected one first."""
 
     endpoint: EndpointState
     draws: tuple[messages.Draw, ...]
 
 
 class Selector:
-    """Draws endpoints with its own random numbers."""
+    """Selects endpoints at random, with a random number generator of its own."""
 
     def __init__(self, settings: messages.Settings, seed: int) -> None:
-        """Seed the draws; `settings` tell the own zone and the price of leaving it."""
+        """Create a selector.
+
+        Args:
+            settings: Hold the balancer's zone and the price of an attempt to another zone.
+            seed: The seed of the draws.
+        """
         self._settings = settings
         self.random = random.Random(seed)
 
     def is_remote(self, endpoint: messages.Endpoint) -> bool:
-        """Tell whether an attempt to this endpoint leaves the own zone at a price."""
+        """Return whether the endpoint is in another zone and crossing zones has a price."""
         return self._settings.cross_zone_price > 0.0 and endpoint.zone != self._settings.zone
 
     def pick(self, now_us: int, candidates: Sequence[EndpointState]) -> Selection:
-        """Select, of two draws by share, the endpoint with fewer own attempts in flight.
+        """Select the endpoint with the lower load of two draws by share.
 
-        An attempt to another zone costs as much as a short queue in the own one.
+        The load of an endpoint of another zone is raised by a penalty: crossing zones costs as much as a
+        short queue in the local zone.
         """
         first = self.draw(candidates)
         drawn = [first]
@@ -53,7 +59,7 @@
         return state.share * (REMOTE_WEIGHT if self.is_remote(state.endpoint) else 1.0)
 
     def draw(self, candidates: Sequence[EndpointState]) -> EndpointState:
-        """Draw one endpoint at random, weighted by share; one of another zone is less likely."""
+        """Return a random endpoint, weighted by share and with a lower weight for other zones."""
         remaining_weight = self.random.random() * sum(self._weight(state) for state in candidates)
         for state in candidates:
             remaining_weight -= self._weight(state)
--- a/load_balancer/policy/silent_attempts.py
+++ b/load_balancer/policy/silent_attempts.py
@@ -1,6 +1,6 @@
-"""Finds attempts at endpoints that take requests and answer none, where endpoints may not be asked.
+"""Detection of attempts at endpoints that accept requests and never respond, without health checks.
 
-Where health checks are allowed, `health_check` takes the place of this.
+If the site allows health checks, `health_check` is used instead.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from load_balancer.policy.router import Router
 from load_balancer.policy.scan_timer import ScanTimer
 
-# An attempt in flight for this long is made again elsewhere if its endpoint has answered nothing at all since
-# it was sent.
+# An attempt that has been in flight for this long is retried at another endpoint if its own endpoint has sent
+# no response at all since the attempt was sent.
 SILENT_LIMIT = HangLimit(3.0, 0)
 
 
 class SilentAttemptDetector:
-    """Gives up attempts at silent endpoints in time for a retry, where one may be made.
+    """Abandons attempts at silent endpoints early enough for a retry, if one is allowed.
 
-    An endpoint may take requests and answer none: each would hang until it is lost. One that is only
-    slow or crowded goes on answering, and a further copy would crowd it more.
+    Attempts at an endpoint that accepts requests and never responds would hang until they time out. An
+    endpoint that is only slow or overloaded still responds to others, and a retry would add to its load.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         retry_budget: RetryBudget,
         scan_timer: ScanTimer,
     ) -> None:
-        """Take the parts that are looked at."""
+        """Create a detector that abandons attempts through the dispatcher."""
         self._limits = limits
         self._open_requests = open_requests
         self._dispatcher = dispatcher
@@ -44,7 +44,7 @@
         self._scan_timer = scan_timer
 
     def abandon_silent(self, now_us: int) -> None:
-        """Give up attempts at silent endpoints, no more than the retry budget can replace."""
+        """Abandon attempts at silent endpoints, at most as many as the retry budget allows to retry."""
         affordable_retries = self._retry_budget.tokens
         for attempt in list(self._dispatcher.in_flight.values()):
             if affordable_retries < 1.0:
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -1,12 +1,13 @@
 """Slow start: a token bucket for each endpoint that is warming up.
 
-An endpoint that warms up is overloaded by more attempts than its present capacity allows, counted over all
-balancers. Each balancer refills a bucket for each such endpoint at a rate that is its own part of the
-endpoint's overload budget, measured by its own first attempts over its subset. As the others do likewise,
-the sum keeps to the budget without a word between them. Retries and health checks are paid from the same
-bucket. Staggered phases keep the balancers from spending their tokens at the same moment.
-
-The formula, with a worked example: docs/design.md, "Slow start as a token bucket".
+The overload budget of an endpoint that is warming up is the number of attempts that all balancers together
+may send to it within an overload window. Each balancer refills its bucket for the endpoint at a rate in
+proportion to its own first attempts per endpoint of its subset. As all balancers do the same, the sum of
+their attempts stays within the budget without communication between them. First attempts, retries and health
+checks spend tokens of the same bucket. Staggered phases keep the balancers from spending their tokens at the
+same moment.
+
+For the formula and a worked example see docs/design.md, "Slow start as a token bucket".
 """
 
 from __future__ import annotations
@@ -23,39 +24,42 @@
 from load_balancer.policy.token_bucket import TokenBucket
 from load_balancer.policy.warming_state import WarmingState
 
-BUDGET_UTILIZATION = 0.7  # share of the budget that is used
-# A token expires after this share of a window: all tokens of a window, and all that were saved from before
-# it, then make one budget, however late the balancers come to spend them.
+BUDGET_UTILIZATION = 0.7  # share of the overload budget that the balancers use
+# Lifetime of an unused token, in overload windows. The tokens added within a window and the unexpired ones
+# from before it then add up to one budget at most, however late the balancers spend them.
 TOKEN_EXPIRY_WINDOWS = 1.0 / BUDGET_UTILIZATION - 1.0
-MAX_BURST_ATTEMPTS = 2.0  # attempts that may follow each other at once
-UNBUDGETED_FIRST_ATTEMPTS = 2.0  # first attempts without a token in a window, from all balancers
-# Further such ones, in roots of the budget (its standard deviations): the rule allows this much for chance.
+MAX_BURST_ATTEMPTS = 2.0  # attempts that a balancer may send in immediate succession
+# First attempts without a token that all balancers together may send to an endpoint within an overload
+# window: UNBUDGETED_FIRST_ATTEMPTS plus UNBUDGETED_STANDARD_DEVIATIONS times the square root of the budget.
+# The platform's overload rule tolerates as many attempts beyond the budget for random variation.
+UNBUDGETED_FIRST_ATTEMPTS = 2.0
 UNBUDGETED_STANDARD_DEVIATIONS = 2.0
 
 
 class SlowStart:
-    """The token buckets of endpoints that are warming up."""
+    """Admission of attempts and health checks to endpoints that are warming up."""
 
     def __init__(self, settings: messages.Settings) -> None:
-        """Take the rules of slow start and this balancer's place among the others."""
+        """Initialize from the rules of slow start and this balancer's index among the instances."""
         self._settings = settings
         self._rules = settings.rules
         self.first_attempts = AttemptRate()
         self._subset: Sequence[EndpointState] = ()
         self._sharing_balancers = 1.0
-        self.first_warm_at_us = 0  # when the first endpoint of the subset is warm; until then all are warming
-        # Own first attempts per microsecond when the subset last lost its only warm endpoints.
+        # When the first endpoint of the subset is warm; until then all of them are warming up.
+        self.first_warm_at_us = 0
+        # This balancer's first attempts per microsecond when the subset last lost its only warm endpoints.
         self._rate_before_all_warming = 0.0
 
     def new_warming_state(self, now_us: int, endpoint_id: int) -> WarmingState:
-        """Return the state of a new incarnation, whose first token comes by this balancer's phase."""
+        """Return the state of a new incarnation; the phase of this balancer delays its first token."""
         phase = staggered_phase(self._settings.index, endpoint_id)
         return WarmingState(phase, now_us, TokenBucket(1.0 - phase, updated_at_us=now_us))
 
     def subset_changed(self, now_us: int, subset: Sequence[EndpointState], sharing_balancers: float) -> None:
-        """Take over the subset, and how many balancers have each endpoint in theirs."""
+        """Set the subset and the number of balancers that have each of its endpoints in their subset."""
         self._sharing_balancers = sharing_balancers
-        if subset == self._subset:  # the start of an incarnation never moves
+        if subset == self._subset:  # the start time of an incarnation never changes
             return
         self._subset = subset
         had_warm = now_us >= self.first_warm_at_us
@@ -64,15 +68,15 @@
             self._rate_before_all_warming = self.first_attempts.per_us(now_us)
 
     def warm_at_us(self, state: EndpointState) -> int:
-        """Return when an endpoint surely has all of its capacity."""
+        """Return the time from which an endpoint is guaranteed its full capacity."""
         started_us = state.started_us
-        # No start, or one before our clock's zero, says long ago.
+        # A start time of 0 (unknown) or below (before the zero of this balancer's clock) counts as long past.
         if started_us <= 0 or self._rules.slow_start_us == 0:
             return 0
         return started_us + self._rules.slow_start_us
 
     def capacity(self, now_us: int, state: EndpointState) -> float:
-        """Return the share of its full capacity that it surely has: rising evenly while it warms up."""
+        """Return the guaranteed share of an endpoint's full capacity; it rises linearly during slow start."""
         if now_us >= self.warm_at_us(state):
             return 1.0
         age_us = max(0, now_us - state.started_us)
@@ -80,12 +84,12 @@
         return start + (1.0 - start) * age_us / self._rules.slow_start_us
 
     def admits(self, now_us: int, state: EndpointState, *, is_retry: bool) -> bool:
-        """Tell whether an endpoint may get an attempt now: it is warm, or one of the rules admits it."""
+        """Return whether an endpoint may get an attempt now: it is warm or slow start admits the attempt."""
         capacity = self.capacity(now_us, state)
         if capacity >= 1.0:
             return True
-        # Where no endpoint of the subset is warm, none tells what an endpoint takes, and own attempts are all
-        # held down by these very buckets. Then two rules admit attempts without a token.
+        # While no endpoint of the subset is warm, none of them shows how many attempts an endpoint can take,
+        # and the buckets limit all attempts of this balancer. Two rules then admit attempts without a token.
         if now_us < self.first_warm_at_us and state in self._subset:
             is_admitted = (
                 not is_retry and self.admits_untested(now_us, state, capacity)
@@ -95,33 +99,36 @@
         return self.refill(now_us, state) >= 1.0
 
     def admits_untested(self, now_us: int, state: EndpointState, capacity: float) -> bool:
-        """Tell whether an endpoint may get this balancer's first attempt ever, without a token."""
+        """Return whether this balancer's very first attempt at an endpoint is admitted without a token."""
         is_untested = state.last_attempt is LastAttempt.NONE
         return is_untested and self.is_first_attempt_slot(now_us, state, capacity)
 
     @staticmethod
     def admits_after_response(now_us: int, state: EndpointState) -> bool:
-        """Tell whether an answer has made room for one attempt, no faster than the endpoint answers.
+        """Return whether a recent successful response admits one attempt without a token.
 
-        A failing endpoint answers at any speed, so what follows a failure needs a token.
+        The endpoint then gets attempts no faster than it completes them. A failing endpoint may respond at
+        any rate, so an attempt after a failure needs a token.
         """
         return now_us < state.warming.response_credit_until_us
 
     def is_first_attempt_slot(self, now_us: int, state: EndpointState, capacity: float) -> bool:
-        """Tell whether now is this balancer's slot, by its phase, for a first attempt without a token.
+        """Return whether this balancer may send a first attempt without a token now, by its phase.
 
-        Without slots all balancers would send one at once. The slots of a window let through no more than
-        what the rule allows for chance, half of it at once.
+        The balancers take turns in slots; without them all would send one at the same moment. Within an
+        overload window the slots admit as many attempts as the overload rule tolerates for random variation,
+        and at any moment half of them.
         """
         window_us = self._rules.overload_window_us
-        # Without the attempts of a burst that has come since, as that raises no capacity.
+        # Attempts of a burst after all endpoints started to warm up don't count: it raises no capacity.
         rate = self._rate_before_all_warming or self.first_attempts.per_us(now_us)
-        rate *= self._sharing_balancers / max(1, len(self._subset))  # an endpoint's, from all balancers
+        rate *= self._sharing_balancers / max(1, len(self._subset))  # per endpoint, all balancers
         budget = rate * window_us * self._rules.overload_multiple * capacity
         slots_per_window = (
             UNBUDGETED_FIRST_ATTEMPTS + UNBUDGETED_STANDARD_DEVIATIONS * math.sqrt(budget)
         ) / 2.0
-        # Many unused slots would make a burst together: a slot ends after a window, and comes again.
+        # Slots expire after an overload window and recur later. Unused slots that did not expire could be
+        # used by many balancers at once, in a burst.
         windows = 1.0 + (now_us - state.warming.first_listed_at_us) / window_us
         position = slots_per_window * windows - state.warming.phase * self._sharing_balancers
         return (
@@ -130,48 +137,53 @@
         )
 
     def try_spend_check_token(self, now_us: int, state: EndpointState) -> bool:
-        """Pay a token for a health check, which counts like an attempt; return False where there is none."""
+        """Spend a token on a health check, which counts as an attempt; return False if there is none.
+
+        A check of a warm endpoint needs no token.
+        """
         if self.capacity(now_us, state) >= 1.0:
             return True
         self.refill(now_us, state)
         return state.warming.bucket.try_spend()
 
     def attempt_sent(self, now_us: int, state: EndpointState, *, is_first: bool) -> None:
-        """Count an attempt."""
+        """Charge an attempt to the endpoint's bucket, and count it in the rate if it is a first attempt."""
         state.warming.attempt_sent()
         if is_first:
             self.first_attempts.add(now_us)
 
     def add_response_credit(self, now_us: int, state: EndpointState) -> None:
-        """Note a successful answer, which makes room for one more attempt for a while."""
+        """Admit one attempt without a token, within the lifetime of a token, after a successful response."""
         credit_us = int(TOKEN_EXPIRY_WINDOWS * self._rules.overload_window_us)
         state.warming.response_credit_until_us = now_us + credit_us
 
     def refill(self, now_us: int, state: EndpointState) -> float:
-        """Refill the bucket of an endpoint, let tokens beyond the burst expire, and return what it holds."""
+        """Refill the bucket of an endpoint, expire tokens beyond the burst size, and return its tokens."""
         rate = self._refill_rate(now_us, state)
         bucket = state.warming.bucket
         bucket.refill(now_us, rate)
-        # Many balancers that have each saved up an attempt would send it together, so unused tokens soon
-        # expire. They expire as whole ones: where a whole token is more than a balancer's part, the fraction
-        # that its phase gave it at the start says when it has one.
+        # Balancers that have each saved a token could all spend it in the same burst, so unused tokens expire
+        # soon. Only whole tokens expire: if the burst size is below one token, the fraction left over keeps
+        # the phase that sets when this balancer next has a whole one.
         burst = min(MAX_BURST_ATTEMPTS, rate * self._rules.overload_window_us * TOKEN_EXPIRY_WINDOWS)
         bucket.tokens -= max(0, math.ceil(bucket.tokens - 1.0 - burst))
         return bucket.tokens
 
     def _refill_rate(self, now_us: int, state: EndpointState) -> float:
-        """Return the tokens per microsecond of this balancer's bucket for an endpoint."""
-        # A minimum of each balancer would be too much of them all: together it is one attempt a window.
+        """Return the refill rate of this balancer's bucket for an endpoint, in tokens per microsecond."""
+        # The minimum is one attempt per overload window from all balancers together: one from each balancer
+        # would exceed the budget.
         min_rate = 1.0 / (self._sharing_balancers * self._rules.overload_window_us)
         rate = max(self._first_attempt_rate(now_us) / max(1, len(self._subset)), min_rate)
-        if state not in self._subset:  # it gets retries only, but from all balancers
+        if state not in self._subset:  # gets retries only, but from all balancers
             rate *= RETRIES_PER_REQUEST * self._sharing_balancers / max(1, self._settings.instances)
         return rate * (BUDGET_UTILIZATION * self._rules.overload_multiple * self.capacity(now_us, state))
 
     def _first_attempt_rate(self, now_us: int) -> float:
-        """Return own first attempts per microsecond.
+        """Return this balancer's first attempts per microsecond.
 
-        While all of the subset warms up it counts no less than before: the buckets hold it down.
+        While the whole subset is warming up, the rate from before is the minimum, as the buckets limit the
+        present rate.
         """
         rate = self.first_attempts.per_us(now_us)
         return max(rate, self._rate_before_all_warming) if now_us < self.first_warm_at_us else rate
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -1,8 +1,9 @@
-"""The subset of endpoints that one balancer sends to: its arc of a ring that all balancers see alike.
+"""Subset of endpoints that one balancer sends to: an arc of a ring that is the same for all balancers.
 
-Subsets drawn one by one would leave some endpoints to nobody and others to many. Here each balancer takes
-an arc of one mixed ring, and the arcs start at even distances. The ring is kept sorted, so that a change
-of the list costs by what it changes and not by the fleet's size.
+Independent random subsets would leave some endpoints without a balancer and give others many. Here the ring
+orders the endpoints by a hash of their ids, and the arcs of the balancers start at even distances. The ring
+is kept sorted, so that the cost of an endpoint list update depends on the number of changes and not on the
+size of the fleet.
 """
 
 from __future__ import annotations
@@ -13,33 +14,34 @@
 from operator import attrgetter
 from typing import Generic, Protocol, TypeVar
 
-MIN_SUBSET = 3  # endpoints in the subset at least, where there are as many: fewer are each better known
-SUBSETS_PER_ENDPOINT = 2  # balancers that should have each endpoint in their subset, on average
-# What a proxy needs may grow by this much as a fleet grows to sixteen times its usual size, by the limits on
-# its descriptors: each endpoint of its subset comes to hold one connection of it.
+MIN_SUBSET = 3  # endpoints, if that many exist; a small subset gives more samples per endpoint
+SUBSETS_PER_ENDPOINT = 2  # target number of balancers that have an endpoint in their subset, on average
+# The limits on a proxy's file descriptors: while the fleet grows to FLEET_GROWTH times its usual size, the
+# number of descriptors in use may grow to DESCRIPTOR_GROWTH times plus EXTRA_DESCRIPTORS. Each endpoint of
+# the subset eventually holds one connection, and with it a descriptor.
 FLEET_GROWTH = 16
 DESCRIPTOR_GROWTH = 2
 EXTRA_DESCRIPTORS = 40
-MAX_USUAL_FLEET = 200  # endpoints of a fleet of usual size at most: sixteen times as many are 3,200
-RING_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash: spreads neighbouring ids over the ring
+MAX_USUAL_FLEET = 200  # endpoints in the largest fleet of usual size; FLEET_GROWTH times as many are 3,200
+RING_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash: spreads consecutive ids over the ring
 RING_SIZE = 2**32
-MIN_REMOTE = 2  # endpoints of other zones in the subset at least: a zone's own may not carry its traffic
+MIN_REMOTE = 2  # endpoints of other zones; those of the local zone alone may lack capacity for its traffic
 
-RingPosition = tuple[int, int]  # a mixed id that all balancers agree on, then the id where two are the same
+RingPosition = tuple[int, int]  # hash of the endpoint id, then the id itself to break ties
 RING_POSITION = attrgetter("ring_position")
 
 
 def hashed_id(endpoint_id: int) -> int:
-    """Return the id mixed, so that neighbouring ids lie apart. It is the same at every balancer."""
+    """Return a hash of the id that spreads consecutive ids and is the same at every balancer."""
     return endpoint_id * RING_MULTIPLIER % RING_SIZE
 
 
 class RingMember(Protocol):
-    """Anything with a position on a ring."""
+    """Object with a position on a ring."""
 
     @property
     def ring_position(self) -> RingPosition:
-        """The place on the ring; no two members have the same."""
+        """Position on the ring, unique among its members."""
         ...
 
 
@@ -47,24 +49,30 @@
 
 
 class Ring(Generic[Member]):
-    """The endpoints that may get new attempts, in the order of their positions."""
+    """Endpoints that may get new attempts, sorted by ring position."""
 
     def __init__(self, index: int, instances: int, is_remote: Callable[[Member], bool]) -> None:
-        """Take this balancer's number among `instances`; `is_remote` tells the members of other zones."""
+        """Create an empty ring.
+
+        Args:
+            index: This balancer's index among the instances.
+            instances: The number of balancers.
+            is_remote: Returns whether a member is in another zone and crossing zones has a price.
+        """
         self._index = index
         self._instances = max(1, instances)
         self._is_remote = is_remote
         self._all: list[Member] = []
         self._local: list[Member] = []
         self._remote: list[Member] = []
-        self._start: RingPosition | None = None  # of the arc
+        self._start: RingPosition | None = None  # start of the current arc
 
     def __len__(self) -> int:
         """Return the number of members."""
         return len(self._all)
 
     def clear(self) -> None:
-        """Remove all members; the arc keeps its start."""
+        """Remove all members but keep the start of the arc."""
         for members in (self._all, self._local, self._remote):
             members.clear()
 
@@ -74,14 +82,14 @@
         insort(self._remote if self._is_remote(member) else self._local, member, key=RING_POSITION)
 
     def remove(self, member: Member) -> None:
-        """Remove a member, where it is on the ring."""
+        """Remove a member if it is on the ring."""
         for members in (self._all, self._local, self._remote):
             index = bisect_left(members, member.ring_position, key=RING_POSITION)
             if index < len(members) and members[index] is member:
                 del members[index]
 
     def subset(self) -> list[Member]:
-        """Return this balancer's arc: endpoints of its own zone first, then a few of other zones."""
+        """Return this balancer's subset: endpoints of its own zone first, then a few of other zones."""
         if not self._all:
             return []
         size = subset_size(len(self._all), self._instances)
@@ -91,10 +99,10 @@
         return local + arc(self._remote, start, max(MIN_REMOTE, size - len(local)))
 
     def _start_index(self, size: int) -> int:
-        """Return the index where the arc starts: the previous one, unless it is too far from the even one.
+        """Return the index where the arc starts: the previous one, limited to the slack around the even one.
 
-        Without this the arc would move to and fro and open connections to ever new endpoints, as
-        endpoints far before it come and go.
+        With the even start alone the arc would shift whenever an endpoint before it is added or removed, and
+        the balancer would keep opening connections to other endpoints.
         """
         endpoints = len(self._all)
         even_start = self._index * endpoints // self._instances
@@ -102,17 +110,18 @@
         if not slack or self._start is None:
             return even_start
         previous_start = bisect_left(self._all, self._start, key=RING_POSITION)
-        # The end of the ring is not crossed, as the slack is at most half of the distance between two starts.
+        # No wrap at the end of the ring is needed: the slack is at most half the distance between two starts.
         return max(even_start - slack, min(even_start + slack, previous_start))
 
 
 def start_slack(endpoints: int, instances: int, size: int) -> int:
-    """Return how many places off its even one an arc of this size may start.
+    """Return by how many ring positions an arc of this size may start before or after its even start.
 
-    Zero where each endpoint is in the subsets of two balancers, which stays so exactly. Where the size is
-    bounded below that: as many as leave no endpoint out where arcs overlap, and let no arcs overlap where
-    gaps are between them. Each endpoint is then in the subsets of (size -+ 2 slack) x instances / endpoints
-    balancers, rounded down and up.
+    The slack is zero if the size covers each endpoint `SUBSETS_PER_ENDPOINT` times, so that the coverage
+    stays exact. If the size is bounded below that, the slack is the largest that leaves no endpoint uncovered
+    where arcs overlap, and makes no arcs overlap where there are gaps between them. The number of balancers
+    per endpoint is then at least (size - 2 slack) x instances / endpoints, rounded down, and at most (size +
+    2 slack) x instances / endpoints, rounded up.
     """
     if size >= min(endpoints, _covering_size(endpoints, instances)):
         return 0
@@ -120,14 +129,15 @@
 
 
 def subset_size(endpoints: int, instances: int) -> int:
-    """Return the number of endpoints in the subset of each of the balancers.
-
-    As many as give each endpoint to two balancers, where the fleet has its usual size or balancers grow in
-    step with endpoints. Where they stay as many, a balancer with the same traffic would use hardly a
-    connection twice, and each endpoint of the subset costs it a descriptor. So a subset that may be
-    sixteen times the usual one, U, is bounded by what the descriptors allow, 2 U + 40, but never falls
-    below that of the largest fleet of usual size. The price: with less than one balancer an endpoint, what
-    the others could carry is not used. No smaller bound is taken, as that is paid in requests served.
+    """Return the number of endpoints in the subset of each balancer.
+
+    The size covers each endpoint with two balancers while the fleet has its usual size, or while the number
+    of balancers grows in proportion to that of endpoints. If only the endpoints grow in number, a balancer
+    with unchanged traffic would hardly ever reuse a connection, and each endpoint of the subset costs it a
+    file descriptor. A subset that may be 16 times the usual size U is therefore bounded by the descriptor
+    limit, 2 U + 40, but not below the subset size for the largest fleet of usual size. The drawback is that
+    with less than one balancer per endpoint the capacity of the uncovered endpoints stays unused. The bound
+    is no lower, because smaller subsets serve fewer requests.
     """
     covering = _covering_size(endpoints, instances)
     by_descriptors = EXTRA_DESCRIPTORS + DESCRIPTOR_GROWTH * covering // FLEET_GROWTH
@@ -136,12 +146,12 @@
 
 
 def _covering_size(endpoints: int, instances: int) -> int:
-    """Return the size of subsets that give each endpoint to as many balancers as it should have."""
+    """Return the subset size with which each endpoint is in `SUBSETS_PER_ENDPOINT` subsets on average."""
     return math.ceil(SUBSETS_PER_ENDPOINT * endpoints / instances)
 
 
 def arc(members: list[Member], start: RingPosition, size: int) -> list[Member]:
-    """Return at most `size` of the sorted members, from a position on and around the end."""
+    """Return up to `size` of the sorted members, starting at a position and wrapping at the end."""
     index = bisect_left(members, start, key=RING_POSITION)
     found = members[index : index + size]
     return found + members[: min(index, size - len(found))]
--- a/load_balancer/policy/token_bucket.py
+++ b/load_balancer/policy/token_bucket.py
@@ -1,6 +1,6 @@
-"""A token bucket: what quotas of tenants, the retry budget and slow start are counted with.
+"""Token bucket, used by the tenant quotas, the retry budget and slow start.
 
-Tokens are added by time or by event up to a maximum; what is paid for takes tokens out.
+Tokens are added over time or per event, up to a maximum, and are spent by the operations that it limits.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 
 
 class TokenBucket:
-    """Tokens that are saved up to a maximum, and the time of the last refill."""
+    """Token bucket with an optional maximum."""
 
     __slots__ = ("_max_tokens", "tokens", "updated_at_us")
 
     def __init__(self, tokens: float, max_tokens: float = math.inf, updated_at_us: int = 0) -> None:
-        """Start with this many tokens at this time."""
+        """Create a bucket with an initial number of tokens, last refilled at `updated_at_us`."""
         self.tokens = tokens
         self._max_tokens = max_tokens
         self.updated_at_us = updated_at_us
@@ -24,12 +24,12 @@
         self.tokens = min(self._max_tokens, self.tokens + tokens)
 
     def refill(self, now_us: int, tokens_per_us: float) -> None:
-        """Add the tokens of the time since the last refill, at this rate."""
+        """Add tokens at this rate for the time since the last refill, up to the maximum."""
         self.add((now_us - self.updated_at_us) * tokens_per_us)
         self.updated_at_us = now_us
 
     def try_spend(self, cost: float = 1.0) -> bool:
-        """Take tokens out and return True; return False and take none where there are too few."""
+        """Spend tokens and return True; return False and spend none if there are too few."""
         if self.tokens < cost:
             return False
         self.tokens -= cost
--- a/load_balancer/policy/warming_state.py
+++ b/load_balancer/policy/warming_state.py
@@ -1,4 +1,4 @@
-"""What one balancer may still send to one endpoint that is warming up: the record that slow start keeps."""
+"""Slow-start state of one endpoint at one balancer."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from load_balancer.policy.token_bucket import TokenBucket
 
-MIN_TOKENS = -1.0  # an attempt that was admitted without a token is paid for by the next token
+MIN_TOKENS = -1.0  # an attempt that was admitted without a token consumes the next one
 
 
 @dataclass(slots=True)
 class WarmingState:
-    """The token bucket of one incarnation of an endpoint at one balancer, with its phase."""
+    """Token bucket, phase and response credit of one incarnation of an endpoint at one balancer."""
 
-    phase: float  # this balancer's place, 0 to 1, among all that may send to the endpoint
-    first_listed_at_us: int  # when this balancer first saw the incarnation in the endpoint list
+    phase: float  # 0 to 1, offset of this balancer among all that may send to the endpoint
+    first_listed_at_us: int  # when the incarnation first was in the endpoint list
     bucket: TokenBucket
-    response_credit_until_us: int = 0  # an answer has made room for one attempt, until then
+    response_credit_until_us: int = 0  # a successful response admits one attempt until then
 
     def attempt_sent(self) -> None:
-        """Pay for an attempt, with the answer's credit and with a token."""
+        """Charge an attempt: clear the response credit and spend a token."""
         self.response_credit_until_us = 0
         self.bucket.tokens = max(MIN_TOKENS, self.bucket.tokens - 1.0)
