--- a/load_balancer/policy/health_check.py
+++ b/load_balancer/policy/health_check.py
@@ -107,16 +107,16 @@
             for attempt in state.in_flight
             if attempt.sent_at_us <= state.health.checked_at_us - MAX_REPORT_AGE_US
         ]
-        lost = len(reportable) - math.ceil(REPORT_ERROR_FACTOR * reported - (REPORT_ERROR_FACTOR - 1.0))
+        lost_count = len(reportable) - math.ceil(REPORT_ERROR_FACTOR * reported - (REPORT_ERROR_FACTOR - 1.0))
         limit = self._hang_limit(now_us)
         hanging = sorted(
             (attempt for attempt in reportable if attempt.is_hanging(now_us, limit)),
             key=lambda attempt: attempt.request_class.usual_latency_us / (now_us - attempt.sent_at_us),
         )
-        if lost > 0 and hanging:
+        if lost_count > 0 and hanging:
             waiting = len(reportable)
             text = f"{state.endpoint.id} holds {reported:.1f} and we wait for {waiting}: answers are lost"
             self._outbox.add(messages.Log(text))
             self._response_lost_at_us = now_us
-        for attempt in hanging[: max(0, lost)]:
+        for attempt in hanging[: max(0, lost_count)]:
             self._abandon(now_us, attempt)
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -140,8 +140,8 @@
     is no lower, because smaller subsets serve fewer requests.
     """
     covering = _covering_size(endpoints, instances)
-    by_descriptors = EXTRA_DESCRIPTORS + DESCRIPTOR_GROWTH * covering // FLEET_GROWTH
-    bound = max(_covering_size(MAX_USUAL_FLEET, instances), by_descriptors)
+    descriptor_bound = EXTRA_DESCRIPTORS + DESCRIPTOR_GROWTH * covering // FLEET_GROWTH
+    bound = max(_covering_size(MAX_USUAL_FLEET, instances), descriptor_bound)
     return max(MIN_SUBSET, min(covering, bound))
 
 
