--- a/load_balancer/policy/admission_queue.py
+++ b/load_balancer/policy/admission_queue.py
@@ -65,7 +65,7 @@
 
     def add(self, now_us: int, request: RequestState) -> None:
         """Queue a request that no endpoint is available for, as long as its response can have a value."""
-        self._concurrency_limit.note_reached()
+        self._concurrency_limit.mark_reached()
         request.queued_until_us = now_us + self._queue_wait_us(now_us, request)
         self._sequence += 1
         insort(self._entries, QueueEntry(-request.priority, now_us, self._sequence, request.id))
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -63,7 +63,10 @@
         self.request_handler = self._new_request_handler()
 
         self.health_checker = HealthChecker(
-            outbox, self.scan_timer, may_check=self.slow_start.pay_for_check, abandon=self.dispatcher.abandon
+            outbox,
+            self.scan_timer,
+            try_spend_check_token=self.slow_start.try_spend_check_token,
+            abandon=self.dispatcher.abandon,
         )
         self.silent_attempts = SilentAttemptDetector(
             limits, self.open_requests, self.dispatcher, self.router, self.retry_budget, self.scan_timer
@@ -136,5 +139,5 @@
         self.endpoints.apply(now_us, update)
         balancers_per_endpoint = self.endpoints.balancers_per_endpoint
         self.slow_start.subset_changed(now_us, self.endpoints.subset, balancers_per_endpoint)
-        self.concurrency_limit.share_among(balancers_per_endpoint)
+        self.concurrency_limit.set_sharing_balancers(balancers_per_endpoint)
         self.concurrency_limit.split(self.endpoints.subset)
