--- a/load_balancer/process/config.py
+++ b/load_balancer/process/config.py
@@ -94,12 +94,12 @@
         return raw if isinstance(raw, dict) else {}
 
 
-def _find_overrides(environment: Mapping[str, str], from_file: JsonObject) -> dict[str, str]:
+def _find_overrides(environment: Mapping[str, str], file_fields: JsonObject) -> dict[str, str]:
     """Return what the environment says otherwise than the file, by the file's keys."""
     return {
         key: environment[variable]
         for key, variable in OVERRIDE_VARIABLES.items()
-        if environment.get(variable) and environment[variable] != from_file.get(key)
+        if environment.get(variable) and environment[variable] != file_fields.get(key)
     }
 
 
--- a/load_balancer/process/graceful_shutdown.py
+++ b/load_balancer/process/graceful_shutdown.py
@@ -14,25 +14,25 @@
 ACCEPT_GRACE_S = 0.6  # after SIGTERM: new connections go on coming for 0.2 to 0.4 s
 # SIGKILL follows SIGTERM after the longest deadline, or after this if that is more, and 0.7 s.
 MAX_DEADLINE_S = 3.0
-ANSWER_GRACE_S = 0.2  # all is answered this long after the longest deadline, or after MAX_DEADLINE_S
-LAST_REQUEST_S = 1.2  # time that the last request which is accepted has until then
-FLUSH_S = 0.2  # for the last answers to be written
+DRAIN_GRACE_S = 0.2  # all is answered this long after the longest deadline, or after MAX_DEADLINE_S
+MIN_REQUEST_TIME_S = 1.2  # time that the last request which is accepted has until then
+FLUSH_TIMEOUT_S = 0.2  # for the last answers to be written
 POLL_INTERVAL_S = 0.01  # connections are looked at this often
 
 
-def answer_time_s(longest_deadline_s: float) -> float:
+def drain_timeout_s(longest_deadline_s: float) -> float:
     """Return the seconds after SIGTERM within which all requests are answered."""
-    return min(MAX_DEADLINE_S, longest_deadline_s) + ANSWER_GRACE_S
+    return min(MAX_DEADLINE_S, longest_deadline_s) + DRAIN_GRACE_S
 
 
-def accept_time_s(answer_time_s: float) -> float:
+def min_accept_time_s(drain_timeout_s: float) -> float:
     """Return the seconds after SIGTERM for which new connections are accepted in any case.
 
-    Never longer than `answer_time_s`, the seconds after SIGTERM within which all is answered: the time of the
-    last answers runs from the end of the listener, and SIGKILL comes 0.5 s after `answer_time_s`. With
+    Never longer than `drain_timeout_s`, the seconds after SIGTERM within which all is answered: the time of the
+    last answers runs from the end of the listener, and SIGKILL comes 0.5 s after `drain_timeout_s`. With
     ACCEPT_GRACE_S alone, deadlines below 0.4 s would leave less than that.
     """
-    return min(ACCEPT_GRACE_S, answer_time_s)
+    return min(ACCEPT_GRACE_S, drain_timeout_s)
 
 
 class GracefulShutdown:
@@ -40,7 +40,7 @@
 
     All times count from the signal; D is the longest deadline of the settings, 3 s at the most.
 
-    1. `announce`, at 0: the readiness check fails, and no request gets more than D + 0.2 s from the signal.
+    1. `fail_readiness_check`, at 0: the readiness check fails, and no request gets more than D + 0.2 s from the signal.
     2. `keep_accepting`, until 0.6 s in any case (D + 0.2 s if that is less), then until D - 1 s for as long
        as clients have connections open: the last request that is accepted has 1.2 s left.
     3. `finish_requests`: the listener's queue is taken in and the listener closed; each connection is
@@ -61,21 +61,21 @@
         self._listener = listener
         self._driver = driver
         self._loop = asyncio.get_running_loop()
-        self._answer_time_s = answer_time_s(longest_deadline_s)
-        self._answered_at_s = self._loop.time() + self._answer_time_s  # by the event loop's clock
+        self._drain_timeout_s = drain_timeout_s(longest_deadline_s)
+        self._drain_deadline_s = self._loop.time() + self._drain_timeout_s  # by the event loop's clock
 
     async def run(self) -> None:
         """Go through all phases."""
-        self.announce()
+        self.fail_readiness_check()
         await self.keep_accepting()
         await self.finish_requests()
         await self.fail_remaining()
         self.close()
 
-    def announce(self) -> None:
+    def fail_readiness_check(self) -> None:
         """Fail the readiness check, so that clients go elsewhere, and cut the deadlines of requests."""
         self._listener.clients.is_shutting_down = True
-        self._driver.limit_deadlines(self._answer_time_s)
+        self._driver.limit_deadlines(self._drain_timeout_s)
 
     async def keep_accepting(self) -> None:
         """Serve as before, for as long as clients may not know yet or have nobody else.
@@ -83,20 +83,20 @@
         Clients go on using the connections that they have. A listener that closed at once would leave them
         with nobody where the proxy that was restarted just before is not back yet.
         """
-        await asyncio.sleep(accept_time_s(self._answer_time_s))
-        last_request_at_s = self._answered_at_s - LAST_REQUEST_S
+        await asyncio.sleep(min_accept_time_s(self._drain_timeout_s))
+        last_request_at_s = self._drain_deadline_s - MIN_REQUEST_TIME_S
         while self._loop.time() < last_request_at_s and self._listener.clients.open_connections:
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def finish_requests(self) -> None:
         """Stop listening, and answer what was accepted."""
         self._listener.stop_listening()
-        await self._close_connections(until_s=self._answered_at_s)
+        await self._close_connections(until_s=self._drain_deadline_s)
 
     async def fail_remaining(self) -> None:
         """End the requests that are still open, and let their answers be written."""
         self._driver.end_all_requests()
-        await self._close_connections(until_s=self._loop.time() + FLUSH_S)
+        await self._close_connections(until_s=self._loop.time() + FLUSH_TIMEOUT_S)
 
     def close(self) -> None:
         """Close all that is left: clients' connections, the watch, connections to endpoints."""
--- a/load_balancer/process/reload.py
+++ b/load_balancer/process/reload.py
@@ -49,38 +49,42 @@
         """Read the file for the `attempt`-th time since the signal."""
         self._retry_timer = None
         try:
-            new = self._source.read()
+            new_config = self._source.read()
         except UnreadableConfigError as error:
             # The file may be in the middle of being replaced, and be whole a moment later.
             if attempt == 1:
-                _log_refusal(error)
+                _log_rejection(error)
             if attempt <= MAX_RELOAD_RETRIES:
                 self._retry_later(attempt + 1)
         except ConfigError as error:
-            _log_refusal(error)
+            _log_rejection(error)
         else:
-            self._follow(new)
+            self._apply(new_config)
 
     def _retry_later(self, attempt: int) -> None:
         loop = asyncio.get_running_loop()
         self._retry_timer = loop.call_later(RELOAD_RETRY_INTERVAL_S, self._read, attempt)
 
-    def _follow(self, new: Config) -> None:
+    def _apply(self, new_config: Config) -> None:
         """Move to the new discovery and name each change that needs a restart."""
-        for name in _changed_fields(self._config, new):
+        for name in _changed_fields(self._config, new_config):
             if name not in UNREPORTED_FIELDS:
                 log.warning("the change of %s needs a restart", name)
-        if new.discovery != self._config.discovery:
-            log.info("discovery is now at %s:%d", *new.discovery)
-            self._driver.move_discovery(new.discovery)
+        if new_config.discovery != self._config.discovery:
+            log.info("discovery is now at %s:%d", *new_config.discovery)
+            self._driver.move_discovery(new_config.discovery)
         # What waits for a restart stays as it was, so that it is named again at the next reload.
-        self._config = replace(self._config, discovery=new.discovery)
+        self._config = replace(self._config, discovery=new_config.discovery)
 
 
-def _changed_fields(old: Config, new: Config) -> list[str]:
+def _changed_fields(old_config: Config, new_config: Config) -> list[str]:
     """Return the names of the fields that differ, in the order of `Config`."""
-    return [field.name for field in fields(Config) if getattr(new, field.name) != getattr(old, field.name)]
+    return [
+        field.name
+        for field in fields(Config)
+        if getattr(new_config, field.name) != getattr(old_config, field.name)
+    ]
 
 
-def _log_refusal(error: ConfigError) -> None:
+def _log_rejection(error: ConfigError) -> None:
     log.error("the new configuration cannot be used, the old one stays: %s", error)
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -16,19 +16,19 @@
 
 JsonObject = dict[str, Any]
 
-NUMBER_KINDS = (int, float)
+NUMBER_TYPES = (int, float)
 # Numbers are below this and above its negative: float() and timers fail on an integer without end.
 NUMBER_LIMIT = 2**64
 DEFAULT_MAX_POLL_INTERVAL_US = 10_000_000  # where the settings don't say
 
 
-def required_field(fields: Any, key: str, kind: type | tuple[type, ...], prefix: str = "") -> Any:
+def required_field(fields: Any, key: str, expected_type: type | tuple[type, ...], prefix: str = "") -> Any:
     """Return the value of a required key.
 
     Args:
         fields: The JSON object that should have the key.
         key: The key.
-        kind: What the value has to be an instance of.
+        expected_type: What the value has to be an instance of.
         prefix: The path to `fields`, for the error, as in "settings.limits.".
 
     Raises:
@@ -38,7 +38,7 @@
     value = fields.get(key) if isinstance(fields, dict) else None
     if value is None:
         raise MissingFieldError(prefix + key)
-    return checked_value(value, kind, prefix + key)
+    return checked_value(value, expected_type, prefix + key)
 
 
 def optional_field(fields: JsonObject, key: str, default: Any, prefix: str = "") -> Any:
@@ -59,16 +59,16 @@
     return checked_value(value, (int, float) if isinstance(default, float) else type(default), prefix + key)
 
 
-def checked_value(value: Any, kind: type | tuple[type, ...], field: str) -> Any:
+def checked_value(value: Any, expected_type: type | tuple[type, ...], field: str) -> Any:
     """Return a value that is of the kind wanted and in range, a float with no fraction as an int.
 
     Raises:
         InvalidFieldError: The value is of another kind or out of range.
     """
-    if kind is int and isinstance(value, float) and value.is_integer():
+    if expected_type is int and isinstance(value, float) and value.is_integer():
         value = int(value)  # JSON has one kind of number: 5.0 would keep the proxy from starting
-    is_unexpected_bool = isinstance(value, bool) and kind is not bool  # Python's bool is an int
-    if is_unexpected_bool or not isinstance(value, kind):
+    is_unexpected_bool = isinstance(value, bool) and expected_type is not bool  # Python's bool is an int
+    if is_unexpected_bool or not isinstance(value, expected_type):
         raise InvalidFieldError(field, f"has a value of the wrong kind: {value!r:.60}")
     # Not a number compares false to everything.
     if isinstance(value, int | float) and not -NUMBER_LIMIT < value < NUMBER_LIMIT:
@@ -103,7 +103,7 @@
 
 
 @contextmanager
-def settings_field_names(prefix: str) -> Iterator[None]:
+def translate_value_errors(prefix: str) -> Iterator[None]:
     """Turn the ValueError of a value that the messages do not take into one with the field as it was read.
 
     Raises:
@@ -119,55 +119,55 @@
 EnumType = TypeVar("EnumType", bound=Enum)
 
 
-def parse_enum(kind: type[EnumType], value: str, field: str) -> EnumType:
+def parse_enum(enum_type: type[EnumType], value: str, field: str) -> EnumType:
     """Return the member with this value.
 
     Raises:
         InvalidFieldError: There is none.
     """
     try:
-        return kind(value)
+        return enum_type(value)
     except ValueError:
         raise InvalidFieldError(field, f"has an unknown value: {value!r:.60}") from None
 
 
-def read_class(lane: Any, prefix: str) -> messages.RequestClass:
+def read_request_class(raw_class: Any, prefix: str) -> messages.RequestClass:
     """Read one entry of `lanes`. Raises FieldError."""
     idempotency = parse_enum(
-        messages.Idempotency, required_field(lane, "idempotency", str, prefix), prefix + "idempotency"
+        messages.Idempotency, required_field(raw_class, "idempotency", str, prefix), prefix + "idempotency"
     )
     key_scope = parse_enum(
-        messages.KeyScope, optional_field(lane, "keyScope", "all", prefix), prefix + "keyScope"
+        messages.KeyScope, optional_field(raw_class, "keyScope", "all", prefix), prefix + "keyScope"
     )
-    with settings_field_names(prefix):
+    with translate_value_errors(prefix):
         return messages.RequestClass(
-            name=required_field(lane, "name", str, prefix),
-            latency_objective_us=required_field(lane, "onTimeUs", int, prefix),
-            deadline_us=required_field(lane, "deadlineUs", int, prefix),
+            name=required_field(raw_class, "name", str, prefix),
+            latency_objective_us=required_field(raw_class, "onTimeUs", int, prefix),
+            deadline_us=required_field(raw_class, "deadlineUs", int, prefix),
             idempotency=idempotency,
             key_scope=key_scope,
-            deduplication_window_us=optional_field(lane, "repeatWindowUs", 0, prefix),
-            priority_weight=optional_field(lane, "worth", 1.0, prefix),
-            late_weight=optional_field(lane, "lateValue", 0.0, prefix),
+            deduplication_window_us=optional_field(raw_class, "repeatWindowUs", 0, prefix),
+            priority_weight=optional_field(raw_class, "worth", 1.0, prefix),
+            late_weight=optional_field(raw_class, "lateValue", 0.0, prefix),
         )
 
 
-def read_tenant(tenant: Any, prefix: str) -> messages.Tenant:
+def read_tenant(raw_tenant: Any, prefix: str) -> messages.Tenant:
     """Read one entry of `tenants`. Raises FieldError."""
-    with settings_field_names(prefix):
+    with translate_value_errors(prefix):
         return messages.Tenant(
-            required_field(tenant, "name", str, prefix),
-            required_field(tenant, "quotaPerS", NUMBER_KINDS, prefix),
+            required_field(raw_tenant, "name", str, prefix),
+            required_field(raw_tenant, "quotaPerS", NUMBER_TYPES, prefix),
         )
 
 
 def read_rules(contract: JsonObject, prefix: str) -> messages.Rules:
     """Read `contract`, the platform's promises. Raises FieldError."""
-    with settings_field_names(prefix):
+    with translate_value_errors(prefix):
         return messages.Rules(
-            start_capacity=required_field(contract, "startCapacity", NUMBER_KINDS, prefix),
+            start_capacity=required_field(contract, "startCapacity", NUMBER_TYPES, prefix),
             slow_start_us=required_field(contract, "coldUs", int, prefix),
-            overload_multiple=required_field(contract, "fallMultiple", NUMBER_KINDS, prefix),
+            overload_multiple=required_field(contract, "fallMultiple", NUMBER_TYPES, prefix),
             overload_window_us=required_field(contract, "fallUs", int, prefix),
             max_poll_interval_us=optional_field(
                 contract, "mustAskInUs", DEFAULT_MAX_POLL_INTERVAL_US, prefix
@@ -178,7 +178,7 @@
 def read_limits(limits: JsonObject, prefix: str) -> messages.Limits:
     """Read `limits`, what the site allows. Raises FieldError."""
     may_advise_retry = optional_field(limits, "retryAfter", default=False, prefix=prefix)
-    with settings_field_names(prefix):
+    with translate_value_errors(prefix):
         return messages.Limits(
             max_attempts=required_field(limits, "maxAttempts", int, prefix),
             cancel=optional_field(limits, "cancel", default=False, prefix=prefix),
@@ -197,17 +197,23 @@
         FieldError: A setting is missing or cannot be used; the message names it in full.
     """
     prefix = "settings."
-    lanes = required_field(raw, "lanes", list, prefix)
+    raw_classes = required_field(raw, "lanes", list, prefix)
     contract = required_field(raw, "contract", dict, prefix)
     limits = required_field(raw, "limits", dict, prefix)
     prices = optional_field(raw, "deductions", {}, prefix)
     tenants = optional_field(raw, "tenants", [], prefix)
-    with settings_field_names(prefix):
+    with translate_value_errors(prefix):
         return messages.Settings(
-            classes=tuple(read_class(lane, f"{prefix}lanes[{n}].") for n, lane in enumerate(lanes)),
+            classes=tuple(
+                read_request_class(raw_class, f"{prefix}lanes[{index}].")
+                for index, raw_class in enumerate(raw_classes)
+            ),
             rules=read_rules(contract, prefix + "contract."),
             limits=read_limits(limits, prefix + "limits."),
-            tenants=tuple(read_tenant(tenant, f"{prefix}tenants[{n}].") for n, tenant in enumerate(tenants)),
+            tenants=tuple(
+                read_tenant(raw_tenant, f"{prefix}tenants[{index}].")
+                for index, raw_tenant in enumerate(tenants)
+            ),
             over_quota_weight=optional_field(raw, "overShareWorth", 1.0, prefix),
             worst_class_weight=read_worst_class_weight(raw, prefix),
             instances=optional_field(raw, "instances", 1, prefix),
--- a/load_balancer/simulator.py
+++ b/load_balancer/simulator.py
@@ -124,7 +124,7 @@
 }
 
 
-def write_action(action: messages.Action) -> JsonObject | None:
+def encode_action(action: messages.Action) -> JsonObject | None:
     """Return an action as the wire has it; none where it has no such thing."""
     match action:
         case messages.StartAttempt():
@@ -141,10 +141,10 @@
         case messages.Fail():
             return {"msg": "ABORT", "msgId": action.request}
         case _:
-            return write_instance_action(action)
+            return encode_instance_action(action)
 
 
-def write_instance_action(
+def encode_instance_action(
     action: messages.SetTimer
     | messages.CancelTimer
     | messages.CheckHealth
@@ -179,23 +179,23 @@
     def handle_batch(self, batch: JsonObject) -> JsonObject:
         """Return the reply to one batch. Raises WireError."""
         now_us = required_field(batch, "tUs", int)
-        number = required_field(batch, "n", int)
+        batch_number = required_field(batch, "n", int)
         replies = []
-        for index, group in enumerate(required_field(batch, "proxys", list)):
-            reply = self._handle_group(now_us, group, f"proxys[{index}].")
+        for index, instance_batch in enumerate(required_field(batch, "proxys", list)):
+            reply = self._handle_instance_batch(now_us, instance_batch, f"proxys[{index}].")
             if reply["decisions"]:
                 replies.append(reply)
-        return {"n": number, "proxys": replies}
+        return {"n": batch_number, "proxys": replies}
 
-    def _handle_group(self, now_us: int, group: Any, prefix: str) -> JsonObject:
+    def _handle_instance_batch(self, now_us: int, instance_batch: Any, prefix: str) -> JsonObject:
         """Return the reply to the events of one instance. Raises WireError."""
-        instance = required_field(group, "proxy", int, prefix)
+        instance = required_field(instance_batch, "proxy", int, prefix)
         actions: list[messages.Action] = []
-        for event in required_field(group, "events", list, prefix):
+        for event in required_field(instance_batch, "events", list, prefix):
             actions += self._handle_event(now_us, instance, event)
         return {
             "proxy": instance,
-            "decisions": [written for action in actions if (written := write_action(action))],
+            "decisions": [encoded for action in actions if (encoded := encode_action(action))],
         }
 
     def _handle_event(self, now_us: int, instance: int, event: JsonObject) -> list[messages.Action]:
@@ -246,11 +246,11 @@
             raise InvalidFieldError("ANNOUNCE.form", f"has an unknown value: {event['form']!r:.60}")
         if kind is messages.EndpointListKind.FAILED:
             return messages.EndpointListUpdate(kind)
-        bank = required_field(event, "bank", int, "ANNOUNCE.")
-        if bank not in self._lists:
-            raise InvalidFieldError("ANNOUNCE.bank", f"names list {bank}, which was never sent")
+        list_number = required_field(event, "bank", int, "ANNOUNCE.")
+        if list_number not in self._lists:
+            raise InvalidFieldError("ANNOUNCE.bank", f"names list {list_number}, which was never sent")
         version = optional_field(event, "epoch", 0, "ANNOUNCE.")
-        return messages.EndpointListUpdate(kind, version, self._lists[bank])
+        return messages.EndpointListUpdate(kind, version, self._lists[list_number])
 
 
 def serve(lines: Iterable[bytes], replies: TextIO) -> None:
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from load_balancer.process.graceful_shutdown import FLUSH_S, accept_time_s
+from load_balancer.process.graceful_shutdown import FLUSH_TIMEOUT_S, min_accept_time_s
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.http_messages import http_request, http_response, read_http_message
 from tests.support.proxy_process import (
@@ -33,8 +33,8 @@
 def test_listening_ends_in_time_for_the_last_responses(deadline_s: float) -> None:
     """0.25 s are left for a stall and the exit of the process."""
     answer_by = deadline_s + 0.2
-    assert 0.4 < accept_time_s(answer_by) <= answer_by
-    assert accept_time_s(answer_by) + FLUSH_S <= deadline_s + KILL_MORE_S - 0.25
+    assert 0.4 < min_accept_time_s(answer_by) <= answer_by
+    assert min_accept_time_s(answer_by) + FLUSH_TIMEOUT_S <= deadline_s + KILL_MORE_S - 0.25
 
 
 @dataclass
--- a/tests/scenarios/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -11,7 +11,7 @@
 from load_balancer.messages import EndpointListKind, EndpointStatus
 from load_balancer.net.discovery.endpoint_list_json import endpoint_number
 from load_balancer.policy.endpoint_list import MAX_DEPARTED
-from load_balancer.simulator import write_action
+from load_balancer.simulator import encode_action
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response
@@ -93,7 +93,7 @@
 
 
 def test_simulator_writes_close_idle_in_its_wire_form() -> None:
-    assert write_action(messages.CloseIdle(7)) == {"msg": "CLOSE", "backend": 7}
+    assert encode_action(messages.CloseIdle(7)) == {"msg": "CLOSE", "backend": 7}
 
 
 async def test_departed_endpoint_loses_its_idle_connections_and_stays_usable() -> None:
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -13,7 +13,7 @@
 from load_balancer import messages
 from load_balancer.messages import Rules, Settings
 from load_balancer.settings import read_settings
-from load_balancer.simulator import EVENT_READERS, read_request, write_action
+from load_balancer.simulator import EVENT_READERS, encode_action, read_request
 from tests.support.proxy_process import ROOT, deploy_command, raw_settings
 from tests.support.units import SECOND_US
 
@@ -300,8 +300,8 @@
 
 
 def test_health_checks_on_the_wire() -> None:
-    assert write_action(messages.CheckHealth(7)) == {"msg": "INSPECT", "backend": 7}
-    assert write_action(messages.CancelTimer(7)) is None  # the wire has no such message
+    assert encode_action(messages.CheckHealth(7)) == {"msg": "INSPECT", "backend": 7}
+    assert encode_action(messages.CancelTimer(7)) is None  # the wire has no such message
     read_result = EVENT_READERS["SAMPLED"]
     with_load = {"backend": 7, "ending": 10, "gauge": {"busy_reqs": 2.5}}
     assert read_result(with_load) == messages.HealthCheckEnded(7, True, 2.5)
