--- a/benchmarks/clients.py
+++ b/benchmarks/clients.py
@@ -37,21 +37,21 @@
     async def _connect(self) -> Streams:
         return await asyncio.open_connection("127.0.0.1", self._port)
 
-    async def call(self) -> None:
+    async def send_request(self) -> None:
         """Make one call and count it as served where the answer is 200 and comes before its deadline."""
-        due_by = asyncio.get_running_loop().time() + self._deadline_s
+        deadline_at_s = asyncio.get_running_loop().time() + self._deadline_s
         try:
-            async with asyncio.timeout_at(due_by):
-                status = await self._ask(due_by)
+            async with asyncio.timeout_at(deadline_at_s):
+                status = await self._exchange(deadline_at_s)
         except (OSError, asyncio.IncompleteReadError):  # among the first: it took too long
             return
         self.served += status == 200  # not over an `await`: other calls may end meanwhile
 
-    async def _ask(self, due_by: float) -> int:
+    async def _exchange(self, deadline_at_s: float) -> int:
         """Return the status of the answer to one call. A connection on which none came is closed."""
         reader, writer = self._idle.pop(0) if self._idle else await self._connect()
         try:
-            writer.write(self._request(due_by))
+            writer.write(self._request_head(deadline_at_s))
             status = await read_status(reader)
         except BaseException:
             writer.transport.abort()
@@ -59,15 +59,15 @@
         self._idle.append((reader, writer))
         return status
 
-    def _request(self, due_by: float) -> bytes:
+    def _request_head(self, deadline_at_s: float) -> bytes:
         self._sent += 1
-        left_s = max(0.001, due_by - asyncio.get_running_loop().time())
+        time_remaining_s = max(0.001, deadline_at_s - asyncio.get_running_loop().time())
         lines = [
             "GET /api HTTP/1.1",
             "Host: origin.svc",
             f"Req-Id: {self._sent:016x}",
             "Req-Kind: read",
-            f"Req-Deadline: {left_s:.3f}",
+            f"Req-Deadline: {time_remaining_s:.3f}",
         ]
         return "\r\n".join(lines).encode() + HEAD_END
 
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -28,15 +28,15 @@
 from benchmarks.clients import Clients
 from benchmarks.growth_limits import Figures
 from benchmarks.proxy_process import ProxyEndedError, ProxyProcess, proxy_process
-from benchmarks.report import Result, breaks, machine, table
-from benchmarks.scenarios import PLAYS, ROWS, Scenario, Step, settings
+from benchmarks.report import Result, describe_machine, results_table, violations_by_fleet
+from benchmarks.scenarios import FLEET_SIZES, SCENARIOS, Scenario, Step, settings
 from benchmarks.stand_ins import Discovery, EndpointStandIns
 
 SEED = 0x8C1F30D27A5BE964
-CELL = 8  # endpoints in a cell
-DESCRIPTORS_WANTED = 16_384  # for listeners and both ends of all connections, in this process
-SETTLE_TIMEOUT_S = 60.0  # a proxy that still works on the play this long after its end is measured as it is
-POLL_S = 0.02
+CELL_SIZE = 8  # endpoints in a cell
+WANTED_DESCRIPTORS = 16_384  # for listeners and both ends of all connections, in this process
+QUIET_TIMEOUT_S = 60.0  # a proxy that still works on the play this long after its end is measured as it is
+POLL_INTERVAL_S = 0.02
 WATCH_TIMEOUT_S = 15.0  # the longest wait for a watch that has to be opened anew
 
 
@@ -56,15 +56,15 @@
         self._scenario = scenario
         self.endpoints = EndpointStandIns(scenario.service_s)
         self.discovery = Discovery()
-        self._serial = 0
+        self._endpoint_count = 0
         self._up: deque[tuple[str, str]] = deque()  # uid and address, the oldest first
         self._draining: deque[tuple[str, str]] = deque()
 
     async def _start_endpoint(self) -> tuple[str, str, int]:
-        self._serial += 1
-        uid, address = f"s-{self._serial:08x}", await self.endpoints.start()
+        self._endpoint_count += 1
+        uid, address = f"s-{self._endpoint_count:08x}", await self.endpoints.start()
         self._up.append((uid, address))
-        return uid, address, self._serial // CELL
+        return uid, address, self._endpoint_count // CELL_SIZE
 
     async def start(self) -> None:
         """Start the endpoints that are there from the beginning.
@@ -84,8 +84,8 @@
         """
         old = self._up.popleft()
         self._draining.append(old)
-        self.discovery.change(old[0], "terminating")
-        self.discovery.join(*await self._start_endpoint())
+        self.discovery.change_state(old[0], "terminating")
+        self.discovery.add_and_notify(*await self._start_endpoint())
 
     def remove(self) -> None:
         """End the endpoint that has drained longest.
@@ -94,7 +94,7 @@
             IndexError: None is draining.
         """
         uid, address = self._draining.popleft()
-        self.discovery.change(uid, "terminated")
+        self.discovery.change_state(uid, "terminated")
         self.endpoints.stop(address)
 
     def stop(self) -> None:
@@ -103,7 +103,7 @@
         self.endpoints.stop_all()
 
 
-class Play:
+class ScenarioRun:
     """One scenario with one proxy."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
@@ -133,10 +133,10 @@
             async with proxy_process(self._folder) as proxy:
                 clients = Clients(proxy.port, self._scenario.deadline_s)
                 await clients.start()
-                await self._play(proxy, clients)
+                await self._perform_steps(proxy, clients)
                 await asyncio.gather(*self._calls)
-                await self._until_watched()
-                settled = self._scenario.seconds is None or await proxy.until_quiet(SETTLE_TIMEOUT_S)
+                await self._wait_for_watch()
+                settled = self._scenario.seconds is None or await proxy.wait_until_quiet(QUIET_TIMEOUT_S)
                 result = self._result(proxy, clients, settled=settled)
                 clients.close()
                 return result
@@ -156,19 +156,19 @@
             config["known"] = self._fleet.discovery.complete_list()
         (self._folder / "config.json").write_text(json.dumps(config))
 
-    async def _play(self, proxy: ProxyProcess, clients: Clients) -> None:
+    async def _perform_steps(self, proxy: ProxyProcess, clients: Clients) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        began_at_s = loop.time()
         for at, step in self._scenario.steps():
             if self._scenario.seconds is not None:
-                await asyncio.sleep(max(0.0, began + at * self._scenario.seconds - loop.time()))
+                await asyncio.sleep(max(0.0, began_at_s + at * self._scenario.seconds - loop.time()))
             await self._perform(step, proxy, clients)
 
     async def _perform(self, step: Step, proxy: ProxyProcess, clients: Clients) -> None:
         match step:
             case Step.CALL:
                 self._most_descriptors = max(self._most_descriptors, proxy.descriptors)
-                await self._call(clients)
+                await self._send_request(clients)
             case Step.REPLACE:
                 await self._fleet.replace()
             case Step.REMOVE:
@@ -177,31 +177,31 @@
                 self._watches_due = self._fleet.discovery.watches + 1
                 self._write_config(await self._fleet.discovery.listen())
                 proxy.signal(signal.SIGHUP)
-                await self._until_watched()
+                await self._wait_for_watch()
             case Step.SILENCE:
                 self._watches_due = self._fleet.discovery.watches + 1
-                self._fleet.discovery.fall_silent()
+                self._fleet.discovery.silence_watches()
             case Step.WATCHED:
-                await self._until_watched()
+                await self._wait_for_watch()
 
-    async def _call(self, clients: Clients) -> None:
+    async def _send_request(self, clients: Clients) -> None:
         if self._scenario.seconds is None:
-            await clients.call()
+            await clients.send_request()
         else:
-            self._calls.append(asyncio.create_task(clients.call()))
+            self._calls.append(asyncio.create_task(clients.send_request()))
 
-    async def _until_watched(self) -> None:
+    async def _wait_for_watch(self) -> None:
         """Wait for the watch that has to be opened anew.
 
         Raises:
             ProxyEndedError: It has not been opened within 15 s.
         """
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + WATCH_TIMEOUT_S
+        give_up_at_s = loop.time() + WATCH_TIMEOUT_S
         while self._fleet.discovery.watches < self._watches_due:
-            if loop.time() > give_up_at:
+            if loop.time() > give_up_at_s:
                 raise WatchNotOpenedError
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _result(self, proxy: ProxyProcess, clients: Clients, *, settled: bool) -> Result:
         discovery = self._fleet.discovery
@@ -224,7 +224,7 @@
         )
 
 
-def play(scenario: Scenario) -> Result:
+def run_scenario(scenario: Scenario) -> Result:
     """Play one row, in a folder of its own.
 
     Raises:
@@ -233,17 +233,17 @@
     """
     raise_descriptor_limit()
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(Play(scenario, Path(folder)).run())
+        return asyncio.run(ScenarioRun(scenario, Path(folder)).run())
 
 
-def play_mean(scenario: Scenario, proxies: int) -> Result:
+def run_scenario_mean(scenario: Scenario, proxies: int) -> Result:
     """Play one row with several proxies, one after another, and return the mean figures.
 
     Raises:
-        ProxyEndedError: As `play`; the plays that are over are lost.
-        OSError: As `play`.
+        ProxyEndedError: As `run_scenario`; the plays that are over are lost.
+        OSError: As `run_scenario`.
     """
-    results = [play(replace(scenario, number=number)) for number in range(proxies)]
+    results = [run_scenario(replace(scenario, number=number)) for number in range(proxies)]
     means = (statistics.fmean(values) for values in zip(*(astuple(r.figures) for r in results), strict=True))
     return Result(
         scenario,
@@ -259,12 +259,12 @@
 def raise_descriptor_limit() -> None:
     """Make room for thousands of listeners, as far as the system lets us."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = DESCRIPTORS_WANTED if hard == resource.RLIM_INFINITY else min(DESCRIPTORS_WANTED, hard)
+    wanted = WANTED_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(WANTED_DESCRIPTORS, hard)
     if soft != resource.RLIM_INFINITY and soft < wanted:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
 
 
-def read_row(text: str) -> tuple[int, int]:
+def parse_fleet_size(text: str) -> tuple[int, int]:
     """Read `endpoints/instances`.
 
     Raises:
@@ -279,8 +279,12 @@
 def read_arguments() -> argparse.Namespace:
     """Read the command line; a wrong one ends the program with code 2 and the usage."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    parser.add_argument("--play", choices=PLAYS, default="steady", help="what happens besides replacements")
-    parser.add_argument("--rows", nargs="+", type=read_row, default=ROWS, help="endpoints/instances")
+    parser.add_argument(
+        "--play", choices=SCENARIOS, default="steady", help="what happens besides replacements"
+    )
+    parser.add_argument(
+        "--rows", nargs="+", type=parse_fleet_size, default=FLEET_SIZES, help="endpoints/instances"
+    )
     parser.add_argument("--seconds", type=float, default=10.0, help="length of a play")
     parser.add_argument("--calls", type=float, default=30.0, help="a second")
     parser.add_argument("--proxies", type=int, default=1, help="played one after another, for the mean")
@@ -290,27 +294,33 @@
 
 def main() -> int:
     """Play the rows, print the table and the broken limits, and return the exit code."""
-    asked = read_arguments()
-    scenario = replace(PLAYS[asked.play], seconds=asked.seconds, calls=round(asked.calls * asked.seconds))
-    described = machine()
+    arguments = read_arguments()
+    scenario = replace(
+        SCENARIOS[arguments.play], seconds=arguments.seconds, calls=round(arguments.calls * arguments.seconds)
+    )
+    machine_description = describe_machine()
     try:
-        rows = [replace(scenario, endpoints=n, instances=m) for n, m in asked.rows]
-        results = [play_mean(row, asked.proxies) for row in rows]
+        rows = [replace(scenario, endpoints=n, instances=m) for n, m in arguments.rows]
+        results = [run_scenario_mean(row, arguments.proxies) for row in rows]
     except ProxyEndedError as error:
         print(error, file=sys.stderr)
         return 2
-    print(table(results))
+    print(results_table(results))
     for result in results:
         if not result.settled:
             print(f"{result.scenario.name}: measured while it still worked on what it had been sent")
-    wrong = breaks(results)
-    for name, figures in wrong.items():
+    violations = violations_by_fleet(results)
+    for name, figures in violations.items():
         for figure in figures:
             print(f"BROKEN {name}: {figure}")
-    if asked.json is not None:
-        content = {"machine": described, "play": asked.play, "results": [asdict(r) for r in results]}
-        asked.json.write_text(json.dumps(content, indent=1) + "\n")
-    return 1 if wrong else 0
+    if arguments.json is not None:
+        content = {
+            "machine": machine_description,
+            "play": arguments.play,
+            "results": [asdict(r) for r in results],
+        }
+        arguments.json.write_text(json.dumps(content, indent=1) + "\n")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/growth_limits.py
+++ b/benchmarks/growth_limits.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class LimitViolation:
     """A figure that is beyond its limit."""
 
     name: str
@@ -50,11 +50,13 @@
     )
 
 
-def broken(measured: Figures, limit: Figures, but: frozenset[str] = frozenset()) -> list[Broken]:
+def limit_violations(
+    measured: Figures, limit: Figures, ignored: frozenset[str] = frozenset()
+) -> list[LimitViolation]:
     """Return the figures beyond their limits, but for those named."""
     result = []
     for field, value, bound in zip(fields(Figures), astuple(measured), astuple(limit), strict=True):
         within = value >= bound if field.name == "share_served" else value <= bound
-        if not within and field.name not in but:
-            result.append(Broken(field.name, value, bound))
+        if not within and field.name not in ignored:
+            result.append(LimitViolation(field.name, value, bound))
     return result
--- a/benchmarks/proxy_process.py
+++ b/benchmarks/proxy_process.py
@@ -13,12 +13,12 @@
 
 ROOT = Path(__file__).parent.parent
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-READY_S = 30.0  # a proxy that takes longer has failed to start
-TOLD_LAST = 20  # lines of its log that are kept for an error
-LISTENS = re.compile(r"listens on [^\n]*:(\d+)\n")
-POLL_S = 0.02
-QUIET_S = 0.5  # one that used next to no CPU for this long has worked off what it was sent
-QUIET_CPU_S = 0.02
+START_TIMEOUT_S = 30.0  # a proxy that takes longer has failed to start
+LOG_TAIL_LINES = 20  # lines of its log that are kept for an error
+LISTENING_LINE = re.compile(r"listens on [^\n]*:(\d+)\n")
+POLL_INTERVAL_S = 0.02
+QUIET_INTERVAL_S = 0.5  # one that used next to no CPU for this long has worked off what it was sent
+MAX_QUIET_CPU_S = 0.02
 
 
 class ProxyEndedError(Exception):
@@ -33,7 +33,7 @@
         super().__init__(f"it does not listen\n{last_lines}")
 
 
-class NoMemoryFigureError(ProxyEndedError):
+class MemoryUnavailableError(ProxyEndedError):
     """The proxy has ended, and the system reports no figure of its memory any more."""
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         super().__init__("the system tells nothing of its memory")
 
 
-class NotExecutedError(ValueError):
+class MissingExecError(ValueError):
     """The deploy file's `run` does not replace its shell by the process: a signal would miss the proxy."""
 
     def __init__(self, words: list[str]) -> None:
@@ -53,11 +53,11 @@
     """Return the deploy file's `run`, with this interpreter where its environment has not been built.
 
     Raises:
-        NotExecutedError: `run` does not replace its shell by the process.
+        MissingExecError: `run` does not replace its shell by the process.
     """
     words = str(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]).split()
     if words[0] != "exec":
-        raise NotExecutedError(words)
+        raise MissingExecError(words)
     python, *rest = words[1:]
     return [python if (ROOT / python).exists() else sys.executable, *rest]
 
@@ -76,23 +76,23 @@
         self.pid = process.pid
         self.port = 0
 
-    async def until_listening(self) -> None:
+    async def wait_until_listening(self) -> None:
         """Wait for the line that names its port.
 
         Raises:
             ProxyEndedError: It has ended, or has not listened within 30 s.
         """
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + READY_S
-        while (said := LISTENS.search(self._log.read_text())) is None:
-            if self._process.returncode is not None or loop.time() > give_up_at:
+        give_up_at_s = loop.time() + START_TIMEOUT_S
+        while (listening_match := LISTENING_LINE.search(self._log.read_text())) is None:
+            if self._process.returncode is not None or loop.time() > give_up_at_s:
                 raise NotListeningError(self.last_lines())
-            await asyncio.sleep(POLL_S)
-        self.port = int(said[1])
+            await asyncio.sleep(POLL_INTERVAL_S)
+        self.port = int(listening_match[1])
 
     def last_lines(self) -> str:
         """Return the end of its log."""
-        return "".join(self._log.read_text().splitlines(keepends=True)[-TOLD_LAST:])
+        return "".join(self._log.read_text().splitlines(keepends=True)[-LOG_TAIL_LINES:])
 
     def signal(self, number: int) -> None:
         """Send the proxy a signal.
@@ -124,7 +124,7 @@
         for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
             if line.startswith("VmHWM:"):
                 return int(line.split()[1]) * 1024
-        raise NoMemoryFigureError
+        raise MemoryUnavailableError
 
     @property
     def descriptors(self) -> int:
@@ -135,7 +135,7 @@
         """
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
-    async def until_quiet(self, timeout_s: float) -> bool:
+    async def wait_until_quiet(self, timeout_s: float) -> bool:
         """Wait until the proxy has processed what it was sent, which shows as next to no CPU time.
 
         Args:
@@ -145,11 +145,11 @@
             Whether it came to that; false where it still works after the longest wait.
         """
         loop = asyncio.get_running_loop()
-        give_up_at, before = loop.time() + timeout_s, self.cpu_s
-        while loop.time() < give_up_at:
-            await asyncio.sleep(QUIET_S)
-            used, before = self.cpu_s - before, self.cpu_s
-            if used <= QUIET_CPU_S:
+        give_up_at_s, cpu_before_s = loop.time() + timeout_s, self.cpu_s
+        while loop.time() < give_up_at_s:
+            await asyncio.sleep(QUIET_INTERVAL_S)
+            cpu_used_s, cpu_before_s = self.cpu_s - cpu_before_s, self.cpu_s
+            if cpu_used_s <= MAX_QUIET_CPU_S:
                 return True
         return False
 
@@ -169,7 +169,7 @@
     """
     log = folder / "log"
     with log.open("wb") as errors:
-        made = await asyncio.create_subprocess_exec(
+        process = await asyncio.create_subprocess_exec(
             *run_command(),
             cwd=ROOT,
             env={**os.environ, "NODE_CONFIG": str(folder / "config.json")},
@@ -177,9 +177,9 @@
             stdout=asyncio.subprocess.DEVNULL,
             stderr=errors,
         )
-    proxy = ProxyProcess(made, log)
+    proxy = ProxyProcess(process, log)
     try:
-        await proxy.until_listening()
+        await proxy.wait_until_listening()
         yield proxy
     finally:
         await proxy.end()
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -7,7 +7,7 @@
 from dataclasses import astuple, dataclass, fields
 from pathlib import Path
 
-from benchmarks.growth_limits import Broken, Figures, broken, limits
+from benchmarks.growth_limits import Figures, LimitViolation, limit_violations, limits
 from benchmarks.scenarios import Scenario
 
 UNITS = {"peak_memory": (1_000_000, "MB"), "list_bytes": (1_000, "KB"), "cpu_s": (1, "s")}
@@ -26,7 +26,7 @@
     settled: bool  # the proxy had worked off all that it was sent when it was measured; by no clock, unasked
 
 
-def machine() -> dict[str, object]:
+def describe_machine() -> dict[str, object]:
     """Return what the figures depend on besides the program."""
     models = (
         line.partition(":")[2].strip()
@@ -42,14 +42,14 @@
     }
 
 
-def shown(name: str, value: float) -> str:
+def format_figure(name: str, value: float) -> str:
     """Return a figure as the table shows it, in the unit that people read."""
-    unit, word = UNITS.get(name, (1, ""))
+    unit_size, unit_name = UNITS.get(name, (1, ""))
     places = 0 if name in ("descriptors", "connections") else 3 if name == "share_served" else 2
-    return f"{value / unit:.{places}f}{' ' * bool(word)}{word}"
+    return f"{value / unit_size:.{places}f}{' ' * bool(unit_name)}{unit_name}"
 
 
-def table(results: list[Result]) -> str:
+def results_table(results: list[Result]) -> str:
     """Return each figure, and in brackets its limit by the base, which is the first row."""
     names = [field.name for field in fields(Figures)]
     lines = ["| " + " | ".join(["endpoints/instances", *names, "complete lists", "watches"]) + " |"]
@@ -58,16 +58,21 @@
         limit = limits(results[0].figures, result.scenario.endpoints)
         cells = [result.scenario.name]
         for name, value, bound in zip(names, astuple(result.figures), astuple(limit), strict=True):
-            cells.append(shown(name, value) + (f" ({shown(name, bound)})" if number else ""))
-        whole = f"{result.complete_lists} of {shown('list_bytes', result.complete_list_bytes)}"
-        lines.append("| " + " | ".join([*cells, whole, str(result.watches)]) + " |")
+            cells.append(format_figure(name, value) + (f" ({format_figure(name, bound)})" if number else ""))
+        complete_lists_text = (
+            f"{result.complete_lists} of {format_figure('list_bytes', result.complete_list_bytes)}"
+        )
+        lines.append("| " + " | ".join([*cells, complete_lists_text, str(result.watches)]) + " |")
     return "\n".join(lines)
 
 
-def breaks(results: list[Result], but: frozenset[str] = frozenset()) -> dict[str, list[Broken]]:
+def violations_by_fleet(
+    results: list[Result], ignored: frozenset[str] = frozenset()
+) -> dict[str, list[LimitViolation]]:
     """Return the figures beyond the limits of the first row, by row."""
     base, *rows = results
     found = {
-        r.scenario.name: broken(r.figures, limits(base.figures, r.scenario.endpoints), but) for r in rows
+        r.scenario.name: limit_violations(r.figures, limits(base.figures, r.scenario.endpoints), ignored)
+        for r in rows
     }
-    return {name: wrong for name, wrong in found.items() if wrong}
+    return {name: violations for name, violations in found.items() if violations}
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-S = 1_000_000  # microseconds
+SECOND_US = 1_000_000  # microseconds
 LATENCY_OBJECTIVE_SHARE = 0.5  # of the deadline
-SLOW_START_US = 5 * S
+SLOW_START_US = 5 * SECOND_US
 DRAIN_SHARE = 0.1  # of the play, the time from `terminating` to `terminated`
 MISSED_SHARE = 0.2  # of the play, what a silent watch misses where no clock tells it
 REPLACED_SHARE = 0.5  # of the endpoints, over the play
@@ -63,15 +63,20 @@
     """Return the settings that one proxy of the fleet is given, in the configuration's JSON form."""
     lane = {"name": "read", "idempotency": "safe", "worth": 1.0, "lateValue": 0.0}
     times = {
-        "onTimeUs": round(LATENCY_OBJECTIVE_SHARE * scenario.deadline_s * S),
-        "deadlineUs": round(scenario.deadline_s * S),
+        "onTimeUs": round(LATENCY_OBJECTIVE_SHARE * scenario.deadline_s * SECOND_US),
+        "deadlineUs": round(scenario.deadline_s * SECOND_US),
     }
     # Slow start is a matter of time: a play by no clock leaves it out.
     slow_start_us = SLOW_START_US if scenario.seconds is not None else 0
     return {
         "lanes": [{**lane, **times}],
         "contract": {"startCapacity": 0.4, "coldUs": slow_start_us, "fallMultiple": 3.0, "fallUs": 1_500_000},
-        "limits": {"maxAttempts": 3, "cancel": True, "connectTimeoutUs": 250_000, "connIdleUs": 30 * S},
+        "limits": {
+            "maxAttempts": 3,
+            "cancel": True,
+            "connectTimeoutUs": 250_000,
+            "connIdleUs": 30 * SECOND_US,
+        },
         "registryMode": "automatic",
         "tickUs": 5_000,
         "instances": scenario.instances,
@@ -79,9 +84,9 @@
     }
 
 
-ROWS = ((200, 34), (3_200, 544), (3_200, 34))
-STEADY = Scenario(*ROWS[0])
-PLAYS = {
+FLEET_SIZES = ((200, 34), (3_200, 544), (3_200, 34))
+STEADY = Scenario(*FLEET_SIZES[0])
+SCENARIOS = {
     "steady": STEADY,
     "unknown": replace(STEADY, knows_list=False),
     "move": replace(STEADY, moves_at=(0.3,)),
--- a/benchmarks/stand_ins.py
+++ b/benchmarks/stand_ins.py
@@ -13,16 +13,16 @@
 HEARTBEAT_S = 2.0  # an empty line comes this often while nothing changes
 BACKLOG = 64
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
-SINCE = re.compile(r"[?&]since=(\d+)")
+SINCE_PARAMETER = re.compile(r"[?&]since=(\d+)")
 HEAD_END = b"\r\n\r\n"
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
 
 
 def loopback_hosts() -> Iterator[str]:
     """Yield addresses of this machine alone: one for each listener, so that ports never run out."""
-    for third in range(1, 255):
-        for fourth in range(1, 255):
-            yield f"127.77.{third}.{fourth}"
+    for third_octet in range(1, 255):
+        for fourth_octet in range(1, 255):
+            yield f"127.77.{third_octet}.{fourth_octet}"
 
 
 class EndpointConnection(asyncio.Protocol):
@@ -46,11 +46,11 @@
         while HEAD_END in self._read:
             _, _, self._read = self._read.partition(HEAD_END)
             self._endpoints.requests += 1
-            asyncio.get_running_loop().call_later(self._endpoints.service_s, self._answer)
+            asyncio.get_running_loop().call_later(self._endpoints.service_s, self._send_response)
 
-    def _answer(self) -> None:
+    def _send_response(self) -> None:
         if not self.transport.is_closing():
-            self.transport.write(ANSWER)
+            self.transport.write(RESPONSE)
 
 
 class EndpointStandIns:
@@ -75,16 +75,16 @@
         Raises:
             OSError: It cannot listen, as for want of a descriptor.
         """
-        taken: list[EndpointConnection] = []
+        connections: list[EndpointConnection] = []
 
-        def take() -> EndpointConnection:
-            taken.append(connection := EndpointConnection(self))
+        def accept_connection() -> EndpointConnection:
+            connections.append(connection := EndpointConnection(self))
             return connection
 
         host = next(self._hosts)
-        server = await asyncio.get_running_loop().create_server(take, host, 0, backlog=BACKLOG)
+        server = await asyncio.get_running_loop().create_server(accept_connection, host, 0, backlog=BACKLOG)
         address = f"{host}:{server.sockets[0].getsockname()[1]}"
-        self._servers[address], self._connections[address] = server, taken
+        self._servers[address], self._connections[address] = server, connections
         return address
 
     def stop(self, address: str) -> None:
@@ -111,9 +111,9 @@
     """An open watch. A silent one gets neither changes nor heartbeats any more."""
 
     writer: asyncio.StreamWriter
-    silent: bool = False
+    is_silent: bool = False
 
-    def tell(self, text: bytes) -> None:
+    def write_chunk(self, text: bytes) -> None:
         """Write one line of the list's stream as a chunk of its own."""
         self.writer.write(b"%x\r\n%s\r\n" % (len(text), text))
 
@@ -130,7 +130,7 @@
     _entries: dict[str, tuple[int, Entry]] = field(default_factory=dict)  # by uid, each with its version
     _watchers: set[Watcher] = field(default_factory=set)
     _servers: list[asyncio.Server] = field(default_factory=list)
-    _heart: asyncio.Task[None] | None = None
+    _heartbeat_task: asyncio.Task[None] | None = None
 
     async def listen(self) -> str:
         """Listen at one more address, and return it: discovery that is moved has the same list.
@@ -138,16 +138,16 @@
         Raises:
             OSError: It cannot listen, as for want of a descriptor.
         """
-        server = await asyncio.start_server(self._watch, "127.0.0.1", 0)
+        server = await asyncio.start_server(self._serve_watch, "127.0.0.1", 0)
         self._servers.append(server)
-        if self._heart is None:
-            self._heart = asyncio.create_task(self._beat())
+        if self._heartbeat_task is None:
+            self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     def stop(self) -> None:
         """Stop listening and beating, and reset all watches."""
-        if self._heart is not None:
-            self._heart.cancel()
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
         for server in self._servers:
             server.close()
         for watcher in self._watchers:
@@ -155,14 +155,14 @@
 
     def add(self, uid: str, address: str, cell: int) -> None:
         """Add one of the endpoints that are there from the start; no watch is notified."""
-        self._entries[uid] = (self.rev, entry(uid, address, cell, boot_ms=0))
+        self._entries[uid] = (self.rev, endpoint_entry(uid, address, cell, boot_ms=0))
 
     def complete_list(self) -> dict[str, object]:
         """Return the list as it is now, in the protocol's form."""
-        there = [e for _, e in self._entries.values() if e["state"] != "terminated"]
-        return {"rev": self.rev, "all": True, "targets": there}
+        present = [e for _, e in self._entries.values() if e["state"] != "terminated"]
+        return {"rev": self.rev, "all": True, "targets": present}
 
-    def change(self, uid: str, state: str) -> None:
+    def change_state(self, uid: str, state: str) -> None:
         """Change an endpoint's state and notify all watches that are not silent.
 
         Raises:
@@ -170,44 +170,46 @@
         """
         self._push({**self._entries[uid][1], "state": state})
 
-    def join(self, uid: str, address: str, cell: int) -> None:
+    def add_and_notify(self, uid: str, address: str, cell: int) -> None:
         """Add an endpoint that has just started, and notify all watches that are not silent."""
-        self._push(entry(uid, address, cell, boot_ms=time.time_ns() // 1_000_000))
+        self._push(endpoint_entry(uid, address, cell, boot_ms=time.time_ns() // 1_000_000))
 
-    def fall_silent(self) -> None:
+    def silence_watches(self) -> None:
         """Have all watches that are open now stay open and send nothing more."""
         for watcher in self._watchers:
-            watcher.silent = True
+            watcher.is_silent = True
 
     def _push(self, changed: Entry) -> None:
         self.rev += 1
         self._entries[str(changed["uid"])] = (self.rev, changed)
-        news = {"rev": self.rev, "all": False, "targets": [changed]}
+        update = {"rev": self.rev, "all": False, "targets": [changed]}
         for watcher in self._watchers:
-            if not watcher.silent:
-                self._tell(watcher, news)
+            if not watcher.is_silent:
+                self._send_list(watcher, update)
 
-    def _since(self, rev: int) -> dict[str, object]:
+    def _changes_since(self, rev: int) -> dict[str, object]:
         changed = sorted(((v, str(e["uid"])) for v, e in self._entries.values() if v > rev))
         targets = [self._entries[uid][1] for _, uid in changed]
         return {"rev": self.rev, "all": False, "targets": targets}
 
-    def _tell(self, watcher: Watcher, news: dict[str, object]) -> None:
-        text = json.dumps(news, separators=(",", ":")).encode() + b"\n"
+    def _send_list(self, watcher: Watcher, update: dict[str, object]) -> None:
+        text = json.dumps(update, separators=(",", ":")).encode() + b"\n"
         self.list_bytes += len(text)
-        if news["all"]:
+        if update["all"]:
             self.complete_lists += 1
             self.complete_list_bytes += len(text)
-        watcher.tell(text)
+        watcher.write_chunk(text)
 
-    async def _watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         watcher = Watcher(writer)
         try:
             head = (await reader.readuntil(HEAD_END)).decode()
-            since = SINCE.search(head.partition("\r\n")[0])
+            since = SINCE_PARAMETER.search(head.partition("\r\n")[0])
             self.watches += 1
             writer.write(WATCH_HEAD)
-            self._tell(watcher, self.complete_list() if since is None else self._since(int(since[1])))
+            self._send_list(
+                watcher, self.complete_list() if since is None else self._changes_since(int(since[1]))
+            )
             self._watchers.add(watcher)
             await reader.read()
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -216,16 +218,16 @@
             self._watchers.discard(watcher)
             writer.transport.abort()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(HEARTBEAT_S)
             for watcher in self._watchers:
-                if not watcher.silent:
+                if not watcher.is_silent:
                     with suppress(ConnectionError):
-                        watcher.tell(b"\n")
+                        watcher.write_chunk(b"\n")
 
 
-def entry(uid: str, address: str, cell: int, boot_ms: int) -> Entry:
+def endpoint_entry(uid: str, address: str, cell: int, boot_ms: int) -> Entry:
     """Return one endpoint of discovery's list, in service."""
     return {
         "uid": uid,
--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -20,11 +20,11 @@
 
 import pytest
 
-from benchmarks.fleet_growth import play
-from benchmarks.growth_limits import Figures, broken, limits
-from benchmarks.report import Result, breaks
+from benchmarks.fleet_growth import run_scenario
+from benchmarks.growth_limits import Figures, limit_violations, limits
+from benchmarks.report import Result, violations_by_fleet
 from benchmarks.scenarios import Scenario, Step, settings
-from benchmarks.stand_ins import entry
+from benchmarks.stand_ins import endpoint_entry
 from load_balancer import Balancer, messages
 from load_balancer.net.discovery.endpoint_list import EndpointListMessage
 from load_balancer.net.discovery.endpoint_list_json import read_list
@@ -53,7 +53,7 @@
 
 
 def test_limits_at_the_usual_size_allow_more_than_the_base_itself() -> None:
-    assert not broken(BASE, limits(BASE, 200))
+    assert not limit_violations(BASE, limits(BASE, 200))
 
 
 def figures_by_name(figures: Figures) -> dict[str, float]:
@@ -65,17 +65,17 @@
 def test_figure_just_above_its_limit_is_reported(name: str) -> None:
     limit = limits(BASE, 3_200)
     at_limit = figures_by_name(limit)
-    assert not broken(Figures(**at_limit), limit)
+    assert not limit_violations(Figures(**at_limit), limit)
     above_limit = Figures(**{**at_limit, name: at_limit[name] * 1.001})
-    [found] = broken(above_limit, limit)
+    [found] = limit_violations(above_limit, limit)
     assert found.name == name
     assert name in str(found)
-    assert not broken(above_limit, limit, but=frozenset({name}))
+    assert not limit_violations(above_limit, limit, ignored=frozenset({name}))
 
 
 def test_served_share_just_below_its_limit_is_reported() -> None:
     limit = limits(BASE, 3_200)
-    [found] = broken(Figures(**{**figures_by_name(limit), "share_served": 0.849}), limit)
+    [found] = limit_violations(Figures(**{**figures_by_name(limit), "share_served": 0.849}), limit)
     assert found.name == "share_served"
 
 
@@ -96,21 +96,21 @@
 @cache
 def result_of(scenario: Scenario, fleet: tuple[int, int]) -> Result:
     """Return the result of a play with this fleet, which is played once."""
-    return play(replace(scenario, endpoints=fleet[0], instances=fleet[1]))
+    return run_scenario(replace(scenario, endpoints=fleet[0], instances=fleet[1]))
 
 
 @pytest.mark.parametrize("fleet", LARGE_FLEETS)
 def test_large_fleet_is_within_its_limits(fleet: tuple[int, int]) -> None:
     """Half of its endpoints are replaced one by one under requests."""
     base, large = result_of(PLAY, USUAL_FLEET), result_of(PLAY, fleet)
-    assert not breaks([base, large], but=MEASURED_BY_TIME)
+    assert not violations_by_fleet([base, large], ignored=MEASURED_BY_TIME)
     assert base.figures.share_served == 1.0  # without which the limit of the large one would mean nothing
     assert (base.complete_lists, large.complete_lists) == (0, 0)  # as both have the list from their start
 
 
 def test_move_of_discovery_costs_one_complete_list_and_a_silent_watch_none() -> None:
     base, large = result_of(LIST_PLAY, USUAL_FLEET), result_of(LIST_PLAY, LARGE_FLEETS[0])
-    assert not breaks([base, large], but=MEASURED_BY_TIME)
+    assert not violations_by_fleet([base, large], ignored=MEASURED_BY_TIME)
     for result in (base, large):
         assert result.watches >= 3  # the first, after the move and after the silence
         assert result.complete_lists == 1
@@ -161,7 +161,7 @@
 
 def fleet_entry(number: int, state: str = "in_service") -> dict[str, object]:
     """Return the entry of one endpoint."""
-    return {**entry(f"s-{number:08x}", f"127.0.0.1:{1 + number}", number // 8, 0), "state": state}
+    return {**endpoint_entry(f"s-{number:08x}", f"127.0.0.1:{1 + number}", number // 8, 0), "state": state}
 
 
 def list_message(*entries: dict[str, object], rev: int, full: bool = False) -> EndpointListMessage:
