--- a/load_balancer/__main__.py
+++ b/load_balancer/__main__.py
@@ -1,7 +1,7 @@
-"""The proxy's entry: `python -B -m load_balancer`.
+"""Entry point of the proxy: `python -B -m load_balancer`.
 
-Exit codes: 0 after SIGTERM or SIGINT; 2 where the configuration cannot be used, with one line on standard
-error that says why.
+Exit codes: 0 after SIGTERM or SIGINT; 2 if the configuration is invalid, with the reason as one line on
+standard error.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Read the configuration, serve until a signal ends the process, and return the exit code."""
+    """Read the configuration, serve until a stop signal arrives, and return the exit code."""
     exit_on_early_signals()
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
--- a/load_balancer/errors.py
+++ b/load_balancer/errors.py
@@ -1,53 +1,58 @@
-"""The errors of the product: one hierarchy, raised where the fault is known.
+"""Exceptions that this package raises, in one hierarchy.
 
-Each message is one line that names the field as it was written, so that an operator finds it in the
-file or on the wire. Whoever raises one has changed no state yet.
+Each message is one line. It names the field as written in the file or on the wire, so that an operator can
+find it there. An exception is raised before any state changes.
 """
 
 from __future__ import annotations
 
 
 class LoadBalancerError(Exception):
-    """Base of all errors that this package raises by itself."""
+    """Base class of all exceptions that this package raises."""
 
 
 class WireError(LoadBalancerError):
-    """A message or file from outside cannot be understood."""
+    """A message or file from outside the process is malformed."""
 
 
 class NotUtf8Error(WireError):
-    """Bytes from outside are no text in UTF-8."""
+    """Input is not valid UTF-8."""
 
     def __init__(self, error: UnicodeDecodeError) -> None:
-        """Name the position of the first byte that cannot be decoded."""
+        """Build the message from the decoder's reason and the position of the first invalid byte."""
         super().__init__(f"not UTF-8: {error.reason} at byte {error.start}")
 
 
 class NotJsonError(WireError):
-    """A text from outside is not JSON."""
+    """Input is not valid JSON."""
 
     def __init__(self, error: ValueError | RecursionError) -> None:
-        """Repeat what the JSON parser says."""
+        """Build the message from the JSON parser's error."""
         super().__init__(f"not JSON: {error}")
 
 
 class NotJsonObjectError(WireError):
-    """A text from outside is JSON, but no object."""
+    """Input is valid JSON, but not an object."""
 
     def __init__(self) -> None:
-        """Word the message."""
+        """Initialize with a fixed message."""
         super().__init__("not a JSON object")
 
 
 class FieldError(WireError):
-    """One field of a message or file cannot be used.
+    """A field of a message or file is missing or invalid.
 
     Attributes:
-        field: The field's full name as it was written, such as `settings.lanes[0].worth`.
+        field: The full path of the field as written, such as `settings.lanes[0].worth`.
     """
 
     def __init__(self, field: str, message: str) -> None:
-        """Keep the field's name beside the message, which names it too."""
+        """Initialize the error.
+
+        Args:
+            field: The full path of the field.
+            message: The error message, which contains `field`.
+        """
         super().__init__(message)
         self.field = field
 
@@ -56,33 +61,46 @@
     """A required field is absent or null."""
 
     def __init__(self, field: str) -> None:
-        """Name the field that is missing."""
+        """Build the message from the path of the missing field."""
         super().__init__(field, f"missing required field {field}")
 
 
 class InvalidFieldError(FieldError):
-    """A field has a value of the wrong kind, or one that cannot be."""
+    """A field has a value of the wrong type, or one that is not allowed."""
 
     def __init__(self, field: str, problem: str) -> None:
-        """Name the field; `problem` continues the sentence "field <name> ..."."""
+        """Initialize the error.
+
+        Args:
+            field: The full path of the field.
+            problem: The predicate of the message "field <field> <problem>".
+        """
         super().__init__(field, f"field {field} {problem}")
 
 
 class ConfigError(LoadBalancerError):
-    """The process configuration cannot be used; the message names the field."""
+    """The process configuration is invalid; the message names the field."""
 
 
 class UnsetVariableError(ConfigError):
-    """An environment variable that the process needs is not set."""
+    """A required environment variable is not set."""
 
     def __init__(self, variable: str) -> None:
-        """Name the variable."""
+        """Build the message from the name of the variable."""
         super().__init__(f"{variable} is not set")
 
 
 class UnreadableConfigError(ConfigError):
-    """The file cannot be read or holds no JSON: it may be in the middle of being written or replaced."""
+    """The configuration file cannot be read or is not JSON.
+
+    The file may be in the middle of being written or replaced, so that a later read succeeds.
+    """
 
     def __init__(self, variable: str, error: OSError | ValueError | RecursionError) -> None:
-        """Name the environment variable that leads to the file, and repeat what went wrong."""
-        super().__init__(f"{variable}: {error}")
+        """Initialize the error.
+
+        Args:
+            variable: The environment variable that holds the path of the file.
+            error: The reason why reading or parsing the file failed.
+        """
+        super().__init__(f"cannot read the configuration file of {variable}: {error}")
--- a/load_balancer/process/__init__.py
+++ b/load_balancer/process/__init__.py
@@ -1,1 +1,1 @@
-"""The process: its entry, configuration, reload, graceful shutdown and descriptor limits."""
+"""The proxy process: startup, configuration, reload, graceful shutdown, signals and descriptor limits."""
--- a/load_balancer/process/config.py
+++ b/load_balancer/process/config.py
@@ -1,8 +1,8 @@
-"""The process configuration: where it comes from, how it is read and checked.
+"""Reads and validates the process configuration.
 
-The file that `NODE_CONFIG` names holds JSON; three of its keys can be overridden by the environment.
-`ConfigSource` is read once at the start and again at each SIGHUP; a `Config` is taken up as a whole or not
-at all. The settings inside are read by `settings.read_settings`, in the form that the simulator has too.
+`NODE_CONFIG` holds the path of a JSON file. Environment variables can override three of its keys.
+`ConfigSource` reads the file at startup and at each SIGHUP; an invalid `Config` is rejected as a whole. The
+`settings` object has the format that the simulator uses too, and is parsed by `settings.read_settings`.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 CONFIG_VARIABLE = "NODE_CONFIG"
 OVERRIDE_VARIABLES = {"name": "NODE_NAME", "listen": "NODE_LISTEN", "discovery": "NODE_DISCOVERY"}
-DEFAULT_DESCRIPTORS = 1024  # where `limits.sockets` is not given
+DEFAULT_DESCRIPTORS = 1024  # used if `limits.sockets` is absent
 
 
 @dataclass(frozen=True)
@@ -41,26 +41,29 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # file descriptors that the platform allows
+    sockets: int  # number of file descriptors that the platform allows
     connect_timeout_s: float
-    idle_s: float  # a connection to an endpoint that was idle for longer is not used again
-    cached_list: EndpointListMessage | None  # the endpoint list as last known before this start
+    idle_s: float  # a connection to an endpoint is not reused after it was idle for longer
+    cached_list: EndpointListMessage | None  # the last endpoint list known before this start
     settings: messages.Settings
 
 
 class ConfigSource:
-    """The file that holds the configuration, and the environment variables that override some of its keys.
+    """The configuration file and the environment variables that override some of its keys.
 
-    A variable overrides its key only where it differed from the file at the start. Elsewhere it is a copy of
-    that file, and would hide a later change of it.
+    A variable overrides its key only if the two differed at startup. A variable that was equal to the file is
+    a copy of the file's value, and as an override it would hide later changes of the file.
     """
 
     def __init__(self, environment: Mapping[str, str]) -> None:
-        """Find the file and the overrides.
+        """Find the configuration file, and the variables that override its keys.
+
+        Args:
+            environment: The environment variables of the process.
 
         Raises:
             UnsetVariableError: `NODE_CONFIG` is not set.
-            UnreadableConfigError: Its file cannot be read or holds no JSON.
+            UnreadableConfigError: The file cannot be read or is not JSON.
         """
         path = environment.get(CONFIG_VARIABLE, "")
         if not path:
@@ -69,11 +72,11 @@
         self._overrides = _find_overrides(environment, self._load())
 
     def read(self) -> Config:
-        """Return the configuration as the file has it now.
+        """Return the current configuration.
 
         Raises:
-            ConfigError: A field is missing or cannot be used; the message names it.
-            UnreadableConfigError: The file cannot be read or holds no JSON.
+            ConfigError: A field is missing or invalid; the message names it.
+            UnreadableConfigError: The file cannot be read or is not JSON.
         """
         fields = {**self._load(), **self._overrides}
         try:
@@ -82,10 +85,10 @@
             raise ConfigError(str(error)) from None
 
     def _load(self) -> JsonObject:
-        """Return the keys of the file, none where its JSON is no object.
+        """Return the file's JSON object, or an empty one if the file holds JSON of another type.
 
         Raises:
-            UnreadableConfigError: The file cannot be read or holds no JSON.
+            UnreadableConfigError: The file cannot be read or is not JSON.
         """
         try:
             raw = json.loads(self._path.read_bytes())
@@ -95,7 +98,7 @@
 
 
 def _find_overrides(environment: Mapping[str, str], file_fields: JsonObject) -> dict[str, str]:
-    """Return what the environment says otherwise than the file, by the file's keys."""
+    """Return the environment's values that differ from the file's, by configuration key."""
     return {
         key: environment[variable]
         for key, variable in OVERRIDE_VARIABLES.items()
@@ -104,10 +107,13 @@
 
 
 def read_config(fields: JsonObject) -> Config:
-    """Read a configuration from the keys of its file.
+    """Parse and validate a configuration.
+
+    Args:
+        fields: The JSON object of the file, with overrides applied.
 
     Raises:
-        WireError: A field is missing or cannot be used; the message names it.
+        WireError: A field is missing or invalid; the message names it.
     """
     settings = required_field(fields, "settings", dict)
     limits = required_field(settings, "limits", dict, "settings.")
@@ -132,36 +138,36 @@
 
 
 def check_minimum(field: str, value: int, minimum: int) -> None:
-    """Check a whole number against the least that is allowed.
+    """Check that an integer is not below its minimum.
 
     Raises:
-        InvalidFieldError: The value is below its minimum.
+        InvalidFieldError: The value is below the minimum.
     """
     if value < minimum:
         raise InvalidFieldError(field, f"is below {minimum}: {value}")
 
 
 def read_cached_list(raw: object) -> EndpointListMessage | None:
-    """Read the endpoint list as last known; return none where it is absent or cannot be used.
+    """Parse the cached endpoint list; return None if it is absent or invalid.
 
-    A process that ended over a malformed list could not start until somebody mended the file, though
-    discovery tells which endpoints there are.
+    An invalid list is not an error: otherwise the process could not start until the file was corrected,
+    although discovery provides the current list.
     """
     try:
         return read_list(raw, "known.") if raw else None
     except WireError as error:
-        log.warning("the list as last known cannot be used: %s", error)
+        log.warning("cached endpoint list in `known` ignored as invalid: %s", error)
         return None
 
 
 def read_seed(fields: JsonObject) -> int:
-    """Read the seed of the random numbers: a whole number of any size, or a hexadecimal text.
+    """Parse the seed of the random number generator: an integer of any size, or a hexadecimal string.
 
     Raises:
-        FieldError: The seed is missing or neither of these.
+        FieldError: The seed is missing or invalid.
     """
     seed = fields.get("seed")
-    if type(seed) is int:  # not checked against a range: no float or timer takes it
+    if type(seed) is int:  # no range check: the seed is never converted to a float or a timer
         return seed
     text = required_field(fields, "seed", str)
     try:
--- a/load_balancer/process/descriptor_limits.py
+++ b/load_balancer/process/descriptor_limits.py
@@ -1,7 +1,7 @@
-"""How many file descriptors this process may have, and how clients and endpoints share them.
+"""Divides the file descriptors of this process between clients and endpoints.
 
-Called once at the start, before anything listens. Its only state is the process's own soft limit, which it
-may raise.
+Called once at startup, before the proxy listens. The only state is the soft limit of the process
+(RLIMIT_NOFILE), which this module may raise.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 
 log = logging.getLogger("load_balancer")
 
-RESERVED_DESCRIPTORS = 32  # for all that is neither a client's connection nor one to an endpoint
-CLIENT_SHARE = 0.6  # of the other descriptors, for clients' connections
+RESERVED_DESCRIPTORS = 32  # for everything except connections of clients and to endpoints
+CLIENT_SHARE = 0.6  # fraction of the remaining descriptors that client connections may use
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorLimits:
-    """The most connections of each kind that may be open at once."""
+    """The maximum numbers of open connections."""
 
     client_connections: int
     upstream_connections: int
 
 
 def raise_descriptor_limit(configured: int) -> int:
-    """Raise the process's own soft limit towards what is configured, and return what it may have then.
+    """Raise the soft limit towards the configured number, and return the number of descriptors to use.
 
-    That is as many as were configured, or fewer where the system's limit is lower. With the configured number
-    alone, clients would be given a share of descriptors that do not exist, and could take all that do: no
-    connection to an endpoint or to discovery could be opened then.
+    The result is the configured number, or the system's limit if that is lower. If the system's limit were
+    ignored, the clients' share could exceed the descriptors that exist. Clients could then use all of them,
+    and no connection to an endpoint or to discovery could be opened.
 
     Args:
         configured: The number of descriptors in the configuration.
@@ -40,15 +40,17 @@
         try:
             resource.setrlimit(resource.RLIMIT_NOFILE, (min(configured, available), hard))
         except (OSError, ValueError) as error:
-            log.warning("the limit of descriptors stays at %d: %s", soft, error)
+            log.warning("cannot raise the file descriptor limit, it stays at %d: %s", soft, error)
             available = soft
     if available < configured:
-        log.warning("the system gives %d descriptors of the %d in the settings", available, configured)
+        log.warning(
+            "file descriptor limit is %d, below the configured %d; using the lower one", available, configured
+        )
     return min(configured, available)
 
 
 def divide_descriptors(configured: int) -> DescriptorLimits:
-    """Divide what this process may have between clients and endpoints, one connection each at least.
+    """Divide the available descriptors between clients and endpoints; each side gets at least one connection.
 
     Args:
         configured: The number of descriptors in the configuration.
--- a/load_balancer/process/reload.py
+++ b/load_balancer/process/reload.py
@@ -1,7 +1,7 @@
-"""The reload: at SIGHUP the configuration file is read again and followed as far as a running process can.
+"""Reloads the configuration file on SIGHUP and applies the changes that need no restart.
 
-State: the configuration in force and the timer of the next try. `server` makes one `Reloader`, has the event
-loop call it at each SIGHUP and closes it at the end.
+State: the configuration in force and the timer of the next retry. `server` creates one `Reloader`, registers
+its `reload` as the SIGHUP handler of the event loop and closes it at shutdown.
 """
 
 from __future__ import annotations
@@ -16,26 +16,32 @@
 
 log = logging.getLogger("load_balancer")
 
-RELOAD_RETRY_INTERVAL_S = 0.1  # before a file that could not be read is read again
-# The retries take 2 s: the old discovery falls silent 1.5 s after the signal, and a list counts as notified
-# 4 s after it.
+RELOAD_RETRY_INTERVAL_S = 0.1  # between reads of a file that could not be read
+# The retries take 2 s: the old discovery stops sending 1.5 s after SIGHUP, and a list of the new discovery
+# counts as notified 4 s after SIGHUP.
 MAX_RELOAD_RETRIES = 20
-# A change of these needs no warning: a new discovery is followed, the others matter at the start alone.
+# Changes of these fields need no warning: `discovery` is applied, the others are used at startup only.
 UNREPORTED_FIELDS = ("discovery", "cached_list", "seed")
 
 
 class Reloader:
-    """Follows changes of the configuration file that need no restart."""
+    """Applies changes of the configuration file to the running proxy."""
 
     def __init__(self, source: ConfigSource, config: Config, driver: EventLoopDriver) -> None:
-        """Begin with the configuration that the process started with."""
+        """Initialize the reloader.
+
+        Args:
+            source: The source that the configuration is read from again.
+            config: The configuration that the process started with.
+            driver: The driver that a change of the discovery address is applied to.
+        """
         self._source = source
         self._config = config
         self._driver = driver
         self._retry_timer: asyncio.TimerHandle | None = None  # runs until the file is read again
 
     def reload(self) -> None:
-        """Take up the file as it is now, or within 2 s, in place of retries for an earlier signal."""
+        """Read and apply the file, with retries for 2 s; cancel the retries of an earlier signal."""
         self.close()
         self._read(attempt=1)
 
@@ -46,12 +52,16 @@
             self._retry_timer = None
 
     def _read(self, attempt: int) -> None:
-        """Read the file for the `attempt`-th time since the signal."""
+        """Read and apply the file; schedule a retry if it cannot be read.
+
+        Args:
+            attempt: The number of this read since the signal, counted from 1.
+        """
         self._retry_timer = None
         try:
             new_config = self._source.read()
         except UnreadableConfigError as error:
-            # The file may be in the middle of being replaced, and be whole a moment later.
+            # The file may be in the middle of being replaced and become readable within a moment.
             if attempt == 1:
                 _log_rejection(error)
             if attempt <= MAX_RELOAD_RETRIES:
@@ -66,14 +76,14 @@
         self._retry_timer = loop.call_later(RELOAD_RETRY_INTERVAL_S, self._read, attempt)
 
     def _apply(self, new_config: Config) -> None:
-        """Move to the new discovery and name each change that needs a restart."""
+        """Apply a change of the discovery address, and log each change that needs a restart."""
         for name in _changed_fields(self._config, new_config):
             if name not in UNREPORTED_FIELDS:
-                log.warning("the change of %s needs a restart", name)
+                log.warning("configuration reload: the change of %s needs a restart and is not applied", name)
         if new_config.discovery != self._config.discovery:
-            log.info("discovery is now at %s:%d", *new_config.discovery)
+            log.info("configuration reload: discovery address changed to %s:%d", *new_config.discovery)
             self._driver.move_discovery(new_config.discovery)
-        # What waits for a restart stays as it was, so that it is named again at the next reload.
+        # Fields that need a restart keep their old values, so that the next reload logs the change again.
         self._config = replace(self._config, discovery=new_config.discovery)
 
 
@@ -87,4 +97,4 @@
 
 
 def _log_rejection(error: ConfigError) -> None:
-    log.error("the new configuration cannot be used, the old one stays: %s", error)
+    log.error("configuration reload failed, the old one stays in force: %s", error)
--- a/load_balancer/process/server.py
+++ b/load_balancer/process/server.py
@@ -1,7 +1,7 @@
-"""The server: one proxy in one process, from the wiring of its parts to the end of its event loop.
+"""Builds and runs the proxy of this process.
 
-`__main__.main` reads the configuration and runs `serve`. SIGTERM and SIGINT begin the graceful shutdown
-(`graceful_shutdown`), SIGHUP has the configuration read again (`reload`). State: none beyond the call.
+`__main__.main` reads the configuration and runs `serve`. SIGTERM and SIGINT start the graceful shutdown
+(`graceful_shutdown`); SIGHUP reloads the configuration (`reload`). The module keeps no state between calls.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 async def serve(config: Config, source: ConfigSource) -> None:
-    """Run one proxy until SIGTERM or SIGINT, as the only one of its process."""
+    """Run the proxy until SIGTERM or SIGINT; call this once per process."""
     try:
         await serve_until_stopped(config, source)
     finally:
@@ -34,35 +34,35 @@
 
 
 async def serve_until_stopped(config: Config, source: ConfigSource) -> None:
-    """Build the proxy, listen once discovery was heard, and shut down gracefully at a signal."""
+    """Build the proxy, listen after discovery has first reported, and shut down on a stop signal."""
     stop = stop_event()
     proxy = build_proxy(config)
     reloader = Reloader(source, config, proxy.driver)
     asyncio.get_running_loop().add_signal_handler(RELOAD_SIGNAL, reloader.reload)
     proxy.driver.start(config.cached_list)
     freeze_startup_objects()
-    # What discovery's agent has counts as notified from our first moment on, and the cached list may be old.
-    # A watch that stands and brings no list would never end the wait, hence the time limit.
+    # The list that discovery's agent holds counts as notified from the start of this process, and the cached
+    # list may be outdated. The timeout covers an established watch that never sends a list.
     await wait_for_any(proxy.driver.discovery_reported, stop, timeout_s=POLLED_LIST_TIMEOUT_S)
     if not stop.is_set():
         address = proxy.listener.listen(config.listen)
         log.info("%s listens on %s:%d", config.name, *address)
         await stop.wait()
-        log.info("stopping")
+        log.info("stop signal received; shutting down gracefully")
         await GracefulShutdown(proxy.listener, proxy.driver, longest_deadline_s(config.settings)).run()
     reloader.close()
 
 
 @dataclass(frozen=True, slots=True)
 class Proxy:
-    """The parts of one proxy that the process starts, moves and ends."""
+    """The parts of a proxy that `serve_until_stopped` controls."""
 
     driver: EventLoopDriver
     listener: ClientListener
 
 
 def build_proxy(config: Config) -> Proxy:
-    """Construct the parts of a proxy from the outside in; nothing listens or connects yet."""
+    """Create the parts of a proxy and connect them; nothing listens or connects yet."""
     settings = config.settings
     limits = divide_descriptors(config.sockets)
     pool = ConnectionPool(
@@ -75,12 +75,12 @@
 
 
 def longest_deadline_s(settings: messages.Settings) -> float:
-    """Return the longest deadline of all request classes, seconds."""
+    """Return the longest deadline of all request classes."""
     return max(request_class.deadline_us for request_class in settings.classes) / 1e6
 
 
 def stop_event() -> asyncio.Event:
-    """Return an event that each stop signal sets from now on."""
+    """Install handlers of the stop signals that set an event, and return the event."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for stop_signal in STOP_SIGNALS:
@@ -89,7 +89,7 @@
 
 
 async def wait_for_any(*events: asyncio.Event, timeout_s: float) -> None:
-    """Wait until one of the events is set, `timeout_s` seconds at the most."""
+    """Wait until one of the events is set or the timeout expires."""
     waits = [asyncio.create_task(event.wait()) for event in events]
     await asyncio.wait(waits, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
     for wait in waits:
@@ -97,9 +97,9 @@
 
 
 def freeze_startup_objects() -> None:
-    """Take the objects that live to the end of the process out of garbage collection.
+    """Exclude the objects that exist at startup from garbage collection.
 
-    Each full collection would look through them, and the process would pause for that long.
+    They live until the process exits. Each full collection would traverse them and pause the process.
     """
     gc.collect()
     gc.freeze()
--- a/load_balancer/process/signals.py
+++ b/load_balancer/process/signals.py
@@ -1,7 +1,7 @@
-"""The signals that the process answers, from its first moment to its exit.
+"""Handling of stop and reload signals before and after the event loop runs.
 
-State: the signal handlers and the signal mask of the process. `__main__.main` calls `exit_on_early_signals`,
-then `server.serve` installs its own handlers and blocks the signals once its event loop has ended.
+State: the signal handlers and the signal mask of the process. `__main__.main` calls `exit_on_early_signals`.
+`server.serve` then installs its own handlers, and blocks the signals when it has finished.
 """
 
 from __future__ import annotations
@@ -11,28 +11,29 @@
 from types import FrameType
 from typing import NoReturn
 
-STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)  # each begins the graceful shutdown
-RELOAD_SIGNAL = signal.SIGHUP  # the configuration is read again
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)  # each starts the graceful shutdown
+RELOAD_SIGNAL = signal.SIGHUP  # reloads the configuration
 
 
 def exit_on_early_signals() -> None:
-    """End the process with code 0 at a stop signal that comes before the event loop runs.
+    """Install handlers that exit with code 0 on a stop signal.
 
-    Nothing is accepted until then. `server.serve` replaces these handlers by its own.
+    They cover the time before the event loop runs, in which the proxy accepts no connections. `server.serve`
+    replaces them with its own handlers.
     """
     for stop_signal in STOP_SIGNALS:
         signal.signal(stop_signal, _exit_before_serving)
 
 
 def block_signals() -> None:
-    """Hold back all signals that the process answers, from the end of the event loop to the exit.
+    """Block the stop and reload signals between the end of the event loop and the exit of the process.
 
-    The handlers go with the event loop: one more signal between its end and the exit would kill the process,
-    and a clean end would be reported as a crash.
+    The event loop removes its handlers when it ends. A further signal before the exit would then kill the
+    process, and a clean exit would be reported as a crash.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, (*STOP_SIGNALS, RELOAD_SIGNAL))
 
 
 def _exit_before_serving(_number: int, _frame: FrameType | None) -> NoReturn:
-    """End the process, as a signal handler."""
+    """Exit with code 0; the arguments are those of a signal handler."""
     sys.exit(0)
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -1,7 +1,7 @@
-"""Reads a site's settings from JSON, in the form that the simulator and the real proxy share.
+"""Reads a site's settings from the JSON format that the simulator and the real proxy share.
 
-Called by `config.read_config` and by the simulator's wire. The words of that form stay in this module. The
-checks of single fields are used by the other readers of JSON too.
+Called by `config.read_config` and by `simulator`. The key names of that format are used in this module only.
+The functions that check a single field are shared with the other readers of JSON.
 """
 
 from __future__ import annotations
@@ -17,23 +17,24 @@
 JsonObject = dict[str, Any]
 
 NUMBER_TYPES = (int, float)
-# Numbers are below this and above its negative: float() and timers fail on an integer without end.
+# Exclusive bound of the absolute value of a number. JSON integers are unbounded, and float() and timers fail
+# on very large ones.
 NUMBER_LIMIT = 2**64
-DEFAULT_MAX_POLL_INTERVAL_US = 10_000_000  # where the settings don't say
+DEFAULT_MAX_POLL_INTERVAL_US = 10_000_000  # used if `mustAskInUs` is absent
 
 
 def required_field(fields: Any, key: str, expected_type: type | tuple[type, ...], prefix: str = "") -> Any:
     """Return the value of a required key.
 
     Args:
-        fields: The JSON object that should have the key.
+        fields: The JSON object to read from.
         key: The key.
-        expected_type: What the value has to be an instance of.
-        prefix: The path to `fields`, for the error, as in "settings.limits.".
+        expected_type: The type or types that the value must be an instance of.
+        prefix: The path of `fields` for error messages, such as "settings.limits.".
 
     Raises:
-        MissingFieldError: The value is absent or null, or `fields` is no object.
-        InvalidFieldError: The value is of another kind or out of range.
+        MissingFieldError: The value is absent or null, or `fields` is not an object.
+        InvalidFieldError: The value has another type or is out of range.
     """
     value = fields.get(key) if isinstance(fields, dict) else None
     if value is None:
@@ -42,16 +43,16 @@
 
 
 def optional_field(fields: JsonObject, key: str, default: Any, prefix: str = "") -> Any:
-    """Return the value of an optional key, which is of the default's kind, or the default where it is null.
+    """Return the value of an optional key, or the default if the key is absent or null.
 
     Args:
-        fields: The JSON object that may have the key.
+        fields: The JSON object to read from.
         key: The key.
-        default: What is returned where the key is absent or null.
-        prefix: The path to `fields`, for the error, as in "settings.limits.".
+        default: The default value. Its type is the required type of the value; a float allows integers too.
+        prefix: The path of `fields` for error messages, such as "settings.limits.".
 
     Raises:
-        InvalidFieldError: The value is of another kind or out of range.
+        InvalidFieldError: The value has another type or is out of range.
     """
     value = fields.get(key)
     if value is None:
@@ -60,23 +61,25 @@
 
 
 def checked_value(value: Any, expected_type: type | tuple[type, ...], field: str) -> Any:
-    """Return a value that is of the kind wanted and in range, a float with no fraction as an int.
+    """Return the value after checking its type and range; convert an integral float if an int is expected.
 
     Raises:
-        InvalidFieldError: The value is of another kind or out of range.
+        InvalidFieldError: The value has another type or is out of range.
     """
     if expected_type is int and isinstance(value, float) and value.is_integer():
-        value = int(value)  # JSON has one kind of number: 5.0 would keep the proxy from starting
-    is_unexpected_bool = isinstance(value, bool) and expected_type is not bool  # Python's bool is an int
+        value = int(
+            value
+        )  # JSON has one number type: without this, 5.0 would prevent the proxy from starting
+    is_unexpected_bool = isinstance(value, bool) and expected_type is not bool  # bool is a subclass of int
     if is_unexpected_bool or not isinstance(value, expected_type):
-        raise InvalidFieldError(field, f"has a value of the wrong kind: {value!r:.60}")
-    # Not a number compares false to everything.
+        raise InvalidFieldError(field, f"has a value of the wrong type: {value!r:.60}")
+    # NaN fails the range check, as every comparison with it is false.
     if isinstance(value, int | float) and not -NUMBER_LIMIT < value < NUMBER_LIMIT:
         raise InvalidFieldError(field, f"is out of range: {value!r:.60}")
     return value
 
 
-# The messages' fields by the names that they have in JSON; all others are called the same there.
+# JSON names of the fields of `messages`. Fields that are not listed have the same name in JSON.
 WIRE_NAMES = {
     "latency_objective_us": "onTimeUs",
     "deadline_us": "deadlineUs",
@@ -104,10 +107,15 @@
 
 @contextmanager
 def translate_value_errors(prefix: str) -> Iterator[None]:
-    """Turn the ValueError of a value that the messages do not take into one with the field as it was read.
+    """Convert a ValueError of a `messages` constructor into an error that names the JSON field.
+
+    The text of the ValueError has to begin with the name of the field in `messages`.
+
+    Args:
+        prefix: The path of the JSON object, such as "settings.limits.".
 
     Raises:
-        InvalidFieldError: In place of the ValueError, whose text begins with the messages' name for it.
+        InvalidFieldError: The body raised a ValueError.
     """
     try:
         yield
@@ -120,10 +128,10 @@
 
 
 def parse_enum(enum_type: type[EnumType], value: str, field: str) -> EnumType:
-    """Return the member with this value.
+    """Return the enum member that has this value.
 
     Raises:
-        InvalidFieldError: There is none.
+        InvalidFieldError: No member has this value.
     """
     try:
         return enum_type(value)
@@ -132,7 +140,7 @@
 
 
 def read_request_class(raw_class: Any, prefix: str) -> messages.RequestClass:
-    """Read one entry of `lanes`. Raises FieldError."""
+    """Parse one entry of `lanes`. Raises FieldError."""
     idempotency = parse_enum(
         messages.Idempotency, required_field(raw_class, "idempotency", str, prefix), prefix + "idempotency"
     )
@@ -153,7 +161,7 @@
 
 
 def read_tenant(raw_tenant: Any, prefix: str) -> messages.Tenant:
-    """Read one entry of `tenants`. Raises FieldError."""
+    """Parse one entry of `tenants`. Raises FieldError."""
     with translate_value_errors(prefix):
         return messages.Tenant(
             required_field(raw_tenant, "name", str, prefix),
@@ -162,7 +170,7 @@
 
 
 def read_rules(contract: JsonObject, prefix: str) -> messages.Rules:
-    """Read `contract`, the platform's promises. Raises FieldError."""
+    """Parse `contract`, which describes what the platform guarantees. Raises FieldError."""
     with translate_value_errors(prefix):
         return messages.Rules(
             start_capacity=required_field(contract, "startCapacity", NUMBER_TYPES, prefix),
@@ -176,7 +184,7 @@
 
 
 def read_limits(limits: JsonObject, prefix: str) -> messages.Limits:
-    """Read `limits`, what the site allows. Raises FieldError."""
+    """Parse `limits`, which restricts what the balancer may do on this site. Raises FieldError."""
     may_advise_retry = optional_field(limits, "retryAfter", default=False, prefix=prefix)
     with translate_value_errors(prefix):
         return messages.Limits(
@@ -189,12 +197,12 @@
 
 
 def read_settings(raw: JsonObject) -> messages.Settings:
-    """Read the settings of one instance.
+    """Parse the settings of one instance.
 
-    Unknown keys are ignored; optional ones have the messages' defaults. Times are microseconds.
+    Unknown keys are ignored. Optional keys default to the values in `messages`. Times are in microseconds.
 
     Raises:
-        FieldError: A setting is missing or cannot be used; the message names it in full.
+        FieldError: A setting is missing or invalid; the message contains its full path.
     """
     prefix = "settings."
     raw_classes = required_field(raw, "lanes", list, prefix)
@@ -227,7 +235,7 @@
 
 
 def read_worst_class_weight(raw: JsonObject, prefix: str) -> float:
-    """Read the weight of the worst class out of `resultMix`. Raises FieldError."""
+    """Parse the weight of the worst class in `resultMix`. Raises FieldError."""
     result_mix = optional_field(raw, "resultMix", {}, prefix)
     weight: float = optional_field(result_mix, "worstClass", 0.0, prefix + "resultMix.")
     return weight
--- a/load_balancer/simulator.py
+++ b/load_balancer/simulator.py
@@ -1,11 +1,11 @@
-"""The simulator's wire: reads events, writes actions. It only translates and decides nothing.
+"""Adapter between the simulator's protocol and the balancer: decodes events and encodes actions.
 
-Started as `python -B -m load_balancer.simulator`. One process hosts many balancers that share nothing. Each
-line on standard input is a batch of events, each line on standard output the reply to it. Times are
-microseconds. The wire's words stay in this module.
+Started as `python -B -m load_balancer.simulator`. One process hosts many balancers that share no state. Each
+line on standard input is a batch of events; each line on standard output is the reply to one batch. Times are
+in microseconds. The names of the protocol are used in this module only, and it makes no decisions.
 
-Exit codes: 0 at the end of the input; 1 where the reader of the replies is gone; 2 where a line cannot be
-understood, with one line on standard error that says why.
+Exit codes: 0 at the end of the input; 1 if standard output was closed or the process was interrupted; 2 if a
+line is invalid, with the reason as one line on standard error.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from load_balancer.policy.balancer import Balancer
 from load_balancer.settings import JsonObject, optional_field, read_settings, required_field
 
-OUTCOMES = {  # by an attempt's `ending`
+OUTCOMES = {  # by the `ending` of an attempt
     10: messages.Outcome.OK,
     20: messages.Outcome.ERROR,
     30: messages.Outcome.REJECTED,
@@ -36,13 +36,13 @@
     70: messages.Outcome.CANCELLED,
     80: messages.Outcome.NOT_SENT,
 }
-CLIENT_RETRY_BIT = 2  # of a request's `bitmap`: the client has sent this request before
-STATUSES = {  # by a list's `condition`
+CLIENT_RETRY_BIT = 2  # bit in the `bitmap` of a request: the client has sent this request before
+STATUSES = {  # by the `condition` of an endpoint
     "IN": messages.EndpointStatus.UP,
     "LAME": messages.EndpointStatus.DRAINING,
     "OUT": messages.EndpointStatus.REMOVED,
 }
-LIST_KINDS = {  # by an event's `form`
+LIST_KINDS = {  # by the `form` of an ANNOUNCE event
     "changes": messages.EndpointListKind.CHANGES,
     "all": messages.EndpointListKind.COMPLETE,
     "remembered": messages.EndpointListKind.CACHED,
@@ -51,15 +51,20 @@
 
 
 class InvalidLineError(WireError):
-    """A line of the input cannot be understood."""
+    """A line of the input is invalid."""
 
     def __init__(self, line_number: int, error: WireError) -> None:
-        """Put the line's number, counted from 1, before what is wrong with it."""
+        """Initialize the error.
+
+        Args:
+            line_number: The number of the line, counted from 1.
+            error: The reason why the line is invalid.
+        """
         super().__init__(f"line {line_number}: {error}")
 
 
 def read_endpoint(row: Any, prefix: str) -> messages.Endpoint:
-    """Read one row of an endpoint list. Raises FieldError."""
+    """Decode one row of an endpoint list. Raises FieldError."""
     status = STATUSES.get(required_field(row, "condition", str, prefix))
     if status is None:
         raise InvalidFieldError(f"{prefix}condition", f"has an unknown value: {row['condition']!r:.60}")
@@ -73,7 +78,7 @@
 
 
 def read_request(event: JsonObject) -> messages.Request:
-    """Read a REQ event. Raises FieldError."""
+    """Decode a REQ event. Raises FieldError."""
     owner = event.get("owner")
     return messages.Request(
         id=required_field(event, "msgId", str, "REQ."),
@@ -85,7 +90,7 @@
 
 
 def read_attempt_end(event: JsonObject) -> messages.AttemptEnded:
-    """Read an ATTEMPT_END event. Raises FieldError."""
+    """Decode an ATTEMPT_END event. Raises FieldError."""
     prefix = "ATTEMPT_END."
     return messages.AttemptEnded(
         request=required_field(event, "msgId", str, prefix),
@@ -98,7 +103,7 @@
 
 
 def read_health_check_end(event: JsonObject) -> messages.HealthCheckEnded:
-    """Read a SAMPLED event, the end of a health check. Raises FieldError."""
+    """Decode a SAMPLED event, the result of a health check. Raises FieldError."""
     outcome = OUTCOMES.get(required_field(event, "ending", int, "SAMPLED."))
     is_alive = outcome not in (messages.Outcome.TIMEOUT, messages.Outcome.NO_CONNECTION)
     gauge = event.get("gauge")
@@ -125,7 +130,7 @@
 
 
 def encode_action(action: messages.Action) -> JsonObject | None:
-    """Return an action as the wire has it; none where it has no such thing."""
+    """Return the JSON object of an action, or None if the protocol has no message for it."""
     match action:
         case messages.StartAttempt():
             return {
@@ -152,7 +157,7 @@
     | messages.CloseIdle
     | messages.Log,
 ) -> JsonObject | None:
-    """Return an action that belongs to no request as the wire has it; none where it has no such thing."""
+    """Return the JSON object of an action that concerns no request, or None if there is no message for it."""
     match action:
         case messages.CancelTimer():
             return None
@@ -169,15 +174,17 @@
 
 
 class SimulatorSession:
-    """The balancers of one process by instance, and the endpoint lists that were sent, by their number."""
+    """The balancers of this process by instance, and the received endpoint lists by number."""
 
     def __init__(self) -> None:
-        """Start with no balancer and no list."""
+        """Initialize without balancers and lists."""
         self._balancers: dict[int, Balancer] = {}
-        self._lists: dict[int, tuple[messages.Endpoint, ...]] = {}  # a later one replaces an earlier one
+        self._lists: dict[
+            int, tuple[messages.Endpoint, ...]
+        ] = {}  # a list replaces an earlier one of its number
 
     def handle_batch(self, batch: JsonObject) -> JsonObject:
-        """Return the reply to one batch. Raises WireError."""
+        """Handle the events of one batch and return the reply. Raises WireError."""
         now_us = required_field(batch, "tUs", int)
         batch_number = required_field(batch, "n", int)
         replies = []
@@ -188,7 +195,7 @@
         return {"n": batch_number, "proxys": replies}
 
     def _handle_instance_batch(self, now_us: int, instance_batch: Any, prefix: str) -> JsonObject:
-        """Return the reply to the events of one instance. Raises WireError."""
+        """Handle the events of one instance in a batch and return its part of the reply. Raises WireError."""
         instance = required_field(instance_batch, "proxy", int, prefix)
         actions: list[messages.Action] = []
         for event in required_field(instance_batch, "events", list, prefix):
@@ -201,11 +208,11 @@
     def _handle_event(self, now_us: int, instance: int, event: JsonObject) -> list[messages.Action]:
         """Handle one event of one instance.
 
-        Events of a kind that is not known here are ignored, and so are those of an instance that was never
-        configured or is down.
+        Events of an unknown kind are ignored, and so are events of an instance that was not configured or is
+        down.
 
         Raises:
-            WireError: The event cannot be understood.
+            WireError: The event is invalid.
         """
         match required_field(event, "msg", str):
             case "MANIFEST":
@@ -227,20 +234,20 @@
         return self._read_list_event if kind == "ANNOUNCE" else EVENT_READERS.get(kind)
 
     def _store_list(self, event: JsonObject) -> None:
-        """Store the endpoint list of a MANIFEST event. Raises FieldError."""
+        """Decode and store the endpoint list of a MANIFEST event. Raises FieldError."""
         rows = required_field(event, "rows", list, "MANIFEST.")
         endpoints = tuple(read_endpoint(row, f"MANIFEST.rows[{index}].") for index, row in enumerate(rows))
         self._lists[required_field(event, "bank", int, "MANIFEST.")] = endpoints
 
     def _start_balancer(self, now_us: int, instance: int, event: JsonObject) -> list[messages.Action]:
-        """Start an instance anew by a CONFIGURE event. Raises FieldError."""
+        """Start or restart an instance with the settings of a CONFIGURE event. Raises FieldError."""
         settings = read_settings(required_field(event, "settings", dict, "CONFIGURE."))
         balancer = Balancer(settings, required_field(event, "rngSeed", int, "CONFIGURE."))
         self._balancers[instance] = balancer
         return balancer.start(now_us)
 
     def _read_list_event(self, event: JsonObject) -> messages.EndpointListUpdate:
-        """Read an ANNOUNCE event, which names a stored list by its number. Raises FieldError."""
+        """Decode an ANNOUNCE event, which refers to a stored list by its number. Raises FieldError."""
         kind = LIST_KINDS.get(required_field(event, "form", str, "ANNOUNCE."))
         if kind is None:
             raise InvalidFieldError("ANNOUNCE.form", f"has an unknown value: {event['form']!r:.60}")
@@ -248,16 +255,22 @@
             return messages.EndpointListUpdate(kind)
         list_number = required_field(event, "bank", int, "ANNOUNCE.")
         if list_number not in self._lists:
-            raise InvalidFieldError("ANNOUNCE.bank", f"names list {list_number}, which was never sent")
+            raise InvalidFieldError(
+                "ANNOUNCE.bank", f"refers to list {list_number}, which no MANIFEST event has sent"
+            )
         version = optional_field(event, "epoch", 0, "ANNOUNCE.")
         return messages.EndpointListUpdate(kind, version, self._lists[list_number])
 
 
 def serve(lines: Iterable[bytes], replies: TextIO) -> None:
-    """Answer each batch until the input ends.
+    """Write a reply to each batch until the input ends.
+
+    Args:
+        lines: The input lines, one batch each.
+        replies: The stream that the replies are written to, one line each.
 
     Raises:
-        InvalidLineError: A line cannot be understood. The earlier ones are answered.
+        InvalidLineError: A line is invalid. All earlier lines have their replies.
     """
     session = SimulatorSession()
     for line_number, line in enumerate(lines, 1):
@@ -270,7 +283,7 @@
 
 
 def parse_batch(line: bytes) -> JsonObject:
-    """Return the JSON object that a line holds. Raises WireError."""
+    """Return the JSON object of an input line. Raises WireError."""
     try:
         batch = json.loads(line.decode())
     except UnicodeDecodeError as error:
@@ -283,7 +296,7 @@
 
 
 def main() -> int:
-    """Answer the batches on standard input, and return the exit code."""
+    """Reply to the batches on standard input, and return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout)
     except WireError as error:
