--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of the real proxy. They stand beside the product: nothing in `load_balancer` imports them."""
+"""Benchmarks of the proxy as a real process. `load_balancer` does not import this package."""
--- a/benchmarks/clients.py
+++ b/benchmarks/clients.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the clients of a proxy, over real connections."""
+"""Stand-ins for the clients of a proxy, with real connections."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from benchmarks.stand_ins import HEAD_END
 
-CLIENTS = 4  # connections of clients at the start
+CLIENTS = 4  # connections opened at the start
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class Clients:
-    """Clients that keep their connections, have one call at a time on each and open more if all are busy."""
+    """Clients with persistent connections: one request at a time on each, and a new one if all are busy."""
 
     def __init__(self, port: int, deadline_s: float) -> None:
-        """Set them up without a connection.
+        """Initialize without connections.
 
         Args:
-            port: Where the proxy listens, on 127.0.0.1.
-            deadline_s: How long a call may take, in seconds; the proxy is told what is left of it.
+            port: The port on 127.0.0.1 on which the proxy listens.
+            deadline_s: The deadline of a request; the request header carries the time remaining.
         """
         self._port, self._deadline_s = port, deadline_s
         self.served = 0
@@ -29,7 +29,7 @@
         """Open the first connections.
 
         Raises:
-            OSError: The proxy does not accept one.
+            OSError: The proxy does not accept a connection.
         """
         for _ in range(CLIENTS):
             self._idle.append(await self._connect())
@@ -38,17 +38,20 @@
         return await asyncio.open_connection("127.0.0.1", self._port)
 
     async def send_request(self) -> None:
-        """Make one call and count it as served where the answer is 200 and comes before its deadline."""
+        """Send one request and count it as served if a response with status 200 arrives by the deadline."""
         deadline_at_s = asyncio.get_running_loop().time() + self._deadline_s
         try:
             async with asyncio.timeout_at(deadline_at_s):
                 status = await self._exchange(deadline_at_s)
-        except (OSError, asyncio.IncompleteReadError):  # among the first: it took too long
+        except (
+            OSError,
+            asyncio.IncompleteReadError,
+        ):  # OSError includes TimeoutError, raised at the deadline
             return
-        self.served += status == 200  # not over an `await`: other calls may end meanwhile
+        self.served += status == 200  # after the `await`, during which other requests may change the counter
 
     async def _exchange(self, deadline_at_s: float) -> int:
-        """Return the status of the answer to one call. A connection on which none came is closed."""
+        """Send one request and return the status of its response; abort the connection if none arrives."""
         reader, writer = self._idle.pop(0) if self._idle else await self._connect()
         try:
             writer.write(self._request_head(deadline_at_s))
@@ -72,18 +75,18 @@
         return "\r\n".join(lines).encode() + HEAD_END
 
     def close(self) -> None:
-        """Reset the idle connections; calls that are still in flight keep theirs."""
+        """Abort the idle connections; requests in flight keep their connections."""
         for _, writer in self._idle:
             writer.transport.abort()
 
 
 async def read_status(reader: asyncio.StreamReader) -> int:
-    """Read one answer to its end and return its status.
+    """Read one response completely and return its status.
 
     Raises:
-        asyncio.IncompleteReadError: The connection ended first.
+        asyncio.IncompleteReadError: The connection was closed before the end of the response.
         ConnectionError: The connection was reset.
-        ValueError: The status or the length is no number.
+        ValueError: The status or the content length is not a number.
     """
     first, *lines = (await reader.readuntil(HEAD_END)).decode().split("\r\n")
     for line in lines:
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -1,14 +1,15 @@
-"""What one proxy needs while half of a fleet's endpoints are replaced, at the usual size and at 16 times.
+"""Measures the resources of one proxy while half of its endpoints are replaced, for fleets of several sizes.
 
-    python -m benchmarks.fleet_growth                 # the steady plays, 10 s each
-    python -m benchmarks.fleet_growth --play move     # discovery moves (SIGHUP) and a watch falls silent
-    python -m benchmarks.fleet_growth --proxies 3     # the limits bind in the mean over the fleet
+    python -m benchmarks.fleet_growth                 # the steady scenario, 10 s for each fleet size
+    python -m benchmarks.fleet_growth --play move     # discovery moves to another address (SIGHUP)
+    python -m benchmarks.fleet_growth --proxies 3     # mean of three proxies, to which the limits apply
     python -m benchmarks.fleet_growth --rows 200/34 3200/544 --seconds 5 --json result.json
 
-The first row is the base from which the limits of the others are worked out (`growth_limits.py`). The proxy
-is one real process; endpoints and discovery are stand-ins in this one. All endpoints of a row are equal. What
-one proxy sees of the rest of its fleet is only the number of instances in its settings. The exit code is 1
-where a limit is broken and 2 where a row could not be played.
+By default, the fleets have the usual size and 16 times as many endpoints. The limits of each fleet are
+computed from the measurements of the first one (`growth_limits.py`). The proxy is a real process; endpoints
+and discovery are stand-ins in the benchmark's process. All endpoints of a fleet are equal. The other proxies
+of the fleet are represented only by the number of instances in the settings. The exit code is 1 if a limit is
+violated and 2 if a scenario could not be run.
 """
 
 from __future__ import annotations
@@ -33,31 +34,31 @@
 from benchmarks.stand_ins import Discovery, EndpointStandIns
 
 SEED = 0x8C1F30D27A5BE964
-CELL_SIZE = 8  # endpoints in a cell
-WANTED_DESCRIPTORS = 16_384  # for listeners and both ends of all connections, in this process
-QUIET_TIMEOUT_S = 60.0  # a proxy that still works on the play this long after its end is measured as it is
+CELL_SIZE = 8  # endpoints
+WANTED_DESCRIPTORS = 16_384  # for the listeners and both ends of all connections
+QUIET_TIMEOUT_S = 60.0  # after it, a proxy that is still busy is measured in its current state
 POLL_INTERVAL_S = 0.02
-WATCH_TIMEOUT_S = 15.0  # the longest wait for a watch that has to be opened anew
+WATCH_TIMEOUT_S = 15.0  # for the proxy to reopen its watch
 
 
 class WatchNotOpenedError(ProxyEndedError):
-    """The proxy has not opened its watch anew in time."""
+    """The proxy has not reopened its watch within WATCH_TIMEOUT_S."""
 
     def __init__(self) -> None:
-        """Word the message."""
-        super().__init__("it has not opened its watch anew")
+        """Initialize with a fixed message."""
+        super().__init__("the proxy has not reopened its watch on discovery in time")
 
 
 class Fleet:
-    """The endpoints of a play and what discovery says of them."""
+    """The endpoints of a scenario and the discovery that publishes them."""
 
     def __init__(self, scenario: Scenario) -> None:
-        """Set up the stand-ins of a scenario; nothing listens yet."""
+        """Create the stand-ins of a scenario; nothing listens yet."""
         self._scenario = scenario
         self.endpoints = EndpointStandIns(scenario.service_s)
         self.discovery = Discovery()
         self._endpoint_count = 0
-        self._up: deque[tuple[str, str]] = deque()  # uid and address, the oldest first
+        self._up: deque[tuple[str, str]] = deque()  # uid and address, oldest first
         self._draining: deque[tuple[str, str]] = deque()
 
     async def _start_endpoint(self) -> tuple[str, str, int]:
@@ -67,20 +68,20 @@
         return uid, address, self._endpoint_count // CELL_SIZE
 
     async def start(self) -> None:
-        """Start the endpoints that are there from the beginning.
+        """Start the initial endpoints.
 
         Raises:
-            OSError: One cannot listen, as for want of a descriptor.
+            OSError: An endpoint cannot listen, for example because no file descriptor is available.
         """
         for _ in range(self._scenario.endpoints):
             self.discovery.add(*await self._start_endpoint())
 
     async def replace(self) -> None:
-        """Have the oldest endpoint drain and a new one join, each sent as a change of its own.
+        """Drain the oldest endpoint and add a new one, as two separate changes of the list.
 
         Raises:
-            OSError: The new one cannot listen.
-            IndexError: No endpoint is left that is not draining.
+            OSError: The new endpoint cannot listen.
+            IndexError: All endpoints are draining.
         """
         old = self._up.popleft()
         self._draining.append(old)
@@ -88,44 +89,44 @@
         self.discovery.add_and_notify(*await self._start_endpoint())
 
     def remove(self) -> None:
-        """End the endpoint that has drained longest.
+        """Stop the endpoint that has drained longest.
 
         Raises:
-            IndexError: None is draining.
+            IndexError: No endpoint is draining.
         """
         uid, address = self._draining.popleft()
         self.discovery.change_state(uid, "terminated")
         self.endpoints.stop(address)
 
     def stop(self) -> None:
-        """End discovery and all endpoints."""
+        """Stop discovery and all endpoints."""
         self.discovery.stop()
         self.endpoints.stop_all()
 
 
 class ScenarioRun:
-    """One scenario with one proxy."""
+    """One run of a scenario with one proxy."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
-        """Set up a play that has not begun.
+        """Initialize a run without starting it.
 
         Args:
-            scenario: What happens in it.
-            folder: Where the proxy's configuration and its log are written.
+            scenario: The scenario to run.
+            folder: The folder for the proxy's configuration and log.
         """
         self._scenario = scenario
         self._folder = folder
         self._fleet = Fleet(scenario)
         self._most_descriptors = 0
         self._calls: list[asyncio.Task[None]] = []
-        self._watches_due = 0  # by the end of the play
+        self._watches_due = 0  # number of watches that the proxy has to have opened by the end
 
     async def run(self) -> Result:
-        """Play the scenario through, once.
+        """Run the scenario once.
 
         Raises:
-            ProxyEndedError: The proxy has ended, does not listen or does not open its watch anew.
-            OSError: A stand-in cannot listen, the proxy accepts no connection, or it ended during the play.
+            ProxyEndedError: The proxy has exited, does not listen or does not reopen its watch.
+            OSError: A stand-in cannot listen, or the proxy accepts no connection or exited during the run.
         """
         await self._fleet.start()
         self._write_config(await self._fleet.discovery.listen())
@@ -191,10 +192,10 @@
             self._calls.append(asyncio.create_task(clients.send_request()))
 
     async def _wait_for_watch(self) -> None:
-        """Wait for the watch that has to be opened anew.
+        """Wait until the proxy has opened all watches that are due.
 
         Raises:
-            ProxyEndedError: It has not been opened within 15 s.
+            ProxyEndedError: A watch has not been opened within 15 s.
         """
         loop = asyncio.get_running_loop()
         give_up_at_s = loop.time() + WATCH_TIMEOUT_S
@@ -225,11 +226,11 @@
 
 
 def run_scenario(scenario: Scenario) -> Result:
-    """Play one row, in a folder of its own.
+    """Run a scenario once, in a temporary folder.
 
     Raises:
-        ProxyEndedError: The proxy has ended, does not listen or does not open its watch anew.
-        OSError: A stand-in cannot listen, the proxy accepts no connection, or it ended during the play.
+        ProxyEndedError: The proxy has exited, does not listen or does not reopen its watch.
+        OSError: A stand-in cannot listen, or the proxy accepts no connection or exited during the run.
     """
     raise_descriptor_limit()
     with tempfile.TemporaryDirectory() as folder:
@@ -237,11 +238,11 @@
 
 
 def run_scenario_mean(scenario: Scenario, proxies: int) -> Result:
-    """Play one row with several proxies, one after another, and return the mean figures.
+    """Run a scenario with several proxies, one after another, and return the mean figures.
 
     Raises:
-        ProxyEndedError: As `run_scenario`; the plays that are over are lost.
-        OSError: As `run_scenario`.
+        ProxyEndedError: As for `run_scenario`; the results of completed runs are discarded.
+        OSError: As for `run_scenario`.
     """
     results = [run_scenario(replace(scenario, number=number)) for number in range(proxies)]
     means = (statistics.fmean(values) for values in zip(*(astuple(r.figures) for r in results), strict=True))
@@ -257,7 +258,7 @@
 
 
 def raise_descriptor_limit() -> None:
-    """Make room for thousands of listeners, as far as the system lets us."""
+    """Raise the soft limit of file descriptors to WANTED_DESCRIPTORS, as far as the hard limit allows."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     wanted = WANTED_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(WANTED_DESCRIPTORS, hard)
     if soft != resource.RLIM_INFINITY and soft < wanted:
@@ -265,10 +266,10 @@
 
 
 def parse_fleet_size(text: str) -> tuple[int, int]:
-    """Read `endpoints/instances`.
+    """Parse a fleet size in the form `endpoints/instances`.
 
     Raises:
-        ValueError: One of them is no number, or is under 1.
+        ValueError: A part is not an integer or is below 1.
     """
     endpoints, _, instances = text.partition("/")
     if int(endpoints) < 1 or int(instances) < 1:
@@ -277,7 +278,7 @@
 
 
 def read_arguments() -> argparse.Namespace:
-    """Read the command line; a wrong one ends the program with code 2 and the usage."""
+    """Parse the command line; print the usage and exit with code 2 if it is invalid."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument(
         "--play", choices=SCENARIOS, default="steady", help="what happens besides replacements"
@@ -293,7 +294,7 @@
 
 
 def main() -> int:
-    """Play the rows, print the table and the broken limits, and return the exit code."""
+    """Run the scenario for each fleet size, print the results and return the exit code."""
     arguments = read_arguments()
     scenario = replace(
         SCENARIOS[arguments.play], seconds=arguments.seconds, calls=round(arguments.calls * arguments.seconds)
--- a/benchmarks/growth_limits.py
+++ b/benchmarks/growth_limits.py
@@ -1,44 +1,49 @@
-"""How much more a proxy may need in a large fleet than in one of the usual size.
+"""Limits of the resources that a proxy may use in a large fleet, relative to a fleet of the usual size.
 
-The limits are those that the operators set for a fleet with up to sixteen times the endpoints, where the
-traffic of a proxy, its limits and the capacity of all endpoints, counted for each proxy, stay the same.
+The operators set these limits for fleets with up to sixteen times the endpoints. They assume that the traffic
+and the limits of a proxy stay the same, and that the total capacity of the endpoints per proxy does too.
 """
 
 from __future__ import annotations
 
 from dataclasses import astuple, dataclass, fields
 
-KB = 1_000  # bytes; decimal, the stricter reading
+KB = 1_000  # bytes; the decimal unit is the stricter interpretation
 MB = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What one proxy needed over a play, or the most (for `share_served`, the least) that it may."""
+    """Resources that one proxy used in a run, or their limits (minimum for `share_served`, else maximum)."""
 
-    cpu_s: float  # user and system time since its start
-    peak_memory: float  # bytes, resident
-    descriptors: float  # the most that were open at once
-    connections: float  # made to endpoints
-    list_bytes: float  # that discovery wrote to it, complete lists and changes
-    share_served: float  # of the calls, those answered with 200 in time
+    cpu_s: float  # user and system time since the start of the process
+    peak_memory: float  # resident memory, bytes
+    descriptors: float  # maximum open at once
+    connections: float  # total of connections to endpoints
+    list_bytes: float  # total bytes of complete lists and changes that discovery sent
+    share_served: float  # fraction of the requests with a 200 response before the deadline
 
 
 @dataclass(frozen=True, slots=True)
 class LimitViolation:
-    """A figure that is beyond its limit."""
+    """A figure that violates its limit."""
 
     name: str
     measured: float
     limit: float
 
     def __str__(self) -> str:
-        """Name the figure, what was measured and the limit, in the figure's own unit."""
+        """Return the name of the figure, the measured value and the limit, in the unit of the figure."""
         return f"{self.name}: {self.measured:.6g} is beyond {self.limit:.6g}"
 
 
 def limits(base: Figures, endpoints: int) -> Figures:
-    """Return the limits for a fleet of that many endpoints; `base` was measured on one of the usual size."""
+    """Return the limits for a fleet.
+
+    Args:
+        base: The figures measured in a fleet of the usual size.
+        endpoints: The number of endpoints of the fleet.
+    """
     thousands = endpoints / 1_000
     return Figures(
         cpu_s=1.4 * base.cpu_s + 0.02 + 0.12 * thousands,
@@ -53,7 +58,13 @@
 def limit_violations(
     measured: Figures, limit: Figures, ignored: frozenset[str] = frozenset()
 ) -> list[LimitViolation]:
-    """Return the figures beyond their limits, but for those named."""
+    """Return the figures that violate their limits.
+
+    Args:
+        measured: The measured figures.
+        limit: The limits.
+        ignored: Names of figures that are not checked.
+    """
     result = []
     for field, value, bound in zip(fields(Figures), astuple(measured), astuple(limit), strict=True):
         within = value >= bound if field.name == "share_served" else value <= bound
--- a/benchmarks/proxy_process.py
+++ b/benchmarks/proxy_process.py
@@ -1,4 +1,4 @@
-"""One real proxy process, started as the deploy file says, and what the system tells of it."""
+"""Starts a real proxy process with the command in the deploy file, and measures its resource usage."""
 
 from __future__ import annotations
 
@@ -13,47 +13,50 @@
 
 ROOT = Path(__file__).parent.parent
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-START_TIMEOUT_S = 30.0  # a proxy that takes longer has failed to start
-LOG_TAIL_LINES = 20  # lines of its log that are kept for an error
+START_TIMEOUT_S = 30.0
+LOG_TAIL_LINES = 20  # log lines included in an error message
 LISTENING_LINE = re.compile(r"listens on [^\n]*:(\d+)\n")
 POLL_INTERVAL_S = 0.02
-QUIET_INTERVAL_S = 0.5  # one that used next to no CPU for this long has worked off what it was sent
+# A proxy that uses at most MAX_QUIET_CPU_S of CPU time in QUIET_INTERVAL_S has processed all its input.
+QUIET_INTERVAL_S = 0.5
 MAX_QUIET_CPU_S = 0.02
 
 
 class ProxyEndedError(Exception):
-    """The proxy is gone, or does not do what the play waits for; the message says what."""
+    """The proxy has exited or does not reach an expected state; the message gives the reason."""
 
 
 class NotListeningError(ProxyEndedError):
-    """The proxy has ended or did not come up in time."""
+    """The proxy has exited or did not listen within START_TIMEOUT_S."""
 
     def __init__(self, last_lines: str) -> None:
-        """Repeat the end of the proxy's log."""
-        super().__init__(f"it does not listen\n{last_lines}")
+        """Build the message from the last lines of the proxy's log."""
+        super().__init__(f"the proxy does not listen; end of its log:\n{last_lines}")
 
 
 class MemoryUnavailableError(ProxyEndedError):
-    """The proxy has ended, and the system reports no figure of its memory any more."""
+    """The proxy has exited, and the system no longer reports its memory usage."""
 
     def __init__(self) -> None:
-        """Word the message."""
-        super().__init__("the system tells nothing of its memory")
+        """Initialize with a fixed message."""
+        super().__init__("no VmHWM line in the status of the proxy process: it has exited")
 
 
 class MissingExecError(ValueError):
-    """The deploy file's `run` does not replace its shell by the process: a signal would miss the proxy."""
+    """`run` in the deploy file does not start with `exec`: signals would reach the shell, not the proxy."""
 
     def __init__(self, words: list[str]) -> None:
-        """Repeat the words of the command."""
-        super().__init__(f"`run` does not end in one process: {words}")
+        """Build the message from the words of the command."""
+        super().__init__(f"`run` in the deploy file has to start with `exec`: {words}")
 
 
 def run_command() -> list[str]:
-    """Return the deploy file's `run`, with this interpreter where its environment has not been built.
+    """Return the `run` command of the deploy file, without its `exec`.
+
+    If the interpreter of the command has not been installed, it is replaced with the current one.
 
     Raises:
-        MissingExecError: `run` does not replace its shell by the process.
+        MissingExecError: `run` does not start with `exec`.
     """
     words = str(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]).split()
     if words[0] != "exec":
@@ -63,24 +66,24 @@
 
 
 class ProxyProcess:
-    """A running proxy. Its log is a file: whoever reads a pipe would take part in what is measured."""
+    """A running proxy. It logs to a file, as reading a pipe would affect the measurement."""
 
     def __init__(self, process: asyncio.subprocess.Process, log: Path) -> None:
-        """Take over a process that has been started.
+        """Initialize with a started process.
 
         Args:
             process: The process, which need not listen yet.
-            log: The file that its standard error goes to.
+            log: The file that receives its standard error.
         """
         self._process, self._log = process, log
         self.pid = process.pid
         self.port = 0
 
     async def wait_until_listening(self) -> None:
-        """Wait for the line that names its port.
+        """Wait for the log line that contains the listening port, and store the port.
 
         Raises:
-            ProxyEndedError: It has ended, or has not listened within 30 s.
+            ProxyEndedError: The proxy has exited, or has not listened within 30 s.
         """
         loop = asyncio.get_running_loop()
         give_up_at_s = loop.time() + START_TIMEOUT_S
@@ -91,35 +94,35 @@
         self.port = int(listening_match[1])
 
     def last_lines(self) -> str:
-        """Return the end of its log."""
+        """Return the last lines of the log."""
         return "".join(self._log.read_text().splitlines(keepends=True)[-LOG_TAIL_LINES:])
 
     def signal(self, number: int) -> None:
-        """Send the proxy a signal.
+        """Send a signal to the proxy.
 
         Raises:
-            ProcessLookupError: It has ended.
+            ProcessLookupError: The proxy has exited.
         """
         self._process.send_signal(number)
 
     @property
     def cpu_s(self) -> float:
-        """User and system time since its start, seconds.
+        """User and system time since the start of the process.
 
         Raises:
-            FileNotFoundError: It has ended and the system has taken it back.
+            FileNotFoundError: The proxy has exited and was reaped.
         """
-        # The program's name, in parentheses, may hold spaces; user and system time are fields 14 and 15.
+        # The program name, in parentheses, may contain spaces. User and system time are fields 14 and 15.
         after_name = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(after_name[11]) + int(after_name[12])) / TICKS_PER_S
 
     @property
     def peak_memory(self) -> int:
-        """The most memory it ever had resident, bytes.
+        """Peak resident memory, bytes.
 
         Raises:
-            ProxyEndedError: It has ended, and the system tells no figure any more.
-            FileNotFoundError: It has ended and the system has taken it back.
+            ProxyEndedError: The proxy has exited, and the system no longer reports the value.
+            FileNotFoundError: The proxy has exited and was reaped.
         """
         for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
             if line.startswith("VmHWM:"):
@@ -128,21 +131,21 @@
 
     @property
     def descriptors(self) -> int:
-        """The number of descriptors that are open now.
+        """Number of open file descriptors.
 
         Raises:
-            FileNotFoundError: It has ended and the system has taken it back.
+            FileNotFoundError: The proxy has exited and was reaped.
         """
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
     async def wait_until_quiet(self, timeout_s: float) -> bool:
-        """Wait until the proxy has processed what it was sent, which shows as next to no CPU time.
+        """Wait until the proxy has processed all its input, detected by its CPU time.
 
         Args:
-            timeout_s: The longest wait, in seconds.
+            timeout_s: The longest wait.
 
         Returns:
-            Whether it came to that; false where it still works after the longest wait.
+            Whether the proxy became quiet within the timeout.
         """
         loop = asyncio.get_running_loop()
         give_up_at_s, cpu_before_s = loop.time() + timeout_s, self.cpu_s
@@ -154,7 +157,7 @@
         return False
 
     async def end(self) -> None:
-        """Kill the proxy if it still runs, and wait until the system has taken it back."""
+        """Kill the proxy if it is still running, and wait until it is reaped."""
         if self._process.returncode is None:
             self._process.kill()
         await self._process.wait()
@@ -162,10 +165,10 @@
 
 @asynccontextmanager
 async def proxy_process(folder: Path) -> AsyncIterator[ProxyProcess]:
-    """Start a proxy by the `config.json` of a folder, yield it once it listens, and kill it at the end.
+    """Start a proxy with the `config.json` of a folder, yield it once it listens, and kill it at the end.
 
     Raises:
-        ProxyEndedError: It has ended, or has not listened within 30 s.
+        ProxyEndedError: The proxy has exited, or has not listened within 30 s.
     """
     log = folder / "log"
     with log.open("wb") as errors:
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""What plays measured, held against the limits, as a table that people read."""
+"""Results of benchmark runs, their comparison with the limits, and a table of both."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What one play measured; of several proxies the mean figures, and the sums of the rest."""
+    """Result of one run; for several proxies, the mean of the figures and the sums of the counts."""
 
     scenario: Scenario
     figures: Figures
@@ -23,11 +23,11 @@
     complete_list_bytes: int
     watches: int
     calls_served: int
-    settled: bool  # the proxy had worked off all that it was sent when it was measured; by no clock, unasked
+    settled: bool  # all input had been processed before the measurement; not checked without a clock
 
 
 def describe_machine() -> dict[str, object]:
-    """Return what the figures depend on besides the program."""
+    """Return the properties of the machine that the figures depend on."""
     models = (
         line.partition(":")[2].strip()
         for line in Path("/proc/cpuinfo").read_text().splitlines()
@@ -43,14 +43,14 @@
 
 
 def format_figure(name: str, value: float) -> str:
-    """Return a figure as the table shows it, in the unit that people read."""
+    """Format a figure for the table, in its display unit."""
     unit_size, unit_name = UNITS.get(name, (1, ""))
     places = 0 if name in ("descriptors", "connections") else 3 if name == "share_served" else 2
     return f"{value / unit_size:.{places}f}{' ' * bool(unit_name)}{unit_name}"
 
 
 def results_table(results: list[Result]) -> str:
-    """Return each figure, and in brackets its limit by the base, which is the first row."""
+    """Return a table of all figures, each with its limit in brackets, computed from the first result."""
     names = [field.name for field in fields(Figures)]
     lines = ["| " + " | ".join(["endpoints/instances", *names, "complete lists", "watches"]) + " |"]
     lines.append("| --- " * (len(names) + 3) + "|")
@@ -69,7 +69,12 @@
 def violations_by_fleet(
     results: list[Result], ignored: frozenset[str] = frozenset()
 ) -> dict[str, list[LimitViolation]]:
-    """Return the figures beyond the limits of the first row, by row."""
+    """Return the limit violations by fleet; the limits are computed from the first result.
+
+    Args:
+        results: The results, that of the fleet of the usual size first.
+        ignored: Names of figures that are not checked.
+    """
     base, *rows = results
     found = {
         r.scenario.name: limit_violations(r.figures, limits(base.figures, r.scenario.endpoints), ignored)
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -1,51 +1,51 @@
-"""What happens in a play: its fleet, its steps in order and the settings that its proxy is given."""
+"""Scenarios of the benchmark: the fleet, the steps in order and the settings of the proxy."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 from enum import Enum
 
-SECOND_US = 1_000_000  # microseconds
+SECOND_US = 1_000_000
 LATENCY_OBJECTIVE_SHARE = 0.5  # of the deadline
 SLOW_START_US = 5 * SECOND_US
-DRAIN_SHARE = 0.1  # of the play, the time from `terminating` to `terminated`
-MISSED_SHARE = 0.2  # of the play, what a silent watch misses where no clock tells it
-REPLACED_SHARE = 0.5  # of the endpoints, over the play
+DRAIN_SHARE = 0.1  # of the duration, the time from `terminating` to `terminated`
+MISSED_SHARE = 0.2  # of the duration, the part that a silent watch misses in a scenario without a clock
+REPLACED_SHARE = 0.5  # of the endpoints, over the whole scenario
 
 
 class Step(Enum):
-    """What happens next in a play."""
+    """A step of a scenario."""
 
-    CALL = "call"
-    REPLACE = "replace"  # an endpoint begins to drain, and a new one is in service
-    REMOVE = "remove"  # the one that has drained longest is gone
-    MOVE = "move"  # discovery is at another address, told by SIGHUP
-    SILENCE = "silence"  # the open watch says nothing any more
-    WATCHED = "watched"  # the proxy has opened another watch
+    CALL = "call"  # a client sends a request
+    REPLACE = "replace"  # an endpoint starts draining, and a new one is added
+    REMOVE = "remove"  # the endpoint that has drained longest is removed
+    MOVE = "move"  # discovery moves to another address; the proxy gets SIGHUP
+    SILENCE = "silence"  # the open watch stays established and sends nothing more
+    WATCHED = "watched"  # wait until the proxy has opened another watch
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One row: a fleet and what happens in it."""
+    """A fleet and the events in it; one row of the results."""
 
     endpoints: int
     instances: int
-    number: int = 0  # which proxy of the fleet, counted from the middle one; each has another seed
+    number: int = 0  # of the proxy in the fleet, counted from the middle one; each has its own seed
     calls: int = 300
-    seconds: float | None = 10.0  # None: by no clock, each step once the one before is over
-    knows_list: bool = True  # does the proxy start with the list as last known?
-    moves_at: tuple[float, ...] = ()  # as shares of the play
+    seconds: float | None = 10.0  # None: no clock, each step follows when the previous one has ended
+    knows_list: bool = True  # whether the proxy starts with a cached endpoint list
+    moves_at: tuple[float, ...] = ()  # fractions of the duration
     silence_at: float | None = None
     deadline_s: float = 2.0
-    service_s: float = 0.01  # that an endpoint takes for a call
+    service_s: float = 0.01  # time that an endpoint takes for a response
 
     @property
     def name(self) -> str:
-        """The row's name in tables and messages, `endpoints/instances`."""
+        """Name in tables and messages, `endpoints/instances`."""
         return f"{self.endpoints}/{self.instances}"
 
     def steps(self) -> list[tuple[float, Step]]:
-        """Return all steps in order, each with its place in the play, from 0 to 1."""
+        """Return all steps in order, each with its time as a fraction of the duration."""
         replaced = round(REPLACED_SHARE * self.endpoints)
         drained = [(n + 0.5) / replaced * (1.0 - DRAIN_SHARE) for n in range(replaced)]
         steps = [((n + 0.5) / self.calls, Step.CALL) for n in range(self.calls)]
@@ -54,19 +54,21 @@
         steps += [(at, Step.MOVE) for at in self.moves_at]
         if self.silence_at is not None:
             steps.append((self.silence_at, Step.SILENCE))
-            if self.seconds is None:  # with no clock the rest would be over before the silence is noticed
+            if (
+                self.seconds is None
+            ):  # without a clock the remaining steps would end before the silence is detected
                 steps.append((self.silence_at + MISSED_SHARE, Step.WATCHED))
         return sorted(steps, key=lambda step: step[0])
 
 
 def settings(scenario: Scenario) -> dict[str, object]:
-    """Return the settings that one proxy of the fleet is given, in the configuration's JSON form."""
+    """Return the settings of one proxy of the fleet, in the JSON format of the configuration."""
     lane = {"name": "read", "idempotency": "safe", "worth": 1.0, "lateValue": 0.0}
     times = {
         "onTimeUs": round(LATENCY_OBJECTIVE_SHARE * scenario.deadline_s * SECOND_US),
         "deadlineUs": round(scenario.deadline_s * SECOND_US),
     }
-    # Slow start is a matter of time: a play by no clock leaves it out.
+    # Slow start depends on elapsed time, so a scenario without a clock disables it.
     slow_start_us = SLOW_START_US if scenario.seconds is not None else 0
     return {
         "lanes": [{**lane, **times}],
--- a/benchmarks/stand_ins.py
+++ b/benchmarks/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what a proxy talks to: endpoints and discovery, on loopback, by the protocol."""
+"""Stand-ins for the endpoints and the discovery of a proxy, on loopback addresses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-HEARTBEAT_S = 2.0  # an empty line comes this often while nothing changes
+HEARTBEAT_S = 2.0  # an empty line is sent at this interval
 BACKLOG = 64
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 SINCE_PARAMETER = re.compile(r"[?&]since=(\d+)")
@@ -19,29 +19,36 @@
 
 
 def loopback_hosts() -> Iterator[str]:
-    """Yield addresses of this machine alone: one for each listener, so that ports never run out."""
+    """Yield loopback addresses. Each listener gets its own, so that ports are not exhausted."""
     for third_octet in range(1, 255):
         for fourth_octet in range(1, 255):
             yield f"127.77.{third_octet}.{fourth_octet}"
 
 
 class EndpointConnection(asyncio.Protocol):
-    """Answers each request with 200, a short while after its head; requests have no body here."""
+    """Connection of an endpoint that sends a 200 response some time after each request head.
+
+    Requests must not have a body.
+    """
 
     def __init__(self, endpoints: EndpointStandIns) -> None:
-        """Answer for one of these endpoints, which count what comes and set the time that a call takes."""
+        """Initialize a connection.
+
+        Args:
+            endpoints: The endpoints, which count connections and requests and define the response time.
+        """
         self._endpoints = endpoints
         self._read = b""
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count a connection that the system has accepted."""
+        """Store the transport and count the accepted connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self._endpoints.accepted += 1
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of requests, and have each head that is complete answered later."""
+        """Buffer request bytes, and schedule a response for each complete head."""
         self._read += data
         while HEAD_END in self._read:
             _, _, self._read = self._read.partition(HEAD_END)
@@ -54,16 +61,16 @@
 
 
 class EndpointStandIns:
-    """Many endpoints in one process, each a listener of its own."""
+    """Many endpoints in one process, each with its own listener."""
 
     def __init__(self, service_s: float) -> None:
-        """Set them up with no endpoint yet.
+        """Initialize without endpoints.
 
         Args:
-            service_s: The time from a request's head to its answer, in seconds.
+            service_s: The time from a request's head to its response.
         """
         self.service_s = service_s
-        self.accepted = 0  # connections, over all endpoints
+        self.accepted = 0  # connections to all endpoints
         self.requests = 0
         self._hosts = loopback_hosts()
         self._servers: dict[str, asyncio.Server] = {}
@@ -73,7 +80,7 @@
         """Start one more endpoint and return its address, `host:port`.
 
         Raises:
-            OSError: It cannot listen, as for want of a descriptor.
+            OSError: The endpoint cannot listen, for example because no file descriptor is available.
         """
         connections: list[EndpointConnection] = []
 
@@ -88,17 +95,17 @@
         return address
 
     def stop(self, address: str) -> None:
-        """End an endpoint; its connections are reset, as when a process dies.
+        """Stop an endpoint and abort its connections, as when a process is killed.
 
         Raises:
-            KeyError: There is no endpoint at this address.
+            KeyError: No endpoint has this address.
         """
         self._servers.pop(address).close()
         for connection in self._connections.pop(address):
             connection.transport.abort()
 
     def stop_all(self) -> None:
-        """End all endpoints that are still there."""
+        """Stop all remaining endpoints."""
         for address in list(self._servers):
             self.stop(address)
 
@@ -108,35 +115,40 @@
 
 @dataclass(eq=False)
 class Watcher:
-    """An open watch. A silent one gets neither changes nor heartbeats any more."""
+    """An open watch. A silent watch gets neither changes nor heartbeats."""
 
     writer: asyncio.StreamWriter
     is_silent: bool = False
 
     def write_chunk(self, text: bytes) -> None:
-        """Write one line of the list's stream as a chunk of its own."""
+        """Write one line of the stream as one HTTP chunk."""
         self.writer.write(b"%x\r\n%s\r\n" % (len(text), text))
 
 
 @dataclass
 class Discovery:
-    """The list, its versions and the open watches. One per proxy, like the agent on its machine."""
+    """Discovery of one proxy: the endpoint list with its versions, and the open watches.
+
+    Each proxy has its own, like the discovery agent on its machine.
+    """
 
     rev: int = 1
-    list_bytes: int = 0  # of all lists written, without framing and heartbeats
+    list_bytes: int = 0  # of all lists sent, without HTTP framing and heartbeats
     complete_lists: int = 0
-    complete_list_bytes: int = 0  # the part of `list_bytes` that was of complete lists
-    watches: int = 0  # that were opened
-    _entries: dict[str, tuple[int, Entry]] = field(default_factory=dict)  # by uid, each with its version
+    complete_list_bytes: int = 0  # part of `list_bytes` for complete lists
+    watches: int = 0  # number of watches opened so far
+    _entries: dict[str, tuple[int, Entry]] = field(
+        default_factory=dict
+    )  # by uid, each with the version of its last change
     _watchers: set[Watcher] = field(default_factory=set)
     _servers: list[asyncio.Server] = field(default_factory=list)
     _heartbeat_task: asyncio.Task[None] | None = None
 
     async def listen(self) -> str:
-        """Listen at one more address, and return it: discovery that is moved has the same list.
+        """Listen on one more address, which serves the same list, and return the address.
 
         Raises:
-            OSError: It cannot listen, as for want of a descriptor.
+            OSError: Discovery cannot listen, for example because no file descriptor is available.
         """
         server = await asyncio.start_server(self._serve_watch, "127.0.0.1", 0)
         self._servers.append(server)
@@ -145,7 +157,7 @@
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     def stop(self) -> None:
-        """Stop listening and beating, and reset all watches."""
+        """Stop listening and sending heartbeats, and abort all watches."""
         if self._heartbeat_task is not None:
             self._heartbeat_task.cancel()
         for server in self._servers:
@@ -154,28 +166,28 @@
             watcher.writer.transport.abort()
 
     def add(self, uid: str, address: str, cell: int) -> None:
-        """Add one of the endpoints that are there from the start; no watch is notified."""
+        """Add an initial endpoint without a new version or a notification of watches."""
         self._entries[uid] = (self.rev, endpoint_entry(uid, address, cell, boot_ms=0))
 
     def complete_list(self) -> dict[str, object]:
-        """Return the list as it is now, in the protocol's form."""
+        """Return the current complete list in the format of the protocol."""
         present = [e for _, e in self._entries.values() if e["state"] != "terminated"]
         return {"rev": self.rev, "all": True, "targets": present}
 
     def change_state(self, uid: str, state: str) -> None:
-        """Change an endpoint's state and notify all watches that are not silent.
+        """Change the state of an endpoint and notify all watches that are not silent.
 
         Raises:
-            KeyError: The list has no endpoint of this uid.
+            KeyError: No endpoint has this uid.
         """
         self._push({**self._entries[uid][1], "state": state})
 
     def add_and_notify(self, uid: str, address: str, cell: int) -> None:
-        """Add an endpoint that has just started, and notify all watches that are not silent."""
+        """Add an endpoint that started now, and notify all watches that are not silent."""
         self._push(endpoint_entry(uid, address, cell, boot_ms=time.time_ns() // 1_000_000))
 
     def silence_watches(self) -> None:
-        """Have all watches that are open now stay open and send nothing more."""
+        """Keep the currently open watches open without sending anything more on them."""
         for watcher in self._watchers:
             watcher.is_silent = True
 
@@ -228,7 +240,7 @@
 
 
 def endpoint_entry(uid: str, address: str, cell: int, boot_ms: int) -> Entry:
-    """Return one endpoint of discovery's list, in service."""
+    """Return the list entry of an endpoint that is in service."""
     return {
         "uid": uid,
         "endpoint": address,
