--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -281,15 +281,21 @@
     """Parse the command line; print the usage and exit with code 2 if it is invalid."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument(
-        "--play", choices=SCENARIOS, default="steady", help="what happens besides replacements"
+        "--play", choices=SCENARIOS, default="steady", help="scenario: what happens besides replacements"
     )
     parser.add_argument(
-        "--rows", nargs="+", type=parse_fleet_size, default=FLEET_SIZES, help="endpoints/instances"
+        "--rows",
+        nargs="+",
+        type=parse_fleet_size,
+        default=FLEET_SIZES,
+        help="fleet sizes, endpoints/instances",
     )
-    parser.add_argument("--seconds", type=float, default=10.0, help="length of a play")
-    parser.add_argument("--calls", type=float, default=30.0, help="a second")
-    parser.add_argument("--proxies", type=int, default=1, help="played one after another, for the mean")
-    parser.add_argument("--json", type=Path, help="where to write the result")
+    parser.add_argument("--seconds", type=float, default=10.0, help="duration of a scenario")
+    parser.add_argument("--calls", type=float, default=30.0, help="requests per second")
+    parser.add_argument(
+        "--proxies", type=int, default=1, help="number of proxies, run one after another, for the mean"
+    )
+    parser.add_argument("--json", type=Path, help="file that the results are written to")
     return parser.parse_args()
 
 
@@ -309,7 +315,7 @@
     print(results_table(results))
     for result in results:
         if not result.settled:
-            print(f"{result.scenario.name}: measured while it still worked on what it had been sent")
+            print(f"{result.scenario.name}: measured while the proxy was still processing its input")
     violations = violations_by_fleet(results)
     for name, figures in violations.items():
         for figure in figures:
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -54,9 +54,8 @@
         steps += [(at, Step.MOVE) for at in self.moves_at]
         if self.silence_at is not None:
             steps.append((self.silence_at, Step.SILENCE))
-            if (
-                self.seconds is None
-            ):  # without a clock the remaining steps would end before the silence is detected
+            if self.seconds is None:
+                # Without a clock, the remaining steps would end before the silence is detected.
                 steps.append((self.silence_at + MISSED_SHARE, Step.WATCHED))
         return sorted(steps, key=lambda step: step[0])
 
