--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -117,9 +117,9 @@
         self._scenario = scenario
         self._folder = folder
         self._fleet = Fleet(scenario)
-        self._most_descriptors = 0
-        self._calls: list[asyncio.Task[None]] = []
-        self._watches_due = 0  # number of watches that the proxy has to have opened by the end
+        self._max_descriptors = 0
+        self._request_tasks: list[asyncio.Task[None]] = []
+        self._expected_watches = 0  # number of watches that the proxy has to have opened by the end
 
     async def run(self) -> Result:
         """Run the scenario once.
@@ -135,7 +135,7 @@
                 clients = Clients(proxy.port, self._scenario.deadline_s)
                 await clients.start()
                 await self._perform_steps(proxy, clients)
-                await asyncio.gather(*self._calls)
+                await asyncio.gather(*self._request_tasks)
                 await self._wait_for_watch()
                 settled = self._scenario.seconds is None or await proxy.wait_until_quiet(QUIET_TIMEOUT_S)
                 result = self._result(proxy, clients, settled=settled)
@@ -163,24 +163,24 @@
         for at, step in self._scenario.steps():
             if self._scenario.seconds is not None:
                 await asyncio.sleep(max(0.0, began_at_s + at * self._scenario.seconds - loop.time()))
-            await self._perform(step, proxy, clients)
+            await self._perform_step(step, proxy, clients)
 
-    async def _perform(self, step: Step, proxy: ProxyProcess, clients: Clients) -> None:
+    async def _perform_step(self, step: Step, proxy: ProxyProcess, clients: Clients) -> None:
         match step:
             case Step.CALL:
-                self._most_descriptors = max(self._most_descriptors, proxy.descriptors)
+                self._max_descriptors = max(self._max_descriptors, proxy.descriptors)
                 await self._send_request(clients)
             case Step.REPLACE:
                 await self._fleet.replace()
             case Step.REMOVE:
                 self._fleet.remove()
             case Step.MOVE:
-                self._watches_due = self._fleet.discovery.watches + 1
+                self._expected_watches = self._fleet.discovery.watches + 1
                 self._write_config(await self._fleet.discovery.listen())
                 proxy.signal(signal.SIGHUP)
                 await self._wait_for_watch()
             case Step.SILENCE:
-                self._watches_due = self._fleet.discovery.watches + 1
+                self._expected_watches = self._fleet.discovery.watches + 1
                 self._fleet.discovery.silence_watches()
             case Step.WATCHED:
                 await self._wait_for_watch()
@@ -189,7 +189,7 @@
         if self._scenario.seconds is None:
             await clients.send_request()
         else:
-            self._calls.append(asyncio.create_task(clients.send_request()))
+            self._request_tasks.append(asyncio.create_task(clients.send_request()))
 
     async def _wait_for_watch(self) -> None:
         """Wait until the proxy has opened all watches that are due.
@@ -199,7 +199,7 @@
         """
         loop = asyncio.get_running_loop()
         give_up_at_s = loop.time() + WATCH_TIMEOUT_S
-        while self._fleet.discovery.watches < self._watches_due:
+        while self._fleet.discovery.watches < self._expected_watches:
             if loop.time() > give_up_at_s:
                 raise WatchNotOpenedError
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -209,7 +209,7 @@
         figures = Figures(
             cpu_s=proxy.cpu_s,
             peak_memory=proxy.peak_memory,
-            descriptors=self._most_descriptors,
+            descriptors=self._max_descriptors,
             connections=self._fleet.endpoints.accepted,
             list_bytes=discovery.list_bytes,
             share_served=clients.served / self._scenario.calls,
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -46,11 +46,11 @@
 
     def steps(self) -> list[tuple[float, Step]]:
         """Return all steps in order, each with its time as a fraction of the duration."""
-        replaced = round(REPLACED_SHARE * self.endpoints)
-        drained = [(n + 0.5) / replaced * (1.0 - DRAIN_SHARE) for n in range(replaced)]
+        replacement_count = round(REPLACED_SHARE * self.endpoints)
+        drain_times = [(n + 0.5) / replacement_count * (1.0 - DRAIN_SHARE) for n in range(replacement_count)]
         steps = [((n + 0.5) / self.calls, Step.CALL) for n in range(self.calls)]
-        steps += [(at, Step.REPLACE) for at in drained]
-        steps += [(at + DRAIN_SHARE, Step.REMOVE) for at in drained]
+        steps += [(at, Step.REPLACE) for at in drain_times]
+        steps += [(at + DRAIN_SHARE, Step.REMOVE) for at in drain_times]
         steps += [(at, Step.MOVE) for at in self.moves_at]
         if self.silence_at is not None:
             steps.append((self.silence_at, Step.SILENCE))
--- a/benchmarks/stand_ins.py
+++ b/benchmarks/stand_ins.py
@@ -38,7 +38,7 @@
             endpoints: The endpoints, which count connections and requests and define the response time.
         """
         self._endpoints = endpoints
-        self._read = b""
+        self._buffer = b""
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -49,9 +49,9 @@
 
     def data_received(self, data: bytes) -> None:
         """Buffer request bytes, and schedule a response for each complete head."""
-        self._read += data
-        while HEAD_END in self._read:
-            _, _, self._read = self._read.partition(HEAD_END)
+        self._buffer += data
+        while HEAD_END in self._buffer:
+            _, _, self._buffer = self._buffer.partition(HEAD_END)
             self._endpoints.requests += 1
             asyncio.get_running_loop().call_later(self._endpoints.service_s, self._send_response)
 
--- a/load_balancer/process/config.py
+++ b/load_balancer/process/config.py
@@ -69,7 +69,7 @@
         if not path:
             raise UnsetVariableError(CONFIG_VARIABLE)
         self._path = Path(path)
-        self._overrides = _find_overrides(environment, self._load())
+        self._overrides = _find_overrides(environment, self._load_file())
 
     def read(self) -> Config:
         """Return the current configuration.
@@ -78,13 +78,13 @@
             ConfigError: A field is missing or invalid; the message names it.
             UnreadableConfigError: The file cannot be read or is not JSON.
         """
-        fields = {**self._load(), **self._overrides}
+        fields = {**self._load_file(), **self._overrides}
         try:
             return read_config(fields)
         except WireError as error:
             raise ConfigError(str(error)) from None
 
-    def _load(self) -> JsonObject:
+    def _load_file(self) -> JsonObject:
         """Return the file's JSON object, or an empty one if the file holds JSON of another type.
 
         Raises:
--- a/load_balancer/process/reload.py
+++ b/load_balancer/process/reload.py
@@ -43,7 +43,7 @@
     def reload(self) -> None:
         """Read and apply the file, with retries for 2 s; cancel the retries of an earlier signal."""
         self.close()
-        self._read(attempt=1)
+        self._read_and_apply(attempt=1)
 
     def close(self) -> None:
         """Stop retrying."""
@@ -51,7 +51,7 @@
             self._retry_timer.cancel()
             self._retry_timer = None
 
-    def _read(self, attempt: int) -> None:
+    def _read_and_apply(self, attempt: int) -> None:
         """Read and apply the file; schedule a retry if it cannot be read.
 
         Args:
@@ -65,15 +65,15 @@
             if attempt == 1:
                 _log_rejection(error)
             if attempt <= MAX_RELOAD_RETRIES:
-                self._retry_later(attempt + 1)
+                self._schedule_retry(attempt + 1)
         except ConfigError as error:
             _log_rejection(error)
         else:
             self._apply(new_config)
 
-    def _retry_later(self, attempt: int) -> None:
+    def _schedule_retry(self, attempt: int) -> None:
         loop = asyncio.get_running_loop()
-        self._retry_timer = loop.call_later(RELOAD_RETRY_INTERVAL_S, self._read, attempt)
+        self._retry_timer = loop.call_later(RELOAD_RETRY_INTERVAL_S, self._read_and_apply, attempt)
 
     def _apply(self, new_config: Config) -> None:
         """Apply a change of the discovery address, and log each change that needs a restart."""
--- a/load_balancer/process/server.py
+++ b/load_balancer/process/server.py
@@ -35,7 +35,7 @@
 
 async def serve_until_stopped(config: Config, source: ConfigSource) -> None:
     """Build the proxy, listen after discovery has first reported, and shut down on a stop signal."""
-    stop = stop_event()
+    stop = install_stop_handlers()
     proxy = build_proxy(config)
     reloader = Reloader(source, config, proxy.driver)
     asyncio.get_running_loop().add_signal_handler(RELOAD_SIGNAL, reloader.reload)
@@ -79,7 +79,7 @@
     return max(request_class.deadline_us for request_class in settings.classes) / 1e6
 
 
-def stop_event() -> asyncio.Event:
+def install_stop_handlers() -> asyncio.Event:
     """Install handlers of the stop signals that set an event, and return the event."""
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
