--- a/load_balancer/process/graceful_shutdown.py
+++ b/load_balancer/process/graceful_shutdown.py
@@ -14,7 +14,7 @@
 ACCEPT_GRACE_S = 0.6  # after SIGTERM; clients keep opening connections for 0.2 to 0.4 s
 # SIGKILL follows SIGTERM after min(longest deadline, MAX_DEADLINE_S) + 0.7 s.
 MAX_DEADLINE_S = 3.0
-DRAIN_GRACE_S = 0.2  # every request has its response by min(longest deadline, MAX_DEADLINE_S) + this
+DRAIN_GRACE_S = 0.2  # added to min(longest deadline, MAX_DEADLINE_S) for the drain timeout
 MIN_REQUEST_TIME_S = 1.2  # time from the last accepted request to the end of the drain timeout
 FLUSH_TIMEOUT_S = 0.2  # for writing the last responses
 POLL_INTERVAL_S = 0.01  # between two checks of the open connections
@@ -88,7 +88,7 @@
         """Keep serving while clients may not have seen the failed readiness check or have no other proxy.
 
         Clients keep using their open connections. If the listener closed at once, clients would have no proxy
-        while another one, restarted just before, is not ready yet.
+        if another one, restarted just before, is not ready yet.
         """
         await asyncio.sleep(min_accept_time_s(self._drain_timeout_s))
         last_request_at_s = self._drain_deadline_s - MIN_REQUEST_TIME_S
