--- a/load_balancer/net/client/client_connection.py
+++ b/load_balancer/net/client/client_connection.py
@@ -29,7 +29,7 @@
         has_responded: Whether any final response has been written.
         is_over_limit: Whether there are too many connections, so that each request is answered with 503.
         is_processing_scheduled: Whether what has come is parsed in the next turn of the event loop.
-        has_final_check: Whether the connection is past its time limit and is checked once more before it is
+        has_scheduled_final_check: Whether the connection is past its time limit and is checked once more before it is
             closed.
         forwarded_request_id: The driver's id of the request that waits for its response.
     """
@@ -55,14 +55,14 @@
         self.last_progress_at_s = connected_at_s
         self.has_responded = False
         self.is_processing_scheduled = False
-        self.has_final_check = False
+        self.has_scheduled_final_check = False
         self.forwarded_request_id: str | None = None
         self._clients = clients
         self._loop = asyncio.get_running_loop()
         self.is_over_limit = clients.add(self)
 
     @property
-    def is_waiting(self) -> bool:
+    def is_waiting_for_response(self) -> bool:
         """Whether a request is with the driver."""
         return self.state is ConnectionState.WAITING_FOR_RESPONSE
 
@@ -77,7 +77,7 @@
         return not self.is_lingering and self.http.is_between_requests
 
     @property
-    def has_unanswered_request(self) -> bool:
+    def has_pending_request(self) -> bool:
         """Whether a part of a request has come that has no response yet."""
         return not self.is_lingering and not self.is_idle
 
@@ -99,13 +99,13 @@
             return False
         return not is_closed_by_remote(self.transport)
 
-    def is_client_present(self) -> bool:
+    def is_client_connected(self) -> bool:
         """Return whether the client is still there, by what the system knows now; abort if it is not."""
         if not self.transport.is_closing() and is_closed_by_remote(self.transport):
             self.transport.abort()
         return not self.transport.is_closing()
 
-    def enter(self, state: ConnectionState) -> None:
+    def transition_to(self, state: ConnectionState) -> None:
         """Go to another state, which has to be one that may follow the present one."""
         assert state in TRANSITIONS[self.state], f"{self.state.name} to {state.name}"
         self.state = state
@@ -138,7 +138,7 @@
 
     def reject(self, response: ClientResponse) -> None:
         """Respond to what is not HTTP, too large or not to be served, and linger."""
-        self._clients.presence.unwatch(self)
+        self._clients.disconnect_poller.stop_polling(self)
         if self.http.can_respond:
             self.write_response(response, is_last=True)
         self.linger()
@@ -151,7 +151,7 @@
         """
         if self.is_lingering or self.transport.is_closing():
             return
-        self.enter(ConnectionState.LINGERING)
+        self.transition_to(ConnectionState.LINGERING)
         self.http.received.clear()
         self.transport.resume_reading()
         self._clients.mark_unused(self)
@@ -165,6 +165,6 @@
         Args:
             response: What an incomplete request gets; one that is with the driver gets none.
         """
-        if self.has_unanswered_request and not self.is_waiting:
+        if self.has_pending_request and not self.is_waiting_for_response:
             self.reject(response)
         self.transport.abort()
--- a/load_balancer/net/client/client_limits.py
+++ b/load_balancer/net/client/client_limits.py
@@ -37,18 +37,18 @@
 # A client that sends no complete request gets an error or a close this long after its connect.
 INCOMPLETE_REQUEST_DEADLINE_S = 3.0
 # The event loop may be late by this, as it accepts a connection and again as it checks it.
-EVENT_LOOP_DELAY_S = 0.15
+MAX_EVENT_LOOP_DELAY_S = 0.15
 KEEP_ALIVE_TIMEOUT_S = 20.0  # an idle connection is closed after this time
 LINGER_TIMEOUT_S = 1.0  # bytes that come after the last response are read and dropped for this long
 WRITE_TIMEOUT_S = 5.0  # a client that does not read its response for this long is disconnected
 SWEEP_INTERVAL_S = 0.2  # between two checks of all connections against these times
 # A request of which more has just come may take this much longer than REQUEST_TIMEOUT_S.
 PARTIAL_REQUEST_GRACE_S = (
-    INCOMPLETE_REQUEST_DEADLINE_S - REQUEST_TIMEOUT_S - SWEEP_INTERVAL_S - 2 * EVENT_LOOP_DELAY_S
+    INCOMPLETE_REQUEST_DEADLINE_S - REQUEST_TIMEOUT_S - SWEEP_INTERVAL_S - 2 * MAX_EVENT_LOOP_DELAY_S
 )
 # Within this time the event loop has read what had come to a connection that is about to be closed.
 FINAL_CHECK_DELAY_S = 0.03
 # Between two polls whether the client of a connection that is not read is still there. No attempt may begin
 # more than 0.1 s after a client has left, and the event loop may be late.
-PRESENCE_POLL_INTERVAL_S = 0.03
+DISCONNECT_POLL_INTERVAL_S = 0.03
 ACCEPT_RETRY_DELAY_S = 0.05  # before another accept, where none succeeds, as for lack of a descriptor
--- a/load_balancer/net/client/client_listener.py
+++ b/load_balancer/net/client/client_listener.py
@@ -119,7 +119,7 @@
         self.sweep_timer = self.loop.call_later(limits.SWEEP_INTERVAL_S, self.sweep)
         now_s = self.loop.time()
         if self._acceptor is not None:
-            self._acceptor.end_quiet_faults(now_s)
+            self._acceptor.log_ended_faults(now_s)
         for connection in list(self.clients.open_connections):
             self.time_limits.check(connection, now_s)
 
--- a/load_balancer/net/client/client_protocol.py
+++ b/load_balancer/net/client/client_protocol.py
@@ -45,10 +45,10 @@
         """Register the connection, or close it where there are far too many."""
         assert isinstance(transport, asyncio.Transport)
         transport.set_write_buffer_limits(high=0)  # so that resume_writing tells when all is written
-        http = HttpServerProtocol(self._clients.buffered, self._connected_at_s)
+        http = HttpServerProtocol(self._clients.buffered_total, self._connected_at_s)
         self._connection = ClientConnection(transport, http, self._clients, self._connected_at_s)
         self._processor = RequestProcessor(self._connection, self._clients, self._driver, self._classes)
-        if self._clients.is_overfull:
+        if self._clients.is_over_hard_limit:
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -56,7 +56,7 @@
         self._clients.descriptor_count -= 1  # the transport closes its socket right after this
         self._clients.remove(self._connection)
         self._connection.http.received.clear()
-        self._processor.withdraw()
+        self._processor.cancel_open_request()
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return where the next bytes are read into."""
--- a/load_balancer/net/client/client_registry.py
+++ b/load_balancer/net/client/client_registry.py
@@ -12,8 +12,8 @@
 from typing import Generic, Protocol, TypeVar
 
 from load_balancer.net.client import client_limits as limits
+from load_balancer.net.client.disconnect_poller import DisconnectPoller, PolledConnection
 from load_balancer.net.client.http_response import SERVICE_UNAVAILABLE
-from load_balancer.net.client.presence_poller import PolledConnection, PresencePoller
 from load_balancer.net.client.receive_buffer import BufferedTotal
 from load_balancer.net.driver.client_messages import ClientResponse
 
@@ -22,7 +22,7 @@
     """What the registry needs of a connection."""
 
     @property
-    def has_unanswered_request(self) -> bool:
+    def has_pending_request(self) -> bool:
         """Whether a part of a request has come that has no response yet."""
 
     @property
@@ -50,10 +50,10 @@
             yet or were rejected, the longest waiting first.
         idle_connections: Those that may be closed to make room and that have got a response and may send
             another request, the longest waiting first.
-        presence: Polls those that have a request open and are not read, so that the event loop does not see
+        disconnect_poller: Polls those that have a request open and are not read, so that the event loop does not see
             their client leave.
         open_request_ids: The ids of the requests that have no response yet.
-        buffered: The bytes in the receive buffers of all connections.
+        buffered_total: The bytes in the receive buffers of all connections.
         read_buffer: Where each connection reads into; it copies what it has got before the next one reads.
         descriptor_count: The descriptors of connections, each from its accept to its close.
         is_shutting_down: Whether the process ends, so that it is not ready any more.
@@ -71,44 +71,44 @@
         # Dictionaries, as these keep the order in which connections were put in.
         self.unused_connections: dict[ConnectionT, None] = {}
         self.idle_connections: dict[ConnectionT, None] = {}
-        self.presence: PresencePoller[ConnectionT] = PresencePoller()
+        self.disconnect_poller: DisconnectPoller[ConnectionT] = DisconnectPoller()
         self.open_request_ids: set[bytes] = set()
-        self.buffered = BufferedTotal()
+        self.buffered_total = BufferedTotal()
         self.read_buffer = memoryview(bytearray(limits.READ_SIZE_BYTES))
         self.descriptor_count = 0
         self.is_shutting_down = False
         self.is_draining = False
 
     @property
-    def free_descriptors(self) -> int:
+    def free_descriptor_count(self) -> int:
         """How many more connections may be accepted."""
         return self.max_connections + limits.MAX_CONNECTIONS_OVER_LIMIT - self.descriptor_count
 
     @property
-    def is_overfull(self) -> bool:
+    def is_over_hard_limit(self) -> bool:
         """Whether so many connections are open that another one is closed without a response."""
         return len(self.open_connections) > self.max_connections + limits.MAX_CONNECTIONS_OVER_LIMIT
 
-    def add(self, newcomer: ConnectionT) -> bool:
+    def add(self, connection: ConnectionT) -> bool:
         """Add a connection, and close another one to make room where there is none.
 
         Returns:
             Whether the newcomer is over the limit, as no other one could be closed.
         """
         if len(self.open_connections) >= self.max_connections:
-            self._make_room()
-        self.open_connections.add(newcomer)
-        self.unused_connections[newcomer] = None
+            self._evict_connection()
+        self.open_connections.add(connection)
+        self.unused_connections[connection] = None
         return len(self.open_connections) > self.max_connections
 
-    def _make_room(self) -> None:
-        for connection in self._candidates_for_closing():
+    def _evict_connection(self) -> None:
+        for connection in self._eviction_candidates():
             if not (connection.has_unprocessed_bytes or connection.is_writing):
                 self.remove(connection)
                 connection.abort(SERVICE_UNAVAILABLE)
                 return
 
-    def _candidates_for_closing(self) -> Iterator[ConnectionT]:
+    def _eviction_candidates(self) -> Iterator[ConnectionT]:
         """Return the connections that may be closed to make room, the first to close first.
 
         Once unused connections take half of the room, they are a flood, which closes its own and not those of
@@ -117,7 +117,7 @@
         silent = (
             connection
             for connection in islice(self.unused_connections, limits.MAX_SILENT_CANDIDATES)
-            if not connection.has_unanswered_request
+            if not connection.has_pending_request
         )
         unused = chain(silent, self.unused_connections)
         is_flood = 2 * len(self.unused_connections) >= self.max_connections
@@ -126,7 +126,7 @@
     def remove(self, connection: ConnectionT) -> None:
         """Forget a connection that is closed."""
         self.open_connections.discard(connection)
-        self.presence.unwatch(connection)
+        self.disconnect_poller.stop_polling(connection)
         self.mark_active(connection)
 
     def mark_active(self, connection: ConnectionT) -> None:
@@ -148,6 +148,6 @@
 
     def abort_all(self) -> None:
         """Close all connections at once; an incomplete request gets a 503."""
-        self.presence.close()
+        self.disconnect_poller.close()
         for connection in list(self.open_connections):
             connection.abort(SERVICE_UNAVAILABLE)
--- a/load_balancer/net/client/connection_acceptor.py
+++ b/load_balancer/net/client/connection_acceptor.py
@@ -56,7 +56,7 @@
 
     Attributes:
         listening_socket: The socket.
-        admission_tasks: One for each connection that has been accepted and is not registered yet.
+        registration_tasks: One for each connection that has been accepted and is not registered yet.
         descriptor_faults: The log lines on connections that could not be accepted for want of a descriptor.
     """
 
@@ -74,7 +74,7 @@
             make_protocol: Makes the protocol of an accepted connection.
         """
         self.listening_socket = listening_socket
-        self.admission_tasks: set[asyncio.Task[None]] = set()
+        self.registration_tasks: set[asyncio.Task[None]] = set()
         self.descriptor_faults = repeated_fault(log, "no descriptor for a connection")
         self._lost_connection_faults = repeated_fault(log, "a connection was lost while it was accepted")
         self._accept_faults = repeated_fault(log, "no connection can be accepted")
@@ -88,7 +88,7 @@
     @property
     def has_pending_connections(self) -> bool:
         """Whether the end of the queue is not reached yet, or a connection is not registered yet."""
-        return self._state is AcceptorState.STOPPING or bool(self.admission_tasks)
+        return self._state is AcceptorState.STOPPING or bool(self.registration_tasks)
 
     def stop(self) -> None:
         """Accept the connections in the system's queue, and then no more: a close would reset those.
@@ -98,7 +98,7 @@
         if self._state is AcceptorState.CLOSED:
             return
         self._state = AcceptorState.STOPPING
-        if self._accept_up_to(min(limits.ACCEPT_BACKLOG + 1, self._clients.free_descriptors)):
+        if self._accept_up_to(min(limits.ACCEPT_BACKLOG + 1, self._clients.free_descriptor_count)):
             self.close()
         else:
             self._pause()
@@ -112,7 +112,7 @@
             self._loop.remove_reader(self.listening_socket)
             self.listening_socket.close()
 
-    def end_quiet_faults(self, now_s: float) -> None:
+    def log_ended_faults(self, now_s: float) -> None:
         """Log the count of each kind of fault that has not come again for a while.
 
         Args:
@@ -125,7 +125,7 @@
         # A connection takes some turns of the event loop from its accept until it is registered, and so does
         # the close of the one that makes room for it. Without a bound, a flood would take all descriptors of
         # the process in between.
-        self._accept_up_to(min(limits.MAX_ACCEPTS_PER_TURN, max(1, self._clients.free_descriptors)))
+        self._accept_up_to(min(limits.MAX_ACCEPTS_PER_TURN, max(1, self._clients.free_descriptor_count)))
 
     def _accept_up_to(self, count: int) -> bool:
         """Accept up to `count` connections, and return whether the system's queue is empty now.
@@ -159,9 +159,9 @@
             self._lost_connection_faults.record(self._loop.time(), error)
             return False
         self._clients.descriptor_count += 1
-        task = self._loop.create_task(self.admit(accepted))
-        self.admission_tasks.add(task)
-        task.add_done_callback(self.admission_tasks.discard)
+        task = self._loop.create_task(self.register_connection(accepted))
+        self.registration_tasks.add(task)
+        task.add_done_callback(self.registration_tasks.discard)
         return True
 
     def _pause(self) -> None:
@@ -177,7 +177,7 @@
         else:
             self._loop.add_reader(self.listening_socket, self._accept_ready)
 
-    async def admit(self, accepted: socket.socket) -> None:
+    async def register_connection(self, accepted: socket.socket) -> None:
         """Give an accepted connection its protocol, which registers it."""
         try:
             # asyncio sets this only where it made the socket itself, as it does for endpoints.
--- a/load_balancer/net/client/connection_time_limits.py
+++ b/load_balancer/net/client/connection_time_limits.py
@@ -27,20 +27,20 @@
             connection: The connection.
             now_s: The event loop's time.
         """
-        if connection.is_waiting:
+        if connection.is_waiting_for_response:
             return  # the driver ends each request in time
-        still_s = now_s - connection.last_progress_at_s
+        inactive_s = now_s - connection.last_progress_at_s
         limit_s = _time_limit_s(connection)
-        if still_s <= limit_s:
-            connection.has_final_check = False
+        if inactive_s <= limit_s:
+            connection.has_scheduled_final_check = False
             return
         if connection.has_unprocessed_bytes:
-            if not connection.is_idle and still_s <= limit_s + limits.PARTIAL_REQUEST_GRACE_S:
+            if not connection.is_idle and inactive_s <= limit_s + limits.PARTIAL_REQUEST_GRACE_S:
                 return
             # A request may just have come. Not more than once: a client that sends empty lines now and then
             # would keep its connection for ever.
-            if connection.is_idle and not connection.has_final_check:
-                connection.has_final_check = True
+            if connection.is_idle and not connection.has_scheduled_final_check:
+                connection.has_scheduled_final_check = True
                 self._loop.call_later(limits.FINAL_CHECK_DELAY_S, self._run_final_check, connection)
                 return
         connection.abort(REQUEST_TIMEOUT)
--- a/load_balancer/net/client/presence_poller.py
+++ b/load_balancer/net/client/disconnect_poller.py
@@ -14,14 +14,14 @@
 class PolledConnection(Protocol):
     """What the poller needs of a connection."""
 
-    def is_client_present(self) -> bool:
+    def is_client_connected(self) -> bool:
         """Return whether the client is still there; close the connection of one that is not."""
 
 
 PolledT = TypeVar("PolledT", bound=PolledConnection)
 
 
-class PresencePoller(Generic[PolledT]):
+class DisconnectPoller(Generic[PolledT]):
     """The connections that have a request open and are not read.
 
     Attributes:
@@ -39,13 +39,13 @@
         """Whether another poll is on its way."""
         return self._timer is not None
 
-    def watch(self, connection: PolledT) -> None:
+    def start_polling(self, connection: PolledT) -> None:
         """Poll a connection from now on."""
         self.connections.add(connection)
         if self._timer is None:
-            self._timer = self._loop.call_later(limits.PRESENCE_POLL_INTERVAL_S, self._poll)
+            self._timer = self._loop.call_later(limits.DISCONNECT_POLL_INTERVAL_S, self._poll)
 
-    def unwatch(self, connection: PolledT) -> None:
+    def stop_polling(self, connection: PolledT) -> None:
         """End the polling of a connection: it is read again, or its request is no longer open."""
         self.connections.discard(connection)
 
@@ -57,5 +57,5 @@
     def _poll(self) -> None:
         self._timer = None
         for connection in list(self.connections):
-            if connection.is_client_present():
-                self.watch(connection)
+            if connection.is_client_connected():
+                self.start_polling(connection)
--- a/load_balancer/net/client/http_request.py
+++ b/load_balancer/net/client/http_request.py
@@ -22,7 +22,7 @@
 # A length with more digits is too long in any case, and int() of a very long one would hold up the event
 # loop.
 MAX_CONTENT_LENGTH_DIGITS = 18
-METHOD_OF_CLASS = {
+METHOD_BY_IDEMPOTENCY = {
     messages.Idempotency.SAFE: b"GET",
     messages.Idempotency.KEYED: b"POST",
     messages.Idempotency.UNSAFE: b"POST",
@@ -85,7 +85,7 @@
     fields = _unique_headers(request)
     if not request.http_version.startswith(b"1."):
         raise BadRequestError(505, "not HTTP/1")
-    if request.method not in METHOD_OF_CLASS.values():
+    if request.method not in METHOD_BY_IDEMPOTENCY.values():
         raise BadRequestError(405, "neither GET nor POST")
     if not request.target.startswith(b"/"):
         raise BadRequestError(400, "not a path")
@@ -128,12 +128,12 @@
     if not ID_PATTERN.fullmatch(request_id):
         raise BadRequestError(400, "no Req-Id")
     request_class = _read_class(request, fields, classes)
-    owner = fields.get(b"req-owner")
+    tenant = fields.get(b"req-owner")
     return RequestHead(
         request_id=request_id,
         class_name=request_class.name,
         time_remaining_s=_read_time_remaining_s(fields, request_class),
-        tenant=None if owner is None else owner.decode("latin-1"),
+        tenant=None if tenant is None else tenant.decode("latin-1"),
         is_retry=fields.get(b"req-retry") == b"1",
         method=request.method,
         target=request.target,
@@ -148,7 +148,7 @@
     request_class = classes.get(fields.get(b"req-kind", b"").decode("latin-1"))
     if request_class is None:
         raise BadRequestError(400, "unknown Req-Kind")
-    if request.method != METHOD_OF_CLASS[request_class.idempotency]:
+    if request.method != METHOD_BY_IDEMPOTENCY[request_class.idempotency]:
         raise BadRequestError(405, "not the method of the request class")
     has_key = ID_PATTERN.fullmatch(fields.get(b"idempotency-key", b""))
     if request_class.idempotency is messages.Idempotency.KEYED and not has_key:
@@ -160,8 +160,10 @@
     deadline = fields.get(b"req-deadline")
     if deadline is not None and not DEADLINE_PATTERN.fullmatch(deadline):
         raise BadRequestError(400, "Req-Deadline is not a number")
-    longest_s = request_class.deadline_us / 1e6  # no client of the class waits longer, whatever it says
-    return longest_s if deadline is None else min(float(deadline), longest_s)
+    class_deadline_s = (
+        request_class.deadline_us / 1e6
+    )  # no client of the class waits longer, whatever it says
+    return class_deadline_s if deadline is None else min(float(deadline), class_deadline_s)
 
 
 def _forwarded_headers(request: h11.Request, fields: Mapping[bytes, bytes]) -> Headers:
--- a/load_balancer/net/client/request_forwarder.py
+++ b/load_balancer/net/client/request_forwarder.py
@@ -71,33 +71,33 @@
 
     def reject(self, response: ClientResponse) -> None:
         """Respond to what is not HTTP, too large or not to be served, and linger."""
-        self._finish()
+        self._end_request()
         self._connection.forwarded_request_id = None
         self._connection.reject(response)
 
-    def withdraw(self) -> None:
+    def cancel_open_request(self) -> None:
         """End the open request of a client whose connection is lost; do nothing where none is open."""
-        if not self._connection.is_waiting:
+        if not self._connection.is_waiting_for_response:
             return
-        self._finish()
+        self._end_request()
         if self._connection.forwarded_request_id is not None:
             self._driver.cancel_request(self._connection.forwarded_request_id)
 
     def _forward(self, head: RequestHead, on_next_request: Callable[[], None]) -> None:
         connection = self._connection
         client_request = self._to_client_request(head, on_next_request)
-        if not connection.is_client_present():
+        if not connection.is_client_connected():
             return
         self._clients.open_request_ids.add(head.request_id)
-        connection.enter(ConnectionState.WAITING_FOR_RESPONSE)
+        connection.transition_to(ConnectionState.WAITING_FOR_RESPONSE)
         request_id = self._driver.accept_request(client_request)
-        if connection.is_waiting:  # the driver may have responded at once
+        if connection.is_waiting_for_response:  # the driver may have responded at once
             connection.forwarded_request_id = request_id
 
     def _to_client_request(self, head: RequestHead, on_next_request: Callable[[], None]) -> ClientRequest:
         # The time remaining counts from when the last byte came, however long it waited behind another.
         now_s = self._loop.time()
-        waited_s = now_s - self._connection.http.parsed_received_at_s
+        waited_s = now_s - self._connection.http.last_parsed_received_at_s
         return ClientRequest(
             class_name=head.class_name,
             time_remaining_us=round(1e6 * max(0.0, head.time_remaining_s - waited_s)),
@@ -109,22 +109,22 @@
             headers=self._incoming.forwarded_headers(head),
             body=bytes(self._incoming.body),
             respond=partial(self._respond, on_next_request),
-            is_client_connected=self._connection.is_client_present,
+            is_client_connected=self._connection.is_client_connected,
         )
 
     def _respond(self, on_next_request: Callable[[], None], response: ClientResponse) -> None:
         """Write the one final response to the present request."""
-        self._finish()
+        self._end_request()
         self._connection.forwarded_request_id = None
         if self._connection.write_response(response):
             on_next_request()
 
-    def _finish(self) -> None:
+    def _end_request(self) -> None:
         """End the present request: it is no longer open."""
         head = self._incoming.head
-        if self._connection.is_waiting:
+        if self._connection.is_waiting_for_response:
             if head is not None:
                 self._clients.open_request_ids.discard(head.request_id)
-            self._connection.enter(ConnectionState.READING)
+            self._connection.transition_to(ConnectionState.READING)
         self._incoming.clear()
-        self._clients.presence.unwatch(self._connection)
+        self._clients.disconnect_poller.stop_polling(self._connection)
--- a/load_balancer/net/client/request_processor.py
+++ b/load_balancer/net/client/request_processor.py
@@ -93,9 +93,9 @@
             self._clients.mark_idle(connection)  # nothing but empty lines had come ahead
         self._pause_or_resume_reading()
 
-    def withdraw(self) -> None:
+    def cancel_open_request(self) -> None:
         """End the open request of a client whose connection is lost."""
-        self._forwarder.withdraw()
+        self._forwarder.cancel_open_request()
 
     def _parse_events(self) -> None:
         for _ in range(limits.MAX_EVENTS_PER_TURN):
@@ -139,7 +139,7 @@
             self._transport.pause_reading()
         else:
             self._transport.resume_reading()
-        if self._connection.is_waiting and not self._transport.is_reading():
-            self._clients.presence.watch(self._connection)
+        if self._connection.is_waiting_for_response and not self._transport.is_reading():
+            self._clients.disconnect_poller.start_polling(self._connection)
         else:
-            self._clients.presence.unwatch(self._connection)
+            self._clients.disconnect_poller.stop_polling(self._connection)
--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -67,7 +67,7 @@
     client.send(request[:30])
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)
     [connection] = proxy.clients.open_connections
-    await wait_until(lambda: not connection.is_idle and not proxy.listener.acceptor.admission_tasks)
+    await wait_until(lambda: not connection.is_idle and not proxy.listener.acceptor.registration_tasks)
     proxy.listener.close_idle_connections()
     assert not proxy.listener.is_drained
     client.send(request[30:])
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -134,7 +134,7 @@
             client.socket.setblocking(False)
             assert await proxy.listener.loop.sock_recv(client.socket, 1) == b""
             client.socket.close()
-        await wait_until(lambda: not proxy.listener.acceptor.admission_tasks)
+        await wait_until(lambda: not proxy.listener.acceptor.registration_tasks)
     assert proxy.clients.descriptor_count == 0
     assert "Traceback" not in caplog.text
     assert caplog.text.count("lost while it was accepted") == 1
@@ -169,13 +169,13 @@
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=64) as proxy,
     ):
         accepted: list[socket.socket] = []
-        admit = proxy.listener.acceptor.admit
+        register_connection = proxy.listener.acceptor.register_connection
 
         def listen(connection: socket.socket) -> Coroutine[None, None, None]:
             accepted.append(connection)
-            return admit(connection)
+            return register_connection(connection)
 
-        monkeypatch.setattr(proxy.listener.acceptor, "admit", listen)
+        monkeypatch.setattr(proxy.listener.acceptor, "register_connection", listen)
         clients, most = await flood(proxy, kind, accepted)
         assert most - 64 <= RESERVED_DESCRIPTORS - FIXED - WATCHES
         await run_loop_turns()
@@ -288,16 +288,16 @@
         assert len(proxy.driver.requests) == client_count  # each with its own request open
         assert (
             100_000
-            < proxy.clients.buffered.size_bytes
+            < proxy.clients.buffered_total.size_bytes
             <= 100_000 + client_count * client_limits.READ_SIZE_BYTES
         )
-        assert proxy.clients.buffered.size_bytes == sum(
+        assert proxy.clients.buffered_total.size_bytes == sum(
             connection.http.received.size_bytes for connection in connections
         )
         for client in clients:
             client.disconnect("RST")
         await wait_until(lambda: not proxy.clients.open_connections)
-        assert proxy.clients.buffered.size_bytes == 0
+        assert proxy.clients.buffered_total.size_bytes == 0
 
 
 async def test_connection_is_not_evicted_while_its_request_is_parsed() -> None:
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_departed_client_attempts.py
@@ -236,7 +236,7 @@
         waiting.gate.open_all()
         await end_all_attempts(proxy, failing_request=key)
         assert waiting.forwarded_ids == (["r0"] if where == "out" else [])
-        assert not proxy.clients.presence.connections
+        assert not proxy.clients.disconnect_poller.connections
 
 
 async def pass_half_a_second(clock: SteppedClock) -> None:
@@ -271,20 +271,20 @@
         polled_transports.clear()
         await pass_half_a_second(clock)
         assert not polled_transports
-        assert not proxy.clients.presence.is_scheduled
+        assert not proxy.clients.disconnect_poller.is_scheduled
         client = SocketClient(proxy)
         connection = await begin(proxy, client, True)
         await pass_half_a_second(clock)
         assert len(polled_transports) >= 10
         assert set(polled_transports) == {connection.transport}
         proxy.driver.end_all_requests()
-        await wait_until(lambda: not proxy.clients.presence.connections)
+        await wait_until(lambda: not proxy.clients.disconnect_poller.connections)
         for one in (idle, busy, client):
             one.disconnect("RST")
         await wait_until(lambda: not proxy.clients.open_connections)
         clock.advance(0.05)
         await run_loop_turns()
-        assert not proxy.clients.presence.is_scheduled
+        assert not proxy.clients.disconnect_poller.is_scheduled
 
 
 @pytest.mark.parametrize("way", WAYS)
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_departed_client_requests.py
@@ -125,14 +125,14 @@
         writer.close()
         await run_loop_turns(100)
         while not proxy.driver.is_idle:
-            clock.advance(client_limits.PRESENCE_POLL_INTERVAL_S)
+            clock.advance(client_limits.DISCONNECT_POLL_INTERVAL_S)
             await run_loop_turns()
         assert clock.advanced_s < 1.0  # the request's deadline has not ended it
         delayed.may_respond.set()
         attempts = proxy.driver.requests.attempts
         await wait_until(lambda: not attempts.in_flight and not proxy.clients.open_connections)
         assert delayed.request_ids == ["r0"]
-        assert proxy.clients.buffered.size_bytes == 0
+        assert proxy.clients.buffered_total.size_bytes == 0
 
 
 async def test_request_read_after_its_client_disconnected_is_not_forwarded(
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_departed_client_writes.py
@@ -148,7 +148,7 @@
         assert request_count(held.endpoints) == held.requests_before
         assert nothing_left(held.proxy)
         assert not held.proxy.driver.requests.attempts.in_flight
-        assert not clients.presence.connections
+        assert not clients.disconnect_poller.connections
         assert not held.proxy.pool.waiting.by_endpoint
 
 
--- a/tests/net/client/test_http_server_protocol.py
+++ b/tests/net/client/test_http_server_protocol.py
@@ -48,11 +48,11 @@
     for at_s, path in ((1.0, "/a"), (2.0, "/b")):
         protocol.receive(at_s, http_request(path=path))
     assert read_request(protocol) == (b"/a", b"")
-    assert protocol.parsed_received_at_s == 1.0
+    assert protocol.last_parsed_received_at_s == 1.0
     protocol.final_response(ClientResponse(200), is_last=False)
     assert protocol.start_next_request()
     assert read_request(protocol) == (b"/b", b"")
-    assert protocol.parsed_received_at_s == 2.0
+    assert protocol.last_parsed_received_at_s == 2.0
 
 
 @pytest.mark.parametrize("lines", [b"\r\n", b"\n", b"\r\n\r\n\n"])
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -134,7 +134,7 @@
         assert clock.advanced_s <= DUE_S - LATE_S
         assert endpoint.received == []
         assert not proxy.clients.open_request_ids
-        assert proxy.clients.buffered.size_bytes == 0
+        assert proxy.clients.buffered_total.size_bytes == 0
         assert not info_lines(caplog)
         client.socket.close()
 
@@ -160,7 +160,9 @@
                 writer.write(sent + b"x" * 1_000_000)
                 sent = b""
                 await writer.drain()
-                assert proxy.clients.buffered.size_bytes <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION
+                assert (
+                    proxy.clients.buffered_total.size_bytes <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION
+                )
         assert 400 <= response_status(await got) < 600
         clock.advance(client_limits.LINGER_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
         await wait_until(lambda: not proxy.clients.open_connections)
@@ -223,7 +225,7 @@
         assert connection.is_idle
         assert connection in proxy.clients.idle_connections
         assert connection.last_progress_at_s == since
-        assert proxy.clients.buffered.size_bytes == 0
+        assert proxy.clients.buffered_total.size_bytes == 0
         client.send(b"\r\n" + http_request(path="/ready", Connection="close"))
         reader, writer = await client.streams()
         assert [response_status(await read_http_message(reader)) for _ in range(2)] == [200, 200]
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -53,7 +53,7 @@
 
     await wait_until(lambda: bool(its_own()))
     [connection] = its_own()
-    await wait_until(lambda: connection.has_unanswered_request)
+    await wait_until(lambda: connection.has_pending_request)
     return connection
 
 
@@ -142,7 +142,7 @@
         await wait_until(lambda: bool(proxy.clients.idle_connections))
         [connection] = proxy.clients.open_connections
         client.send(STOPS[stop])
-        await wait_until(lambda: connection.has_unanswered_request)
+        await wait_until(lambda: connection.has_pending_request)
         assert response_status(await proxy.send_request(http_request(request_id="other"))) == 503
         assert connection in proxy.clients.open_connections
         assert not connection.transport.is_closing()
@@ -252,7 +252,7 @@
     """There may be as many connections as descriptors, and as many new ones in a second."""
     crowd = 2 * client_limits.MAX_SILENT_CANDIDATES
     looked_at = 0
-    began = ClientConnection.has_unanswered_request.fget  # type: ignore[attr-defined]
+    began = ClientConnection.has_pending_request.fget  # type: ignore[attr-defined]
 
     def counted(connection: ClientConnection) -> bool:
         nonlocal looked_at
@@ -266,7 +266,7 @@
         clients = [SocketClient(proxy) for _ in range(crowd)]
         for client in clients:
             await came(proxy, client, http_request()[:40])
-        monkeypatch.setattr(ClientConnection, "has_unanswered_request", property(counted))
+        monkeypatch.setattr(ClientConnection, "has_pending_request", property(counted))
         newcomer = SocketClient(proxy)
         await wait_until(
             lambda: len(proxy.clients.open_connections) == crowd and proxy.clients.descriptor_count == crowd
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -121,7 +121,7 @@
     client.socket.close()
     assert len(endpoint.received) == (when == "after a good one")
     assert not proxy.clients.open_request_ids
-    assert proxy.clients.buffered.size_bytes == 0
+    assert proxy.clients.buffered_total.size_bytes == 0
     assert not info_lines(caplog)
 
 
@@ -170,14 +170,14 @@
     clock.advance(first_sweep_s + 0.001)  # no check comes just as a time limit ends
     while proxy.clients.open_connections:
         await late.sweep()
-        if connection.has_final_check:
+        if connection.has_scheduled_final_check:
             clock.advance(client_limits.FINAL_CHECK_DELAY_S + LATE_S)
             await run_loop_turns()
         assert clock.advanced_s - began <= DUE_S
     assert error_or_close(client)
     client.socket.close()
     assert not endpoint.received
-    assert proxy.clients.buffered.size_bytes == 0
+    assert proxy.clients.buffered_total.size_bytes == 0
     assert not info_lines(caplog)
 
 
