--- a/load_balancer/net/client/__init__.py
+++ b/load_balancer/net/client/__init__.py
@@ -1,1 +1,1 @@
-"""Clients' connections: their bytes become requests, and each request gets one final response."""
+"""Client side of the proxy: accepts connections, parses requests and writes one final response to each."""
--- a/load_balancer/net/client/client_connection.py
+++ b/load_balancer/net/client/client_connection.py
@@ -1,8 +1,8 @@
-"""Where one client's connection stands: its transport, its state, and what may be done with it now.
+"""A client connection: its transport, its state, and the writing of responses.
 
-`client_protocol` makes one for each accepted connection. `request_forwarder` moves it from state to state,
-`client_registry` asks whether it may be closed to make room, and `client_listener` closes it at its time
-limits and at the end of the process. Responses are written here, requests are read in `request_processor`.
+`client_protocol` creates one for each accepted connection. `request_forwarder` changes its state,
+`client_registry` may evict it when the connection limit is reached, and `client_listener` closes it when a
+time limit expires and when the process shuts down. Requests are read in `request_processor`.
 """
 
 from __future__ import annotations
@@ -18,20 +18,21 @@
 
 
 class ClientConnection:
-    """One client's connection.
+    """Connection to one client.
 
     Attributes:
         transport: The event loop's transport.
-        http: HTTP on this connection.
-        state: What the connection does with the bytes that come.
-        last_progress_at_s: The event loop's time of the connect, of a request's first byte or of a response,
-            whichever was last.
+        http: The HTTP parser and serializer of this connection.
+        state: The current state, which determines how received bytes are handled.
+        last_progress_at_s: Event loop time of the latest of: the accept, the first byte of a request, a final
+            response.
         has_responded: Whether any final response has been written.
-        is_over_limit: Whether there are too many connections, so that each request is answered with 503.
-        is_processing_scheduled: Whether what has come is parsed in the next turn of the event loop.
-        has_scheduled_final_check: Whether the connection is past its time limit and is checked once more before it is
-            closed.
-        forwarded_request_id: The driver's id of the request that waits for its response.
+        is_over_limit: Whether the connection exceeds the connection limit, so that each of its requests gets
+            a 503.
+        is_processing_scheduled: Whether parsing is scheduled for the next iteration of the event loop.
+        has_scheduled_final_check: Whether the time limit has expired and the final check before the close has
+            been scheduled.
+        forwarded_request_id: The driver's id of the request that is waiting for its response.
     """
 
     def __init__(
@@ -41,13 +42,13 @@
         clients: ClientRegistry[ClientConnection],
         connected_at_s: float,
     ) -> None:
-        """Start to wait for a request, and register the connection.
+        """Initialize in the state READING and add the connection to the registry.
 
         Args:
             transport: The event loop's transport.
-            http: HTTP on this connection.
-            clients: All open connections. Another one may be closed to make room for this one.
-            connected_at_s: The event loop's time of the connect.
+            http: The HTTP parser and serializer of this connection.
+            clients: The registry of open connections. Adding this connection may evict another one.
+            connected_at_s: Event loop time at which the connection was accepted.
         """
         self.transport = transport
         self.http = http
@@ -63,67 +64,67 @@
 
     @property
     def is_waiting_for_response(self) -> bool:
-        """Whether a request is with the driver."""
+        """Whether a request has been forwarded to the driver and has no response yet."""
         return self.state is ConnectionState.WAITING_FOR_RESPONSE
 
     @property
     def is_lingering(self) -> bool:
-        """Whether the last response has been written and what still comes is dropped."""
+        """Whether the last response has been written and received bytes are discarded."""
         return self.state is ConnectionState.LINGERING
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing of a request is here."""
+        """Whether no part of a request has been received since the last response."""
         return not self.is_lingering and self.http.is_between_requests
 
     @property
     def has_pending_request(self) -> bool:
-        """Whether a part of a request has come that has no response yet."""
+        """Whether a request has been received, at least in part, and has no response yet."""
         return not self.is_lingering and not self.is_idle
 
     @property
     def is_writing(self) -> bool:
-        """Whether the system has not taken all of a response yet."""
+        """Whether a part of a response has not been written to the socket yet."""
         return self.transport.get_write_buffer_size() > 0
 
     @property
     def is_finished(self) -> bool:
-        """Whether the connection is closing, with all responses written."""
+        """Whether the connection is closing and all responses have been written to the socket."""
         is_closing = self.is_lingering or self.transport.is_closing()
         return is_closing and not self.is_writing
 
     @property
     def has_unprocessed_bytes(self) -> bool:
-        """Whether more of a request has come, from a client that is still there."""
+        """Whether bytes of a request wait to be parsed or read, and the client is still connected."""
         if self.is_lingering or not (self.is_processing_scheduled or has_unread_bytes(self.transport)):
             return False
         return not is_closed_by_remote(self.transport)
 
     def is_client_connected(self) -> bool:
-        """Return whether the client is still there, by what the system knows now; abort if it is not."""
+        """Return whether the client is still connected by the socket's state; abort the connection if not."""
         if not self.transport.is_closing() and is_closed_by_remote(self.transport):
             self.transport.abort()
         return not self.transport.is_closing()
 
     def transition_to(self, state: ConnectionState) -> None:
-        """Go to another state, which has to be one that may follow the present one."""
+        """Change the state. The transition must be listed in `TRANSITIONS`."""
         assert state in TRANSITIONS[self.state], f"{self.state.name} to {state.name}"
         self.state = state
 
     def write_response(self, response: ClientResponse, *, is_last: bool = False) -> bool:
-        """Write the final response to the present request; do nothing where no response may follow.
+        """Write the final response to the current request; do nothing if the connection is closing.
 
         Args:
             response: The response.
-            is_last: Whether the connection is to be closed after it.
+            is_last: Whether to close the connection after the response.
 
         Returns:
-            Whether bytes of the next request are here already.
+            Whether bytes of the next request have already been received.
         """
         if self.is_lingering or self.transport.is_closing():
             return False
         if self._clients.is_draining or self.is_over_limit:
-            # A request that has come behind this one needs a response of its own.
+            # A pipelined request that has already been received still needs a response.
             is_last = is_last or not (self.http.has_unparsed_bytes or self.has_unprocessed_bytes)
         self.transport.write(self.http.final_response(response, is_last=is_last))
         self.last_progress_at_s = self._loop.time()
@@ -137,17 +138,17 @@
         return False
 
     def reject(self, response: ClientResponse) -> None:
-        """Respond to what is not HTTP, too large or not to be served, and linger."""
+        """Respond to an invalid, oversized or rejected request, if no response has been sent, and linger."""
         self._clients.disconnect_poller.stop_polling(self)
         if self.http.can_respond:
             self.write_response(response, is_last=True)
         self.linger()
 
     def linger(self) -> None:
-        """Close the proxy's side, and the connection once the client has closed its side.
+        """Close the sending side; the connection stays open until the client closes its side.
 
-        A close over unread bytes resets the connection, and the client may lose the response: the rest is
-        read and dropped first.
+        Closing a socket with unread bytes resets the connection, and the client may lose the response.
+        Therefore the remaining bytes are read and discarded first.
         """
         if self.is_lingering or self.transport.is_closing():
             return
@@ -156,14 +157,15 @@
         self.transport.resume_reading()
         self._clients.mark_unused(self)
         if self.transport.can_write_eof():
-            with contextlib.suppress(OSError):  # it has just been reset, which the next read reports
+            with contextlib.suppress(OSError):  # connection was just reset; the next read reports it
                 self.transport.write_eof()
 
     def abort(self, response: ClientResponse) -> None:
         """Close the connection at once.
 
         Args:
-            response: What an incomplete request gets; one that is with the driver gets none.
+            response: The response to an incomplete request. A request that has been forwarded to the driver
+                gets none.
         """
         if self.has_pending_request and not self.is_waiting_for_response:
             self.reject(response)
--- a/load_balancer/net/client/client_connection_state.py
+++ b/load_balancer/net/client/client_connection_state.py
@@ -1,4 +1,4 @@
-"""The states of a client's connection, and which of them may follow which."""
+"""States of a client connection and the allowed transitions between them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ConnectionState(enum.Enum):
-    """What a connection does with the bytes that come."""
+    """State of a client connection, which determines how received bytes are handled."""
 
     READING = enum.auto()
     """Parses them as a request."""
--- a/load_balancer/net/client/client_listener.py
+++ b/load_balancer/net/client/client_listener.py
@@ -1,8 +1,8 @@
-"""The process's side of clients' connections: where it listens, their time limits, and their end.
+"""Listens for client connections, enforces their time limits and closes them at shutdown.
 
-The entry module creates the listener and takes it through the phases of a graceful shutdown:
-`stop_listening`, `close_idle_connections` until `is_drained`, `close`. The listener owns the registry of all
-connections and the acceptor of new ones.
+The entry module creates the listener and calls it in the phases of a graceful shutdown: `stop_listening`,
+`close_idle_connections` until `is_drained`, `close`. The listener owns the registry of open connections and
+the acceptor of new ones.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
 
 
 class NotListeningError(LoadBalancerError):
-    """The listening socket is asked for before `listen` has made it."""
+    """The acceptor was accessed before `listen` created it."""
 
 
 class ClientListener:
-    """The listening socket and the connections accepted from it.
+    """Listening socket and the client connections accepted from it.
 
     Attributes:
-        loop: The event loop, whose time the limits are measured in.
-        clients: The open connections.
-        time_limits: Closes connections on which nothing has moved for too long.
-        sweep_timer: Runs until the next `sweep`.
+        loop: The event loop, whose clock the time limits use.
+        clients: The registry of open connections.
+        time_limits: Closes connections whose time limit has expired.
+        sweep_timer: The timer of the next `sweep`.
     """
 
     def __init__(
         self, driver: EventLoopDriver, classes: Mapping[str, messages.RequestClass], max_connections: int
     ) -> None:
-        """Start to check time limits; accept nothing before `listen`.
+        """Start checking time limits. Connections are accepted only after `listen`.
 
         Args:
-            driver: Takes the requests.
+            driver: The driver that requests are forwarded to.
             classes: The request classes of the settings, by name.
             max_connections: The limit on open connections.
         """
@@ -52,7 +52,7 @@
         self.time_limits = ConnectionTimeLimits()
         self._driver = driver
         self._classes = classes
-        self._acceptor: ConnectionAcceptor | None = None  # set once the socket listens
+        self._acceptor: ConnectionAcceptor | None = None  # None until listen() is called
         self.sweep_timer = self.loop.call_later(limits.SWEEP_INTERVAL_S, self.sweep)
 
     @property
@@ -67,10 +67,10 @@
         return self._acceptor
 
     def listen(self, address: Address) -> Address:
-        """Accept connections from now on.
+        """Create the listening socket and start accepting connections.
 
         Args:
-            address: Host and port; port 0 stands for any free one.
+            address: Host and port; port 0 selects any free port.
 
         Returns:
             The host and port of the listening socket.
@@ -80,20 +80,20 @@
         """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         listening_socket = socket.create_server(address, family=family, backlog=limits.ACCEPT_BACKLOG)
-        listening_socket.settimeout(0.0)  # does not block
+        listening_socket.settimeout(0.0)  # non-blocking
         self._acceptor = ConnectionAcceptor(listening_socket, self.clients, self._make_protocol)
         host, port = listening_socket.getsockname()[:2]
         return host, port
 
     def stop_listening(self) -> None:
-        """Accept the connections in the system's queue, and then no more."""
+        """Accept the connections already in the listen queue, then close the listening socket."""
         self.acceptor.stop()
 
     def close_idle_connections(self) -> None:
-        """Close connections from now on, each once its request has been answered.
+        """Start draining: close idle connections now, and each other one after its response.
 
-        The graceful shutdown repeats this until `is_drained`: a request may just be on its way on any
-        connection.
+        The graceful shutdown calls this repeatedly until `is_drained`, because a request may be in transit on
+        any connection.
         """
         self.clients.is_draining = True
         now_s = self.loop.time()
@@ -103,19 +103,19 @@
 
     @property
     def is_drained(self) -> bool:
-        """Whether every request has its response, all is written, and no connection waits to be accepted."""
+        """Whether all responses have been written and no connection waits to be accepted or registered."""
         if self._acceptor is not None and self._acceptor.has_pending_connections:
             return False
         return all(connection.is_finished for connection in self.clients.open_connections)
 
     def close(self) -> None:
-        """Close the socket and all connections at once; an incomplete request gets a 503."""
+        """Close the listening socket and all connections immediately; incomplete requests get a 503."""
         self.acceptor.close()
         self.sweep_timer.cancel()
         self.clients.abort_all()
 
     def sweep(self) -> None:
-        """Check the time limits of all connections, now and again after `SWEEP_INTERVAL_S`."""
+        """Check the time limits of all connections and schedule the next sweep."""
         self.sweep_timer = self.loop.call_later(limits.SWEEP_INTERVAL_S, self.sweep)
         now_s = self.loop.time()
         if self._acceptor is not None:
--- a/load_balancer/net/client/client_protocol.py
+++ b/load_balancer/net/client/client_protocol.py
@@ -1,4 +1,4 @@
-"""What the event loop calls for one client's connection, handed on to the parts that serve it."""
+"""asyncio protocol of a client connection: passes transport events to the request processor."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class ClientProtocol(asyncio.BufferedProtocol):
-    """The event loop's side of one client's connection.
+    """asyncio protocol of one client connection.
 
-    The connection and its request processor are made once the event loop has a transport for them, which is
-    before it calls anything else.
+    The connection and its request processor are created in `connection_made`, which the event loop calls
+    before any other callback.
     """
 
     _connection: ClientConnection
@@ -29,11 +29,11 @@
         driver: EventLoopDriver,
         classes: Mapping[str, messages.RequestClass],
     ) -> None:
-        """Note the time of the connect.
+        """Record the time of the accept.
 
         Args:
-            clients: All open connections; this one is added as soon as it has a transport.
-            driver: Takes the requests.
+            clients: The registry of open connections; `connection_made` adds this one.
+            driver: The driver that requests are forwarded to.
             classes: The request classes of the settings, by name.
         """
         self._clients = clients
@@ -42,9 +42,9 @@
         self._connected_at_s = asyncio.get_running_loop().time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection, or close it where there are far too many."""
+        """Register the connection; abort it if the hard connection limit is exceeded."""
         assert isinstance(transport, asyncio.Transport)
-        transport.set_write_buffer_limits(high=0)  # so that resume_writing tells when all is written
+        transport.set_write_buffer_limits(high=0)  # resume_writing then means that all is written
         http = HttpServerProtocol(self._clients.buffered_total, self._connected_at_s)
         self._connection = ClientConnection(transport, http, self._clients, self._connected_at_s)
         self._processor = RequestProcessor(self._connection, self._clients, self._driver, self._classes)
@@ -52,22 +52,22 @@
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Free what the connection holds, and withdraw its request from the driver."""
-        self._clients.descriptor_count -= 1  # the transport closes its socket right after this
+        """Release the resources of the connection and cancel its open request."""
+        self._clients.descriptor_count -= 1  # the transport closes its socket right after this callback
         self._clients.remove(self._connection)
         self._connection.http.received.clear()
         self._processor.cancel_open_request()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return where the next bytes are read into."""
+        """Return the buffer for the next read, which all connections share."""
         return self._clients.read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Take the bytes that have been read."""
+        """Pass the bytes that were read to the request processor."""
         self._processor.receive(self._clients.read_buffer[:nbytes])
 
     def resume_writing(self) -> None:
-        """Go on, as the system has taken all that was written."""
+        """Continue processing, now that the write buffer is empty."""
         if self._connection.is_lingering:
             self._connection.last_progress_at_s = asyncio.get_running_loop().time()
         self._processor.process()
--- a/load_balancer/net/client/client_registry.py
+++ b/load_balancer/net/client/client_registry.py
@@ -1,8 +1,7 @@
-"""Which client connections are open, which of them may be closed to make room, and what they share.
+"""Registry of open client connections: enforces the connection limit and holds shared state.
 
-The registry owns what concerns several connections: the limit on their number, the ids of the open requests,
-the bytes that all of them have buffered, and the poller of those that are not read. `client_listener`
-creates it; each connection reports its own changes to it.
+The shared state consists of the ids of the open requests, the total of buffered bytes, the read buffer and
+the disconnect poller. `client_listener` creates the registry; each connection reports its own state changes.
 """
 
 from __future__ import annotations
@@ -19,56 +18,56 @@
 
 
 class TrackedConnection(PolledConnection, Protocol):
-    """What the registry needs of a connection."""
+    """Interface that the registry requires of a connection."""
 
     @property
     def has_pending_request(self) -> bool:
-        """Whether a part of a request has come that has no response yet."""
+        """Whether a request has been received, at least in part, and has no response yet."""
 
     @property
     def has_unprocessed_bytes(self) -> bool:
-        """Whether more of a request has come, from a client that is still there."""
+        """Whether bytes of a request wait to be parsed or read, and the client is still connected."""
 
     @property
     def is_writing(self) -> bool:
-        """Whether the system has not taken all of a response yet."""
+        """Whether a part of a response has not been written to the socket yet."""
 
     def abort(self, response: ClientResponse) -> None:
-        """Close the connection at once; an incomplete request gets this response."""
+        """Close the connection immediately; an incomplete request gets this response."""
 
 
 ConnectionT = TypeVar("ConnectionT", bound=TrackedConnection)
 
 
 class ClientRegistry(Generic[ConnectionT]):
-    """All connections of clients.
+    """Registry of open client connections.
 
     Attributes:
-        max_connections: The limit on open connections; a request on any further one is answered with 503.
-        open_connections: All that are open.
-        unused_connections: Those that may be closed to make room and that have not sent a complete request
-            yet or were rejected, the longest waiting first.
-        idle_connections: Those that may be closed to make room and that have got a response and may send
-            another request, the longest waiting first.
-        disconnect_poller: Polls those that have a request open and are not read, so that the event loop does not see
-            their client leave.
+        max_connections: The limit on open connections; requests on connections above the limit get a 503.
+        open_connections: All open connections.
+        unused_connections: Evictable connections that have not sent a complete request yet or are lingering,
+            oldest entry first.
+        idle_connections: Evictable keep-alive connections that have received a response and have no open
+            request, oldest entry first.
+        disconnect_poller: Polls the connections that have an open request and whose reading is paused, as the
+            event loop does not detect a disconnect on those.
         open_request_ids: The ids of the requests that have no response yet.
-        buffered_total: The bytes in the receive buffers of all connections.
-        read_buffer: Where each connection reads into; it copies what it has got before the next one reads.
-        descriptor_count: The descriptors of connections, each from its accept to its close.
-        is_shutting_down: Whether the process ends, so that it is not ready any more.
-        is_draining: Whether each connection is closed as it falls idle.
+        buffered_total: The total number of bytes in the receive buffers of all connections.
+        read_buffer: The buffer that all connections read into. Each copies its bytes before the next read.
+        descriptor_count: The number of descriptors of client connections, counted from accept to close.
+        is_shutting_down: Whether the process is shutting down, so that the readiness check fails.
+        is_draining: Whether each connection is closed as soon as it has no open request.
     """
 
     def __init__(self, max_connections: int) -> None:
-        """Start with no connection. To be made in a running event loop.
+        """Create an empty registry. Requires a running event loop.
 
         Args:
             max_connections: The limit on open connections.
         """
         self.max_connections = max_connections
         self.open_connections: set[ConnectionT] = set()
-        # Dictionaries, as these keep the order in which connections were put in.
+        # Dictionaries serve as ordered sets.
         self.unused_connections: dict[ConnectionT, None] = {}
         self.idle_connections: dict[ConnectionT, None] = {}
         self.disconnect_poller: DisconnectPoller[ConnectionT] = DisconnectPoller()
@@ -81,19 +80,19 @@
 
     @property
     def free_descriptor_count(self) -> int:
-        """How many more connections may be accepted."""
+        """Number of connections that may still be accepted."""
         return self.max_connections + limits.MAX_CONNECTIONS_OVER_LIMIT - self.descriptor_count
 
     @property
     def is_over_hard_limit(self) -> bool:
-        """Whether so many connections are open that another one is closed without a response."""
+        """Whether so many connections exceed the limit that a new one is closed without a response."""
         return len(self.open_connections) > self.max_connections + limits.MAX_CONNECTIONS_OVER_LIMIT
 
     def add(self, connection: ConnectionT) -> bool:
-        """Add a connection, and close another one to make room where there is none.
+        """Add a connection; at the connection limit, evict another one first if possible.
 
         Returns:
-            Whether the newcomer is over the limit, as no other one could be closed.
+            Whether the added connection exceeds the limit, because no other one could be evicted.
         """
         if len(self.open_connections) >= self.max_connections:
             self._evict_connection()
@@ -109,10 +108,11 @@
                 return
 
     def _eviction_candidates(self) -> Iterator[ConnectionT]:
-        """Return the connections that may be closed to make room, the first to close first.
+        """Return the connections that may be evicted, in order of eviction.
 
-        Once unused connections take half of the room, they are a flood, which closes its own and not those of
-        usual clients. Below that, one that has just come is left the time to send its request.
+        When unused connections make up half of the connection limit or more, they are taken for a flood and
+        are evicted before the idle connections of regular clients. Otherwise idle connections are evicted
+        first, so that a new connection has time to send its request.
         """
         silent = (
             connection
@@ -124,30 +124,30 @@
         return chain(unused, self.idle_connections) if is_flood else chain(self.idle_connections, unused)
 
     def remove(self, connection: ConnectionT) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
         self.open_connections.discard(connection)
         self.disconnect_poller.stop_polling(connection)
         self.mark_active(connection)
 
     def mark_active(self, connection: ConnectionT) -> None:
-        """Keep a connection from being closed to make room: it has a request open, or is closed already."""
+        """Exempt a connection from eviction: it has an open request, or is already closed."""
         self.unused_connections.pop(connection, None)
         self.idle_connections.pop(connection, None)
 
     def mark_idle(self, connection: ConnectionT) -> None:
-        """Let a connection that has got a response be closed to make room, as the last of its kind."""
+        """Make a connection that has received a response evictable, after all other idle connections."""
         self.mark_active(connection)
         if connection in self.open_connections:
             self.idle_connections[connection] = None
 
     def mark_unused(self, connection: ConnectionT) -> None:
-        """Let a connection that lingers be closed to make room, as the last of its kind."""
+        """Make a lingering connection evictable, after all other unused connections."""
         self.mark_active(connection)
         if connection in self.open_connections:
             self.unused_connections[connection] = None
 
     def abort_all(self) -> None:
-        """Close all connections at once; an incomplete request gets a 503."""
+        """Close all connections immediately; incomplete requests get a 503."""
         self.disconnect_poller.close()
         for connection in list(self.open_connections):
             connection.abort(SERVICE_UNAVAILABLE)
--- a/load_balancer/net/client/connection_acceptor.py
+++ b/load_balancer/net/client/connection_acceptor.py
@@ -1,8 +1,8 @@
-"""Accepts clients' connections from one listening socket, within the descriptors that there are for them.
+"""Accepts client connections from a listening socket, within the limit on their descriptors.
 
-`client_listener` makes the acceptor once the socket listens, and stops it as the process ends. This does
-without asyncio's server: where it has no descriptor, that logs hundreds of tracebacks at once and then
-accepts nothing for a second.
+`client_listener` creates the acceptor for its listening socket and stops it at shutdown. asyncio's server is
+not used: when no descriptor is available, it logs hundreds of tracebacks at once and then accepts nothing for
+a second.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 
 log = logging.getLogger(__name__)
 
-# Failures of an accept that concern the one connection at the head of the queue, by accept(2): what the
-# network had to say of it while it stood there, and what a firewall or a signal has.
+# Errors of accept(2) that concern only the connection at the head of the listen queue: network errors that
+# were pending on it, a firewall that forbids it, or a signal.
 LOST_CONNECTION_ERRNOS = (
     errno.ECONNABORTED,
     errno.EHOSTDOWN,
@@ -41,7 +41,7 @@
 
 
 class AcceptorState(enum.Enum):
-    """What the acceptor does with connections that come. A state is only ever followed by a later one."""
+    """State of the acceptor. Transitions only go forward, in the order of definition."""
 
     ACCEPTING = enum.auto()
     """Accepts them."""
@@ -52,12 +52,12 @@
 
 
 class ConnectionAcceptor:
-    """A listening socket whose connections are accepted one by one.
+    """Accepts connections from a listening socket and registers them.
 
     Attributes:
-        listening_socket: The socket.
-        registration_tasks: One for each connection that has been accepted and is not registered yet.
-        descriptor_faults: The log lines on connections that could not be accepted for want of a descriptor.
+        listening_socket: The listening socket.
+        registration_tasks: One task for each connection that has been accepted and is not registered yet.
+        descriptor_faults: Logs accepts that failed for lack of a descriptor or memory, one line per run.
     """
 
     def __init__(
@@ -66,12 +66,12 @@
         clients: ClientRegistry[ClientConnection],
         make_protocol: Callable[[], asyncio.BaseProtocol],
     ) -> None:
-        """Accept connections from now on.
+        """Start accepting connections.
 
         Args:
-            listening_socket: The socket, which listens and does not block. The acceptor closes it.
-            clients: Knows how many descriptors are left for connections.
-            make_protocol: Makes the protocol of an accepted connection.
+            listening_socket: A non-blocking listening socket. The acceptor closes it.
+            clients: The registry of open connections, which limits the number of descriptors.
+            make_protocol: Creates the protocol of an accepted connection.
         """
         self.listening_socket = listening_socket
         self.registration_tasks: set[asyncio.Task[None]] = set()
@@ -82,18 +82,19 @@
         self._make_protocol = make_protocol
         self._loop = asyncio.get_running_loop()
         self._state = AcceptorState.ACCEPTING
-        self._retry_timer: asyncio.TimerHandle | None = None  # set while none can be accepted
+        self._retry_timer: asyncio.TimerHandle | None = None  # set while accepting is paused
         self._loop.add_reader(listening_socket, self._accept_ready)
 
     @property
     def has_pending_connections(self) -> bool:
-        """Whether the end of the queue is not reached yet, or a connection is not registered yet."""
+        """Whether the listen queue is not drained yet after `stop`, or a registration is in progress."""
         return self._state is AcceptorState.STOPPING or bool(self.registration_tasks)
 
     def stop(self) -> None:
-        """Accept the connections in the system's queue, and then no more: a close would reset those.
+        """Accept the connections in the listen queue, then close the socket.
 
-        Where they cannot all be accepted now, this goes on as others are closed, until `close` at the latest.
+        Closing the socket resets the connections that are still in the queue. If they cannot all be accepted
+        now, accepting continues as descriptors become free, until `close` at the latest.
         """
         if self._state is AcceptorState.CLOSED:
             return
@@ -104,7 +105,7 @@
             self._pause()
 
     def close(self) -> None:
-        """Close the listening socket; do nothing where it is closed."""
+        """Close the listening socket. Do nothing if it is already closed."""
         if self._retry_timer is not None:
             self._retry_timer.cancel()
         if self._state is not AcceptorState.CLOSED:
@@ -113,25 +114,25 @@
             self.listening_socket.close()
 
     def log_ended_faults(self, now_s: float) -> None:
-        """Log the count of each kind of fault that has not come again for a while.
+        """Log a summary of each kind of fault that has stopped occurring.
 
         Args:
-            now_s: The event loop's time.
+            now_s: Event loop time.
         """
         for faults in (self.descriptor_faults, self._lost_connection_faults, self._accept_faults):
             faults.end_if_quiet(now_s)
 
     def _accept_ready(self) -> None:
-        # A connection takes some turns of the event loop from its accept until it is registered, and so does
-        # the close of the one that makes room for it. Without a bound, a flood would take all descriptors of
-        # the process in between.
+        # Registering an accepted connection takes several iterations of the event loop, and so does closing
+        # the connection that is evicted for it. Without a bound, a flood of connections would use up all
+        # descriptors of the process in the meantime.
         self._accept_up_to(min(limits.MAX_ACCEPTS_PER_TURN, max(1, self._clients.free_descriptor_count)))
 
     def _accept_up_to(self, count: int) -> bool:
-        """Accept up to `count` connections, and return whether the system's queue is empty now.
+        """Accept up to `count` connections, and return whether the listen queue is empty.
 
-        This raises nothing: the event loop would write a traceback for each failed accept, and the shutdown
-        would end.
+        OSError is logged and not raised: from a reader callback the event loop would log a traceback for each
+        failed accept, and from `stop` it would end the shutdown.
         """
         has_accepted = False
         try:
@@ -145,12 +146,12 @@
             )
             faults.record(self._loop.time(), error)
             has_accepted = False
-        if not has_accepted:  # the socket may stay readable: the event loop would come back here at once
+        if not has_accepted:  # the socket may stay readable, and the event loop would call again at once
             self._pause()
         return False
 
     def _accept_one(self) -> bool:
-        """Accept one connection, and return whether it was not lost. Raise OSError where none can be."""
+        """Accept one connection and return True, or False if it was lost. Raise OSError on other failures."""
         try:
             accepted, _ = self.listening_socket.accept()
         except OSError as error:
@@ -170,7 +171,7 @@
             self._retry_timer = self._loop.call_later(limits.ACCEPT_RETRY_DELAY_S, self.resume)
 
     def resume(self) -> None:
-        """Accept again after a pause."""
+        """Resume accepting after a pause."""
         self._retry_timer = None
         if self._state is AcceptorState.STOPPING:
             self.stop()
@@ -178,9 +179,9 @@
             self._loop.add_reader(self.listening_socket, self._accept_ready)
 
     async def register_connection(self, accepted: socket.socket) -> None:
-        """Give an accepted connection its protocol, which registers it."""
+        """Create the protocol of an accepted connection, which adds it to the registry."""
         try:
-            # asyncio sets this only where it made the socket itself, as it does for endpoints.
+            # asyncio sets TCP_NODELAY only on sockets that it creates itself, such as those to endpoints.
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self._loop.connect_accepted_socket(self._make_protocol, accepted)
         except OSError as error:
--- a/load_balancer/net/client/connection_time_limits.py
+++ b/load_balancer/net/client/connection_time_limits.py
@@ -1,7 +1,6 @@
-"""The time limits of clients' connections: those on which nothing has moved for too long are closed.
+"""Time limits of client connections: closes connections that make no progress.
 
-`client_listener` checks all connections at regular intervals. The limits themselves stand in
-`client_limits`.
+`client_listener` checks all connections at regular intervals. The limits are defined in `client_limits`.
 """
 
 from __future__ import annotations
@@ -14,21 +13,21 @@
 
 
 class ConnectionTimeLimits:
-    """Checks one connection at a time; the times that it goes by are the connections' own."""
+    """Checks the time limits of client connections, one connection per call."""
 
     def __init__(self) -> None:
-        """Keep the event loop that runs now, whose time counts."""
+        """Bind to the running event loop, whose clock the limits use."""
         self._loop = asyncio.get_running_loop()
 
     def check(self, connection: ClientConnection, now_s: float) -> None:
-        """Close a connection if nothing has moved on it for too long.
+        """Close a connection if its time limit has expired.
 
         Args:
             connection: The connection.
-            now_s: The event loop's time.
+            now_s: Event loop time.
         """
         if connection.is_waiting_for_response:
-            return  # the driver ends each request in time
+            return  # the driver enforces the deadline of a forwarded request
         inactive_s = now_s - connection.last_progress_at_s
         limit_s = _time_limit_s(connection)
         if inactive_s <= limit_s:
@@ -37,8 +36,8 @@
         if connection.has_unprocessed_bytes:
             if not connection.is_idle and inactive_s <= limit_s + limits.PARTIAL_REQUEST_GRACE_S:
                 return
-            # A request may just have come. Not more than once: a client that sends empty lines now and then
-            # would keep its connection for ever.
+            # A request may have just been received. The check is postponed only once: otherwise a client that
+            # keeps sending empty lines would hold its connection open indefinitely.
             if connection.is_idle and not connection.has_scheduled_final_check:
                 connection.has_scheduled_final_check = True
                 self._loop.call_later(limits.FINAL_CHECK_DELAY_S, self._run_final_check, connection)
@@ -46,11 +45,11 @@
         connection.abort(REQUEST_TIMEOUT)
 
     def can_be_closed(self, connection: ClientConnection, now_s: float) -> bool:
-        """Return whether no request is here, nor a connection's first one likely to be on its way.
+        """Return whether a connection has no request, and no first request is expected on it.
 
         Args:
             connection: The connection.
-            now_s: The event loop's time.
+            now_s: Event loop time.
         """
         if not connection.is_idle or connection.has_unprocessed_bytes:
             return False
--- a/load_balancer/net/client/disconnect_poller.py
+++ b/load_balancer/net/client/disconnect_poller.py
@@ -1,6 +1,7 @@
-"""Polls whether the clients of connections that are not read are still there.
+"""Detects clients that disconnect while reading from their connection is paused.
 
-The event loop sees a client leave only where it reads. `client_registry` owns one poller for all connections.
+The event loop detects a disconnect only on connections that it reads from. `client_registry` owns one poller
+for all connections.
 """
 
 from __future__ import annotations
@@ -12,41 +13,41 @@
 
 
 class PolledConnection(Protocol):
-    """What the poller needs of a connection."""
+    """Interface that the poller requires of a connection."""
 
     def is_client_connected(self) -> bool:
-        """Return whether the client is still there; close the connection of one that is not."""
+        """Return whether the client is still connected; abort the connection if it is not."""
 
 
 PolledT = TypeVar("PolledT", bound=PolledConnection)
 
 
 class DisconnectPoller(Generic[PolledT]):
-    """The connections that have a request open and are not read.
+    """Polls connections that have an open request and whose reading is paused.
 
     Attributes:
-        connections: Those that are polled.
+        connections: The connections that are polled.
     """
 
     def __init__(self) -> None:
-        """Start with no connection. To be made in a running event loop."""
+        """Create a poller without connections. Requires a running event loop."""
         self.connections: set[PolledT] = set()
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
 
     @property
     def is_scheduled(self) -> bool:
-        """Whether another poll is on its way."""
+        """Whether another poll is scheduled."""
         return self._timer is not None
 
     def start_polling(self, connection: PolledT) -> None:
-        """Poll a connection from now on."""
+        """Start polling a connection."""
         self.connections.add(connection)
         if self._timer is None:
             self._timer = self._loop.call_later(limits.DISCONNECT_POLL_INTERVAL_S, self._poll)
 
     def stop_polling(self, connection: PolledT) -> None:
-        """End the polling of a connection: it is read again, or its request is no longer open."""
+        """Stop polling a connection: its reading has resumed, or its request is no longer open."""
         self.connections.discard(connection)
 
     def close(self) -> None:
--- a/load_balancer/net/client/http_response.py
+++ b/load_balancer/net/client/http_response.py
@@ -1,11 +1,11 @@
-"""The final responses that the proxy gives on its own account."""
+"""Final responses that the proxy generates itself."""
 
 from __future__ import annotations
 
 from load_balancer.net.driver.client_messages import ClientResponse
 
-# Nothing of the request was forwarded, so that its client may send it again.
+# No part of the request was forwarded, so the client may retry it.
 SERVICE_UNAVAILABLE = ClientResponse(503, headers=((b"retry-after", b"1"),))
-# A fault of the proxy itself. It promises nothing about the request, as an attempt may have begun.
+# Internal error of the proxy. An attempt may have begun, so the response does not allow a retry.
 INTERNAL_SERVER_ERROR = ClientResponse(500)
-REQUEST_TIMEOUT = ClientResponse(408)  # the request was not complete in time
+REQUEST_TIMEOUT = ClientResponse(408)  # the request was not received completely in time
--- a/load_balancer/net/client/http_server_protocol.py
+++ b/load_balancer/net/client/http_server_protocol.py
@@ -1,7 +1,7 @@
-"""HTTP on one client's connection, without I/O: bytes in, h11's events and the bytes of responses out.
+"""Server side of HTTP/1.1 on a client connection, without I/O: parses requests, serializes responses.
 
-The protocol keeps what came before its turn in a `receive_buffer`, skips empty lines between requests, and
-tells when the bytes came that the present request ends with. Each `client_connection` has one.
+The protocol buffers pipelined bytes in a `receive_buffer`, skips empty lines between requests, and records
+when the last parsed bytes were received. Each `client_connection` has one.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
     """Parses requests and serializes responses, one request at a time.
 
     Attributes:
-        received: The bytes that h11 has not got yet.
-        last_parsed_received_at_s: When the bytes came that h11 has got last, in the event loop's time.
+        received: The bytes that have not been passed to h11 yet.
+        last_parsed_received_at_s: Event loop time at which the bytes last passed to h11 were received.
     """
 
     def __init__(self, total: BufferedTotal, now_s: float) -> None:
-        """Start before the first request.
+        """Initialize without a request.
 
         Args:
-            total: The count of the bytes that all connections have buffered.
-            now_s: The event loop's time.
+            total: The number of bytes that all connections have buffered.
+            now_s: Event loop time.
         """
         self.received = ReceiveBuffer(total)
         self.last_parsed_received_at_s = now_s
@@ -42,21 +42,21 @@
 
     @property
     def has_unparsed_bytes(self) -> bool:
-        """Whether more has come than has been parsed."""
+        """Whether received bytes have not been parsed yet."""
         return bool(self.received or self._h11.trailing_data[0])
 
     @property
     def is_between_requests(self) -> bool:
-        """Whether nothing of a request is here."""
+        """Whether no part of a request has been received."""
         return self._h11.their_state is h11.IDLE and not self.has_unparsed_bytes
 
     @property
     def can_respond(self) -> bool:
-        """Whether a response may be sent: none has been to the present request."""
+        """Whether a final response may be sent: none has been sent to the current request."""
         return self._h11.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
     def receive(self, now_s: float, data: bytes) -> bool:
-        """Take what one read brought, and return whether it was more than empty lines between requests."""
+        """Buffer the bytes of one read; return False if they were only empty lines between requests."""
         if self.is_between_requests:
             data = data.lstrip(LINE_END_BYTES)
         if data:
@@ -64,12 +64,12 @@
         return bool(data)
 
     def next_event(self) -> ParsedEvent:
-        """Parse the next part of a request. Raise h11.RemoteProtocolError where it is not HTTP."""
+        """Return the next parsed event. Raise h11.RemoteProtocolError if the bytes are not valid HTTP."""
         self._skip_empty_lines()
         return self._h11.next_event()
 
     def feed(self) -> bool:
-        """Hand h11 the next piece that was received, and return whether there was one."""
+        """Pass the oldest buffered piece to h11, and return whether there was one."""
         if not self.received:
             return False
         piece = self.received.pop()
@@ -78,26 +78,27 @@
         return True
 
     def _skip_empty_lines(self) -> None:
-        # They may come before a request, as behind the body of the one before; h11 rejects them there.
+        # Empty lines may precede a request, for example after the body of the previous one. h11 rejects them,
+        # so the remaining bytes go to a new h11 connection without the empty lines.
         rest = self._h11.trailing_data[0]
         if self._h11.their_state is not h11.IDLE or rest[:1] not in (b"\r", b"\n"):
             return
         self._h11 = _new_h11_connection()
-        if rest := rest.lstrip(LINE_END_BYTES):  # no bytes would tell h11 that the client has closed
+        if rest := rest.lstrip(LINE_END_BYTES):  # h11 takes empty data for the end of the stream
             self._h11.receive_data(rest)
 
     def interim_response(self) -> bytes:
-        """Return the bytes of a 100 where the client waits for one, otherwise none."""
+        """Return a 100 response if the client is waiting for one, otherwise no bytes."""
         if not self._h11.they_are_waiting_for_100_continue:
             return b""
         return self._h11.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
     def final_response(self, response: ClientResponse, *, is_last: bool) -> bytes:
-        """Return the bytes of the final response to the present request.
+        """Return the serialized final response to the current request.
 
         Args:
             response: The response.
-            is_last: Whether it tells the client that no other one follows.
+            is_last: Whether to add `Connection: close`.
         """
         headers = [*response.headers, (b"content-length", b"%d" % len(response.body))]
         if is_last:
@@ -109,7 +110,7 @@
         return b"".join(part for part in parts if part)
 
     def start_next_request(self) -> bool:
-        """Get ready for another request, and return whether one may follow on this connection."""
+        """Prepare for the next request, and return whether the connection can be reused."""
         if self._h11.our_state is not h11.DONE or self._h11.their_state is not h11.DONE:
             return False
         self._h11.start_next_cycle()
--- a/load_balancer/net/client/incoming_request.py
+++ b/load_balancer/net/client/incoming_request.py
@@ -1,4 +1,4 @@
-"""The request that is being read on one connection: its head once that has come, and its body so far."""
+"""The request that is being received on a client connection."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class IncomingRequest:
-    """The parts of one request, in the order in which they come.
+    """Collects the head and body of one request at a time.
 
     Attributes:
-        head: The checked head; None for a readiness check, and between requests.
-        body: What has come of the body.
+        head: The validated head; None for a readiness check and between requests.
+        body: The part of the body received so far.
     """
 
     def __init__(self, classes: Mapping[str, messages.RequestClass]) -> None:
-        """Start between requests.
+        """Initialize without a request.
 
         Args:
             classes: The request classes of the settings, by name.
@@ -32,10 +32,10 @@
         self._classes = classes
 
     def begin(self, event: h11.Request) -> None:
-        """Begin a request by its head.
+        """Start a request with its head.
 
         Args:
-            event: The request line and headers as h11 has read them.
+            event: The request line and headers as parsed by h11.
 
         Raises:
             BadRequestError: The head is malformed or does not fit its request class.
@@ -48,23 +48,23 @@
             self.head = read_head(event, self._classes)
 
     def add_body(self, data: bytes) -> None:
-        """Add a part of the body.
+        """Append a part of the body.
 
         Raises:
-            BadRequestError: The body is too long.
+            BadRequestError: The body exceeds the limit.
         """
         self.body += data
         if len(self.body) > MAX_BODY_BYTES:
-            raise BadRequestError(413, "the body is too long")
+            raise BadRequestError(413, "body exceeds the limit")
 
     def forwarded_headers(self, head: RequestHead) -> Headers:
-        """Return the headers that go to the endpoint, those of the head and the length of the body."""
+        """Return the headers for the endpoint: the forwarded ones of the head and the content length."""
         headers = list(head.headers)
         if self.body or head.method != b"GET":
             headers.append((b"content-length", b"%d" % len(self.body)))
         return headers
 
     def clear(self) -> None:
-        """Forget the request, which has its response."""
+        """Discard the request after its response."""
         self.head = None
         self.body.clear()
--- a/load_balancer/net/client/receive_buffer.py
+++ b/load_balancer/net/client/receive_buffer.py
@@ -1,7 +1,8 @@
-"""The bytes that a client sent before their turn, together with the time at which they came.
+"""Buffer of received bytes that have not been parsed, with the time at which they were received.
 
-A client may send its next requests before it has the response to the first one. A request's time counts from
-its last byte, however long it waits behind another, so that the time of each read is kept with its bytes.
+A client may send further requests before it has the response to the first one. The deadline of a request
+counts from the receipt of its last byte, even while it waits behind another request. Therefore the time of
+each read is stored with its bytes.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 
 @dataclass(slots=True)
 class BufferedTotal:
-    """The bytes in the receive buffers of all connections."""
+    """Total number of bytes in the receive buffers of all connections."""
 
     size_bytes: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedPiece:
-    """What one read brought.
+    """Bytes of one read.
 
     Attributes:
-        received_at_s: The event loop's time of the read.
+        received_at_s: Event loop time of the read.
         data: The bytes.
     """
 
@@ -33,13 +34,13 @@
 
 
 class ReceiveBuffer:
-    """The pieces that one connection has received and not parsed yet, in order."""
+    """FIFO buffer of the bytes that one connection has received and not parsed yet."""
 
     def __init__(self, total: BufferedTotal) -> None:
-        """Start empty.
+        """Create an empty buffer.
 
         Args:
-            total: The count over all connections, to which this buffer adds its own bytes.
+            total: The total over all connections, which this buffer updates.
         """
         self._total = total
         self._pieces: deque[ReceivedPiece] = deque()
@@ -51,24 +52,24 @@
 
     @property
     def is_over_limit(self) -> bool:
-        """Whether no more should be read, as this buffer or all of them together hold too much."""
+        """Whether to pause reading: this buffer exceeds its limit, or is not empty and the total exceeds its."""
         if self.size_bytes > limits.MAX_BUFFERED_BYTES_PER_CONNECTION:
             return True
         return bool(self) and self._total.size_bytes > limits.MAX_BUFFERED_BYTES
 
     def append(self, received_at_s: float, data: bytes) -> None:
-        """Add what one read brought."""
+        """Append the bytes of one read."""
         self._pieces.append(ReceivedPiece(received_at_s, data))
         self._add_size(len(data))
 
     def pop(self) -> ReceivedPiece:
-        """Remove the oldest piece and return it. Raise IndexError where there is none."""
+        """Remove and return the oldest piece. Raise IndexError if the buffer is empty."""
         piece = self._pieces.popleft()
         self._add_size(-len(piece.data))
         return piece
 
     def clear(self) -> None:
-        """Drop all pieces."""
+        """Discard all pieces."""
         self._pieces.clear()
         self._add_size(-self.size_bytes)
 
--- a/load_balancer/net/client/request_forwarder.py
+++ b/load_balancer/net/client/request_forwarder.py
@@ -1,7 +1,6 @@
-"""From a complete request to the driver, and from the driver's response back to the client.
+"""Forwards complete requests to the driver and the driver's responses to the client.
 
-`request_processor` reads the requests and calls the forwarder with each complete one, the driver with each
-response.
+`request_processor` calls the forwarder with each complete request, the driver with each response.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 
 class RequestForwarder:
-    """Sees that each request of one connection gets one final response."""
+    """Forwards the requests of one connection and ensures that each gets one final response."""
 
     def __init__(
         self,
@@ -30,13 +29,13 @@
         clients: ClientRegistry[ClientConnection],
         driver: EventLoopDriver,
     ) -> None:
-        """Start before the first request.
+        """Initialize without a request.
 
         Args:
-            connection: The client's connection.
-            incoming: The request that is being read on it.
-            clients: All open connections.
-            driver: Takes the requests.
+            connection: The client connection.
+            incoming: The request that is being received on the connection.
+            clients: The registry of open connections.
+            driver: The driver that requests are forwarded to.
         """
         self._connection = connection
         self._incoming = incoming
@@ -45,19 +44,19 @@
         self._loop = asyncio.get_running_loop()
 
     def handle_request(self, on_next_request: Callable[[], None]) -> None:
-        """Answer or forward the request, whose last byte has been read.
+        """Respond to a complete request, or forward it to the driver.
 
         Args:
-            on_next_request: Called after the response where the next request has come already. It is kept
-                no longer than the request: otherwise a closed connection and the parts that serve it would
-                hold each other in memory.
+            on_next_request: Called after the response if bytes of the next request have already been
+                received. The callback is not kept longer than the request: otherwise a closed connection
+                and its handlers would form a reference cycle.
 
         Raises:
-            BadRequestError: Another request with its id is open.
+            BadRequestError: Another open request has the same id.
         """
         self._clients.mark_active(self._connection)
         head = self._incoming.head
-        if head is None:  # a readiness check
+        if head is None:  # readiness check
             is_ready = self._driver.is_ready and not self._clients.is_shutting_down
             self._respond(on_next_request, ClientResponse(200 if is_ready else 503))
             return
@@ -65,18 +64,18 @@
             self._respond(on_next_request, SERVICE_UNAVAILABLE)
             return
         if head.request_id in self._clients.open_request_ids:
-            # An endpoint would take this one for a retry of the open request, and might drop it.
-            raise BadRequestError(409, "Req-Id of an open request")
+            # An endpoint would take this request for a retry of the open one, and might drop it.
+            raise BadRequestError(409, "Req-Id is already used by an open request")
         self._forward(head, on_next_request)
 
     def reject(self, response: ClientResponse) -> None:
-        """Respond to what is not HTTP, too large or not to be served, and linger."""
+        """End the current request with an error response and linger."""
         self._end_request()
         self._connection.forwarded_request_id = None
         self._connection.reject(response)
 
     def cancel_open_request(self) -> None:
-        """End the open request of a client whose connection is lost; do nothing where none is open."""
+        """Cancel the open request after the connection is lost. Do nothing if no request is open."""
         if not self._connection.is_waiting_for_response:
             return
         self._end_request()
@@ -91,11 +90,12 @@
         self._clients.open_request_ids.add(head.request_id)
         connection.transition_to(ConnectionState.WAITING_FOR_RESPONSE)
         request_id = self._driver.accept_request(client_request)
-        if connection.is_waiting_for_response:  # the driver may have responded at once
+        if connection.is_waiting_for_response:  # the driver may have responded already
             connection.forwarded_request_id = request_id
 
     def _to_client_request(self, head: RequestHead, on_next_request: Callable[[], None]) -> ClientRequest:
-        # The time remaining counts from when the last byte came, however long it waited behind another.
+        # The time remaining counts from the receipt of the last byte, also if the request waited behind
+        # another one.
         now_s = self._loop.time()
         waited_s = now_s - self._connection.http.last_parsed_received_at_s
         return ClientRequest(
@@ -113,14 +113,14 @@
         )
 
     def _respond(self, on_next_request: Callable[[], None], response: ClientResponse) -> None:
-        """Write the one final response to the present request."""
+        """Write the final response to the current request."""
         self._end_request()
         self._connection.forwarded_request_id = None
         if self._connection.write_response(response):
             on_next_request()
 
     def _end_request(self) -> None:
-        """End the present request: it is no longer open."""
+        """Remove the current request: it is no longer open."""
         head = self._incoming.head
         if self._connection.is_waiting_for_response:
             if head is not None:
--- a/load_balancer/net/client/request_processor.py
+++ b/load_balancer/net/client/request_processor.py
@@ -1,7 +1,7 @@
-"""From the bytes of one connection to complete requests, one after the other.
+"""Parses the bytes of a client connection into requests, one at a time.
 
-A connection has one request open at a time; what comes behind it waits in its `http_server_protocol`.
-`client_protocol` calls the processor with bytes; complete requests go to `request_forwarder`.
+A connection has one open request at a time; pipelined bytes wait in its `http_server_protocol`.
+`client_protocol` passes received bytes to the processor; complete requests go to `request_forwarder`.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class RequestProcessor:
-    """Reads the requests of one connection."""
+    """Parses the requests of one connection."""
 
     def __init__(
         self,
@@ -38,12 +38,12 @@
         driver: EventLoopDriver,
         classes: Mapping[str, messages.RequestClass],
     ) -> None:
-        """Start before the first request.
+        """Initialize without a request.
 
         Args:
-            connection: The client's connection.
-            clients: All open connections.
-            driver: Takes the requests.
+            connection: The client connection.
+            clients: The registry of open connections.
+            driver: The driver that requests are forwarded to.
             classes: The request classes of the settings, by name.
         """
         self._connection = connection
@@ -55,7 +55,7 @@
         self._loop = asyncio.get_running_loop()
 
     def receive(self, data: memoryview) -> None:
-        """Take what one read brought; the bytes are copied before this returns."""
+        """Process the bytes of one read. They are copied before the method returns."""
         connection = self._connection
         if connection.is_lingering or self._transport.is_closing():
             return
@@ -70,12 +70,12 @@
             self.process()
 
     def process(self) -> None:
-        """Parse what has come, up to the end of a request.
+        """Parse received bytes up to the end of one request.
 
-        No more than one request is handled in one turn of the event loop: a client may send thousands of
-        requests or chunks at once, and all others would wait for them.
+        At most one request is handled in one iteration of the event loop: a client may send thousands of
+        requests or chunks at once, and all other clients would wait for them.
         """
-        if self._transport.is_closing():  # the client has left: what it sent ahead is not forwarded
+        if self._transport.is_closing():  # requests pipelined before the disconnect are not forwarded
             return
         try:
             self._parse_events()
@@ -83,23 +83,24 @@
             self._forwarder.reject(ClientResponse(error.error_status_hint))
         except BadRequestError as error:
             self._forwarder.reject(ClientResponse(error.status))
-        except Exception:  # else the request would be lost: the event loop would close without a response
-            log.exception("processing a request failed")
+        except Exception:  # otherwise the event loop would close the connection without a response
+            log.exception("unexpected error while processing a client request; rejecting it with status 500")
             self._forwarder.reject(INTERNAL_SERVER_ERROR)
         if self._transport.is_closing():
             return
         connection = self._connection
         if connection.is_idle and connection.has_responded and not connection.is_writing:
-            self._clients.mark_idle(connection)  # nothing but empty lines had come ahead
+            self._clients.mark_idle(connection)  # only empty lines were buffered
         self._pause_or_resume_reading()
 
     def cancel_open_request(self) -> None:
-        """End the open request of a client whose connection is lost."""
+        """Cancel the open request after the connection is lost."""
         self._forwarder.cancel_open_request()
 
     def _parse_events(self) -> None:
         for _ in range(limits.MAX_EVENTS_PER_TURN):
-            # A response that is not read holds the next request back: more responses would fill the memory.
+            # The next request waits until the previous response is written out: otherwise a client that does
+            # not read its responses would fill the memory.
             if self._connection.state is not ConnectionState.READING or self._connection.is_writing:
                 return
             if not self._handle_event(self._http.next_event()):
@@ -107,7 +108,7 @@
         self._schedule_processing()
 
     def _handle_event(self, event: ParsedEvent) -> bool:
-        """Handle one event of h11, and return whether to go on with the next one."""
+        """Handle one h11 event, and return whether to continue with the next one."""
         match event:
             case h11.Request():
                 self._incoming.begin(event)
