--- a/load_balancer/net/client/client_limits.py
+++ b/load_balancer/net/client/client_limits.py
@@ -20,9 +20,9 @@
 
 # Parser events (a head, a part of a body, an end of message) handled for one connection in one iteration of
 # the event loop.
-MAX_EVENTS_PER_TURN = 100
+MAX_EVENTS_PER_ITERATION = 100
 ACCEPT_BACKLOG = 512  # length of the listen queue
-MAX_ACCEPTS_PER_TURN = 16  # accepted before open connections are read again
+MAX_ACCEPTS_PER_ITERATION = 16  # accepted before open connections are read again
 # Connections above the connection limit whose requests get a 503. Further ones are closed without a response.
 MAX_CONNECTIONS_OVER_LIMIT = 8
 # Number of the oldest unused connections that an eviction searches for one that has sent nothing. Searching
--- a/load_balancer/net/client/connection_acceptor.py
+++ b/load_balancer/net/client/connection_acceptor.py
@@ -126,7 +126,7 @@
         # Registering an accepted connection takes several iterations of the event loop, and so does closing
         # the connection that is evicted for it. Without a bound, a flood of connections would use up all
         # descriptors of the process in the meantime.
-        self._accept_up_to(min(limits.MAX_ACCEPTS_PER_TURN, max(1, self._clients.free_descriptor_count)))
+        self._accept_up_to(min(limits.MAX_ACCEPTS_PER_ITERATION, max(1, self._clients.free_descriptor_count)))
 
     def _accept_up_to(self, count: int) -> bool:
         """Accept up to `count` connections, and return whether the listen queue is empty.
--- a/load_balancer/net/client/request_processor.py
+++ b/load_balancer/net/client/request_processor.py
@@ -98,7 +98,7 @@
         self._forwarder.cancel_open_request()
 
     def _parse_events(self) -> None:
-        for _ in range(limits.MAX_EVENTS_PER_TURN):
+        for _ in range(limits.MAX_EVENTS_PER_ITERATION):
             # The next request waits until the previous response is written out: otherwise a client that does
             # not read its responses would fill the memory.
             if self._connection.state is not ConnectionState.READING or self._connection.is_writing:
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -86,7 +86,7 @@
         assert got[0] == 200 or not endpoint.received
         # Where bytes come in a turn that has been taken already, that is one more step.
         assert 0 < answered.most <= 2
-        assert events.most <= 2 * client_limits.MAX_EVENTS_PER_TURN
+        assert events.most <= 2 * client_limits.MAX_EVENTS_PER_ITERATION
         events.stop()
         answered.stop()
         writer.close()
--- a/tests/scenarios/test_accept_failures.py
+++ b/tests/scenarios/test_accept_failures.py
@@ -135,7 +135,7 @@
         client = queue_request(proxy.port, "r1")
         for _ in range(500):
             await asyncio.sleep(0)
-        assert 0 < failure.hits <= client_limits.MAX_ACCEPTS_PER_TURN * len(delays_s)
+        assert 0 < failure.hits <= client_limits.MAX_ACCEPTS_PER_ITERATION * len(delays_s)
         assert set(delays_s) == {client_limits.ACCEPT_RETRY_DELAY_S}
         socket_failures.clear()
         client.close()
