--- a/load_balancer/net/client/receive_buffer.py
+++ b/load_balancer/net/client/receive_buffer.py
@@ -52,7 +52,7 @@
 
     @property
     def is_over_limit(self) -> bool:
-        """Whether to pause reading: this buffer exceeds its limit, or is not empty and the total exceeds its."""
+        """Whether to pause reading: this buffer is over its limit, or it is not empty and the total is."""
         if self.size_bytes > limits.MAX_BUFFERED_BYTES_PER_CONNECTION:
             return True
         return bool(self) and self._total.size_bytes > limits.MAX_BUFFERED_BYTES
