--- a/load_balancer/net/client/connection_acceptor.py
+++ b/load_balancer/net/client/connection_acceptor.py
@@ -57,7 +57,7 @@
     Attributes:
         listening_socket: The listening socket.
         registration_tasks: One task for each connection that has been accepted and is not registered yet.
-        descriptor_faults: Logs accepts that failed for lack of a descriptor or memory: the first, then a count.
+        descriptor_faults: Logs the first accept that failed for lack of a descriptor or memory, then a count.
     """
 
     def __init__(
