--- a/load_balancer/net/client/client_protocol.py
+++ b/load_balancer/net/client/client_protocol.py
@@ -44,7 +44,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Register the connection; abort it if the hard connection limit is exceeded."""
         assert isinstance(transport, asyncio.Transport)
-        transport.set_write_buffer_limits(high=0)  # resume_writing then means that all is written
+        transport.set_write_buffer_limits(high=0)  # resume_writing then means an empty write buffer
         http = HttpServerProtocol(self._clients.buffered_total, self._connected_at_s)
         self._connection = ClientConnection(transport, http, self._clients, self._connected_at_s)
         self._processor = RequestProcessor(self._connection, self._clients, self._driver, self._classes)
