--- a/load_balancer/net/driver/attempt_dispatcher.py
+++ b/load_balancer/net/driver/attempt_dispatcher.py
@@ -115,7 +115,7 @@
         if attempt is None:
             return
         if action.request in self._requests:
-            attempt.cancel_unanswered()
+            attempt.cancel_without_response()
         else:  # nobody waits for it, which says nothing of its endpoint
             attempt.cancel()
 
@@ -136,7 +136,7 @@
             # After one idle connection was stale, others that were idle over the same time may be too: they
             # would use up the last attempts.
             is_idempotent=is_idempotent and not request.has_met_stale_connection,
-            is_awaited=partial(self._is_awaited, request),
+            is_client_waiting=partial(self._is_awaited, request),
         )
 
     def _finish(
--- a/load_balancer/net/upstream/connect_latency.py
+++ b/load_balancer/net/upstream/connect_latency.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 
 WINDOW_SIZE = 32  # connects that are remembered
-NEW_CONNECT = -1  # the index of the connect that is not pending yet
+NEW_CONNECT_INDEX = -1  # the index of the connect that is not pending yet
 MIN_SAMPLES = 5  # before this many connects have ended, no median is given
 
 
@@ -54,27 +54,29 @@
         # How many of the remembered durations are longer than each age: those at which that connect may still
         # end. For a connect that is pending for longer than any of them nothing can be expected.
         longer_counts = [count - bisect_right(self._sorted_s, age_s) for age_s in ages_s]
-        none_up, new_up = 1.0, 0.0  # S and F
+        pending_survival, new_connect_cdf = 1.0, 0.0  # S and F
         saved_s = last_step_s = 0.0
         # One pass over all steps: many connects to an endpoint may be pending, and each attempt asks often.
-        for step_s, index in sorted(self._steps(ages_s, longer_counts)):
+        for step_s, index in sorted(self._completion_times(ages_s, longer_counts)):
             if step_s >= limit_s:
                 break
-            saved_s += none_up * new_up * (step_s - last_step_s)
+            saved_s += pending_survival * new_connect_cdf * (step_s - last_step_s)
             last_step_s = step_s
-            if index == NEW_CONNECT:
-                new_up += 1.0 / count
+            if index == NEW_CONNECT_INDEX:
+                new_connect_cdf += 1.0 / count
                 continue
-            none_up *= 1.0 - 1.0 / longer_counts[index]
+            pending_survival *= 1.0 - 1.0 / longer_counts[index]
             longer_counts[index] -= 1
             if longer_counts[index] == 0:
                 return saved_s
-        return saved_s + none_up * new_up * max(0.0, limit_s - last_step_s)
+        return saved_s + pending_survival * new_connect_cdf * max(0.0, limit_s - last_step_s)
 
-    def _steps(self, ages_s: Sequence[float], longer_counts: Sequence[int]) -> list[tuple[float, int]]:
+    def _completion_times(
+        self, ages_s: Sequence[float], longer_counts: Sequence[int]
+    ) -> list[tuple[float, int]]:
         """Return when each connect may come up, in seconds from now, with its index in `ages_s`."""
         durations_s = self._sorted_s
-        steps = [(duration_s, NEW_CONNECT) for duration_s in durations_s]
+        steps = [(duration_s, NEW_CONNECT_INDEX) for duration_s in durations_s]
         for index, age_s in enumerate(ages_s):
             later_s = durations_s[len(durations_s) - longer_counts[index] :]
             steps += [(duration_s - age_s, index) for duration_s in later_s]
--- a/load_balancer/net/upstream/connect_pacing.py
+++ b/load_balancer/net/upstream/connect_pacing.py
@@ -28,7 +28,7 @@
     Attributes:
         connect_timeout_s: Seconds after which a connect is given up.
         latency: How long connects take.
-        no_extra_until_s: The endpoints whose last connect failed at once, and until when no connection is
+        no_extra_connect_until_s: The endpoints whose last connect failed at once, and until when no connection is
             opened beside another one, by the event loop's clock.
     """
 
@@ -46,7 +46,7 @@
         self.connect_timeout_s = connect_timeout_s
         self._min_saved_share = MIN_SAVED_SHARE + handshake_cost
         self.latency = ConnectLatency()
-        self.no_extra_until_s: dict[EndpointAddress, float] = {}
+        self.no_extra_connect_until_s: dict[EndpointAddress, float] = {}
         self._shortage_until_s = -math.inf  # the system may have nothing for one more connection
 
     @property
@@ -60,7 +60,9 @@
         """Whether this machine has lately had nothing for one more connection."""
         return self._loop.time() < self._shortage_until_s
 
-    def extra_pays(self, endpoint: EndpointAddress, ages_s: Sequence[float], time_remaining_s: float) -> bool:
+    def is_extra_connect_worthwhile(
+        self, endpoint: EndpointAddress, ages_s: Sequence[float], time_remaining_s: float
+    ) -> bool:
         """Return whether one more connection would save enough of the time that an attempt has left.
 
         Args:
@@ -69,17 +71,17 @@
             time_remaining_s: Seconds until the attempt times out.
         """
         saved_s = self.latency.expected_saving_s(ages_s, min(time_remaining_s, self.connect_timeout_s))
-        is_held_off = self._loop.time() < self.no_extra_until_s.get(endpoint, -math.inf)
-        return not is_held_off and saved_s > self._min_saved_share * time_remaining_s
+        is_blocked = self._loop.time() < self.no_extra_connect_until_s.get(endpoint, -math.inf)
+        return not is_blocked and saved_s > self._min_saved_share * time_remaining_s
 
     def is_failing(self, endpoint: EndpointAddress) -> bool:
         """Return whether the last connect to an endpoint failed at once."""
-        return endpoint in self.no_extra_until_s
+        return endpoint in self.no_extra_connect_until_s
 
     def record_success(self, endpoint: EndpointAddress, duration_s: float) -> None:
         """Record that a connect succeeded after this time."""
         self.latency.add(duration_s)
-        self.no_extra_until_s.pop(endpoint, None)
+        self.no_extra_connect_until_s.pop(endpoint, None)
 
     def record_cancelled(self, duration_s: float) -> None:
         """Record that a connect was cancelled after this time."""
@@ -102,11 +104,11 @@
             self._shortage_until_s = self._loop.time() + SHORTAGE_PAUSE_S
             return Outcome.NOT_SENT
         if error.errno in NO_ROUTE_ERRNOS:
-            self.no_extra_until_s[endpoint] = self._loop.time() + self.connect_timeout_s
+            self.no_extra_connect_until_s[endpoint] = self._loop.time() + self.connect_timeout_s
             return Outcome.UNREACHABLE
-        self.no_extra_until_s[endpoint] = math.inf
+        self.no_extra_connect_until_s[endpoint] = math.inf
         return Outcome.NO_CONNECTION
 
     def forget(self, endpoint: EndpointAddress) -> None:
         """Drop what is known of an endpoint that is gone."""
-        self.no_extra_until_s.pop(endpoint, None)
+        self.no_extra_connect_until_s.pop(endpoint, None)
--- a/load_balancer/net/upstream/connection_queue.py
+++ b/load_balancer/net/upstream/connection_queue.py
@@ -56,7 +56,7 @@
         if not self._has_capacity and not self._connections.idle.close_oldest_of_all():
             return False
         self._waiting.add(attempt)
-        if self._may_open_more(attempt.endpoint):
+        if self._may_start_connect(attempt.endpoint):
             self._start_connecting(attempt)
         if attempt.request.is_idempotent:
             self._reuse.offer_all_once_settled(attempt.endpoint)
@@ -66,13 +66,13 @@
         """Remove an attempt from the queue; do nothing if it does not wait."""
         self._waiting.remove(attempt)
 
-    def extra_connection_pays(self, attempt: WaitingAttempt) -> bool:
+    def is_extra_connect_worthwhile(self, attempt: WaitingAttempt) -> bool:
         """Return whether one more connection would save enough of the time that an attempt has left."""
         endpoint = attempt.endpoint
         ages_s = self._pending.ages_s(endpoint)
-        return self._pacing.extra_pays(endpoint, ages_s, attempt.time_remaining_s)
+        return self._pacing.is_extra_connect_worthwhile(endpoint, ages_s, attempt.time_remaining_s)
 
-    def open_extra(self, attempt: WaitingAttempt) -> bool:
+    def start_extra_connect(self, attempt: WaitingAttempt) -> bool:
         """Begin one more connect for an attempt that waits.
 
         Returns:
@@ -81,7 +81,7 @@
         # With a local shortage each connect would fail at once, and the next one begin, beside a late one.
         if self._pacing.has_local_shortage or not self._has_capacity:
             return False
-        if not self._may_open_more(attempt.endpoint):
+        if not self._may_start_connect(attempt.endpoint):
             return False
         self._start_connecting(attempt)
         return True
@@ -105,7 +105,7 @@
     def _has_capacity(self) -> bool:
         return self._connections.has_capacity(self._pending.total_count)
 
-    def _may_open_more(self, endpoint: EndpointAddress) -> bool:
+    def _may_start_connect(self, endpoint: EndpointAddress) -> bool:
         """Return whether an endpoint may get one more connect.
 
         Endpoints accept few connections: many at once that no attempt waits for would keep other clients out.
@@ -128,7 +128,7 @@
             if not attempt.is_over and attempt.send_on(connection):
                 return
         if self._connections.idle.count(endpoint) < MAX_UNUSED_IDLE:
-            self._reuse.give_back(connection)
+            self._reuse.release(connection)
         else:
             connection.close()
 
@@ -148,9 +148,9 @@
         others = self._pending.by_endpoint.get(endpoint, [])
         if self._waiting.count(endpoint) <= len(others):
             return
-        have_own_pending = {other.attempt for other in others}
-        without_own = [a for a in self._waiting.for_endpoint(endpoint) if a not in have_own_pending]
-        attempt = pending.attempt if pending.attempt in without_own else without_own[0]
+        with_own_connect = {other.attempt for other in others}
+        without_own_connect = [a for a in self._waiting.for_endpoint(endpoint) if a not in with_own_connect]
+        attempt = pending.attempt if pending.attempt in without_own_connect else without_own_connect[0]
         had_own_connect = self._waiting.had_own_connect(attempt)
         # An attempt that has only waited on others' connects gets one of its own: theirs may have begun long
         # before it, so that it would end early.
--- a/load_balancer/net/upstream/connection_reuse.py
+++ b/load_balancer/net/upstream/connection_reuse.py
@@ -30,7 +30,7 @@
         self._idle = idle
         self._waiting = waiting
 
-    def give_back(self, connection: UpstreamConnection) -> None:
+    def release(self, connection: UpstreamConnection) -> None:
         """Keep a connection that nothing uses any more, or close it if it may not be kept."""
         if self._idle.add(connection) and self._waiting.count(connection.endpoint):
             self._offer_once_settled(connection)
@@ -52,4 +52,4 @@
             if connection is None:
                 return
             if not attempt.send_on(connection):
-                self.give_back(connection)
+                self.release(connection)
--- a/load_balancer/net/upstream/connection_wait.py
+++ b/load_balancer/net/upstream/connection_wait.py
@@ -12,7 +12,7 @@
 from load_balancer.net.upstream.waiting_attempts import WaitingAttempt
 
 # Turns of the event loop from a connection's establishment to its use: three, and two to spare.
-LOOP_TURNS_TO_USE = 5
+LOOP_ITERATIONS_BEFORE_USE = 5
 
 
 class ConnectionWait:
@@ -50,25 +50,25 @@
 
     def _call_check_after(self, seconds: float) -> asyncio.TimerHandle:
         """Schedule the next check; the one after it comes after twice the time."""
-        return self._loop.call_later(seconds, self._check, 2.0 * seconds, LOOP_TURNS_TO_USE)
+        return self._loop.call_later(seconds, self._check, 2.0 * seconds, LOOP_ITERATIONS_BEFORE_USE)
 
     def _check_again_after(self, seconds: float) -> None:
         self._late_timer = self._call_check_after(seconds)
 
-    def _check(self, next_s: float, turns: int) -> None:
+    def _check(self, next_s: float, iterations_remaining: int) -> None:
         """Act on a connection that is late.
 
         Args:
             next_s: Seconds until the next check, if nothing can be done yet.
-            turns: Turns of the event loop to wait before.
+            iterations_remaining: Turns of the event loop to wait before.
         """
-        if turns:
+        if iterations_remaining:
             # If the event loop itself is late, a connection may be up that it has not processed yet. Without
             # these turns another one would be opened beside it in vain.
-            self._late_timer = self._loop.call_soon(self._check, next_s, turns - 1)
-        elif not self._queue.extra_connection_pays(self._attempt):
+            self._late_timer = self._loop.call_soon(self._check, next_s, iterations_remaining - 1)
+        elif not self._queue.is_extra_connect_worthwhile(self._attempt):
             self._check_again_after(next_s)
-        elif self._queue.open_extra(self._attempt):
+        elif self._queue.start_extra_connect(self._attempt):
             self._check_again_after(self._pacing.late_after_s)
         elif self._loop.time() < self._failover_deadline_s:
             self._fail_over()
--- a/load_balancer/net/upstream/http_exchange.py
+++ b/load_balancer/net/upstream/http_exchange.py
@@ -57,7 +57,7 @@
 
     IDLE = auto()
     WRITING = auto()
-    AWAITING = auto()
+    AWAITING_RESPONSE = auto()
 
 
 class HttpExchange:
@@ -95,7 +95,7 @@
     def request_written(self) -> None:
         """Record that the last byte of the request has been written; do nothing if none is being written."""
         if self.state is ExchangeState.WRITING:
-            self.state = ExchangeState.AWAITING
+            self.state = ExchangeState.AWAITING_RESPONSE
 
     def end(self) -> None:
         """End the exchange, with or without its response."""
@@ -140,7 +140,7 @@
                 case h11.EndOfMessage() if self._head is not None:
                     return self._response(self._head)
                 case _:
-                    self._check_beginning()
+                    self._check_response_prefix()
                     return None
 
     def finish_cycle(self) -> bool:
@@ -171,7 +171,7 @@
         if self._interim_count > MAX_INTERIM_RESPONSES:
             raise TooManyInterimResponsesError
 
-    def _check_beginning(self) -> None:
+    def _check_response_prefix(self) -> None:
         """Raise an error if what has come cannot become a response.
 
         h11 waits for the end of the first line, which noise may never have.
--- a/load_balancer/net/upstream/idle_connections.py
+++ b/load_balancer/net/upstream/idle_connections.py
@@ -15,7 +15,9 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 
 SETTLE_S = 0.01  # a connection stays unused for this long, so that surplus bytes of its last response show
-NO_REUSE_S = 10.0  # an endpoint that broke an idle connection under a request gets new ones for this long
+REUSE_SUSPENSION_S = (
+    10.0  # an endpoint that broke an idle connection under a request gets new ones for this long
+)
 IDLE_MARGIN_SHARE = 0.1  # share of the idle limit by which we close before the endpoint does
 # And this at least: the process may be stalled for 0.15 s between looking at its clock and writing, and the
 # request has a way to go.
@@ -65,7 +67,7 @@
         new connection costs it less than that.
         """
         if endpoint in self.reuse_from_s:
-            self.reuse_from_s[endpoint] = self._loop.time() + NO_REUSE_S
+            self.reuse_from_s[endpoint] = self._loop.time() + REUSE_SUSPENSION_S
             self.close_all(endpoint)
 
     def count(self, endpoint: EndpointAddress) -> int:
--- a/load_balancer/net/upstream/load_report.py
+++ b/load_balancer/net/upstream/load_report.py
@@ -4,10 +4,12 @@
 
 import re
 
-REQUESTS_IN_FLIGHT = re.compile(rb"(?:^|,)(?:busy_reqs|inflight)=([0-9]{1,9}(?:\.[0-9]{1,9})?)(?:,|$)")
+REQUESTS_IN_FLIGHT_PATTERN = re.compile(
+    rb"(?:^|,)(?:busy_reqs|inflight)=([0-9]{1,9}(?:\.[0-9]{1,9})?)(?:,|$)"
+)
 
 
 def read_requests_in_flight(report: bytes) -> float | None:
     """Return the number of requests in flight by a load report, or None if it cannot be read."""
-    found = REQUESTS_IN_FLIGHT.search(report)
+    found = REQUESTS_IN_FLIGHT_PATTERN.search(report)
     return None if found is None else float(found[1])
--- a/load_balancer/net/upstream/request_checks.py
+++ b/load_balancer/net/upstream/request_checks.py
@@ -67,4 +67,4 @@
         # An idle connection may go stale at any endpoint; one that has just come up has failed.
         return Outcome.NOT_SENT if was_idle else Outcome.NO_CONNECTION
     # The client may have left since the decision to send, its end still unread: the work would be in vain.
-    return None if request.is_awaited() else Outcome.NOT_SENT
+    return None if request.is_client_waiting() else Outcome.NOT_SENT
--- a/load_balancer/net/upstream/upstream_attempt.py
+++ b/load_balancer/net/upstream/upstream_attempt.py
@@ -109,7 +109,7 @@
         connection = idle.take(self.endpoint) if self.request.is_idempotent else None
         if connection is not None:
             if not self.send_on(connection):
-                self._sources.reuse.give_back(connection)
+                self._sources.reuse.release(connection)
         elif self._sources.queue.wait(self):
             self._wait = ConnectionWait(
                 self._sources, self, self._write_deadline_s, self._failover_deadline_s
@@ -150,7 +150,7 @@
         """End the attempt, as its response is of no use any more."""
         self.finish(Outcome.CANCELLED)
 
-    def cancel_unanswered(self) -> None:
+    def cancel_without_response(self) -> None:
         """Cancel the attempt because no response came, which casts doubt on idle connections like its own."""
         self._close_silent_idle()
         self.cancel()
@@ -192,7 +192,7 @@
         """End the attempt, as the endpoint has ended the exchange; called by its connection."""
         self._end()
         if reusable:
-            self._give_back(connection)
+            self._release_connection(connection)
         self._on_outcome(outcome, response)
 
     def _end(self) -> None:
@@ -200,7 +200,7 @@
         self._stop_waiting()
         self._is_over = True
 
-    def _give_back(self, connection: UpstreamConnection) -> None:
+    def _release_connection(self, connection: UpstreamConnection) -> None:
         if not self.request.is_idempotent:  # it used none of the idle connections, which must not pile up
             self._sources.connections.idle.close_oldest(self.endpoint)
-        self._sources.reuse.give_back(connection)
+        self._sources.reuse.release(connection)
--- a/load_balancer/net/upstream/upstream_connection.py
+++ b/load_balancer/net/upstream/upstream_connection.py
@@ -21,7 +21,7 @@
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
 
 # Seconds from a response's first byte to its last: the endpoint's work is done by the first.
-RESPONSE_COMPLETION_S = 1.0
+RESPONSE_COMPLETION_TIMEOUT_S = 1.0
 
 
 class ConnectionOwner(Protocol):
@@ -103,7 +103,7 @@
     @property
     def has_written_request(self) -> bool:
         """Whether the last byte of the present request has been written."""
-        return self._exchange.state is ExchangeState.AWAITING
+        return self._exchange.state is ExchangeState.AWAITING_RESPONSE
 
     def mark_idle(self) -> None:
         """Record that it is idle from now on."""
@@ -143,10 +143,10 @@
 
     def abandon(self) -> None:
         """End the exchange without its response, as the attempt is over, and close the connection."""
-        self._release()
+        self._detach_attempt()
         self.close()
 
-    def _release(self) -> None:
+    def _detach_attempt(self) -> None:
         self.attempt = None
         self._exchange.end()
         self._response_timer.stop()
@@ -217,7 +217,7 @@
         An endpoint that sends an interim response (1xx) is still at work, so that no time runs after it.
         """
         if self._exchange.has_begun_response:
-            self._response_timer.start(RESPONSE_COMPLETION_S, self._fail_exchange)
+            self._response_timer.start(RESPONSE_COMPLETION_TIMEOUT_S, self._fail_exchange)
         else:
             self._response_timer.stop()
 
@@ -232,7 +232,7 @@
         attempt = self.attempt
         if attempt is None:
             return
-        self._release()
+        self._detach_attempt()
         if not reusable:
             self.close()
         attempt.exchange_ended(self, outcome, response, reusable=reusable)
--- a/load_balancer/net/upstream/upstream_messages.py
+++ b/load_balancer/net/upstream/upstream_messages.py
@@ -29,7 +29,7 @@
         is_idempotent: Whether it may run twice. Only such a request may go on a connection that was idle:
             that may turn out closed once the request is written, and whether it ran is then unknown.
         adds_deadline_header: Whether `req-deadline` is added, with the seconds left as it is written.
-        is_awaited: Returns whether the client still waits for the response at the moment of the call.
+        is_client_waiting: Returns whether the client still waits for the response at the moment of the call.
     """
 
     method: bytes
@@ -38,7 +38,7 @@
     body: bytes
     is_idempotent: bool = field(kw_only=True)
     adds_deadline_header: bool = field(default=True, kw_only=True)
-    is_awaited: Callable[[], bool] = field(default=lambda: True, kw_only=True)
+    is_client_waiting: Callable[[], bool] = field(default=lambda: True, kw_only=True)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -106,7 +106,7 @@
         out = RecordedAttempt(pool, endpoint.endpoint)
         await wait_until(lambda: bytes_from_endpoints.endswith(b"it"))
         assert not out.results
-        clock.advance(upstream_connection.RESPONSE_COMPLETION_S)
+        clock.advance(upstream_connection.RESPONSE_COMPLETION_TIMEOUT_S)
         assert await out.result() == (Outcome.RESET, None)
 
 
@@ -123,18 +123,18 @@
         await wait_until(lambda: len(bytes_from_endpoints) == cut and len(endpoint.received) == 1)
         endpoint.accepted[0].send(interim[cut:])
         await wait_until(lambda: len(bytes_from_endpoints) == len(interim))
-        clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_S)
+        clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_TIMEOUT_S)
         for _ in range(20):
             await asyncio.sleep(0)
         endpoint.accepted[0].send(good[:-1])
         await wait_until(lambda: bytes_from_endpoints.endswith(b"o") or bool(out.results))
         assert not out.results
-        clock.advance(upstream_connection.RESPONSE_COMPLETION_S)  # now its time runs
+        clock.advance(upstream_connection.RESPONSE_COMPLETION_TIMEOUT_S)  # now its time runs
         assert await out.result() == (Outcome.RESET, None)
         out = RecordedAttempt(pool, endpoint.endpoint)
         await wait_until(lambda: len(endpoint.received) == 2)
         endpoint.accepted[1].send(interim[cut:])
-        clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_S)
+        clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_TIMEOUT_S)
         endpoint.accepted[1].send(good)
         assert await out.result() == (Outcome.OK, OK_RESPONSE)
 
--- a/tests/net/upstream/test_connect_pacing.py
+++ b/tests/net/upstream/test_connect_pacing.py
@@ -101,15 +101,15 @@
     for seconds in [0.01] * 8 + [0.2] * 2:
         pacing.record_success(ENDPOINT, seconds)
     ages_s = [0.05]
-    assert pacing.extra_pays(ENDPOINT, ages_s, 1.0)
+    assert pacing.is_extra_connect_worthwhile(ENDPOINT, ages_s, 1.0)
     pacing.record_failure(ENDPOINT, OSError(number, ""), 0.0)
-    assert not pacing.extra_pays(ENDPOINT, ages_s, 1.0)
+    assert not pacing.is_extra_connect_worthwhile(ENDPOINT, ages_s, 1.0)
     loop.now += 1.1 * CONNECT_TIMEOUT_S
-    assert pacing.extra_pays(ENDPOINT, ages_s, 1.0) is math.isfinite(until_s)
+    assert pacing.is_extra_connect_worthwhile(ENDPOINT, ages_s, 1.0) is math.isfinite(until_s)
     pacing.record_failure(ENDPOINT, OSError(number, ""), 0.0)
     if ends == "success":
         pacing.record_success(ENDPOINT, 0.01)
     else:
         pacing.forget(ENDPOINT)
     assert not pacing.is_failing(ENDPOINT)
-    assert pacing.extra_pays(ENDPOINT, ages_s, 1.0)
+    assert pacing.is_extra_connect_worthwhile(ENDPOINT, ages_s, 1.0)
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -193,7 +193,7 @@
         connects.open(1)
         await wait_until(
             lambda: pool.pending.by_endpoint[calls.endpoint][0].task is not None
-            and bool(pool.pacing.no_extra_until_s)
+            and bool(pool.pacing.no_extra_connect_until_s)
         )
         for _ in range(20):
             await connects.advance(11.0)
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -207,7 +207,7 @@
         pool.disable_endpoint(endpoint)
     assert not pool.idle.reuse_from_s
     assert not pool.connections.last_activity_at_s
-    assert not pool.pacing.no_extra_until_s
+    assert not pool.pacing.no_extra_connect_until_s
 
 
 @pytest.fixture
@@ -256,13 +256,13 @@
 def record_considered(pool: ConnectionPool) -> list[WaitingAttempt]:
     """Collect the attempt each time that the pool considers one more connection for it."""
     considered: list[WaitingAttempt] = []
-    extra_connection_pays = pool.queue.extra_connection_pays
+    is_extra_connect_worthwhile = pool.queue.is_extra_connect_worthwhile
 
     def record(attempt: WaitingAttempt) -> bool:
         considered.append(attempt)
-        return extra_connection_pays(attempt)
+        return is_extra_connect_worthwhile(attempt)
 
-    pool.queue.extra_connection_pays = record  # type: ignore[method-assign]
+    pool.queue.is_extra_connect_worthwhile = record  # type: ignore[method-assign]
     return considered
 
 
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -34,7 +34,7 @@
         assert endpoint.connection_count == 3
         assert not pool.idle.by_endpoint
         pool.idle.reuse_from_s[EndpointAddress(1, address)] -= (
-            idle_connections.NO_REUSE_S
+            idle_connections.REUSE_SUSPENSION_S
         )  # as if that while were over
         assert (await run_attempt(pool, address))[0] is Outcome.OK
         assert pool.idle.by_endpoint
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -69,7 +69,7 @@
 async def test_invalid_response_is_detected_at_once_on_an_open_connection(
     pool: ConnectionPool, said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_S", 60.0)
+    monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT_S", 60.0)
 
     async with StandInEndpoint(said) as endpoint:
         assert await run_attempt(pool, ("127.0.0.1", endpoint.port), timeout_s=60.0) == (Outcome.RESET, None)
@@ -79,7 +79,7 @@
 async def test_response_that_does_not_complete_times_out(
     pool: ConnectionPool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_S", 0.05)
+    monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT_S", 0.05)
 
     async with StandInEndpoint(b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\nhalf") as endpoint:
         assert (await run_attempt(pool, ("127.0.0.1", endpoint.port), timeout_s=60.0))[0] is Outcome.RESET
--- a/tests/scenarios/test_local_resource_shortage.py
+++ b/tests/scenarios/test_local_resource_shortage.py
@@ -67,7 +67,7 @@
         assert response_status(await read_http_message(reader)) == 200
         assert failure.hits == 1
         assert len(endpoint.received) == 1
-        assert not proxy.pool.pacing.no_extra_until_s
+        assert not proxy.pool.pacing.no_extra_connect_until_s
         [state] = proxy.driver.balancer.endpoints.states.values()
         assert state.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
         assert proxy.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
--- a/tests/scenarios/test_stale_idle_connections.py
+++ b/tests/scenarios/test_stale_idle_connections.py
@@ -187,7 +187,7 @@
         if case == "it answers others":
             assert (await RecordedAttempt(pool, endpoint.endpoint, GET).result())[0] is Outcome.OK
         if case == "given up":
-            attempt.attempt.cancel_unanswered()
+            attempt.attempt.cancel_without_response()
         elif case == "cancelled":
             attempt.attempt.cancel()
         else:
--- a/tests/scenarios/test_unreachable_endpoints.py
+++ b/tests/scenarios/test_unreachable_endpoints.py
@@ -85,11 +85,11 @@
         assert lost_state.detector.first_epoch_count == PRIOR_SAMPLES
         assert lost_state.share == 1.0
         assert not lost.received
-        avoided_until_s = pacing.no_extra_until_s[lost_address]
+        avoided_until_s = pacing.no_extra_connect_until_s[lost_address]
         assert avoided_until_s <= proxy.pool.loop.time() + pacing.connect_timeout_s
         while not lost.received:
             await check_served(proxy)
-        assert not pacing.no_extra_until_s
+        assert not pacing.no_extra_connect_until_s
         assert lost_state.unreachable_backoff_us == 0
     assert not traceback_lines(caplog)
 
