--- a/load_balancer/net/upstream/connection_pool.py
+++ b/load_balancer/net/upstream/connection_pool.py
@@ -12,11 +12,11 @@
 from load_balancer.net.upstream.connect_pacing import ConnectPacing
 from load_balancer.net.upstream.connection_queue import ConnectionQueue
 from load_balancer.net.upstream.connection_reuse import ConnectionReuse
-from load_balancer.net.upstream.connection_sources import ConnectionSources
 from load_balancer.net.upstream.connector import Connector
 from load_balancer.net.upstream.idle_connections import IdleConnections
 from load_balancer.net.upstream.open_connections import OpenConnections
 from load_balancer.net.upstream.pending_connects import PendingConnects
+from load_balancer.net.upstream.pool_components import PoolComponents
 from load_balancer.net.upstream.upstream_attempt import AttemptTimes, UpstreamAttempt
 from load_balancer.net.upstream.upstream_messages import OnOutcome, UpstreamRequest
 from load_balancer.net.upstream.waiting_attempts import WaitingAttempts
@@ -63,7 +63,7 @@
         self.pacing = ConnectPacing(self.loop, connect_timeout_s, handshake_cost)
         self.reuse = ConnectionReuse(self.loop, self.idle, self.waiting)
         self.queue = ConnectionQueue(self.connections, self.pending, self.waiting, self.reuse, self.pacing)
-        self._sources = ConnectionSources(self.loop, self.connections, self.reuse, self.queue, self.pacing)
+        self._components = PoolComponents(self.loop, self.connections, self.reuse, self.queue, self.pacing)
 
     def start_attempt(
         self,
@@ -88,7 +88,7 @@
         if decided_at_s is None:
             decided_at_s = self.loop.time()
         times = AttemptTimes(decided_at_s, timeout_s, failover_within_s)
-        attempt = UpstreamAttempt(self._sources, endpoint, request, times, on_outcome)
+        attempt = UpstreamAttempt(self._components, endpoint, request, times, on_outcome)
         attempt.begin()
         return attempt
 
--- a/load_balancer/net/upstream/connection_wait.py
+++ b/load_balancer/net/upstream/connection_wait.py
@@ -8,7 +8,7 @@
 import asyncio
 
 from load_balancer.messages import Outcome
-from load_balancer.net.upstream.connection_sources import ConnectionSources
+from load_balancer.net.upstream.pool_components import PoolComponents
 from load_balancer.net.upstream.waiting_attempts import WaitingAttempt
 
 # Turns of the event loop from a connection's establishment to its use: three, and two to spare.
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        sources: ConnectionSources,
+        components: PoolComponents,
         attempt: WaitingAttempt,
         write_deadline_s: float,
         failover_deadline_s: float,
@@ -28,16 +28,16 @@
         """Start the timers.
 
         Args:
-            sources: Where the attempt gets its connection.
+            components: Where the attempt gets its connection.
             attempt: The attempt, which is ended if the wait is over without a connection.
             write_deadline_s: Until when the request may be written, by the event loop's clock.
             failover_deadline_s: Until when the attempt may end so that another endpoint is tried, by the
                 event loop's clock.
         """
-        self._loop = sources.loop
-        self._queue = sources.queue
-        self._connections = sources.connections
-        self._pacing = sources.pacing
+        self._loop = components.loop
+        self._queue = components.queue
+        self._connections = components.connections
+        self._pacing = components.pacing
         self._attempt = attempt
         self._failover_deadline_s = failover_deadline_s
         self._late_timer: asyncio.Handle = self._call_check_after(self._pacing.late_after_s)
--- a/load_balancer/net/upstream/connection_sources.py
+++ b/load_balancer/net/upstream/pool_components.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConnectionSources:
+class PoolComponents:
     """Where attempts get connections from and give them back to.
 
     Attributes:
--- a/load_balancer/net/upstream/upstream_attempt.py
+++ b/load_balancer/net/upstream/upstream_attempt.py
@@ -10,8 +10,8 @@
 
 from load_balancer.messages import Outcome
 from load_balancer.net.addresses import EndpointAddress
-from load_balancer.net.upstream.connection_sources import ConnectionSources
 from load_balancer.net.upstream.connection_wait import ConnectionWait
+from load_balancer.net.upstream.pool_components import PoolComponents
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import OnOutcome, UpstreamRequest, UpstreamResponse
 
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        sources: ConnectionSources,
+        components: PoolComponents,
         endpoint: EndpointAddress,
         request: UpstreamRequest,
         times: AttemptTimes,
@@ -54,14 +54,14 @@
         """Prepare an attempt; `begin` starts it.
 
         Args:
-            sources: Where it gets its connection.
+            components: Where it gets its connection.
             endpoint: The endpoint.
             request: The request.
             times: When it was decided and how long it may take.
             on_outcome: Is called exactly once, at the end.
         """
-        self._loop = sources.loop
-        self._sources = sources
+        self._loop = components.loop
+        self._components = components
         self.endpoint = endpoint
         self.request = request
         self._on_outcome = on_outcome
@@ -70,7 +70,7 @@
         self._is_over = False
         # The policy counts on it for retries with an idempotency key: past this an endpoint may have
         # forgotten the key, and would run the request a second time.
-        self._write_deadline_s = times.decided_at_s + sources.pacing.connect_timeout_s
+        self._write_deadline_s = times.decided_at_s + components.pacing.connect_timeout_s
         self._timer = self._loop.call_at(times.decided_at_s + times.timeout_s, self.time_out)
         self._failover_deadline_s = times.decided_at_s + times.failover_within_s
         # Kept only while it waits: the two refer to each other, and could otherwise be freed by the garbage
@@ -105,14 +105,14 @@
         """Send the request on an idle connection, or wait for one."""
         # If the endpoint has closed an idle connection and the end is still under way, it is unknown whether
         # the request ran. What must not run twice could then not be sent again, so it gets a new connection.
-        idle = self._sources.connections.idle
+        idle = self._components.connections.idle
         connection = idle.take(self.endpoint) if self.request.is_idempotent else None
         if connection is not None:
             if not self.send_on(connection):
-                self._sources.reuse.release(connection)
-        elif self._sources.queue.wait(self):
+                self._components.reuse.release(connection)
+        elif self._components.queue.wait(self):
             self._wait = ConnectionWait(
-                self._sources, self, self._write_deadline_s, self._failover_deadline_s
+                self._components, self, self._write_deadline_s, self._failover_deadline_s
             )
         else:
             self.finish(Outcome.NOT_SENT)  # a lack of sockets here is no sign of a fault of the endpoint
@@ -138,7 +138,7 @@
         if self._wait is not None:
             self._wait.cancel()
             self._wait = None
-        self._sources.queue.stop_waiting(self)
+        self._components.queue.stop_waiting(self)
 
     def time_out(self) -> None:
         """End the attempt, as its time is up; called by its own timer."""
@@ -163,7 +163,7 @@
     def _close_silent_idle(self) -> None:
         """Close other idle connections if an idle one brought nothing: an endpoint may forget them all."""
         if not self._is_over and self.connection is not None and self.connection.was_idle:
-            self._sources.connections.close_silent_idle(self.endpoint, self._assigned_at_s)
+            self._components.connections.close_silent_idle(self.endpoint, self._assigned_at_s)
 
     def finish(self, outcome: Outcome, *, keep_connecting: bool = False) -> None:
         """End the attempt without a response; do nothing if it is over.
@@ -178,7 +178,7 @@
         if self.connection is not None:
             self.connection.abandon()
         elif not keep_connecting:
-            self._sources.queue.cancel_surplus_connects(self.endpoint)
+            self._components.queue.cancel_surplus_connects(self.endpoint)
         self._on_outcome(outcome, None)
 
     def exchange_ended(
@@ -202,5 +202,5 @@
 
     def _release_connection(self, connection: UpstreamConnection) -> None:
         if not self.request.is_idempotent:  # it used none of the idle connections, which must not pile up
-            self._sources.connections.idle.close_oldest(self.endpoint)
-        self._sources.reuse.release(connection)
+            self._components.connections.idle.close_oldest(self.endpoint)
+        self._components.reuse.release(connection)
