--- a/load_balancer/net/upstream/__init__.py
+++ b/load_balancer/net/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to endpoints: the pool, one exchange on a connection, one outcome for each attempt."""
+"""Upstream side of the proxy: the connection pool, connections to endpoints, and HTTP attempts on them."""
--- a/load_balancer/net/upstream/connect_latency.py
+++ b/load_balancer/net/upstream/connect_latency.py
@@ -1,7 +1,7 @@
-"""How long connects to endpoints take, and how much time one more connect would save.
+"""Latency statistics of connects to endpoints, and the expected benefit of an extra connect.
 
-It remembers the last connects to all endpoints together: each endpoint alone gets too few to tell. The pacing
-of connects adds to it and asks it.
+The sample covers the most recent connects to all endpoints together, because a single endpoint receives too
+few connects for a useful estimate. `ConnectPacing` adds the samples and uses the estimates.
 """
 
 from __future__ import annotations
@@ -10,26 +10,26 @@
 from collections import deque
 from collections.abc import Sequence
 
-WINDOW_SIZE = 32  # connects that are remembered
-NEW_CONNECT_INDEX = -1  # the index of the connect that is not pending yet
-MIN_SAMPLES = 5  # before this many connects have ended, no median is given
+WINDOW_SIZE = 32  # number of most recent connects in the sample
+NEW_CONNECT_INDEX = -1  # index of the extra connect, which is not in the list of pending ones
+MIN_SAMPLES = 5  # number of completed connects below which no median is available
 
 
 class ConnectLatency:
-    """The durations of the last connects.
+    """Sliding window of the durations of the most recent connects.
 
-    In the manner of hedged requests (Dean and Barroso, "The Tail at Scale", CACM 2013), but the moment for
-    another connect comes from these durations and not from a fixed quantile: if a third of all connects
-    is late, so is the 95th percentile.
+    Extra connects follow the idea of hedged requests (Dean and Barroso, "The Tail at Scale", CACM 2013).
+    The time to start one is derived from the whole distribution of durations and not from a fixed quantile:
+    if a third of all connects are late, the 95th percentile is itself a late connect.
     """
 
     def __init__(self) -> None:
-        """Start with no connect."""
+        """Create an empty window."""
         self._recent_s: deque[float] = deque()
         self._sorted_s: list[float] = []
 
     def add(self, duration_s: float) -> None:
-        """Remember a connect that took this long, or at least this long if it was given up."""
+        """Add the duration of a connect; for an abandoned connect this is a lower bound."""
         if len(self._recent_s) == WINDOW_SIZE:
             self._sorted_s.remove(self._recent_s.popleft())
         self._recent_s.append(duration_s)
@@ -37,26 +37,28 @@
 
     @property
     def median_s(self) -> float | None:
-        """The median in seconds, or None while too few connects have ended."""
+        """The median duration in seconds, or None with fewer than `MIN_SAMPLES` samples."""
         return self._sorted_s[len(self._sorted_s) // 2] if len(self._recent_s) >= MIN_SAMPLES else None
 
     def expected_saving_s(self, ages_s: Sequence[float], limit_s: float) -> float:
-        """Return how many seconds sooner the first of several connects succeeds, on average, with one more.
+        """Return the expected reduction, in seconds, of the time to the first connection by one more connect.
 
-        Let S(u) be the probability that none of them is up within u seconds, and F(u) that a new one is. Then
-        the first is sooner by the integral of S(u) F(u) du; both are step functions.
+        S(u) is the probability that no pending connect succeeds within u seconds, and F(u) the probability
+        that a new connect does. The expected reduction is the integral of S(u) F(u) du. Both are step
+        functions, estimated from the sample.
 
         Args:
-            ages_s: For how many seconds each pending connect has been.
-            limit_s: Seconds after which no connection is of use.
+            ages_s: Seconds since the start of each pending connect.
+            limit_s: Seconds from now after which a connection is no longer useful.
         """
         count = len(self._sorted_s)
-        # How many of the remembered durations are longer than each age: those at which that connect may still
-        # end. For a connect that is pending for longer than any of them nothing can be expected.
+        # For each pending connect, the number of sampled durations longer than its age, that is, those at
+        # which it can still succeed. A connect older than all samples is assumed not to succeed.
         longer_counts = [count - bisect_right(self._sorted_s, age_s) for age_s in ages_s]
-        pending_survival, new_connect_cdf = 1.0, 0.0  # S and F
+        pending_survival, new_connect_cdf = 1.0, 0.0  # S(u) and F(u)
         saved_s = last_step_s = 0.0
-        # One pass over all steps: many connects to an endpoint may be pending, and each attempt asks often.
+        # A single pass over all steps, because an endpoint may have many pending connects, and every waiting
+        # attempt calls this method repeatedly.
         for step_s, index in sorted(self._completion_times(ages_s, longer_counts)):
             if step_s >= limit_s:
                 break
@@ -74,7 +76,7 @@
     def _completion_times(
         self, ages_s: Sequence[float], longer_counts: Sequence[int]
     ) -> list[tuple[float, int]]:
-        """Return when each connect may come up, in seconds from now, with its index in `ages_s`."""
+        """Return the possible success times of all connects in seconds from now, with indexes in `ages_s`."""
         durations_s = self._sorted_s
         steps = [(duration_s, NEW_CONNECT_INDEX) for duration_s in durations_s]
         for index, age_s in enumerate(ages_s):
--- a/load_balancer/net/upstream/connection_pool.py
+++ b/load_balancer/net/upstream/connection_pool.py
@@ -1,7 +1,7 @@
-"""The connections to all endpoints, as the driver sees them.
+"""The connection pool, the interface of the upstream side to the driver.
 
-The pool owns its parts: the open connections with the idle ones among them, the pending connects, and the
-attempts that wait. The driver starts attempts here, and enables and disables endpoints.
+The pool owns its components: the open connections including the idle ones, the pending connects, and the
+waiting attempts. The driver starts attempts here, and enables and disables endpoints.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 
 class ConnectionPool:
-    """The connections to all endpoints.
+    """Pool of the connections to all endpoints.
 
-    The driver uses the methods alone. The parts are public so that tests can look at their state.
+    The driver uses only the methods. The components are public so that tests can inspect their state.
 
     Attributes:
         loop: The event loop.
         idle: The idle connections.
-        connections: The open connections, the idle ones among them.
+        connections: The open connections, including the idle ones.
         connector: Opens connections.
         pending: The pending connects.
-        waiting: The attempts that wait for a connection.
-        pacing: Decides when one more connect is worth its cost.
-        reuse: Hands idle connections to attempts that wait.
-        queue: Hands new connections to attempts that wait.
+        waiting: The attempts waiting for a connection.
+        pacing: Decides whether an extra connect is worth its cost.
+        reuse: Assigns idle connections to waiting attempts.
+        queue: Starts connects and assigns new connections to waiting attempts.
     """
 
     def __init__(
@@ -46,13 +46,13 @@
         max_connections: int,
         handshake_cost: float = 0.0,
     ) -> None:
-        """Start with no connections; needs a running event loop.
+        """Create an empty pool; requires a running event loop.
 
         Args:
-            connect_timeout_s: Seconds after which a connect is given up.
+            connect_timeout_s: The timeout of a connect in seconds.
             idle_limit_s: Seconds after which an endpoint closes an idle connection.
             max_connections: The limit on open and pending connections to all endpoints together.
-            handshake_cost: The price of a new connection, as a share of a request's priority weight.
+            handshake_cost: The cost of a new connection, as a share of a request's priority weight.
         """
         self.loop = asyncio.get_running_loop()
         self.idle = IdleConnections(self.loop, idle_limit_s)
@@ -79,11 +79,11 @@
         Args:
             endpoint: The endpoint.
             request: The request.
-            timeout_s: Seconds until it ends without a response.
-            on_outcome: Is called exactly once, at the end, which may come before this returns.
-            failover_within_s: Seconds within which it may end, if its connections do not come up, so that
-                another endpoint is tried.
-            decided_at_s: From when on all times count, by the event loop's clock; None counts from now.
+            timeout_s: Seconds after which the attempt ends without a response.
+            on_outcome: Called exactly once, when the attempt ends, which may be before this method returns.
+            failover_within_s: Seconds within which the attempt may end early, if its connects are late, so
+                that another endpoint can be tried.
+            decided_at_s: The start of all these periods, by the event loop's clock; None means now.
         """
         if decided_at_s is None:
             decided_at_s = self.loop.time()
@@ -93,19 +93,19 @@
         return attempt
 
     def close_idle(self, endpoint: EndpointAddress) -> None:
-        """Close the connections to an endpoint that nothing uses now."""
+        """Close the idle connections to an endpoint."""
         self.idle.close_all(endpoint)
 
     def enable_endpoint(self, endpoint: EndpointAddress) -> None:
-        """Keep idle connections to an endpoint from now on."""
+        """Allow idle connections to an endpoint."""
         self.idle.enable(endpoint)
 
     def disable_endpoint(self, endpoint: EndpointAddress) -> None:
-        """Send nothing more to an endpoint that drains or is gone; what it has been sent goes on."""
+        """Send no more requests to an endpoint that drains or is gone; requests in flight continue."""
         self.connections.disable(endpoint)
         self.queue.disable(endpoint)
 
     def close(self) -> None:
-        """Close all connections, and cancel the connects."""
+        """Close all connections and cancel all pending connects."""
         self.pending.cancel_all()
         self.connections.close()
--- a/load_balancer/net/upstream/connection_queue.py
+++ b/load_balancer/net/upstream/connection_queue.py
@@ -1,7 +1,8 @@
-"""Attempts queue here for a connection, and connects are started as they need them.
+"""Queue of the attempts that wait for a connection; it starts connects according to demand.
 
-The queue decides how many connects are pending and which waiting attempt gets a connection that comes up. It
-calls the attempts that wait (`send_on`, `finish`); attempts enter and leave by `wait` and `stop_waiting`.
+The queue decides how many connects are pending and which waiting attempt gets a newly established connection.
+It calls the waiting attempts (`send_on`, `finish`); attempts enter and leave it with `wait` and
+`stop_waiting`.
 """
 
 from __future__ import annotations
@@ -15,17 +16,18 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.waiting_attempts import WaitingAttempt, WaitingAttempts
 
-# Connections to an endpoint that may be pending at once, besides one for each attempt that waits.
+# Limit on the pending connects to an endpoint in excess of its waiting attempts.
 MAX_SPARE_CONNECTS = 2
-MAX_UNUSED_IDLE = 1  # idle connections to an endpoint beside which a new one is closed if no attempt waits
+MAX_UNUSED_IDLE = 1  # number of idle connections to an endpoint from which an unneeded new one is closed
 
 
 class ConnectionQueue:
-    """The attempts that wait for a connection, and the connects that are pending for them.
+    """The attempts that wait for a connection, and the pending connects that serve them.
 
-    An attempt that waits takes whichever connection is first: one that comes up, for it or for another
-    attempt on that endpoint, or one that falls idle. The longest waiting go first. There are always at least
-    as many connects pending as attempts wait, so each attempt ends at the latest as its own connect would.
+    A waiting attempt gets the first connection to its endpoint that becomes available: a newly established
+    one, whichever attempt it was started for, or one that becomes idle. Attempts are served in order of
+    arrival. Each endpoint has at least as many pending connects as waiting attempts, so that an attempt never
+    waits longer than a connect of its own would take.
     """
 
     def __init__(
@@ -36,14 +38,14 @@
         reuse: ConnectionReuse,
         pacing: ConnectPacing,
     ) -> None:
-        """Start with an empty queue.
+        """Create an empty queue.
 
         Args:
-            connections: The open connections, which count against the limit on connections.
-            pending: The pending connects; only the queue starts and removes any.
-            waiting: The attempts that wait; only the queue adds and removes any.
-            reuse: Takes connections that no attempt waits for.
-            pacing: Decides when one more connect is worth its cost.
+            connections: The open connections, which count towards the limit on connections.
+            pending: The pending connects; only the queue starts and removes connects.
+            waiting: The waiting attempts; only the queue adds and removes attempts.
+            reuse: Keeps connections that no attempt waits for.
+            pacing: Decides whether an extra connect is worth its cost.
         """
         self._connections = connections
         self._pending = pending
@@ -52,7 +54,7 @@
         self._pacing = pacing
 
     def wait(self, attempt: WaitingAttempt) -> bool:
-        """Let an attempt wait for a connection; return False if there is no capacity for one."""
+        """Add an attempt to the queue; return False if there is no capacity for another connection."""
         if not self._has_capacity and not self._connections.idle.close_oldest_of_all():
             return False
         self._waiting.add(attempt)
@@ -63,22 +65,24 @@
         return True
 
     def stop_waiting(self, attempt: WaitingAttempt) -> None:
-        """Remove an attempt from the queue; do nothing if it does not wait."""
+        """Remove an attempt from the queue; do nothing if it is not waiting."""
         self._waiting.remove(attempt)
 
     def is_extra_connect_worthwhile(self, attempt: WaitingAttempt) -> bool:
-        """Return whether one more connection would save enough of the time that an attempt has left."""
+        """Return whether an extra connect is expected to save enough of an attempt's time remaining."""
         endpoint = attempt.endpoint
         ages_s = self._pending.ages_s(endpoint)
         return self._pacing.is_extra_connect_worthwhile(endpoint, ages_s, attempt.time_remaining_s)
 
     def start_extra_connect(self, attempt: WaitingAttempt) -> bool:
-        """Begin one more connect for an attempt that waits.
+        """Start an extra connect for a waiting attempt.
 
         Returns:
-            False if no more connects may be pending, or if there is no capacity for one.
+            False in a local shortage, without capacity for another connection, or if the endpoint may get no
+            more connects.
         """
-        # With a local shortage each connect would fail at once, and the next one begin, beside a late one.
+        # In a local shortage each extra connect would fail immediately and be followed by the next one
+        # for as long as another connect is late.
         if self._pacing.has_local_shortage or not self._has_capacity:
             return False
         if not self._may_start_connect(attempt.endpoint):
@@ -87,7 +91,7 @@
         return True
 
     def cancel_surplus_connects(self, endpoint: EndpointAddress) -> None:
-        """Cancel the connects to an endpoint that no attempt waits for any more."""
+        """Cancel the newest pending connects to an endpoint that exceed its number of waiting attempts."""
         all_pending = self._pending.by_endpoint.get(endpoint, [])
         for pending in all_pending[self._waiting.count(endpoint) :]:
             pending.task.cancel()
@@ -95,7 +99,7 @@
             self._pacing.record_cancelled(self._pending.age_s(pending))
 
     def disable(self, endpoint: EndpointAddress) -> None:
-        """End all attempts that wait for an endpoint that drains or is gone, and cancel its connects."""
+        """End all attempts waiting for an endpoint that drains or is gone, and cancel its connects."""
         self._pacing.forget(endpoint)
         for attempt in self._waiting.for_endpoint(endpoint):
             attempt.finish(Outcome.NOT_SENT)
@@ -106,9 +110,9 @@
         return self._connections.has_capacity(self._pending.total_count)
 
     def _may_start_connect(self, endpoint: EndpointAddress) -> bool:
-        """Return whether an endpoint may get one more connect.
+        """Return whether an endpoint may get another connect.
 
-        Endpoints accept few connections: many at once that no attempt waits for would keep other clients out.
+        Endpoints accept a limited number of connections: many unneeded connects would keep other clients out.
         """
         return self._pending.count(endpoint) < self._waiting.count(endpoint) + MAX_SPARE_CONNECTS
 
@@ -117,7 +121,7 @@
         self._pending.start(attempt, self)
 
     def connect_succeeded(self, pending: PendingConnect, connection: UpstreamConnection) -> None:
-        """Hand a connection that has come up to the attempt that has waited longest."""
+        """Assign an established connection to the longest waiting attempt, or else keep or close it."""
         endpoint = pending.endpoint
         if connection.transport.is_closing():
             self._remove_failed(pending, Outcome.NO_CONNECTION)
@@ -133,16 +137,16 @@
             connection.close()
 
     def connect_failed(self, pending: PendingConnect, error: OSError) -> None:
-        """Record why a connect failed, and end or serve the attempt that is left without one."""
+        """Record the failure of a connect, and end the attempt left without a connect or start one for it."""
         outcome = self._pacing.record_failure(pending.endpoint, error, self._pending.age_s(pending))
         self._remove_failed(pending, outcome)
 
     def connect_crashed(self, pending: PendingConnect) -> None:
-        """End or serve the attempt that is left without a connect by a fault of this program."""
+        """Handle an unexpected exception: end the attempt left without a connect or start one for it."""
         self._remove_failed(pending, Outcome.NO_CONNECTION)
 
     def _remove_failed(self, pending: PendingConnect, outcome: Outcome) -> None:
-        """Remove a failed connect; end an attempt if more attempts wait now than connects are pending."""
+        """Remove a failed connect; if fewer connects than attempts remain, end an attempt or connect anew."""
         endpoint = pending.endpoint
         self._pending.remove(pending)
         others = self._pending.by_endpoint.get(endpoint, [])
@@ -152,8 +156,8 @@
         without_own_connect = [a for a in self._waiting.for_endpoint(endpoint) if a not in with_own_connect]
         attempt = pending.attempt if pending.attempt in without_own_connect else without_own_connect[0]
         had_own_connect = self._waiting.had_own_connect(attempt)
-        # An attempt that has only waited on others' connects gets one of its own: theirs may have begun long
-        # before it, so that it would end early.
+        # An attempt that relied on connects started for other attempts gets a connect of its own: those may
+        # have started long before the attempt, so that ending it with them would end it early.
         if had_own_connect or outcome is Outcome.NOT_SENT or self._pacing.is_failing(endpoint):
             attempt.finish(outcome)
         else:
--- a/load_balancer/net/upstream/connection_reuse.py
+++ b/load_balancer/net/upstream/connection_reuse.py
@@ -1,6 +1,6 @@
-"""Keeps connections between requests and hands them to attempts that wait for one.
+"""Reuse of connections: keeps them idle between requests and assigns them to waiting attempts.
 
-Attempts and the connection queue give connections back here once nothing uses them.
+Attempts and the connection queue release unused connections to this module.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 
 
 class ConnectionReuse:
-    """Offers idle connections to waiting attempts as soon as they may be used again."""
+    """Assigns idle connections to waiting attempts once their settling time has passed."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, idle: IdleConnections, waiting: WaitingAttempts
     ) -> None:
-        """Prepare to hand out idle connections.
+        """Create the assignment of idle connections to waiting attempts.
 
         Args:
-            loop: The event loop, whose clock counts.
+            loop: The event loop.
             idle: The idle connections.
-            waiting: The attempts that wait for a connection.
+            waiting: The attempts waiting for a connection.
         """
         self._loop = loop
         self._idle = idle
         self._waiting = waiting
 
     def release(self, connection: UpstreamConnection) -> None:
-        """Keep a connection that nothing uses any more, or close it if it may not be kept."""
+        """Keep an unused connection as idle, or close it if it may not be kept."""
         if self._idle.add(connection) and self._waiting.count(connection.endpoint):
             self._offer_once_settled(connection)
 
     def offer_all_once_settled(self, endpoint: EndpointAddress) -> None:
-        """Offer each idle connection to an endpoint to those that wait, once it may be used again."""
+        """Offer each idle connection to the endpoint's waiting attempts once its settling time has passed."""
         for connection in self._idle.by_endpoint.get(endpoint, ()):
             self._offer_once_settled(connection)
 
@@ -44,7 +44,7 @@
         self._loop.call_at(self._idle.settled_at_s(connection), self._offer, connection.endpoint)
 
     def _offer(self, endpoint: EndpointAddress) -> None:
-        """Hand the idle connections to an endpoint that have settled to attempts that wait for one."""
+        """Assign an endpoint's settled idle connections to its waiting attempts with idempotent requests."""
         for attempt in self._waiting.for_endpoint(endpoint):
             if not attempt.request.is_idempotent or attempt.is_over:
                 continue
--- a/load_balancer/net/upstream/connection_wait.py
+++ b/load_balancer/net/upstream/connection_wait.py
@@ -1,6 +1,6 @@
-"""How one attempt waits for a connection: what it does if the connection is late, and when it gives up.
+"""The wait of one attempt for a connection: extra connects, failover and the write deadline.
 
-An attempt makes its wait as it enters the connection queue, and cancels it when it leaves the queue.
+An attempt creates its wait when it enters the connection queue, and cancels it when it leaves the queue.
 """
 
 from __future__ import annotations
@@ -11,12 +11,13 @@
 from load_balancer.net.upstream.pool_components import PoolComponents
 from load_balancer.net.upstream.waiting_attempts import WaitingAttempt
 
-# Turns of the event loop from a connection's establishment to its use: three, and two to spare.
+# Iterations of the event loop to allow between the establishment of a connection and its use: it takes three,
+# and two are a margin.
 LOOP_ITERATIONS_BEFORE_USE = 5
 
 
 class ConnectionWait:
-    """The timers of one attempt that waits for a connection."""
+    """Timers of one attempt that waits for a connection."""
 
     def __init__(
         self,
@@ -28,11 +29,11 @@
         """Start the timers.
 
         Args:
-            components: Where the attempt gets its connection.
-            attempt: The attempt, which is ended if the wait is over without a connection.
-            write_deadline_s: Until when the request may be written, by the event loop's clock.
-            failover_deadline_s: Until when the attempt may end so that another endpoint is tried, by the
-                event loop's clock.
+            components: The components of the connection pool.
+            attempt: The attempt, which is ended if it gets no connection in time.
+            write_deadline_s: The latest time at which the request may be written, by the event loop's clock.
+            failover_deadline_s: The latest time at which the attempt may end early so that another endpoint
+                is tried, by the event loop's clock.
         """
         self._loop = components.loop
         self._queue = components.queue
@@ -49,22 +50,23 @@
         self._write_timer.cancel()
 
     def _call_check_after(self, seconds: float) -> asyncio.TimerHandle:
-        """Schedule the next check; the one after it comes after twice the time."""
+        """Schedule a check in `seconds`; the interval to the check after it is twice as long."""
         return self._loop.call_later(seconds, self._check, 2.0 * seconds, LOOP_ITERATIONS_BEFORE_USE)
 
     def _check_again_after(self, seconds: float) -> None:
         self._late_timer = self._call_check_after(seconds)
 
     def _check(self, next_s: float, iterations_remaining: int) -> None:
-        """Act on a connection that is late.
+        """Start an extra connect, fail over to another endpoint, or schedule the next check.
 
         Args:
-            next_s: Seconds until the next check, if nothing can be done yet.
-            iterations_remaining: Turns of the event loop to wait before.
+            next_s: Seconds until the next check if neither is possible or worthwhile now.
+            iterations_remaining: Iterations of the event loop to wait before the check.
         """
         if iterations_remaining:
-            # If the event loop itself is late, a connection may be up that it has not processed yet. Without
-            # these turns another one would be opened beside it in vain.
+            # If the event loop itself is late, a connection may be established that the loop has not
+            # processed yet. Without waiting these iterations, an extra connect would be started
+            # needlessly.
             self._late_timer = self._loop.call_soon(self._check, next_s, iterations_remaining - 1)
         elif not self._queue.is_extra_connect_worthwhile(self._attempt):
             self._check_again_after(next_s)
@@ -76,7 +78,7 @@
             self._check_again_after(next_s)
 
     def _fail_over(self) -> None:
-        """Leave this endpoint in time for another. The connects go on, for other attempts to use."""
+        """End the attempt early so that another endpoint is tried; connects continue for other attempts."""
         active_since_s = self._loop.time() - self._pacing.connect_timeout_s
         was_active = self._connections.was_active_since(self._attempt.endpoint, active_since_s)
         outcome = Outcome.NOT_SENT if was_active else Outcome.NO_CONNECTION
--- a/load_balancer/net/upstream/connector.py
+++ b/load_balancer/net/upstream/connector.py
@@ -1,4 +1,4 @@
-"""Opens connections to endpoints. It holds no state."""
+"""Opens connections to endpoints."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class Connector:
-    """Opens connections that report to one owner."""
+    """Opens connections that all report to the same owner."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, owner: ConnectionOwner, connect_timeout_s: float
     ) -> None:
-        """Prepare to open connections.
+        """Create a connector.
 
         Args:
             loop: The event loop.
             owner: The owner of the connections.
-            connect_timeout_s: Seconds after which a connect is given up.
+            connect_timeout_s: The timeout of a connect in seconds.
         """
         self._loop = loop
         self._owner = owner
@@ -31,7 +31,7 @@
         """Open a connection to an endpoint and return it.
 
         Raises:
-            OSError: The connect failed; TimeoutError if it took too long.
+            OSError: The connect failed; TimeoutError if it exceeded the connect timeout.
         """
         async with asyncio.timeout(self._connect_timeout_s):
             transport, connection = await self._loop.create_connection(
@@ -39,5 +39,5 @@
             )
         if has_never_connected(transport):
             connection.close()
-            raise BlockingIOError(errno.EAGAIN, "the system has no resources for a connection")
+            raise BlockingIOError(errno.EAGAIN, "connect failed: no system resources for a new connection")
         return connection
--- a/load_balancer/net/upstream/http_exchange.py
+++ b/load_balancer/net/upstream/http_exchange.py
@@ -1,7 +1,7 @@
-"""One request and its response in HTTP/1.1, without input or output.
+"""HTTP/1.1 codec for one request and its response at a time; it performs no I/O.
 
-A connection to an endpoint has one exchange object, begins it anew for each request, and feeds it what the
-endpoint sends.
+Each connection to an endpoint owns one exchange object. It begins a new exchange for each request and passes
+the bytes received from the endpoint to it.
 """
 
 from __future__ import annotations
@@ -14,45 +14,46 @@
 from load_balancer.net.http_messages import MAX_BODY_BYTES, Headers
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
 
-MAX_HEAD_BYTES = 16 * 1024  # of a response's status line and headers
-MAX_LENGTH_DIGITS = 18  # of a Content-Length: far more than any that is allowed, and quick to parse
-MAX_INTERIM_RESPONSES = 16  # responses 1xx before the final one
-STATUS_LINE_PREFIX = b"HTTP/1."  # how every response begins
+MAX_HEAD_BYTES = 16 * 1024  # limit on the status line and headers of a response
+# Limit on the digits of a Content-Length: far above any allowed value, and quick to parse.
+MAX_LENGTH_DIGITS = 18
+MAX_INTERIM_RESPONSES = 16  # limit on the interim responses (1xx) before the final response
+STATUS_LINE_PREFIX = b"HTTP/1."  # the first bytes of every response
 
 
 class InvalidResponseError(WireError):
-    """The endpoint sent what cannot be a response to this request; the message gives the reason."""
+    """The endpoint sent bytes that are not a valid response; the message states the reason."""
 
 
 class NoHttpResponseError(InvalidResponseError):
-    """What the endpoint sent does not begin like a response."""
+    """The received bytes do not begin with an HTTP/1.x status line."""
 
     def __init__(self) -> None:
-        """State the fault."""
-        super().__init__("not a response")
+        """Set the error message."""
+        super().__init__("invalid response: does not begin with an HTTP/1.x status line")
 
 
 class ResponseTooLongError(InvalidResponseError):
-    """The response has, or announces, a body longer than the protocol allows."""
+    """The body of the response, or its Content-Length, exceeds the limit of the protocol."""
 
     def __init__(self) -> None:
-        """State the fault with the limit."""
-        super().__init__(f"body longer than {MAX_BODY_BYTES} bytes")
+        """Set the error message with the limit."""
+        super().__init__(f"invalid response: body longer than {MAX_BODY_BYTES} bytes")
 
 
 class TooManyInterimResponsesError(InvalidResponseError):
-    """The endpoint sent interim responses (1xx) without an end."""
+    """The endpoint sent too many interim responses (1xx) to one request."""
 
     def __init__(self) -> None:
-        """State the fault with the limit."""
-        super().__init__(f"more than {MAX_INTERIM_RESPONSES} interim responses")
+        """Set the error message with the limit."""
+        super().__init__(f"invalid response: more than {MAX_INTERIM_RESPONSES} interim responses")
 
 
 class ExchangeState(Enum):
-    """Where the exchange on a connection is.
+    """State of the exchange on a connection.
 
-    IDLE goes to WRITING as a request begins, WRITING to AWAITING with the request's last byte, and either of
-    them to IDLE as the exchange ends.
+    IDLE changes to WRITING when a request begins, and WRITING to AWAITING_RESPONSE when the last byte of the
+    request has been written. Both change to IDLE when the exchange ends.
     """
 
     IDLE = auto()
@@ -61,39 +62,39 @@
 
 
 class HttpExchange:
-    """The present request and its response on one connection.
+    """The current request and its response on one connection.
 
     Attributes:
-        state: Where the exchange is.
+        state: The state of the exchange.
     """
 
     def __init__(self) -> None:
-        """Start before the first request of a connection."""
+        """Create an idle exchange for a new connection."""
         self.state = ExchangeState.IDLE
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._head: h11.Response | None = None
         self._body = bytearray()
-        self._interim_count = 0  # responses 1xx so far
+        self._interim_count = 0  # interim responses (1xx) received so far
 
     @property
     def has_interim_response(self) -> bool:
-        """Whether an interim response (1xx) to the present request has come."""
+        """Whether an interim response (1xx) to the current request has been received."""
         return self._interim_count > 0
 
     @property
     def has_begun_response(self) -> bool:
-        """Whether a part of the final response has come, or of an interim one that is not complete."""
+        """Whether a part of the final response, or of an incomplete interim response, has been received."""
         return self._head is not None or bool(self._http.trailing_data[0])
 
     def begin(self) -> None:
-        """Forget the response to the last request, as the next request is about to be written."""
+        """Begin the exchange of the next request, and discard the response to the previous one."""
         self.state = ExchangeState.WRITING
         self._head = None
         self._interim_count = 0
         self._body.clear()
 
     def request_written(self) -> None:
-        """Record that the last byte of the request has been written; do nothing if none is being written."""
+        """Record that the last byte of the request has been written; do nothing outside the WRITING state."""
         if self.state is ExchangeState.WRITING:
             self.state = ExchangeState.AWAITING_RESPONSE
 
@@ -102,14 +103,14 @@
         self.state = ExchangeState.IDLE
 
     def encode_request(self, request: UpstreamRequest, headers: Headers) -> bytes:
-        """Return the bytes of a request.
+        """Return the encoded bytes of a request.
 
         Args:
             request: The request.
-            headers: Its headers, in place of those of `request`.
+            headers: The headers to send instead of those of `request`.
 
         Raises:
-            h11.LocalProtocolError: It cannot be written as HTTP/1.1.
+            h11.LocalProtocolError: The request cannot be encoded as HTTP/1.1.
         """
         head = h11.Request(method=request.method, target=request.target, headers=headers)
         parts = [self._http.send(head)]
@@ -119,14 +120,14 @@
         return b"".join(part for part in parts if part)
 
     def receive(self, data: bytes) -> UpstreamResponse | None:
-        """Take what the endpoint has sent, with no bytes standing for the end of its stream.
+        """Process bytes received from the endpoint; empty `data` means the end of the stream.
 
         Returns:
-            The response, once its last byte has come; None before.
+            The final response if it is complete, else None.
 
         Raises:
-            InvalidResponseError: It cannot be a response to the request.
-            h11.RemoteProtocolError: It is not HTTP/1.1.
+            InvalidResponseError: The bytes are not a valid response to the request.
+            h11.RemoteProtocolError: The bytes are not valid HTTP/1.1.
         """
         self._http.receive_data(data)
         while True:
@@ -147,7 +148,8 @@
         """Prepare for the next request on the same connection.
 
         Returns:
-            False if the connection cannot carry one, as a side ends it or surplus bytes have come.
+            False if the connection cannot carry another request, because either side closes it or the
+            endpoint sent bytes after the response.
         """
         is_done = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         if not is_done or self._http.trailing_data[0]:
@@ -163,7 +165,7 @@
 
     def _accept_body(self, part: bytes) -> None:
         self._body += part
-        if len(self._body) > MAX_BODY_BYTES:  # the protocol allows none, and it would fill the memory
+        if len(self._body) > MAX_BODY_BYTES:  # not allowed by the protocol, and would exhaust memory
             raise ResponseTooLongError
 
     def _accept_interim_response(self) -> None:
@@ -172,9 +174,9 @@
             raise TooManyInterimResponsesError
 
     def _check_response_prefix(self) -> None:
-        """Raise an error if what has come cannot become a response.
+        """Raise an error if the received bytes cannot be the beginning of a response.
 
-        h11 waits for the end of the first line, which noise may never have.
+        h11 waits for the end of the first line, which arbitrary bytes may never contain.
         """
         beginning = self._http.trailing_data[0][: len(STATUS_LINE_PREFIX)]
         if self._head is None and not STATUS_LINE_PREFIX.startswith(beginning):
--- a/load_balancer/net/upstream/idle_connections.py
+++ b/load_balancer/net/upstream/idle_connections.py
@@ -1,7 +1,7 @@
-"""The idle connections to all endpoints, and which endpoints may have any.
+"""The idle connections to all endpoints, and the endpoints that may have idle connections.
 
-A connection that nothing uses any more is added here and taken for the next request: the last one in is the
-first one out, so that spare ones age and are closed.
+An unused connection is added here and taken for a later request. The order is last in, first out, so that
+surplus connections reach the idle limit and are closed.
 """
 
 from __future__ import annotations
@@ -14,30 +14,28 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 
-SETTLE_S = 0.01  # a connection stays unused for this long, so that surplus bytes of its last response show
-REUSE_SUSPENSION_S = (
-    10.0  # an endpoint that broke an idle connection under a request gets new ones for this long
-)
-IDLE_MARGIN_SHARE = 0.1  # share of the idle limit by which we close before the endpoint does
-# And this at least: the process may be stalled for 0.15 s between looking at its clock and writing, and the
-# request has a way to go.
+SETTLE_S = 0.01  # minimum idle time before reuse, so that surplus bytes after the last response are detected
+REUSE_SUSPENSION_S = 10.0  # time without reuse after an endpoint closed a reused connection under a request
+IDLE_MARGIN_SHARE = 0.1  # share of the idle limit by which connections are closed before the endpoint does
+# Lower bound of that margin: the process may stall for 0.15 s between reading the clock and writing the
+# request, and the request takes time to reach the endpoint.
 MIN_IDLE_MARGIN_S = 0.2
 
 
 class IdleConnections:
-    """The idle connections to each endpoint.
+    """The idle connections to all endpoints.
 
     Attributes:
         by_endpoint: The idle connections to each endpoint that has any, the longest idle first.
-        reuse_from_s: The endpoints that may have idle connections, and from when on, by the event loop's
-            clock.
+        reuse_from_s: The endpoints that may have idle connections, each with the earliest time for adding
+            one, by the event loop's clock.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, idle_limit_s: float) -> None:
-        """Start with none.
+        """Start without idle connections.
 
         Args:
-            loop: The event loop, whose clock counts.
+            loop: The event loop.
             idle_limit_s: Seconds after which an endpoint closes an idle connection.
         """
         self._loop = loop
@@ -48,23 +46,23 @@
         self._close_timers: dict[UpstreamConnection, asyncio.TimerHandle] = {}  # one for each idle connection
 
     def enable(self, endpoint: EndpointAddress) -> None:
-        """Let an endpoint have idle connections from now on."""
+        """Allow idle connections to an endpoint."""
         self.reuse_from_s.setdefault(endpoint, 0.0)
 
     def disable(self, endpoint: EndpointAddress) -> None:
-        """Let an endpoint have no idle connections, and close those that it has."""
+        """Disallow idle connections to an endpoint, and close the existing ones."""
         self.reuse_from_s.pop(endpoint, None)
         self.close_all(endpoint)
 
     def is_enabled(self, endpoint: EndpointAddress) -> bool:
-        """Return whether an endpoint may have idle connections, be it after a while."""
+        """Return whether an endpoint may have idle connections, now or after a suspension."""
         return endpoint in self.reuse_from_s
 
     def suspend(self, endpoint: EndpointAddress) -> None:
-        """Keep no idle connections to an endpoint for a while.
+        """Close the idle connections to an endpoint, and keep none for `REUSE_SUSPENSION_S`.
 
-        An endpoint that closes idle connections at will breaks requests on them, which then may have run; a
-        new connection costs it less than that.
+        An endpoint that closes idle connections early breaks requests sent on them, and it is then unknown
+        whether they ran. New connections cost the endpoint less than that.
         """
         if endpoint in self.reuse_from_s:
             self.reuse_from_s[endpoint] = self._loop.time() + REUSE_SUSPENSION_S
@@ -75,7 +73,7 @@
         return len(self.by_endpoint.get(endpoint, ()))
 
     def take(self, endpoint: EndpointAddress) -> UpstreamConnection | None:
-        """Remove and return an idle connection that has settled and looks alive, or None."""
+        """Remove and return a settled idle connection that appears usable, or return None."""
         settled_since_s = self._loop.time() - SETTLE_S
         for connection in reversed(self.by_endpoint.get(endpoint, [])[:]):
             if connection.idle_since_s > settled_since_s:
@@ -87,18 +85,18 @@
         return None
 
     def _is_usable(self, connection: UpstreamConnection) -> bool:
-        """Return whether an idle connection looks alive, with no byte that has not been read."""
-        # The timer that closes it is late itself if the process was stalled: the endpoint may have closed
-        # it, with the end still on its way.
+        """Return whether an idle connection is within its idle limit, open, and without unread bytes."""
+        # After a stall of the process the timer that closes the connection may not have run yet: the endpoint
+        # may have closed the connection, with the end of the stream still in transit.
         if self._loop.time() >= connection.idle_since_s + self._limit_s:
             return False
-        # Its end, or more than its last response, may have come and not been read yet: the next request would
-        # be lost, or get a response that isn't its own.
+        # The end of the stream, or surplus bytes after the last response, may have arrived without being read
+        # yet: the next request would be lost, or get a response that is not its own.
         transport = connection.transport
         return not transport.is_closing() and not socket_state.has_unread_bytes(transport)
 
     def add(self, connection: UpstreamConnection) -> bool:
-        """Keep a connection that nothing uses any more; close it and return False if it may not be kept."""
+        """Keep an unused connection as idle; close it and return False if it may not be kept."""
         reuse_from_s = self.reuse_from_s.get(connection.endpoint, math.inf)
         if connection.transport.is_closing() or self._loop.time() < reuse_from_s:
             connection.close()
@@ -109,15 +107,15 @@
         return True
 
     def settled_at_s(self, connection: UpstreamConnection) -> float:
-        """Return when an idle connection can be used again, by the event loop's clock."""
+        """Return the time at which an idle connection may be reused, by the event loop's clock."""
         return connection.idle_since_s + SETTLE_S
 
     def closes_at_s(self, connection: UpstreamConnection) -> float:
-        """Return when an idle connection will be closed unless it is used, by the event loop's clock."""
+        """Return the time at which an unused idle connection will be closed, by the event loop's clock."""
         return self._close_timers[connection].when()
 
     def remove(self, connection: UpstreamConnection) -> None:
-        """Remove a connection, so that it is not used again; do nothing if it is not idle."""
+        """Remove a connection so that it is not reused; do nothing if it is not idle."""
         timer = self._close_timers.pop(connection, None)
         if timer is not None:
             timer.cancel()
@@ -132,12 +130,12 @@
         connection.close()
 
     def close_oldest(self, endpoint: EndpointAddress) -> None:
-        """Close the connection to an endpoint that has been idle for longest; do nothing if there is none."""
+        """Close the longest idle connection to an endpoint; do nothing if there is none."""
         if endpoint in self.by_endpoint:
             self._close(self.by_endpoint[endpoint][0])
 
     def close_oldest_of_all(self) -> bool:
-        """Close the connection that has been idle for longest of all; return False if there is none."""
+        """Close the longest idle connection of all endpoints; return False if there is none."""
         oldest_by_endpoint = [idle[0] for idle in self.by_endpoint.values() if idle]
         if not oldest_by_endpoint:
             return False
--- a/load_balancer/net/upstream/load_report.py
+++ b/load_balancer/net/upstream/load_report.py
@@ -1,4 +1,4 @@
-"""Reads an endpoint's load report: the body of its response to a health check."""
+"""Parser of endpoints' load reports, the bodies of their responses to health checks."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 
 def read_requests_in_flight(report: bytes) -> float | None:
-    """Return the number of requests in flight by a load report, or None if it cannot be read."""
+    """Return the number of requests in flight from a load report, or None if the report is invalid."""
     found = REQUESTS_IN_FLIGHT_PATTERN.search(report)
     return None if found is None else float(found[1])
--- a/load_balancer/net/upstream/open_connections.py
+++ b/load_balancer/net/upstream/open_connections.py
@@ -1,6 +1,7 @@
-"""The connections that are open, and when each endpoint last showed activity.
+"""The open connections to endpoints, and the time of the last activity of each endpoint.
 
-Connections report to it what happens to them; it calls none of the parts that hand connections out.
+Connections report their events to this module. It does not depend on the modules that assign connections to
+attempts.
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
     """The open connections to all endpoints, idle and in use.
 
     Attributes:
-        idle: Those among them that no attempt uses.
-        open: All of them.
-        max_connections: The limit on open and pending connections together.
-        last_activity_at_s: When a connection to each endpoint last came up or received something, by the
-            event loop's clock.
+        idle: The idle connections.
+        open: All open connections.
+        max_connections: The limit on open and pending connections to all endpoints together.
+        last_activity_at_s: The last time at which a connection to each endpoint was established or received
+            bytes, by the event loop's clock.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, idle: IdleConnections, max_connections: int) -> None:
-        """Start with no connection.
+        """Start without connections.
 
         Args:
-            loop: The event loop, whose clock counts.
+            loop: The event loop, used for its clock.
             idle: The idle connections.
             max_connections: The limit on open and pending connections to all endpoints together.
         """
@@ -39,51 +40,51 @@
         self.last_activity_at_s: dict[EndpointAddress, float] = {}
 
     def has_capacity(self, pending_count: int) -> bool:
-        """Return whether one more connection may be opened beside this number of pending ones."""
+        """Return whether another connection may be opened with this number of pending connects."""
         return len(self.open) + pending_count < self.max_connections
 
     def connection_opened(self, connection: UpstreamConnection) -> None:
-        """Add a connection that has come up."""
+        """Add an established connection."""
         self.open.add(connection)
         self.record_activity(connection.endpoint)
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Remove a connection that is closed."""
+        """Remove a closed connection."""
         self.open.discard(connection)
         self.idle.remove(connection)
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """Make sure that a connection is not used again."""
+        """Remove a connection from the idle ones so that it is not reused."""
         self.idle.remove(connection)
 
     def suspend_reuse(self, endpoint: EndpointAddress) -> None:
-        """Keep no idle connections to an endpoint for a while, as it broke one under a request."""
+        """Suspend reuse of connections to an endpoint that closed one without responding to a request."""
         self.idle.suspend(endpoint)
 
     def record_activity(self, endpoint: EndpointAddress) -> None:
-        """Record that an endpoint is alive: a connection to it came up, or received something."""
+        """Record that an endpoint is alive: a connection to it was established or received bytes."""
         if self.idle.is_enabled(endpoint):
             self.last_activity_at_s[endpoint] = self._loop.time()
 
     def was_active_since(self, endpoint: EndpointAddress, since_s: float) -> bool:
-        """Return whether an endpoint showed activity at this moment of the event loop's clock or later."""
+        """Return whether an endpoint showed activity at or after a time of the event loop's clock."""
         return self.last_activity_at_s.get(endpoint, -math.inf) >= since_s
 
     def close_silent_idle(self, endpoint: EndpointAddress, since_s: float) -> None:
-        """Close the idle connections to an endpoint that has been silent since a moment.
+        """Close the idle connections to an endpoint if it has shown no activity since a given time.
 
-        A connection that the endpoint has forgotten without a word takes a request and brings no response.
-        Each of those that are left would cost a request of its own.
+        A connection whose state the endpoint has lost without closing it accepts a request but never delivers
+        a response. Each remaining idle connection in that state would fail another request.
 
         Args:
             endpoint: The endpoint.
-            since_s: The moment, by the event loop's clock.
+            since_s: The time, by the event loop's clock.
         """
         if not self.was_active_since(endpoint, since_s):
             self.idle.close_all(endpoint)
 
     def disable(self, endpoint: EndpointAddress) -> None:
-        """Close the idle connections to an endpoint that drains or is gone, and keep no more of them."""
+        """Close the idle connections to an endpoint that drains or is gone, and allow no new ones."""
         self.last_activity_at_s.pop(endpoint, None)
         self.idle.disable(endpoint)
 
--- a/load_balancer/net/upstream/pending_connects.py
+++ b/load_balancer/net/upstream/pending_connects.py
@@ -1,6 +1,6 @@
-"""The connections that are being opened, and the tasks that open them.
+"""The pending connects to endpoints, and the tasks that run them.
 
-The connection queue starts them and learns how each of them ended.
+The connection queue starts the connects and is notified of the result of each.
 """
 
 from __future__ import annotations
@@ -18,26 +18,27 @@
 
 
 class ConnectObserver(Protocol):
-    """What a pending connect reports to whoever started it; exactly one call unless it is cancelled."""
+    """Observer of a pending connect; receives exactly one call unless the connect is cancelled."""
 
     def connect_succeeded(self, pending: PendingConnect, connection: UpstreamConnection) -> None:
-        """Use a connection that has come up."""
+        """Use an established connection."""
 
     def connect_failed(self, pending: PendingConnect, error: OSError) -> None:
-        """Handle a connect that the system refused or that took too long."""
+        """Handle a connect that failed with an error of the operating system or a timeout."""
 
     def connect_crashed(self, pending: PendingConnect) -> None:
-        """Handle a connect that ended by a fault of this program."""
+        """Handle a connect that ended with an unexpected exception."""
 
 
 class PendingConnect:
-    """One connection that is being opened.
+    """One pending connect.
 
     Attributes:
-        attempt: The attempt for which it was started; any attempt on the same endpoint may get it.
+        attempt: The attempt for which the connect was started; any attempt on the same endpoint may get the
+            connection.
         endpoint: The endpoint.
-        started_at_s: When it began, by the event loop's clock.
-        task: The task that connects.
+        started_at_s: The start time, by the event loop's clock.
+        task: The task that runs the connect.
     """
 
     def __init__(
@@ -47,13 +48,13 @@
         attempt: WaitingAttempt,
         observer: ConnectObserver,
     ) -> None:
-        """Begin to connect, in a task of its own.
+        """Start the connect in a new task.
 
         Args:
             loop: The event loop.
             connector: Opens the connection.
-            attempt: The attempt for which it is opened.
-            observer: Is called once, when the connect has ended.
+            attempt: The attempt for which the connection is opened.
+            observer: Called once, when the connect has ended.
         """
         self.attempt = attempt
         self.endpoint = attempt.endpoint
@@ -68,9 +69,14 @@
         except OSError as error:
             self._observer.connect_failed(self, error)
         except Exception:
-            # Any other error, as of a host name that cannot be encoded, would end this task unseen: the
-            # attempt would wait until it times out, and the connect would count as pending for good.
-            log.exception("connect to endpoint %d at %s:%d failed", self.endpoint.id, *self.endpoint.address)
+            # Any other exception, such as for a host name that cannot be encoded, would end this task
+            # unnoticed: the attempt would wait until it times out, and the connect would stay pending
+            # forever.
+            log.exception(
+                "connect to endpoint %d at %s:%d raised an unexpected exception; treating it as failed",
+                self.endpoint.id,
+                *self.endpoint.address,
+            )
             self._observer.connect_crashed(self)
         else:
             self._observer.connect_succeeded(self, connection)
@@ -84,10 +90,10 @@
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, connector: Connector) -> None:
-        """Start with none.
+        """Start without pending connects.
 
         Args:
-            loop: The event loop, whose clock counts.
+            loop: The event loop.
             connector: Opens the connections.
         """
         self._loop = loop
@@ -104,28 +110,28 @@
         return len(self.by_endpoint.get(endpoint, ()))
 
     def start(self, attempt: WaitingAttempt, observer: ConnectObserver) -> None:
-        """Begin one more connect for an attempt; `observer` is called at its end."""
+        """Start a connect for an attempt; `observer` is called when it has ended."""
         pending = PendingConnect(self._loop, self._connector, attempt, observer)
         self.by_endpoint.setdefault(attempt.endpoint, []).append(pending)
 
     def remove(self, pending: PendingConnect) -> None:
-        """Remove a connect that has ended or is cancelled."""
+        """Remove a connect that has ended or was cancelled."""
         others = self.by_endpoint[pending.endpoint]
         others.remove(pending)
         if not others:
             del self.by_endpoint[pending.endpoint]
 
     def age_s(self, pending: PendingConnect) -> float:
-        """Return for how many seconds a connect has been pending."""
+        """Return the seconds since the start of a connect."""
         return self._loop.time() - pending.started_at_s
 
     def ages_s(self, endpoint: EndpointAddress) -> list[float]:
-        """Return for how many seconds each connect to an endpoint has been pending, the oldest first."""
+        """Return the seconds since the start of each pending connect to an endpoint, the oldest first."""
         now_s = self._loop.time()
         return [now_s - pending.started_at_s for pending in self.by_endpoint.get(endpoint, ())]
 
     def cancel_all(self) -> None:
-        """Cancel the connects to all endpoints."""
+        """Cancel all pending connects."""
         for all_pending in list(self.by_endpoint.values()):
             for pending in all_pending:
                 pending.task.cancel()
--- a/load_balancer/net/upstream/pool_components.py
+++ b/load_balancer/net/upstream/pool_components.py
@@ -1,4 +1,4 @@
-"""The parts of the pool that attempts use. The pool makes one record of them for all attempts."""
+"""The components of the connection pool that attempts use, in one record shared by all attempts."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolComponents:
-    """Where attempts get connections from and give them back to.
+    """Components of the connection pool with which attempts acquire and release connections.
 
     Attributes:
-        loop: The event loop, whose clock counts.
-        connections: The open connections, the idle ones among them.
-        reuse: Takes connections back.
-        queue: Lets attempts wait, and opens further connections.
-        pacing: Says how long connects usually take, and after how many seconds they are given up.
+        loop: The event loop.
+        connections: The open connections, including the idle ones.
+        reuse: Takes released connections.
+        queue: Queues waiting attempts, and starts connects for them.
+        pacing: Has the connect timeout and the time after which a connect is late.
     """
 
     loop: asyncio.AbstractEventLoop
--- a/load_balancer/net/upstream/response_timer.py
+++ b/load_balancer/net/upstream/response_timer.py
@@ -1,4 +1,4 @@
-"""Limits the time that a response may take from its first byte. Each connection owns one."""
+"""Timer that limits the time from the first byte of a response to its last. Each connection owns one."""
 
 from __future__ import annotations
 
@@ -7,35 +7,36 @@
 
 
 class ResponseTimer:
-    """A timer that runs while a response is coming."""
+    """Timer that runs while a response is being received."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Prepare a timer that does not run.
+        """Create a stopped timer.
 
         Args:
-            loop: The event loop, whose clock counts.
+            loop: The event loop.
         """
         self._loop = loop
         self._handle: asyncio.TimerHandle | None = None
 
     @property
     def is_running(self) -> bool:
-        """Whether a response has begun and has not ended."""
+        """Whether the timer is running, that is, a response has begun and not ended."""
         return self._handle is not None
 
     def start(self, limit_s: float, on_expiry: Callable[[], None]) -> None:
-        """Start the timer unless it runs.
+        """Start the timer unless it is running.
 
         Args:
-            limit_s: Seconds that the response may take from now.
-            on_expiry: Is called if it takes longer. It is kept only while the timer runs: its owner, which
-                owns the timer too, could otherwise be freed by the garbage collector alone.
+            limit_s: Seconds from now until the timer expires.
+            on_expiry: Called when the timer expires. It is referenced only while the timer runs: it refers to
+                the owner of the timer, and a permanent reference cycle would leave both to the garbage
+                collector.
         """
         if self._handle is None:
             self._handle = self._loop.call_later(limit_s, on_expiry)
 
     def stop(self) -> None:
-        """Stop the timer; do nothing if it does not run."""
+        """Stop the timer; do nothing if it is not running."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
--- a/load_balancer/net/upstream/upstream_attempt.py
+++ b/load_balancer/net/upstream/upstream_attempt.py
@@ -1,7 +1,7 @@
-"""One attempt: a request on its way to one endpoint, up to its single outcome.
+"""One attempt: a single transmission of a request to one endpoint, with exactly one outcome.
 
-An attempt takes an idle connection, or waits in the connection queue. It ends with exactly one outcome.
-Nothing is sent again from here: whether a retry follows is the policy's decision.
+An attempt takes an idle connection or waits in the connection queue. It never sends the request again:
+retries are the decision of the policy.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import OnOutcome, UpstreamRequest, UpstreamResponse
 
-LONG_IDLE_S = 1.0  # a connection that breaks after less idle time has hardly gone stale by it
+LONG_IDLE_S = 1.0  # idle time below which a broken connection is unlikely to be a stale one
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimes:
-    """When an attempt was decided and how long it may take.
+    """Start time and time limits of an attempt.
 
     Attributes:
-        decided_at_s: When the policy decided to send it, by the event loop's clock.
-        timeout_s: Seconds from then until it ends without a response.
-        failover_within_s: Seconds from then within which it may end, if its connections do not come up, so
-            that another endpoint is tried.
+        decided_at_s: The time of the policy's decision to send the attempt, by the event loop's clock.
+        timeout_s: Seconds from the decision after which the attempt ends without a response.
+        failover_within_s: Seconds from the decision within which the attempt may end early, if its connects
+            are late, so that another endpoint can be tried.
     """
 
     decided_at_s: float
@@ -35,12 +35,12 @@
 
 
 class UpstreamAttempt:
-    """One request on its way to one endpoint.
+    """One attempt to send a request to an endpoint and receive its response.
 
     Attributes:
         endpoint: The endpoint.
         request: The request.
-        connection: The connection on which the request was sent, or None while there is none.
+        connection: The connection assigned to the attempt, or None while it has none.
     """
 
     def __init__(
@@ -51,14 +51,14 @@
         times: AttemptTimes,
         on_outcome: OnOutcome,
     ) -> None:
-        """Prepare an attempt; `begin` starts it.
+        """Create an attempt and start its timeout; `begin` starts the attempt.
 
         Args:
-            components: Where it gets its connection.
+            components: The components of the connection pool.
             endpoint: The endpoint.
             request: The request.
-            times: When it was decided and how long it may take.
-            on_outcome: Is called exactly once, at the end.
+            times: The start time and the time limits of the attempt.
+            on_outcome: Called exactly once, when the attempt ends.
         """
         self._loop = components.loop
         self._components = components
@@ -66,15 +66,15 @@
         self.request = request
         self._on_outcome = on_outcome
         self.connection: UpstreamConnection | None = None
-        self._assigned_at_s = 0.0  # when that connection was taken
+        self._assigned_at_s = 0.0  # when the connection was assigned
         self._is_over = False
-        # The policy counts on it for retries with an idempotency key: past this an endpoint may have
-        # forgotten the key, and would run the request a second time.
+        # The policy relies on this deadline for retries with an idempotency key: a later write may reach an
+        # endpoint that no longer remembers the key and would run the request a second time.
         self._write_deadline_s = times.decided_at_s + components.pacing.connect_timeout_s
         self._timer = self._loop.call_at(times.decided_at_s + times.timeout_s, self.time_out)
         self._failover_deadline_s = times.decided_at_s + times.failover_within_s
-        # Kept only while it waits: the two refer to each other, and could otherwise be freed by the garbage
-        # collector alone.
+        # Set only while the attempt waits: attempt and wait refer to each other, and a permanent reference
+        # cycle would leave both to the garbage collector.
         self._wait: ConnectionWait | None = None
 
     @property
@@ -89,7 +89,7 @@
 
     @property
     def is_on_long_idle_connection(self) -> bool:
-        """Whether it was sent on a connection that had been idle for so long that it may have gone stale."""
+        """Whether the request was sent on a connection idle for `LONG_IDLE_S` or more, which may be stale."""
         used = self.connection
         return used is not None and used.was_idle and self._assigned_at_s - used.idle_since_s >= LONG_IDLE_S
 
@@ -97,14 +97,16 @@
     def _may_have_run(self) -> bool:
         """Whether the endpoint may have run the request.
 
-        Without the last byte written it cannot have, and the connection is closed before that byte is.
+        It cannot have run before the last byte of the request was written. An attempt that ends earlier
+        closes the connection, so that the last byte is never written.
         """
         return self.connection is not None and self.connection.has_written_request
 
     def begin(self) -> None:
         """Send the request on an idle connection, or wait for one."""
-        # If the endpoint has closed an idle connection and the end is still under way, it is unknown whether
-        # the request ran. What must not run twice could then not be sent again, so it gets a new connection.
+        # If the endpoint has closed an idle connection and the end of the stream is still in transit, it is
+        # unknown whether the request ran. A request that is not idempotent could then not be retried, so it
+        # always gets a new connection.
         idle = self._components.connections.idle
         connection = idle.take(self.endpoint) if self.request.is_idempotent else None
         if connection is not None:
@@ -115,11 +117,11 @@
                 self._components, self, self._write_deadline_s, self._failover_deadline_s
             )
         else:
-            self.finish(Outcome.NOT_SENT)  # a lack of sockets here is no sign of a fault of the endpoint
+            self.finish(Outcome.NOT_SENT)  # a local lack of sockets does not indicate a fault of the endpoint
 
     def send_on(self, connection: UpstreamConnection) -> bool:
-        """Send the request on a connection; return False if that is too late, which ends the attempt."""
-        # The timer of the write deadline is late itself if the process was stalled until now.
+        """Send the request on a connection; past the write deadline, end the attempt and return False."""
+        # After a stall of the process the timer of the write deadline may not have run yet.
         if self._loop.time() > self._write_deadline_s:
             self.miss_write_deadline()
             return False
@@ -131,7 +133,7 @@
         return True
 
     def miss_write_deadline(self) -> None:
-        """End the attempt, as its request may not be written any more. The connects go on."""
+        """End the attempt because its write deadline has passed. Pending connects continue."""
         self.finish(Outcome.NO_CONNECTION, keep_connecting=True)
 
     def _stop_waiting(self) -> None:
@@ -141,17 +143,17 @@
         self._components.queue.stop_waiting(self)
 
     def time_out(self) -> None:
-        """End the attempt, as its time is up; called by its own timer."""
+        """End the attempt because its timeout has expired; called by the attempt's timer."""
         may_have_run = self._may_have_run
         self._close_silent_idle()
         self.finish(Outcome.TIMEOUT if may_have_run else Outcome.NO_CONNECTION)
 
     def cancel(self) -> None:
-        """End the attempt, as its response is of no use any more."""
+        """End the attempt because its response is no longer needed."""
         self.finish(Outcome.CANCELLED)
 
     def cancel_without_response(self) -> None:
-        """Cancel the attempt because no response came, which casts doubt on idle connections like its own."""
+        """Cancel the attempt for lack of a response, and close idle connections that may be stale as well."""
         self._close_silent_idle()
         self.cancel()
 
@@ -161,7 +163,7 @@
             self.finish(Outcome.NOT_SENT)
 
     def _close_silent_idle(self) -> None:
-        """Close other idle connections if an idle one brought nothing: an endpoint may forget them all."""
+        """Close the endpoint's idle connections if it stayed silent on a reused one: all may be stale."""
         if not self._is_over and self.connection is not None and self.connection.was_idle:
             self._components.connections.close_silent_idle(self.endpoint, self._assigned_at_s)
 
@@ -169,8 +171,8 @@
         """End the attempt without a response; do nothing if it is over.
 
         Args:
-            outcome: How it ended.
-            keep_connecting: Whether connects that no attempt waits for now go on.
+            outcome: The outcome to report.
+            keep_connecting: Whether pending connects in excess of the waiting attempts continue.
         """
         if self._is_over:
             return
@@ -189,7 +191,7 @@
         *,
         reusable: bool,
     ) -> None:
-        """End the attempt, as the endpoint has ended the exchange; called by its connection."""
+        """End the attempt because the exchange has ended on the endpoint's side; called by its connection."""
         self._end()
         if reusable:
             self._release_connection(connection)
@@ -201,6 +203,6 @@
         self._is_over = True
 
     def _release_connection(self, connection: UpstreamConnection) -> None:
-        if not self.request.is_idempotent:  # it used none of the idle connections, which must not pile up
+        if not self.request.is_idempotent:  # it took no idle connection; they must not accumulate
             self._components.connections.idle.close_oldest(self.endpoint)
         self._components.reuse.release(connection)
--- a/load_balancer/net/upstream/upstream_connection.py
+++ b/load_balancer/net/upstream/upstream_connection.py
@@ -1,7 +1,7 @@
 """One connection to an endpoint, which carries one request at a time.
 
-A connection owns its transport and the state of the present exchange. It reports to its owner that it opens,
-closes and receives something, and to the attempt that uses it how the exchange ended.
+A connection owns its transport and the state of the current exchange. It notifies its owner when it is opened
+or closed and when it receives bytes, and the attempt that uses it when the exchange ends.
 """
 
 from __future__ import annotations
@@ -20,31 +20,31 @@
 from load_balancer.net.upstream.response_timer import ResponseTimer
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest, UpstreamResponse
 
-# Seconds from a response's first byte to its last: the endpoint's work is done by the first.
+# Limit on the time from a response's first byte to its last; the endpoint has finished its work by the first.
 RESPONSE_COMPLETION_TIMEOUT_S = 1.0
 
 
 class ConnectionOwner(Protocol):
-    """What a connection reports to its owner."""
+    """Receiver of the events of a connection."""
 
     def connection_opened(self, connection: UpstreamConnection) -> None:
-        """Add a connection that has come up."""
+        """Add an established connection."""
 
     def connection_closed(self, connection: UpstreamConnection) -> None:
-        """Remove a connection that is closed."""
+        """Remove a closed connection."""
 
     def remove_idle(self, connection: UpstreamConnection) -> None:
-        """Make sure that a connection is not used again."""
+        """Remove a connection from the idle ones so that it is not reused."""
 
     def record_activity(self, endpoint: EndpointAddress) -> None:
-        """Record that an endpoint has sent something."""
+        """Record that bytes from an endpoint have been received."""
 
     def suspend_reuse(self, endpoint: EndpointAddress) -> None:
-        """Keep no idle connections to an endpoint for a while."""
+        """Suspend reuse of connections to an endpoint."""
 
 
 class ConnectionUser(Protocol):
-    """What a connection needs of the attempt that uses it."""
+    """Interface of an attempt to the connection that it uses."""
 
     @property
     def time_remaining_s(self) -> float:
@@ -58,13 +58,13 @@
         *,
         reusable: bool,
     ) -> None:
-        """End the attempt, as the exchange has ended on the endpoint's side.
+        """End the attempt because the exchange has ended on the endpoint's side.
 
         Args:
-            connection: The connection, which the attempt does not use any more.
-            outcome: How the exchange ended.
+            connection: The connection, now detached from the attempt.
+            outcome: The outcome of the attempt.
             response: The response, or None if there is none.
-            reusable: Whether the connection can carry further requests; if not, it is closed.
+            reusable: Whether the connection can carry further requests; if not, it has been closed.
         """
 
 
@@ -72,11 +72,11 @@
     """One connection to an endpoint.
 
     Attributes:
-        transport: The transport; the event loop sets it before anybody else gets the connection.
+        transport: The transport; set by `connection_made` before the connection is available to other code.
         endpoint: The endpoint.
         attempt: The attempt that uses the connection now, or None.
-        was_idle: Whether it has been idle before, and so may have been closed by the endpoint.
-        idle_since_s: When it last fell idle, by the event loop's clock.
+        was_idle: Whether the connection has been idle before, so that the endpoint may have closed it.
+        idle_since_s: The time at which the connection last became idle, by the event loop's clock.
     """
 
     transport: asyncio.Transport
@@ -84,11 +84,11 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, owner: ConnectionOwner, endpoint: EndpointAddress
     ) -> None:
-        """Prepare a connection that is about to be opened.
+        """Create the protocol object of a connection that is about to be opened.
 
         Args:
             loop: The event loop.
-            owner: The owner, to which it reports.
+            owner: The owner, which is notified of events.
             endpoint: The endpoint.
         """
         self._loop = loop
@@ -102,11 +102,11 @@
 
     @property
     def has_written_request(self) -> bool:
-        """Whether the last byte of the present request has been written."""
+        """Whether the last byte of the current request has been written."""
         return self._exchange.state is ExchangeState.AWAITING_RESPONSE
 
     def mark_idle(self) -> None:
-        """Record that it is idle from now on."""
+        """Record that the connection becomes idle now."""
         self.was_idle = True
         self.idle_since_s = self._loop.time()
 
@@ -115,16 +115,16 @@
 
         Args:
             attempt: The attempt that uses the connection from now on.
-            request: Its request.
+            request: The request of the attempt.
 
         Returns:
-            The outcome that the attempt has to end with if the request cannot be written, else None.
+            The outcome with which the attempt must end if the request cannot be written, else None.
         """
         if self.transport.is_closing():
             return Outcome.NO_CONNECTION
         self.attempt = attempt
         self._exchange.begin()
-        # Read now: the connection may have come up long after the decision to send.
+        # Read here because the connection may have been established long after the decision to send.
         time_remaining_s = attempt.time_remaining_s if request.adds_deadline_header else None
         data = encode_request(self._exchange, request, self.endpoint, time_remaining_s)
         if data is None:
@@ -133,16 +133,16 @@
         return self._write(data) if failure is None else failure
 
     def _write(self, data: bytes) -> Outcome | None:
-        """Write a request; return the attempt's outcome if the connection has failed, else None."""
+        """Write an encoded request; return the attempt's outcome if the write failed, else None."""
         self.transport.write(data)
-        if self.transport.is_closing():  # the write failed, so the last byte was not taken
+        if self.transport.is_closing():  # the write failed, so the last byte was not accepted
             return Outcome.NO_CONNECTION
         if self.transport.get_write_buffer_size() == 0:
             self._exchange.request_written()
         return None
 
     def abandon(self) -> None:
-        """End the exchange without its response, as the attempt is over, and close the connection."""
+        """End the exchange without a response because the attempt is over, and close the connection."""
         self._detach_attempt()
         self.close()
 
@@ -152,20 +152,21 @@
         self._response_timer.stop()
 
     def close(self) -> None:
-        """Close the connection at once, with whatever is still to be written."""
-        # `abort` closes in the loop's next turn. By then the next attempt may have been written on another
-        # connection, and without the shutdown the endpoint would have two copies at once.
+        """Close the connection immediately, and discard bytes that are not written yet."""
+        # `abort` closes the socket in the next iteration of the event loop. By then the next attempt may have
+        # been written on another connection, and without the shutdown the endpoint would have two copies of
+        # the request at the same time.
         with contextlib.suppress(OSError):
             self.transport.get_extra_info("socket").shutdown(socket.SHUT_WR)
         self.transport.abort()
 
-    # Called by the event loop
+    # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport, as the connection is up."""
+        """Store the transport of the established connection, and notify the owner."""
         assert isinstance(transport, asyncio.Transport)  # what the event loop passes for a TCP connection
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)  # so that resume_writing is called once all is written
+        transport.set_write_buffer_limits(high=0)  # resume_writing is called only once the buffer is empty
         self._owner.connection_opened(self)
 
     def resume_writing(self) -> None:
@@ -173,19 +174,20 @@
         self._exchange.request_written()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the endpoint."""
+        """Process bytes received from the endpoint."""
         self._owner.record_activity(self.endpoint)
         self._receive(data)
 
     def eof_received(self) -> None:
-        """Take the end of the endpoint's stream; the event loop then closes the connection."""
+        """Process the end of the endpoint's stream; the event loop then closes the connection."""
         self._suspend_reuse_if_stale()
-        # A response without a length ends here, and only here: bytes come in order, so one that was reset has
-        # no end, be it after its last byte. Any other response is broken.
+        # A response without a length is complete here, and only here: bytes arrive in order, and a connection
+        # that is reset, even after the last byte, delivers no end of the stream. Any other response is
+        # incomplete.
         self._receive(b"")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the attempt that still uses the connection, as it is closed."""
+        """Notify the owner that the connection is closed, and fail the exchange if there is one."""
         self._owner.connection_closed(self)
         self._suspend_reuse_if_stale()
         self._fail_exchange()
@@ -193,11 +195,11 @@
     # Receiving
 
     def _receive(self, data: bytes) -> None:
-        if self.attempt is None:  # nothing was requested: the end of an idle connection, or a fault
+        if self.attempt is None:  # no request: the end of an idle connection, or a fault of the endpoint
             self._owner.remove_idle(self)
             self.close()
             return
-        if not self.has_written_request:  # it cannot answer the request that is still being written
+        if not self.has_written_request:  # cannot be a response to an unfinished request
             self._fail_exchange()
             return
         try:
@@ -212,9 +214,10 @@
         self._end_exchange(response.outcome, response, reusable=reusable)
 
     def _limit_response_time(self) -> None:
-        """Limit the time from a response's first byte: it may begin and never end on an open connection.
+        """Limit the time from a response's first byte, because a response may begin but never end.
 
-        An endpoint that sends an interim response (1xx) is still at work, so that no time runs after it.
+        After a complete interim response (1xx) the timer is stopped: the endpoint is still working on the
+        request.
         """
         if self._exchange.has_begun_response:
             self._response_timer.start(RESPONSE_COMPLETION_TIMEOUT_S, self._fail_exchange)
@@ -222,13 +225,13 @@
             self._response_timer.stop()
 
     def _fail_exchange(self) -> None:
-        """End the exchange if there is one, as the connection is of no use any more."""
+        """End the exchange, if there is one, without a response, and close the connection."""
         self._end_exchange(Outcome.RESET if self.has_written_request else Outcome.NO_CONNECTION)
 
     def _end_exchange(
         self, outcome: Outcome, response: UpstreamResponse | None = None, *, reusable: bool = False
     ) -> None:
-        """End the exchange if there is one, close the connection unless it is reusable, and report both."""
+        """End the exchange if there is one, close the connection unless reusable, and notify the attempt."""
         attempt = self.attempt
         if attempt is None:
             return
@@ -238,7 +241,7 @@
         attempt.exchange_ended(self, outcome, response, reusable=reusable)
 
     def _suspend_reuse_if_stale(self) -> None:
-        """Suspend reuse if the endpoint ends an idle connection without a byte of a response to a request."""
+        """Suspend reuse if the endpoint closes a reused connection without any response to the request."""
         is_silent = not self._response_timer.is_running and not self._exchange.has_interim_response
         if self.attempt is not None and self.was_idle and is_silent:
             self._owner.suspend_reuse(self.endpoint)
--- a/load_balancer/net/upstream/upstream_messages.py
+++ b/load_balancer/net/upstream/upstream_messages.py
@@ -1,6 +1,6 @@
-"""The typed values that pass between the driver and the connections to endpoints.
+"""Types of the values exchanged between the driver and the connections to endpoints.
 
-They hold no state and make no decision. The driver builds requests, the connections build responses.
+The driver builds the requests, and the connections build the responses.
 """
 
 from __future__ import annotations
@@ -12,24 +12,26 @@
 from load_balancer.messages import Outcome
 from load_balancer.net.http_messages import Headers
 
-# With these statuses and this header an endpoint says that it has not begun the request and never will.
+# An endpoint that responds with one of these statuses and this header has not begun and will not run the
+# request.
 REJECTING_STATUSES = (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 REJECTION_HEADER = (b"srv-declined", b"1")
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """A request as it is sent to an endpoint.
+    """A request to an endpoint.
 
     Attributes:
         method: The HTTP method.
         target: The request target, as the client sent it.
-        headers: All headers but the deadline.
+        headers: All headers except the deadline header.
         body: The complete body.
-        is_idempotent: Whether it may run twice. Only such a request may go on a connection that was idle:
-            that may turn out closed once the request is written, and whether it ran is then unknown.
-        adds_deadline_header: Whether `req-deadline` is added, with the seconds left as it is written.
-        is_client_waiting: Returns whether the client still waits for the response at the moment of the call.
+        is_idempotent: Whether the request may run twice. Only such a request may be sent on a connection that
+            was idle: the endpoint may have closed it already, and it is then unknown whether the request ran.
+        adds_deadline_header: Whether `req-deadline` is added, with the seconds remaining at the time of the
+            write.
+        is_client_waiting: Returns whether the client is still waiting for the response.
     """
 
     method: bytes
@@ -43,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamResponse:
-    """A complete final response of an endpoint.
+    """A complete final response from an endpoint.
 
     Attributes:
         status: The status code.
@@ -57,7 +59,7 @@
 
     @property
     def outcome(self) -> Outcome:
-        """The outcome of the attempt that got this response, by the protocol's table of statuses."""
+        """The outcome of the attempt that received this response, by the protocol's status table."""
         if self.status == HTTPStatus.OK:
             return Outcome.OK
         if 400 <= self.status < 500:
@@ -67,5 +69,5 @@
         return Outcome.ERROR
 
 
-# Called once, at the end of an attempt, with the response if there is one.
+# Callback at the end of an attempt, with the response if there is one. Called exactly once.
 OnOutcome = Callable[[Outcome, UpstreamResponse | None], None]
--- a/load_balancer/net/upstream/waiting_attempts.py
+++ b/load_balancer/net/upstream/waiting_attempts.py
@@ -1,6 +1,7 @@
-"""The attempts that wait for a connection, first come, first served for each endpoint.
+"""The attempts that wait for a connection, in order of arrival for each endpoint.
 
-The connection queue adds and removes them. Whoever has a connection to give away asks who waits for one.
+The connection queue adds and removes attempts. Modules that assign connections look up the waiting attempts
+here.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class WaitingAttempt(Protocol):
-    """What those who hand out connections need of an attempt that waits for one."""
+    """Interface of a waiting attempt to the modules that assign connections."""
 
     endpoint: EndpointAddress
     request: UpstreamRequest
@@ -28,10 +29,10 @@
         """Seconds until the attempt times out, never below zero."""
 
     def send_on(self, connection: UpstreamConnection) -> bool:
-        """Send the request on a connection; return False if that is too late, which ends the attempt."""
+        """Send the request on a connection; past the write deadline, end the attempt and return False."""
 
     def miss_write_deadline(self) -> None:
-        """End the attempt, as its request may not be written any more. The connects go on."""
+        """End the attempt because its write deadline has passed. Pending connects continue."""
 
     def finish(self, outcome: Outcome, *, keep_connecting: bool = False) -> None:
         """End the attempt without a response; do nothing if it is over."""
@@ -41,21 +42,22 @@
     """The attempts that wait for a connection.
 
     Attributes:
-        by_endpoint: The attempts that wait for a connection to each endpoint, the longest waiting first.
+        by_endpoint: The attempts waiting for a connection to each endpoint, the longest waiting first.
     """
 
     def __init__(self) -> None:
-        """Start with no attempt."""
+        """Start without waiting attempts."""
         self.by_endpoint: dict[EndpointAddress, dict[WaitingAttempt, None]] = {}
-        # The waiting attempts for which a connect was started, and not just for others on their endpoint.
+        # The waiting attempts for which a connect was started, as opposed to those that rely on connects
+        # started for other attempts on the same endpoint.
         self._with_own_connect: set[WaitingAttempt] = set()
 
     def add(self, attempt: WaitingAttempt) -> None:
-        """Put an attempt behind all others that wait for its endpoint."""
+        """Append an attempt to those waiting for its endpoint."""
         self.by_endpoint.setdefault(attempt.endpoint, {})[attempt] = None
 
     def remove(self, attempt: WaitingAttempt) -> None:
-        """Remove an attempt; do nothing if it does not wait."""
+        """Remove an attempt; do nothing if it is not waiting."""
         self._with_own_connect.discard(attempt)
         attempts = self.by_endpoint.get(attempt.endpoint, {})
         attempts.pop(attempt, None)
@@ -63,11 +65,11 @@
             self.by_endpoint.pop(attempt.endpoint, None)
 
     def for_endpoint(self, endpoint: EndpointAddress) -> list[WaitingAttempt]:
-        """Return a copy of the attempts that wait for an endpoint, the longest waiting first."""
+        """Return a copy of the list of attempts waiting for an endpoint, the longest waiting first."""
         return list(self.by_endpoint.get(endpoint, ()))
 
     def count(self, endpoint: EndpointAddress) -> int:
-        """Return the number of attempts that wait for an endpoint."""
+        """Return the number of attempts waiting for an endpoint."""
         return len(self.by_endpoint.get(endpoint, ()))
 
     def mark_own_connect(self, attempt: WaitingAttempt) -> None:
