--- a/load_balancer/net/upstream/connect_latency.py
+++ b/load_balancer/net/upstream/connect_latency.py
@@ -80,6 +80,6 @@
         durations_s = self._sorted_s
         steps = [(duration_s, NEW_CONNECT_INDEX) for duration_s in durations_s]
         for index, age_s in enumerate(ages_s):
-            later_s = durations_s[len(durations_s) - longer_counts[index] :]
-            steps += [(duration_s - age_s, index) for duration_s in later_s]
+            remaining_durations_s = durations_s[len(durations_s) - longer_counts[index] :]
+            steps += [(duration_s - age_s, index) for duration_s in remaining_durations_s]
         return steps
--- a/load_balancer/net/upstream/connection_wait.py
+++ b/load_balancer/net/upstream/connection_wait.py
@@ -41,7 +41,7 @@
         self._pacing = components.pacing
         self._attempt = attempt
         self._failover_deadline_s = failover_deadline_s
-        self._late_timer: asyncio.Handle = self._call_check_after(self._pacing.late_after_s)
+        self._late_timer: asyncio.Handle = self._start_late_timer(self._pacing.late_after_s)
         self._write_timer = self._loop.call_at(write_deadline_s, attempt.miss_write_deadline)
 
     def cancel(self) -> None:
@@ -49,33 +49,37 @@
         self._late_timer.cancel()
         self._write_timer.cancel()
 
-    def _call_check_after(self, seconds: float) -> asyncio.TimerHandle:
-        """Schedule a check in `seconds`; the interval to the check after it is twice as long."""
-        return self._loop.call_later(seconds, self._check, 2.0 * seconds, LOOP_ITERATIONS_BEFORE_USE)
+    def _start_late_timer(self, delay_s: float) -> asyncio.TimerHandle:
+        """Schedule a check in `delay_s`; the interval to the check after it is twice as long."""
+        return self._loop.call_later(
+            delay_s, self._handle_late_connect, 2.0 * delay_s, LOOP_ITERATIONS_BEFORE_USE
+        )
 
-    def _check_again_after(self, seconds: float) -> None:
-        self._late_timer = self._call_check_after(seconds)
+    def _schedule_check(self, delay_s: float) -> None:
+        self._late_timer = self._start_late_timer(delay_s)
 
-    def _check(self, next_s: float, iterations_remaining: int) -> None:
+    def _handle_late_connect(self, next_interval_s: float, iterations_remaining: int) -> None:
         """Start an extra connect, fail over to another endpoint, or schedule the next check.
 
         Args:
-            next_s: Seconds until the next check if neither is possible or worthwhile now.
+            next_interval_s: Seconds until the next check if neither is possible or worthwhile now.
             iterations_remaining: Iterations of the event loop to wait before the check.
         """
         if iterations_remaining:
             # If the event loop itself is late, a connection may be established that the loop has not
             # processed yet. Without waiting these iterations, an extra connect would be started
             # needlessly.
-            self._late_timer = self._loop.call_soon(self._check, next_s, iterations_remaining - 1)
+            self._late_timer = self._loop.call_soon(
+                self._handle_late_connect, next_interval_s, iterations_remaining - 1
+            )
         elif not self._queue.is_extra_connect_worthwhile(self._attempt):
-            self._check_again_after(next_s)
+            self._schedule_check(next_interval_s)
         elif self._queue.start_extra_connect(self._attempt):
-            self._check_again_after(self._pacing.late_after_s)
+            self._schedule_check(self._pacing.late_after_s)
         elif self._loop.time() < self._failover_deadline_s:
             self._fail_over()
         else:
-            self._check_again_after(next_s)
+            self._schedule_check(next_interval_s)
 
     def _fail_over(self) -> None:
         """End the attempt early so that another endpoint is tried; connects continue for other attempts."""
