--- a/load_balancer/net/upstream/connect_pacing.py
+++ b/load_balancer/net/upstream/connect_pacing.py
@@ -1,7 +1,7 @@
 """Decides from the results of earlier connects whether an extra connect is worth its cost.
 
-The connection queue records the result of each connect, and consults this module before it starts an
-extra connect while others are late.
+The connection queue records the result of each connect, and consults this module before it starts an extra
+connect while others are late.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 LATE_FACTOR = 2.0  # multiple of the median duration after which a connect is late
 MIN_LATE_S = 0.002  # lower bound of that time: shorter times are within the event loop's latency
-# Share of the time remaining that an extra connect must be expected to save, on top of the handshake
-# cost from the settings, because each connect costs the endpoint some work.
+# Share of the time remaining that an extra connect must be expected to save, on top of the handshake cost
+# from the settings, because each connect costs the endpoint some work.
 MIN_SAVED_SHARE = 0.02
 SHORTAGE_PAUSE_S = 0.05  # no extra connects for this long after a local resource shortage
 
@@ -30,8 +30,8 @@
         connect_timeout_s: The timeout of a connect in seconds.
         latency: Durations of recent connects to all endpoints.
         no_extra_connect_until_s: The endpoints to which a connect was refused or found no route since the
-            last successful one, with the time before which no extra connect is started, by the event
-            loop's clock.
+            last successful one, with the time before which no extra connect is started, by the event loop's
+            clock.
     """
 
     def __init__(
--- a/load_balancer/net/upstream/connection_queue.py
+++ b/load_balancer/net/upstream/connection_queue.py
@@ -81,8 +81,8 @@
             False in a local shortage, without capacity for another connection, or if the endpoint may get no
             more connects.
         """
-        # In a local shortage each extra connect would fail immediately and be followed by the next one
-        # for as long as another connect is late.
+        # In a local shortage each extra connect would fail immediately and be followed by the next one for as
+        # long as another connect is late.
         if self._pacing.has_local_shortage or not self._has_capacity:
             return False
         if not self._may_start_connect(attempt.endpoint):
--- a/load_balancer/net/upstream/connection_wait.py
+++ b/load_balancer/net/upstream/connection_wait.py
@@ -50,7 +50,7 @@
         self._write_timer.cancel()
 
     def _start_late_timer(self, delay_s: float) -> asyncio.TimerHandle:
-        """Schedule a check in `delay_s`; the interval to the check after it is twice as long."""
+        """Start a timer for the next check; the interval to the check after it is twice as long."""
         return self._loop.call_later(
             delay_s, self._handle_late_connect, 2.0 * delay_s, LOOP_ITERATIONS_BEFORE_USE
         )
@@ -67,8 +67,7 @@
         """
         if iterations_remaining:
             # If the event loop itself is late, a connection may be established that the loop has not
-            # processed yet. Without waiting these iterations, an extra connect would be started
-            # needlessly.
+            # processed yet. Without waiting these iterations, an extra connect would be started needlessly.
             self._late_timer = self._loop.call_soon(
                 self._handle_late_connect, next_interval_s, iterations_remaining - 1
             )
