--- a/load_balancer/net/upstream/connection_wait.py
+++ b/load_balancer/net/upstream/connection_wait.py
@@ -1,6 +1,6 @@
-"""How one attempt waits for a connection: what it does if the connection is late, and when it gives up.
+"""The wait of one attempt for a connection: extra connects, failover and the write deadline.
 
-An attempt makes its wait as it enters the connection queue, and cancels it when it leaves the queue.
+An attempt creates its wait when it enters the connection queue, and cancels it when it leaves the queue.
 """
 
 from __future__ import annotations
@@ -8,19 +8,20 @@
 import asyncio
 
 from load_balancer.messages import Outcome
-from load_balancer.net.upstream.connection_sources import ConnectionSources
+from load_balancer.net.upstream.pool_components import PoolComponents
 from load_balancer.net.upstream.waiting_attempts import WaitingAttempt
 
-# Turns of the event loop from a connection's establishment to its use: three, and two to spare.
-LOOP_TURNS_TO_USE = 5
+# Iterations of the event loop to allow between the establishment of a connection and its use: it takes three,
+# and two are a margin.
+LOOP_ITERATIONS_BEFORE_USE = 5
 
 
 class ConnectionWait:
-    """The timers of one attempt that waits for a connection."""
+    """Timers of one attempt that waits for a connection."""
 
     def __init__(
         self,
-        sources: ConnectionSources,
+        components: PoolComponents,
         attempt: WaitingAttempt,
         write_deadline_s: float,
         failover_deadline_s: float,
@@ -28,19 +29,19 @@
         """Start the timers.
 
         Args:
-            sources: Where the attempt gets its connection.
-            attempt: The attempt, which is ended if the wait is over without a connection.
-            write_deadline_s: Until when the request may be written, by the event loop's clock.
-            failover_deadline_s: Until when the attempt may end so that another endpoint is tried, by the
-                event loop's clock.
+            components: The components of the connection pool.
+            attempt: The attempt, which is ended if it gets no connection in time.
+            write_deadline_s: The latest time at which the request may be written, by the event loop's clock.
+            failover_deadline_s: The latest time at which the attempt may end early so that another endpoint
+                is tried, by the event loop's clock.
         """
-        self._loop = sources.loop
-        self._queue = sources.queue
-        self._connections = sources.connections
-        self._pacing = sources.pacing
+        self._loop = components.loop
+        self._queue = components.queue
+        self._connections = components.connections
+        self._pacing = components.pacing
         self._attempt = attempt
         self._failover_deadline_s = failover_deadline_s
-        self._late_timer: asyncio.Handle = self._call_check_after(self._pacing.late_after_s)
+        self._late_timer: asyncio.Handle = self._start_late_timer(self._pacing.late_after_s)
         self._write_timer = self._loop.call_at(write_deadline_s, attempt.miss_write_deadline)
 
     def cancel(self) -> None:
@@ -48,35 +49,39 @@
         self._late_timer.cancel()
         self._write_timer.cancel()
 
-    def _call_check_after(self, seconds: float) -> asyncio.TimerHandle:
-        """Schedule the next check; the one after it comes after twice the time."""
-        return self._loop.call_later(seconds, self._check, 2.0 * seconds, LOOP_TURNS_TO_USE)
+    def _start_late_timer(self, delay_s: float) -> asyncio.TimerHandle:
+        """Start a timer for the next check; the interval to the check after it is twice as long."""
+        return self._loop.call_later(
+            delay_s, self._handle_late_connect, 2.0 * delay_s, LOOP_ITERATIONS_BEFORE_USE
+        )
 
-    def _check_again_after(self, seconds: float) -> None:
-        self._late_timer = self._call_check_after(seconds)
+    def _schedule_check(self, delay_s: float) -> None:
+        self._late_timer = self._start_late_timer(delay_s)
 
-    def _check(self, next_s: float, turns: int) -> None:
-        """Act on a connection that is late.
+    def _handle_late_connect(self, next_interval_s: float, iterations_remaining: int) -> None:
+        """Start an extra connect, fail over to another endpoint, or schedule the next check.
 
         Args:
-            next_s: Seconds until the next check, if nothing can be done yet.
-            turns: Turns of the event loop to wait before.
+            next_interval_s: Seconds until the next check if neither is possible or worthwhile now.
+            iterations_remaining: Iterations of the event loop to wait before the check.
         """
-        if turns:
-            # If the event loop itself is late, a connection may be up that it has not processed yet. Without
-            # these turns another one would be opened beside it in vain.
-            self._late_timer = self._loop.call_soon(self._check, next_s, turns - 1)
-        elif not self._queue.extra_connection_pays(self._attempt):
-            self._check_again_after(next_s)
-        elif self._queue.open_extra(self._attempt):
-            self._check_again_after(self._pacing.late_after_s)
+        if iterations_remaining:
+            # If the event loop itself is late, a connection may be established that the loop has not
+            # processed yet. Without waiting these iterations, an extra connect would be started needlessly.
+            self._late_timer = self._loop.call_soon(
+                self._handle_late_connect, next_interval_s, iterations_remaining - 1
+            )
+        elif not self._queue.is_extra_connect_worthwhile(self._attempt):
+            self._schedule_check(next_interval_s)
+        elif self._queue.start_extra_connect(self._attempt):
+            self._schedule_check(self._pacing.late_after_s)
         elif self._loop.time() < self._failover_deadline_s:
             self._fail_over()
         else:
-            self._check_again_after(next_s)
+            self._schedule_check(next_interval_s)
 
     def _fail_over(self) -> None:
-        """Leave this endpoint in time for another. The connects go on, for other attempts to use."""
+        """End the attempt early so that another endpoint is tried; connects continue for other attempts."""
         active_since_s = self._loop.time() - self._pacing.connect_timeout_s
         was_active = self._connections.was_active_since(self._attempt.endpoint, active_since_s)
         outcome = Outcome.NOT_SENT if was_active else Outcome.NO_CONNECTION
