--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -32,7 +32,7 @@
 
 def test_concurrency_limit_falls_with_late_answers_and_recovers() -> None:
     harness = BalancerHarness()
-    limits = [harness.balancer.limit.attempts]
+    limits = [harness.balancer.concurrency_limit.attempts_per_endpoint]
     for phase, took_us in enumerate((1500 * MILLISECOND_US, 50 * MILLISECOND_US)):
         in_flight: list[messages.StartAttempt] = []
         for number in range(400):
@@ -47,7 +47,7 @@
                     harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
                     messages.StartAttempt,
                 )
-        limits.append(harness.balancer.limit.attempts)
+        limits.append(harness.balancer.concurrency_limit.attempts_per_endpoint)
         while in_flight:
             in_flight += actions_of_type(
                 harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
@@ -61,13 +61,17 @@
     """A share raised by a few quick samples let one endpoint be overloaded."""
     harness = BalancerHarness()
     harness.balancer.endpoints.states[0].share = 10.0
-    harness.balancer.limit.split(harness.balancer.endpoints.subset)
+    harness.balancer.concurrency_limit.split(harness.balancer.endpoints.subset)
     sends = [
         send
         for number in range(40)
         for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
     ]
-    assert 0 < sum(send.endpoint_id == 0 for send in sends) <= harness.balancer.limit.attempts
+    assert (
+        0
+        < sum(send.endpoint_id == 0 for send in sends)
+        <= harness.balancer.concurrency_limit.attempts_per_endpoint
+    )
 
 
 def test_queued_requests_are_sent_by_priority_and_rejected_when_their_wait_ends() -> None:
@@ -78,7 +82,7 @@
     assert 0 < len(sends) < 10
     assert not actions_of_type(harness.request("dear", "pay"), messages.StartAttempt)
     next_send, *_ = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.OK), messages.StartAttempt)
-    assert next_send.request == "dear"
+    assert next_send.request_id == "dear"
     refused = actions_of_type(harness.advance(1 * SECOND_US), messages.Reject)
     assert len(refused) >= 5
 
@@ -103,7 +107,7 @@
             harness.end_attempt(busy_send, messages.Outcome.OK, took=300 * MILLISECOND_US),
             messages.StartAttempt,
         )
-        first_send[part] = send.request
+        first_send[part] = send.request_id
     assert first_send == {0.0: "twice the worth", 0.6: "least served"}
 
 
@@ -120,7 +124,7 @@
         harness.handle(messages.Request("m", "read", 5 * SECOND_US, "modest")), messages.StartAttempt
     )
     send, *_ = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.OK), messages.StartAttempt)
-    assert send.request == "m"
+    assert send.request_id == "m"
 
 
 def test_request_that_cannot_meet_its_latency_objective_is_rejected_at_once() -> None:
@@ -204,13 +208,18 @@
     """One attempt at each endpoint from each of hundreds of balancers was no limit at all."""
     harness = BalancerHarness(balancer_settings(instances=400), endpoint_count=40)
     balancer = harness.balancer
-    assert balancer.endpoints.sharing_balancers == 400 * len(balancer.endpoints.subset) / 40
-    assert balancer.limit.attempts * balancer.endpoints.sharing_balancers == pytest.approx(
-        INITIAL_SHARED_LIMIT
+    assert balancer.endpoints.balancers_per_endpoint == 400 * len(balancer.endpoints.subset) / 40
+    assert (
+        balancer.concurrency_limit.attempts_per_endpoint * balancer.endpoints.balancers_per_endpoint
+        == pytest.approx(INITIAL_SHARED_LIMIT)
     )
     sent_count = count_sent_attempts(harness, 10, took_us=400 * MILLISECOND_US)
     # By Little's law: the limit of each endpoint of the subset, over the 400 ms that an attempt takes.
-    assert 0 < sent_count <= 1.5 * balancer.limit.attempts * len(balancer.endpoints.subset) * 10 / 0.4
+    assert (
+        0
+        < sent_count
+        <= 1.5 * balancer.concurrency_limit.attempts_per_endpoint * len(balancer.endpoints.subset) * 10 / 0.4
+    )
 
 
 def test_concurrency_limit_falls_below_one_only_under_overload() -> None:
@@ -218,7 +227,7 @@
     for took_us in (800 * MILLISECOND_US, 1800 * MILLISECOND_US):  # late; under overload
         harness = BalancerHarness(balancer_settings(instances=8), endpoint_count=4)
         count_sent_attempts(harness, 60, took_us)
-        limits.append(harness.balancer.limit.attempts)
+        limits.append(harness.balancer.concurrency_limit.attempts_per_endpoint)
     assert limits[0] == pytest.approx(1.0, abs=0.1)
     assert MIN_LIMIT / 8 <= limits[1] < 0.5
 
@@ -255,11 +264,11 @@
 def test_failed_connection_does_not_lower_the_concurrency_limit() -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)))
     for number in range(40):
-        limit_before = harness.balancer.limit.attempts
+        limit_before = harness.balancer.concurrency_limit.attempts_per_endpoint
         [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
         harness.end_attempt(send, messages.Outcome.NO_CONNECTION, took=1)
         harness.advance(500 * MILLISECOND_US)
-        assert harness.balancer.limit.attempts >= limit_before
+        assert harness.balancer.concurrency_limit.attempts_per_endpoint >= limit_before
 
 
 @pytest.mark.parametrize(("waited_share", "served"), [(0.45, True), (0.55, False)])
@@ -275,11 +284,11 @@
         int(waited_share * harness.balancer.request_factory.classes["read"].settings.latency_objective_us)
     )
     waiting = f"r{len(sends)}"
-    assert [action.request for action in actions_of_type(done, messages.Reject)] == (
+    assert [action.request_id for action in actions_of_type(done, messages.Reject)] == (
         [] if served else [waiting]
     )
     done = [action for send in sends for action in harness.end_attempt(send, messages.Outcome.OK)]
-    assert [action.request for action in actions_of_type(done, messages.StartAttempt)] == (
+    assert [action.request_id for action in actions_of_type(done, messages.StartAttempt)] == (
         [waiting] if served else []
     )
 
@@ -306,9 +315,9 @@
     """It counts as a first attempt again and is sent at once; the next free place is the other request's."""
     harness, sends = busy_warming_endpoints()
     after = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.NOT_SENT), messages.StartAttempt)
-    assert [(send.request, send.endpoint_id) for send in after] == [("r0", sends[0].endpoint_id)]
+    assert [(send.request_id, send.endpoint_id) for send in after] == [("r0", sends[0].endpoint_id)]
     after = actions_of_type(harness.end_attempt(sends[1], messages.Outcome.OK), messages.StartAttempt)
-    assert [(send.request, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
+    assert [(send.request_id, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
 
 
 def test_queued_request_with_rejected_attempt_does_not_hold_back_first_attempts() -> None:
@@ -318,7 +327,7 @@
         harness.end_attempt(sends[0], messages.Outcome.REJECTED), messages.StartAttempt
     )
     after = actions_of_type(harness.end_attempt(sends[1], messages.Outcome.UNUSABLE), messages.StartAttempt)
-    assert [(send.request, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
+    assert [(send.request_id, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
 
 
 @pytest.mark.parametrize("max_attempts", [1, 3, 20])
@@ -333,7 +342,7 @@
         assert sends <= max_attempts
         actions = harness.end_attempt(again[0], messages.Outcome.NOT_SENT, took=0, attempt=sends - 1)
     assert sends == max_attempts
-    assert [action.request for action in actions_of_type(actions, messages.Reject)] == ["r"]
+    assert [action.request_id for action in actions_of_type(actions, messages.Reject)] == ["r"]
     assert not harness.balancer.open_requests.by_id
     assert not harness.balancer.dispatcher.in_flight
     assert not harness.balancer.queue
