--- a/load_balancer/net/clock.py
+++ b/load_balancer/net/clock.py
@@ -30,11 +30,11 @@
 
     Attributes:
         offset_us: The wall clock less the policy's clock, microseconds.
-        until_us: The last moment at which the offset may have been this, by the policy's clock.
+        valid_until_us: The last moment at which the offset may have been this, by the policy's clock.
     """
 
     offset_us: int
-    until_us: int
+    valid_until_us: int
 
 
 class Clock:
@@ -55,12 +55,12 @@
         """
         self._wall_us = wall_us
         self._monotonic_us = monotonic_us
-        self._ahead_us = wall_us() - monotonic_us()
+        self._start_offset_us = wall_us() - monotonic_us()
         self._offsets = [WallClockOffset(0, 0)]  # the newest last
 
     def now_us(self) -> int:
         """Return the time by this clock, microseconds."""
-        return self._monotonic_us() + self._ahead_us
+        return self._monotonic_us() + self._start_offset_us
 
     @property
     def remembered_offset_count(self) -> int:
@@ -91,6 +91,6 @@
         candidates_us = [
             unix_us - offset.offset_us
             for offset in self._offsets
-            if unix_us - offset.offset_us <= offset.until_us
+            if unix_us - offset.offset_us <= offset.valid_until_us
         ]
-        return max(candidates_us, default=self._offsets[-1].until_us)
+        return max(candidates_us, default=self._offsets[-1].valid_until_us)
--- a/load_balancer/net/discovery/endpoint_list.py
+++ b/load_balancer/net/discovery/endpoint_list.py
@@ -31,7 +31,7 @@
     uids: dict[int, str]
 
 
-def join_changes(
+def merge_changes(
     messages: Iterable[EndpointListMessage], highest_version: int = -1
 ) -> list[EndpointListMessage]:
     """Return the same content in as few messages as possible: a release brings many with one entry each.
@@ -41,37 +41,39 @@
         highest_version: The highest version that was known before. Changes with a lower one are not joined,
             as the policy applies such a message only in part.
     """
-    joined: list[EndpointListMessage] = []
-    may_join = False  # whether changes may be joined to the last message
+    merged: list[EndpointListMessage] = []
+    can_merge = False  # whether changes may be joined to the last message
     for message in messages:
         is_newer_change = not message.is_complete and message.version >= highest_version
-        if may_join and is_newer_change and not _restores_removed(joined[-1], message):
-            joined[-1] = _join(joined[-1], message)
+        if can_merge and is_newer_change and not _restores_removed(merged[-1], message):
+            merged[-1] = _merge(merged[-1], message)
         else:
-            joined.append(message)
-        may_join = is_newer_change
+            merged.append(message)
+        can_merge = is_newer_change
         highest_version = message.version if message.is_complete else max(highest_version, message.version)
-    return joined
+    return merged
 
 
-def _restores_removed(first: EndpointListMessage, then: EndpointListMessage) -> bool:
+def _restores_removed(earlier: EndpointListMessage, later: EndpointListMessage) -> bool:
     """Return whether a message brings back an endpoint that the one before it took out of service.
 
     Joined, the two would hide that the endpoint was away, and what was kept for it before, as its idle
     connections, would be used for the one that is there now.
     """
-    up = {endpoint.id for endpoint in then.endpoints if endpoint.status is EndpointStatus.UP}
-    return any(endpoint.id in up and endpoint.status is not EndpointStatus.UP for endpoint in first.endpoints)
+    up = {endpoint.id for endpoint in later.endpoints if endpoint.status is EndpointStatus.UP}
+    return any(
+        endpoint.id in up and endpoint.status is not EndpointStatus.UP for endpoint in earlier.endpoints
+    )
 
 
-def _join(first: EndpointListMessage, then: EndpointListMessage) -> EndpointListMessage:
+def _merge(earlier: EndpointListMessage, later: EndpointListMessage) -> EndpointListMessage:
     """Return two messages of changes as one. Of two entries for an endpoint the later counts."""
-    entries = {endpoint.id: endpoint for endpoint in (*first.endpoints, *then.endpoints)}
-    addresses = {number: address for number, address in first.addresses.items() if number not in then.uids}
+    entries = {endpoint.id: endpoint for endpoint in (*earlier.endpoints, *later.endpoints)}
+    addresses = {number: address for number, address in earlier.addresses.items() if number not in later.uids}
     return EndpointListMessage(
-        version=then.version,
+        version=later.version,
         is_complete=False,
         endpoints=tuple(entries.values()),
-        addresses=addresses | then.addresses,
-        uids=first.uids | then.uids,
+        addresses=addresses | later.addresses,
+        uids=earlier.uids | later.uids,
     )
--- a/load_balancer/net/discovery/endpoint_list_json.py
+++ b/load_balancer/net/discovery/endpoint_list_json.py
@@ -26,7 +26,7 @@
 ADDRESS = re.compile(r"([0-9A-Za-z._-]+|\[[0-9A-Fa-f:.]+\]):([0-9]{1,5})")
 
 
-def endpoint_number(uid: str) -> int:
+def endpoint_id_from_uid(uid: str) -> int:
     """Return the policy's number for a uid: the same at every proxy and after every restart."""
     # JSON may hold half of a surrogate pair. Without this handler one such uid would make a complete list
     # unreadable.
@@ -34,19 +34,19 @@
     return int.from_bytes(hashlib.blake2b(name, digest_size=7).digest(), "big")
 
 
-def read_address(text: str, where: str, least_port: int = 1) -> Address:
+def read_address(text: str, where: str, min_port: int = 1) -> Address:
     """Read `host:port`, with an IPv6 host in brackets.
 
     Args:
         text: The text.
         where: The field that holds it, for the error.
-        least_port: The lowest port that is valid.
+        min_port: The lowest port that is valid.
 
     Raises:
         InvalidFieldError: It is not an address.
     """
     found = ADDRESS.fullmatch(text)
-    if found is None or not least_port <= int(found[2]) <= MAX_PORT:
+    if found is None or not min_port <= int(found[2]) <= MAX_PORT:
         raise InvalidFieldError(where, f"is not an address: {text!r:.60}")
     return found[1].strip("[]"), int(found[2])
 
@@ -92,7 +92,7 @@
     if not 0 <= boot_ms <= MAX_BOOT_MS:
         raise InvalidFieldError(f"{path}boot_ms", f"is not a start: {boot_ms!r:.60}")
     return Endpoint(
-        id=endpoint_number(uid),
+        id=endpoint_id_from_uid(uid),
         status=STATUS_BY_STATE[state],
         zone=optional_field(entry, "az", "", path),
         cell=optional_field(entry, "pod_group", 0, path),
--- a/load_balancer/net/discovery/endpoint_watch.py
+++ b/load_balancer/net/discovery/endpoint_watch.py
@@ -14,7 +14,7 @@
 
 from load_balancer.errors import WireError
 from load_balancer.net.addresses import Address
-from load_balancer.net.discovery.endpoint_list import EndpointListMessage, join_changes
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage, merge_changes
 from load_balancer.net.discovery.held_version import HeldVersion
 from load_balancer.net.discovery.watch_stream import WatchStream
 from load_balancer.net.repeated_log_lines import LogLine, RepeatedLogLines, RunLimits
@@ -32,8 +32,8 @@
 # A change has to be applied 250 ms after it was sent, of which a stall of the process may take 150 ms.
 READ_PAUSE_S = 0.02
 READ_BYTES = 65_536
-BREAK_LOG_WINDOW_S = 10.0
-MAX_LOGGED_BREAKS = 5  # in each window, one for each reason; the others are counted
+FAILURE_LOG_WINDOW_S = 10.0
+MAX_LOGGED_FAILURES = 5  # in each window, one for each reason; the others are counted
 
 
 class EndpointWatch:
@@ -43,7 +43,7 @@
         self,
         address: Address,
         on_list: Callable[[EndpointListMessage], None],
-        on_break: Callable[[], None],
+        on_failure: Callable[[], None],
         first_list_timeout_s: float,
         heartbeat_timeout_s: float = HEARTBEAT_TIMEOUT_S,
         on_heartbeat: Callable[[], None] = lambda: None,
@@ -53,25 +53,27 @@
         Args:
             address: Where discovery is.
             on_list: Takes each list. A list for which it raises counts as not held and is requested again.
-            on_break: Is called after each end of a watch, except by `close` or `move`.
+            on_failure: Is called after each end of a watch, except by `close` or `change_address`.
             first_list_timeout_s: Seconds to wait for the first list or heartbeat of a watch.
             heartbeat_timeout_s: Seconds to wait between two of them.
             on_heartbeat: Is called for a heartbeat after a list: that list is still what discovery has.
         """
         self._address = address
         self._on_list = on_list
-        self._on_break = on_break
+        self._on_failure = on_failure
         self._first_list_timeout_s = first_list_timeout_s
         self._heartbeat_timeout_s = heartbeat_timeout_s
         self._on_heartbeat = on_heartbeat
         self._task: asyncio.Task[None] | None = None
-        self._has_list = False  # the open watch has brought a list
+        self._has_received_list = False  # the open watch has brought a list
         self._held = HeldVersion(address)
-        self._break_log = RepeatedLogLines(
+        self._failure_log = RepeatedLogLines(
             log,
             line=LogLine(logging.WARNING, "watch on discovery broke: %s"),
             summary=LogLine(logging.WARNING, "watch on discovery broke %d more times"),
-            limits=RunLimits(window_s=BREAK_LOG_WINDOW_S, max_lines=MAX_LOGGED_BREAKS, logs_repeats=False),
+            limits=RunLimits(
+                window_s=FAILURE_LOG_WINDOW_S, max_lines=MAX_LOGGED_FAILURES, logs_repeats=False
+            ),
         )
 
     @property
@@ -93,7 +95,7 @@
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Watch another address from now on.
 
         The versions there may be other ones, so the complete list is requested. Back at the address that the
@@ -108,34 +110,34 @@
         self.start()
 
     def close(self) -> None:
-        """End the watch without a call of `on_break`."""
+        """End the watch without a call of `on_failure`."""
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     async def _run(self) -> None:
         try:
-            await self._follow()
+            await self._read_lists()
         except (WireError, OSError, h11.RemoteProtocolError) as error:
             now_s = asyncio.get_running_loop().time()
-            self._break_log.record(now_s, str(error) or "silent")  # a TimeoutError has no text
+            self._failure_log.record(now_s, str(error) or "silent")  # a TimeoutError has no text
         except Exception:
             # A fault of this program, or of whoever takes the list. It would end this task unseen: the watch
             # would never be opened again, and the list would stay as it is for good.
             log.exception("watch on discovery failed")
         self._task = None
-        self._on_break()
+        self._on_failure()
 
-    async def _follow(self) -> None:
+    async def _read_lists(self) -> None:
         """Open the call and read it until it fails."""
         loop = asyncio.get_running_loop()
         timeout_at_s = loop.time() + self._first_list_timeout_s
-        self._has_list = False
+        self._has_received_list = False
         async with asyncio.timeout_at(timeout_at_s):
             reader, writer = await asyncio.open_connection(*self._address)
         try:
             stream = WatchStream()
-            writer.write(stream.request(self._address, self._held.resumable_at(self._address)))
+            writer.write(stream.request(self._address, self._held.resumable_version(self._address)))
             while True:
                 async with asyncio.timeout_at(timeout_at_s):
                     stream.receive_data(await reader.read(READ_BYTES))
@@ -162,12 +164,12 @@
 
     def _apply_messages(self, messages: Iterable[EndpointListMessage], *, heartbeat: bool) -> None:
         """Pass on the lists of one read, and the heartbeat in it if there was one."""
-        for message in join_changes(messages, self._held.highest):
+        for message in merge_changes(messages, self._held.highest_version):
             self._on_list(message)
             # Only now: had it raised, discovery would assume that we hold the list, and never send it again.
             self._held.record(message, self._address)
-            self._has_list = True
-        if heartbeat and self._has_list:
+            self._has_received_list = True
+        if heartbeat and self._has_received_list:
             self._on_heartbeat()
 
 
--- a/load_balancer/net/discovery/held_version.py
+++ b/load_balancer/net/discovery/held_version.py
@@ -22,22 +22,22 @@
         self.version: int | None = None
         self._source = source
         # The highest version since the last complete list: changes with a lower one may follow it.
-        self._highest_seen = -1
+        self._highest_seen_version = -1
 
     def resume_from(self, version: int) -> None:
         """Count a cached list of this version as held, from the discovery that was given at the start."""
         self.version = version
 
     @property
-    def highest(self) -> int:
+    def highest_version(self) -> int:
         """The highest version that is held, also of a list as last known before the start; -1 for none."""
-        return max(self._highest_seen, -1 if self.version is None else self.version)
+        return max(self._highest_seen_version, -1 if self.version is None else self.version)
 
-    def resumable_at(self, address: Address) -> int | None:
+    def resumable_version(self, address: Address) -> int | None:
         """Return the held version if the discovery at an address is the one that numbered it, else None."""
         return self.version if address == self._source else None
 
     def record(self, message: EndpointListMessage, source: Address) -> None:
         """Record that a message of the discovery at `source` was applied."""
         self.version, self._source = message.version, source
-        self._highest_seen = message.version if message.is_complete else self.highest
+        self._highest_seen_version = message.version if message.is_complete else self.highest_version
--- a/load_balancer/net/discovery/json_stream.py
+++ b/load_balancer/net/discovery/json_stream.py
@@ -48,9 +48,9 @@
 
     # Bytes without a brace outside of strings. Complete strings are skipped at once, as a list of thousands
     # of endpoints has ten times as many quotes as braces. A string that has not ended yet is not skipped.
-    _NO_BRACES = re.compile(rb'[^][{}"]*+(?:"[^"\\]*+(?:\\.[^"\\]*+)*+"[^][{}"]*+)*+', re.DOTALL)
+    _NON_STRUCTURAL = re.compile(rb'[^][{}"]*+(?:"[^"\\]*+(?:\\.[^"\\]*+)*+"[^][{}"]*+)*+', re.DOTALL)
     # The same between two texts, where a line end is a heartbeat.
-    _NO_BRACES_IN_LINE = re.compile(rb'[^][{}"\n]*+')
+    _NON_STRUCTURAL_BETWEEN_TEXTS = re.compile(rb'[^][{}"\n]*+')
     _QUOTE_OR_ESCAPE = re.compile(rb'["\\]')
 
     def __init__(self) -> None:
@@ -75,8 +75,8 @@
             JsonStreamError: A text is nested too deeply or too long.
         """
         self._buffer += data
-        while mark := self._find_mark():
-            match mark:
+        while structural_byte := self._find_structural_byte():
+            match structural_byte:
                 case b"\\":
                     self.scanned_bytes += 1  # whatever follows, it ends no string
                 case b'"':
@@ -88,20 +88,20 @@
                 case b"}" | b"]":
                     self._depth -= 1
                     if self._depth <= 0:
-                        yield self._take_text()
+                        yield self._pop_text()
                 case _:
-                    yield self._take_text()
+                    yield self._pop_text()
         self.scanned_bytes = max(self.scanned_bytes, len(self._buffer))
         if len(self._buffer) > MAX_TEXT_BYTES:
             raise TextTooLongError
 
-    def _find_mark(self) -> bytes:
+    def _find_structural_byte(self) -> bytes:
         """Return the next byte that may end a text or a string, or no byte if none has come yet."""
         if self.is_in_string:
             found = self._QUOTE_OR_ESCAPE.search(self._buffer, self.scanned_bytes)
             position = len(self._buffer) if found is None else found.start()
         else:
-            pattern = self._NO_BRACES if self._depth else self._NO_BRACES_IN_LINE
+            pattern = self._NON_STRUCTURAL if self._depth else self._NON_STRUCTURAL_BETWEEN_TEXTS
             skipped = pattern.match(self._buffer, self.scanned_bytes)
             position = self.scanned_bytes if skipped is None else skipped.end()
         if position >= len(self._buffer):
@@ -109,7 +109,7 @@
         self.scanned_bytes = position + 1
         return bytes(self._buffer[position : position + 1])
 
-    def _take_text(self) -> bytes:
+    def _pop_text(self) -> bytes:
         """Remove the examined bytes from the buffer and return them without surrounding white space."""
         text = bytes(self._buffer[: self.scanned_bytes]).strip()
         del self._buffer[: self.scanned_bytes]
--- a/load_balancer/net/discovery/start_times.py
+++ b/load_balancer/net/discovery/start_times.py
@@ -21,12 +21,12 @@
     """One run of one endpoint.
 
     Attributes:
-        endpoint_number: The endpoint's number.
-        stated_us: Its start as discovery states it, Unix time in microseconds.
+        endpoint_id: The endpoint's id, as in the policy.
+        reported_start_us: Its start as discovery states it, Unix time in microseconds.
     """
 
-    endpoint_number: int
-    stated_us: int
+    endpoint_id: int
+    reported_start_us: int
 
 
 class StartTimes:
@@ -71,13 +71,13 @@
         # would go through slow start at its return.
         start_time_us = self._start_times_us.pop(incarnation, None)
         if start_time_us is None:
-            start_time_us = self._first_seen_us(entry.incarnation_us)
+            start_time_us = self._initial_start_time_us(entry.incarnation_us)
         self._start_times_us[incarnation] = start_time_us
         if len(self._start_times_us) > MAX_START_TIMES:
             del self._start_times_us[next(iter(self._start_times_us))]
         return start_time_us
 
-    def _first_seen_us(self, stated_us: int) -> int:
+    def _initial_start_time_us(self, reported_start_us: int) -> int:
         """Return the moment of a start that is seen for the first time.
 
         It is the stated moment if that lies between the last moment without that start and now, else now. The
@@ -85,7 +85,7 @@
         endpoint in slow start for as long, and one too old would make it count as warm at once. If only
         discovery was late, the endpoint counts as colder than it is for as long as discovery took.
         """
-        start_time_us = self._clock.from_unix_us(stated_us)
+        start_time_us = self._clock.from_unix_us(reported_start_us)
         if self._confirmed_at_us is not None and start_time_us < self._confirmed_at_us:
             start_time_us = self._clock.now_us()
         return max(1, start_time_us)  # 0 would mean long ago
--- a/load_balancer/net/discovery/watch_stream.py
+++ b/load_balancer/net/discovery/watch_stream.py
@@ -17,11 +17,11 @@
 from load_balancer.net.discovery.json_stream import JsonTextSplitter
 
 
-class WatchBrokenError(WireError):
+class WatchError(WireError):
     """The watch has ended, or never began; the message gives the reason."""
 
 
-class WatchRejectedError(WatchBrokenError):
+class WatchRejectedError(WatchError):
     """Discovery answered the call with another status than 200."""
 
     def __init__(self, status_code: int) -> None:
@@ -29,7 +29,7 @@
         super().__init__(f"status {status_code}")
 
 
-class WatchEndedError(WatchBrokenError):
+class WatchEndedError(WatchError):
     """Discovery ended the call, or the connection."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         super().__init__("ended")
 
 
-class InvalidListTextError(WatchBrokenError):
+class InvalidListTextError(WatchError):
     """A text of the watch is no JSON."""
 
     def __init__(self, error: Exception) -> None:
--- a/load_balancer/net/driver/attempt_dispatcher.py
+++ b/load_balancer/net/driver/attempt_dispatcher.py
@@ -95,7 +95,7 @@
         request.attempt_count += 1
         on_outcome = partial(self._finish, StartedAttempt(key, action.endpoint_id, started_at_us))
         # The end of the client's stream may not have been read yet.
-        if endpoint is None or not self._is_awaited(request):
+        if endpoint is None or not self._is_client_waiting(request):
             on_outcome(messages.Outcome.NOT_SENT, None)
             return
         attempt = self._pool.start_attempt(
@@ -119,7 +119,7 @@
         else:  # nobody waits for it, which says nothing of its endpoint
             attempt.cancel()
 
-    def _is_awaited(self, request: OpenRequest) -> bool:
+    def _is_client_waiting(self, request: OpenRequest) -> bool:
         """Return whether the client still waits for the response; cancel the request where it has left."""
         if not request.client_request.is_client_connected():
             self._requests.cancel(request.id)
@@ -135,8 +135,8 @@
             client_request.body,
             # After one idle connection was stale, others that were idle over the same time may be too: they
             # would use up the last attempts.
-            is_idempotent=is_idempotent and not request.has_met_stale_connection,
-            is_awaited=partial(self._is_awaited, request),
+            is_idempotent=is_idempotent and not request.has_used_stale_connection,
+            is_awaited=partial(self._is_client_waiting, request),
         )
 
     def _finish(
@@ -144,30 +144,32 @@
     ) -> None:
         """Give a good response to the client, and report the outcome to the policy."""
         key = started.key
-        self._remove_from_flight(key, outcome)
-        took_us = self._clock.now_us() - started.started_at_us
+        self._remove_in_flight(key, outcome)
+        duration_us = self._clock.now_us() - started.started_at_us
         if outcome is messages.Outcome.OK and response is not None:
             self._requests.respond(key.request_id, _to_client_response(response))
         is_over = key.request_id not in self._requests
         self._events.put(
-            messages.AttemptEnded(key.request_id, key.number, started.endpoint_id, outcome, took_us, is_over)
+            messages.AttemptEnded(
+                key.request_id, key.number, started.endpoint_id, outcome, duration_us, is_over
+            )
         )
 
-    def _remove_from_flight(self, key: AttemptKey, outcome: messages.Outcome) -> None:
+    def _remove_in_flight(self, key: AttemptKey, outcome: messages.Outcome) -> None:
         """Forget an attempt that has ended, but for what its request learns of idle connections."""
         attempt = self._attempts.in_flight.pop(key, None)
         request = self._requests.get(key.request_id)
         if attempt is not None and request is not None:
             had_no_response = outcome in OUTCOMES_WITHOUT_RESPONSE
-            request.has_met_stale_connection |= attempt.is_on_long_idle_connection and had_no_response
+            request.has_used_stale_connection |= attempt.is_on_long_idle_connection and had_no_response
 
 
-def _log_unknown(what: str, action: messages.StartAttempt) -> None:
+def _log_unknown(missing: str, action: messages.StartAttempt) -> None:
     log.error(
         "cannot start an attempt of request %s on endpoint %d: the %s is unknown",
         action.request,
         action.endpoint_id,
-        what,
+        missing,
     )
 
 
--- a/load_balancer/net/driver/attempt_table.py
+++ b/load_balancer/net/driver/attempt_table.py
@@ -33,7 +33,7 @@
         """Start with no attempt."""
         self.in_flight: dict[AttemptKey, UpstreamAttempt] = {}
 
-    def withdraw_unsent(self, request_id: str, attempt_count: int) -> None:
+    def cancel_unsent(self, request_id: str, attempt_count: int) -> None:
         """Drop the attempts of a request that nobody waits for, unless they are completely written.
 
         An endpoint would work on them for nothing. One that is written can only be cancelled, which is for
--- a/load_balancer/net/driver/endpoint_list_receiver.py
+++ b/load_balancer/net/driver/endpoint_list_receiver.py
@@ -48,7 +48,7 @@
         self.watch = EndpointWatch(
             discovery,
             self.receive,
-            self.watch_broke,
+            self.handle_watch_failure,
             POLLED_LIST_TIMEOUT_S if is_polled else PUSHED_LIST_TIMEOUT_S,
             on_heartbeat=self.start_times.confirm,
         )
@@ -82,7 +82,7 @@
         for endpoint in out_of_service:
             self._pool.disable_endpoint(endpoint)
 
-    def watch_broke(self) -> None:
+    def handle_watch_failure(self) -> None:
         """Tell the policy that the watch has ended; it decides when to open the next one."""
         self.discovery_reported.set()
         self._events.put(messages.EndpointListUpdate(messages.EndpointListKind.FAILED))
--- a/load_balancer/net/driver/event_loop_driver.py
+++ b/load_balancer/net/driver/event_loop_driver.py
@@ -123,9 +123,9 @@
         """End a request whose client has left; do nothing where it has ended."""
         self.requests.cancel(request_id)
 
-    def move_discovery(self, address: Address) -> None:
+    def change_discovery_address(self, address: Address) -> None:
         """Follow discovery to another address. All that was learned stays."""
-        self.endpoint_list.watch.move(address)
+        self.endpoint_list.watch.change_address(address)
 
     def limit_deadlines(self, within_s: float) -> None:
         """Let each request that comes from now on end within so many seconds from now."""
--- a/load_balancer/net/driver/open_requests.py
+++ b/load_balancer/net/driver/open_requests.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-LAG_MARGIN_US = 15_000  # kept back from a client's deadline for the way to it and a late event loop
+DEADLINE_MARGIN_US = 15_000  # kept back from a client's deadline for the way to it and a late event loop
 
 
 @dataclass(slots=True)
@@ -29,18 +29,18 @@
         id: Its id at the driver and the policy.
         client_request: The request as the client sent it.
         deadline_at_s: The event loop's time by which it has its final response.
-        overdue_timer: Ends the request at its deadline where the policy has not.
+        deadline_timer: Ends the request at its deadline where the policy has not.
         attempt_count: How many attempts it has had.
-        has_met_stale_connection: Whether an attempt failed without a response on a connection that had been
+        has_used_stale_connection: Whether an attempt failed without a response on a connection that had been
             idle for long.
     """
 
     id: str
     client_request: ClientRequest
     deadline_at_s: float
-    overdue_timer: asyncio.TimerHandle
+    deadline_timer: asyncio.TimerHandle
     attempt_count: int = 0
-    has_met_stale_connection: bool = False
+    has_used_stale_connection: bool = False
 
 
 class OpenRequests:
@@ -88,8 +88,8 @@
         deadline_at_s = self._deadline_at_s(client_request)
         # The policy's own timer runs out a little earlier. This one is for a fault that loses it: the client
         # would wait for ever.
-        overdue_timer = self._loop.call_at(deadline_at_s, self._end_overdue, request_id)
-        self._requests[request_id] = OpenRequest(request_id, client_request, deadline_at_s, overdue_timer)
+        deadline_timer = self._loop.call_at(deadline_at_s, self._end_overdue, request_id)
+        self._requests[request_id] = OpenRequest(request_id, client_request, deadline_at_s, deadline_timer)
         self._events.put(
             messages.Request(
                 request_id,
@@ -102,7 +102,7 @@
         return request_id
 
     def _deadline_at_s(self, client_request: ClientRequest) -> float:
-        usable_us = client_request.time_remaining_us - LAG_MARGIN_US
+        usable_us = client_request.time_remaining_us - DEADLINE_MARGIN_US
         deadline_at_s = client_request.measured_at_s + usable_us / 1e6
         if self._shutdown_deadline_at_s is None:
             return deadline_at_s
@@ -113,7 +113,7 @@
         request = self._remove(request_id)
         if request is not None:
             request.client_request.respond(response)
-            self.attempts.withdraw_unsent(request_id, request.attempt_count)
+            self.attempts.cancel_unsent(request_id, request.attempt_count)
 
     def fail(self, request_id: str) -> None:
         """Respond with 502 to a request that the policy cannot end, and have the policy forget it."""
@@ -125,7 +125,7 @@
         request = self._remove(request_id)
         if request is not None:
             self._events.put(messages.ClientGone(request_id))
-            self.attempts.withdraw_unsent(request_id, request.attempt_count)
+            self.attempts.cancel_unsent(request_id, request.attempt_count)
 
     def limit_deadlines(self, within_s: float) -> None:
         """Let each request that is accepted from now on end within so many seconds from now."""
@@ -146,5 +146,5 @@
     def _remove(self, request_id: str) -> OpenRequest | None:
         request = self._requests.pop(request_id, None)
         if request is not None:
-            request.overdue_timer.cancel()
+            request.deadline_timer.cancel()
         return request
--- a/load_balancer/net/repeated_log_lines.py
+++ b/load_balancer/net/repeated_log_lines.py
@@ -64,8 +64,8 @@
         self._line = line
         self._summary = summary
         self._limits = limits
-        self._run_began_s = -math.inf
-        self._last_event_s = -math.inf
+        self._run_started_at_s = -math.inf
+        self._last_event_at_s = -math.inf
         self._line_count = 0  # of this run
         self._logged_values: set[tuple[object, ...]] = set()  # of this run
         self._unsummarized_count = 0
@@ -77,11 +77,11 @@
             now_s: The event loop's time, seconds.
             values: What the line says of this event; they tell a repeat from another event.
         """
-        if now_s - self._run_began_s >= self._limits.window_s:
+        if now_s - self._run_started_at_s >= self._limits.window_s:
             self._end_run()
-            self._run_began_s = now_s
-        self._last_event_s = now_s
-        is_logged = self._line_count < self._limits.max_lines and not self._is_unwanted_repeat(values)
+            self._run_started_at_s = now_s
+        self._last_event_at_s = now_s
+        is_logged = self._line_count < self._limits.max_lines and not self._is_suppressed_repeat(values)
         if is_logged:
             self._line_count += 1
             self._logged_values.add(values)
@@ -95,7 +95,7 @@
         Args:
             now_s: The event loop's time, seconds.
         """
-        if now_s - self._last_event_s > self._limits.quiet_s:
+        if now_s - self._last_event_at_s > self._limits.quiet_s:
             self._end_run()
 
     def summarize(self) -> None:
@@ -109,7 +109,7 @@
         self._line_count = 0
         self._logged_values.clear()
 
-    def _is_unwanted_repeat(self, values: tuple[object, ...]) -> bool:
+    def _is_suppressed_repeat(self, values: tuple[object, ...]) -> bool:
         return not self._limits.logs_repeats and values in self._logged_values
 
 
--- a/load_balancer/net/socket_state.py
+++ b/load_balancer/net/socket_state.py
@@ -19,15 +19,15 @@
 NO_ROUTE_ERRNOS = (errno.EHOSTDOWN, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ENETUNREACH)
 
 
-def has_unread_bytes(transport: asyncio.BaseTransport, *, unknown: bool = True) -> bool:
+def has_unread_bytes(transport: asyncio.BaseTransport, *, default: bool = True) -> bool:
     """Return whether there is anything to read from a connection, the end of its stream included.
 
     Args:
         transport: The connection's transport.
-        unknown: What to return where the system cannot tell.
+        default: What to return where the system cannot tell.
     """
     events = _poll_events(transport, select.POLLIN)
-    return unknown if events is None else bool(events)
+    return default if events is None else bool(events)
 
 
 def is_closed_by_remote(transport: asyncio.BaseTransport) -> bool:
--- a/load_balancer/net/upstream/request_checks.py
+++ b/load_balancer/net/upstream/request_checks.py
@@ -63,7 +63,7 @@
     # Since the connection was taken, a second response to the last request may have come, which would pass
     # for the response to this one; or the end of the stream, and what is sent into that counts as what may
     # have run. If the system cannot tell, an idle connection is not used and a new one has to do.
-    if socket_state.has_unread_bytes(transport, unknown=was_idle):
+    if socket_state.has_unread_bytes(transport, default=was_idle):
         # An idle connection may go stale at any endpoint; one that has just come up has failed.
         return Outcome.NOT_SENT if was_idle else Outcome.NO_CONNECTION
     # The client may have left since the decision to send, its end still unread: the work would be in vain.
--- a/load_balancer/process/config.py
+++ b/load_balancer/process/config.py
@@ -120,7 +120,7 @@
     check_minimum("limits.sockets", sockets, 1)
     return Config(
         name=required_field(fields, "name", str),
-        listen=read_address(required_field(fields, "listen", str), "listen", least_port=0),
+        listen=read_address(required_field(fields, "listen", str), "listen", min_port=0),
         discovery=read_address(required_field(fields, "discovery", str), "discovery"),
         seed=read_seed(fields),
         sockets=sockets,
--- a/load_balancer/process/reload.py
+++ b/load_balancer/process/reload.py
@@ -72,7 +72,7 @@
                 log.warning("the change of %s needs a restart", name)
         if new.discovery != self._config.discovery:
             log.info("discovery is now at %s:%d", *new.discovery)
-            self._driver.move_discovery(new.discovery)
+            self._driver.change_discovery_address(new.discovery)
         # What waits for a restart stays as it was, so that it is named again at the next reload.
         self._config = replace(self._config, discovery=new.discovery)
 
--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -9,7 +9,7 @@
 
 from load_balancer import messages
 from load_balancer.net.client import client_limits
-from load_balancer.net.driver.open_requests import LAG_MARGIN_US
+from load_balancer.net.driver.open_requests import DEADLINE_MARGIN_US
 from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message, response_status
@@ -137,7 +137,7 @@
         assert response_status(await proxy.send_request(http_request(Req_Deadline="0.6"))) in (502, 503)
         assert loop.time() - began < 1.8  # by its own deadline, not by the class's aim of 2 s
         [request] = [event for event in events if isinstance(event, messages.Request)]
-        assert 400_000 < request.time_left_us <= 600_000 - LAG_MARGIN_US
+        assert 400_000 < request.time_left_us <= 600_000 - DEADLINE_MARGIN_US
 
 
 @pytest.mark.parametrize("fresh", [True, False])
--- a/tests/net/client/test_request_forwarding.py
+++ b/tests/net/client/test_request_forwarding.py
@@ -11,7 +11,7 @@
 from load_balancer.net.addresses import EndpointAddress
 from load_balancer.net.clock import Clock
 from load_balancer.net.driver.client_messages import ClientRequest
-from load_balancer.net.driver.open_requests import LAG_MARGIN_US
+from load_balancer.net.driver.open_requests import DEADLINE_MARGIN_US
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
@@ -172,7 +172,7 @@
             connects.permits.release()
         await wait_until(lambda: len(endpoint.received) == 2)
         first, second = (float(headers["req-deadline"]) for _, headers, _ in endpoint.received)
-        margin = LAG_MARGIN_US / 1e6
+        margin = DEADLINE_MARGIN_US / 1e6
         assert 1.0 < first <= 1.9 - 0.4 - margin
         assert 0.2 < second <= 1.9 - 1.2 - margin
         connects.permits.release()
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -11,8 +11,8 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.discovery.endpoint_list_json import endpoint_number
-from load_balancer.net.discovery.endpoint_watch import BREAK_LOG_WINDOW_S
+from load_balancer.net.discovery.endpoint_list_json import endpoint_id_from_uid
+from load_balancer.net.discovery.endpoint_watch import FAILURE_LOG_WINDOW_S
 from tests.net.discovery.list_server import HeldListServer
 from tests.process.process_helpers import wait_for_log_line
 from tests.support.endpoint_lists import (
@@ -110,10 +110,10 @@
         discovery.calls[0].writer.transport.abort()
         await outage(clock, 60.0 * minutes)
         lines = [r for r in caplog.records if r.levelno >= logging.WARNING]
-        assert len(lines) <= LINES_MOST * (60.0 * minutes / BREAK_LOG_WINDOW_S + 1)
+        assert len(lines) <= LINES_MOST * (60.0 * minutes / FAILURE_LOG_WINDOW_S + 1)
         assert not any(r.exc_info for r in lines)
         assert set(proxy.driver.balancer.endpoints.states) == {
-            endpoint_number("s-1")
+            endpoint_id_from_uid("s-1")
         }  # the old list serves on
         all_is_small(discovery, proxy)
         assert descriptors() <= before + 2  # a call that is out: its two ends
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -14,7 +14,7 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.discovery.endpoint_list_json import endpoint_number
+from load_balancer.net.discovery.endpoint_list_json import endpoint_id_from_uid
 from load_balancer.process.config import ConfigSource
 from load_balancer.process.reload import Reloader
 from tests.net.discovery.list_server import HeldListServer
@@ -186,7 +186,7 @@
         following.second.is_silent = True
         following.first.change()  # written at once, and not read yet
         following.move(following.second)
-        left = endpoint_number(following.first.uid)
+        left = endpoint_id_from_uid(following.first.uid)
         await pass_until(following.clock, lambda: len(following.second.request_targets) == 2)
         assert left not in following.proxy.driver.balancer.endpoints.states
         following.second.is_silent = False
--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -122,10 +122,10 @@
                 await wait_until(lambda: not follower.watch.is_running)
                 await follower.told()
             elif number == 80:  # a new configuration, and the old one again before anything came
-                follower.watch.move(follower.at[1])
-                follower.watch.move(follower.at[0])
+                follower.watch.change_address(follower.at[1])
+                follower.watch.change_address(follower.at[0])
                 await follower.told()
-        follower.watch.move(follower.at[1])
+        follower.watch.change_address(follower.at[1])
         await wait_until(
             lambda: not any(writer.get_extra_info("sockname")[1] == first.port for writer in fleet.open)
         )
--- a/tests/net/discovery/test_endpoint_list_json.py
+++ b/tests/net/discovery/test_endpoint_list_json.py
@@ -7,13 +7,17 @@
 import pytest
 
 from load_balancer.errors import WireError
-from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
+from load_balancer.net.discovery.endpoint_list_json import endpoint_id_from_uid, read_list
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 
 
 def test_endpoint_number_of_a_uid_is_stable() -> None:
-    assert endpoint_number("s-5be2a07c") == endpoint_number("s-5be2a07c") != endpoint_number("s-5be2a07d")
-    assert endpoint_number("s-5be2a07c") == 45325253487234402
+    assert (
+        endpoint_id_from_uid("s-5be2a07c")
+        == endpoint_id_from_uid("s-5be2a07c")
+        != endpoint_id_from_uid("s-5be2a07d")
+    )
+    assert endpoint_id_from_uid("s-5be2a07c") == 45325253487234402
 
 
 def test_boot_time_is_read_as_unix_microseconds() -> None:
@@ -31,4 +35,4 @@
 def test_uid_with_a_lone_surrogate_is_accepted() -> None:
     """JSON may hold one."""
     text = json.dumps(endpoint_list(endpoint_entry("\ud800", 9)))
-    assert list(read_list(json.loads(text)).uids) == [endpoint_number("\ud800")]
+    assert list(read_list(json.loads(text)).uids) == [endpoint_id_from_uid("\ud800")]
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -9,7 +9,7 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.discovery.endpoint_list import EndpointListMessage, join_changes
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage, merge_changes
 from load_balancer.net.discovery.endpoint_list_json import read_list
 from load_balancer.net.discovery.endpoint_watch import READ_PAUSE_S, EndpointWatch
 from tests.support.balancer_harness import balancer_settings
@@ -141,9 +141,9 @@
         got = [await watched.next_list()]
         while got[-1].version < 43:
             got.append(await watched.next_list())
-        whole, changes = join_changes(got)
+        whole, changes = merge_changes(got)
         assert (whole.version, whole.is_complete, len(whole.endpoints)) == (41, True, 2)
-        assert changes == join_changes(map(read_list, lists))[1]
+        assert changes == merge_changes(map(read_list, lists))[1]
         assert (changes.version, len(changes.endpoints)) == (43, 1)
         watched.watch.close()
 
@@ -280,7 +280,7 @@
         running_proxy(discovery_port=old.port, settings=setup) as proxy,
     ):
         await wait_until(lambda: proxy.driver.endpoint_list.watch.version == 1)
-        proxy.driver.move_discovery(("127.0.0.1", new.port))
+        proxy.driver.change_discovery_address(("127.0.0.1", new.port))
         await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1 + len(silent))
         assert clock.advanced_s < 4.0
 
@@ -364,7 +364,7 @@
         watched, address = Watched(discovery), ("127.0.0.1", new_discovery.port)
         assert (await watched.next_list()).version == 1
         crossed = on_next_bytes(
-            watched.watch.close if then == "close" else lambda: watched.watch.move(address)
+            watched.watch.close if then == "close" else lambda: watched.watch.change_address(address)
         )
         go_on.set()
         await crossed.wait()
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -11,8 +11,8 @@
 
 from load_balancer import messages
 from load_balancer.net.discovery import endpoint_watch
-from load_balancer.net.discovery.endpoint_list import EndpointListMessage, join_changes
-from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
+from load_balancer.net.discovery.endpoint_list import EndpointListMessage, merge_changes
+from load_balancer.net.discovery.endpoint_list_json import endpoint_id_from_uid, read_list
 from load_balancer.net.discovery.endpoint_watch import EndpointWatch
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
@@ -33,7 +33,7 @@
 
 
 def names(*uids: str) -> set[int]:
-    return {endpoint_number(uid) for uid in uids}
+    return {endpoint_id_from_uid(uid) for uid in uids}
 
 
 async def lists_until_the_end(proxy: LoopbackProxy) -> list[messages.EndpointListUpdate]:
@@ -123,7 +123,7 @@
         read_list(change(endpoint_entry("d", 9), rev=4)),
         read_list(change(endpoint_entry("e", 9), rev=2)),
     ]
-    assert [(news.version, news.is_complete) for news in join_changes(lists)] == [
+    assert [(news.version, news.is_complete) for news in merge_changes(lists)] == [
         (6, False),
         (3, True),
         (4, False),
@@ -162,7 +162,7 @@
         read_list(change(endpoint_entry("a", 9, state), rev=number))
         for number, state in ((2, away), (3, "in_service"))
     ]
-    assert join_changes(lists) == lists
+    assert merge_changes(lists) == lists
 
 
 def random_lists(rng: random.Random) -> list[EndpointListMessage]:
@@ -201,7 +201,7 @@
     rng = random.Random(1)
     for _ in range(40):
         lists = random_lists(rng)
-        assert await effect_of(lists) == await effect_of(join_changes(lists))
+        assert await effect_of(lists) == await effect_of(merge_changes(lists))
 
 
 async def test_changes_that_come_while_reading_is_paused_are_joined(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -11,7 +11,7 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
+from load_balancer.net.discovery.endpoint_list_json import endpoint_id_from_uid, read_list
 from load_balancer.net.discovery.endpoint_watch import HEARTBEAT_TIMEOUT_S, POLLED_LIST_TIMEOUT_S
 from load_balancer.net.discovery.json_stream import MAX_TEXT_BYTES
 from load_balancer.policy.subscription import (
@@ -284,7 +284,7 @@
         assert "\n" not in line.getMessage()
         assert not line.exc_info
         assert waited + await answer_latest_call(discovery, proxy, clock, setup) < LIST_DEADLINE_S
-        assert set(proxy.driver.balancer.endpoints.states) == {endpoint_number("s-7")}
+        assert set(proxy.driver.balancer.endpoints.states) == {endpoint_id_from_uid("s-7")}
 
 
 class DrainedEndpoint(SlowEndpoint):
@@ -322,7 +322,7 @@
         omitted.may_respond.set()
         assert (await slow).body == b"a"
         assert len(omitted.received) == 2
-        assert not any(address.id == endpoint_number("a") for address in proxy.pool.idle.by_endpoint)
+        assert not any(address.id == endpoint_id_from_uid("a") for address in proxy.pool.idle.by_endpoint)
 
 
 @pytest.mark.parametrize("states", [("terminating", "terminated"), ("terminated", "in_service")])
@@ -336,7 +336,7 @@
         )
         proxy.driver.endpoint_list.receive(read_list(news))
         there = states[-1] == "in_service"
-        number = endpoint_number("a")
+        number = endpoint_id_from_uid("a")
         held = (
             proxy.driver.balancer.endpoints.states,
             proxy.driver.endpoint_list.endpoints.by_id,
@@ -359,7 +359,7 @@
         new = StandInDiscovery(clock)
         e = await stack.enter_async_context(StandInServer(new.handle))
         await after_failures(discovery, clock, FAILURES["refused"])
-        proxy.driver.move_discovery(("127.0.0.1", e.port))
+        proxy.driver.change_discovery_address(("127.0.0.1", e.port))
         waited = await advance_to_next_call(new, clock)
         call = new.calls[-1]
         if first == "refused in its turn" and setup is POLLED_SETTINGS:
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -5,7 +5,7 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.discovery.endpoint_list_json import endpoint_number
+from load_balancer.net.discovery.endpoint_list_json import endpoint_id_from_uid
 from load_balancer.net.discovery.start_times import MAX_START_TIMES, StartTimes
 from tests.support.manual_clocks import (
     EACH_CLOCK_STEP,
@@ -84,7 +84,7 @@
     fed.apply_list(("a", 0), full=True)
     fed.clocks.advance(2 * SECOND_US)
     fed.receive_heartbeat()
-    fed.driver.endpoint_list.watch_broke()
+    fed.driver.endpoint_list.handle_watch_failure()
     fed.clocks.advance(3 * SECOND_US)
     fed.apply_list(("a", fed.clocks.wall_us() + step), full=True)
     assert fed.age_us("a") == 0
@@ -123,7 +123,7 @@
 @EACH_CLOCK_STEP
 async def test_stated_start_identifies_an_incarnation_whatever_the_clocks_do(step: int) -> None:
     fed = ManualDriver()
-    first, number = fed.clocks.wall_us() - 1 * SECOND_US, endpoint_number("a")
+    first, number = fed.clocks.wall_us() - 1 * SECOND_US, endpoint_id_from_uid("a")
     balancer = fed.driver.balancer
     fed.apply_list(("a", first), full=True)
     server = balancer.endpoints.states[number]
--- a/tests/net/discovery/versioned_discovery.py
+++ b/tests/net/discovery/versioned_discovery.py
@@ -11,7 +11,7 @@
 import pytest
 
 from load_balancer import messages
-from load_balancer.net.discovery.endpoint_list_json import endpoint_number
+from load_balancer.net.discovery.endpoint_list_json import endpoint_id_from_uid
 from tests.support.balancer_harness import balancer_settings
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
@@ -118,7 +118,7 @@
     def is_following(self, discovery: VersionedDiscovery) -> bool:
         """Return whether the list is that of this discovery, and a watch on it open."""
         states = self.proxy.driver.balancer.endpoints.states
-        return set(states) == {endpoint_number(discovery.uid)} and bool(discovery.open_writers)
+        return set(states) == {endpoint_id_from_uid(discovery.uid)} and bool(discovery.open_writers)
 
     async def follow(self, discovery: VersionedDiscovery) -> float:
         """Step time until the discovery is followed, and return the seconds that it took."""
@@ -126,7 +126,7 @@
 
     def move(self, to: VersionedDiscovery) -> None:
         """Have the proxy follow another discovery."""
-        self.proxy.driver.move_discovery(("127.0.0.1", to.port))
+        self.proxy.driver.change_discovery_address(("127.0.0.1", to.port))
 
 
 @asynccontextmanager
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -62,8 +62,8 @@
     async with RawEndpoint(respond_with(http_response(200, b"first"))) as endpoint:
         assert (await RecordedAttempt(pool, endpoint.endpoint).result())[0] is Outcome.OK
 
-        def crossed(transport: asyncio.BaseTransport, unknown: bool = True) -> bool:
-            looks.append(look(transport, unknown=unknown))
+        def crossed(transport: asyncio.BaseTransport, default: bool = True) -> bool:
+            looks.append(look(transport, default=default))
             if len(looks) == 1:
                 [wire] = endpoint.accepted
                 {
--- a/tests/scenarios/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -9,7 +9,7 @@
 
 from load_balancer import messages
 from load_balancer.messages import EndpointListKind, EndpointStatus
-from load_balancer.net.discovery.endpoint_list_json import endpoint_number
+from load_balancer.net.discovery.endpoint_list_json import endpoint_id_from_uid
 from load_balancer.policy.endpoint_list import MAX_DEPARTED
 from load_balancer.simulator import write_action
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
@@ -104,7 +104,7 @@
         for request_id in ("r1", "r2"):
             assert (await proxy.send_request(http_request(request_id=request_id))).body == b"a"
             [[connection]] = proxy.pool.idle.by_endpoint.values()
-            proxy.driver.actions.perform(messages.CloseIdle(endpoint_number("a")), 0.0)
+            proxy.driver.actions.perform(messages.CloseIdle(endpoint_id_from_uid("a")), 0.0)
             assert connection.transport.is_closing()
             assert not proxy.pool.idle.by_endpoint
             await asyncio.sleep(0)
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from load_balancer.net.discovery.endpoint_watch import BREAK_LOG_WINDOW_S, MAX_LOGGED_BREAKS
+from load_balancer.net.discovery.endpoint_watch import FAILURE_LOG_WINDOW_S, MAX_LOGGED_FAILURES
 from tests.support.endpoint_lists import (
     WATCH_RESPONSE_HEAD,
     endpoint_entry,
@@ -108,8 +108,8 @@
     """Check that each kind of line stays within its limit, and that none is about descriptors."""
     counts = Counter("watch" if "watch on discovery" in line else "other" for line in lines)
     assert counts["other"] <= MAX_OTHER_LINES, lines
-    windows = 1 + int(duration_s / BREAK_LOG_WINDOW_S)
-    assert counts["watch"] <= windows * (MAX_LOGGED_BREAKS + 1), lines
+    windows = 1 + int(duration_s / FAILURE_LOG_WINDOW_S)
+    assert counts["watch"] <= windows * (MAX_LOGGED_FAILURES + 1), lines
     assert not any("Traceback" in line or "descriptor" in line for line in lines)
 
 
@@ -215,7 +215,7 @@
     lines = caplog.messages
     breaks = [line for line in lines if line.endswith("broke: status 503")]
     repeats = [int(line.split()[4]) for line in lines if "more times" in line]
-    windows = 1 + int(discovery.advanced_s / BREAK_LOG_WINDOW_S)
+    windows = 1 + int(discovery.advanced_s / FAILURE_LOG_WINDOW_S)
     assert len(breaks) + len(repeats) == len(lines)
     assert len(breaks) == len(repeats) + 1 <= windows
     assert discovery.refused_count - 100 < len(breaks) + sum(repeats) <= discovery.refused_count
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -17,7 +17,7 @@
 
 from load_balancer import messages
 from load_balancer.net.clock import Clock
-from load_balancer.net.discovery.endpoint_list_json import endpoint_number
+from load_balancer.net.discovery.endpoint_list_json import endpoint_id_from_uid
 from load_balancer.net.discovery.start_times import StartTimes
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
@@ -116,7 +116,7 @@
 
     def age_us(self, uid: str) -> int:
         """Return for how long the endpoint has run, as the policy sees it."""
-        state = self.driver.balancer.endpoints.states[endpoint_number(uid)]
+        state = self.driver.balancer.endpoints.states[endpoint_id_from_uid(uid)]
         return self.driver.clock.now_us() - state.started_us
 
 
@@ -140,7 +140,7 @@
         clocks.advance(700 * MILLISECOND_US)
         restarted = endpoint_entry("a", 9, boot_ms=clocks.wall_us() // MILLISECOND_US - started_ms)
         discovery.send(endpoint_list_chunk(endpoint_list(restarted, rev=2, full=False)))
-        states, number = driver.balancer.endpoints.states, endpoint_number("a")
+        states, number = driver.balancer.endpoints.states, endpoint_id_from_uid("a")
         await advance_until(
             watching.loop_clock, lambda: states[number].endpoint.incarnation_us > 0, must_hold=True
         )
--- a/tests/support/manual_clocks.py
+++ b/tests/support/manual_clocks.py
@@ -9,7 +9,7 @@
 from load_balancer import messages
 from load_balancer.net.clock import Clock
 from load_balancer.net.discovery.endpoint_list import EndpointListMessage
-from load_balancer.net.discovery.endpoint_list_json import endpoint_number, read_list
+from load_balancer.net.discovery.endpoint_list_json import endpoint_id_from_uid, read_list
 from load_balancer.net.driver.event_loop_driver import EventLoopDriver
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from tests.support.balancer_harness import balancer_settings
@@ -80,12 +80,12 @@
 
     def age_us(self, uid: str) -> int:
         """Return for how long the endpoint has run, as the policy sees it."""
-        state = self.driver.balancer.endpoints.states[endpoint_number(uid)]
+        state = self.driver.balancer.endpoints.states[endpoint_id_from_uid(uid)]
         return self.driver.clock.now_us() - state.started_us
 
     def capacity(self, uid: str) -> float:
         """Return the share of its full capacity that the policy gives the endpoint."""
-        state = self.driver.balancer.endpoints.states[endpoint_number(uid)]
+        state = self.driver.balancer.endpoints.states[endpoint_id_from_uid(uid)]
         return self.driver.balancer.slow_start.capacity(self.driver.clock.now_us(), state)
 
 
--- a/tests/support/reload_harness.py
+++ b/tests/support/reload_harness.py
@@ -23,7 +23,7 @@
         source = ConfigSource(env)
         self.reloader = Reloader(source, source.read(), proxy.driver)
         self.moved: list[tuple[str, int]] = []
-        proxy.driver.move_discovery = lambda address: self.moved.append(address)  # type: ignore[method-assign]
+        proxy.driver.change_discovery_address = lambda address: self.moved.append(address)  # type: ignore[method-assign]
 
     def reload(self) -> str:
         """Reload a file that is not sound, and return the only error that is logged."""
