--- a/load_balancer/net/__init__.py
+++ b/load_balancer/net/__init__.py
@@ -1,1 +1,1 @@
-"""The network side of the proxy: carries out the decisions of the policy on real sockets."""
+"""Network side of the proxy: carries out the policy's decisions on real sockets."""
--- a/load_balancer/net/addresses.py
+++ b/load_balancer/net/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses on the network: of discovery, of the listener and of endpoints."""
+"""Network addresses of discovery, the listener and the endpoints."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointAddress:
-    """An endpoint and where it is now.
+    """An endpoint's id and its current address.
 
-    The id keeps apart two endpoints that had the same address one after the other.
+    The id distinguishes two endpoints that use the same address one after the other.
 
     Attributes:
         id: The endpoint's id, as in the policy.
-        address: The host and port that its connections go to.
+        address: The host and port to connect to.
     """
 
     id: int
--- a/load_balancer/net/clock.py
+++ b/load_balancer/net/clock.py
@@ -1,6 +1,7 @@
-"""The one place where clocks are read: the policy's clock, and what the wall clock showed when.
+"""Clock of the policy, and its conversion from Unix time.
 
-All other waits and spans of the program run on the event loop's clock, which is monotonic too.
+Only this module reads the system's clocks. All other waits and durations of the program use the event loop's
+clock, which is monotonic too.
 """
 
 from __future__ import annotations
@@ -9,28 +10,28 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-# The wall clock has been stepped where it has moved against the monotonic one by more than this between two
-# readings. Slewing moves it by 500 us a second, and the process may be stalled between the two.
+# A larger change of the wall clock against the monotonic clock between two readings is a step. Slewing
+# changes the difference by 500 us per second, and the process may stall between reading the two clocks.
 MIN_STEP_US = 250_000
-MAX_OFFSETS = 16  # the wall clock's offsets that are remembered, one for each step
+MAX_OFFSETS = 16  # remembered offsets of the wall clock, one per step
 
 
 def unix_us() -> int:
-    """Return the Unix time, microseconds. It may be stepped at any time, forwards and backwards."""
+    """Return the Unix time, microseconds. It can step forwards or backwards at any time."""
     return time.time_ns() // 1_000
 
 
 def monotonic_us() -> int:
-    """Return the microseconds since some moment; this clock never steps."""
+    """Return the microseconds since an arbitrary origin. This clock never steps."""
     return time.monotonic_ns() // 1_000
 
 
 class WallClockOffset(NamedTuple):
-    """How far the wall clock was ahead of the policy's clock, and until when.
+    """Offset of the wall clock from the policy's clock, and when it was last valid.
 
     Attributes:
-        offset_us: The wall clock less the policy's clock, microseconds.
-        valid_until_us: The last moment at which the offset may have been this, by the policy's clock.
+        offset_us: The wall clock minus the policy's clock, microseconds.
+        valid_until_us: The latest time, by the policy's clock, at which the offset may have been valid.
     """
 
     offset_us: int
@@ -38,20 +39,19 @@
 
 
 class Clock:
-    """The policy's clock: Unix time at the start, monotonic from there on. It never steps.
+    """Clock of the policy: Unix time at the start of the process, monotonic from then on. It never steps.
 
-    Starts of endpoints are stated in Unix time, so this clock also converts times of the wall clock into its
-    own.
+    Discovery reports the starts of endpoints in Unix time, so this clock also converts Unix time to its own.
     """
 
     def __init__(
         self, wall_us: Callable[[], int] = unix_us, monotonic_us: Callable[[], int] = monotonic_us
     ) -> None:
-        """Start at the Unix time of this moment.
+        """Set the clock to the current Unix time.
 
         Args:
-            wall_us: Reads the wall clock, microseconds; only tests give another one.
-            monotonic_us: Reads the monotonic clock, microseconds; only tests give another one.
+            wall_us: Reads the wall clock, microseconds; replaced only in tests.
+            monotonic_us: Reads the monotonic clock, microseconds; replaced only in tests.
         """
         self._wall_us = wall_us
         self._monotonic_us = monotonic_us
@@ -59,16 +59,16 @@
         self._offsets = [WallClockOffset(0, 0)]  # the newest last
 
     def now_us(self) -> int:
-        """Return the time by this clock, microseconds."""
+        """Return the current time of this clock, microseconds."""
         return self._monotonic_us() + self._start_offset_us
 
     @property
     def remembered_offset_count(self) -> int:
-        """The number of the wall clock's offsets that are remembered, one more than the steps seen."""
+        """Number of remembered wall clock offsets: one more than the steps detected, up to MAX_OFFSETS."""
         return len(self._offsets)
 
     def observe(self) -> None:
-        """Read the wall clock anew, to follow its slewing and to see its steps."""
+        """Read the wall clock and update its offset, which changes by slewing and by steps."""
         now_us = self.now_us()
         offset_us = self._wall_us() - now_us
         newest = self._offsets[-1]
@@ -79,10 +79,11 @@
             self._offsets[-1] = WallClockOffset(offset_us, now_us)
 
     def from_unix_us(self, unix_us: int) -> int:
-        """Return the time by this clock at which the wall clock showed a Unix time, at the latest now.
+        """Return the time of this clock at which the wall clock showed a Unix time, at the latest now.
 
-        A time that was stated before a step is converted by the offset of then. Where a wall clock that was
-        set back has shown it twice, the later time counts: an endpoint then counts as colder than it is.
+        A time from before a step is converted with the offset that was valid at that time. If the wall clock
+        was set back and showed the time twice, the later occurrence is used: the endpoint then counts as
+        colder than it is.
 
         Args:
             unix_us: A time of the wall clock, microseconds.
--- a/load_balancer/net/discovery/__init__.py
+++ b/load_balancer/net/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: the watch of the endpoint list, the list's form, and when each endpoint started."""
+"""Discovery: the watch on the endpoint list, the list's JSON format, and the start times of endpoints."""
--- a/load_balancer/net/discovery/endpoint_list.py
+++ b/load_balancer/net/discovery/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The endpoint list as discovery sends it, in messages that were read from the wire, and how changes join.
+"""Messages of the endpoint list, as parsed from the wire, and the merging of changes.
 
-It holds no state. The watch joins what came together before it hands the messages on.
+The module has no state. The watch merges messages that it received together before it passes them on.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListMessage:
-    """A complete endpoint list, or changes of one.
+    """A complete endpoint list, or changes to one.
 
     Attributes:
-        version: The version of the list that it leads to.
-        is_complete: Whether it is a complete list: an endpoint that it does not name is gone.
+        version: The version of the list after this message is applied.
+        is_complete: Whether it is a complete list: an endpoint that it does not contain has been removed.
         endpoints: The entries, in the order of the message.
-        addresses: Where the endpoints are, by endpoint number; those that are removed have none.
-        uids: Discovery's names of the endpoints, by endpoint number.
+        addresses: The addresses by endpoint id; removed endpoints have none.
+        uids: The uids that discovery assigned to the endpoints, by endpoint id.
     """
 
     version: int
@@ -34,15 +34,15 @@
 def merge_changes(
     messages: Iterable[EndpointListMessage], highest_version: int = -1
 ) -> list[EndpointListMessage]:
-    """Return the same content in as few messages as possible: a release brings many with one entry each.
+    """Return the same content in as few messages as possible, as a release causes many with one entry each.
 
     Args:
-        messages: The messages in the order in which they came.
-        highest_version: The highest version that was known before. Changes with a lower one are not joined,
-            as the policy applies such a message only in part.
+        messages: The messages in the order of their arrival.
+        highest_version: The highest version that was known before. Changes with a lower version are not
+            merged, because the policy applies such a message only in part.
     """
     merged: list[EndpointListMessage] = []
-    can_merge = False  # whether changes may be joined to the last message
+    can_merge = False  # whether changes may be merged into the last message
     for message in messages:
         is_newer_change = not message.is_complete and message.version >= highest_version
         if can_merge and is_newer_change and not _restores_removed(merged[-1], message):
@@ -55,10 +55,10 @@
 
 
 def _restores_removed(earlier: EndpointListMessage, later: EndpointListMessage) -> bool:
-    """Return whether a message brings back an endpoint that the one before it took out of service.
+    """Return whether a message restores an endpoint that the previous message took out of service.
 
-    Joined, the two would hide that the endpoint was away, and what was kept for it before, as its idle
-    connections, would be used for the one that is there now.
+    Merging the two would hide that the endpoint was out of service. What was kept for it, such as its idle
+    connections, would then be used for the restored one.
     """
     up = {endpoint.id for endpoint in later.endpoints if endpoint.status is EndpointStatus.UP}
     return any(
@@ -67,7 +67,7 @@
 
 
 def _merge(earlier: EndpointListMessage, later: EndpointListMessage) -> EndpointListMessage:
-    """Return two messages of changes as one. Of two entries for an endpoint the later counts."""
+    """Merge two messages with changes. Of two entries for an endpoint, the later one applies."""
     entries = {endpoint.id: endpoint for endpoint in (*earlier.endpoints, *later.endpoints)}
     addresses = {number: address for number, address in earlier.addresses.items() if number not in later.uids}
     return EndpointListMessage(
--- a/load_balancer/net/discovery/endpoint_list_json.py
+++ b/load_balancer/net/discovery/endpoint_list_json.py
@@ -1,6 +1,6 @@
-"""Reads an endpoint list in discovery's form.
+"""Parser for the endpoint list in discovery's JSON format.
 
-The words of the wire (`uid`, `boot_ms`, `pod_group` ...) stay in this module. It does no input or output.
+The field names of the format (`uid`, `boot_ms`, `pod_group` ...) are used only here. It performs no I/O.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from load_balancer.net.discovery.endpoint_list import EndpointListMessage
 from load_balancer.settings import JsonObject, optional_field, required_field
 
-# Unix time, milliseconds, of the year 5138. A start stated in another unit would leave its endpoint in slow
-# start for good.
+# Unix time in milliseconds, in the year 5138. A start in a smaller unit exceeds it and would keep its
+# endpoint in slow start permanently.
 MAX_BOOT_MS = 10**14
 MAX_PORT = 65535
 STATUS_BY_STATE = {
@@ -27,39 +27,39 @@
 
 
 def endpoint_id_from_uid(uid: str) -> int:
-    """Return the policy's number for a uid: the same at every proxy and after every restart."""
-    # JSON may hold half of a surrogate pair. Without this handler one such uid would make a complete list
-    # unreadable.
+    """Return the policy's endpoint id for a uid. It is the same in every proxy and after every restart."""
+    # JSON may contain half of a surrogate pair. Without this error handler, one such uid would make a
+    # complete list unreadable.
     name = uid.encode(errors="surrogatepass")
     return int.from_bytes(hashlib.blake2b(name, digest_size=7).digest(), "big")
 
 
 def read_address(text: str, where: str, min_port: int = 1) -> Address:
-    """Read `host:port`, with an IPv6 host in brackets.
+    """Parse `host:port`, with an IPv6 host in brackets.
 
     Args:
-        text: The text.
-        where: The field that holds it, for the error.
-        min_port: The lowest port that is valid.
+        text: The address.
+        where: The name of the field, for the error.
+        min_port: The lowest valid port.
 
     Raises:
-        InvalidFieldError: It is not an address.
+        InvalidFieldError: The text is not a valid address.
     """
     found = ADDRESS.fullmatch(text)
     if found is None or not min_port <= int(found[2]) <= MAX_PORT:
-        raise InvalidFieldError(where, f"is not an address: {text!r:.60}")
+        raise InvalidFieldError(where, f"is not a valid host:port address: {text!r:.60}")
     return found[1].strip("[]"), int(found[2])
 
 
 def read_list(raw: object, where: str = "") -> EndpointListMessage:
-    """Read a list in discovery's form.
+    """Convert a parsed JSON value to an endpoint list.
 
     Args:
-        raw: The list as the JSON parser gave it.
-        where: The path of the object that holds it, as in "known.", for the error.
+        raw: The output of the JSON parser.
+        where: The path of the enclosing object, such as "known.", for the error.
 
     Raises:
-        WireError: It cannot be understood; the error names the field.
+        WireError: A field is missing or invalid; the error names it.
     """
     endpoints: list[Endpoint] = []
     addresses: dict[int, Address] = {}
@@ -70,7 +70,7 @@
         endpoint = _read_endpoint(entry, uid, path)
         uids[endpoint.id] = uid
         endpoints.append(endpoint)
-        addresses.pop(endpoint.id, None)  # of an earlier entry for it
+        addresses.pop(endpoint.id, None)  # from an earlier entry for the same endpoint
         if endpoint.status is not EndpointStatus.REMOVED:
             address = required_field(entry, "endpoint", str, path)
             addresses[endpoint.id] = read_address(address, path + "endpoint")
@@ -84,13 +84,13 @@
 
 
 def _read_endpoint(entry: JsonObject, uid: str, path: str) -> Endpoint:
-    """Read one entry of a list; `path` is where it stands, as in "targets[0].", for the error."""
+    """Convert one entry of a list; `path` is its position, such as "targets[0].", for the error."""
     state = required_field(entry, "state", str, path)
     if state not in STATUS_BY_STATE:
         raise InvalidFieldError(f"{path}state", f"has an unknown value: {state!r:.60}")
     boot_ms = optional_field(entry, "boot_ms", 0.0, path)
     if not 0 <= boot_ms <= MAX_BOOT_MS:
-        raise InvalidFieldError(f"{path}boot_ms", f"is not a start: {boot_ms!r:.60}")
+        raise InvalidFieldError(f"{path}boot_ms", f"is not a start time in milliseconds: {boot_ms!r:.60}")
     return Endpoint(
         id=endpoint_id_from_uid(uid),
         status=STATUS_BY_STATE[state],
--- a/load_balancer/net/discovery/held_version.py
+++ b/load_balancer/net/discovery/held_version.py
@@ -1,4 +1,4 @@
-"""Which version of the endpoint list is held, and which discovery numbered it. The watch owns one."""
+"""Version of the endpoint list that is held, and the discovery that assigned it."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 
 
 class HeldVersion:
-    """The version of the list that is held.
+    """Version of the endpoint list that is held. The watch owns one.
 
     Attributes:
-        version: The version, or None while no list is held.
+        version: The version, or None if no list is held.
     """
 
     def __init__(self, source: Address) -> None:
-        """Start without a list.
+        """Create the record without a version.
 
         Args:
-            source: The discovery that numbers the versions, until a list comes from another one.
+            source: The discovery that assigns versions until a list is received from another one.
         """
         self.version: int | None = None
         self._source = source
-        # The highest version since the last complete list: changes with a lower one may follow it.
+        # The highest version since the last complete list; changes with a lower version may follow it.
         self._highest_seen_version = -1
 
     def resume_from(self, version: int) -> None:
-        """Count a cached list of this version as held, from the discovery that was given at the start."""
+        """Record a cached list of this version as held, assigned by the discovery of the constructor."""
         self.version = version
 
     @property
     def highest_version(self) -> int:
-        """The highest version that is held, also of a list as last known before the start; -1 for none."""
+        """The highest version that is held, including that of a cached list; -1 if there is none."""
         return max(self._highest_seen_version, -1 if self.version is None else self.version)
 
     def resumable_version(self, address: Address) -> int | None:
-        """Return the held version if the discovery at an address is the one that numbered it, else None."""
+        """Return the held version if the discovery at an address assigned it, else None."""
         return self.version if address == self._source else None
 
     def record(self, message: EndpointListMessage, source: Address) -> None:
-        """Record that a message of the discovery at `source` was applied."""
+        """Record that a message from the discovery at `source` was applied."""
         self.version, self._source = message.version, source
         self._highest_seen_version = message.version if message.is_complete else self.highest_version
--- a/load_balancer/net/discovery/json_stream.py
+++ b/load_balancer/net/discovery/json_stream.py
@@ -1,7 +1,8 @@
-"""Splits a stream of JSON texts and heartbeats at the end of each, wherever its reads split it.
+"""Splitter for a stream of JSON texts and heartbeats.
 
-A text may be indented over many lines, so that its braces tell where it ends; a line end between two texts is
-a heartbeat. The splitter does no input or output. `WatchStream` has one for each connection.
+The reads may split the stream at any byte. A text may be indented over many lines, so its end is found by its
+braces; a line end between two texts is a heartbeat. The splitter performs no I/O. `WatchStream` has one for
+each connection.
 """
 
 from __future__ import annotations
@@ -11,50 +12,49 @@
 
 from load_balancer.errors import WireError
 
-# Discovery that sends a text without an end would fill the memory of the process.
+# A text without an end would otherwise fill the memory of the process.
 MAX_TEXT_BYTES = 4 * 1024 * 1024
-# Braces and brackets are examined one by one: megabytes of them, sent again and again, would leave the event
-# loop no time.
+# Braces and brackets are examined one by one: megabytes of them, sent repeatedly, would block the event loop.
 MAX_NESTING_DEPTH = 64
 
 
 class JsonStreamError(WireError):
-    """The stream holds no text that can be used; the message gives the reason."""
+    """The stream contains an unusable text; the message gives the reason."""
 
 
 class TextTooDeepError(JsonStreamError):
     """A text is nested deeper than MAX_NESTING_DEPTH."""
 
     def __init__(self) -> None:
-        """State the fault."""
-        super().__init__("a list nested too deep")
+        """Create the error."""
+        super().__init__(f"endpoint list is nested more than {MAX_NESTING_DEPTH} levels deep")
 
 
 class TextTooLongError(JsonStreamError):
     """A text is longer than MAX_TEXT_BYTES."""
 
     def __init__(self) -> None:
-        """State the fault."""
-        super().__init__("a list without an end")
+        """Create the error."""
+        super().__init__(f"endpoint list is longer than {MAX_TEXT_BYTES} bytes")
 
 
 class JsonTextSplitter:
-    """Takes bytes and returns complete texts.
+    """Splits received bytes into complete texts.
 
     Attributes:
-        scanned_bytes: How many of the buffered bytes have been examined.
+        scanned_bytes: The number of buffered bytes that have been examined.
         is_in_string: Whether the examined bytes end inside a string.
     """
 
-    # Bytes without a brace outside of strings. Complete strings are skipped at once, as a list of thousands
-    # of endpoints has ten times as many quotes as braces. A string that has not ended yet is not skipped.
+    # Bytes without a brace or bracket outside of strings. Complete strings are skipped in one step, as a list
+    # of thousands of endpoints has ten times as many quotes as braces. An unfinished string is not skipped.
     _NON_STRUCTURAL = re.compile(rb'[^][{}"]*+(?:"[^"\\]*+(?:\\.[^"\\]*+)*+"[^][{}"]*+)*+', re.DOTALL)
     # The same between two texts, where a line end is a heartbeat.
     _NON_STRUCTURAL_BETWEEN_TEXTS = re.compile(rb'[^][{}"\n]*+')
     _QUOTE_OR_ESCAPE = re.compile(rb'["\\]')
 
     def __init__(self) -> None:
-        """Start before the first byte of a stream."""
+        """Create a splitter for a new stream."""
         self._buffer = bytearray()
         self.scanned_bytes = 0
         self._depth = 0
@@ -62,14 +62,14 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """How many bytes of the present text have come."""
+        """The number of bytes received of the current text."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Take the next bytes of the stream.
+        """Process the next bytes of the stream.
 
         Yields:
-            Each text that is complete now, and an empty one for each heartbeat.
+            Each text that is now complete, and an empty one for each heartbeat.
 
         Raises:
             JsonStreamError: A text is nested too deeply or too long.
@@ -78,7 +78,7 @@
         while structural_byte := self._find_structural_byte():
             match structural_byte:
                 case b"\\":
-                    self.scanned_bytes += 1  # whatever follows, it ends no string
+                    self.scanned_bytes += 1  # the escaped byte does not end the string
                 case b'"':
                     self.is_in_string = not self.is_in_string
                 case b"{" | b"[":
@@ -96,7 +96,7 @@
             raise TextTooLongError
 
     def _find_structural_byte(self) -> bytes:
-        """Return the next byte that may end a text or a string, or no byte if none has come yet."""
+        """Return the next byte that may end a text or a string, or no byte if none is buffered."""
         if self.is_in_string:
             found = self._QUOTE_OR_ESCAPE.search(self._buffer, self.scanned_bytes)
             position = len(self._buffer) if found is None else found.start()
@@ -110,7 +110,7 @@
         return bytes(self._buffer[position : position + 1])
 
     def _pop_text(self) -> bytes:
-        """Remove the examined bytes from the buffer and return them without surrounding white space."""
+        """Remove the examined bytes from the buffer and return them without surrounding whitespace."""
         text = bytes(self._buffer[: self.scanned_bytes]).strip()
         del self._buffer[: self.scanned_bytes]
         self.scanned_bytes = self._depth = 0
--- a/load_balancer/net/discovery/start_times.py
+++ b/load_balancer/net/discovery/start_times.py
@@ -1,4 +1,4 @@
-"""When endpoints started, by the policy's clock, whatever is done to wall clocks.
+"""Start times of endpoints by the policy's clock, which later steps of wall clocks do not change.
 
 The driver owns one `StartTimes` and passes each endpoint list through it before the policy gets the list.
 """
@@ -12,17 +12,17 @@
 from load_balancer import messages
 from load_balancer.net.clock import Clock
 
-# Far above the largest fleet. Endpoints that restart bring new starts each time, so that without a bound the
-# memory would grow for as long as the process runs.
+# Far above the largest fleet. Each restart of an endpoint adds a start time, so without a limit the memory
+# would grow for as long as the process runs.
 MAX_START_TIMES = 20_000
 
 
 class Incarnation(NamedTuple):
-    """One run of one endpoint.
+    """Identity of one run of an endpoint.
 
     Attributes:
         endpoint_id: The endpoint's id, as in the policy.
-        reported_start_us: Its start as discovery states it, Unix time in microseconds.
+        reported_start_us: The start that discovery reports, Unix time in microseconds.
     """
 
     endpoint_id: int
@@ -30,45 +30,45 @@
 
 
 class StartTimes:
-    """Translates each start that discovery states in Unix time to a moment of the policy's clock.
+    """Converts the starts that discovery reports in Unix time to times of the policy's clock.
 
-    The stated start identifies an incarnation and is left as it is. The moment is fixed when that incarnation
-    is first seen: no later step of any clock makes it older or younger.
+    The reported start identifies an incarnation and is not changed. The converted time is fixed when the
+    incarnation is first seen: no later step of any clock changes the endpoint's age.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Begin without any known start.
+        """Create the table without any start times.
 
         Args:
             clock: The policy's clock.
         """
         self._clock = clock
-        self._start_times_us: dict[Incarnation, int] = {}  # the last seen last
-        # When discovery last sent or confirmed the list that is held.
+        self._start_times_us: dict[Incarnation, int] = {}  # the most recently seen last
+        # When discovery last sent or confirmed the held list, by the policy's clock.
         self._confirmed_at_us: int | None = None
 
     @property
     def remembered_count(self) -> int:
-        """How many starts are remembered, at most MAX_START_TIMES."""
+        """The number of remembered start times, at most MAX_START_TIMES."""
         return len(self._start_times_us)
 
     def confirm(self) -> None:
-        """Record that the list that is held is the one that discovery has at this moment."""
+        """Record that the held list is discovery's current one."""
         self._clock.observe()
         self._confirmed_at_us = self._clock.now_us()
 
     def assign(self, entries: Iterable[messages.Endpoint]) -> tuple[messages.Endpoint, ...]:
-        """Return the entries of a list that came now, with the moments of their starts."""
+        """Return the entries of a list that was just received, with their start times set."""
         return tuple(
             replace(entry, started_us=self._start_time_us(entry)) if entry.incarnation_us > 0 else entry
             for entry in entries
         )
 
     def _start_time_us(self, entry: messages.Endpoint) -> int:
-        """Return when an incarnation started, by the policy's clock, and remember it as the last one seen."""
+        """Return an incarnation's start by the policy's clock, and mark it as the most recently seen."""
         incarnation = Incarnation(entry.id, entry.incarnation_us)
-        # Remembered also while the endpoint is off the list: one that was cut off for a while is warm, and
-        # would go through slow start at its return.
+        # Start times are also kept for endpoints that left the list: one that was only cut off for a while is
+        # warm, and would otherwise go through slow start when it returns.
         start_time_us = self._start_times_us.pop(incarnation, None)
         if start_time_us is None:
             start_time_us = self._initial_start_time_us(entry.incarnation_us)
@@ -78,14 +78,15 @@
         return start_time_us
 
     def _initial_start_time_us(self, reported_start_us: int) -> int:
-        """Return the moment of a start that is seen for the first time.
+        """Return the start time of an incarnation that is seen for the first time.
 
-        It is the stated moment if that lies between the last moment without that start and now, else now. The
-        wall clock may be wrong, here or where the start was stated: a start in the future would keep the
-        endpoint in slow start for as long, and one too old would make it count as warm at once. If only
-        discovery was late, the endpoint counts as colder than it is for as long as discovery took.
+        It is the reported time if that lies between the last time at which the held list was current without
+        this incarnation and now, else now. The wall clock may be wrong, here or where the start was recorded:
+        a start in the future would keep the endpoint in slow start for too long, and one too far in the past
+        would make it count as warm at once. If only discovery was late, the endpoint counts as colder than it
+        is by the time that discovery took.
         """
         start_time_us = self._clock.from_unix_us(reported_start_us)
         if self._confirmed_at_us is not None and start_time_us < self._confirmed_at_us:
             start_time_us = self._clock.now_us()
-        return max(1, start_time_us)  # 0 would mean long ago
+        return max(1, start_time_us)  # 0 would exempt the endpoint from slow start
--- a/load_balancer/net/discovery/watch_stream.py
+++ b/load_balancer/net/discovery/watch_stream.py
@@ -1,4 +1,4 @@
-"""The HTTP call of a watch, without input or output: bytes of discovery become list messages and heartbeats.
+"""HTTP exchange of a watch, without I/O: converts received bytes to list messages and heartbeats.
 
 `EndpointWatch` has one stream for each connection.
 """
@@ -18,38 +18,38 @@
 
 
 class WatchError(WireError):
-    """The watch has ended, or never began; the message gives the reason."""
+    """The watch has ended or could not be opened; the message gives the reason."""
 
 
 class WatchRejectedError(WatchError):
-    """Discovery answered the call with another status than 200."""
+    """Discovery responded with a status other than 200."""
 
     def __init__(self, status_code: int) -> None:
-        """Name the status."""
-        super().__init__(f"status {status_code}")
+        """Create the error for a status code."""
+        super().__init__(f"discovery responded with status {status_code}")
 
 
 class WatchEndedError(WatchError):
-    """Discovery ended the call, or the connection."""
+    """Discovery ended the response or closed the connection."""
 
     def __init__(self) -> None:
-        """State the fault."""
-        super().__init__("ended")
+        """Create the error."""
+        super().__init__("discovery ended the response")
 
 
 class InvalidListTextError(WatchError):
-    """A text of the watch is no JSON."""
+    """A text of the watch is not JSON."""
 
     def __init__(self, error: Exception) -> None:
-        """Quote the JSON parser's error."""
+        """Create the error with the JSON parser's message."""
         super().__init__(f"not JSON: {error}")
 
 
 class WatchStream:
-    """One call for the endpoint list and its changes."""
+    """One HTTP request for the endpoint list and its changes, with its response."""
 
     def __init__(self) -> None:
-        """Start before the request."""
+        """Create a stream before its request."""
         self._http = h11.Connection(h11.CLIENT)
         self._splitter = JsonTextSplitter()
 
@@ -57,7 +57,7 @@
         """Return the bytes of the request.
 
         Args:
-            address: Where discovery is.
+            address: The address of discovery.
             since_version: The version after which changes are requested; None requests the complete list.
         """
         since = "" if since_version is None else f"&since={since_version}"
@@ -69,25 +69,25 @@
         return self._http.send(head) + self._http.send(h11.EndOfMessage())
 
     def receive_data(self, data: bytes) -> None:
-        """Take what has been read, with no bytes standing for the end of the connection.
+        """Process received bytes; empty bytes mean the end of the connection.
 
         Raises:
-            h11.RemoteProtocolError: There was an end before.
+            h11.RemoteProtocolError: The connection had already ended.
         """
         self._http.receive_data(data)
 
     def messages(self) -> Iterator[EndpointListMessage | None]:
-        """Yield each list message that is complete with what has been read, and None for each heartbeat.
+        """Yield each list message that is now complete, and None for each heartbeat.
 
         Raises:
-            WireError: The watch is broken, or a message cannot be understood. Those before it were yielded.
-            h11.RemoteProtocolError: Discovery does not speak HTTP/1.1.
+            WireError: The watch has failed, or a message is invalid. The messages before it were yielded.
+            h11.RemoteProtocolError: The response is not valid HTTP/1.1.
         """
         for text in self._texts():
             yield _parse_message(text) if text else None
 
     def _texts(self) -> Iterator[bytes]:
-        """Yield the texts that are complete with what has been read, and an empty one for each heartbeat."""
+        """Yield each text that is now complete, and an empty one for each heartbeat."""
         while (event := self._http.next_event()) is not h11.NEED_DATA:
             match event:
                 case h11.Response(status_code=200) | h11.InformationalResponse():
--- a/load_balancer/net/driver/__init__.py
+++ b/load_balancer/net/driver/__init__.py
@@ -1,1 +1,1 @@
-"""The event loop's driver: events go to the policy, and its actions to connections and timers."""
+"""Event loop driver: passes events to the policy, and its actions to connections and timers."""
--- a/load_balancer/net/driver/action_performer.py
+++ b/load_balancer/net/driver/action_performer.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the policy, each on the part of the driver that it concerns."""
+"""Dispatches the policy's actions to the parts of the driver that carry them out."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ActionPerformer:
-    """Knows which part carries out which action; holds no state of its own."""
+    """Dispatches each action to the part that carries it out; has no state of its own."""
 
     def __init__(
         self,
@@ -28,10 +28,10 @@
         health_checks: HealthCheckSender,
         pool: ConnectionPool,
     ) -> None:
-        """Keep the parts that carry out actions.
+        """Set the parts that carry out the actions.
 
         Args:
-            requests: Gives final responses.
+            requests: Sends final responses.
             attempts: Starts and cancels attempts.
             timers: Sets and cancels timers.
             endpoint_list: Opens the watch on discovery.
@@ -50,16 +50,16 @@
 
         Args:
             actions: The actions.
-            decided_at_s: A moment of the event loop's time that is not after the decision.
+            decided_at_s: A time of the event loop at or before the decision.
         """
         for action in actions:
             try:
                 self.perform(action, decided_at_s)
-            except Exception:  # else the timers and the final responses of other requests would be lost
-                log.exception("an action of the policy failed: %.200r", action)
+            except Exception:  # otherwise other requests would lose their timers and final responses
+                log.exception("failed to carry out an action of the policy: %.200r", action)
 
     def perform(self, action: messages.Action, decided_at_s: float) -> None:
-        """Carry out one action that was decided no sooner than at `decided_at_s`."""
+        """Carry out one action that was decided at or after `decided_at_s`."""
         match action:
             case messages.StartAttempt():
                 self._attempts.start(action, decided_at_s)
--- a/load_balancer/net/driver/attempt_dispatcher.py
+++ b/load_balancer/net/driver/attempt_dispatcher.py
@@ -1,8 +1,8 @@
-"""Starts the attempts that the policy decides on, and reports the outcome of each to it.
+"""Starts the attempts that the policy decides on, and reports the outcome of each to the policy.
 
-The dispatcher turns an action into an attempt of the connection pool. It looks once more whether anybody
-still waits for the response, and gives the first good response to the client. Why an endpoint was chosen, and
-whether a retry follows, is the policy's matter.
+The dispatcher turns an action into an attempt of the connection pool. Before that, it checks again whether
+the client still waits for the response. It passes the first successful response to the client. The policy
+alone chooses the endpoint and decides whether a retry follows.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StartedAttempt:
-    """What an outcome is reported with.
+    """Data of an attempt that the report of its outcome needs.
 
     Attributes:
-        key: The attempt.
-        endpoint_id: The endpoint that it was sent to.
-        started_at_us: When it was started, by the policy's clock.
+        key: The key of the attempt.
+        endpoint_id: The endpoint that the attempt was started on.
+        started_at_us: The start of the attempt, by the policy's clock.
     """
 
     key: AttemptKey
@@ -54,12 +54,12 @@
         clock: Clock,
         classes: Iterable[messages.RequestClass],
     ) -> None:
-        """Keep the parts that attempts need.
+        """Set the parts that the attempts need.
 
         Args:
             requests: The open requests and the attempts in flight.
-            endpoints: Where the endpoints are.
-            events: Takes an `AttemptEnded` for each attempt.
+            endpoints: The addresses of the endpoints.
+            events: Receives an `AttemptEnded` for each attempt.
             pool: The connections to endpoints.
             clock: The policy's clock.
             classes: The request classes of the settings.
@@ -77,11 +77,11 @@
         }
 
     def start(self, action: messages.StartAttempt, decided_at_s: float) -> None:
-        """Start an attempt. It ends with one `AttemptEnded`, at once where it cannot be sent.
+        """Start an attempt. It ends with one `AttemptEnded`, immediately if it cannot be sent.
 
         Args:
             action: The policy's decision.
-            decided_at_s: The event loop's time of the decision, which the limits of the attempt count from.
+            decided_at_s: The event loop's time of the decision, from which the attempt's time limits count.
         """
         request = self._requests.get(action.request)
         endpoint = self._endpoints.find(action.endpoint_id)
@@ -94,7 +94,7 @@
         key = AttemptKey(request.id, request.attempt_count)
         request.attempt_count += 1
         on_outcome = partial(self._finish, StartedAttempt(key, action.endpoint_id, started_at_us))
-        # The end of the client's stream may not have been read yet.
+        # The client may have disconnected although the end of its stream has not been read yet.
         if endpoint is None or not self._is_client_waiting(request):
             on_outcome(messages.Outcome.NOT_SENT, None)
             return
@@ -110,17 +110,17 @@
             self._attempts.in_flight[key] = attempt
 
     def cancel(self, action: messages.CancelAttempt) -> None:
-        """Cancel an attempt; do nothing where it has ended."""
+        """Cancel an attempt; do nothing if it has ended."""
         attempt = self._attempts.in_flight.get(AttemptKey(action.request, action.attempt))
         if attempt is None:
             return
         if action.request in self._requests:
             attempt.cancel_unanswered()
-        else:  # nobody waits for it, which says nothing of its endpoint
+        else:  # its request has ended, which is no evidence about the endpoint
             attempt.cancel()
 
     def _is_client_waiting(self, request: OpenRequest) -> bool:
-        """Return whether the client still waits for the response; cancel the request where it has left."""
+        """Return whether the client still waits; cancel the request if the client has disconnected."""
         if not request.client_request.is_client_connected():
             self._requests.cancel(request.id)
         return request.id in self._requests
@@ -133,8 +133,8 @@
             client_request.target,
             client_request.headers,
             client_request.body,
-            # After one idle connection was stale, others that were idle over the same time may be too: they
-            # would use up the last attempts.
+            # If one idle connection was stale, others that were idle over the same time may be stale too and
+            # would use up the remaining attempts.
             is_idempotent=is_idempotent and not request.has_used_stale_connection,
             is_awaited=partial(self._is_client_waiting, request),
         )
@@ -142,7 +142,7 @@
     def _finish(
         self, started: StartedAttempt, outcome: messages.Outcome, response: UpstreamResponse | None
     ) -> None:
-        """Give a good response to the client, and report the outcome to the policy."""
+        """Pass a successful response to the client, and report the outcome to the policy."""
         key = started.key
         self._remove_in_flight(key, outcome)
         duration_us = self._clock.now_us() - started.started_at_us
@@ -156,7 +156,7 @@
         )
 
     def _remove_in_flight(self, key: AttemptKey, outcome: messages.Outcome) -> None:
-        """Forget an attempt that has ended, but for what its request learns of idle connections."""
+        """Remove an ended attempt, and record on its request whether an idle connection was stale."""
         attempt = self._attempts.in_flight.pop(key, None)
         request = self._requests.get(key.request_id)
         if attempt is not None and request is not None:
@@ -166,7 +166,7 @@
 
 def _log_unknown(missing: str, action: messages.StartAttempt) -> None:
     log.error(
-        "cannot start an attempt of request %s on endpoint %d: the %s is unknown",
+        "cannot start attempt of request %s on endpoint %d: unknown %s",
         action.request,
         action.endpoint_id,
         missing,
--- a/load_balancer/net/driver/attempt_table.py
+++ b/load_balancer/net/driver/attempt_table.py
@@ -1,4 +1,4 @@
-"""The attempts whose outcome is not known yet, by the request that they belong to.
+"""Table of the attempts whose outcome is not known yet.
 
 An attempt may outlive its request: once it is completely written, only the policy may cancel it.
 """
@@ -11,11 +11,11 @@
 
 
 class AttemptKey(NamedTuple):
-    """One attempt of one request.
+    """Key of one attempt of one request.
 
     Attributes:
-        request_id: The request's id at the driver.
-        number: Counts from 0, in the order of the request's attempts.
+        request_id: The request's id in the driver.
+        number: The position among the request's attempts, from 0.
     """
 
     request_id: str
@@ -23,25 +23,25 @@
 
 
 class AttemptTable:
-    """The attempts in flight.
+    """Table of the attempts in flight.
 
     Attributes:
-        in_flight: Each attempt that has no outcome yet.
+        in_flight: The attempts that have no outcome yet, by key.
     """
 
     def __init__(self) -> None:
-        """Start with no attempt."""
+        """Create an empty table."""
         self.in_flight: dict[AttemptKey, UpstreamAttempt] = {}
 
     def cancel_unsent(self, request_id: str, attempt_count: int) -> None:
-        """Drop the attempts of a request that nobody waits for, unless they are completely written.
+        """Cancel the attempts of an ended request, except those that are completely written.
 
-        An endpoint would work on them for nothing. One that is written can only be cancelled, which is for
-        the policy to decide where the settings allow it.
+        An endpoint would process them for nothing. For a completely written attempt, the policy decides
+        whether to cancel it, as the settings may not allow that.
 
         Args:
-            request_id: The request's id at the driver.
-            attempt_count: How many attempts the request has had, those that have ended included.
+            request_id: The request's id in the driver.
+            attempt_count: The number of attempts of the request, including ended ones.
         """
         for number in range(attempt_count):
             attempt = self.in_flight.get(AttemptKey(request_id, number))
--- a/load_balancer/net/driver/client_messages.py
+++ b/load_balancer/net/driver/client_messages.py
@@ -1,6 +1,6 @@
-"""What client connections and the driver hand to each other: a request and its one final response.
+"""Messages between client connections and the driver: a request and its one final response.
 
-The module holds no state. `net/client` builds requests, the driver builds responses.
+The module has no state. `net/client` creates the requests, the driver creates the responses.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientResponse:
-    """The one final response to a request.
+    """The single final response to a request.
 
     Attributes:
         status: The HTTP status code.
-        body: The whole body.
-        headers: Further headers, names in lower case; length and connection headers are not among them.
+        body: The complete body.
+        headers: Additional headers with lower-case names, without length and connection headers.
     """
 
     status: int
@@ -26,28 +26,27 @@
     headers: tuple[tuple[bytes, bytes], ...] = ()
 
 
-# The request was forwarded, or may have been, and no endpoint's response can be passed on.
+# The request was forwarded, or may have been, but there is no endpoint response to pass on.
 BAD_GATEWAY = ClientResponse(502)
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A complete request as a client sent it.
+    """A complete request as received from a client.
 
     Attributes:
-        class_name: The request class, one of those in the settings.
-        time_remaining_us: Microseconds for which the client still waited at `measured_at_s`.
+        class_name: The name of its request class in the settings.
+        time_remaining_us: How long the client would still wait at `measured_at_s`, microseconds.
         measured_at_s: The event loop's time at which `time_remaining_us` was measured.
-        tenant: The tenant that the request belongs to, if the client named one.
-        is_retry: Whether the client marked the request as a retry of its own.
+        tenant: The tenant that the request belongs to, if the client specified one.
+        is_retry: Whether the client marked the request as a retry.
         method: The HTTP method.
-        target: The path with its query.
+        target: The path and query.
         headers: The headers that are forwarded to the endpoint.
-        body: The whole body.
-        respond: Takes the final response. It is called at most once, and never after the request has been
-            cancelled.
-        is_client_connected: Tells whether the client is still connected, by what the system knows at the
-            moment of the call.
+        body: The complete body.
+        respond: Called with the final response, at most once and never after the request was cancelled.
+        is_client_connected: Returns whether the client is still connected, according to the operating system
+            at the time of the call.
     """
 
     class_name: str
--- a/load_balancer/net/driver/endpoint_directory.py
+++ b/load_balancer/net/driver/endpoint_directory.py
@@ -1,7 +1,7 @@
-"""Where the endpoints are, by the endpoint list as it was last applied.
+"""Addresses of the endpoints, from the endpoint list as last applied.
 
-`endpoint_list_receiver` owns the directory. Which endpoint is better is the policy's matter: the directory
-knows only where an endpoint's connections go to, and which endpoints may get new ones.
+`EndpointListReceiver` owns the directory. It holds only the address of each endpoint and which endpoints may
+get new connections; the policy chooses between endpoints.
 """
 
 from __future__ import annotations
@@ -17,48 +17,48 @@
 log = logging.getLogger(__name__)
 
 CHANGE_LOG_WINDOW_S = 10.0
-MAX_LOGGED_CHANGES = 20  # in each window; the others are counted
+MAX_LOGGED_CHANGES = 20  # per window; the others are counted
 
 
 class EndpointDirectory:
-    """The addresses of the endpoints on the list.
+    """Directory of the endpoints on the list.
 
     Attributes:
-        by_id: Each endpoint, also those that drain, by its id.
+        by_id: The endpoints by id, including draining ones.
         up_ids: The ids of the endpoints in service.
     """
 
     def __init__(self, pool: ConnectionPool) -> None:
-        """Start with an empty list.
+        """Create an empty directory.
 
         Args:
-            pool: Keeps idle connections to each endpoint that is in service.
+            pool: Keeps idle connections to the endpoints in service.
         """
         self._pool = pool
         self.by_id: dict[int, EndpointAddress] = {}
         self.up_ids: set[int] = set()
         self._change_log = RepeatedLogLines(
             log,
-            line=LogLine(logging.INFO, "endpoint %d at %s is %s, cell %d, %s"),
+            line=LogLine(logging.INFO, "endpoint %d at %s: uid %s, cell %d, status %s"),
             summary=LogLine(logging.INFO, "%d more changes of endpoints"),
             limits=RunLimits(window_s=CHANGE_LOG_WINDOW_S, max_lines=MAX_LOGGED_CHANGES),
         )
 
     def find(self, endpoint_id: int) -> EndpointAddress | None:
-        """Return an endpoint, or None where it is not on the list."""
+        """Return an endpoint, or None if it is not on the list."""
         return self.by_id.get(endpoint_id)
 
     def update(self, now_s: float, message: EndpointListMessage) -> list[EndpointAddress]:
-        """Apply a list.
+        """Apply an endpoint list.
 
         Args:
-            now_s: The event loop's time.
+            now_s: The event loop's time, seconds.
             message: A complete list or changes.
 
         Returns:
-            The endpoints that are out of service now or have another address, as they were before.
+            The previous entries of the endpoints that are now out of service or have another address.
         """
-        # Endpoints that the list leaves as they are need no check: it may name one of thousands.
+        # Endpoints that the message leaves unchanged need no check: it may contain one of thousands.
         named = message.uids.keys() | (self.by_id.keys() if message.is_complete else ())
         before = [self.by_id[endpoint_id] for endpoint_id in named if endpoint_id in self.by_id]
         if message.is_complete:
@@ -92,9 +92,9 @@
         self.by_id.pop(endpoint_id, None)
 
     def _log_change(self, now_s: float, entry: messages.Endpoint, uid: str, address: Address | None) -> None:
-        """Log an entry that is about to be applied, where it changes something.
+        """Log an entry that is about to be applied, if it changes the endpoint's address or service state.
 
-        A watch that ends over and over brings the complete list each time, which would fill the log.
+        A watch that fails repeatedly delivers the complete list each time, which would fill the log.
         """
         known = self.by_id.get(entry.id)
         was_up, is_up = entry.id in self.up_ids, entry.status is messages.EndpointStatus.UP
--- a/load_balancer/net/driver/endpoint_list_receiver.py
+++ b/load_balancer/net/driver/endpoint_list_receiver.py
@@ -1,4 +1,4 @@
-"""Takes the endpoint list from the watch on discovery, and hands it to the directory and to the policy."""
+"""Passes endpoint lists from the watch on discovery to the directory and the policy."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 
 
 class EndpointListReceiver:
-    """The watch on discovery and what its lists change.
+    """Applies the lists of the watch on discovery.
 
     Attributes:
-        watch: The watch on discovery. It opens as the policy asks for it.
-        endpoints: Where the endpoints are, by the list as it was last applied.
-        start_times: When the endpoints started, by the policy's clock.
-        discovery_reported: Set once a watch has brought a list or ended, or where neither need be waited
-            for.
+        watch: The watch on discovery, opened when the policy requests it.
+        endpoints: The addresses of the endpoints, from the list as last applied.
+        start_times: The start times of the endpoints, by the policy's clock.
+        discovery_reported: Set once a watch has delivered a list or failed, or if there is no need to wait
+            for either.
     """
 
     def __init__(
         self, events: EventQueue, pool: ConnectionPool, clock: Clock, discovery: Address, *, is_polled: bool
     ) -> None:
-        """Start with no list; open no watch yet.
+        """Create the receiver without a list and without opening the watch.
 
         Args:
-            events: Takes an `EndpointListUpdate` for each list and for each end of a watch.
+            events: Receives an `EndpointListUpdate` for each list and for each failure of the watch.
             pool: The connections to endpoints.
             clock: The policy's clock.
-            discovery: Where discovery is.
-            is_polled: Whether the policy has to ask for lists; they are pushed otherwise.
+            discovery: The address of discovery.
+            is_polled: Whether the policy must request lists; otherwise they are pushed.
         """
         self.endpoints = EndpointDirectory(pool)
         self.start_times = StartTimes(clock)
@@ -59,10 +59,10 @@
         self._loop = asyncio.get_running_loop()
 
     def restore(self, cached: EndpointListMessage) -> None:
-        """Apply the list as it was known before the start of the process, which may be old."""
+        """Apply the list cached before the start of the process, which may be out of date."""
         self.watch.resume_from(cached.version)
         self._apply(cached, messages.EndpointListKind.CACHED)
-        if self._is_polled:  # attempts are judged by no other list before one has come
+        if self._is_polled:  # until a list is received, the cached one is the valid list for attempts
             self.discovery_reported.set()
 
     def receive(self, message: EndpointListMessage) -> None:
@@ -78,11 +78,11 @@
         message = replace(message, endpoints=self.start_times.assign(message.endpoints))
         out_of_service = self.endpoints.update(self._loop.time(), message)
         self._events.put(messages.EndpointListUpdate(kind, message.version, message.endpoints))
-        # Only now: attempts that this gives back are decided anew, when the policy knows the new list.
+        # Done last: attempts that this returns are decided again, and the policy must know the new list then.
         for endpoint in out_of_service:
             self._pool.disable_endpoint(endpoint)
 
     def handle_watch_failure(self) -> None:
-        """Tell the policy that the watch has ended; it decides when to open the next one."""
+        """Report the failure of the watch to the policy, which decides when to reopen it."""
         self.discovery_reported.set()
         self._events.put(messages.EndpointListUpdate(messages.EndpointListKind.FAILED))
--- a/load_balancer/net/driver/event_loop_driver.py
+++ b/load_balancer/net/driver/event_loop_driver.py
@@ -1,8 +1,8 @@
-"""The one place where events reach the policy and its actions are carried out, in order.
+"""Driver of the balancer: passes all events to the policy and carries out its actions, in order.
 
-The driver builds the parts of this package and connects them to one balancer. Client connections hand it
-requests, the upstream side the outcomes of attempts, and the watch on discovery the endpoint list. It knows
-which event and action belongs to which connection, but not why.
+The driver creates the parts of this package and connects them to one balancer. It receives requests from the
+client connections, outcomes of attempts from the upstream side, and endpoint lists from the watch on
+discovery. It maps events and actions to connections and makes no balancing decisions itself.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 
 
 class EventLoopDriver:
-    """Feeds one balancer with events, and carries out what it decides.
+    """Passes events to one balancer and carries out its actions.
 
     Attributes:
         balancer: The policy.
         clock: The policy's clock.
-        events: The events on their way to the policy.
+        events: The queue of events for the policy.
         requests: The requests that have no final response yet, and their attempts.
-        endpoint_list: The watch on discovery, and where the endpoints are.
+        endpoint_list: The watch on discovery, and the addresses of the endpoints.
         timers: The timers that the policy has set.
         attempts: Starts and cancels attempts.
         actions: Carries out the policy's actions.
@@ -51,14 +51,14 @@
         discovery: Address,
         clock: Clock | None = None,
     ) -> None:
-        """Build all parts; send nothing before `start`. To be made in a running event loop.
+        """Create all parts; nothing is sent before `start`. Requires a running event loop.
 
         Args:
-            settings: What the balancer goes by.
-            seed: The seed of the balancer's random draws.
+            settings: The settings of the balancer.
+            seed: The seed of the balancer's random numbers.
             pool: The connections to endpoints; closed with the driver.
-            discovery: Where the endpoint list comes from.
-            clock: The policy's clock; another one for tests alone.
+            discovery: The address of discovery.
+            clock: The policy's clock; given only by tests.
         """
         self.balancer = Balancer(settings, seed)
         self.clock = clock or Clock()
@@ -84,10 +84,10 @@
         self._loop = asyncio.get_running_loop()
 
     def start(self, cached_list: EndpointListMessage | None) -> None:
-        """Perform the first actions, as in the simulator: the start, then the list as last known.
+        """Start the balancer and apply the cached list, in the same order as the simulator.
 
         Args:
-            cached_list: The endpoint list as it was known before the start, if there is one.
+            cached_list: The endpoint list known before the start, if any.
         """
         decided_at_s = self._loop.time()
         self.actions.perform_all(self.balancer.start(self.clock.now_us()), decided_at_s)
@@ -98,7 +98,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether there is an endpoint to send to."""
+        """Whether any endpoint is in service."""
         return bool(self.endpoint_list.endpoints.up_ids)
 
     @property
@@ -108,11 +108,11 @@
 
     @property
     def discovery_reported(self) -> asyncio.Event:
-        """The event that is set once discovery has been heard, or need not be waited for."""
+        """The event that is set once discovery has reported or failed, or need not be waited for."""
         return self.endpoint_list.discovery_reported
 
     def accept_request(self, request: ClientRequest) -> str:
-        """Accept a request, which gets its final response through `respond`, perhaps before this returns.
+        """Accept a request; its `respond` may be called before this method returns.
 
         Returns:
             The request's id, for `cancel_request`.
@@ -120,19 +120,19 @@
         return self.requests.accept(request)
 
     def cancel_request(self, request_id: str) -> None:
-        """End a request whose client has left; do nothing where it has ended."""
+        """End a request whose client has disconnected; do nothing if it has ended."""
         self.requests.cancel(request_id)
 
     def change_discovery_address(self, address: Address) -> None:
-        """Follow discovery to another address. All that was learned stays."""
+        """Reopen the watch at another address of discovery. All state is kept."""
         self.endpoint_list.watch.change_address(address)
 
     def limit_deadlines(self, within_s: float) -> None:
-        """Let each request that comes from now on end within so many seconds from now."""
+        """Limit the deadlines of requests accepted from now on to `within_s` seconds from now."""
         self.requests.limit_deadlines(within_s)
 
     def end_all_requests(self) -> None:
-        """Have the policy give each open request its final response now."""
+        """Make the policy end each open request with a final response now."""
         self.events.put(messages.ShutdownStarted())
 
     def close(self) -> None:
@@ -141,23 +141,23 @@
         self._pool.close()
 
     def _handle_event(self, event: messages.Event) -> None:
-        # The process may be held up between any two of these lines, and deadlines and windows must hold
-        # then too: the limits of attempts count from before the policy's time, and the time left to a client
-        # from after it.
+        # The process may stall between any two of these lines, and deadlines and time windows must hold even
+        # then: the time limits of attempts count from before the policy's time, and the time remaining of a
+        # request is measured after it.
         decided_at_s = self._loop.time()
         now_us = self.clock.now_us()
         if isinstance(event, messages.Request):
             event = replace(event, time_left_us=self.requests.time_remaining_us(event.id))
         try:
             actions = self.balancer.handle(now_us, event)
-        except Exception:  # one request's fault would end the whole proxy, and all open requests be lost
-            log.exception("the policy failed to handle %.200r", event)
+        except Exception:  # an error in one request must not lose all other open requests
+            log.exception("policy failed to handle event: %.200r", event)
             self._fail_request_of(event)
             return
         self.actions.perform_all(actions, decided_at_s)
 
     def _fail_request_of(self, event: messages.Event) -> None:
-        """Respond at once where the event says whose request it is; others are ended at their deadline."""
+        """Respond at once to the request that the event names; other requests end at their deadline."""
         match event:
             case messages.Request(id=request_id) | messages.AttemptEnded(request=request_id):
                 self.requests.fail(request_id)
--- a/load_balancer/net/driver/event_queue.py
+++ b/load_balancer/net/driver/event_queue.py
@@ -1,7 +1,7 @@
-"""The order in which events reach the policy: one after the other, never one within another.
+"""Queue of events for the policy: one event is handled completely before the next one.
 
-An action that is carried out may raise the next event at once, as where an attempt fails before it begins.
-The event then waits until the actions of the present one have all been carried out.
+Carrying out an action may raise the next event immediately, for example if an attempt fails before it starts.
+That event then waits until all actions of the current one have been carried out.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 
 class EventQueue:
-    """Events in the order in which they came up, and the one handler that takes them."""
+    """Queue of events in the order in which they were raised, with one handler."""
 
     def __init__(self, handle: Callable[[messages.Event], None]) -> None:
-        """Start empty.
+        """Create an empty queue.
 
         Args:
-            handle: Handles one event completely. It may put further events.
+            handle: Handles one event completely; may put further events.
         """
         self._handle = handle
         self._events: deque[messages.Event] = deque()
         self._is_handling = False
 
     def put(self, event: messages.Event) -> None:
-        """Handle an event now, or after the present one where `put` is called while one is being handled."""
+        """Handle an event now, or after the current one if `put` is called while one is being handled."""
         self._events.append(event)
         if self._is_handling:
             return
--- a/load_balancer/net/driver/health_check_sender.py
+++ b/load_balancer/net/driver/health_check_sender.py
@@ -1,4 +1,4 @@
-"""Sends the health checks that the policy asks for, and reports how each one ended."""
+"""Sends the health checks that the policy requests, and reports the result of each."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 HEALTH_CHECK_REQUEST = UpstreamRequest(
     b"GET", b"/status/load", [(b"host", b"localhost")], b"", is_idempotent=True, adds_deadline_header=False
 )
-# An endpoint that sends anything at all is there, so that only these outcomes speak against it.
+# An endpoint that sends any data is alive, so only these outcomes count as failures.
 UNHEALTHY_OUTCOMES = (messages.Outcome.TIMEOUT, messages.Outcome.NO_CONNECTION, messages.Outcome.UNREACHABLE)
 
 
 class HealthCheckSender:
-    """Sends one health check at a time for each action of the policy; holds no state of its own."""
+    """Sends one health check for each action of the policy; has no state of its own."""
 
     def __init__(self, events: EventQueue, endpoints: EndpointDirectory, pool: ConnectionPool) -> None:
-        """Keep the parts that a health check needs.
+        """Set the parts that health checks need.
 
         Args:
-            events: Takes one `HealthCheckEnded` for each health check.
-            endpoints: Where the endpoints are.
+            events: Receives one `HealthCheckEnded` for each health check.
+            endpoints: The addresses of the endpoints.
             pool: The connections to endpoints.
         """
         self._events = events
@@ -35,7 +35,7 @@
         self._pool = pool
 
     def send(self, action: messages.CheckHealth) -> None:
-        """Send a health check. One of an endpoint that has left the list fails at once."""
+        """Send a health check. It fails at once if the endpoint has left the list."""
         endpoint = self._endpoints.find(action.endpoint_id)
         if endpoint is None:
             self._events.put(messages.HealthCheckEnded(action.endpoint_id, alive=False))
--- a/load_balancer/net/driver/open_requests.py
+++ b/load_balancer/net/driver/open_requests.py
@@ -1,8 +1,8 @@
-"""The requests that have no final response yet, from their arrival to their response or their client's end.
+"""Requests without a final response, from their arrival until they get one or their client disconnects.
 
-`OpenRequests` gives each request an id of its own and a deadline, and makes sure that each gets one final
-response. Client connections add and cancel requests through the driver; the actions of the policy and the
-outcomes of attempts end them here.
+`OpenRequests` assigns each request an id and a deadline, and ensures that each gets one final response.
+Client connections add and cancel requests through the driver; the actions of the policy and the outcomes of
+attempts end them.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-DEADLINE_MARGIN_US = 15_000  # kept back from a client's deadline for the way to it and a late event loop
+DEADLINE_MARGIN_US = 15_000  # before the client's deadline, for network delay and a late event loop
 
 
 @dataclass(slots=True)
@@ -26,13 +26,13 @@
     """A request that has no final response yet.
 
     Attributes:
-        id: Its id at the driver and the policy.
-        client_request: The request as the client sent it.
-        deadline_at_s: The event loop's time by which it has its final response.
-        deadline_timer: Ends the request at its deadline where the policy has not.
-        attempt_count: How many attempts it has had.
+        id: Its id in the driver and the policy.
+        client_request: The request as received from the client.
+        deadline_at_s: The event loop's time by which it must have its final response.
+        deadline_timer: Ends the request at its deadline if the policy has not.
+        attempt_count: The number of its attempts so far.
         has_used_stale_connection: Whether an attempt failed without a response on a connection that had been
-            idle for long.
+            idle for a long time.
     """
 
     id: str
@@ -44,29 +44,29 @@
 
 
 class OpenRequests:
-    """The open requests by their id.
+    """Table of the open requests.
 
     Attributes:
-        attempts: The attempts in flight, also those of requests that have ended.
+        attempts: The attempts in flight, including those of ended requests.
     """
 
     def __init__(self, events: EventQueue) -> None:
-        """Start with no request. To be made in a running event loop.
+        """Create an empty table. Requires a running event loop.
 
         Args:
-            events: Takes a `Request` for each request, and a `ClientGone` for one that is cancelled.
+            events: Receives a `Request` for each request, and a `ClientGone` for each cancelled one.
         """
         self.attempts = AttemptTable()
         self._events = events
         self._loop = asyncio.get_running_loop()
         self._requests: dict[str, OpenRequest] = {}
-        # The driver gives each request an id of its own: a client may use one id twice, and a late outcome
-        # has to find its own request.
+        # The driver assigns its own request ids: a client may use an id twice, and a late outcome must be
+        # matched to its own request.
         self._last_id = 0
         self._shutdown_deadline_at_s: float | None = None
 
     def __len__(self) -> int:
-        """Return how many requests are open."""
+        """Return the number of open requests."""
         return len(self._requests)
 
     def __contains__(self, request_id: object) -> bool:
@@ -74,11 +74,11 @@
         return request_id in self._requests
 
     def get(self, request_id: str) -> OpenRequest | None:
-        """Return an open request, or None where it has ended."""
+        """Return an open request, or None if it has ended."""
         return self._requests.get(request_id)
 
     def accept(self, client_request: ClientRequest) -> str:
-        """Open a request and hand it to the policy, which may respond before this returns.
+        """Open a request and pass it to the policy, which may respond before this method returns.
 
         Returns:
             The request's id, for `cancel`.
@@ -86,8 +86,8 @@
         self._last_id += 1
         request_id = str(self._last_id)
         deadline_at_s = self._deadline_at_s(client_request)
-        # The policy's own timer runs out a little earlier. This one is for a fault that loses it: the client
-        # would wait for ever.
+        # The policy's own timer fires slightly earlier. This one guards against an error that loses that
+        # timer, after which the client would wait forever.
         deadline_timer = self._loop.call_at(deadline_at_s, self._end_overdue, request_id)
         self._requests[request_id] = OpenRequest(request_id, client_request, deadline_at_s, deadline_timer)
         self._events.put(
@@ -109,30 +109,30 @@
         return min(deadline_at_s, self._shutdown_deadline_at_s)
 
     def respond(self, request_id: str, response: ClientResponse) -> None:
-        """Give a request its final response and withdraw its attempts; do nothing where it has ended."""
+        """Send the final response of a request and cancel its unsent attempts, unless it has ended."""
         request = self._remove(request_id)
         if request is not None:
             request.client_request.respond(response)
             self.attempts.cancel_unsent(request_id, request.attempt_count)
 
     def fail(self, request_id: str) -> None:
-        """Respond with 502 to a request that the policy cannot end, and have the policy forget it."""
+        """Respond with 502 to a request that the policy cannot end, and remove it from the policy."""
         self.respond(request_id, BAD_GATEWAY)
         self._events.put(messages.ClientGone(request_id))
 
     def cancel(self, request_id: str) -> None:
-        """End a request whose client has left; do nothing where it has ended."""
+        """End a request whose client has disconnected; do nothing if it has ended."""
         request = self._remove(request_id)
         if request is not None:
             self._events.put(messages.ClientGone(request_id))
             self.attempts.cancel_unsent(request_id, request.attempt_count)
 
     def limit_deadlines(self, within_s: float) -> None:
-        """Let each request that is accepted from now on end within so many seconds from now."""
+        """Limit the deadlines of requests accepted from now on to `within_s` seconds from now."""
         self._shutdown_deadline_at_s = self._loop.time() + within_s
 
     def time_remaining_us(self, request_id: str) -> int:
-        """Return the microseconds left to a request now: 1 at least, and 1 where it has ended."""
+        """Return the time remaining of a request, microseconds: at least 1, and 1 if it has ended."""
         request = self._requests.get(request_id)
         if request is None:
             return 1
@@ -140,7 +140,7 @@
 
     def _end_overdue(self, request_id: str) -> None:
         if request_id in self._requests:
-            log.error("request %s reached its deadline without a decision of the policy", request_id)
+            log.error("request %s reached its deadline without a policy decision; sending 502", request_id)
             self.fail(request_id)
 
     def _remove(self, request_id: str) -> OpenRequest | None:
--- a/load_balancer/net/driver/policy_timers.py
+++ b/load_balancer/net/driver/policy_timers.py
@@ -1,4 +1,4 @@
-"""The timers that the policy has set, on the event loop."""
+"""Timers of the policy, run by the event loop."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class PolicyTimers:
-    """The timers that have been set and have neither fired nor been cancelled."""
+    """Table of the timers that have neither fired nor been cancelled."""
 
     def __init__(self, events: EventQueue, clock: Clock) -> None:
-        """Start with no timer. To be made in a running event loop.
+        """Create an empty table. Requires a running event loop.
 
         Args:
-            events: Takes a `TimerFired` for each timer that is due.
-            clock: The policy's clock, which the times of timers are stated in.
+            events: Receives a `TimerFired` for each timer that fires.
+            clock: The policy's clock, by which the times of timers are given.
         """
         self._events = events
         self._clock = clock
@@ -25,16 +25,16 @@
         self._handles: dict[int, asyncio.TimerHandle] = {}
 
     def __len__(self) -> int:
-        """Return how many timers are set."""
+        """Return the number of timers that are set."""
         return len(self._handles)
 
     def set(self, action: messages.SetTimer) -> None:
-        """Set a timer. One whose time has passed fires in the next turn of the event loop."""
+        """Set a timer. If its time has passed, it fires in the next iteration of the event loop."""
         delay_s = max(0.0, (action.at_us - self._clock.now_us()) / 1e6)
         self._handles[action.timer] = self._loop.call_later(delay_s, self._fire, action.timer)
 
     def cancel(self, action: messages.CancelTimer) -> None:
-        """Cancel a timer; do nothing where it has fired."""
+        """Cancel a timer; do nothing if it has fired."""
         handle = self._handles.pop(action.timer, None)
         if handle is not None:
             handle.cancel()
--- a/load_balancer/net/http_messages.py
+++ b/load_balancer/net/http_messages.py
@@ -1,7 +1,7 @@
-"""What HTTP messages share on both sides of the proxy: the form of headers and the limit on a body."""
+"""HTTP definitions shared by the client side and the upstream side: headers and the body limit."""
 
 from __future__ import annotations
 
-MAX_BODY_BYTES = 64 * 1024  # of a request or a response, by the protocol
+MAX_BODY_BYTES = 64 * 1024  # largest body of a request or response that the protocol allows
 
-Headers = list[tuple[bytes, bytes]]  # names in lower case, in their order on the wire
+Headers = list[tuple[bytes, bytes]]  # lower-case names, in the order on the wire
--- a/load_balancer/net/repeated_log_lines.py
+++ b/load_balancer/net/repeated_log_lines.py
@@ -1,10 +1,11 @@
-"""Bounds what is logged of events that may come thousands of times.
+"""Rate limit for the log lines of events that may occur thousands of times.
 
-A release changes thousands of endpoints, discovery may be down for hours and is asked ten times a second, and
-any client may cause some faults as often as it likes: with a line for each, the log would fill the disk.
+A release changes thousands of endpoints, discovery may be down for hours while it is requested ten times a
+second, and any client may cause some faults as often as it likes: with one line per event, the log would fill
+the disk.
 
-The events of one kind form runs. Of each run the first events are logged singly; the others are counted, and
-a summary tells the count. Each part that logs such events owns a `RepeatedLogLines` for each kind.
+The events of one kind form runs. The first events of a run are logged individually; the others are counted,
+and a summary line gives the count. Each class that logs such events owns one `RepeatedLogLines` per kind.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 import math
 from dataclasses import dataclass
 
-QUIET_PERIOD_S = 1.0  # a fault that has not come again for this long is over
+QUIET_PERIOD_S = 1.0  # a fault that has not recurred for this long is over
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line of the log, whose values are not known yet.
+    """Format of a log line.
 
     Attributes:
-        level: The level, of `logging`.
-        text: The text, with a `%` for each value.
+        level: The level, as defined by `logging`.
+        text: The format string, with a `%` conversion for each value.
     """
 
     level: int
@@ -31,14 +32,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunLimits:
-    """When a run of events ends, and how many of them are logged singly.
+    """Limits that define when a run of events ends and how many of its events are logged individually.
 
     Attributes:
-        max_lines: The most events of a run that are logged singly.
-        window_s: A run ends with the first event that comes this long after the run's first one, seconds.
-        quiet_s: A run ends once its last event is longer ago than this, seconds; looked at by `end_if_quiet`.
-        logs_repeats: Whether an event with the values of an earlier one of its run is logged singly too.
-        counts_all: Whether the summary counts all events, not only those that were not logged singly.
+        max_lines: Maximum number of events of a run that are logged individually.
+        window_s: An event that occurs this long after the first event of a run starts a new run, seconds.
+        quiet_s: `end_if_quiet` ends a run whose last event is longer ago than this, seconds.
+        logs_repeats: Whether an event with the values of an earlier one in the run is logged individually.
+        counts_all: Whether the summary counts all events, not only those that were not logged individually.
     """
 
     max_lines: int
@@ -49,16 +50,16 @@
 
 
 class RepeatedLogLines:
-    """Logs the first events of each run singly, counts the others, and summarizes them."""
+    """Logger that writes the first events of each run individually, then the count of the others."""
 
     def __init__(self, log: logging.Logger, line: LogLine, summary: LogLine, limits: RunLimits) -> None:
-        """Start without a run.
+        """Create the logger with no run in progress.
 
         Args:
-            log: Where the lines go.
-            line: The line of one event.
-            summary: The line that tells the count of events, with one `%d`.
-            limits: When a run ends, and how many events of it are logged singly.
+            log: The logger that receives the lines.
+            line: The line for a single event.
+            summary: The line for the count of events, with one `%d`.
+            limits: When a run ends, and how many of its events are logged individually.
         """
         self._log = log
         self._line = line
@@ -75,7 +76,7 @@
 
         Args:
             now_s: The event loop's time, seconds.
-            values: What the line says of this event; they tell a repeat from another event.
+            values: The values for the line. An event with equal values is a repeat.
         """
         if now_s - self._run_started_at_s >= self._limits.window_s:
             self._end_run()
@@ -90,7 +91,7 @@
             self._unsummarized_count += 1
 
     def end_if_quiet(self, now_s: float) -> None:
-        """End the run, with its summary, where no event has come for longer than the quiet period.
+        """End the run and log its summary if no event has occurred for longer than the quiet period.
 
         Args:
             now_s: The event loop's time, seconds.
@@ -99,7 +100,7 @@
             self._end_run()
 
     def summarize(self) -> None:
-        """Log how many events were counted since the last summary, if any; the run goes on."""
+        """Log the number of events counted since the last summary, if any. The run continues."""
         if self._unsummarized_count:
             self._log.log(self._summary.level, self._summary.text, self._unsummarized_count)
         self._unsummarized_count = 0
@@ -114,17 +115,17 @@
 
 
 def repeated_fault(log: logging.Logger, text: str) -> RepeatedLogLines:
-    """Return the lines of one kind of fault: an error as it begins, and the count once it is over.
+    """Return log lines for one kind of fault: an error when it starts, and the count when it is over.
 
-    The only value of an event is the exception. The owner calls `end_if_quiet` now and then.
+    The only value of an event is the exception. The owner must call `end_if_quiet` periodically.
 
     Args:
-        log: Where the lines go.
-        text: What the fault is, the beginning of both lines.
+        log: The logger that receives the lines.
+        text: The description of the fault, with which both lines start.
     """
     return RepeatedLogLines(
         log,
         line=LogLine(logging.ERROR, f"{text}: %s"),
-        summary=LogLine(logging.INFO, f"{text}: over, %d times in all"),
+        summary=LogLine(logging.INFO, f"{text}: ended after %d occurrences"),
         limits=RunLimits(max_lines=1, quiet_s=QUIET_PERIOD_S, counts_all=True),
     )
--- a/load_balancer/net/socket_state.py
+++ b/load_balancer/net/socket_state.py
@@ -1,7 +1,7 @@
-"""What the operating system knows of a connection at this moment, and what its errors mean.
+"""Queries for the current state of a connection in the operating system, and the meaning of its errors.
 
-The event loop reads a socket only when its turn comes. A decision that must not rest on what the loop has
-not read yet, such as to write a request, looks at the socket itself. There is no state here.
+The event loop reads a socket only when its turn comes. A decision that must account for data that the loop
+has not read yet, such as whether to write a request, queries the socket itself. The module has no state.
 """
 
 from __future__ import annotations
@@ -11,36 +11,37 @@
 import select
 import socket
 
-# No descriptor or memory for one more socket, by socket(2) and accept(2).
+# No descriptor or memory for another socket; see socket(2) and accept(2).
 DESCRIPTOR_SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-# A connect failed because this machine lacks something, such as local ports, by connect(2).
+# A connect failed for lack of a local resource, such as a local port; see connect(2).
 LOCAL_SHORTAGE_ERRNOS = (*DESCRIPTOR_SHORTAGE_ERRNOS, errno.EADDRNOTAVAIL, errno.EAGAIN)
-# A connect failed on the way to an endpoint, by connect(2): this says nothing of the endpoint itself.
+# A connect failed in the network on the way to an endpoint, which is no evidence about the endpoint itself;
+# see connect(2).
 NO_ROUTE_ERRNOS = (errno.EHOSTDOWN, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ENETUNREACH)
 
 
 def has_unread_bytes(transport: asyncio.BaseTransport, *, default: bool = True) -> bool:
-    """Return whether there is anything to read from a connection, the end of its stream included.
+    """Return whether a connection has unread bytes or an unread end of stream.
 
     Args:
         transport: The connection's transport.
-        default: What to return where the system cannot tell.
+        default: The result if the system cannot report the state.
     """
     events = _poll_events(transport, select.POLLIN)
     return default if events is None else bool(events)
 
 
 def is_closed_by_remote(transport: asyncio.BaseTransport) -> bool:
-    """Return whether the other side is known to send no more, be it behind bytes that are not read yet."""
+    """Return whether the remote side is known to send no more, even if earlier bytes are still unread."""
     events = _poll_events(transport, select.POLLRDHUP) or 0
     return bool(events & (select.POLLRDHUP | select.POLLHUP | select.POLLERR))
 
 
 def has_never_connected(transport: asyncio.BaseTransport) -> bool:
-    """Return whether a connect failed and left no error behind.
+    """Return whether a connect failed without leaving an error on the socket.
 
-    connect(2) may fail with EAGAIN, which asyncio takes for "in progress". A socket that was connected and
-    has been reset leaves its error, and one that has ended still has a remote address.
+    connect(2) may fail with EAGAIN, which asyncio treats as "in progress". A connection that was established
+    and then reset leaves an error, and one that the remote side has closed still has a remote address.
     """
     if transport.get_extra_info("peername") is not None or transport.is_closing():
         return False
@@ -49,7 +50,7 @@
 
 
 def _poll_events(transport: asyncio.BaseTransport, event_mask: int) -> int | None:
-    """Return the events that poll(2) reports now, or none where it fails, as for lack of memory."""
+    """Return the events that poll(2) reports now, or None if it fails, for example for lack of memory."""
     try:
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), event_mask)
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -243,7 +243,7 @@
             assert await client.read_statuses(1) == [200]
             clock.advance(quiet_s)
             await wait_until(lambda: len(acceptor_lines(caplog)) > 1)
-            end = f"no descriptor for a connection: over, {failure_count} times in all"
+            end = f"no descriptor for a connection: ended after {failure_count} occurrences"
             assert acceptor_lines(caplog)[1:] == [end]
             clock.advance(quiet_s)
             await run_loop_turns()
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -109,7 +109,7 @@
         assert await watched.news.get() is None
         assert watched.news.empty()
         assert discovery.connection_count == 1
-        assert "watch on discovery broke" in caplog.text
+        assert "watch on discovery failed" in caplog.text
 
 
 def indented_text(lists: list[dict[str, object]], indents: tuple[int | None, ...]) -> str:
@@ -169,7 +169,7 @@
         assert await watched.news.get() is not None
         clock.advance(61.0)
         assert await watched.news.get() is None
-        assert "broke: silent" in caplog.text
+        assert "failed: silent" in caplog.text
 
 
 async def test_bytes_of_an_incomplete_list_are_not_heartbeats(
--- a/tests/net/discovery/test_json_stream.py
+++ b/tests/net/discovery/test_json_stream.py
@@ -75,7 +75,7 @@
 def test_endless_string_raises_an_error() -> None:
     splitter = JsonTextSplitter()
     endless = (splitter.feed(b'{"rev":"' + b"x" * READ) for _ in range(100))
-    with pytest.raises(JsonStreamError, match="without an end"):
+    with pytest.raises(JsonStreamError, match="longer than 4194304 bytes"):
         list(chain.from_iterable(endless))
 
 
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -127,7 +127,7 @@
         await advance_until(clock, lambda: discovery.calls[-1].closed_by_proxy.is_set(), 1.5)
         discovery.calls[-1].send(http_chunk("\n"))  # its last word
         waited = await advance_to_next_call(discovery, clock)
-        assert "broke: silent" in caplog.text
+        assert "failed: silent" in caplog.text
         assert waited + await answer_latest_call(discovery, proxy, clock, setup) < LIST_DEADLINE_S
 
 
@@ -240,13 +240,13 @@
     "rev negative": (http_chunk(changes(rev=-1)), "field rev"),
     "rev of 400 digits": (http_chunk(changes(rev=10**400)), "field rev"),
     "all a number": (http_chunk(changes(all=0)), "field all"),
-    "nested": (http_chunk(NESTED), "nested too deep"),
-    "nested without end": (http_chunk("[" * 100_000), "nested too deep"),
+    "nested": (http_chunk(NESTED), "nested more than 64 levels deep"),
+    "nested without end": (http_chunk("[" * 100_000), "nested more than 64 levels deep"),
     "not UTF-8": (
         http_chunk(changes()[:-5] + '"') + b"3\r\n\xff\xfe\xfd\r\n" + http_chunk('"}]}\n'),
         "not JSON",
     ),
-    "endless": (http_chunk('{"rev":"' + "x" * MAX_TEXT_BYTES), "without an end"),
+    "endless": (http_chunk('{"rev":"' + "x" * MAX_TEXT_BYTES), "longer than 4194304 bytes"),
     "bad chunk": (b"zz\r\nnonsense\r\n", "illegal chunk"),
     "negative chunk": (b"-2\r\n\n\n\r\n", "illegal chunk"),
 }
--- a/tests/net/test_repeated_log_lines.py
+++ b/tests/net/test_repeated_log_lines.py
@@ -35,7 +35,7 @@
         )
         told = lines()
         assert len(told) == MAX_LOGGED_CHANGES + 1
-        assert "is s-0, cell 1, up" in told[0]
+        assert "uid s-0, cell 1, status up" in told[0]
         assert told[-1] == f"{500 - MAX_LOGGED_CHANGES} more changes of endpoints"
         for n in range(100):
             change = endpoint_list(endpoint_entry(f"s-{n}", 9, "terminating"), rev=2 + n, full=False)
@@ -47,7 +47,7 @@
         )
         counted, single = lines()
         assert counted == "100 more changes of endpoints"
-        assert "is s-1, cell 1, gone" in single
+        assert "uid s-1, cell 1, status gone" in single
 
 
 def windowed_lines(text: str, *, logs_repeats: bool = True) -> RepeatedLogLines:
@@ -114,7 +114,7 @@
     faults.end_if_quiet(last_at_s + QUIET_PERIOD_S)
     assert len(lines(caplog)) == 1
     faults.end_if_quiet(last_at_s + QUIET_PERIOD_S + 0.001)
-    assert lines(caplog)[1:] == [(logging.INFO, "no descriptor: over, 1000 times in all")]
+    assert lines(caplog)[1:] == [(logging.INFO, "no descriptor: ended after 1000 occurrences")]
 
 
 def test_end_of_a_fault_is_logged_once(faults: RepeatedLogLines, caplog: pytest.LogCaptureFixture) -> None:
@@ -132,5 +132,8 @@
     for at_s in (100.0, 200.0):
         faults.record(at_s, OSError("x"))
         faults.end_if_quiet(at_s + 50.0)
-    begin, end = (logging.ERROR, "no descriptor: x"), (logging.INFO, "no descriptor: over, 1 times in all")
+    begin, end = (
+        (logging.ERROR, "no descriptor: x"),
+        (logging.INFO, "no descriptor: ended after 1 occurrences"),
+    )
     assert lines(caplog) == [begin, end, begin, end]
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -230,7 +230,7 @@
                 discovery.may_respond.set()
             lines: list[str] = []
             port = await read_listening_port(process, lines)
-            assert not any("watch on discovery broke" in line for line in lines)
+            assert not any("watch on discovery failed" in line for line in lines)
             assert (await send_request_to(port, http_request())).body == b"a"
 
 
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -213,7 +213,7 @@
     discovery = AbsentDiscovery()
     run_in_event_loop(discovery.refuse_watches)
     lines = caplog.messages
-    breaks = [line for line in lines if line.endswith("broke: status 503")]
+    breaks = [line for line in lines if line.endswith("failed: discovery responded with status 503")]
     repeats = [int(line.split()[4]) for line in lines if "more times" in line]
     windows = 1 + int(discovery.advanced_s / FAILURE_LOG_WINDOW_S)
     assert len(breaks) + len(repeats) == len(lines)
--- a/tests/scenarios/test_watch_failures.py
+++ b/tests/scenarios/test_watch_failures.py
@@ -67,5 +67,5 @@
         assert message.version == 7
         watch.close()
     [line] = problem_lines(caplog)
-    assert "watch on discovery broke: " in line
+    assert "watch on discovery failed: " in line
     assert "Traceback" not in line
