--- a/load_balancer/net/discovery/endpoint_list.py
+++ b/load_balancer/net/discovery/endpoint_list.py
@@ -60,16 +60,20 @@
     Merging the two would hide that the endpoint was out of service. What was kept for it, such as its idle
     connections, would then be used for the restored one.
     """
-    up = {endpoint.id for endpoint in later.endpoints if endpoint.status is EndpointStatus.UP}
+    up_ids = {endpoint.id for endpoint in later.endpoints if endpoint.status is EndpointStatus.UP}
     return any(
-        endpoint.id in up and endpoint.status is not EndpointStatus.UP for endpoint in earlier.endpoints
+        endpoint.id in up_ids and endpoint.status is not EndpointStatus.UP for endpoint in earlier.endpoints
     )
 
 
 def _merge(earlier: EndpointListMessage, later: EndpointListMessage) -> EndpointListMessage:
     """Merge two messages with changes. Of two entries for an endpoint, the later one applies."""
     entries = {endpoint.id: endpoint for endpoint in (*earlier.endpoints, *later.endpoints)}
-    addresses = {number: address for number, address in earlier.addresses.items() if number not in later.uids}
+    addresses = {
+        endpoint_id: address
+        for endpoint_id, address in earlier.addresses.items()
+        if endpoint_id not in later.uids
+    }
     return EndpointListMessage(
         version=later.version,
         is_complete=False,
--- a/load_balancer/net/driver/endpoint_directory.py
+++ b/load_balancer/net/driver/endpoint_directory.py
@@ -59,8 +59,8 @@
             The previous entries of the endpoints that are now out of service or have another address.
         """
         # Endpoints that the message leaves unchanged need no check: it may contain one of thousands.
-        named = message.uids.keys() | (self.by_id.keys() if message.is_complete else ())
-        before = [self.by_id[endpoint_id] for endpoint_id in named if endpoint_id in self.by_id]
+        affected_ids = message.uids.keys() | (self.by_id.keys() if message.is_complete else ())
+        before = [self.by_id[endpoint_id] for endpoint_id in affected_ids if endpoint_id in self.by_id]
         if message.is_complete:
             for endpoint_id in self.by_id.keys() - message.addresses.keys():
                 self._remove(endpoint_id)
