--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -69,14 +69,14 @@
         for cancel in actions_of_type(
             harness.advance(int(3 * usual_latency_us) + 200 * MILLISECOND_US), messages.CancelAttempt
         )
-        if cancel.request == "a"
+        if cancel.request_id == "a"
     ]
     assert cancels == ([messages.CancelAttempt("a", 0)] if again else [])
     if again:
         [resend] = actions_of_type(
             harness.end_attempt(send, messages.Outcome.CANCELLED), messages.StartAttempt
         )
-        assert resend.request == "a"
+        assert resend.request_id == "a"
         assert resend.endpoint_id != send.endpoint_id
 
 
@@ -93,7 +93,7 @@
     assert (
         len(health_checks_within(harness, 1100 * MILLISECOND_US)) == 1
     )  # the next hanging attempt is checked sooner
-    assert again.request == "a"
+    assert again.request_id == "a"
     assert again.endpoint_id != first.endpoint_id
 
 
@@ -164,8 +164,8 @@
 async def test_lost_response_is_detected_and_its_request_retried_on_real_sockets(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(health_check, "SUSPECT_LIMIT", HangLimit(0.0, 60 * MILLISECOND_US))
-    monkeypatch.setattr(health_check, "REPORT_AGE_US", 0)
+    monkeypatch.setattr(health_check, "HANG_LIMIT", HangLimit(0.0, 60 * MILLISECOND_US))
+    monkeypatch.setattr(health_check, "MAX_REPORT_AGE_US", 0)
     monkeypatch.setattr(scan_timer, "SCAN_INTERVAL_US", 10 * MILLISECOND_US)
     lost: list[str] = []
 
