--- a/load_balancer/net/discovery/start_times.py
+++ b/load_balancer/net/discovery/start_times.py
@@ -84,7 +84,7 @@
         this incarnation and now, else now. The wall clock may be wrong, here or where the start was recorded:
         a start in the future would keep the endpoint in slow start for too long, and one too far in the past
         would make it count as warm at once. If only discovery was late, the endpoint counts as colder than it
-        is by the time that discovery took.
+        is, by the time that discovery took.
         """
         start_time_us = self._clock.from_unix_us(reported_start_us)
         if self._confirmed_at_us is not None and start_time_us < self._confirmed_at_us:
--- a/load_balancer/net/driver/action_performer.py
+++ b/load_balancer/net/driver/action_performer.py
@@ -28,7 +28,7 @@
         health_checks: HealthCheckSender,
         pool: ConnectionPool,
     ) -> None:
-        """Set the parts that carry out the actions.
+        """Create a performer that uses the given parts.
 
         Args:
             requests: Sends final responses.
--- a/load_balancer/net/driver/attempt_dispatcher.py
+++ b/load_balancer/net/driver/attempt_dispatcher.py
@@ -54,7 +54,7 @@
         clock: Clock,
         classes: Iterable[messages.RequestClass],
     ) -> None:
-        """Set the parts that the attempts need.
+        """Create a dispatcher without attempts in flight.
 
         Args:
             requests: The open requests and the attempts in flight.
--- a/load_balancer/net/driver/health_check_sender.py
+++ b/load_balancer/net/driver/health_check_sender.py
@@ -23,7 +23,7 @@
     """Sends one health check for each action of the policy; has no state of its own."""
 
     def __init__(self, events: EventQueue, endpoints: EndpointDirectory, pool: ConnectionPool) -> None:
-        """Set the parts that health checks need.
+        """Create a sender of health checks.
 
         Args:
             events: Receives one `HealthCheckEnded` for each health check.
