--- a/load_balancer/net/driver/policy_timers.py
+++ b/load_balancer/net/driver/policy_timers.py
@@ -39,6 +39,6 @@
         if handle is not None:
             handle.cancel()
 
-    def _fire(self, timer: int) -> None:
-        self._handles.pop(timer, None)
-        self._events.put(messages.TimerFired(timer))
+    def _fire(self, timer_id: int) -> None:
+        self._handles.pop(timer_id, None)
+        self._events.put(messages.TimerFired(timer_id))
