--- a/load_balancer/net/clock.py
+++ b/load_balancer/net/clock.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-# A larger change of the wall clock against the monotonic clock between two readings is a step. Smaller changes
-# also come from slewing, by 500 us per second, or from a stall of the process between reading the two clocks.
+# A larger change of the wall clock against the monotonic clock between two readings is a step. A smaller one
+# may come from slewing, by 500 us per second, or from a stall of the process between reading the two clocks.
 MIN_STEP_US = 250_000
 MAX_OFFSETS = 16  # remembered offsets of the wall clock, one per step
 
