--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -1,14 +1,15 @@
-"""What one proxy needs while half of a fleet's endpoints are replaced, at the usual size and at 16 times.
+"""Measures the resources of one proxy while half of its endpoints are replaced, for fleets of several sizes.
 
-    python -m benchmarks.fleet_growth                 # the steady plays, 10 s each
-    python -m benchmarks.fleet_growth --play move     # discovery moves (SIGHUP) and a watch falls silent
-    python -m benchmarks.fleet_growth --proxies 3     # the limits bind in the mean over the fleet
+    python -m benchmarks.fleet_growth                 # the steady scenario, 10 s for each fleet size
+    python -m benchmarks.fleet_growth --play move     # discovery moves to another address (SIGHUP)
+    python -m benchmarks.fleet_growth --proxies 3     # mean of three proxies, to which the limits apply
     python -m benchmarks.fleet_growth --rows 200/34 3200/544 --seconds 5 --json result.json
 
-The first row is the base from which the limits of the others are worked out (`growth_limits.py`). The proxy
-is one real process; endpoints and discovery are stand-ins in this one. All endpoints of a row are equal. What
-one proxy sees of the rest of its fleet is only the number of instances in its settings. The exit code is 1
-where a limit is broken and 2 where a row could not be played.
+By default, the fleets have the usual size and 16 times as many endpoints. The limits of each fleet are
+computed from the measurements of the first one (`growth_limits.py`). The proxy is a real process; endpoints
+and discovery are stand-ins in the benchmark's process. All endpoints of a fleet are equal. The other proxies
+of the fleet are represented only by the number of instances in the settings. The exit code is 1 if a limit is
+violated and 2 if a scenario could not be run.
 """
 
 from __future__ import annotations
@@ -28,104 +29,104 @@
 from benchmarks.clients import Clients
 from benchmarks.growth_limits import Figures
 from benchmarks.proxy_process import ProxyEndedError, ProxyProcess, proxy_process
-from benchmarks.report import Result, breaks, machine, table
-from benchmarks.scenarios import PLAYS, ROWS, Scenario, Step, settings
+from benchmarks.report import Result, describe_machine, results_table, violations_by_fleet
+from benchmarks.scenarios import FLEET_SIZES, SCENARIOS, Scenario, Step, settings
 from benchmarks.stand_ins import Discovery, EndpointStandIns
 
 SEED = 0x8C1F30D27A5BE964
-CELL = 8  # endpoints in a cell
-DESCRIPTORS_WANTED = 16_384  # for listeners and both ends of all connections, in this process
-SETTLE_TIMEOUT_S = 60.0  # a proxy that still works on the play this long after its end is measured as it is
-POLL_S = 0.02
-WATCH_TIMEOUT_S = 15.0  # the longest wait for a watch that has to be opened anew
+CELL_SIZE = 8  # endpoints
+WANTED_DESCRIPTORS = 16_384  # for the listeners and both ends of all connections
+QUIET_TIMEOUT_S = 60.0  # after it, a proxy that is still busy is measured in its current state
+POLL_INTERVAL_S = 0.02
+WATCH_TIMEOUT_S = 15.0  # for the proxy to reopen its watch
 
 
 class WatchNotOpenedError(ProxyEndedError):
-    """The proxy has not opened its watch anew in time."""
+    """The proxy has not reopened its watch within WATCH_TIMEOUT_S."""
 
     def __init__(self) -> None:
-        """Word the message."""
-        super().__init__("it has not opened its watch anew")
+        """Initialize with a fixed message."""
+        super().__init__("the proxy has not reopened its watch on discovery in time")
 
 
 class Fleet:
-    """The endpoints of a play and what discovery says of them."""
+    """The endpoints of a scenario and the discovery that publishes them."""
 
     def __init__(self, scenario: Scenario) -> None:
-        """Set up the stand-ins of a scenario; nothing listens yet."""
+        """Create the stand-ins of a scenario; nothing listens yet."""
         self._scenario = scenario
         self.endpoints = EndpointStandIns(scenario.service_s)
         self.discovery = Discovery()
-        self._serial = 0
-        self._up: deque[tuple[str, str]] = deque()  # uid and address, the oldest first
+        self._endpoint_count = 0
+        self._up: deque[tuple[str, str]] = deque()  # uid and address, oldest first
         self._draining: deque[tuple[str, str]] = deque()
 
     async def _start_endpoint(self) -> tuple[str, str, int]:
-        self._serial += 1
-        uid, address = f"s-{self._serial:08x}", await self.endpoints.start()
+        self._endpoint_count += 1
+        uid, address = f"s-{self._endpoint_count:08x}", await self.endpoints.start()
         self._up.append((uid, address))
-        return uid, address, self._serial // CELL
+        return uid, address, self._endpoint_count // CELL_SIZE
 
     async def start(self) -> None:
-        """Start the endpoints that are there from the beginning.
+        """Start the initial endpoints.
 
         Raises:
-            OSError: One cannot listen, as for want of a descriptor.
+            OSError: An endpoint cannot listen, for example because no file descriptor is available.
         """
         for _ in range(self._scenario.endpoints):
             self.discovery.add(*await self._start_endpoint())
 
     async def replace(self) -> None:
-        """Have the oldest endpoint drain and a new one join, each sent as a change of its own.
+        """Drain the oldest endpoint and add a new one, as two separate changes of the list.
 
         Raises:
-            OSError: The new one cannot listen.
-            IndexError: No endpoint is left that is not draining.
+            OSError: The new endpoint cannot listen.
+            IndexError: All endpoints are draining.
         """
         old = self._up.popleft()
         self._draining.append(old)
-        self.discovery.change(old[0], "terminating")
-        self.discovery.join(*await self._start_endpoint())
+        self.discovery.change_state(old[0], "terminating")
+        self.discovery.add_and_notify(*await self._start_endpoint())
 
     def remove(self) -> None:
-        """End the endpoint that has drained longest.
+        """Stop the endpoint that has drained longest.
 
         Raises:
-            IndexError: None is draining.
+            IndexError: No endpoint is draining.
         """
         uid, address = self._draining.popleft()
-        self.discovery.change(uid, "terminated")
+        self.discovery.change_state(uid, "terminated")
         self.endpoints.stop(address)
 
     def stop(self) -> None:
-        """End discovery and all endpoints."""
+        """Stop discovery and all endpoints."""
         self.discovery.stop()
         self.endpoints.stop_all()
 
 
-class Play:
-    """One scenario with one proxy."""
+class ScenarioRun:
+    """One run of a scenario with one proxy."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
-        """Set up a play that has not begun.
+        """Initialize a run without starting it.
 
         Args:
-            scenario: What happens in it.
-            folder: Where the proxy's configuration and its log are written.
+            scenario: The scenario to run.
+            folder: The folder for the proxy's configuration and log.
         """
         self._scenario = scenario
         self._folder = folder
         self._fleet = Fleet(scenario)
-        self._most_descriptors = 0
-        self._calls: list[asyncio.Task[None]] = []
-        self._watches_due = 0  # by the end of the play
+        self._max_descriptors = 0
+        self._request_tasks: list[asyncio.Task[None]] = []
+        self._expected_watches = 0  # number of watches that the proxy has to have opened by the end
 
     async def run(self) -> Result:
-        """Play the scenario through, once.
+        """Run the scenario once.
 
         Raises:
-            ProxyEndedError: The proxy has ended, does not listen or does not open its watch anew.
-            OSError: A stand-in cannot listen, the proxy accepts no connection, or it ended during the play.
+            ProxyEndedError: The proxy has exited, does not listen or does not reopen its watch.
+            OSError: A stand-in cannot listen, or the proxy accepts no connection or exited during the run.
         """
         await self._fleet.start()
         self._write_config(await self._fleet.discovery.listen())
@@ -133,10 +134,10 @@
             async with proxy_process(self._folder) as proxy:
                 clients = Clients(proxy.port, self._scenario.deadline_s)
                 await clients.start()
-                await self._play(proxy, clients)
-                await asyncio.gather(*self._calls)
-                await self._until_watched()
-                settled = self._scenario.seconds is None or await proxy.until_quiet(SETTLE_TIMEOUT_S)
+                await self._perform_steps(proxy, clients)
+                await asyncio.gather(*self._request_tasks)
+                await self._wait_for_watch()
+                settled = self._scenario.seconds is None or await proxy.wait_until_quiet(QUIET_TIMEOUT_S)
                 result = self._result(proxy, clients, settled=settled)
                 clients.close()
                 return result
@@ -156,59 +157,59 @@
             config["known"] = self._fleet.discovery.complete_list()
         (self._folder / "config.json").write_text(json.dumps(config))
 
-    async def _play(self, proxy: ProxyProcess, clients: Clients) -> None:
+    async def _perform_steps(self, proxy: ProxyProcess, clients: Clients) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        began_at_s = loop.time()
         for at, step in self._scenario.steps():
             if self._scenario.seconds is not None:
-                await asyncio.sleep(max(0.0, began + at * self._scenario.seconds - loop.time()))
-            await self._perform(step, proxy, clients)
+                await asyncio.sleep(max(0.0, began_at_s + at * self._scenario.seconds - loop.time()))
+            await self._perform_step(step, proxy, clients)
 
-    async def _perform(self, step: Step, proxy: ProxyProcess, clients: Clients) -> None:
+    async def _perform_step(self, step: Step, proxy: ProxyProcess, clients: Clients) -> None:
         match step:
             case Step.CALL:
-                self._most_descriptors = max(self._most_descriptors, proxy.descriptors)
-                await self._call(clients)
+                self._max_descriptors = max(self._max_descriptors, proxy.descriptors)
+                await self._send_request(clients)
             case Step.REPLACE:
                 await self._fleet.replace()
             case Step.REMOVE:
                 self._fleet.remove()
             case Step.MOVE:
-                self._watches_due = self._fleet.discovery.watches + 1
+                self._expected_watches = self._fleet.discovery.watches + 1
                 self._write_config(await self._fleet.discovery.listen())
                 proxy.signal(signal.SIGHUP)
-                await self._until_watched()
+                await self._wait_for_watch()
             case Step.SILENCE:
-                self._watches_due = self._fleet.discovery.watches + 1
-                self._fleet.discovery.fall_silent()
+                self._expected_watches = self._fleet.discovery.watches + 1
+                self._fleet.discovery.silence_watches()
             case Step.WATCHED:
-                await self._until_watched()
+                await self._wait_for_watch()
 
-    async def _call(self, clients: Clients) -> None:
+    async def _send_request(self, clients: Clients) -> None:
         if self._scenario.seconds is None:
-            await clients.call()
+            await clients.send_request()
         else:
-            self._calls.append(asyncio.create_task(clients.call()))
+            self._request_tasks.append(asyncio.create_task(clients.send_request()))
 
-    async def _until_watched(self) -> None:
-        """Wait for the watch that has to be opened anew.
+    async def _wait_for_watch(self) -> None:
+        """Wait until the proxy has opened all watches that are due.
 
         Raises:
-            ProxyEndedError: It has not been opened within 15 s.
+            ProxyEndedError: A watch has not been opened within 15 s.
         """
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + WATCH_TIMEOUT_S
-        while self._fleet.discovery.watches < self._watches_due:
-            if loop.time() > give_up_at:
+        give_up_at_s = loop.time() + WATCH_TIMEOUT_S
+        while self._fleet.discovery.watches < self._expected_watches:
+            if loop.time() > give_up_at_s:
                 raise WatchNotOpenedError
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _result(self, proxy: ProxyProcess, clients: Clients, *, settled: bool) -> Result:
         discovery = self._fleet.discovery
         figures = Figures(
             cpu_s=proxy.cpu_s,
             peak_memory=proxy.peak_memory,
-            descriptors=self._most_descriptors,
+            descriptors=self._max_descriptors,
             connections=self._fleet.endpoints.accepted,
             list_bytes=discovery.list_bytes,
             share_served=clients.served / self._scenario.calls,
@@ -224,26 +225,26 @@
         )
 
 
-def play(scenario: Scenario) -> Result:
-    """Play one row, in a folder of its own.
+def run_scenario(scenario: Scenario) -> Result:
+    """Run a scenario once, in a temporary folder.
 
     Raises:
-        ProxyEndedError: The proxy has ended, does not listen or does not open its watch anew.
-        OSError: A stand-in cannot listen, the proxy accepts no connection, or it ended during the play.
+        ProxyEndedError: The proxy has exited, does not listen or does not reopen its watch.
+        OSError: A stand-in cannot listen, or the proxy accepts no connection or exited during the run.
     """
     raise_descriptor_limit()
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(Play(scenario, Path(folder)).run())
+        return asyncio.run(ScenarioRun(scenario, Path(folder)).run())
 
 
-def play_mean(scenario: Scenario, proxies: int) -> Result:
-    """Play one row with several proxies, one after another, and return the mean figures.
+def run_scenario_mean(scenario: Scenario, proxies: int) -> Result:
+    """Run a scenario with several proxies, one after another, and return the mean figures.
 
     Raises:
-        ProxyEndedError: As `play`; the plays that are over are lost.
-        OSError: As `play`.
+        ProxyEndedError: As for `run_scenario`; the results of completed runs are discarded.
+        OSError: As for `run_scenario`.
     """
-    results = [play(replace(scenario, number=number)) for number in range(proxies)]
+    results = [run_scenario(replace(scenario, number=number)) for number in range(proxies)]
     means = (statistics.fmean(values) for values in zip(*(astuple(r.figures) for r in results), strict=True))
     return Result(
         scenario,
@@ -257,18 +258,18 @@
 
 
 def raise_descriptor_limit() -> None:
-    """Make room for thousands of listeners, as far as the system lets us."""
+    """Raise the soft limit of file descriptors to WANTED_DESCRIPTORS, as far as the hard limit allows."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = DESCRIPTORS_WANTED if hard == resource.RLIM_INFINITY else min(DESCRIPTORS_WANTED, hard)
+    wanted = WANTED_DESCRIPTORS if hard == resource.RLIM_INFINITY else min(WANTED_DESCRIPTORS, hard)
     if soft != resource.RLIM_INFINITY and soft < wanted:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
 
 
-def read_row(text: str) -> tuple[int, int]:
-    """Read `endpoints/instances`.
+def parse_fleet_size(text: str) -> tuple[int, int]:
+    """Parse a fleet size in the form `endpoints/instances`.
 
     Raises:
-        ValueError: One of them is no number, or is under 1.
+        ValueError: A part is not an integer or is below 1.
     """
     endpoints, _, instances = text.partition("/")
     if int(endpoints) < 1 or int(instances) < 1:
@@ -277,40 +278,56 @@
 
 
 def read_arguments() -> argparse.Namespace:
-    """Read the command line; a wrong one ends the program with code 2 and the usage."""
+    """Parse the command line; print the usage and exit with code 2 if it is invalid."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    parser.add_argument("--play", choices=PLAYS, default="steady", help="what happens besides replacements")
-    parser.add_argument("--rows", nargs="+", type=read_row, default=ROWS, help="endpoints/instances")
-    parser.add_argument("--seconds", type=float, default=10.0, help="length of a play")
-    parser.add_argument("--calls", type=float, default=30.0, help="a second")
-    parser.add_argument("--proxies", type=int, default=1, help="played one after another, for the mean")
-    parser.add_argument("--json", type=Path, help="where to write the result")
+    parser.add_argument(
+        "--play", choices=SCENARIOS, default="steady", help="scenario: what happens besides replacements"
+    )
+    parser.add_argument(
+        "--rows",
+        nargs="+",
+        type=parse_fleet_size,
+        default=FLEET_SIZES,
+        help="fleet sizes, endpoints/instances",
+    )
+    parser.add_argument("--seconds", type=float, default=10.0, help="duration of a scenario")
+    parser.add_argument("--calls", type=float, default=30.0, help="requests per second")
+    parser.add_argument(
+        "--proxies", type=int, default=1, help="number of proxies, run one after another, for the mean"
+    )
+    parser.add_argument("--json", type=Path, help="file that the results are written to")
     return parser.parse_args()
 
 
 def main() -> int:
-    """Play the rows, print the table and the broken limits, and return the exit code."""
-    asked = read_arguments()
-    scenario = replace(PLAYS[asked.play], seconds=asked.seconds, calls=round(asked.calls * asked.seconds))
-    described = machine()
+    """Run the scenario for each fleet size, print the results and return the exit code."""
+    arguments = read_arguments()
+    scenario = replace(
+        SCENARIOS[arguments.play], seconds=arguments.seconds, calls=round(arguments.calls * arguments.seconds)
+    )
+    machine_description = describe_machine()
     try:
-        rows = [replace(scenario, endpoints=n, instances=m) for n, m in asked.rows]
-        results = [play_mean(row, asked.proxies) for row in rows]
+        rows = [replace(scenario, endpoints=n, instances=m) for n, m in arguments.rows]
+        results = [run_scenario_mean(row, arguments.proxies) for row in rows]
     except ProxyEndedError as error:
         print(error, file=sys.stderr)
         return 2
-    print(table(results))
+    print(results_table(results))
     for result in results:
         if not result.settled:
-            print(f"{result.scenario.name}: measured while it still worked on what it had been sent")
-    wrong = breaks(results)
-    for name, figures in wrong.items():
+            print(f"{result.scenario.name}: measured while the proxy was still processing its input")
+    violations = violations_by_fleet(results)
+    for name, figures in violations.items():
         for figure in figures:
             print(f"BROKEN {name}: {figure}")
-    if asked.json is not None:
-        content = {"machine": described, "play": asked.play, "results": [asdict(r) for r in results]}
-        asked.json.write_text(json.dumps(content, indent=1) + "\n")
-    return 1 if wrong else 0
+    if arguments.json is not None:
+        content = {
+            "machine": machine_description,
+            "play": arguments.play,
+            "results": [asdict(r) for r in results],
+        }
+        arguments.json.write_text(json.dumps(content, indent=1) + "\n")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/stand_ins.py
+++ b/benchmarks/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what a proxy talks to: endpoints and discovery, on loopback, by the protocol."""
+"""Stand-ins for the endpoints and the discovery of a proxy, on loopback addresses."""
 
 from __future__ import annotations
 
@@ -10,60 +10,67 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-HEARTBEAT_S = 2.0  # an empty line comes this often while nothing changes
+HEARTBEAT_S = 2.0  # an empty line is sent at this interval
 BACKLOG = 64
 WATCH_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
-SINCE = re.compile(r"[?&]since=(\d+)")
+SINCE_PARAMETER = re.compile(r"[?&]since=(\d+)")
 HEAD_END = b"\r\n\r\n"
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok"
 
 
 def loopback_hosts() -> Iterator[str]:
-    """Yield addresses of this machine alone: one for each listener, so that ports never run out."""
-    for third in range(1, 255):
-        for fourth in range(1, 255):
-            yield f"127.77.{third}.{fourth}"
+    """Yield loopback addresses. Each listener gets its own, so that ports are not exhausted."""
+    for third_octet in range(1, 255):
+        for fourth_octet in range(1, 255):
+            yield f"127.77.{third_octet}.{fourth_octet}"
 
 
 class EndpointConnection(asyncio.Protocol):
-    """Answers each request with 200, a short while after its head; requests have no body here."""
+    """Connection of an endpoint that sends a 200 response some time after each request head.
+
+    Requests must not have a body.
+    """
 
     def __init__(self, endpoints: EndpointStandIns) -> None:
-        """Answer for one of these endpoints, which count what comes and set the time that a call takes."""
+        """Initialize a connection.
+
+        Args:
+            endpoints: The endpoints, which count connections and requests and define the response time.
+        """
         self._endpoints = endpoints
-        self._read = b""
+        self._buffer = b""
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count a connection that the system has accepted."""
+        """Store the transport and count the accepted connection."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self._endpoints.accepted += 1
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of requests, and have each head that is complete answered later."""
-        self._read += data
-        while HEAD_END in self._read:
-            _, _, self._read = self._read.partition(HEAD_END)
+        """Buffer request bytes, and schedule a response for each complete head."""
+        self._buffer += data
+        while HEAD_END in self._buffer:
+            _, _, self._buffer = self._buffer.partition(HEAD_END)
             self._endpoints.requests += 1
-            asyncio.get_running_loop().call_later(self._endpoints.service_s, self._answer)
+            asyncio.get_running_loop().call_later(self._endpoints.service_s, self._send_response)
 
-    def _answer(self) -> None:
+    def _send_response(self) -> None:
         if not self.transport.is_closing():
-            self.transport.write(ANSWER)
+            self.transport.write(RESPONSE)
 
 
 class EndpointStandIns:
-    """Many endpoints in one process, each a listener of its own."""
+    """Many endpoints in one process, each with its own listener."""
 
     def __init__(self, service_s: float) -> None:
-        """Set them up with no endpoint yet.
+        """Initialize without endpoints.
 
         Args:
-            service_s: The time from a request's head to its answer, in seconds.
+            service_s: The time from a request's head to its response.
         """
         self.service_s = service_s
-        self.accepted = 0  # connections, over all endpoints
+        self.accepted = 0  # connections to all endpoints
         self.requests = 0
         self._hosts = loopback_hosts()
         self._servers: dict[str, asyncio.Server] = {}
@@ -73,32 +80,32 @@
         """Start one more endpoint and return its address, `host:port`.
 
         Raises:
-            OSError: It cannot listen, as for want of a descriptor.
+            OSError: The endpoint cannot listen, for example because no file descriptor is available.
         """
-        taken: list[EndpointConnection] = []
+        connections: list[EndpointConnection] = []
 
-        def take() -> EndpointConnection:
-            taken.append(connection := EndpointConnection(self))
+        def accept_connection() -> EndpointConnection:
+            connections.append(connection := EndpointConnection(self))
             return connection
 
         host = next(self._hosts)
-        server = await asyncio.get_running_loop().create_server(take, host, 0, backlog=BACKLOG)
+        server = await asyncio.get_running_loop().create_server(accept_connection, host, 0, backlog=BACKLOG)
         address = f"{host}:{server.sockets[0].getsockname()[1]}"
-        self._servers[address], self._connections[address] = server, taken
+        self._servers[address], self._connections[address] = server, connections
         return address
 
     def stop(self, address: str) -> None:
-        """End an endpoint; its connections are reset, as when a process dies.
+        """Stop an endpoint and abort its connections, as when a process is killed.
 
         Raises:
-            KeyError: There is no endpoint at this address.
+            KeyError: No endpoint has this address.
         """
         self._servers.pop(address).close()
         for connection in self._connections.pop(address):
             connection.transport.abort()
 
     def stop_all(self) -> None:
-        """End all endpoints that are still there."""
+        """Stop all remaining endpoints."""
         for address in list(self._servers):
             self.stop(address)
 
@@ -108,106 +115,113 @@
 
 @dataclass(eq=False)
 class Watcher:
-    """An open watch. A silent one gets neither changes nor heartbeats any more."""
+    """An open watch. A silent watch gets neither changes nor heartbeats."""
 
     writer: asyncio.StreamWriter
-    silent: bool = False
+    is_silent: bool = False
 
-    def tell(self, text: bytes) -> None:
-        """Write one line of the list's stream as a chunk of its own."""
+    def write_chunk(self, text: bytes) -> None:
+        """Write one line of the stream as one HTTP chunk."""
         self.writer.write(b"%x\r\n%s\r\n" % (len(text), text))
 
 
 @dataclass
 class Discovery:
-    """The list, its versions and the open watches. One per proxy, like the agent on its machine."""
+    """Discovery of one proxy: the endpoint list with its versions, and the open watches.
+
+    Each proxy has its own, like the discovery agent on its machine.
+    """
 
     rev: int = 1
-    list_bytes: int = 0  # of all lists written, without framing and heartbeats
+    list_bytes: int = 0  # of all lists sent, without HTTP framing and heartbeats
     complete_lists: int = 0
-    complete_list_bytes: int = 0  # the part of `list_bytes` that was of complete lists
-    watches: int = 0  # that were opened
-    _entries: dict[str, tuple[int, Entry]] = field(default_factory=dict)  # by uid, each with its version
+    complete_list_bytes: int = 0  # part of `list_bytes` for complete lists
+    watches: int = 0  # number of watches opened so far
+    _entries: dict[str, tuple[int, Entry]] = field(
+        default_factory=dict
+    )  # by uid, each with the version of its last change
     _watchers: set[Watcher] = field(default_factory=set)
     _servers: list[asyncio.Server] = field(default_factory=list)
-    _heart: asyncio.Task[None] | None = None
+    _heartbeat_task: asyncio.Task[None] | None = None
 
     async def listen(self) -> str:
-        """Listen at one more address, and return it: discovery that is moved has the same list.
+        """Listen on one more address, which serves the same list, and return the address.
 
         Raises:
-            OSError: It cannot listen, as for want of a descriptor.
+            OSError: Discovery cannot listen, for example because no file descriptor is available.
         """
-        server = await asyncio.start_server(self._watch, "127.0.0.1", 0)
+        server = await asyncio.start_server(self._serve_watch, "127.0.0.1", 0)
         self._servers.append(server)
-        if self._heart is None:
-            self._heart = asyncio.create_task(self._beat())
+        if self._heartbeat_task is None:
+            self._heartbeat_task = asyncio.create_task(self._send_heartbeats())
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
     def stop(self) -> None:
-        """Stop listening and beating, and reset all watches."""
-        if self._heart is not None:
-            self._heart.cancel()
+        """Stop listening and sending heartbeats, and abort all watches."""
+        if self._heartbeat_task is not None:
+            self._heartbeat_task.cancel()
         for server in self._servers:
             server.close()
         for watcher in self._watchers:
             watcher.writer.transport.abort()
 
     def add(self, uid: str, address: str, cell: int) -> None:
-        """Add one of the endpoints that are there from the start; no watch is notified."""
-        self._entries[uid] = (self.rev, entry(uid, address, cell, boot_ms=0))
+        """Add an initial endpoint without a new version or a notification of watches."""
+        self._entries[uid] = (self.rev, endpoint_entry(uid, address, cell, boot_ms=0))
 
     def complete_list(self) -> dict[str, object]:
-        """Return the list as it is now, in the protocol's form."""
-        there = [e for _, e in self._entries.values() if e["state"] != "terminated"]
-        return {"rev": self.rev, "all": True, "targets": there}
+        """Return the current complete list in the format of the protocol."""
+        present = [e for _, e in self._entries.values() if e["state"] != "terminated"]
+        return {"rev": self.rev, "all": True, "targets": present}
 
-    def change(self, uid: str, state: str) -> None:
-        """Change an endpoint's state and notify all watches that are not silent.
+    def change_state(self, uid: str, state: str) -> None:
+        """Change the state of an endpoint and notify all watches that are not silent.
 
         Raises:
-            KeyError: The list has no endpoint of this uid.
+            KeyError: No endpoint has this uid.
         """
         self._push({**self._entries[uid][1], "state": state})
 
-    def join(self, uid: str, address: str, cell: int) -> None:
-        """Add an endpoint that has just started, and notify all watches that are not silent."""
-        self._push(entry(uid, address, cell, boot_ms=time.time_ns() // 1_000_000))
+    def add_and_notify(self, uid: str, address: str, cell: int) -> None:
+        """Add an endpoint that started now, and notify all watches that are not silent."""
+        self._push(endpoint_entry(uid, address, cell, boot_ms=time.time_ns() // 1_000_000))
 
-    def fall_silent(self) -> None:
-        """Have all watches that are open now stay open and send nothing more."""
+    def silence_watches(self) -> None:
+        """Keep the currently open watches open without sending anything more on them."""
         for watcher in self._watchers:
-            watcher.silent = True
+            watcher.is_silent = True
 
     def _push(self, changed: Entry) -> None:
         self.rev += 1
         self._entries[str(changed["uid"])] = (self.rev, changed)
-        news = {"rev": self.rev, "all": False, "targets": [changed]}
+        update = {"rev": self.rev, "all": False, "targets": [changed]}
         for watcher in self._watchers:
-            if not watcher.silent:
-                self._tell(watcher, news)
+            if not watcher.is_silent:
+                self._send_list(watcher, update)
 
-    def _since(self, rev: int) -> dict[str, object]:
+    def _changes_since(self, rev: int) -> dict[str, object]:
         changed = sorted(((v, str(e["uid"])) for v, e in self._entries.values() if v > rev))
         targets = [self._entries[uid][1] for _, uid in changed]
         return {"rev": self.rev, "all": False, "targets": targets}
 
-    def _tell(self, watcher: Watcher, news: dict[str, object]) -> None:
-        text = json.dumps(news, separators=(",", ":")).encode() + b"\n"
+    def _send_list(self, watcher: Watcher, update: dict[str, object]) -> None:
+        text = json.dumps(update, separators=(",", ":")).encode() + b"\n"
         self.list_bytes += len(text)
-        if news["all"]:
+        if update["all"]:
             self.complete_lists += 1
             self.complete_list_bytes += len(text)
-        watcher.tell(text)
+        watcher.write_chunk(text)
 
-    async def _watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         watcher = Watcher(writer)
         try:
             head = (await reader.readuntil(HEAD_END)).decode()
-            since = SINCE.search(head.partition("\r\n")[0])
+            since = SINCE_PARAMETER.search(head.partition("\r\n")[0])
             self.watches += 1
             writer.write(WATCH_HEAD)
-            self._tell(watcher, self.complete_list() if since is None else self._since(int(since[1])))
+            self._send_list(
+                watcher, self.complete_list() if since is None else self._changes_since(int(since[1]))
+            )
             self._watchers.add(watcher)
             await reader.read()
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -216,17 +230,17 @@
             self._watchers.discard(watcher)
             writer.transport.abort()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await asyncio.sleep(HEARTBEAT_S)
             for watcher in self._watchers:
-                if not watcher.silent:
+                if not watcher.is_silent:
                     with suppress(ConnectionError):
-                        watcher.tell(b"\n")
+                        watcher.write_chunk(b"\n")
 
 
-def entry(uid: str, address: str, cell: int, boot_ms: int) -> Entry:
-    """Return one endpoint of discovery's list, in service."""
+def endpoint_entry(uid: str, address: str, cell: int, boot_ms: int) -> Entry:
+    """Return the list entry of an endpoint that is in service."""
     return {
         "uid": uid,
         "endpoint": address,
--- a/load_balancer/net/driver/attempt_dispatcher.py
+++ b/load_balancer/net/driver/attempt_dispatcher.py
@@ -115,7 +115,7 @@
         if attempt is None:
             return
         if action.request_id in self._requests:
-            attempt.cancel_unanswered()
+            attempt.cancel_without_response()
         else:  # its request has ended, which is no evidence about the endpoint
             attempt.cancel()
 
@@ -136,7 +136,7 @@
             # If one idle connection was stale, others that were idle over the same time may be stale too and
             # would use up the remaining attempts.
             is_idempotent=is_idempotent and not request.has_used_stale_connection,
-            is_awaited=partial(self._is_client_waiting, request),
+            is_client_waiting=partial(self._is_client_waiting, request),
         )
 
     def _finish(
