--- a/load_balancer/net/upstream/request_checks.py
+++ b/load_balancer/net/upstream/request_checks.py
@@ -71,7 +71,7 @@
     # be mistaken for the response to this one. Or the end of the stream may have arrived, and a request
     # written after it counts as one that may have run. If the system cannot tell, an idle connection is not
     # used, but a new one is.
-    if socket_state.has_unread_bytes(transport, unknown=was_idle):
+    if socket_state.has_unread_bytes(transport, default=was_idle):
         # A stale idle connection is no sign of a failed endpoint; a failed new connection is.
         return Outcome.NOT_SENT if was_idle else Outcome.NO_CONNECTION
     # The client may have disconnected since the decision to send, without that having been read yet: the
--- a/load_balancer/process/reload.py
+++ b/load_balancer/process/reload.py
@@ -82,7 +82,7 @@
                 log.warning("configuration reload: the change of %s needs a restart and is not applied", name)
         if new_config.discovery != self._config.discovery:
             log.info("configuration reload: discovery address changed to %s:%d", *new_config.discovery)
-            self._driver.move_discovery(new_config.discovery)
+            self._driver.change_discovery_address(new_config.discovery)
         # Fields that need a restart keep their old values, so that the next reload logs the change again.
         self._config = replace(self._config, discovery=new_config.discovery)
 
