--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -188,4 +188,4 @@
     ):
         assert (await proxy.send_request(http_request(request_id="a1")))[2] == b"x"
         assert lost == ["a1"]
-        assert not proxy.driver.balancer.health.pending
+        assert not proxy.driver.balancer.health_checker.pending
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -136,8 +136,8 @@
         endpoint_count=0,
     )
     harness.update_endpoint_list(*ZONES)
-    harness.balancer.limit.attempts = 20.0
-    harness.balancer.limit.split(harness.balancer.endpoints.subset)
+    harness.balancer.concurrency_limit.attempts = 20.0
+    harness.balancer.concurrency_limit.split(harness.balancer.endpoints.subset)
     read_class = harness.balancer.request_factory.classes["read"]
     for state in harness.balancer.endpoints.states.values():
         if state.endpoint.zone == "a":
