--- a/load_balancer/policy/change_detector.py
+++ b/load_balancer/policy/change_detector.py
@@ -8,9 +8,11 @@
 
 import math
 
-MEAN_ALPHA = 0.05  # weight of a new sample in the mean; the published 0.5 scored slightly lower everywhere
-DETECTABLE_SHIFT = 0.25  # smallest shift to detect, as a share of the first-epoch mean; the published value
-RUN_LENGTH = 30  # nominal samples between false alarms; a full-size fleet sees ten alarms a day
+MEAN_ALPHA = 0.05  # weight of a new sample in the mean; Cardellini and Iannucci use 0.5
+DETECTABLE_SHIFT = 0.25  # smallest shift to detect, as a share of the first-epoch mean, as published
+# Samples between false alarms that the threshold is set for. In a large fleet a balancer takes only about ten
+# samples of each endpoint a day.
+RUN_LENGTH = 30
 SPREAD_ALPHA = 0.05  # weight of a new sample in the running variance
 PRIOR_SAMPLES = 5.0  # samples of the usual value that a new detector starts with
 MIN_EPOCH_MEAN = 0.05  # lower bound of an epoch mean, so that a share stays finite
