--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -1,7 +1,7 @@
-"""The dispatch of a balancer's events to the parts that decide.
+"""The balancer, which dispatches events to the components of the policy and collects their actions.
 
-`Balancer.handle` is called by the event loop driver and by the simulator's adapter, which carry out the
-actions that it returns. One instance owns all of its parts; instances share nothing.
+`Balancer.handle` is called by the event loop driver and by the simulator's adapter, which perform the
+actions that it returns. Each instance owns all of its components; instances share no state.
 """
 
 from __future__ import annotations
@@ -28,36 +28,41 @@
 from load_balancer.policy.slow_start import SlowStart
 from load_balancer.policy.subscription import Subscription
 
-MARGIN_TICKS = 2  # of the settings' `tick_us`: kept back from deadlines
+DEADLINE_MARGIN_TICKS = 2  # ticks of `Settings.tick_us` by which deadlines are brought forward
 
 
 class Balancer:
-    """One instance. Feed it events with `handle`, carry out the actions it returns, in order."""
+    """One load balancer, which turns events into actions that are to be performed in order."""
 
     def __init__(self, settings: messages.Settings, seed: int) -> None:
-        """Build the parts, from what endpoints are to what requests do. Equal seeds and events act alike."""
+        """Create the components of the policy.
+
+        Args:
+            settings: The settings of this balancer.
+            seed: The seed of its random numbers. The same seed and events give the same actions.
+        """
         limits = settings.limits
         self.settings = settings
-        self.margin_us = MARGIN_TICKS * settings.tick_us
+        self.margin_us = DEADLINE_MARGIN_TICKS * settings.tick_us
         self.outbox = outbox = Outbox()
-        # A random stream of its own: asking discovery again leaves the draws alone.
+        # A separate random number generator, so that subscriptions do not change the selection of endpoints.
         self.subscription = Subscription(settings, random.Random(seed + 1), outbox)
 
         self.selector = Selector(settings, seed)
         self.slow_start = SlowStart(settings)
         self.endpoints = EndpointList(settings, outbox, self.selector.is_remote, self.slow_start)
-        self.limit = ConcurrencyLimit()
+        self.concurrency_limit = ConcurrencyLimit()
         self.router = Router(settings, self.endpoints, self.slow_start, self.selector, self.margin_us)
 
         self.scan_timer = ScanTimer(limits, outbox)
         self.dispatcher = AttemptDispatcher(limits, outbox, self.router, self.slow_start, self.scan_timer)
         self.open_requests = OpenRequests(limits, outbox, self.margin_us)
-        self.queue = AdmissionQueue(outbox, self.open_requests, self.dispatcher, self.limit)
+        self.queue = AdmissionQueue(outbox, self.open_requests, self.dispatcher, self.concurrency_limit)
         self.request_factory = RequestFactory(settings, self.margin_us)
         self.retry_budget = RetryBudget()
-        self.requests = self._new_request_handler()
+        self.request_handler = self._new_request_handler()
 
-        self.health = HealthChecker(
+        self.health_checker = HealthChecker(
             outbox,
             self.scan_timer,
             try_spend_check_token=self.slow_start.try_spend_check_token,
@@ -73,17 +78,17 @@
             self.open_requests,
             self.dispatcher,
             self.queue,
-            OutcomeLearner(self.outbox, self.endpoints, self.slow_start, self.limit),
+            OutcomeLearner(self.outbox, self.endpoints, self.slow_start, self.concurrency_limit),
             RetryRule(self.settings.limits, self.router, self.retry_budget),
         )
 
     def start(self, now_us: int) -> list[messages.Action]:
-        """Return the first actions, before any event."""
+        """Return the actions to perform before the first event."""
         self.subscription.start()
         return self.outbox.drain()
 
     def handle(self, now_us: int, event: messages.Event) -> list[messages.Action]:
-        """Take one event and return the actions to perform, in order. `now_us` never runs backwards."""
+        """Handle one event and return the actions to perform, in order. `now_us` must never decrease."""
         self._dispatch(now_us, event)
         self.queue.dispatch_waiting(now_us)
         return self.outbox.drain()
@@ -91,48 +96,48 @@
     def _dispatch(self, now_us: int, event: messages.Event) -> None:
         match event:
             case messages.Request():
-                self.requests.request_arrived(now_us, event)
+                self.request_handler.handle_request(now_us, event)
             case messages.AttemptEnded():
-                self.requests.attempt_ended(now_us, event)
+                self.request_handler.handle_attempt_ended(now_us, event)
             case messages.TimerFired():
-                self._timer_fired(now_us, event.timer)
+                self._handle_timer(now_us, event.timer_id)
             case messages.EndpointListUpdate():
-                self._list_updated(now_us, event)
+                self._apply_list_update(now_us, event)
             case messages.HealthCheckEnded():
-                self.health.check_ended(now_us, event)
+                self.health_checker.check_ended(now_us, event)
             case messages.ClientGone():
-                self.open_requests.client_gone(event.request)
+                self.open_requests.handle_client_gone(event.request_id)
             case messages.ShutdownStarted():
                 self.open_requests.finish_all()
             case messages.StreamStarted():
-                self.open_requests.stream_started(event.request)
+                self.open_requests.handle_stream_started(event.request_id)
 
-    def _timer_fired(self, now_us: int, timer: int) -> None:
-        match self.outbox.timer_fired(timer):
+    def _handle_timer(self, now_us: int, timer_id: int) -> None:
+        match self.outbox.pop_timer(timer_id):
             case RequestDeadline(request_id=request_id):
-                self.open_requests.deadline_due(request_id)
+                self.open_requests.handle_deadline(request_id)
             case QueueScan():
-                self.queue.scan_due()
+                self.queue.mark_scan_fired()
             case AttemptScan():
                 self._scan_attempts(now_us)
             case Resubscribe():
                 self.subscription.subscribe(now_us)
 
     def _scan_attempts(self, now_us: int) -> None:
-        self.scan_timer.fired()
+        self.scan_timer.mark_fired()
         if self.settings.limits.health_checks:
-            self.health.check_endpoints(now_us, self.endpoints, self.dispatcher.in_flight.values())
+            self.health_checker.check_endpoints(now_us, self.endpoints, self.dispatcher.in_flight.values())
         else:
             self.silent_attempts.abandon_silent(now_us)
 
-    def _list_updated(self, now_us: int, update: messages.EndpointListUpdate) -> None:
+    def _apply_list_update(self, now_us: int, update: messages.EndpointListUpdate) -> None:
         if update.kind is messages.EndpointListKind.FAILED:
-            self.subscription.subscription_failed(now_us)
+            self.subscription.handle_failure(now_us)
             return
         if update.kind is not messages.EndpointListKind.CACHED:
-            self.subscription.list_received()
+            self.subscription.reset_backoff()
         self.endpoints.apply(now_us, update)
-        sharing_balancers = self.endpoints.sharing_balancers
-        self.slow_start.subset_changed(now_us, self.endpoints.subset, sharing_balancers)
-        self.limit.set_sharing_balancers(sharing_balancers)
-        self.limit.split(self.endpoints.subset)
+        balancers_per_endpoint = self.endpoints.balancers_per_endpoint
+        self.slow_start.subset_changed(now_us, self.endpoints.subset, balancers_per_endpoint)
+        self.concurrency_limit.set_sharing_balancers(balancers_per_endpoint)
+        self.concurrency_limit.split(self.endpoints.subset)
--- a/load_balancer/policy/class_state.py
+++ b/load_balancer/policy/class_state.py
@@ -41,12 +41,12 @@
         """
         if not request.retry:
             self.longest_first_time_remaining_us = max(
-                self.longest_first_time_remaining_us, request.time_left_us
+                self.longest_first_time_remaining_us, request.time_remaining_us
             )
             return 0
-        if abs(request.time_left_us - self.longest_first_time_remaining_us) <= tolerance_us:
+        if abs(request.time_remaining_us - self.longest_first_time_remaining_us) <= tolerance_us:
             return 0
-        return max(0, self.settings.deadline_us - request.time_left_us)
+        return max(0, self.settings.deadline_us - request.time_remaining_us)
 
     def add_result(self, *, served_in_time: bool) -> None:
         """Update the served share with a finished request."""
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         """Create an unset limit; the first endpoint list sets it."""
         self.attempts_per_endpoint = 0.0  # of this balancer, in flight
-        self.sharing_balancers = 1.0  # balancers that have each endpoint in their subset
+        self.balancers_per_endpoint = 1.0  # balancers that have each endpoint in their subset
         self._was_reached = False  # since the limit was last raised
         self._relative_latency = 0.0  # running mean
         self._decreased_at_us = 0
@@ -40,9 +40,11 @@
         overload the endpoints before the first late responses lower the limits.
         """
         balancers = max(1.0, balancers)
-        total = self.attempts_per_endpoint * self.sharing_balancers if self.attempts_per_endpoint else 0.0
+        total = (
+            self.attempts_per_endpoint * self.balancers_per_endpoint if self.attempts_per_endpoint else 0.0
+        )
         initial = max(INITIAL_LIMIT, min(INITIAL_SHARED_LIMIT, balancers))
-        self.sharing_balancers = balancers
+        self.balancers_per_endpoint = balancers
         self.attempts_per_endpoint = (total or initial) / balancers
 
     def mark_reached(self) -> None:
@@ -78,14 +80,14 @@
         if attempt.sent_at_us < self._decreased_at_us:
             return
         self.attempts_per_endpoint = max(
-            MIN_LIMIT / self.sharing_balancers, self.attempts_per_endpoint * LIMIT_DECREASE_FACTOR
+            MIN_LIMIT / self.balancers_per_endpoint, self.attempts_per_endpoint * LIMIT_DECREASE_FACTOR
         )
         self._decreased_at_us = now_us
 
     def _increase(self, subset_size: int) -> None:
         self.attempts_per_endpoint += (
             LIMIT_INCREASE_PER_ROUND
-            / self.sharing_balancers
+            / self.balancers_per_endpoint
             / max(1.0, self.attempts_per_endpoint * subset_size)
         )
         self._was_reached = False
--- a/load_balancer/policy/health_check.py
+++ b/load_balancer/policy/health_check.py
@@ -69,7 +69,7 @@
         """Apply the result of a check to all incarnations that were checked."""
         for state in self.pending.pop(event.endpoint_id, []):
             state.health.is_pending = False
-            if event.alive:
+            if event.is_alive:
                 state.health.missed_checks = 0
                 if event.in_flight is not None:
                     self._abandon_lost_attempts(now_us, state, event.in_flight)
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -36,7 +36,7 @@
 
     def is_remote(self, endpoint: messages.Endpoint) -> bool:
         """Return whether the endpoint is in another zone and crossing zones has a price."""
-        return self._settings.cross_zone_price > 0.0 and endpoint.zone != self._settings.zone
+        return self._settings.cross_zone_cost > 0.0 and endpoint.zone != self._settings.zone
 
     def pick(self, now_us: int, candidates: Sequence[EndpointState]) -> Selection:
         """Select the endpoint with the lower load of two draws by share.
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -16,7 +16,7 @@
 from collections.abc import Sequence
 
 from load_balancer import messages
-from load_balancer.policy.attempt import LastAttempt
+from load_balancer.policy.attempt import LastAttemptResult
 from load_balancer.policy.attempt_rate import AttemptRate
 from load_balancer.policy.endpoint_state import EndpointState
 from load_balancer.policy.phase import staggered_phase
@@ -45,7 +45,7 @@
         self._rules = settings.rules
         self.first_attempts = AttemptRate()
         self._subset: Sequence[EndpointState] = ()
-        self._sharing_balancers = 1.0
+        self._balancers_per_endpoint = 1.0
         # When the first endpoint of the subset is warm; until then all of them are warming up.
         self.first_warm_at_us = 0
         # This balancer's first attempts per microsecond when the subset last lost its only warm endpoints.
@@ -56,9 +56,11 @@
         phase = staggered_phase(self._settings.index, endpoint_id)
         return WarmingState(phase, now_us, TokenBucket(1.0 - phase, updated_at_us=now_us))
 
-    def subset_changed(self, now_us: int, subset: Sequence[EndpointState], sharing_balancers: float) -> None:
+    def subset_changed(
+        self, now_us: int, subset: Sequence[EndpointState], balancers_per_endpoint: float
+    ) -> None:
         """Set the subset and the number of balancers that have each of its endpoints in their subset."""
-        self._sharing_balancers = sharing_balancers
+        self._balancers_per_endpoint = balancers_per_endpoint
         if subset == self._subset:  # the start time of an incarnation never changes
             return
         self._subset = subset
@@ -100,7 +102,7 @@
 
     def admits_untested(self, now_us: int, state: EndpointState, capacity: float) -> bool:
         """Return whether this balancer's very first attempt at an endpoint is admitted without a token."""
-        is_untested = state.last_attempt is LastAttempt.NONE
+        is_untested = state.last_attempt is LastAttemptResult.NONE
         return is_untested and self.is_first_attempt_slot(now_us, state, capacity)
 
     @staticmethod
@@ -122,7 +124,7 @@
         window_us = self._rules.overload_window_us
         # Attempts of a burst after all endpoints started to warm up don't count: it raises no capacity.
         rate = self._rate_before_all_warming or self.first_attempts.per_us(now_us)
-        rate *= self._sharing_balancers / max(1, len(self._subset))  # per endpoint, all balancers
+        rate *= self._balancers_per_endpoint / max(1, len(self._subset))  # per endpoint, all balancers
         budget = rate * window_us * self._rules.overload_multiple * capacity
         slots_per_window = (
             UNBUDGETED_FIRST_ATTEMPTS + UNBUDGETED_STANDARD_DEVIATIONS * math.sqrt(budget)
@@ -130,10 +132,10 @@
         # Slots expire after an overload window and recur later. Unused slots that did not expire could be
         # used by many balancers at once, in a burst.
         windows = 1.0 + (now_us - state.warming.first_listed_at_us) / window_us
-        position = slots_per_window * windows - state.warming.phase * self._sharing_balancers
+        position = slots_per_window * windows - state.warming.phase * self._balancers_per_endpoint
         return (
-            slots_per_window >= self._sharing_balancers
-            or position % self._sharing_balancers < slots_per_window
+            slots_per_window >= self._balancers_per_endpoint
+            or position % self._balancers_per_endpoint < slots_per_window
         )
 
     def try_spend_check_token(self, now_us: int, state: EndpointState) -> bool:
@@ -173,10 +175,10 @@
         """Return the refill rate of this balancer's bucket for an endpoint, in tokens per microsecond."""
         # The minimum is one attempt per overload window from all balancers together: one from each balancer
         # would exceed the budget.
-        min_rate = 1.0 / (self._sharing_balancers * self._rules.overload_window_us)
+        min_rate = 1.0 / (self._balancers_per_endpoint * self._rules.overload_window_us)
         rate = max(self._first_attempt_rate(now_us) / max(1, len(self._subset)), min_rate)
         if state not in self._subset:  # gets retries only, but from all balancers
-            rate *= RETRIES_PER_REQUEST * self._sharing_balancers / max(1, self._settings.instances)
+            rate *= RETRIES_PER_REQUEST * self._balancers_per_endpoint / max(1, self._settings.instances)
         return rate * (BUDGET_UTILIZATION * self._rules.overload_multiple * self.capacity(now_us, state))
 
     def _first_attempt_rate(self, now_us: int) -> float:
