--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -149,7 +149,10 @@
             changes.append(endpoint_entry(f"s-{number}", 9, "terminating"))
             changes.append(endpoint_entry(f"s-{number}", 9, "terminated"))
             changes.append(endpoint_entry(f"new-{number}", 9))
-        lists = [read_list(endpoint_list(entry, rev=rev, full=False)) for rev, entry in enumerate(changes, 2)]
+        lists = [
+            read_list(endpoint_list(entry, rev=rev, is_complete=False))
+            for rev, entry in enumerate(changes, 2)
+        ]
 
         def receive_lists() -> None:
             for changed in lists:
@@ -189,7 +192,7 @@
 def test_decision_does_not_examine_sixteen_times_the_endpoints() -> None:
     def cost(endpoint_count: int) -> int:
         harness = BalancerHarness(balancer_settings(instances=34, index=17), endpoint_count)
-        return lines_run(lambda: harness.request("r"))
+        return lines_run(lambda: harness.send_request("r"))
 
     assert cost(3200) < 8 * cost(200)
 
@@ -224,7 +227,7 @@
     """Return the lines of a failed attempt and its retry, and the endpoints that the retry may go to."""
     harness = harness_in_one_cell(key_scope, endpoint_count, seed)
     balancer = harness.balancer
-    [attempt] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.send_request("r", "write"), messages.StartAttempt)
     [request] = balancer.open_requests.by_id.values()
     lines = lines_run(lambda: harness.end_attempt(attempt, messages.Outcome.TIMEOUT))
     eligible = balancer.router.eligible_endpoints(harness.now_us, request)
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -21,7 +21,7 @@
         b"POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
         b"POST /api HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         http_request(request_id=""),
-        http_request(kind=""),
+        http_request(class_name=""),
         http_request(Req_Deadline="soon"),
         http_request(Req_Deadline="nan"),
         http_request(Req_Deadline="inf"),
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -119,7 +119,7 @@
 class World:
     def __init__(self, seed: int, proxy: LoopbackProxy) -> None:
         self.seed, self.p = seed, proxy
-        self.clock: SteppedClock = proxy.step_clocks()
+        self.clock: SteppedClock = proxy.use_stepped_clock()
         self.step = 0
         self.news = 0  # counts whatever happens
         self.late = 0  # second answers that are still to come
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -36,12 +36,12 @@
     LIST_DEADLINE_S,
     POLL_QUEUE_S,
     POLLED_SETTINGS,
-    DiscoveryCall,
+    DiscoveryRequest,
     StandInDiscovery,
-    advance_to_next_call,
-    answer_latest_call,
+    advance_to_next_request,
     list_chunk_of_version,
     record_watch_starts,
+    respond_to_latest_request,
     running_watch_count,
     watching_proxy,
 )
@@ -54,12 +54,12 @@
 )
 
 
-def half_a_list_and_reset(call: DiscoveryCall) -> None:
+def half_a_list_and_reset(call: DiscoveryRequest) -> None:
     call.send(WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30])
     call.writer.transport.abort()
 
 
-OUTAGES: dict[str, Callable[[DiscoveryCall], None]] = {
+OUTAGES: dict[str, Callable[[DiscoveryRequest], None]] = {
     "rejected": lambda call: call.send(http_response(503), end=True),
     "reset": lambda call: call.writer.transport.abort(),
     "ends at once": lambda call: call.send(b"", end=True),
@@ -85,7 +85,7 @@
 
 def all_is_small(discovery: StandInDiscovery, proxy: LoopbackProxy) -> None:
     """Assert that failed calls have left no task, timer or open call behind."""
-    assert sum(not call.closed_by_proxy.is_set() for call in discovery.calls) <= 1
+    assert sum(not call.closed_by_proxy.is_set() for call in discovery.requests) <= 1
     assert running_watch_count() <= 1
     assert len(proxy.driver.balancer.outbox.timers) <= 2
     assert len(proxy.driver.timers) <= 2
@@ -96,18 +96,18 @@
 @pytest.mark.parametrize("minutes", [2, 60])
 @pytest.mark.parametrize("mood", OUTAGES)
 async def test_change_is_applied_in_time_after_a_long_outage_and_nothing_accumulates(
-    setup: messages.Settings, mood: str, minutes: int, caplog: pytest.LogCaptureFixture
+    settings: messages.Settings, mood: str, minutes: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Discovery returns just after a call has failed, or while one is open that it never answers."""
 
-    async with watching_proxy(setup) as (discovery, proxy, clock):
-        await advance_until(clock, lambda: len(discovery.calls) == 1)
-        discovery.calls[0].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(1))
+    async with watching_proxy(settings) as (discovery, proxy, clock):
+        await advance_until(clock, lambda: len(discovery.requests) == 1)
+        discovery.requests[0].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(1))
         await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1)
         before = descriptors()
-        discovery.on_call = OUTAGES[mood]
+        discovery.on_request = OUTAGES[mood]
         caplog.clear()
-        discovery.calls[0].writer.transport.abort()
+        discovery.requests[0].writer.transport.abort()
         await outage(clock, 60.0 * minutes)
         lines = [r for r in caplog.records if r.levelno >= logging.WARNING]
         assert len(lines) <= LINES_MOST * (60.0 * minutes / FAILURE_LOG_WINDOW_S + 1)
@@ -117,11 +117,11 @@
         }  # the old list serves on
         all_is_small(discovery, proxy)
         assert descriptors() <= before + 2  # a call that is out: its two ends
-        waited = await advance_to_next_call(discovery, clock)  # the last one that fails
-        await advance_until(clock, discovery.calls[-1].closed_by_proxy.is_set)
-        discovery.on_call = lambda call: None
-        waited = await advance_to_next_call(discovery, clock) + await answer_latest_call(
-            discovery, proxy, clock, setup
+        waited = await advance_to_next_request(discovery, clock)  # the last one that fails
+        await advance_until(clock, discovery.requests[-1].closed_by_proxy.is_set)
+        discovery.on_request = lambda call: None
+        waited = await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
+            discovery, proxy, clock, settings
         )
         assert waited < LIST_DEADLINE_S
         assert proxy.driver.balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
@@ -129,11 +129,11 @@
 
 @EACH_SUBSCRIPTION
 async def test_change_is_applied_in_time_after_an_hour_of_refused_connections(
-    setup: messages.Settings,
+    settings: messages.Settings,
 ) -> None:
-    async with watching_proxy(setup) as (discovery, proxy, clock):
-        await advance_until(clock, lambda: len(discovery.calls) == 1)
-        discovery.calls[0].writer.transport.abort()
+    async with watching_proxy(settings) as (discovery, proxy, clock):
+        await advance_until(clock, lambda: len(discovery.requests) == 1)
+        discovery.requests[0].writer.transport.abort()
         discovery.server.stop_listening()
         await outage(clock, 3_600.0)
         all_is_small(discovery, proxy)
@@ -143,8 +143,8 @@
             discovery.server.accept, "127.0.0.1", discovery.server.port
         )
         assert (
-            await advance_to_next_call(discovery, clock)
-            + await answer_latest_call(discovery, proxy, clock, setup)
+            await advance_to_next_request(discovery, clock)
+            + await respond_to_latest_request(discovery, proxy, clock, settings)
             < LIST_DEADLINE_S
         )
 
@@ -154,19 +154,19 @@
 
     async with watching_proxy(POLLED_SETTINGS) as (discovery, proxy, clock):
         for rev in range(1, 41):
-            if len(discovery.calls) < rev:
-                assert await advance_to_next_call(discovery, clock) < 1.0
+            if len(discovery.requests) < rev:
+                assert await advance_to_next_request(discovery, clock) < 1.0
             assert await served_as(rev, discovery, proxy, clock) < POLL_QUEUE_S + 0.5
-            discovery.calls[-1].writer.transport.abort()
-        assert len(discovery.calls) == 40
+            discovery.requests[-1].writer.transport.abort()
+        assert len(discovery.requests) == 40
 
 
 async def served_as(
     rev: int, discovery: StandInDiscovery, proxy: LoopbackProxy, clock: SteppedClock
 ) -> float:
     """Answer the open call with this version after its longest time in the queue."""
-    waited = await advance_until(clock, lambda: discovery.calls[-1].closed_by_proxy.is_set(), POLL_QUEUE_S)
-    discovery.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
+    waited = await advance_until(clock, lambda: discovery.requests[-1].closed_by_proxy.is_set(), POLL_QUEUE_S)
+    discovery.requests[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
     waited += await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == rev, 1.0)
     assert proxy.driver.endpoint_list.watch.version == rev
     return waited
@@ -175,19 +175,19 @@
 @pytest.mark.parametrize("beats", [False, True], ids=["silent", "beating"])
 @EACH_SUBSCRIPTION
 async def test_watch_that_falls_silent_repeatedly_is_replaced_in_time(
-    setup: messages.Settings, beats: bool
+    settings: messages.Settings, beats: bool
 ) -> None:
     """For minutes: each watch delivers one version and falls silent, some after a heartbeat."""
 
-    async with watching_proxy(setup) as (discovery, proxy, clock):
+    async with watching_proxy(settings) as (discovery, proxy, clock):
         for rev in range(1, 21):
-            await advance_until(clock, lambda rev=rev: len(discovery.calls) >= rev)  # type: ignore[misc]
-            discovery.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
+            await advance_until(clock, lambda rev=rev: len(discovery.requests) >= rev)  # type: ignore[misc]
+            discovery.requests[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
             await advance_until(clock, lambda rev=rev: proxy.driver.endpoint_list.watch.version == rev, 1.0)  # type: ignore[misc]
             if beats:
                 await advance_until(clock, lambda: False, 2.0)
-                discovery.calls[-1].send(http_chunk("\n"))
-            assert await advance_to_next_call(discovery, clock) < LIST_DEADLINE_S - POLL_QUEUE_S
+                discovery.requests[-1].send(http_chunk("\n"))
+            assert await advance_to_next_request(discovery, clock) < LIST_DEADLINE_S - POLL_QUEUE_S
             all_is_small(discovery, proxy)
 
 
@@ -218,7 +218,7 @@
         discovery,
     ):
         drain = endpoint_entry("a", drained.port, "terminating")
-        discovery.present_list = endpoint_list(drain, endpoint_entry("b", new.port), rev=7, full=False)
+        discovery.present_list = endpoint_list(drain, endpoint_entry("b", new.port), rev=7, is_complete=False)
         for _ in range(2):  # killed outright and started again, under its name and address
             discovery.may_respond.clear()
             discovery.requested.clear()
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -56,7 +56,9 @@
     full = endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=41))
     writer.write(WATCH_RESPONSE_HEAD + full[:20])
     await writer.drain()
-    changed = endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9, "terminating"), rev=43, full=False))
+    changed = endpoint_list_chunk(
+        endpoint_list(endpoint_entry("s-1", 9, "terminating"), rev=43, is_complete=False)
+    )
     writer.write(full[20:] + http_chunk("\n") + changed + b"0\r\n\r\n")
 
 
@@ -123,8 +125,8 @@
     odd = {**endpoint_entry("s-1", 9), "note": 'a "brace\\" } and ] in {words}, \\ and a line\n'}
     lists = [
         endpoint_list(odd, endpoint_entry("s-2", 9), rev=41),
-        endpoint_list(endpoint_entry("s-1", 9, "terminating"), rev=42, full=False),
-        endpoint_list(rev=43, full=False),
+        endpoint_list(endpoint_entry("s-1", 9, "terminating"), rev=42, is_complete=False),
+        endpoint_list(rev=43, is_complete=False),
     ]
     text = indented_text(lists, (2, None, 1))
 
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -29,7 +29,7 @@
 
 
 def change(*entries: dict[str, object], rev: int) -> dict[str, object]:
-    return endpoint_list(*entries, rev=rev, full=False)
+    return endpoint_list(*entries, rev=rev, is_complete=False)
 
 
 def names(*uids: str) -> set[int]:
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -37,12 +37,12 @@
     POLL_QUEUE_S,
     POLLED_SETTINGS,
     PUSHED_SETTINGS,
-    DiscoveryCall,
+    DiscoveryRequest,
     StandInDiscovery,
-    advance_to_next_call,
-    answer_latest_call,
+    advance_to_next_request,
     list_chunk_of_version,
     record_watch_starts,
+    respond_to_latest_request,
     watching_proxy,
 )
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
@@ -69,7 +69,7 @@
     )
 
 
-FAILURES: dict[str, Callable[[DiscoveryCall], None]] = {
+FAILURES: dict[str, Callable[[DiscoveryRequest], None]] = {
     "refused": lambda call: call.send(http_response(503), end=True),
     "reset": lambda call: call.writer.transport.abort(),
     "ended": lambda call: call.send(WATCH_RESPONSE_HEAD + b"0\r\n\r\n", end=True),
@@ -78,25 +78,28 @@
 
 
 async def after_failures(
-    discovery: StandInDiscovery, clock: SteppedClock, failure: Callable[[DiscoveryCall], None], many: int = 6
+    discovery: StandInDiscovery,
+    clock: SteppedClock,
+    failure: Callable[[DiscoveryRequest], None],
+    many: int = 6,
 ) -> None:
     """Lets this many calls fail, so that the waits have grown; the last of them has just failed."""
-    discovery.on_call = failure
-    await advance_until(clock, lambda: len(discovery.calls) == many)
-    discovery.on_call = lambda call: None
+    discovery.on_request = failure
+    await advance_until(clock, lambda: len(discovery.requests) == many)
+    discovery.on_request = lambda call: None
 
 
 @EACH_SUBSCRIPTION
 @pytest.mark.parametrize("failure", FAILURES)
 async def test_change_is_applied_in_time_after_many_failed_calls(
-    setup: messages.Settings, failure: str
+    settings: messages.Settings, failure: str
 ) -> None:
     """However long it lasted: discovery is there from the moment on in which the last of them failed."""
 
-    async with watching_proxy(setup) as (discovery, proxy, clock):
+    async with watching_proxy(settings) as (discovery, proxy, clock):
         await after_failures(discovery, clock, FAILURES[failure])
-        waited = await advance_to_next_call(discovery, clock) + await answer_latest_call(
-            discovery, proxy, clock, setup
+        waited = await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
+            discovery, proxy, clock, settings
         )
         assert waited < LIST_DEADLINE_S
 
@@ -106,12 +109,12 @@
 
     async with watching_proxy(POLLED_SETTINGS) as (discovery, proxy, clock):
         await after_failures(discovery, clock, FAILURES["refused"])
-        waited = await advance_to_next_call(discovery, clock)
+        waited = await advance_to_next_request(discovery, clock)
         waited += await advance_until(
-            clock, lambda: discovery.calls[-1].closed_by_proxy.is_set(), POLL_QUEUE_S
+            clock, lambda: discovery.requests[-1].closed_by_proxy.is_set(), POLL_QUEUE_S
         )
-        FAILURES["refused"](discovery.calls[-1])
-        waited += await advance_to_next_call(discovery, clock) + await answer_latest_call(
+        FAILURES["refused"](discovery.requests[-1])
+        waited += await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
             discovery, proxy, clock, POLLED_SETTINGS
         )
         assert waited < LIST_DEADLINE_S
@@ -119,20 +122,20 @@
 
 @EACH_SUBSCRIPTION
 async def test_watch_with_heartbeats_only_is_replaced_in_time_when_it_falls_silent(
-    setup: messages.Settings, caplog: pytest.LogCaptureFixture
+    settings: messages.Settings, caplog: pytest.LogCaptureFixture
 ) -> None:
     """It has brought no list since the waits grew: there was nothing to tell."""
 
-    async with watching_proxy(setup) as (discovery, proxy, clock):
+    async with watching_proxy(settings) as (discovery, proxy, clock):
         await after_failures(discovery, clock, FAILURES["refused"])
-        await advance_to_next_call(discovery, clock)
+        await advance_to_next_request(discovery, clock)
         caplog.clear()
-        discovery.calls[-1].send(WATCH_RESPONSE_HEAD + http_chunk("\n"))
-        await advance_until(clock, lambda: discovery.calls[-1].closed_by_proxy.is_set(), 1.5)
-        discovery.calls[-1].send(http_chunk("\n"))  # its last word
-        waited = await advance_to_next_call(discovery, clock)
+        discovery.requests[-1].send(WATCH_RESPONSE_HEAD + http_chunk("\n"))
+        await advance_until(clock, lambda: discovery.requests[-1].closed_by_proxy.is_set(), 1.5)
+        discovery.requests[-1].send(http_chunk("\n"))  # its last word
+        waited = await advance_to_next_request(discovery, clock)
         assert "failed: silent" in caplog.text
-        assert waited + await answer_latest_call(discovery, proxy, clock, setup) < LIST_DEADLINE_S
+        assert waited + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
 
 
 STOPS = {
@@ -149,7 +152,7 @@
 @pytest.mark.parametrize("dribbles", [False, True], ids=["still", "dribbling"])
 @pytest.mark.parametrize("stop", STOPS)
 async def test_call_whose_response_stops_midway_is_repeated_in_time(
-    setup: messages.Settings, stop: str, dribbles: bool
+    settings: messages.Settings, stop: str, dribbles: bool
 ) -> None:
     """The call begins as discovery can just be reached, with the waits grown; bytes may go on coming."""
     drop = {"half a head": b"x", "a head": b"", "nothing": b""}.get(stop, http_chunk(" "))
@@ -158,26 +161,26 @@
     elif stop == "half a chunk":
         drop = b" "
 
-    async with watching_proxy(setup) as (discovery, proxy, clock):
+    async with watching_proxy(settings) as (discovery, proxy, clock):
         await after_failures(discovery, clock, FAILURES["refused"])
-        await advance_to_next_call(discovery, clock)
-        first, waited = discovery.calls[-1], 0.0
+        await advance_to_next_request(discovery, clock)
+        first, waited = discovery.requests[-1], 0.0
         first.send(STOPS[stop])
-        while len(discovery.calls) == 7:
-            waited += await advance_until(clock, lambda: len(discovery.calls) > 7, 0.3)
+        while len(discovery.requests) == 7:
+            waited += await advance_until(clock, lambda: len(discovery.requests) > 7, 0.3)
             if dribbles and not first.closed_by_proxy.is_set():
                 first.send(drop)
             assert waited < LIST_DEADLINE_S
-        assert waited + await answer_latest_call(discovery, proxy, clock, setup) < LIST_DEADLINE_S
+        assert waited + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
 
 
 @EACH_SUBSCRIPTION
-async def test_change_is_applied_in_time_after_refused_connections(setup: messages.Settings) -> None:
+async def test_change_is_applied_in_time_after_refused_connections(settings: messages.Settings) -> None:
     """Nobody listens for a while; the address is there again just after a connection was refused."""
 
-    async with watching_proxy(setup) as (discovery, proxy, clock):
-        await advance_until(clock, lambda: len(discovery.calls) == 1)
-        discovery.calls[0].writer.transport.abort()
+    async with watching_proxy(settings) as (discovery, proxy, clock):
+        await advance_until(clock, lambda: len(discovery.requests) == 1)
+        discovery.requests[0].writer.transport.abort()
         discovery.server.stop_listening()
         tried = record_watch_starts(proxy)
         await advance_until(
@@ -186,8 +189,8 @@
         discovery.server.server = await asyncio.start_server(
             discovery.server.accept, "127.0.0.1", discovery.server.port
         )
-        waited = await advance_to_next_call(discovery, clock) + await answer_latest_call(
-            discovery, proxy, clock, setup
+        waited = await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
+            discovery, proxy, clock, settings
         )
         assert waited < LIST_DEADLINE_S
 
@@ -195,7 +198,9 @@
 def changes(*entries: object, **more: object) -> str:
     """Changes of a list that begin with a sound one: the endpoint s-1 is gone."""
     sound = endpoint_entry("s-1", 9, "terminated")
-    return json.dumps({**endpoint_list(rev=2, full=False), "targets": [sound, *entries], **more}) + "\n"
+    return (
+        json.dumps({**endpoint_list(rev=2, is_complete=False), "targets": [sound, *entries], **more}) + "\n"
+    )
 
 
 def odd(**more: object) -> bytes:
@@ -269,25 +274,25 @@
 @EACH_SUBSCRIPTION
 @pytest.mark.parametrize(("said", "why"), SPOILT.values(), ids=SPOILT.keys())
 async def test_invalid_list_keeps_the_old_one_and_reopens_the_watch(
-    setup: messages.Settings, said: bytes, why: str, caplog: pytest.LogCaptureFixture
+    settings: messages.Settings, said: bytes, why: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Nothing of it counts, one line names why, and what comes next is taken."""
     both = endpoint_list(endpoint_entry("s-1", 9), endpoint_entry("s-2", 9), rev=1)
-    async with watching_proxy(setup) as (discovery, proxy, clock):
-        await advance_until(clock, lambda: len(discovery.calls) == 1)
-        discovery.calls[0].send(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
+    async with watching_proxy(settings) as (discovery, proxy, clock):
+        await advance_until(clock, lambda: len(discovery.requests) == 1)
+        discovery.requests[0].send(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
         await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1)
         known_before = known_endpoints(proxy)
         caplog.clear()
-        discovery.calls[0].send(said)
-        waited = await advance_to_next_call(discovery, clock)
+        discovery.requests[0].send(said)
+        waited = await advance_to_next_request(discovery, clock)
         assert known_endpoints(proxy) == known_before
         assert proxy.driver.endpoint_list.watch.version == 1
         [line] = [record for record in caplog.records if record.levelno >= logging.WARNING]
         assert why in line.getMessage()
         assert "\n" not in line.getMessage()
         assert not line.exc_info
-        assert waited + await answer_latest_call(discovery, proxy, clock, setup) < LIST_DEADLINE_S
+        assert waited + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
         assert set(proxy.driver.balancer.endpoints.states) == {endpoint_id_from_uid("s-7")}
 
 
@@ -336,7 +341,7 @@
         running_proxy(endpoint_entry("a", endpoint.port)) as proxy,
     ):
         news = endpoint_list(
-            *(endpoint_entry("a", endpoint.port, state) for state in states), rev=2, full=False
+            *(endpoint_entry("a", endpoint.port, state) for state in states), rev=2, is_complete=False
         )
         proxy.driver.endpoint_list.receive(read_list(news))
         there = states[-1] == "in_service"
@@ -355,30 +360,30 @@
 @pytest.mark.parametrize("first", ["refused in its turn", "refused at once", "silent", "half a line"])
 @EACH_SUBSCRIPTION
 async def test_watch_moved_from_a_failed_discovery_has_its_list_in_time(
-    setup: messages.Settings, first: str
+    settings: messages.Settings, first: str
 ) -> None:
     """The waits have grown on the old address; the first call on the new one fails as well."""
 
-    async with watching_proxy(setup) as (discovery, proxy, clock), AsyncExitStack() as stack:
+    async with watching_proxy(settings) as (discovery, proxy, clock), AsyncExitStack() as stack:
         new = StandInDiscovery(clock)
         e = await stack.enter_async_context(StandInServer(new.handle))
         await after_failures(discovery, clock, FAILURES["refused"])
         proxy.driver.change_discovery_address(("127.0.0.1", e.port))
-        waited = await advance_to_next_call(new, clock)
-        call = new.calls[-1]
-        if first == "refused in its turn" and setup is POLLED_SETTINGS:
+        waited = await advance_to_next_request(new, clock)
+        call = new.requests[-1]
+        if first == "refused in its turn" and settings is POLLED_SETTINGS:
             waited += await advance_until(clock, lambda: call.closed_by_proxy.is_set(), POLL_QUEUE_S)
         if first.startswith("refused"):
             FAILURES["refused"](call)
         elif first == "half a line":
             call.send(STOPS["half a line"])
-        waited += await advance_to_next_call(new, clock)
-        new.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(7))
+        waited += await advance_to_next_request(new, clock)
+        new.requests[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(7))
         # Behind a call that was refused, the next one may still have to wait for its turn.
-        left = 0.0 if setup is PUSHED_SETTINGS or not first.startswith("refused") else 1.0
+        left = 0.0 if settings is PUSHED_SETTINGS or not first.startswith("refused") else 1.0
         waited += left + await advance_until(
             clock, lambda: proxy.driver.endpoint_list.watch.version == 7, 1.0
         )
         assert proxy.driver.endpoint_list.watch.version == 7
         assert waited < MOVED_S
-        assert len(discovery.calls) == 6  # nothing more on the old one
+        assert len(discovery.requests) == 6  # nothing more on the old one
--- a/tests/net/discovery/versioned_discovery.py
+++ b/tests/net/discovery/versioned_discovery.py
@@ -66,7 +66,7 @@
     def changes(self, since: int) -> dict[str, object]:
         """Return the changes since a version."""
         gone = [endpoint_entry(f"{self.name}-{rev}", 9, "terminated") for rev in range(since, self.rev)]
-        return endpoint_list(*gone, endpoint_entry(self.uid, 9), rev=self.rev, full=False)
+        return endpoint_list(*gone, endpoint_entry(self.uid, 9), rev=self.rev, is_complete=False)
 
     def change(self) -> None:
         """Make a new version, and send its changes on all open watches."""
@@ -143,5 +143,5 @@
         second,
         running_proxy(*known, settings=setup, discovery_port=first.port) as proxy,
     ):
-        proxy.step_policy_clock_with(clock)
+        proxy.link_policy_clock(clock)
         yield FollowingProxy(proxy, clock, first, second)
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -47,7 +47,7 @@
         await wait_until(lambda: proxy.driver.is_ready)
         assert await bodies_of(proxy, "x") == {b"a", b"b"}
         drain = endpoint_entry("a", first_endpoint.port, "terminating")
-        discovery.send_changes(endpoint_list(drain, rev=2, full=False))
+        discovery.send_changes(endpoint_list(drain, rev=2, is_complete=False))
         await wait_until(lambda: len(proxy.driver.endpoint_list.endpoints.up_ids) == 1)
         assert await bodies_of(proxy, "y") == {b"b"}
 
@@ -102,7 +102,7 @@
         ) as proxy,
     ):
         drain = endpoint_entry("a", endpoint.port, "terminating")
-        discovery.present_list = endpoint_list(drain, rev=2, full=False)
+        discovery.present_list = endpoint_list(drain, rev=2, is_complete=False)
         asking = asyncio.ensure_future(proxy.send_request(http_request()))
         await held.received.wait()
         discovery.may_respond.set()
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -20,7 +20,7 @@
     clock = times.clock()
     assert clock.now_us() == times.wall_us()
     before = clock.now_us()
-    times.step_wall(step)
+    times.step_wall_clock(step)
     clock.observe()
     assert clock.now_us() == before
     times.advance(3 * SECOND_US)
@@ -36,11 +36,11 @@
     clock.observe()
     times.advance(10 * SECOND_US)
     if not before:
-        times.step_wall(step)
+        times.step_wall_clock(step)
     stated, moment = times.wall_us(), clock.now_us()
     times.advance(1 * SECOND_US)
     if before:
-        times.step_wall(step)
+        times.step_wall_clock(step)
     times.advance(1 * SECOND_US)
     assert clock.from_unix_us(stated) == moment
 
@@ -50,7 +50,7 @@
     clock = times.clock()
     shown = times.wall_us()
     times.advance(6 * SECOND_US)
-    times.step_wall(-5 * SECOND_US)
+    times.step_wall_clock(-5 * SECOND_US)
     times.advance(10 * SECOND_US)
     assert clock.from_unix_us(shown + 3 * SECOND_US) == clock.now_us() - 8 * SECOND_US
 
@@ -60,12 +60,12 @@
     clock = times.clock()
     for _ in range(10_000):
         times.advance(2 * SECOND_US)
-        times.step_wall(1 * MILLISECOND_US)
+        times.step_wall_clock(1 * MILLISECOND_US)
         clock.observe()
     assert clock.remembered_offset_count == 1
     assert clock.from_unix_us(times.wall_us() - 2 * SECOND_US) == clock.now_us() - 2 * SECOND_US
     for _ in range(3 * MAX_OFFSETS):
-        times.step_wall(HOUR_US)
+        times.step_wall_clock(HOUR_US)
         clock.observe()
     assert clock.remembered_offset_count == MAX_OFFSETS
     assert clock.from_unix_us(times.wall_us() - 2 * SECOND_US) == clock.now_us() - 2 * SECOND_US
--- a/tests/net/test_repeated_log_lines.py
+++ b/tests/net/test_repeated_log_lines.py
@@ -38,12 +38,12 @@
         assert "uid s-0, cell 1, status up" in told[0]
         assert told[-1] == f"{500 - MAX_LOGGED_CHANGES} more changes of endpoints"
         for n in range(100):
-            change = endpoint_list(endpoint_entry(f"s-{n}", 9, "terminating"), rev=2 + n, full=False)
+            change = endpoint_list(endpoint_entry(f"s-{n}", 9, "terminating"), rev=2 + n, is_complete=False)
             p.driver.endpoint_list.receive(read_list(change))
         assert not lines()
         clock.advance(CHANGE_LOG_WINDOW_S)
         p.driver.endpoint_list.receive(
-            read_list(endpoint_list(endpoint_entry("s-1", 9, "terminated"), rev=200, full=False))
+            read_list(endpoint_list(endpoint_entry("s-1", 9, "terminated"), rev=200, is_complete=False))
         )
         counted, single = lines()
         assert counted == "100 more changes of endpoints"
--- a/tests/net/upstream/test_answers_without_length.py
+++ b/tests/net/upstream/test_answers_without_length.py
@@ -69,7 +69,7 @@
         assert line.split()[1] == "200"
         assert got == BODIES[body]
         assert endpoint.request_ids.count("r1") == 1
-        assert len(endpoint.accepted) == 1
+        assert len(endpoint.connections) == 1
 
 
 @pytest.mark.parametrize("kind", ["read", "write", "mark", "pay"])
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -44,7 +44,7 @@
             assert how is outcome
             assert reply is not None
             assert reply.body == body
-            assert len(endpoint.accepted) == len(endpoint.received) == tries
+            assert len(endpoint.connections) == len(endpoint.received) == tries
 
 
 async def test_close_delimited_response_is_not_complete_before_the_end_of_the_stream(
@@ -54,10 +54,10 @@
         out = RecordedAttempt(pool, endpoint.endpoint)
         await wait_until(lambda: len(bytes_from_endpoints) == len(HEAD_WITHOUT_LENGTH) + 4)
         assert not out.results
-        endpoint.accepted[0].send(b"of it")
+        endpoint.connections[0].send(b"of it")
         await wait_until(lambda: len(bytes_from_endpoints) == len(HEAD_WITHOUT_LENGTH) + 9)
         assert not out.results
-        endpoint.accepted[0].end_sending()
+        endpoint.connections[0].end_sending()
         how, reply = await out.result()
         assert how is Outcome.OK
         assert reply
@@ -77,7 +77,7 @@
         if seen_before:
             await wait_until(lambda: len(bytes_from_endpoints) == len(said))
             assert not out.results
-            endpoint.accepted[0].reset()
+            endpoint.connections[0].reset()
         assert await out.result() == (Outcome.RESET, None)
 
 
@@ -121,21 +121,21 @@
     async with RawEndpoint(respond_with(interim[:cut])) as endpoint:
         out = RecordedAttempt(pool, endpoint.endpoint)
         await wait_until(lambda: len(bytes_from_endpoints) == cut and len(endpoint.received) == 1)
-        endpoint.accepted[0].send(interim[cut:])
+        endpoint.connections[0].send(interim[cut:])
         await wait_until(lambda: len(bytes_from_endpoints) == len(interim))
         clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_TIMEOUT_S)
         for _ in range(20):
             await asyncio.sleep(0)
-        endpoint.accepted[0].send(good[:-1])
+        endpoint.connections[0].send(good[:-1])
         await wait_until(lambda: bytes_from_endpoints.endswith(b"o") or bool(out.results))
         assert not out.results
         clock.advance(upstream_connection.RESPONSE_COMPLETION_TIMEOUT_S)  # now its time runs
         assert await out.result() == (Outcome.RESET, None)
         out = RecordedAttempt(pool, endpoint.endpoint)
         await wait_until(lambda: len(endpoint.received) == 2)
-        endpoint.accepted[1].send(interim[cut:])
+        endpoint.connections[1].send(interim[cut:])
         clock.advance(10 * upstream_connection.RESPONSE_COMPLETION_TIMEOUT_S)
-        endpoint.accepted[1].send(good)
+        endpoint.connections[1].send(good)
         assert await out.result() == (Outcome.OK, OK_RESPONSE)
 
 
@@ -149,7 +149,7 @@
     async with RawEndpoint(respond_with(b"HTTP/1.1 %d x\r\n%s\r\n" % (status, more))) as endpoint:
         for _ in range(2):
             assert (await RecordedAttempt(pool, endpoint.endpoint).result())[0] is Outcome.ERROR
-        assert len(endpoint.accepted) == 2 - kept
+        assert len(endpoint.connections) == 2 - kept
 
 
 @pytest.mark.parametrize("kind", ["read", "write", "mark", "pay"])
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -34,15 +34,15 @@
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         if heard:
             pool.connections.record_activity(calls.endpoint)
-        calls.begin("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
+        calls.start_attempt("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
         for count in (2, 3):
             await connects.advance(11.0)
-            await connects.wait_for(count)
+            await connects.wait_for_started(count)
         assert not calls.outcomes
         await connects.advance(11.0)
         await calls.wait_for_outcomes(a=ends)
         assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
-        calls.begin("b")  # what comes up late is there for another
+        calls.start_attempt("b")  # what comes up late is there for another
         connects.open(0)
         await calls.wait_for_outcomes(a=ends, b=Outcome.OK)
         assert endpoint.request_ids == ["b"]
@@ -53,7 +53,7 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.begin("a", failover_within_s=500.0)
+        calls.start_attempt("a", failover_within_s=500.0)
         await connects.advance(600.0)
         for _ in range(20):
             await connects.advance(50.0)
@@ -86,10 +86,10 @@
         for endpoint in list(proxy.pool.idle.reuse_from_s):
             proxy.pool.connections.record_activity(endpoint)
         asked = asyncio.ensure_future(proxy.send_request(http_request(Req_Deadline="9000")))
-        await connects.wait_for(1)
+        await connects.wait_for_started(1)
         for count in (2, 3, 4):
             await connects.advance(11.0)
-            await connects.wait_for(count)
+            await connects.wait_for_started(count)
         connects.open(3)  # the first to the other endpoint
         first, _, body = await asked
         assert (first.split()[1], body) == ("200", b"x")
@@ -106,19 +106,19 @@
     harness = BalancerHarness(
         balancer_settings(limits=messages.Limits(max_attempts=2, cancel=True)), endpoint_count=2
     )
-    send = actions_of_type(harness.request("a"), messages.StartAttempt)[0]
+    send = actions_of_type(harness.send_request("a"), messages.StartAttempt)[0]
     assert 0 < send.max_connection_wait_us < send.timeout_us
     further = actions_of_type(harness.end_attempt(send, Outcome.NOT_SENT), messages.StartAttempt)[0]
     assert further.endpoint_id != send.endpoint_id
     assert further.max_connection_wait_us == 0  # no third attempt is allowed
     alone = BalancerHarness(balancer_settings(), endpoint_count=1)
-    assert actions_of_type(alone.request("a"), messages.StartAttempt)[0].max_connection_wait_us == 0
+    assert actions_of_type(alone.send_request("a"), messages.StartAttempt)[0].max_connection_wait_us == 0
 
 
 def test_unsent_attempt_is_repeated_though_the_retry_budget_is_spent() -> None:
     harness = BalancerHarness(endpoint_count=4)
     harness.balancer.retry_budget.tokens = 0.0
-    send = actions_of_type(harness.request("a"), messages.StartAttempt)[0]
+    send = actions_of_type(harness.send_request("a"), messages.StartAttempt)[0]
     assert actions_of_type(harness.end_attempt(send, Outcome.NOT_SENT), messages.StartAttempt)
-    other = actions_of_type(harness.request("b"), messages.StartAttempt)[0]
+    other = actions_of_type(harness.send_request("b"), messages.StartAttempt)[0]
     assert not actions_of_type(harness.end_attempt(other, Outcome.NO_CONNECTION), messages.StartAttempt)
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -36,17 +36,17 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.begin("a")
+        calls.start_attempt("a")
         await connects.advance(9.0)
         assert len(connects.gates) == 1
         await connects.advance(2.0)
-        await connects.wait_for(2)
+        await connects.wait_for_started(2)
         connects.open(1)
         await calls.wait_for_outcomes(a=Outcome.OK)
         assert endpoint.connection_count == 1
         assert endpoint.request_ids == ["a"]
         await connects.advance(1000.0)
-        calls.begin("b")  # the one that was used is idle again
+        calls.start_attempt("b")  # the one that was used is idle again
         await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
         assert endpoint.connection_count == 1
         assert len(connects.gates) == 2
@@ -60,15 +60,15 @@
     async with StandInEndpoint(None, http_response(200)) as endpoint:  # the first that is used breaks
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.begin("a")
+        calls.start_attempt("a")
         await connects.advance(11.0)
-        await connects.wait_for(2)
+        await connects.wait_for_started(2)
         connects.open(1)
         await calls.wait_for_outcomes(a=Outcome.RESET)
         connects.open(0)
         await wait_until(lambda: bool(pool.idle.by_endpoint))
         await connects.advance(idle_connections.SETTLE_S)
-        calls.begin("b")
+        calls.start_attempt("b")
         await calls.wait_for_outcomes(a=Outcome.RESET, b=Outcome.OK)
         assert endpoint.connection_count == 2
         assert len(connects.gates) == 2
@@ -81,10 +81,10 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.begin("a")
+        calls.start_attempt("a")
         for count in (2, 3):
             await connects.advance(11.0)
-            await connects.wait_for(count)
+            await connects.wait_for_started(count)
         connects.open(2)
         await calls.wait_for_outcomes(a=Outcome.OK)
         connects.open(0, 1)
@@ -104,7 +104,7 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10, price)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, usual)
-        calls.begin("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
+        calls.start_attempt("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
         for _ in range(20):
             await connects.advance(45.0)
         assert len(connects.gates) == 1
@@ -118,10 +118,10 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
-        calls.begin("a")
-        calls.begin("once", ONCE)
-        calls.begin("b")
-        await connects.wait_for(3)
+        calls.start_attempt("a")
+        calls.start_attempt("once", ONCE)
+        calls.start_attempt("b")
+        await connects.wait_for_started(3)
         connects.open(0)
         await wait_until(lambda: "a" in calls.outcomes)
         assert set(calls.outcomes) == {"a"}  # it rests first: more than its answer may be under way
@@ -139,12 +139,12 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
-        calls.begin("a")
-        await connects.wait_for(1)
+        calls.start_attempt("a")
+        await connects.wait_for_started(1)
         connects.open(0)
         await calls.wait_for_outcomes(a=Outcome.OK)
-        calls.begin("b")
-        await connects.wait_for(2)
+        calls.start_attempt("b")
+        await connects.wait_for_started(2)
         await connects.advance(idle_connections.SETTLE_S)
         await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
         assert endpoint.connection_count == 1
@@ -155,9 +155,9 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
-        calls.begin("a", ONCE)
-        calls.begin("b", ONCE)
-        await connects.wait_for(2)
+        calls.start_attempt("a", ONCE)
+        calls.start_attempt("b", ONCE)
+        await connects.wait_for_started(2)
         connects.open(1)
         await calls.wait_for_outcomes(a=Outcome.OK)
         connects.open(0)
@@ -187,9 +187,9 @@
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, stand_in), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         refuse_connect(pool, 1)
-        calls.begin("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
+        calls.start_attempt("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
         await connects.advance(11.0)
-        await connects.wait_for(2)
+        await connects.wait_for_started(2)
         connects.open(1)
         await wait_until(
             lambda: pool.pending.by_endpoint[calls.endpoint][0].task is not None
@@ -262,9 +262,9 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        out = calls.begin("a")
+        out = calls.start_attempt("a")
         await connects.advance(11.0)
-        await connects.wait_for(2)
+        await connects.wait_for_started(2)
         tasks = [pending.task for pending in pool.pending.by_endpoint[calls.endpoint]]
         if up:
             crossed = give_up_once_established(how, pool, out)
@@ -287,9 +287,9 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.begin("a")
-        calls.begin("b").cancel_if_unsent()
-        await connects.wait_for(1)
+        calls.start_attempt("a")
+        calls.start_attempt("b").cancel_if_unsent()
+        await connects.wait_for_started(1)
         connects.open(0)
         await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.NOT_SENT)
         assert not pool.pending.by_endpoint
@@ -300,11 +300,11 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 1)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.begin("a")
+        calls.start_attempt("a")
         for _ in range(5):
             await connects.advance(50.0)
         assert len(connects.gates) == 1
-        calls.begin("b")
+        calls.start_attempt("b")
         connects.open(0)
         await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.NOT_SENT)
         pool.close()
@@ -316,12 +316,12 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.begin("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
+        calls.start_attempt("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
         await connects.advance(59000.0)
-        await connects.wait_for(2)
+        await connects.wait_for_started(2)
         connects.clock.advance(1100.0)  # the first is given up by its own limit, the second is a second old
         await calls.wait_for_outcomes(a=Outcome.NO_CONNECTION)
-        calls.begin("b")
+        calls.start_attempt("b")
         connects.open(1)
         await calls.wait_for_outcomes(a=Outcome.NO_CONNECTION, b=Outcome.OK)
         assert endpoint.request_ids == ["b"]
@@ -334,10 +334,10 @@
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
-        calls.begin("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
+        calls.start_attempt("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
         await connects.advance(30000.0)
-        calls.begin("b", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
-        await connects.wait_for(2)
+        calls.start_attempt("b", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
+        await connects.wait_for_started(2)
         connection = await Connector.open(pool.connector, calls.endpoint)
         pending = pool.pending.by_endpoint[calls.endpoint][1]
         pending.task.cancel()
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -11,7 +11,7 @@
 from load_balancer.net.upstream import idle_connections
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_messages import UpstreamResponse
-from tests.support.attempts import REQUEST_KINDS, RecordedAttempt
+from tests.support.attempts import REQUEST_CLASS_NAMES, RecordedAttempt
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response
 from tests.support.loopback_proxy import running_proxy
@@ -34,7 +34,7 @@
         assert (await RecordedAttempt(pool, endpoint.endpoint).result())[1] == UpstreamResponse(
             200, [(b"content-length", b"1")], b"1"
         )
-        [wire] = endpoint.accepted
+        [wire] = endpoint.connections
         if "answer" in what:
             wire.send(http_response(200, b"1"))
         if "end" in what:
@@ -47,7 +47,7 @@
         assert how is Outcome.OK
         assert reply
         assert reply.body == b"2"
-        assert len(endpoint.accepted) == len(endpoint.received) == 2
+        assert len(endpoint.connections) == len(endpoint.received) == 2
 
 
 @pytest.mark.parametrize("what", ["answer", "end", "reset"])
@@ -65,7 +65,7 @@
         def crossed(transport: asyncio.BaseTransport, default: bool = True) -> bool:
             looks.append(look(transport, default=default))
             if len(looks) == 1:
-                [wire] = endpoint.accepted
+                [wire] = endpoint.connections
                 {
                     "answer": lambda: wire.send(http_response(200, b"late")),
                     "end": wire.end_sending,
@@ -96,8 +96,8 @@
             assert how is Outcome.OK
             assert reply
             assert reply.body == number
-        assert len(endpoint.accepted) == 3
-        for wire in endpoint.accepted[:2]:
+        assert len(endpoint.connections) == 3
+        for wire in endpoint.connections[:2]:
             wire.send(http_response(200, b"late"))
         clock.advance(20.0)
         for number in (b"4", b"5"):  # the third one has rested and said nothing more
@@ -105,11 +105,11 @@
             assert how is Outcome.OK
             assert reply
             assert reply.body == number
-        assert len(endpoint.accepted) == 4
+        assert len(endpoint.connections) == 4
         pool.close()
 
 
-@pytest.mark.parametrize("kind", REQUEST_KINDS)
+@pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("how", ["end", "reset"])
 async def test_request_survives_the_break_of_a_reused_connection(
     kind: str, how: str, monkeypatch: pytest.MonkeyPatch
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -82,8 +82,8 @@
 async def test_new_endpoint_at_an_old_address_does_not_reuse_old_connections(pool: ConnectionPool) -> None:
     async with StandInEndpoint(http_response(200, b"ok")) as endpoint:
         address = ("127.0.0.1", endpoint.port)
-        assert (await run_attempt(pool, address, number=1))[0] is Outcome.OK
-        assert (await run_attempt(pool, address, number=2))[0] is Outcome.OK
+        assert (await run_attempt(pool, address, endpoint_id=1))[0] is Outcome.OK
+        assert (await run_attempt(pool, address, endpoint_id=2))[0] is Outcome.OK
         assert endpoint.connection_count == 2
         pool.disable_endpoint(EndpointAddress(1, address))  # the old one's end leaves the new one's alone
         assert not pool.idle.by_endpoint.get(EndpointAddress(1, address))
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -7,7 +7,7 @@
 from load_balancer.messages import Outcome
 from load_balancer.net.upstream import idle_connections
 from tests.net.upstream.conftest import PoolFactory
-from tests.support.attempts import INVALID_RESPONSES, REQUEST_KINDS, RecordedAttempt
+from tests.support.attempts import INVALID_RESPONSES, REQUEST_CLASS_NAMES, RecordedAttempt
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import HttpMessage, http_request, http_response
 from tests.support.loopback_proxy import running_proxy
@@ -34,7 +34,7 @@
     async with RawEndpoint(handle) as endpoint:
         for at in range(len(whole) + 1):
             said[:] = [*[(http_response(200, b"first"),)] * kept, (whole[:at], how)]
-            pool, before = new_pool(), len(endpoint.accepted)
+            pool, before = new_pool(), len(endpoint.connections)
             for _ in range(kept):
                 assert (await RecordedAttempt(pool, endpoint.endpoint).result())[0] is Outcome.OK
             got = await RecordedAttempt(pool, endpoint.endpoint).result()
@@ -42,7 +42,7 @@
                 assert got == (Outcome.RESET, None), at
             else:
                 assert got[0] is Outcome.OK
-            assert len(endpoint.accepted) == before + 1
+            assert len(endpoint.connections) == before + 1
             pool.close()
 
 
@@ -71,7 +71,7 @@
     return (502, ["r1"]) if kind == "pay" else (200, ["r1", "r1"])
 
 
-@pytest.mark.parametrize("kind", REQUEST_KINDS)
+@pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("how", ["end", "reset"])
 async def test_truncated_response_is_retried_only_if_idempotent(kind: str, how: str) -> None:
     whole = http_response(200, b"served")
@@ -79,13 +79,13 @@
         assert await fares(kind, whole[:at], how) == may_have_run(kind), at
 
 
-@pytest.mark.parametrize("kind", REQUEST_KINDS)
+@pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 async def test_invalid_response_is_retried_only_if_idempotent(kind: str) -> None:
     for said in INVALID_RESPONSES:
         assert await fares(kind, said) == may_have_run(kind), said
 
 
-@pytest.mark.parametrize("kind", REQUEST_KINDS)
+@pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("status", [500, 503, 504])
 @pytest.mark.parametrize("declined", ["1", "0", ""])
 async def test_error_is_retried_if_declined_or_idempotent(kind: str, status: int, declined: str) -> None:
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -45,11 +45,11 @@
         pool = ConnectionPool(600.0, 300.0, 10)
         calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, [])
         FailingConnects(pool, OTHERS, ConnectionRefusedError if refused else TimeoutError)
-        before = [calls.begin(f"x{number}") for number in range(OTHERS)]
-        await connects.wait_for(OTHERS)
+        before = [calls.start_attempt(f"x{number}") for number in range(OTHERS)]
+        await connects.wait_for_started(OTHERS)
         for attempt in before:  # they move on, and what is coming goes on for others to use
             attempt.finish(Outcome.NOT_SENT, keep_connecting=True)
-        calls.begin("late")
+        calls.start_attempt("late")
         await asyncio.sleep(0)
         assert len(connects.gates) == OTHERS  # as many as may are coming
         connects.open(*range(OTHERS))
@@ -58,7 +58,7 @@
             assert calls.outcomes["late"] is Outcome.NO_CONNECTION
             assert len(connects.gates) == OTHERS
         else:
-            await connects.wait_for(OTHERS + 1)
+            await connects.wait_for_started(OTHERS + 1)
             connects.open(OTHERS)
             await wait_until(lambda: "late" in calls.outcomes)
             assert calls.outcomes["late"] is Outcome.OK
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -91,7 +91,7 @@
         if kept:
             assert (await proxy.send_request(http_request("mark", request_id="first")))[2] == b"x"
         endpoint.reading.clear()
-        clock = proxy.step_clocks()
+        clock = proxy.use_stepped_clock()
         reader, writer = await send_partly(proxy, "mark" if kept else "pay", narrow_transports)
         end_request(how, proxy, clock, writer)
         if how != "gone":  # at the end of the proxy the policy counts what is in flight as what may have run
@@ -99,8 +99,8 @@
             assert response_status(await read_http_message(reader)) == expected_status
         await wait_until(lambda: proxy.driver.is_idle)
         endpoint.reading.set()
-        await wait_until(lambda: bool(endpoint.accepted) and endpoint.accepted[-1].has_remote_ended)
-        assert len(endpoint.accepted) == 1
+        await wait_until(lambda: bool(endpoint.connections) and endpoint.connections[-1].has_proxy_closed)
+        assert len(endpoint.connections) == 1
         assert endpoint.request_ids == ["first"] * kept
         writer.close()
 
@@ -116,7 +116,7 @@
             wire.send(b"not http\r\n\r\n")
 
     def done(outcome: Outcome, reply: UpstreamResponse | None) -> None:
-        [wire] = endpoint.accepted
+        [wire] = endpoint.connections
         try:
             ended.append(wire.socket.recv(1, socket.MSG_PEEK) == b"")
         except BlockingIOError:
@@ -207,7 +207,7 @@
             pool, seen = new_pool(), len(endpoint.received)
             out = RecordedAttempt(pool, endpoint.endpoint)
             await wait_until(lambda seen=seen: len(endpoint.received) > seen)  # type: ignore[misc]
-            wire, transport = endpoint.accepted[-1], transports[-1]
+            wire, transport = endpoint.connections[-1], transports[-1]
             for event in order:
                 cross(event, pool, out, wire, transport)
             how, reply = await out.result()
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -13,7 +13,13 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
 from tests.net.upstream.conftest import ConnectionHook
-from tests.support.attempts import KEYED_REQUEST, OK_RESPONSE, REQUEST_KINDS, UNSAFE_REQUEST, RecordedAttempt
+from tests.support.attempts import (
+    KEYED_REQUEST,
+    OK_RESPONSE,
+    REQUEST_CLASS_NAMES,
+    UNSAFE_REQUEST,
+    RecordedAttempt,
+)
 from tests.support.connect_gates import SystemConnectGate
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response
@@ -46,7 +52,7 @@
             endpoint.accepting.set()
 
 
-@pytest.mark.parametrize("kind", REQUEST_KINDS)
+@pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("what", ["end", "reset", "answer", "answer, end"])
 async def test_new_connection_that_ended_or_sent_bytes_early_carries_no_request(
     what: str, kind: str, on_established: Callable[[ConnectionHook], None]
--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -15,7 +15,7 @@
     """Return a balancer whose endpoints are all at their concurrency limit, with one request in its queue."""
     harness = BalancerHarness(setup or balancer_settings(), endpoints)
     while not harness.balancer.queue:
-        harness.request(f"c{harness.now_us}-{len(harness.actions)}", "pay")
+        harness.send_request(f"c{harness.now_us}-{len(harness.actions)}", "pay")
     return harness
 
 
@@ -42,7 +42,7 @@
     """It holds at any phase of the periodic queue scan, and the rejection comes no sooner."""
     harness = balancer_with_full_endpoints()
     harness.advance(phase_us)
-    harness.request("queued", "read", time_remaining_us)
+    harness.send_request("queued", "read", time_remaining_us)
     useful_us = min(time_remaining_us, 2 * SECOND_US)  # an answer after its latency objective earns nothing
     after_us = time_until_rejection_us(harness, "queued", 3 * SECOND_US)
     assert after_us is not None
@@ -52,10 +52,10 @@
 def balancer_with_queued_retry(outcome: messages.Outcome, after_us: int) -> BalancerHarness:
     """Return a balancer with a retry in its queue: one endpoint drains, the other is at its limit."""
     harness = BalancerHarness(balancer_settings(), 2)
-    harness.request("first", "read", 5 * SECOND_US)
+    harness.send_request("first", "read", 5 * SECOND_US)
     [send] = actions_of_type(harness.actions, messages.StartAttempt)
     while not harness.balancer.queue:
-        harness.request(f"c{len(harness.actions)}", "pay")
+        harness.send_request(f"c{len(harness.actions)}", "pay")
     harness.advance(after_us)
     draining = messages.Endpoint(
         send.endpoint_id, messages.EndpointStatus.DRAINING, cell=send.endpoint_id % 2
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -11,8 +11,8 @@
     harness = BalancerHarness()
     initial_limit = harness.balancer.limit.attempts_per_endpoint
     for number in range(60):
-        for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
-            harness.end_attempt(send, messages.Outcome.ERROR, took=5 * MILLISECOND_US)
+        for send in actions_of_type(harness.send_request(f"r{number}", "pay"), messages.StartAttempt):
+            harness.end_attempt(send, messages.Outcome.ERROR, duration_us=5 * MILLISECOND_US)
         harness.now_us += 1 * SECOND_US
     assert harness.balancer.limit.attempts_per_endpoint == initial_limit
 
@@ -23,7 +23,7 @@
     initial_limit = harness.balancer.limit.attempts_per_endpoint
     for number in range(400):
         harness.now_us += 25 * MILLISECOND_US
-        harness.request(f"r{number}")
+        harness.send_request(f"r{number}")
         busy = list(harness.balancer.dispatcher.in_flight)
         if len(busy) >= 20:
             late = number % 40 < 5
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -107,7 +107,7 @@
 def test_failed_subscription_keeps_the_endpoint_list() -> None:
     harness = BalancerHarness(ASKING)
     harness.update_endpoint_list(kind=messages.EndpointListKind.FAILED)
-    assert actions_of_type(harness.request("r"), messages.StartAttempt)
+    assert actions_of_type(harness.send_request("r"), messages.StartAttempt)
 
 
 def test_complete_list_removes_absent_endpoints_and_changes_do_not() -> None:
@@ -166,7 +166,7 @@
     harness = BalancerHarness()
     state = harness.balancer.endpoints.states[0]
     state.share = 0.1
-    harness.request("r")
+    harness.send_request("r")
     harness.update_endpoint_list(
         messages.Endpoint(0, incarnation_us=harness.now_us), kind=messages.EndpointListKind.CHANGES, version=2
     )
@@ -176,7 +176,7 @@
 
 def test_outcome_from_removed_endpoint_ends_its_request() -> None:
     harness = BalancerHarness(endpoint_count=1)
-    [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+    [send] = actions_of_type(harness.send_request("r"), messages.StartAttempt)
     harness.update_endpoint_list()
     harness.end_attempt(send, messages.Outcome.OK)
     assert not harness.balancer.open_requests.by_id
@@ -188,7 +188,7 @@
     harness.update_endpoint_list(
         *(messages.Endpoint(number, messages.EndpointStatus.DRAINING) for number in range(4)), version=2
     )
-    actions = harness.request("r") + harness.advance(5 * SECOND_US)
+    actions = harness.send_request("r") + harness.advance(5 * SECOND_US)
     assert actions_of_type(actions, messages.Reject)
     assert not actions_of_type(actions, messages.StartAttempt)
 
@@ -200,9 +200,11 @@
     sent: dict[int, list[int]] = {}
     for number in range(int(seconds * per_s)):
         harness.now_us += SECOND_US // per_s
-        for send in actions_of_type(harness.request(f"s{harness.now_us}.{number}"), messages.StartAttempt):
+        for send in actions_of_type(
+            harness.send_request(f"s{harness.now_us}.{number}"), messages.StartAttempt
+        ):
             sent.setdefault(send.endpoint_id, []).append(harness.now_us)
-            harness.end_attempt(send, messages.Outcome.OK, took=20 * MILLISECOND_US)
+            harness.end_attempt(send, messages.Outcome.OK, duration_us=20 * MILLISECOND_US)
     return sent
 
 
@@ -236,13 +238,13 @@
     harness.update_endpoint_list(messages.Endpoint(0), messages.Endpoint(9, incarnation_us=harness.now_us))
     warming_count = 0
     for number in range(50):
-        for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
+        for send in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt):
             warming_count += send.endpoint_id == 9
             for again in actions_of_type(
                 harness.end_attempt(send, messages.Outcome.REJECTED), messages.StartAttempt
             ):
                 warming_count += again.endpoint_id == 9
-                harness.end_attempt(again, messages.Outcome.REJECTED, attempt=1)
+                harness.end_attempt(again, messages.Outcome.REJECTED, attempt_number=1)
     assert warming_count <= 2
 
 
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -28,7 +28,7 @@
 
 def test_health_checks_of_hanging_attempt_back_off() -> None:
     harness = BalancerHarness(PROBING)
-    harness.request("a")
+    harness.send_request("a")
     assert not health_checks_within(harness, 1150 * MILLISECOND_US)
     times: list[int] = []
     for _ in range(35):
@@ -53,16 +53,16 @@
 ) -> None:
     """An endpoint that answers other requests is only slow, and an unsafe request is never abandoned."""
     harness = BalancerHarness(endpoint_count=2)
-    [send] = actions_of_type(harness.request("a", cls), messages.StartAttempt)
+    [send] = actions_of_type(harness.send_request("a", cls), messages.StartAttempt)
     harness.now_us += 100 * MILLISECOND_US
     other_sends = [
         send
         for number in range(6)
-        for send in actions_of_type(harness.request(f"b{number}"), messages.StartAttempt)
+        for send in actions_of_type(harness.send_request(f"b{number}"), messages.StartAttempt)
     ]
     for other in other_sends:
         if answers or other.endpoint_id != send.endpoint_id:
-            harness.end_attempt(other, messages.Outcome.OK, took=1 * MILLISECOND_US)
+            harness.end_attempt(other, messages.Outcome.OK, duration_us=1 * MILLISECOND_US)
     usual_latency_us = harness.balancer.request_factory.classes[cls].usual_latency_us
     cancels = [
         cancel
@@ -82,7 +82,7 @@
 
 def test_attempt_is_cancelled_when_endpoint_reports_fewer_requests_than_are_in_flight() -> None:
     harness = BalancerHarness(PROBING)
-    [first] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    [first] = actions_of_type(harness.send_request("a"), messages.StartAttempt)
     [check] = health_checks_within(harness, 1300 * MILLISECOND_US)
     assert check.endpoint_id == first.endpoint_id
     [cancel] = actions_of_type(
@@ -99,9 +99,9 @@
 
 def test_attempt_younger_than_the_load_report_is_not_cancelled() -> None:
     harness = BalancerHarness(PROBING, endpoint_count=1)
-    harness.request("a")
+    harness.send_request("a")
     harness.advance(1200 * MILLISECOND_US)
-    harness.request("b")
+    harness.send_request("b")
     harness.advance(100 * MILLISECOND_US)
     [check] = actions_of_type(harness.actions, messages.CheckHealth)
     cancels = actions_of_type(
@@ -112,7 +112,7 @@
 
 def test_endpoint_that_fails_two_health_checks_gets_nothing_until_it_responds() -> None:
     harness = BalancerHarness(PROBING, endpoint_count=1)
-    [first] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    [first] = actions_of_type(harness.send_request("a"), messages.StartAttempt)
     [check] = health_checks_within(harness, 1300 * MILLISECOND_US)
     after_first_failure = harness.handle(messages.HealthCheckEnded(check.endpoint_id, False))
     assert actions_of_type(after_first_failure, messages.CheckHealth)
@@ -121,15 +121,15 @@
         harness.handle(messages.HealthCheckEnded(check.endpoint_id, False)), messages.CancelAttempt
     )
     harness.end_attempt(first, messages.Outcome.CANCELLED)
-    assert not actions_of_type(harness.request("b"), messages.StartAttempt)
+    assert not actions_of_type(harness.send_request("b"), messages.StartAttempt)
     [check] = health_checks_within(harness, 600 * MILLISECOND_US)
     harness.handle(messages.HealthCheckEnded(check.endpoint_id, True))
-    assert actions_of_type(harness.request("c"), messages.StartAttempt)
+    assert actions_of_type(harness.send_request("c"), messages.StartAttempt)
 
 
 def test_unsafe_request_with_lost_response_is_not_retried() -> None:
     harness = BalancerHarness(PROBING)
-    [first] = actions_of_type(harness.request("a", "pay"), messages.StartAttempt)
+    [first] = actions_of_type(harness.send_request("a", "pay"), messages.StartAttempt)
     [check] = health_checks_within(harness, 1300 * MILLISECOND_US)
     harness.handle(messages.HealthCheckEnded(check.endpoint_id, True, 0.0))
     ended = harness.end_attempt(first, messages.Outcome.CANCELLED)
@@ -139,7 +139,7 @@
 
 def test_no_health_check_is_sent_where_settings_forbid_them() -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=3, cancel=True)))
-    harness.request("a")
+    harness.send_request("a")
     assert not health_checks_within(harness, 3 * SECOND_US)
 
 
--- a/tests/policy/test_no_starvation.py
+++ b/tests/policy/test_no_starvation.py
@@ -51,7 +51,7 @@
 
     `load` is the share of the capacity of all machines that the requests need.
     """
-    per_window = balancers * calls / endpoints / load
+    requests_per_window = balancers * calls / endpoints / load
     asked_per_s = balancers * calls * SECOND_US / RULES.overload_window_us
     setup = balancer_settings(
         classes=(SAFE_CLASS, SHORT, UNSAFE_CLASS),
@@ -59,8 +59,10 @@
         tenants=(messages.Tenant("large", asked_per_s), messages.Tenant("small", 0.3 * asked_per_s)),
         over_quota_weight=0.1,
     )
-    slots = max(1, round(USUAL_US * per_window / RULES.overload_window_us))
-    return SimulatedFleet(setup, balancers, endpoints, per_window, load, seed, CLIENTS, slots=slots)
+    slots = max(1, round(USUAL_US * requests_per_window / RULES.overload_window_us))
+    return SimulatedFleet(
+        setup, balancers, endpoints, requests_per_window, load, seed, CLIENTS, slot_count=slots
+    )
 
 
 def lose_zones(fleet: SimulatedFleet, zones: str) -> None:
@@ -71,34 +73,37 @@
     fleet.send_list(
         [replace(machine.entry, status=messages.EndpointStatus.REMOVED) for machine in lost_machines]
     )
-    fleet.run(fleet.now + AWAY_US)
+    fleet.run_until(fleet.now_us + AWAY_US)
     for machine in lost_machines:
-        machine.mode = "sound"
+        machine.mode = "healthy"
     fleet.restart(lost_machines)
 
 
 def simulate_day(fleet: SimulatedFleet, fault: str) -> None:
     """Simulate a day: "calm", with one endpoint in eight "failing" or "slow", or with a "zone" lost."""
-    fleet.run(START_US + LENGTH_US // 6)
+    fleet.run_until(START_US + LENGTH_US // 6)
     for machine in fleet.endpoints[::8]:
         if fault == "failing":
             machine.mode = "failing"
         elif fault == "slow":
-            machine.slower = 6.0
+            machine.slowdown_factor = 6.0
     if fault == "zone":
         lose_zones(fleet, "a")
-    fleet.run(START_US + LENGTH_US)
+    fleet.run_until(START_US + LENGTH_US)
 
 
 def most_requests_without_attempt(fleet: SimulatedFleet, since: int = START_US) -> int:
     """Return the most requests that a balancer got in a period of 4 s or more without an attempt."""
     worst = 0
-    for index in range(fleet.balancers):
+    for index in range(fleet.balancer_count):
         sends = [at for at, balancer in fleet.attempts if balancer == index and at >= since]
-        marks = [since, *sends, fleet.now]
+        marks = [since, *sends, fleet.now_us]
         for begin, end in pairwise(marks):
             if end - begin >= NO_ATTEMPT_US:
-                arrived = sum(call.balancer == index and begin < call.at <= end for call in fleet.requests)
+                arrived = sum(
+                    call.balancer_index == index and begin < call.arrived_at_us <= end
+                    for call in fleet.requests
+                )
                 worst = max(worst, arrived)
     return worst
 
@@ -113,11 +118,11 @@
     simulate_day(fleet, fault)
     groups: dict[str, list[SimulatedRequest]] = defaultdict(list)
     for call in fleet.requests:
-        if call.at < fleet.now - 5 * SECOND_US:  # those after may still be under way
-            groups[call.cls].append(call)
+        if call.arrived_at_us < fleet.now_us - 5 * SECOND_US:  # those after may still be under way
+            groups[call.class_name].append(call)
             groups[str(call.tenant)].append(call)
-            groups[f"third {3 * (call.at - START_US) // (LENGTH_US - 5 * SECOND_US)}"].append(call)
-    served = {name: fleet.served(calls) for name, calls in groups.items()}
+            groups[f"third {3 * (call.arrived_at_us - START_US) // (LENGTH_US - 5 * SECOND_US)}"].append(call)
+    served = {name: fleet.on_time_share(calls) for name, calls in groups.items()}
     assert len(served) == 8
     assert min(len(calls) for calls in groups.values()) >= 20
     assert min(served.values()) >= 0.5, served
@@ -134,19 +139,19 @@
 ) -> None:
     """At a quarter of the load even warming endpoints could serve everything."""
     fleet = build_fleet(balancers, endpoints, calls, load, seed)
-    fleet.run(START_US + 3 * SECOND_US)
+    fleet.run_until(START_US + 3 * SECOND_US)
     lose_zones(fleet, "abc")
-    restored_at_us = fleet.now
-    fleet.run(restored_at_us + 7 * SECOND_US)
+    restored_at_us = fleet.now_us
+    fleet.run_until(restored_at_us + 7 * SECOND_US)
     arrived = [
         call
         for call in fleet.requests
-        if restored_at_us + fleet.spread_us <= call.at < restored_at_us + 5 * SECOND_US
+        if restored_at_us + fleet.max_list_delay_us <= call.arrived_at_us < restored_at_us + 5 * SECOND_US
     ]
     for index in range(balancers):
-        own_calls = [call for call in arrived if call.balancer == index]
+        own_calls = [call for call in arrived if call.balancer_index == index]
         if len(own_calls) >= MAX_REQUESTS_WITHOUT_ATTEMPT:
-            assert fleet.served(own_calls) >= 0.3
+            assert fleet.on_time_share(own_calls) >= 0.3
     for cls in ("read", "short", "pay"):
-        assert fleet.served(call for call in arrived if call.cls == cls) >= 0.5
+        assert fleet.on_time_share(call for call in arrived if call.class_name == cls) >= 0.5
     assert most_requests_without_attempt(fleet, restored_at_us) < MAX_REQUESTS_WITHOUT_ATTEMPT
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -15,12 +15,12 @@
     harness, attempts_at_dead = BalancerHarness(endpoint_count=3), 0
     harness.balancer.endpoints.states[0].endpoint = messages.Endpoint(0)
     for number in range(40):
-        for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
+        for send in actions_of_type(harness.send_request(f"r{number}", "pay"), messages.StartAttempt):
             while send.endpoint_id == 0:  # rejected within the same instant
                 attempts_at_dead += 1
                 again = actions_of_type(
                     harness.end_attempt(
-                        send, messages.Outcome.NO_CONNECTION, took=1 * MILLISECOND_US, attempt=0
+                        send, messages.Outcome.NO_CONNECTION, duration_us=1 * MILLISECOND_US, attempt_number=0
                     ),
                     messages.StartAttempt,
                 )
@@ -38,19 +38,19 @@
         for number in range(400):
             harness.now_us += 10 * MILLISECOND_US
             more = actions_of_type(
-                harness.request(f"r{phase}.{number}") + harness.request(f"s{phase}.{number}"),
+                harness.send_request(f"r{phase}.{number}") + harness.send_request(f"s{phase}.{number}"),
                 messages.StartAttempt,
             )
             in_flight += more
             if len(in_flight) >= 4 or not more:
                 in_flight += actions_of_type(
-                    harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
+                    harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, duration_us=took_us),
                     messages.StartAttempt,
                 )
         limits.append(harness.balancer.concurrency_limit.attempts_per_endpoint)
         while in_flight:
             in_flight += actions_of_type(
-                harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
+                harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, duration_us=took_us),
                 messages.StartAttempt,
             )
     assert limits[1] == 1.0 < limits[0]
@@ -65,7 +65,7 @@
     sends = [
         send
         for number in range(40)
-        for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        for send in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
     ]
     assert (
         0
@@ -78,9 +78,9 @@
     harness = BalancerHarness(endpoint_count=1)
     sends = []
     for number in range(10):
-        sends += actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        sends += actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
     assert 0 < len(sends) < 10
-    assert not actions_of_type(harness.request("dear", "pay"), messages.StartAttempt)
+    assert not actions_of_type(harness.send_request("dear", "pay"), messages.StartAttempt)
     next_send, *_ = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.OK), messages.StartAttempt)
     assert next_send.request_id == "dear"
     refused = actions_of_type(harness.advance(1 * SECOND_US), messages.Reject)
@@ -93,18 +93,18 @@
     for part in (0.0, 0.6):
         harness = BalancerHarness(balancer_settings(worst_class_weight=part), endpoint_count=1)
         while sends := actions_of_type(
-            harness.request(f"fill{len(harness.actions)}", "mark"), messages.StartAttempt
+            harness.send_request(f"fill{len(harness.actions)}", "mark"), messages.StartAttempt
         ):
             busy_send = sends[0]
         harness.advance(300 * MILLISECOND_US)  # what was queued is rejected: no class is served well
         for number in range(20):
-            harness.request(
-                f"cheap{number}", "read", time_left=1 * MILLISECOND_US
+            harness.send_request(
+                f"cheap{number}", "read", time_remaining_us=1 * MILLISECOND_US
             )  # cannot be answered in time
-        harness.request("twice the worth", "mark")
-        harness.request("least served", "read")
+        harness.send_request("twice the worth", "mark")
+        harness.send_request("least served", "read")
         send, *_ = actions_of_type(
-            harness.end_attempt(busy_send, messages.Outcome.OK, took=300 * MILLISECOND_US),
+            harness.end_attempt(busy_send, messages.Outcome.OK, duration_us=300 * MILLISECOND_US),
             messages.StartAttempt,
         )
         first_send[part] = send.request_id
@@ -130,18 +130,18 @@
 def test_request_that_cannot_meet_its_latency_objective_is_rejected_at_once() -> None:
     harness = BalancerHarness()
     for number in range(60):
-        for send in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
-            harness.end_attempt(send, messages.Outcome.OK, took=SECOND_US)
-    actions = harness.request("late", time_left=500 * MILLISECOND_US)
+        for send in actions_of_type(harness.send_request(f"w{number}"), messages.StartAttempt):
+            harness.end_attempt(send, messages.Outcome.OK, duration_us=SECOND_US)
+    actions = harness.send_request("late", time_remaining_us=500 * MILLISECOND_US)
     assert actions_of_type(actions, messages.Reject) == [messages.Reject("late")]
 
 
 def test_time_spent_before_arrival_shortens_the_attempt_timeout() -> None:
     harness = BalancerHarness()
-    [send] = actions_of_type(harness.request("first"), messages.StartAttempt)
+    [send] = actions_of_type(harness.send_request("first"), messages.StartAttempt)
     harness.end_attempt(send, messages.Outcome.OK)
     [send] = actions_of_type(
-        harness.request("older", time_left=4 * SECOND_US, retry=True), messages.StartAttempt
+        harness.send_request("older", time_remaining_us=4 * SECOND_US, retry=True), messages.StartAttempt
     )
     assert send.timeout_us <= 1 * SECOND_US
 
@@ -154,12 +154,13 @@
         ("b", 45 * SECOND_US // 10, True),
     ):
         [send] = actions_of_type(
-            harness.request(request_id, time_left=time_left, retry=retry), messages.StartAttempt
+            harness.send_request(request_id, time_remaining_us=time_left, retry=retry), messages.StartAttempt
         )
         harness.end_attempt(send, messages.Outcome.OK)
     for request_id, retry in (("c", False), ("d", True)):  # both deadlines are as short: no age can be told
         [send] = actions_of_type(
-            harness.request(request_id, time_left=27 * SECOND_US // 10, retry=retry), messages.StartAttempt
+            harness.send_request(request_id, time_remaining_us=27 * SECOND_US // 10, retry=retry),
+            messages.StartAttempt,
         )
         assert send.timeout_us > 19 * SECOND_US // 10
         harness.end_attempt(send, messages.Outcome.OK)
@@ -167,7 +168,7 @@
 
 def test_unknown_class_is_handled_as_unsafe() -> None:
     harness = BalancerHarness()
-    [send] = actions_of_type(harness.request("r", "never heard of"), messages.StartAttempt)
+    [send] = actions_of_type(harness.send_request("r", "never heard of"), messages.StartAttempt)
     assert actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.Fail) == [
         messages.Fail("r")
     ]
@@ -176,14 +177,17 @@
 def test_request_with_hardly_any_time_left_is_rejected() -> None:
     for time_left in (0, 1, 1500):
         harness = BalancerHarness()
-        actions = harness.request("r", "pay", time_left)
+        actions = harness.send_request("r", "pay", time_left)
         assert actions_of_type(actions, messages.Reject)
         assert not actions_of_type(actions, messages.StartAttempt)
 
 
 def test_duplicate_request_id_is_one_request() -> None:
     harness = BalancerHarness()
-    assert len(actions_of_type(harness.request("r") + harness.request("r"), messages.StartAttempt)) == 1
+    assert (
+        len(actions_of_type(harness.send_request("r") + harness.send_request("r"), messages.StartAttempt))
+        == 1
+    )
     assert harness.balancer.request_factory.classes["read"].requests == 1
 
 
@@ -195,10 +199,10 @@
         sends = actions_of_type(harness.advance(50 * MILLISECOND_US), messages.StartAttempt)
         while in_flight and in_flight[0][0] <= harness.now_us:
             sends += actions_of_type(
-                harness.end_attempt(in_flight.pop(0)[1], messages.Outcome.OK, took=took_us),
+                harness.end_attempt(in_flight.pop(0)[1], messages.Outcome.OK, duration_us=took_us),
                 messages.StartAttempt,
             )
-        sends += actions_of_type(harness.request(f"q{harness.now_us}.{number}"), messages.StartAttempt)
+        sends += actions_of_type(harness.send_request(f"q{harness.now_us}.{number}"), messages.StartAttempt)
         in_flight += [(harness.now_us + took_us, send) for send in sends]
         sent_count += len(sends)
     return sent_count
@@ -236,12 +240,12 @@
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)))
 
     def chosen(cls: str, number: int) -> int:
-        [send] = actions_of_type(harness.request(f"{cls}{number}", cls), messages.StartAttempt)
+        [send] = actions_of_type(harness.send_request(f"{cls}{number}", cls), messages.StartAttempt)
         harness.now_us += 1 * MILLISECOND_US
-        harness.end_attempt(send, messages.Outcome.OK, took=1 * MILLISECOND_US)
+        harness.end_attempt(send, messages.Outcome.OK, duration_us=1 * MILLISECOND_US)
         return send.endpoint_id
 
-    [first_send] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    [first_send] = actions_of_type(harness.send_request("a"), messages.StartAttempt)
     harness.end_attempt(first_send, messages.Outcome.ERROR)
     harness.now_us += 500 * MILLISECOND_US  # the failed attempt no longer counts as in flight
     harness.balancer.endpoints.states[
@@ -255,18 +259,18 @@
 
 def test_endpoint_that_failed_a_class_is_used_when_no_other_is_open() -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)), endpoint_count=1)
-    [first_send] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    [first_send] = actions_of_type(harness.send_request("a"), messages.StartAttempt)
     harness.end_attempt(first_send, messages.Outcome.ERROR)
     harness.now_us += 500 * MILLISECOND_US
-    assert actions_of_type(harness.request("b"), messages.StartAttempt)
+    assert actions_of_type(harness.send_request("b"), messages.StartAttempt)
 
 
 def test_failed_connection_does_not_lower_the_concurrency_limit() -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)))
     for number in range(40):
         limit_before = harness.balancer.concurrency_limit.attempts_per_endpoint
-        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
-        harness.end_attempt(send, messages.Outcome.NO_CONNECTION, took=1)
+        [send] = actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
+        harness.end_attempt(send, messages.Outcome.NO_CONNECTION, duration_us=1)
         harness.advance(500 * MILLISECOND_US)
         assert harness.balancer.concurrency_limit.attempts_per_endpoint >= limit_before
 
@@ -278,7 +282,7 @@
     """It is rejected then, without an attempt: the client may safely retry."""
     harness = BalancerHarness(endpoint_count=1)
     sends: list[messages.StartAttempt] = []
-    while len(more := actions_of_type(harness.request(f"r{len(sends)}"), messages.StartAttempt)) == 1:
+    while len(more := actions_of_type(harness.send_request(f"r{len(sends)}"), messages.StartAttempt)) == 1:
         sends += more
     done = harness.advance(
         int(waited_share * harness.balancer.request_factory.classes["read"].settings.latency_objective_us)
@@ -304,10 +308,10 @@
     sends = [
         send
         for number in range(3)
-        for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt)
+        for send in actions_of_type(harness.send_request(f"r{number}", "pay"), messages.StartAttempt)
     ]
     assert len({send.endpoint_id for send in sends}) == 3  # one attempt at each
-    assert not actions_of_type(harness.request("cheap", "read"), messages.StartAttempt)
+    assert not actions_of_type(harness.send_request("cheap", "read"), messages.StartAttempt)
     return harness, sends
 
 
@@ -336,11 +340,13 @@
     harness = BalancerHarness(
         balancer_settings(limits=messages.Limits(max_attempts=max_attempts, cancel=True))
     )
-    actions, sends = harness.request("r", "pay"), 0
+    actions, sends = harness.send_request("r", "pay"), 0
     while again := actions_of_type(actions, messages.StartAttempt):
         sends += 1
         assert sends <= max_attempts
-        actions = harness.end_attempt(again[0], messages.Outcome.NOT_SENT, took=0, attempt=sends - 1)
+        actions = harness.end_attempt(
+            again[0], messages.Outcome.NOT_SENT, duration_us=0, attempt_number=sends - 1
+        )
     assert sends == max_attempts
     assert [action.request_id for action in actions_of_type(actions, messages.Reject)] == ["r"]
     assert not harness.balancer.open_requests.by_id
--- a/tests/policy/test_request_deadline.py
+++ b/tests/policy/test_request_deadline.py
@@ -11,14 +11,14 @@
 
 def test_attempt_times_out_before_its_answer_would_be_late() -> None:
     harness = BalancerHarness()
-    [send] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
+    [send] = actions_of_type(harness.send_request("r", "pay"), messages.StartAttempt)
     assert send.timeout_us <= UNSAFE_CLASS.latency_objective_us - 2 * harness.balancer.settings.tick_us
 
 
 @pytest.mark.parametrize("allowed", [True, False])
 def test_attempt_in_flight_at_the_deadline_is_cancelled_where_allowed(allowed: bool) -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=3, cancel=allowed)))
-    harness.request("r")
+    harness.send_request("r")
     actions = harness.advance(6 * SECOND_US)  # no outcome comes
     assert actions_of_type(actions, messages.Reject) == [messages.Reject("r")]
     assert actions_of_type(actions, messages.CancelAttempt) == (
--- a/tests/policy/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -10,7 +10,7 @@
 
 
 def first_send(harness: BalancerHarness, cls: str) -> messages.StartAttempt:
-    [send] = actions_of_type(harness.request("r", cls), messages.StartAttempt)
+    [send] = actions_of_type(harness.send_request("r", cls), messages.StartAttempt)
     return send
 
 
@@ -32,7 +32,7 @@
     send, tried = first_send(harness, "pay"), set()
     for attempt in range(3):
         tried.add(send.endpoint_id)
-        actions = harness.end_attempt(send, outcome, attempt=attempt)
+        actions = harness.end_attempt(send, outcome, attempt_number=attempt)
         if attempt < 2:
             [send] = actions_of_type(actions, messages.StartAttempt)
     assert len(tried) == 3
@@ -60,7 +60,7 @@
 
 def test_request_without_endpoints_is_queued_then_rejected() -> None:
     harness = BalancerHarness(endpoint_count=0)
-    assert not actions_of_type(harness.request("r"), messages.StartAttempt)
+    assert not actions_of_type(harness.send_request("r"), messages.StartAttempt)
     assert actions_of_type(harness.advance(5 * SECOND_US), messages.Reject) == [messages.Reject("r")]
 
 
@@ -88,7 +88,9 @@
         kind=messages.EndpointListKind.CHANGES,
         version=2,
     )
-    sends = [actions_of_type(harness.request(f"r{number}"), messages.StartAttempt) for number in range(3)]
+    sends = [
+        actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt) for number in range(3)
+    ]
     assert [started[0].endpoint_id for started in sends] == [0, 0, 0]
 
 
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -20,7 +20,7 @@
             )
         )
     )
-    [send] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
+    [send] = actions_of_type(harness.send_request("r", "pay"), messages.StartAttempt)
     actions = harness.end_attempt(send, messages.Outcome.ERROR)
     assert actions_of_type(actions, messages.Fail) == [messages.Fail("r")]
     assert not actions_of_type(actions, messages.StartAttempt)
@@ -36,7 +36,9 @@
         deduplication_window_us=1 * SECOND_US,
     )
     harness = BalancerHarness(balancer_settings(classes=(keyed,)))
-    [send] = actions_of_type(harness.request("r", "write", time_left=9 * SECOND_US), messages.StartAttempt)
+    [send] = actions_of_type(
+        harness.send_request("r", "write", time_remaining_us=9 * SECOND_US), messages.StartAttempt
+    )
     harness.now_us += after
     assert (
         len(actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.StartAttempt)) == sent
@@ -56,7 +58,9 @@
     )
     limits = messages.Limits(max_attempts=3, connect_timeout_us=250 * MILLISECOND_US)
     harness = BalancerHarness(balancer_settings(classes=(keyed,), limits=limits))
-    [send] = actions_of_type(harness.request("r", "write", time_left=9 * SECOND_US), messages.StartAttempt)
+    [send] = actions_of_type(
+        harness.send_request("r", "write", time_remaining_us=9 * SECOND_US), messages.StartAttempt
+    )
     harness.now_us += after
     assert (
         len(actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.StartAttempt)) == sent
@@ -77,7 +81,7 @@
         harness.update_endpoint_list(
             *(messages.Endpoint(number, zone="ab"[number % 2]) for number in range(8))
         )
-        [send] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
+        [send] = actions_of_type(harness.send_request("r", "write"), messages.StartAttempt)
         [again] = actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.StartAttempt)
         assert again.endpoint_id % 2 == send.endpoint_id % 2
 
@@ -85,7 +89,7 @@
 def test_retry_goes_to_an_untried_endpoint() -> None:
     for seed in range(8):
         harness = BalancerHarness(endpoint_count=2, seed=seed)
-        [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+        [send] = actions_of_type(harness.send_request("r"), messages.StartAttempt)
         harness.now_us += 1 * SECOND_US  # the failed attempt no longer counts as in flight
         [again] = actions_of_type(harness.end_attempt(send, messages.Outcome.RESET), messages.StartAttempt)
         assert again.endpoint_id != send.endpoint_id
@@ -94,13 +98,13 @@
 def test_retries_are_paid_from_the_retry_budget() -> None:
     harness, sends, requests = BalancerHarness(), 0, 200
     for number in range(requests):
-        pending = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        pending = actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
         attempt = 0
         while pending:
             sends += 1
             pending = actions_of_type(
                 harness.end_attempt(
-                    pending[0], messages.Outcome.REJECTED, took=MILLISECOND_US, attempt=attempt
+                    pending[0], messages.Outcome.REJECTED, duration_us=MILLISECOND_US, attempt_number=attempt
                 ),
                 messages.StartAttempt,
             )
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -25,12 +25,12 @@
 
 def test_endpoint_with_fewer_attempts_in_flight_wins_the_draw() -> None:
     harness = BalancerHarness(endpoint_count=1)
-    harness.request("long")
+    harness.send_request("long")
     harness.update_endpoint_list(messages.Endpoint(0), messages.Endpoint(1), version=2)
     busy, idle = harness.balancer.endpoints.states.values()
     busy.share = 3.0
     for number in range(20):
-        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        [send] = actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
         assert send.endpoint_id == idle.endpoint.id
         assert [draw.load for draw in send.draws] == [0, 1]
         harness.end_attempt(send, messages.Outcome.OK)
@@ -39,28 +39,30 @@
 def test_overdue_attempt_counts_twice() -> None:
     """A missing response shows that an endpoint hangs long before the attempt times out."""
     harness = BalancerHarness(endpoint_count=1)
-    [send] = actions_of_type(harness.request("stuck"), messages.StartAttempt)
+    [send] = actions_of_type(harness.send_request("stuck"), messages.StartAttempt)
     [state] = harness.balancer.endpoints.states.values()
     usual = int(harness.balancer.request_factory.classes["read"].usual_latency_us)
     assert [state.load(harness.now_us + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
     harness.now_us += 3 * usual
-    harness.end_attempt(send, messages.Outcome.OK, took=3 * usual)
+    harness.end_attempt(send, messages.Outcome.OK, duration_us=3 * usual)
     assert state.load(harness.now_us) == 0
 
 
 def test_draws_are_distinct() -> None:
     harness = BalancerHarness(endpoint_count=5)
     for number in range(50):
-        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        [send] = actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
         assert len({draw.endpoint_id for draw in send.draws}) == 2
         harness.end_attempt(send, messages.Outcome.OK)
 
 
 def test_selection_from_one_endpoint_and_from_none() -> None:
     harness = BalancerHarness(endpoint_count=1)
-    assert [send.endpoint_id for send in actions_of_type(harness.request("a"), messages.StartAttempt)] == [0]
+    assert [
+        send.endpoint_id for send in actions_of_type(harness.send_request("a"), messages.StartAttempt)
+    ] == [0]
     harness.update_endpoint_list()
-    assert not actions_of_type(harness.request("b"), messages.StartAttempt)
+    assert not actions_of_type(harness.send_request("b"), messages.StartAttempt)
 
 
 def test_subset_is_shuffled_stable_and_refilled() -> None:
@@ -86,13 +88,13 @@
 def test_failing_endpoint_gets_less_and_is_not_ejected() -> None:
     harness, counts = BalancerHarness(endpoint_count=6), Counter[int]()
     for number in range(600):
-        for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
+        for send in actions_of_type(harness.send_request(f"r{number}", "pay"), messages.StartAttempt):
             is_failing = send.endpoint_id == 0
             harness.now_us += 20 * MILLISECOND_US
             harness.end_attempt(
                 send,
                 messages.Outcome.ERROR if is_failing else messages.Outcome.OK,
-                took=5 * MILLISECOND_US if is_failing else 100 * MILLISECOND_US,
+                duration_us=5 * MILLISECOND_US if is_failing else 100 * MILLISECOND_US,
             )
             counts[send.endpoint_id] += number >= 300
     fair = 300 / 6
@@ -105,11 +107,11 @@
     shares = []
     for phase in range(3):
         for number in range(500):
-            for send in actions_of_type(harness.request(f"r{phase}.{number}"), messages.StartAttempt):
+            for send in actions_of_type(harness.send_request(f"r{phase}.{number}"), messages.StartAttempt):
                 harness.now_us += 20 * MILLISECOND_US
                 slow = phase == 1 and send.endpoint_id == 0
                 harness.end_attempt(
-                    send, messages.Outcome.OK, took=SECOND_US if slow else 100 * MILLISECOND_US
+                    send, messages.Outcome.OK, duration_us=SECOND_US if slow else 100 * MILLISECOND_US
                 )
         shares.append(harness.balancer.endpoints.states[0].share)
     assert shares[1] < shares[0] / 2
@@ -119,7 +121,7 @@
 def test_cancelled_and_unsent_attempts_are_no_latency_samples() -> None:
     for outcome in (messages.Outcome.CANCELLED, messages.Outcome.NOT_SENT):
         harness = BalancerHarness(endpoint_count=1)
-        [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+        [send] = actions_of_type(harness.send_request("r"), messages.StartAttempt)
         mean = harness.balancer.endpoints.states[0].detector.mean
         again = actions_of_type(harness.end_attempt(send, outcome), messages.StartAttempt)
         assert harness.balancer.endpoints.states[0].detector.mean == mean
@@ -147,7 +149,7 @@
             ]
     local_count = 0
     for number in range(200):
-        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        [send] = actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
         local_count += harness.balancer.endpoints.states[send.endpoint_id].endpoint.zone == "a"
         harness.end_attempt(send, messages.Outcome.OK)
     return local_count
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -46,10 +46,10 @@
     """Each stays within the rule, and their mean within the stricter bound, which each had exceeded."""
     fleets = [warming_fleet(*size, "all", faults, seed, rules=rules) for seed in seeds]
     for fleet in fleets:
-        worst, sent, allowed = fleet.worst_cold(page=True)
+        worst, sent, allowed = fleet.fullest_warming_window(use_small_count_margin=True)
         assert sent > 0
         assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
-    assert sum(fleet.worst_cold()[0] for fleet in fleets) / len(fleets) <= 1.0
+    assert sum(fleet.fullest_warming_window()[0] for fleet in fleets) / len(fleets) <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("rules", [TIGHT, SLOWEST])
 def test_tight_overload_multiple_holds_for_every_seed(warming: str, rules: messages.Rules, seed: int) -> None:
     fleet = warming_fleet(*SPARSE, warming, "burst failing", seed, rules=rules)
-    worst, sent, allowed = fleet.worst_cold(page=True)
+    worst, sent, allowed = fleet.fullest_warming_window(use_small_count_margin=True)
     assert sent > 0
     assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
 
@@ -75,7 +75,7 @@
 @pytest.mark.parametrize("warming", ["zone", "all"])
 def test_budget_holds_under_other_faults(warming: str, faults: str) -> None:
     fleet = warming_fleet(*SPARSE, warming, faults, seed=2, rules=TIGHT, health_checks=True)
-    worst, sent, allowed = fleet.worst_cold(page=True)
+    worst, sent, allowed = fleet.fullest_warming_window(use_small_count_margin=True)
     assert sent > 0
     assert worst <= 1.0, f"{sent} attempts and checks, {allowed:.1f} allowed"
 
@@ -135,18 +135,18 @@
         )
         for number in range(40):
             harness.advance(RULES.overload_window_us // 3)
-            for send in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
-                harness.end_attempt(send, messages.Outcome.OK, took=100 * MILLISECOND_US)
+            for send in actions_of_type(harness.send_request(f"w{number}"), messages.StartAttempt):
+                harness.end_attempt(send, messages.Outcome.OK, duration_us=100 * MILLISECOND_US)
         harness.update_endpoint_list(
             *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6)), version=2
         )
         sends = 0
         for number in range(4):
             for send in actions_of_type(
-                harness.advance(RULES.overload_window_us // 3) + harness.request(f"c{number}"),
+                harness.advance(RULES.overload_window_us // 3) + harness.send_request(f"c{number}"),
                 messages.StartAttempt,
             ):
-                harness.end_attempt(send, messages.Outcome.OK, took=100 * MILLISECOND_US)
+                harness.end_attempt(send, messages.Outcome.OK, duration_us=100 * MILLISECOND_US)
                 sends += 1
         served.append(sends)
     assert min(served) > 0
@@ -156,7 +156,7 @@
     harness = balancer_with_warming_endpoints(1, 0, 1)
     [state] = harness.balancer.endpoints.subset
     state.warming.bucket.tokens = 0.2
-    assert len(actions_of_type(harness.request("r"), messages.StartAttempt)) == 1
+    assert len(actions_of_type(harness.send_request("r"), messages.StartAttempt)) == 1
     assert math.isclose(state.warming.bucket.tokens, -0.8)
 
 
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -43,7 +43,7 @@
     fleet = warming_fleet(
         balancers, endpoints, calls, warming, faults, rules=rules, before=before, after=after
     )
-    worst, sent, allowed = fleet.worst_cold()
+    worst, sent, allowed = fleet.fullest_warming_window()
     assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
     assert sent > 0
     assert len(fleet.requests) >= 100
@@ -64,7 +64,7 @@
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(880))
     )
     monkeypatch.setattr(SlowStart, "capacity", counted)
-    harness.request("r")
+    harness.send_request("r")
     assert 0 < examined <= 2 * len(harness.balancer.endpoints.subset)
 
 
@@ -79,7 +79,7 @@
 ) -> None:
     worst, sent, allowed = warming_fleet(
         balancers, endpoints, calls, warming, faults, seed=seed, rules=rules
-    ).worst_cold()
+    ).fullest_warming_window()
     assert sent > 0
     assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
 
@@ -116,7 +116,7 @@
         version=2,
     )
     assert {state.endpoint.id for state in harness.balancer.endpoints.subset} == ours
-    assert actions_of_type(harness.request("r"), messages.StartAttempt)
+    assert actions_of_type(harness.send_request("r"), messages.StartAttempt)
 
 
 def test_unused_tokens_are_saved_for_at_most_one_window() -> None:
@@ -136,7 +136,7 @@
         restarted = harness.balancer.endpoints.states[restarted.endpoint.id]
         restarted.share = 1e-9
         for number in range(30):
-            for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
+            for send in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt):
                 harness.end_attempt(send, messages.Outcome.OK)
             harness.advance(SECOND_US)
         saved += int(harness.balancer.slow_start.refill(harness.now_us, restarted))
@@ -150,7 +150,7 @@
         0,
     )
     for number in range(3):
-        sends = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        sends = actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
         for attempt in range(3):
             sent += len(sends)
             sends = actions_of_type(
@@ -168,7 +168,7 @@
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(40))
     )
     for number in range(40):
-        harness.request(f"r{number}")
+        harness.send_request(f"r{number}")
     harness.now_us += 100 * MILLISECOND_US
     ours = harness.balancer.endpoints.subset[0]
     other = next(
@@ -213,7 +213,7 @@
             *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6))
         )
         for number in range(3):
-            for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
+            for send in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt):
                 sent[send.endpoint_id] += 1
     # One from each balancer made five for an endpoint: more than the rule allows where it can take one.
     assert sum(sent) > 0
@@ -225,7 +225,7 @@
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6))
     )
-    [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+    [send] = actions_of_type(harness.send_request("r"), messages.StartAttempt)
     assert not actions_of_type(
         harness.end_attempt(send, messages.Outcome.REJECTED, MILLISECOND_US), messages.StartAttempt
     )
@@ -234,7 +234,7 @@
 @pytest.mark.parametrize("seed", [0, 3, 4])
 def test_health_checks_and_their_repeats_stay_within_the_budget(seed: int) -> None:
     fleet = warming_fleet(30, 6, 0.7, "all", "burst silent", seed, health_checks=True)
-    worst, sent, allowed = fleet.worst_cold()
+    worst, sent, allowed = fleet.fullest_warming_window()
     assert sent > 0
     assert worst <= 1.0, f"{sent} attempts and checks, {allowed:.1f} allowed"
 
@@ -249,7 +249,7 @@
     )
     harness = BalancerHarness(setup, endpoint_count=0)
     harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=started_at_us))
-    harness.request("r")
+    harness.send_request("r")
     harness.advance(950 * MILLISECOND_US)
     harness.balancer.endpoints.states[0].warming.bucket.tokens = 1.0  # expires after a part of the window
     harness.balancer.endpoints.states[0].warming.bucket.updated_at_us = harness.now_us
@@ -267,8 +267,8 @@
     harness = BalancerHarness(endpoint_count=3)
     for number in range(300):
         harness.advance(10 * MILLISECOND_US)
-        for send in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
-            harness.end_attempt(send, messages.Outcome.OK, took=20 * MILLISECOND_US)
+        for send in actions_of_type(harness.send_request(f"w{number}"), messages.StartAttempt):
+            harness.end_attempt(send, messages.Outcome.OK, duration_us=20 * MILLISECOND_US)
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(3)), version=2
     )
@@ -277,7 +277,8 @@
         sent += [
             send.endpoint_id
             for send in actions_of_type(
-                harness.advance(10 * MILLISECOND_US) + harness.request(f"c{number}"), messages.StartAttempt
+                harness.advance(10 * MILLISECOND_US) + harness.send_request(f"c{number}"),
+                messages.StartAttempt,
             )
         ]
     assert min(sent.count(number) for number in range(3)) >= 2
@@ -291,7 +292,7 @@
         harness = BalancerHarness(
             balancer_settings(rules=RULES, instances=200, index=index), endpoint_count=0, seed=index
         )
-        harness.request("r")
+        harness.send_request("r")
         harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=harness.now_us))
         sent += len(actions_of_type(harness.actions, messages.StartAttempt))
     assert 0 < sent <= 12
--- a/tests/policy/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -16,7 +16,7 @@
     sends = [
         send.endpoint_id
         for number in range(30)
-        for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        for send in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
     ]
     assert sorted(sends) == [0, 1, 2]
 
@@ -31,7 +31,7 @@
     sends = [
         send.endpoint_id
         for number in range(30)
-        for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        for send in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
     ]
     assert sends.count(9) <= MAX_BURST_ATTEMPTS
 
@@ -47,4 +47,4 @@
             for number in range(3)
         )
     )
-    assert actions_of_type(harness.request("r"), messages.StartAttempt)
+    assert actions_of_type(harness.send_request("r"), messages.StartAttempt)
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -53,11 +53,11 @@
         draw_requests_to(fleet, started, started_at_us, faults)
     if "again" in faults:
         for wait_us in (700 * MILLISECOND_US, 1900 * MILLISECOND_US):
-            fleet.run(started_at_us + wait_us)
+            fleet.run_until(started_at_us + wait_us)
             fleet.restart(started)
     if "moving" in faults:
         remove_others_in_turn(fleet, started, started_at_us + after)
-    fleet.run(started_at_us + after)
+    fleet.run_until(started_at_us + after)
     return fleet
 
 
@@ -72,8 +72,8 @@
     surge_at_us: int,
 ) -> SimulatedFleet:
     """Return a fleet of warm endpoints under load, with a surge of 3 s where the faults name one."""
-    per_window = balancers * calls / endpoints / LOAD
-    usual_us = rules.overload_window_us / per_window  # of an attempt, with one at a time
+    requests_per_window = balancers * calls / endpoints / LOAD
+    usual_us = rules.overload_window_us / requests_per_window  # of an attempt, with one at a time
     surge = 3.0 if "tripled" in faults else 2.0 if "burst" in faults else 1.0
     return SimulatedFleet(
         balancer_settings(
@@ -83,7 +83,7 @@
         ),
         balancers,
         endpoints,
-        per_window,
+        requests_per_window,
         LOAD,
         seed,
         clients=(
@@ -92,9 +92,9 @@
             SimulatedClient("mark", 2),
             SimulatedClient("pay", 2),
         ),
-        surge=lambda now: surge if surge_at_us <= now < surge_at_us + 3 * SECOND_US else 1.0,
-        most_surge=surge,
-        slots=max(1, round(USUAL_US / usual_us)),
+        load_factor_at=lambda now: surge if surge_at_us <= now < surge_at_us + 3 * SECOND_US else 1.0,
+        max_load_factor=surge,
+        slot_count=max(1, round(USUAL_US / usual_us)),
     )
 
 
@@ -102,18 +102,18 @@
     fleet: SimulatedFleet, warming: str, faults: str, at_us: int
 ) -> list[SimulatedEndpoint]:
     """Restart the endpoints that are to warm up, after 0.3 s without them, and return their machines."""
-    fleet.run(at_us - 300 * MILLISECOND_US)
+    fleet.run_until(at_us - 300 * MILLISECOND_US)
     chosen = warming_machines(fleet, warming)
     if "held" in faults:
         fleet.send_list(
             [replace(machine.entry, status=messages.EndpointStatus.DRAINING) for machine in fleet.endpoints],
-            within=0,
+            max_delay_us=0,
         )
     elif warming != "one":
         fleet.send_list(
             [replace(machine.entry, status=messages.EndpointStatus.REMOVED) for machine in chosen]
         )
-    fleet.run(at_us)
+    fleet.run_until(at_us)
     break_machines(fleet, faults)
     fleet.restart(chosen)
     if "held" in faults:
@@ -166,24 +166,24 @@
     fleet: SimulatedFleet, chosen: list[SimulatedEndpoint], started_at_us: int, faults: str
 ) -> None:
     """Give these machines shares that would draw every request, after none for a while with "saved"."""
-    fleet.run(started_at_us + fleet.spread_us)
+    fleet.run_until(started_at_us + fleet.max_list_delay_us)
     if "saved" in faults:
         set_shares(fleet, chosen, 1e-9)
-        fleet.run(started_at_us + 20 * SECOND_US)
+        fleet.run_until(started_at_us + 20 * SECOND_US)
     set_shares(fleet, chosen, 1e9)
 
 
 def remove_others_in_turn(fleet: SimulatedFleet, chosen: list[SimulatedEndpoint], until: int) -> None:
     """Remove one random other machine after another from the list, each for 0.4 s."""
     others = [machine.entry for machine in fleet.endpoints if machine not in chosen]
-    while others and fleet.now + 400 * MILLISECOND_US < until:
+    while others and fleet.now_us + 400 * MILLISECOND_US < until:
         leaves = fleet.rng.choice(others)
         fleet.send_list([replace(leaves, status=messages.EndpointStatus.REMOVED)])
-        fleet.run(fleet.now + 400 * MILLISECOND_US)
+        fleet.run_until(fleet.now_us + 400 * MILLISECOND_US)
         fleet.send_list([leaves])
 
 
 def set_shares(fleet: SimulatedFleet, machines: list[SimulatedEndpoint], share: float) -> None:
-    for module in fleet.policies:
+    for module in fleet.balancers:
         for machine in machines:
             module.endpoints.states[machine.entry.id].share = share
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -11,7 +11,13 @@
 from load_balancer import Balancer
 from load_balancer.errors import ConfigError
 from load_balancer.process.config import ConfigSource
-from tests.support.config_fields import FIRST_LANE, NUMBER_FIELDS, FieldPath, config_with, field_name
+from tests.support.config_fields import (
+    FIRST_REQUEST_CLASS,
+    NUMBER_FIELDS,
+    FieldPath,
+    config_with_field,
+    field_name,
+)
 from tests.support.proxy_process import LIMITS, proxy_config, raw_settings, write_config
 
 
@@ -22,7 +28,7 @@
 @pytest.mark.parametrize("path", NUMBER_FIELDS, ids=field_name)
 def test_invalid_number_is_named_in_the_error(tmp_path: Path, path: FieldPath, value: str) -> None:
     env = write_config(tmp_path, proxy_config())
-    text = json.dumps(config_with(path, "HERE")).replace('"HERE"', value)
+    text = json.dumps(config_with_field(path, "HERE")).replace('"HERE"', value)
     (tmp_path / "config.json").write_text(text)
     with pytest.raises(ConfigError) as raised:
         ConfigSource(env).read()
@@ -44,14 +50,14 @@
     (("settings", "contract", "fallUs"), 0),
     (("settings", "contract", "mustAskInUs"), 0),
     (("settings", "lanes"), []),
-    ((*FIRST_LANE, "name"), ""),
-    ((*FIRST_LANE, "idempotency"), "odd"),
-    ((*FIRST_LANE, "keyScope"), "odd"),
-    ((*FIRST_LANE, "onTimeUs"), 0),
-    ((*FIRST_LANE, "deadlineUs"), 0),
-    ((*FIRST_LANE, "repeatWindowUs"), -1),
-    ((*FIRST_LANE, "worth"), -1),
-    ((*FIRST_LANE, "lateValue"), 2),
+    ((*FIRST_REQUEST_CLASS, "name"), ""),
+    ((*FIRST_REQUEST_CLASS, "idempotency"), "odd"),
+    ((*FIRST_REQUEST_CLASS, "keyScope"), "odd"),
+    ((*FIRST_REQUEST_CLASS, "onTimeUs"), 0),
+    ((*FIRST_REQUEST_CLASS, "deadlineUs"), 0),
+    ((*FIRST_REQUEST_CLASS, "repeatWindowUs"), -1),
+    ((*FIRST_REQUEST_CLASS, "worth"), -1),
+    ((*FIRST_REQUEST_CLASS, "lateValue"), 2),
     (("settings", "tenants"), [{"name": "a", "quotaPerS": 1}, {"name": "a", "quotaPerS": 1}]),
     (("settings", "overShareWorth"), -1),
     (("settings", "resultMix", "worstClass"), 2),
@@ -67,7 +73,7 @@
 )
 def test_impossible_value_is_named_in_the_error(tmp_path: Path, path: FieldPath, value: object) -> None:
     with pytest.raises(ConfigError) as raised:
-        ConfigSource(write_config(tmp_path, config_with(path, value))).read()
+        ConfigSource(write_config(tmp_path, config_with_field(path, value))).read()
     assert f"field {field_name(path)} " in str(raised.value)
 
 
@@ -82,7 +88,7 @@
 
 def test_integer_may_be_written_with_a_decimal_point(tmp_path: Path) -> None:
     """JSON has one kind of number, and a proxy that does not start serves nobody."""
-    plain = config_with(("settings", "instances"), 3)
+    plain = config_with_field(("settings", "instances"), 3)
     told = ConfigSource(write_config(tmp_path, plain)).read()
     seed = plain["seed"]
     written = {**with_whole_floats(plain), "seed": seed}
@@ -102,7 +108,7 @@
 def test_negative_quota_is_named_in_the_error(tmp_path: Path) -> None:
     tenants = [{"name": "a", "quotaPerS": 1}, {"name": "b", "quotaPerS": -1}]
     with pytest.raises(ConfigError, match=r"field settings\.tenants\[1\]\.quotaPerS is negative"):
-        ConfigSource(write_config(tmp_path, config_with(("settings", "tenants"), tenants))).read()
+        ConfigSource(write_config(tmp_path, config_with_field(("settings", "tenants"), tenants))).read()
 
 
 def test_environment_overrides_the_file(tmp_path: Path) -> None:
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -7,7 +7,13 @@
 
 import pytest
 
-from tests.support.config_fields import FIRST_LANE, NUMBER_FIELDS, FieldPath, config_with, field_name
+from tests.support.config_fields import (
+    FIRST_REQUEST_CLASS,
+    NUMBER_FIELDS,
+    FieldPath,
+    config_with_field,
+    field_name,
+)
 from tests.support.loopback_proxy import running_proxy
 from tests.support.proxy_process import proxy_config
 from tests.support.reload_harness import ReloadHarness
@@ -18,9 +24,9 @@
     ("discovery",),
     ("settings", "registryMode"),
     ("settings", "zone"),
-    (*FIRST_LANE, "name"),
-    (*FIRST_LANE, "idempotency"),
-    (*FIRST_LANE, "keyScope"),
+    (*FIRST_REQUEST_CLASS, "name"),
+    (*FIRST_REQUEST_CLASS, "idempotency"),
+    (*FIRST_REQUEST_CLASS, "keyScope"),
     ("settings", "tenants", 0, "name"),
 ]
 
@@ -46,14 +52,14 @@
     ("settings", "contract", "fallUs"),
     ("settings", "instances"),
     ("settings", "index"),
-    (*FIRST_LANE, "onTimeUs"),
-    (*FIRST_LANE, "repeatWindowUs"),
+    (*FIRST_REQUEST_CLASS, "onTimeUs"),
+    (*FIRST_REQUEST_CLASS, "repeatWindowUs"),
 ]
 
 
 FRACTIONS: list[FieldPath] = [
     ("settings", "resultMix", "worstClass"),
-    (*FIRST_LANE, "lateValue"),
+    (*FIRST_REQUEST_CLASS, "lateValue"),
     ("settings", "tenants", 0, "quotaPerS"),
 ]
 
@@ -81,12 +87,12 @@
     async with running_proxy() as proxy:
         harness = ReloadHarness(tmp_path, proxy, caplog)
         for value in values:
-            changed = config_with(path, value)
+            changed = config_with_field(path, value)
             if path != ("discovery",):
                 changed["discovery"] = "127.0.0.1:2"
             harness.path.write_text(json.dumps(changed))
             harness.assert_rejected(f"field {field_name(path)}")
-        harness.assert_still_follows()
+        harness.assert_valid_file_is_applied()
 
 
 FILES: dict[str, tuple[bytes, str]] = {
@@ -109,7 +115,7 @@
         harness = ReloadHarness(tmp_path, proxy, caplog)
         harness.path.write_bytes(content)
         harness.assert_rejected(named)
-        harness.assert_still_follows()
+        harness.assert_valid_file_is_applied()
 
 
 @pytest.mark.parametrize("way", ["gone", "a folder", "a link to itself"])
@@ -128,7 +134,7 @@
             harness.path.rmdir()
         else:
             harness.path.unlink(missing_ok=True)
-        harness.assert_still_follows()
+        harness.assert_valid_file_is_applied()
 
 
 async def test_reload_with_an_invalid_cached_list_still_moves_discovery(
@@ -138,5 +144,5 @@
         harness = ReloadHarness(tmp_path, proxy, caplog)
         harness.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:2", known={"rev": 1})))
         harness.reloader.reload()
-        assert harness.moved == [("127.0.0.1", 2)]
+        assert harness.discovery_addresses == [("127.0.0.1", 2)]
         assert "field known.targets" in caplog.text
--- a/tests/scenarios/test_accept_failures.py
+++ b/tests/scenarios/test_accept_failures.py
@@ -25,7 +25,7 @@
     endpoint_list,
 )
 from tests.support.failing_sockets import (
-    ERRNOS_OF_ONE_CONNECTION,
+    ERRNOS_OF_LOST_CONNECTION,
     ERRNOS_OF_RESOURCE_SHORTAGE,
     SocketFailures,
     accepted_on,
@@ -58,7 +58,7 @@
 ]  # all connections stay in the queue
 EACH_ACCEPT = pytest.mark.parametrize(
     "error",
-    [*ERRNOS_OF_ONE_CONNECTION, *ERRNOS_BEFORE_A_CONNECTION],
+    [*ERRNOS_OF_LOST_CONNECTION, *ERRNOS_BEFORE_A_CONNECTION],
     ids=lambda number: errno.errorcode[number],
 )
 
@@ -74,10 +74,10 @@
     ):
         failure = socket_failures.add("accept", accepted_on(proxy.port), error, times=5)
         clients = [queue_request(proxy.port, f"r{number}") for number in range(8)]
-        lost_count = 5 if error in ERRNOS_OF_ONE_CONNECTION else 0
+        lost_count = 5 if error in ERRNOS_OF_LOST_CONNECTION else 0
         statuses = await asyncio.gather(*map(read_status_or_end, clients))
         assert sorted(statuses) == [0] * lost_count + [200] * (8 - lost_count)
-        assert failure.hits == 5
+        assert failure.hit_count == 5
         assert len(endpoint.received) == 8 - lost_count
     assert not traceback_lines(caplog)
     assert len([line for line in problem_lines(caplog) if "connection" in line]) <= 1
@@ -98,13 +98,13 @@
         writer.write(http_request(request_id="open"))
         assert response_status(await read_http_message(reader)) == 200
         socket_failures.add(
-            "accept", accepted_on(proxy.port), error, times=1 if error in ERRNOS_OF_ONE_CONNECTION else 3
+            "accept", accepted_on(proxy.port), error, times=1 if error in ERRNOS_OF_LOST_CONNECTION else 3
         )
         clients = [queue_request(proxy.port, f"r{number}") for number in range(6)]
         proxy.listener.stop_listening()  # as the shutdown calls it, before the event loop has turned
         assert not proxy.listener.is_drained
         statuses = await asyncio.gather(*map(read_status_or_end, clients))
-        assert sorted(statuses) == [200 * (error not in ERRNOS_OF_ONE_CONNECTION), *[200] * 5]
+        assert sorted(statuses) == [200 * (error not in ERRNOS_OF_LOST_CONNECTION), *[200] * 5]
         writer.write(http_request(request_id="again"))
         assert response_status(await read_http_message(reader)) == 200
         writer.close()
@@ -135,7 +135,7 @@
         client = queue_request(proxy.port, "r1")
         for _ in range(500):
             await asyncio.sleep(0)
-        assert 0 < failure.hits <= client_limits.MAX_ACCEPTS_PER_ITERATION * len(delays_s)
+        assert 0 < failure.hit_count <= client_limits.MAX_ACCEPTS_PER_ITERATION * len(delays_s)
         assert set(delays_s) == {client_limits.ACCEPT_RETRY_DELAY_S}
         socket_failures.clear()
         client.close()
--- a/tests/scenarios/test_connection_failures.py
+++ b/tests/scenarios/test_connection_failures.py
@@ -80,7 +80,7 @@
             )
             assert (response_status(response), response[2]) == (200, b"said" * 50)
         assert [body for _, _, body in endpoint.received] == [b"asked" * 50] * 2
-        assert failure.hits > 50
+        assert failure.hit_count > 50
         assert discovery.connection_count == 1
     assert not problem_lines(caplog)
 
@@ -112,7 +112,7 @@
         await wait_until(lambda: proxy.driver.is_ready)
         for number in range(3):
             assert response_status(await proxy.send_request(http_request(request_id=f"r{number}"))) == 200
-        assert failure.hits == 3
+        assert failure.hit_count == 3
         assert len(endpoint.received) == 3
         assert discovery.connection_count == 1
     assert received_signals
@@ -184,7 +184,7 @@
             await wait_until(lambda: endpoint.ended_ids == ["lost"])
         else:
             endpoint.writer_by_id["lost"].write(http_response(200, b"x"))
-        await wait_until(lambda: failure.hits == 1 and len(proxy.clients.open_connections) == 1)
+        await wait_until(lambda: failure.hit_count == 1 and len(proxy.clients.open_connections) == 1)
         endpoint.writer_by_id["other"].write(http_response(200, b"y"))
         assert (await read_http_message(other_reader))[2] == b"y"
         assert proxy.driver.is_idle
@@ -224,7 +224,7 @@
         failure = socket_failures.add("recv" if reads else "send", side, error)
         outcome, _ = await run_attempt(pool, ("127.0.0.1", endpoint.port))
         assert outcome is (Outcome.RESET if when == "written" else Outcome.NO_CONNECTION)
-        assert failure.hits == 1
+        assert failure.hit_count == 1
         await wait_until(lambda: not pool.connections.open)
         pool.close()
     assert not problem_lines(caplog)
@@ -262,7 +262,7 @@
         reader, writer = await proxy.connect()
         writer.write(http_request() + b"nonsense\r\n\r\n")
         assert [response_status(await read_http_message(reader)) for _ in range(2)] == [200, 400]
-        await wait_until(lambda: failure.hits == 1)
+        await wait_until(lambda: failure.hit_count == 1)
         writer.close()
         await wait_until(lambda: not proxy.clients.open_connections)
         assert response_status(await proxy.send_request(http_request(request_id="a2"))) == 200
--- a/tests/scenarios/test_deduplication_window.py
+++ b/tests/scenarios/test_deduplication_window.py
@@ -10,7 +10,7 @@
 
 from load_balancer import messages
 from load_balancer.messages import Idempotency, KeyScope, RequestClass
-from tests.support.attempts import REQUEST_KINDS
+from tests.support.attempts import REQUEST_CLASS_NAMES
 from tests.support.balancer_harness import balancer_settings
 from tests.support.connect_gates import SystemConnectGate
 from tests.support.endpoint_lists import endpoint_entry
@@ -72,7 +72,7 @@
     def send(self, proxy: LoopbackProxy) -> None:
         """Send the request, and step the clocks from now on."""
         self.proxy = proxy
-        self.clock = proxy.step_clocks()
+        self.clock = proxy.use_stepped_clock()
         request = http_request("mark", request_id="r1", Req_Deadline=str(DEADLINE_S))
         self._response = asyncio.ensure_future(proxy.send_request(request))
 
@@ -204,7 +204,7 @@
         yield fleet, await stack.enter_async_context(proxy)
 
 
-@pytest.mark.parametrize("kind", REQUEST_KINDS)
+@pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("after_s", [0.0, 10.0, 60.0])
 async def test_request_reset_after_its_first_byte_is_retried_only_where_safe(
     kind: str, after_s: float
@@ -214,7 +214,7 @@
     A request that is not idempotent ends, and one with a key is retried within its window alone.
     """
     async with proxy_before_reset_fleet() as (fleet, proxy):
-        clock = proxy.step_clocks()
+        clock = proxy.use_stepped_clock()
         request = http_request(kind, request_id="r1", Req_Deadline=str(DEADLINE_S))
         response = asyncio.ensure_future(proxy.send_request(request))
         await wait_until(lambda: len(fleet.connections) == 1)
--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -88,7 +88,7 @@
         endpoint_entry(f"s-{number}", port, "terminated"),
         endpoint_entry(f"s-{number + 1}", port),
         rev=number + 2,
-        full=False,
+        is_complete=False,
     )
     proxy.driver.endpoint_list.receive(read_list(change))
     reader, writer = await proxy.connect()
--- a/tests/scenarios/test_little_time.py
+++ b/tests/scenarios/test_little_time.py
@@ -9,7 +9,7 @@
 import pytest
 
 from load_balancer import messages
-from tests.support.attempts import REQUEST_KINDS
+from tests.support.attempts import REQUEST_CLASS_NAMES
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, response_status
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
@@ -42,7 +42,7 @@
     return attempts
 
 
-@pytest.mark.parametrize("kind", REQUEST_KINDS)
+@pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("remaining_ms", [0, 1, 5, 14, 16, 18, 30])
 async def test_request_with_hardly_any_time_left_gets_a_response_and_no_attempt(
     endpoint: StandInEndpoint, proxy: LoopbackProxy, kind: str, remaining_ms: int
@@ -57,7 +57,7 @@
     assert not proxy.driver.requests.attempts.in_flight
 
 
-@pytest.mark.parametrize("kind", REQUEST_KINDS)
+@pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 async def test_rejected_attempts_end_at_once_within_the_limit_on_attempts(kind: str) -> None:
     ports = [unused_port() for _ in range(5)]  # all of them refuse connections
     entries = [endpoint_entry(f"s-{number}", port) for number, port in enumerate(ports)]
--- a/tests/scenarios/test_local_resource_shortage.py
+++ b/tests/scenarios/test_local_resource_shortage.py
@@ -65,7 +65,7 @@
         failure = socket_failures.add(name, any_socket, error)
         writer.write(http_request())
         assert response_status(await read_http_message(reader)) == 200
-        assert failure.hits == 1
+        assert failure.hit_count == 1
         assert len(endpoint.received) == 1
         assert not proxy.pool.pacing.no_extra_connect_until_s
         [state] = proxy.driver.balancer.endpoints.states.values()
@@ -92,7 +92,7 @@
         for request_count in range(1, 31):
             writer.write(http_request(request_id=f"r{request_count}"))
             assert response_status(await read_http_message(reader)) == 503
-            assert failure.hits == 3 * request_count
+            assert failure.hit_count == 3 * request_count
             assert proxy.driver.is_idle
         assert proxy.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
         assert not endpoint.received
@@ -124,7 +124,7 @@
             return await open_connection(endpoint)
 
         monkeypatch.setattr(pool.connector, "open", open_only_the_first)
-        attempts.begin("a", timeout_s=5.0)
+        attempts.start_attempt("a", timeout_s=5.0)
         began_s = pool.loop.time()
         for _ in range(200):
             await connects.advance(0.003)
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -51,8 +51,8 @@
     async with StandInEndpoint(http_response(200)) as stand_in:
         pool = ConnectionPool(60.0, 30.0, 10)
         calls, connects = RecordedAttempts(pool, stand_in), ConnectGates(pool, [])
-        calls.begin("a")
-        await connects.wait_for(1)
+        calls.start_attempt("a")
+        await connects.wait_for_started(1)
         connects.open(0)
         await calls.wait_for_outcomes(a=Outcome.OK)
         await connects.advance(idle_connections.SETTLE_S)
@@ -65,7 +65,7 @@
 
         with monkeypatch.context() as patched:
             patched.setattr(pool.idle, "take", stands_still)
-            calls.begin("b", timeout_s=300.0)
+            calls.start_attempt("b", timeout_s=300.0)
         await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.NO_CONNECTION)
         assert pool.connections.open == set(pool.idle.by_endpoint.get(calls.endpoint, ()))
         await connects.advance(31.0)
@@ -93,7 +93,7 @@
 
         pool.connector.open = counted  # type: ignore[method-assign]
         calls = RecordedAttempts(pool, stand_in)
-        calls.begin("a", failover_within_s=30.0)
+        calls.start_attempt("a", failover_within_s=30.0)
         slow = turns
         while not calls.outcomes:
             await asyncio.sleep(0)
--- a/tests/scenarios/test_process_stalls.py
+++ b/tests/scenarios/test_process_stalls.py
@@ -163,7 +163,7 @@
         running_proxy(endpoint_entry("s-1", endpoint.port), connect_timeout_s=5.0) as proxy,
     ):
         clock = FrozenClock()
-        proxy.step_policy_clock_with(clock)
+        proxy.link_policy_clock(clock)
         if reused:
             await leave_idle_connection(proxy, clock)
         writes = record_deadline_writes(monkeypatch, await transport_class(endpoint.port))
@@ -182,8 +182,8 @@
 
 async def complete_attempt(attempts: RecordedAttempts, connects: ConnectGates) -> None:
     """Let a first attempt succeed, and its connection become idle and settle."""
-    attempts.begin("before")
-    await connects.wait_for(1)
+    attempts.start_attempt("before")
+    await connects.wait_for_started(1)
     connects.open(0)
     await attempts.wait_for_outcomes(before=Outcome.OK)
     await connects.advance(idle_connections.SETTLE_S)
@@ -204,16 +204,16 @@
             await complete_attempt(attempts, connects)
         with monkeypatch.context() as patch:
             Stall(connects.clock, 0.03).before(patch, owner, method)
-            attempts.begin("stalled", timeout_s=0.02)
+            attempts.start_attempt("stalled", timeout_s=0.02)
             if not reused:
-                await connects.wait_for(1)
+                await connects.wait_for_started(1)
                 connects.open(0)
             await wait_until(lambda: "stalled" in attempts.outcomes)
         assert (
             attempts.outcomes["stalled"] is Outcome.NOT_SENT
         )  # an outcome that says nothing of the endpoint
-        attempts.begin("next")
-        await connects.wait_for(2)
+        attempts.start_attempt("next")
+        await connects.wait_for_started(2)
         connects.open(1)
         await wait_until(lambda: "next" in attempts.outcomes)
         assert endpoint.request_ids == ["before"] * reused + ["next"]
@@ -234,7 +234,7 @@
     )
     limits = messages.Limits(max_attempts=3, connect_timeout_us=connect_timeout_us)
     harness = BalancerHarness(balancer_settings(classes=(keyed_class,), limits=limits))
-    [attempt] = actions_of_type(harness.request("a", "mark", 40 * SECOND_US), StartAttempt)
+    [attempt] = actions_of_type(harness.send_request("a", "mark", 40 * SECOND_US), StartAttempt)
     reserved_us = connect_timeout_us + harness.balancer.margin_us + round(STALL_S * SECOND_US)
     harness.now_us += window_us - reserved_us - spare_us
     actions = harness.end_attempt(attempt, Outcome.RESET)
@@ -260,12 +260,12 @@
             endpoint_entry("s-1", first.port), endpoint_entry("s-2", second.port), connect_timeout_s=5.0
         ) as proxy,
     ):
-        clock, connects = proxy.step_clocks(), ConnectGates(proxy.pool)
+        clock, connects = proxy.use_stepped_clock(), ConnectGates(proxy.pool)
         response = asyncio.ensure_future(proxy.send_request(http_request()))
         await wait_until(lambda: connects.started_count == 1)
         draining = endpoint_of_only_attempt(proxy, first, second)
         uid, other = ("s-1", second) if draining is first else ("s-2", first)
-        change = endpoint_list(endpoint_entry(uid, draining.port, "terminating"), rev=2, full=False)
+        change = endpoint_list(endpoint_entry(uid, draining.port, "terminating"), rev=2, is_complete=False)
         clock.advance(STALL_S)
         with monkeypatch.context() as patch:
             Stall(clock).before(patch, UpstreamAttempt, method)
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -20,8 +20,8 @@
 from tests.support.stand_in_discovery import (
     EACH_SUBSCRIPTION,
     LIST_DEADLINE_S,
-    advance_to_next_call,
-    answer_latest_call,
+    advance_to_next_request,
+    respond_to_latest_request,
     watching_proxy,
 )
 from tests.support.stepped_clock import advance_until, run_loop_turns, wait_until
@@ -69,9 +69,9 @@
     harness = BalancerHarness(balancer_settings(tenants=(messages.Tenant("t", 5.0),)))
     for number in range(200):
         harness.now_us += 10 * MILLISECOND_US
-        for send in actions_of_type(harness.request(f"a{number}"), messages.StartAttempt):
+        for send in actions_of_type(harness.send_request(f"a{number}"), messages.StartAttempt):
             harness.end_attempt(
-                send, messages.Outcome.OK, took=(20 + 200 * (send.endpoint_id == 3)) * MILLISECOND_US
+                send, messages.Outcome.OK, duration_us=(20 + 200 * (send.endpoint_id == 3)) * MILLISECOND_US
             )
     shares = {endpoint_id: state.share for endpoint_id, state in harness.balancer.endpoints.states.items()}
     assert shares[3] < min(shares[number] for number in range(3))
@@ -82,10 +82,10 @@
     attempts_by_endpoint = dict.fromkeys(range(4), 0)
     for number in range(400):
         harness.now_us += 10 * MILLISECOND_US
-        [send] = actions_of_type(harness.request(f"b{number}"), messages.StartAttempt)
+        [send] = actions_of_type(harness.send_request(f"b{number}"), messages.StartAttempt)
         attempts_by_endpoint[send.endpoint_id] += 1
         harness.end_attempt(
-            send, messages.Outcome.OK, took=(20 + 200 * (send.endpoint_id == 3)) * MILLISECOND_US
+            send, messages.Outcome.OK, duration_us=(20 + 200 * (send.endpoint_id == 3)) * MILLISECOND_US
         )
     assert attempts_by_endpoint[3] < min(attempts_by_endpoint[number] for number in range(3))
     assert all(math.isfinite(number) for number in numbers_in(harness.balancer))
@@ -101,8 +101,8 @@
     harness = BalancerHarness(settings, endpoint_count=40)
     for number in range(500):
         harness.now_us += 10 * MILLISECOND_US
-        for send in actions_of_type(harness.request(f"a{number}"), messages.StartAttempt):
-            harness.end_attempt(send, messages.Outcome.OK, took=20 * MILLISECOND_US)
+        for send in actions_of_type(harness.send_request(f"a{number}"), messages.StartAttempt):
+            harness.end_attempt(send, messages.Outcome.OK, duration_us=20 * MILLISECOND_US)
     harness.advance(quiet_s * SECOND_US)
     restarted_id = harness.balancer.endpoints.subset[0].endpoint.id
     harness.update_endpoint_list(
@@ -114,9 +114,9 @@
     attempts_at_restarted = 0
     for number in range(100):
         harness.now_us += 10 * MILLISECOND_US
-        for send in actions_of_type(harness.request(f"b{number}"), messages.StartAttempt):
+        for send in actions_of_type(harness.send_request(f"b{number}"), messages.StartAttempt):
             attempts_at_restarted += send.endpoint_id == restarted_id
-            harness.end_attempt(send, messages.Outcome.OK, took=20 * MILLISECOND_US)
+            harness.end_attempt(send, messages.Outcome.OK, duration_us=20 * MILLISECOND_US)
     warm_share = 100 / len(harness.balancer.endpoints.subset)
     assert (
         attempts_at_restarted <= settings.rules.overload_multiple * settings.rules.start_capacity * warm_share
@@ -129,22 +129,22 @@
 
 @EACH_SUBSCRIPTION
 async def test_watch_with_only_heartbeats_stands_for_hours_and_is_reopened_in_time(
-    setup: messages.Settings,
+    settings: messages.Settings,
 ) -> None:
-    async with watching_proxy(setup) as (discovery, proxy, clock):
-        await advance_until(clock, lambda: len(discovery.calls) == 1)
-        discovery.calls[0].send(
+    async with watching_proxy(settings) as (discovery, proxy, clock):
+        await advance_until(clock, lambda: len(discovery.requests) == 1)
+        discovery.requests[0].send(
             WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9)))
         )
         await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1)
         for _ in range(round(2 * 3_600 / HEARTBEAT_INTERVAL_S)):
             clock.advance(HEARTBEAT_INTERVAL_S)
-            discovery.calls[0].send(http_chunk("\n"))
+            discovery.requests[0].send(http_chunk("\n"))
             await run_loop_turns(12)
-        assert len(discovery.calls) == 1
+        assert len(discovery.requests) == 1
         assert len(proxy.driver.balancer.outbox.timers) == len(proxy.driver.timers) == 0
-        waited = await advance_to_next_call(discovery, clock)  # it falls silent
-        assert waited + await answer_latest_call(discovery, proxy, clock, setup) < LIST_DEADLINE_S
+        waited = await advance_to_next_request(discovery, clock)  # it falls silent
+        assert waited + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
 
 
 # Idle connections
@@ -155,12 +155,12 @@
         RawEndpoint(answers_as(b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        clock = proxy.step_clocks()
+        clock = proxy.use_stepped_clock()
         assert (await proxy.send_request(http_request(request_id="r0")))[2] == b"x"
         for number in range(1, 5):
             clock.advance(HOURS * 3_600.0)
-            await wait_until(lambda number=number: endpoint.accepted[number - 1].has_remote_ended)  # type: ignore[misc]
+            await wait_until(lambda number=number: endpoint.connections[number - 1].has_proxy_closed)  # type: ignore[misc]
             assert (await proxy.send_request(http_request(request_id=f"r{number}")))[2] == b"x"
-            assert len(endpoint.accepted) == number + 1
-            assert not any(connection.unparsed for connection in endpoint.accepted)
+            assert len(endpoint.connections) == number + 1
+            assert not any(connection.unparsed for connection in endpoint.connections)
         assert endpoint.request_ids == [f"r{number}" for number in range(5)]
--- a/tests/scenarios/test_stale_idle_connections.py
+++ b/tests/scenarios/test_stale_idle_connections.py
@@ -46,7 +46,7 @@
         assert (await RecordedAttempt(pool, endpoint.endpoint, GET).result())[0] is Outcome.OK
         clock.advance(IDLE_S * (1.0 - idle_connections.IDLE_MARGIN_SHARE) + late_s)
         assert (await RecordedAttempt(pool, endpoint.endpoint, GET).result())[0] is Outcome.OK
-        assert len(endpoint.accepted) == 2
+        assert len(endpoint.connections) == 2
         pool.close()
 
 
@@ -61,7 +61,7 @@
         await run_loop_turns(30)
         clock.advance(max(0.0, idle_s - 0.15))
         assert (await RecordedAttempt(pool, endpoint.endpoint, GET).result())[0] is Outcome.OK
-        assert len(endpoint.accepted) == 2
+        assert len(endpoint.connections) == 2
         pool.close()
 
 
@@ -102,7 +102,7 @@
         asyncio.ensure_future(proxy.send_request(http_request(request_id=f"k{number}")))
         for number in range(count)
     ]
-    await wait_until(lambda: len(endpoint.accepted) == count)
+    await wait_until(lambda: len(endpoint.connections) == count)
     endpoint.reading.set()
     await asyncio.gather(*responses)
     await wait_until(lambda: sum(map(len, proxy.pool.idle.by_endpoint.values())) == count)
@@ -141,7 +141,7 @@
         proxy = await stack.enter_async_context(
             running_proxy(*entries, settings=ROOMY, idle_timeout_s=1e6, max_connections=200)
         )
-        clock = proxy.step_clocks()
+        clock = proxy.use_stepped_clock()
         await open_idle_connections(proxy, monkeypatch, 40 * endpoint_count)
         assert sum(map(len, proxy.pool.idle.by_endpoint.values())) > 4
         handler.forget_connections()
@@ -159,7 +159,7 @@
     """Leave exactly so many idle connections in a pool, each of which has carried a request."""
     endpoint.reading.clear()
     attempts = [RecordedAttempt(pool, endpoint.endpoint, GET) for _ in range(count)]
-    await wait_until(lambda: len(endpoint.accepted) == count)
+    await wait_until(lambda: len(endpoint.connections) == count)
     endpoint.reading.set()
     for attempt in attempts:
         await attempt.result()
@@ -230,16 +230,16 @@
             idle_timeout_s=1e6,
         ) as proxy,
     ):
-        clock = proxy.step_clocks()
-        while not (first_endpoint.accepted and second_endpoint.accepted):
+        clock = proxy.use_stepped_clock()
+        while not (first_endpoint.connections and second_endpoint.connections):
             await asyncio.gather(
                 *(proxy.send_request(http_request(request_id=f"k{number}")) for number in range(8))
             )
         clock.advance(idle_for_s)
-        before = len(first_endpoint.accepted) + len(second_endpoint.accepted)
+        before = len(first_endpoint.connections) + len(second_endpoint.connections)
         assert (await proxy.send_request(http_request(request_id="r1")))[2] == b"x"
         assert (first_endpoint.request_ids + second_endpoint.request_ids).count("r1") == 2
-        assert len(first_endpoint.accepted) + len(second_endpoint.accepted) - before == new_connections
+        assert len(first_endpoint.connections) + len(second_endpoint.connections) - before == new_connections
 
 
 async def test_client_disconnect_closes_no_idle_connection() -> None:
@@ -251,7 +251,7 @@
         RawEndpoint(handle) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port), settings=ROOMY, idle_timeout_s=1e6) as proxy,
     ):
-        clock = proxy.step_clocks()
+        clock = proxy.use_stepped_clock()
         await leave_idle_connections(proxy, endpoint, 3)
         clock.advance(60.0)
         _, writer = await proxy.connect()
@@ -278,7 +278,7 @@
         RawEndpoint(drop) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port), idle_timeout_s=1e6) as proxy,
     ):
-        clock = proxy.step_clocks()
+        clock = proxy.use_stepped_clock()
         if kept:
             await leave_idle_connections(proxy, endpoint, 1)
             clock.advance(60.0)
--- a/tests/scenarios/test_unreachable_endpoints.py
+++ b/tests/scenarios/test_unreachable_endpoints.py
@@ -60,8 +60,8 @@
 ) -> None:
     """Send requests until so many connects have failed, each time after the endpoint is avoided no more."""
     clock = FrozenClock()
-    proxy.step_policy_clock_with(clock)
-    while failure.hits < failure_count:
+    proxy.link_policy_clock(clock)
+    while failure.hit_count < failure_count:
         await check_served(proxy)
         if proxy.driver.clock.now_us() < lost_state.unreachable_until_us:
             clock.advance(COOL_DOWN_US / SECOND_US)
@@ -102,14 +102,16 @@
         nonlocal number
         number += 1
         harness.now_us += 10 * MILLISECOND_US
-        actions, attempt = harness.request(f"r{number}"), 0
+        actions, attempt_number = harness.send_request(f"r{number}"), 0
         while True:
             [sent] = actions_of_type(actions, messages.StartAttempt)
             if sent.endpoint_id or is_reachable:
-                harness.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, attempt)
+                harness.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, attempt_number)
                 return sent.endpoint_id
-            actions = harness.end_attempt(sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt)
-            attempt += 1
+            actions = harness.end_attempt(
+                sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt_number
+            )
+            attempt_number += 1
 
     for _ in range(200):
         send_request(True)
@@ -127,16 +129,18 @@
     harness, attempt_count = BalancerHarness(endpoint_count=4), 0
     for number in range(6000):  # a minute
         harness.now_us += 10 * MILLISECOND_US
-        actions, attempt = harness.request(f"r{number}"), 0
+        actions, attempt_number = harness.send_request(f"r{number}"), 0
         while (sent := actions_of_type(actions, messages.StartAttempt)[0]).endpoint_id == 0:
             attempt_count += 1
-            actions = harness.end_attempt(sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt)
-            attempt += 1
-        harness.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, attempt)
+            actions = harness.end_attempt(
+                sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt_number
+            )
+            attempt_number += 1
+        harness.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, attempt_number)
     assert 60 * SECOND_US / COOL_DOWN_US <= attempt_count <= 60 * SECOND_US / COOL_DOWN_US + 5
     alone = BalancerHarness(endpoint_count=1)
     for number in range(3):
-        [sent] = actions_of_type(alone.request(f"r{number}"), messages.StartAttempt)
+        [sent] = actions_of_type(alone.send_request(f"r{number}"), messages.StartAttempt)
         [sent] = actions_of_type(
             alone.end_attempt(sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US), messages.StartAttempt
         )
--- a/tests/scenarios/test_unreadable_configuration.py
+++ b/tests/scenarios/test_unreadable_configuration.py
@@ -88,17 +88,17 @@
         reload.assert_rejected("NODE_CONFIG")
         for _ in range(12):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
-        assert not reload.moved
+        assert not reload.discovery_addresses
         assert len(problem_lines(caplog)) == 1
         file.error = 0
         reload.path.write_text(VALID_CONFIG)
         await step(clock, RELOAD_RETRY_INTERVAL_S)
-        assert reload.moved == [("127.0.0.1", 2)]
+        assert reload.discovery_addresses == [("127.0.0.1", 2)]
         assert len(problem_lines(caplog)) == 1
         read_count = file.reads
         await step(clock, 10.0)
         assert file.reads == read_count
-        assert len(reload.moved) == 1
+        assert len(reload.discovery_addresses) == 1
 
 
 @pytest.mark.parametrize("fault", UNREADABLE.values(), ids=UNREADABLE.keys())
@@ -112,11 +112,11 @@
         reload.assert_rejected("NODE_CONFIG")
         for _ in range(100):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
-        assert not reload.moved
+        assert not reload.discovery_addresses
         assert len(problem_lines(caplog)) == 1
         assert file.reads == 1 + MAX_RELOAD_RETRIES
         file.error = 0
-        reload.assert_still_follows()  # at the next signal
+        reload.assert_valid_file_is_applied()  # at the next signal
 
 
 @pytest.mark.parametrize("end", ["another signal", "the end", "another fault"])
@@ -139,13 +139,13 @@
             assert "field settings" in problem_lines(caplog)[-1]
             assert len(problem_lines(caplog)) == 2
         else:
-            reload.assert_still_follows()
+            reload.assert_valid_file_is_applied()
         read_count = file.reads
         reload.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:3")))
         for _ in range(30):
             await step(clock, RELOAD_RETRY_INTERVAL_S)
         assert file.reads == read_count
-        assert reload.moved == ([("127.0.0.1", 2)] if end == "another signal" else [])
+        assert reload.discovery_addresses == ([("127.0.0.1", 2)] if end == "another signal" else [])
 
 
 @pytest.mark.parametrize("serving", [True, False], ids=["serving", "not yet"])
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -40,7 +40,7 @@
     response_status,
 )
 from tests.support.loopback_proxy import running_proxy
-from tests.support.manual_clocks import COLD_START_RULES, EACH_CLOCK_STEP, ManualClocks, list_with_starts
+from tests.support.manual_clocks import COLD_START_RULES, EACH_CLOCK_STEP, ManualClocks, list_with_start_times
 from tests.support.proxy_process import LIMITS, proxy_config, raw_settings, unused_port, write_config
 from tests.support.simulated_fleet import SimulatedEndpoint, SimulatedFleet
 from tests.support.stand_in_server import SilentEndpoint, StandInServer
@@ -139,7 +139,7 @@
         await watching.receive_heartbeat()
         clocks.advance(700 * MILLISECOND_US)
         restarted = endpoint_entry("a", 9, boot_ms=clocks.wall_us() // MILLISECOND_US - started_ms)
-        discovery.send(endpoint_list_chunk(endpoint_list(restarted, rev=2, full=False)))
+        discovery.send(endpoint_list_chunk(endpoint_list(restarted, rev=2, is_complete=False)))
         states, number = driver.balancer.endpoints.states, endpoint_id_from_uid("a")
         await advance_until(
             watching.loop_clock, lambda: states[number].endpoint.incarnation_us > 0, must_hold=True
@@ -155,7 +155,7 @@
     async with OpenWatchDiscovery(first) as discovery:
         watching = WatchingDriver(discovery, clocks.clock(), monkeypatch)
         driver = watching.driver
-        driver.start(list_with_starts(("a", clocks.wall_us() - HOUR_US)))
+        driver.start(list_with_start_times(("a", clocks.wall_us() - HOUR_US)))
         await driver.discovery_reported.wait()
         assert len(driver.balancer.endpoints.states) == 1
         assert watching.age_us("a") == 2 * SECOND_US
@@ -295,20 +295,20 @@
     def __post_init__(self) -> None:
         self.balancers_ahead_us, self.endpoints_ahead_us = 0, 0
         self.start_times = [
-            StartTimes(Clock(self.balancer_wall_us, lambda: self.now)) for _ in range(self.balancers)
+            StartTimes(Clock(self.balancer_wall_us, lambda: self.now_us)) for _ in range(self.balancer_count)
         ]
         super().__post_init__()
-        self.at(self.now + 2 * SECOND_US, self.send_heartbeats)
+        self.schedule(self.now_us + 2 * SECOND_US, self.send_heartbeats)
 
     def balancer_wall_us(self) -> int:
         """Return the time of the balancers' wall clock."""
-        return self.now + self.balancers_ahead_us
+        return self.now_us + self.balancers_ahead_us
 
     def send_heartbeats(self) -> None:
         """Confirm the list to all balancers, now and every two seconds."""
         for start_times in self.start_times:
             start_times.confirm()
-        self.at(self.now + 2 * SECOND_US, self.send_heartbeats)
+        self.schedule(self.now_us + 2 * SECOND_US, self.send_heartbeats)
 
     def receive_list(self, index: int, update: messages.EndpointListUpdate) -> None:
         """Hand a balancer a list with the starts by its own clock."""
@@ -320,9 +320,9 @@
         """Restart these endpoints now; discovery notices it half a second later."""
         entries = []
         for endpoint in chosen:
-            endpoint.restart(self.now)
-            entries.append(replace(endpoint.entry, incarnation_us=self.now + self.endpoints_ahead_us))
-        self.at(self.now + 500 * MILLISECOND_US, lambda: self.send_list(entries, within=0))
+            endpoint.restart(self.now_us)
+            entries.append(replace(endpoint.entry, incarnation_us=self.now_us + self.endpoints_ahead_us))
+        self.schedule(self.now_us + 500 * MILLISECOND_US, lambda: self.send_list(entries, max_delay_us=0))
 
 
 def stepped_fleet(seed: int) -> SteppedFleet:
@@ -336,7 +336,9 @@
         limits=messages.Limits(2, cancel=True),
         tick_us=0,
     )
-    return SteppedFleet(settings, 1, 4, per_window=100.0, load=0.5, seed=seed, zones=1, now=2 * HOUR_US)
+    return SteppedFleet(
+        settings, 1, 4, requests_per_window=100.0, load=0.5, seed=seed, zone_count=1, now_us=2 * HOUR_US
+    )
 
 
 class RestartLoad(NamedTuple):
@@ -355,15 +357,15 @@
 def load_after_restart(balancers_ahead_us: int, endpoints_ahead_us: int, seed: int) -> RestartLoad:
     """Restart one endpoint of a fleet two seconds after its wall clocks were stepped."""
     fleet = stepped_fleet(seed)
-    fleet.run(fleet.now + 9 * SECOND_US)
+    fleet.run_until(fleet.now_us + 9 * SECOND_US)
     fleet.balancers_ahead_us, fleet.endpoints_ahead_us = balancers_ahead_us, endpoints_ahead_us
-    fleet.run(fleet.now + 2 * SECOND_US)
+    fleet.run_until(fleet.now_us + 2 * SECOND_US)
     fleet.restart(fleet.endpoints[:1])
-    listed_at_us = fleet.now + 500 * MILLISECOND_US
-    fleet.run(listed_at_us + 10 * SECOND_US)
+    listed_at_us = fleet.now_us + 500 * MILLISECOND_US
+    fleet.run_until(listed_at_us + 10 * SECOND_US)
 
     def attempt_count(endpoint: SimulatedEndpoint, begin_us: int, duration_us: int) -> int:
-        return sum(begin_us <= at_us < begin_us + duration_us for at_us, _ in endpoint.work)
+        return sum(begin_us <= at_us < begin_us + duration_us for at_us, _ in endpoint.arrivals)
 
     restarted = fleet.endpoints[0]
     later_counts = [
--- a/tests/scenarios/test_watch_failures.py
+++ b/tests/scenarios/test_watch_failures.py
@@ -60,7 +60,7 @@
         for _ in range(3):
             watch.start()
             assert await received_lists.get() is None
-        assert failure.hits == 3
+        assert failure.hit_count == 3
         watch.start()
         message = await received_lists.get()
         assert message is not None
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -25,7 +25,7 @@
 SAFE_REQUEST = UpstreamRequest(b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True)
 HEAD_WITHOUT_LENGTH = b"HTTP/1.1 200 x\r\n\r\n"
 OK_RESPONSE = UpstreamResponse(200, [(b"content-length", b"2")], b"ok")
-REQUEST_KINDS = ["read", "write", "mark", "pay"]
+REQUEST_CLASS_NAMES = ["read", "write", "mark", "pay"]
 
 # How long earlier connects took, in seconds that no busy machine comes near: all that passes is stepped.
 MOSTLY_FAST_CONNECTS_S = [5.0] * 10 + [1_000.0] * 5
@@ -52,11 +52,11 @@
     address: Address,
     request: UpstreamRequest = KEYED_REQUEST,
     timeout_s: float = 5.0,
-    number: int = 1,
+    endpoint_id: int = 1,
 ) -> AttemptResult:
     """Return how one attempt on the endpoint at this address ends."""
     ended: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
-    endpoint = EndpointAddress(number, address)
+    endpoint = EndpointAddress(endpoint_id, address)
     pool.enable_endpoint(endpoint)
     pool.start_attempt(endpoint, request, timeout_s, lambda *result: ended.set_result(result))
     return await ended
@@ -95,7 +95,7 @@
         self.outcomes: dict[str, Outcome] = {}
         pool.enable_endpoint(self.endpoint)
 
-    def begin(
+    def start_attempt(
         self,
         request_id: str,
         request: UpstreamRequest = SAFE_REQUEST,
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -79,23 +79,29 @@
         """Give the balancer a list of this kind."""
         self.handle(messages.EndpointListUpdate(kind, version, endpoints))
 
-    def request(
-        self, request_id: str, cls: str = "read", time_left: int = 5 * SECOND_US, retry: bool = False
+    def send_request(
+        self,
+        request_id: str,
+        class_name: str = "read",
+        time_remaining_us: int = 5 * SECOND_US,
+        retry: bool = False,
     ) -> list[messages.Action]:
         """Return the actions that come of a request of this class with so many microseconds left."""
-        return self.handle(messages.Request(request_id, cls, time_left, retry=retry))
+        return self.handle(messages.Request(request_id, class_name, time_remaining_us, retry=retry))
 
     def end_attempt(
         self,
         send: messages.StartAttempt,
         outcome: messages.Outcome,
-        took: int = 50 * MILLISECOND_US,
-        attempt: int = 0,
+        duration_us: int = 50 * MILLISECOND_US,
+        attempt_number: int = 0,
     ) -> list[messages.Action]:
         """Return the actions that come of the end of an attempt, which took so many microseconds."""
         is_ok = outcome is messages.Outcome.OK
         return self.handle(
-            messages.AttemptEnded(send.request_id, attempt, send.endpoint_id, outcome, took, is_ok)
+            messages.AttemptEnded(
+                send.request_id, attempt_number, send.endpoint_id, outcome, duration_us, is_ok
+            )
         )
 
     def advance(self, duration_us: int) -> list[messages.Action]:
--- a/tests/support/config_fields.py
+++ b/tests/support/config_fields.py
@@ -11,7 +11,7 @@
 FieldPath = tuple[str | int, ...]
 
 
-def config_with(path: FieldPath, value: object) -> dict[str, Any]:
+def config_with_field(path: FieldPath, value: object) -> dict[str, Any]:
     """Return a configuration with another value at this place in it."""
     changed: Any = json.loads(json.dumps(proxy_config(known=endpoint_list(endpoint_entry("a", 9)))))
     changed["settings"]["limits"]["retryAfter"] = True
@@ -24,7 +24,7 @@
     return changed
 
 
-FIRST_LANE: FieldPath = ("settings", "lanes", 0)
+FIRST_REQUEST_CLASS: FieldPath = ("settings", "lanes", 0)
 
 NUMBER_FIELDS: list[FieldPath] = [
     ("limits", "sockets"),
@@ -38,8 +38,8 @@
     ("settings", "overShareWorth"),
     ("settings", "deductions", "crossZone"),
     ("settings", "tickUs"),
-    (*FIRST_LANE, "worth"),
-    (*FIRST_LANE, "deadlineUs"),
+    (*FIRST_REQUEST_CLASS, "worth"),
+    (*FIRST_REQUEST_CLASS, "deadlineUs"),
 ]
 
 
--- a/tests/support/connect_gates.py
+++ b/tests/support/connect_gates.py
@@ -41,7 +41,7 @@
         """How many connects have been started."""
         return len(self.gates)
 
-    async def wait_for(self, count: int) -> None:
+    async def wait_for_started(self, count: int) -> None:
         """Wait until exactly so many connects have been started."""
         await wait_until(lambda: len(self.gates) == count)
 
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -26,9 +26,9 @@
     }
 
 
-def endpoint_list(*entries: dict[str, object], rev: int = 1, full: bool = True) -> dict[str, object]:
-    """Return the complete list with these entries, or the changes to one where it is not `full`."""
-    return {"rev": rev, "all": full, "targets": list(entries)}
+def endpoint_list(*entries: dict[str, object], rev: int = 1, is_complete: bool = True) -> dict[str, object]:
+    """Return the complete list with these entries, or the changes to one where it is not `is_complete`."""
+    return {"rev": rev, "all": is_complete, "targets": list(entries)}
 
 
 def parsed_endpoint_list(*entries: dict[str, object], rev: int = 1) -> EndpointListMessage:
--- a/tests/support/failing_sockets.py
+++ b/tests/support/failing_sockets.py
@@ -16,7 +16,7 @@
 SocketFilter = Callable[[socket.socket], bool]
 
 # After these from `accept`, the system has taken one connection out of its queue.
-ERRNOS_OF_ONE_CONNECTION = [
+ERRNOS_OF_LOST_CONNECTION = [
     errno.ECONNABORTED,
     errno.EHOSTDOWN,
     errno.EHOSTUNREACH,
@@ -58,7 +58,7 @@
     applies_to: SocketFilter
     error: int = 0  # 0: the call moves one byte only
     times: int = 1
-    hits: int = 0
+    hit_count: int = 0
 
     def exception(self) -> OSError:
         """Return the error as the call raises it."""
@@ -84,8 +84,8 @@
     def next_failure(self, call: str, checked: socket.socket) -> SocketFailure | None:
         """Use up and return the failure that fits this call, if there is one."""
         for failure in self._failures:
-            if failure.call == call and failure.hits < failure.times and failure.applies_to(checked):
-                failure.hits += 1
+            if failure.call == call and failure.hit_count < failure.times and failure.applies_to(checked):
+                failure.hit_count += 1
                 return failure
         return None
 
@@ -104,7 +104,7 @@
     def accept(self) -> tuple[socket.socket, Any]:
         """Accept a connection, unless the call is to fail."""
         if failure := self.failures.next_failure("accept", self):
-            if failure.error in ERRNOS_OF_ONE_CONNECTION:
+            if failure.error in ERRNOS_OF_LOST_CONNECTION:
                 super().accept()[0].close()
             raise failure.exception()
         return super().accept()
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -65,12 +65,12 @@
 
 
 def http_request(
-    kind: str = "read", request_id: str = "a1", path: str = "/api", body: bytes = b"", **headers: str
+    class_name: str = "read", request_id: str = "a1", path: str = "/api", body: bytes = b"", **headers: str
 ) -> bytes:
     """Return the bytes of a client's request of one class, with the headers that the proxy asks for."""
-    method = "GET" if kind == "read" else "POST"
-    fields = {"Host": "x", "Req_Id": request_id, "Req_Kind": kind, "Req_Deadline": "4.0", **headers}
-    if kind in ("write", "mark"):
+    method = "GET" if class_name == "read" else "POST"
+    fields = {"Host": "x", "Req_Id": request_id, "Req_Kind": class_name, "Req_Deadline": "4.0", **headers}
+    if class_name in ("write", "mark"):
         fields.setdefault("Idempotency_Key", f"key-{request_id}")
     return http_message(f"{method} {path} HTTP/1.1", body, **fields)
 
--- a/tests/support/loopback_proxy.py
+++ b/tests/support/loopback_proxy.py
@@ -22,7 +22,7 @@
 from tests.support.stepped_clock import FrozenClock, SteppedClock
 from tests.support.units import SECOND_US
 
-NO_DISCOVERY = 1  # no server listens on this port
+NO_DISCOVERY_PORT = 1  # no server listens on this port
 
 
 class PolicyClockOffset:
@@ -62,13 +62,13 @@
         """The connections of clients."""
         return self.listener.clients
 
-    def step_clocks(self) -> SteppedClock:
+    def use_stepped_clock(self) -> SteppedClock:
         """Return a clock that moves the event loop's time and the policy's together."""
         clock = SteppedClock()
-        self.step_policy_clock_with(clock)
+        self.link_policy_clock(clock)
         return clock
 
-    def step_policy_clock_with(self, clock: SteppedClock) -> None:
+    def link_policy_clock(self, clock: SteppedClock) -> None:
         """Move the policy's time on together with this clock of the event loop."""
         self._policy_clock_offset.follow(clock)
 
@@ -95,7 +95,7 @@
 async def running_proxy(
     *endpoint_entries: dict[str, object],
     settings: messages.Settings | None = None,
-    discovery_port: int = NO_DISCOVERY,
+    discovery_port: int = NO_DISCOVERY_PORT,
     idle_timeout_s: float = 30.0,
     max_connections: int = 100,
     connect_timeout_s: float = 5.0,
@@ -108,7 +108,7 @@
     driver = EventLoopDriver(settings, 1, pool, discovery, clock_offset.clock())
     listener = ClientListener(driver, {c.name: c for c in settings.classes}, max_connections)
     _, port = listener.listen(("127.0.0.1", 0))
-    if discovery_port == NO_DISCOVERY:  # the list stays as known
+    if discovery_port == NO_DISCOVERY_PORT:  # the list stays as known
         driver.endpoint_list.watch.start = lambda: None  # type: ignore[method-assign]
     driver.start(parsed_endpoint_list(*endpoint_entries) if endpoint_entries else None)
     try:
--- a/tests/support/manual_clocks.py
+++ b/tests/support/manual_clocks.py
@@ -42,7 +42,7 @@
         """Let time pass on both clocks."""
         self.monotonic_us += duration_us
 
-    def step_wall(self, by_us: int) -> None:
+    def step_wall_clock(self, by_us: int) -> None:
         """Set the wall clock to another time."""
         self.wall_offset_us += by_us
 
@@ -63,10 +63,12 @@
         self.driver.start(known)
         self.version = 1
 
-    def apply_list(self, *starts: tuple[str, int], full: bool = False) -> None:
+    def apply_list(self, *starts: tuple[str, int], is_complete: bool = False) -> None:
         """Apply a list, or changes to it, of endpoints with these starts in Unix time, microseconds."""
         self.version += 1
-        self.driver.endpoint_list.receive(list_with_starts(*starts, full=full, rev=self.version))
+        self.driver.endpoint_list.receive(
+            list_with_start_times(*starts, is_complete=is_complete, rev=self.version)
+        )
 
     def receive_heartbeat(self) -> None:
         """Do what the watch does at a heartbeat that follows a list."""
@@ -76,7 +78,9 @@
         """Apply a change by which this endpoint is gone."""
         self.version += 1
         entry = endpoint_entry(uid, 9, "terminated")
-        self.driver.endpoint_list.receive(read_list(endpoint_list(entry, rev=self.version, full=False)))
+        self.driver.endpoint_list.receive(
+            read_list(endpoint_list(entry, rev=self.version, is_complete=False))
+        )
 
     def age_us(self, uid: str) -> int:
         """Return for how long the endpoint has run, as the policy sees it."""
@@ -89,7 +93,9 @@
         return self.driver.balancer.slow_start.capacity(self.driver.clock.now_us(), state)
 
 
-def list_with_starts(*starts: tuple[str, int], full: bool = True, rev: int = 1) -> EndpointListMessage:
+def list_with_start_times(
+    *starts: tuple[str, int], is_complete: bool = True, rev: int = 1
+) -> EndpointListMessage:
     """Return a list of endpoints with these starts in Unix time, microseconds."""
     entries = (endpoint_entry(uid, 9, boot_ms=start_us // 1000) for uid, start_us in starts)
-    return read_list(endpoint_list(*entries, rev=rev, full=full))
+    return read_list(endpoint_list(*entries, rev=rev, is_complete=is_complete))
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -126,8 +126,8 @@
 
 # Each process that runs tests begins at another port. Those that run side by side were started one after the
 # other, so their ids are close together: each begins this many ports, more than a run takes, behind the last.
-PORTS_OF_A_PROCESS = 397
-PORTS = itertools.cycle(range(20_000 + os.getpid() * PORTS_OF_A_PROCESS % 10_000, 32_000))
+PORTS_PER_PROCESS = 397
+PORTS = itertools.cycle(range(20_000 + os.getpid() * PORTS_PER_PROCESS % 10_000, 32_000))
 
 
 def unused_port() -> int:
--- a/tests/support/raw_endpoint.py
+++ b/tests/support/raw_endpoint.py
@@ -18,7 +18,7 @@
     def __init__(self, accepted: socket.socket, reading: asyncio.Event) -> None:
         self.socket = accepted
         self.unparsed = b""
-        self.has_remote_ended = False
+        self.has_proxy_closed = False
         self._reading = reading
         accepted.setblocking(False)
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -56,7 +56,7 @@
             except OSError:
                 data = b""
             self.unparsed += data
-            self.has_remote_ended = not data
+            self.has_proxy_closed = not data
             return bool(data)
 
     async def _wait_until_readable(self) -> None:
@@ -95,7 +95,7 @@
     Attributes:
         port: Where it listens.
         endpoint: Its address as the pool knows it.
-        accepted: The connections so far, in order.
+        connections: The connections so far, in order.
         accepting: Until it is set, connections wait in the system's queue.
         reading: While it is not set, nothing is read.
         received: The requests so far.
@@ -107,7 +107,7 @@
         self.socket.setblocking(False)
         self.port: int = self.socket.getsockname()[1]
         self.endpoint = EndpointAddress(1, ("127.0.0.1", self.port))
-        self.accepted: list[EndpointConnection] = []
+        self.connections: list[EndpointConnection] = []
         self.accepting = asyncio.Event()
         if accepts:
             self.accepting.set()
@@ -131,8 +131,8 @@
         await self.accepting.wait()
         while True:
             accepted, _ = await loop.sock_accept(self.socket)
-            self.accepted.append(EndpointConnection(accepted, self.reading))
-            self._tasks.append(loop.create_task(self._serve(self.accepted[-1])))
+            self.connections.append(EndpointConnection(accepted, self.reading))
+            self._tasks.append(loop.create_task(self._serve(self.connections[-1])))
 
     async def __aenter__(self) -> Self:
         self._tasks.append(asyncio.get_running_loop().create_task(self._accept()))
@@ -144,7 +144,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for closing in (self.socket, *(connection.socket for connection in self.accepted)):
+        for closing in (self.socket, *(connection.socket for connection in self.connections)):
             closing.close()
         for fault in filter(None, failed):
             raise fault
--- a/tests/support/reload_harness.py
+++ b/tests/support/reload_harness.py
@@ -22,8 +22,8 @@
         self.path, self.caplog = folder / "config.json", caplog
         source = ConfigSource(env)
         self.reloader = Reloader(source, source.read(), proxy.driver)
-        self.moved: list[tuple[str, int]] = []
-        proxy.driver.change_discovery_address = lambda address: self.moved.append(address)  # type: ignore[method-assign]
+        self.discovery_addresses: list[tuple[str, int]] = []
+        proxy.driver.change_discovery_address = lambda address: self.discovery_addresses.append(address)  # type: ignore[method-assign]
 
     def reload(self) -> str:
         """Reload a file that is not sound, and return the only error that is logged."""
@@ -39,10 +39,10 @@
         line = self.reload()
         assert "the old one stays" in line, line
         assert any(name in line for name in names), line
-        assert not self.moved
+        assert not self.discovery_addresses
 
-    def assert_still_follows(self) -> None:
+    def assert_valid_file_is_applied(self) -> None:
         """Reload a sound file; the proxy must take it up."""
         self.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:2")))
         self.reloader.reload()
-        assert self.moved == [("127.0.0.1", 2)]
+        assert self.discovery_addresses == [("127.0.0.1", 2)]
