--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -19,10 +19,10 @@
 from load_balancer import Balancer, messages
 from tests.support.units import MILLISECOND_US, SECOND_US
 
-NET_US = 1 * MILLISECOND_US  # an attempt's way to its endpoint
-FAIL_US = 5 * MILLISECOND_US  # how long a failing endpoint takes to respond
+NETWORK_DELAY_US = 1 * MILLISECOND_US  # an attempt's way to its endpoint
+ERROR_RESPONSE_US = 5 * MILLISECOND_US  # how long a failing endpoint takes to respond
 START_US = 10 * SECOND_US  # the clock's first moment
-SILENT_HEALTH_CHECK_US = 250 * MILLISECOND_US  # after which a health check without a response has failed
+HEALTH_CHECK_TIMEOUT_US = 250 * MILLISECOND_US  # after which a health check without a response has failed
 ZONES = "abcdefgh"
 
 
@@ -31,56 +31,64 @@
 
     Attributes:
         entry: How the endpoint list states it.
-        starts: The times of its restarts, in order.
-        service_us: How long a request of mean work takes while warm.
-        per_window: Requests of mean work that it does in the overload window while warm.
-        mode: "sound", "failing", "refusing" or "silent".
-        slower: What the time of each request is multiplied with.
-        work: The time of each attempt or health check, and whether its sender knew the latest start.
+        start_times_us: The times of its restarts, in order.
+        service_time_us: How long a request of mean work takes while warm.
+        requests_per_window: Requests of mean work that it does in the overload window while warm.
+        mode: "healthy", "failing", "refusing" or "silent".
+        slowdown_factor: What the time of each request is multiplied with.
+        arrivals: The time of each attempt or health check, and whether its sender knew the latest start.
     """
 
     def __init__(
-        self, entry: messages.Endpoint, per_window: float, rules: messages.Rules, slots: int, queue: int
+        self,
+        entry: messages.Endpoint,
+        requests_per_window: float,
+        rules: messages.Rules,
+        slot_count: int,
+        queue_capacity: int,
     ) -> None:
-        self.entry, self.rules, self.queue = entry, rules, queue
-        self.starts: list[int] = []
-        self.service_us = slots * rules.overload_window_us / per_window
-        self.per_window = per_window
-        self.free_at = [0] * slots  # when each slot is free
-        self.mode = "sound"
-        self.slower = 1.0
-        self.work: list[tuple[int, bool]] = []
-
-    def capacity(self, now: int, since: float | None = None) -> float:
+        self.entry, self.rules, self.queue_capacity = entry, rules, queue_capacity
+        self.start_times_us: list[int] = []
+        self.service_time_us = slot_count * rules.overload_window_us / requests_per_window
+        self.requests_per_window = requests_per_window
+        self.slot_free_at_us = [0] * slot_count  # when each slot is free
+        self.mode = "healthy"
+        self.slowdown_factor = 1.0
+        self.arrivals: list[tuple[int, bool]] = []
+
+    def capacity(self, now_us: int, started_at_us: float | None = None) -> float:
         """Return the share of its full capacity that it has, by its latest start or by this one."""
         rules = self.rules
-        since = self.entry.incarnation_us if since is None else since
-        if since <= 0 or now >= since + rules.slow_start_us:
+        started_at_us = self.entry.incarnation_us if started_at_us is None else started_at_us
+        if started_at_us <= 0 or now_us >= started_at_us + rules.slow_start_us:
             return 1.0
-        return rules.start_capacity + (1.0 - rules.start_capacity) * max(0, now - since) / rules.slow_start_us
+        return (
+            rules.start_capacity
+            + (1.0 - rules.start_capacity) * max(0, now_us - started_at_us) / rules.slow_start_us
+        )
 
-    def take(self, now: int, work: float) -> tuple[int, messages.Outcome] | None:
+    def serve(self, now_us: int, work_factor: float) -> tuple[int, messages.Outcome] | None:
         """Return when an attempt that comes now ends, and how; None where it never does."""
         if self.mode == "silent":
             return None
         if self.mode == "failing":
-            return now + FAIL_US, messages.Outcome.ERROR
+            return now_us + ERROR_RESPONSE_US, messages.Outcome.ERROR
         if self.mode == "refusing":
-            return now + NET_US, messages.Outcome.REJECTED
-        duration_us = work * self.service_us * self.slower / self.capacity(now)
-        slot = min(range(len(self.free_at)), key=self.free_at.__getitem__)
-        begin = max(now, self.free_at[slot])
-        if begin - now > self.queue * self.service_us / len(self.free_at):
-            return now + NET_US, messages.Outcome.REJECTED
-        self.free_at[slot] = begin + int(duration_us)
-        return self.free_at[slot], messages.Outcome.OK
-
-    def restart(self, since: int) -> None:
+            return now_us + NETWORK_DELAY_US, messages.Outcome.REJECTED
+        duration_us = work_factor * self.service_time_us * self.slowdown_factor / self.capacity(now_us)
+        slot = min(range(len(self.slot_free_at_us)), key=self.slot_free_at_us.__getitem__)
+        begin_us = max(now_us, self.slot_free_at_us[slot])
+        if begin_us - now_us > self.queue_capacity * self.service_time_us / len(self.slot_free_at_us):
+            return now_us + NETWORK_DELAY_US, messages.Outcome.REJECTED
+        self.slot_free_at_us[slot] = begin_us + int(duration_us)
+        return self.slot_free_at_us[slot], messages.Outcome.OK
+
+    def restart(self, started_at_us: int) -> None:
         """Start anew at this time, with less capacity."""
-        self.free_at = [0] * len(self.free_at)
-        self.starts.append(since)
+        self.slot_free_at_us = [0] * len(self.slot_free_at_us)
+        self.start_times_us.append(started_at_us)
         self.entry = messages.Endpoint(
-            self.entry.id, messages.EndpointStatus.UP, self.entry.zone, self.entry.cell, since
+            self.entry.id, messages.EndpointStatus.UP, self.entry.zone, self.entry.cell, started_at_us
         )
 
 
@@ -89,30 +97,30 @@
     """A client's request and its result.
 
     Attributes:
-        cls: The name of its class.
+        class_name: The name of its class.
         tenant: Its tenant, if it has one.
-        balancer: The index of the balancer that it came to.
-        at: When it came.
-        work: Its work as a multiple of the mean.
+        balancer_index: The index of the balancer that it came to.
+        arrived_at_us: When it came.
+        work_factor: Its work as a multiple of the mean.
         attempt_count: How many attempts it has had.
-        answered_at: When it was answered; 0 where it was rejected or failed.
+        responded_at_us: When it was answered; 0 where it was rejected or failed.
         is_over: Whether it has its final response.
     """
 
-    cls: str
+    class_name: str
     tenant: str | None
-    balancer: int
-    at: int
-    work: float
+    balancer_index: int
+    arrived_at_us: int
+    work_factor: float
     attempt_count: int = 0
-    answered_at: int = 0
+    responded_at_us: int = 0
     is_over: bool = False
 
 
 class AttemptKey(NamedTuple):
     """Identifies an attempt: its balancer's index, its request's id and its number."""
 
-    balancer: int
+    balancer_index: int
     request_id: str
     number: int
 
@@ -120,7 +128,7 @@
 class AttemptInFlight(NamedTuple):
     """When an attempt was started, and on which endpoint."""
 
-    started_at: int
+    started_at_us: int
     endpoint_id: int
 
 
@@ -128,100 +136,104 @@
     """An overload window of an endpoint in slow start.
 
     Attributes:
-        share: The attempts as a share of those allowed.
+        used_share: The attempts as a share of those allowed.
         attempt_count: The attempts and health checks that came.
-        allowed: How many may come.
+        allowed_count: How many may come.
     """
 
-    share: float
+    used_share: float
     attempt_count: int
-    allowed: float
+    allowed_count: float
 
 
 @dataclass
 class SimulatedClient:
     """Where requests come from: a class, a tenant and their share of all requests."""
 
-    cls: str
-    part: float = 1.0
+    class_name: str
+    traffic_share: float = 1.0
     tenant: str | None = None
 
 
 @dataclass
 class SimulatedFleet:
-    """Balancers before endpoints, each of which does `per_window` requests in the overload window.
+    """Balancers before endpoints, each of which does `requests_per_window` requests in the overload window.
 
     Attributes:
         load: The share of what all endpoints do while warm that clients ask for.
-        surge: What the load is multiplied with at a time, at most `most_surge`.
-        spread_us: Within this time a change of the list reaches all balancers.
-        uneven: The spread of the traffic of balancers, as the sigma of a lognormal distribution.
+        load_factor_at: What the load is multiplied with at a time, at most `max_load_factor`.
+        max_list_delay_us: Within this time a change of the list reaches all balancers.
+        traffic_sigma: The spread of the traffic of balancers, as the sigma of a lognormal distribution.
         requests: All requests so far.
         attempts: The time and the balancer's index of each attempt so far.
         endpoints: The endpoints, by their ids.
-        policies: The balancers, by their indices.
+        balancers: The balancers, by their indices.
     """
 
     settings: messages.Settings
-    balancers: int
+    balancer_count: int
     endpoint_count: int
-    per_window: float
+    requests_per_window: float
     load: float
     seed: int
     clients: tuple[SimulatedClient, ...] = (SimulatedClient("read"),)
-    surge: Callable[[int], float] = lambda now: 1.0
-    most_surge: float = 1.0
-    zones: int = 3
-    slots: int = 1
-    queue: int = 20
-    spread_us: int = 200 * MILLISECOND_US
-    uneven: float = 0.5
-    now: int = START_US
+    load_factor_at: Callable[[int], float] = lambda now_us: 1.0
+    max_load_factor: float = 1.0
+    zone_count: int = 3
+    slot_count: int = 1
+    queue_capacity: int = 20
+    max_list_delay_us: int = 200 * MILLISECOND_US
+    traffic_sigma: float = 0.5
+    now_us: int = START_US
     requests: list[SimulatedRequest] = field(default_factory=list)
     attempts: list[tuple[int, int]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
-        self.order = count()
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []
+        self.sequence_numbers = count()
+        self.event_heap: list[tuple[int, int, Callable[[], None]]] = []
         self.endpoints = [self._new_endpoint(number) for number in range(self.endpoint_count)]
-        self.policies = [self._new_policy(index) for index in range(self.balancers)]
+        self.balancers = [self._new_balancer(index) for index in range(self.balancer_count)]
         # What each balancer's list states: incarnations by endpoint.
-        self.listed_incarnations_us: list[dict[int, int]] = [{} for _ in self.policies]
+        self.listed_incarnations_us: list[dict[int, int]] = [{} for _ in self.balancers]
         self.in_flight: dict[AttemptKey, AttemptInFlight] = {}
         self.cancelled_timers: set[tuple[int, int]] = set()
         self.requests_by_id: dict[str, SimulatedRequest] = {}
         self.version = 0
-        self.weights = list(accumulate(self.rng.lognormvariate(0.0, self.uneven) for _ in self.policies))
-        self.client_shares = list(accumulate(client.part for client in self.clients))
-        for index, policy in enumerate(self.policies):
-            self._carry_out(index, policy.start(self.now))
+        self.cumulative_traffic_weights = list(
+            accumulate(self.rng.lognormvariate(0.0, self.traffic_sigma) for _ in self.balancers)
+        )
+        self.cumulative_client_shares = list(accumulate(client.traffic_share for client in self.clients))
+        for index, balancer in enumerate(self.balancers):
+            self._execute(index, balancer.start(self.now_us))
         entries = [endpoint.entry for endpoint in self.endpoints]
-        self.send_list(entries, kind=messages.EndpointListKind.COMPLETE, within=0)
-        self.at(self.now, self._next_arrival)
+        self.send_list(entries, kind=messages.EndpointListKind.COMPLETE, max_delay_us=0)
+        self.schedule(self.now_us, self._next_arrival)
 
     def _new_endpoint(self, number: int) -> SimulatedEndpoint:
-        entry = messages.Endpoint(number, zone=ZONES[number % self.zones], cell=number % 2)
-        return SimulatedEndpoint(entry, self.per_window, self.settings.rules, self.slots, self.queue)
+        entry = messages.Endpoint(number, zone=ZONES[number % self.zone_count], cell=number % 2)
+        return SimulatedEndpoint(
+            entry, self.requests_per_window, self.settings.rules, self.slot_count, self.queue_capacity
+        )
 
-    def _new_policy(self, index: int) -> Balancer:
-        settings = replace(self.settings, instances=self.balancers, index=index)
+    def _new_balancer(self, index: int) -> Balancer:
+        settings = replace(self.settings, instances=self.balancer_count, index=index)
         if settings.zone:
-            settings = replace(settings, zone=ZONES[index % self.zones])
+            settings = replace(settings, zone=ZONES[index % self.zone_count])
         return Balancer(settings, self.seed * 10_007 + index)
 
     # The clock
 
-    def at(self, when: int, event: Callable[[], None]) -> None:
+    def schedule(self, at_us: int, event: Callable[[], None]) -> None:
         """Schedule an event."""
-        heapq.heappush(self.heap, (when, next(self.order), event))
+        heapq.heappush(self.event_heap, (at_us, next(self.sequence_numbers), event))
 
-    def run(self, until: int) -> None:
+    def run_until(self, end_us: int) -> None:
         """Let all events up to this time happen."""
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, event = heapq.heappop(self.heap)
+        while self.event_heap and self.event_heap[0][0] <= end_us:
+            self.now_us, _, event = heapq.heappop(self.event_heap)
             event()
-        self.now = until
+        self.now_us = end_us
 
     # The list
 
@@ -229,69 +241,82 @@
         self,
         entries: Iterable[messages.Endpoint],
         kind: messages.EndpointListKind = messages.EndpointListKind.CHANGES,
-        within: int | None = None,
+        max_delay_us: int | None = None,
     ) -> None:
         """Send a list to all balancers, each at its own moment of the time in which changes spread."""
         self.version += 1
         update = messages.EndpointListUpdate(kind, self.version, tuple(entries))
-        spread_us = self.spread_us if within is None else within
-        for index in range(self.balancers):
-            received_at = self.now + int(self.rng.random() * spread_us)
-            self.at(received_at, partial(self.receive_list, index, update))
+        delay_limit_us = self.max_list_delay_us if max_delay_us is None else max_delay_us
+        for index in range(self.balancer_count):
+            received_at_us = self.now_us + int(self.rng.random() * delay_limit_us)
+            self.schedule(received_at_us, partial(self.receive_list, index, update))
 
     def receive_list(self, index: int, update: messages.EndpointListUpdate) -> None:
         """Hand a balancer a list, as discovery does."""
-        starts = {entry.id: entry.incarnation_us for entry in update.endpoints}
-        self.listed_incarnations_us[index].update(starts)
+        incarnations_us = {entry.id: entry.incarnation_us for entry in update.endpoints}
+        self.listed_incarnations_us[index].update(incarnations_us)
         self._handle(index, update)
 
     def restart(self, chosen: Iterable[SimulatedEndpoint]) -> None:
         """Restart these endpoints now, and send the list that says so."""
         entries = []
         for endpoint in chosen:
-            endpoint.restart(self.now)
+            endpoint.restart(self.now_us)
             entries.append(endpoint.entry)
         self.send_list(entries)
 
     # Clients
 
     def _next_arrival(self) -> None:
-        requests_per_window = self.load * self.per_window * self.endpoint_count
-        rate = requests_per_window / self.settings.rules.overload_window_us  # per microsecond
-        if self.rng.random() * self.most_surge < self.surge(self.now):
-            self.arrive(
-                bisect_left(self.weights, self.rng.random() * self.weights[-1]),
-                self.clients[bisect_left(self.client_shares, self.rng.random() * self.client_shares[-1])],
+        arrivals_per_window = self.load * self.requests_per_window * self.endpoint_count
+        arrival_rate = arrivals_per_window / self.settings.rules.overload_window_us  # per microsecond
+        if self.rng.random() * self.max_load_factor < self.load_factor_at(self.now_us):
+            self.add_request(
+                bisect_left(
+                    self.cumulative_traffic_weights, self.rng.random() * self.cumulative_traffic_weights[-1]
+                ),
+                self.clients[
+                    bisect_left(
+                        self.cumulative_client_shares, self.rng.random() * self.cumulative_client_shares[-1]
+                    )
+                ],
             )
-        self.at(self.now + max(1, int(self.rng.expovariate(rate * self.most_surge))), self._next_arrival)
+        self.schedule(
+            self.now_us + max(1, int(self.rng.expovariate(arrival_rate * self.max_load_factor))),
+            self._next_arrival,
+        )
 
-    def arrive(self, index: int, client: SimulatedClient) -> None:
+    def add_request(self, index: int, client: SimulatedClient) -> None:
         """Let a request of this client come to a balancer."""
-        cls = next(known for known in self.settings.classes if known.name == client.cls)
-        work = self.rng.lognormvariate(-0.08, 0.4)
-        request = SimulatedRequest(client.cls, client.tenant, index, self.now, work)
+        request_class = next(known for known in self.settings.classes if known.name == client.class_name)
+        work_factor = self.rng.lognormvariate(-0.08, 0.4)
+        request = SimulatedRequest(client.class_name, client.tenant, index, self.now_us, work_factor)
         request_id = f"r{len(self.requests)}"
         self.requests.append(request)
         self.requests_by_id[request_id] = request
-        self._handle(index, messages.Request(request_id, client.cls, cls.deadline_us, client.tenant))
+        self._handle(
+            index, messages.Request(request_id, client.class_name, request_class.deadline_us, client.tenant)
+        )
 
     # Balancers
 
     def _handle(self, index: int, event: messages.Event) -> None:
-        self._carry_out(index, self.policies[index].handle(self.now, event))
+        self._execute(index, self.balancers[index].handle(self.now_us, event))
 
-    def _carry_out(self, index: int, actions: list[messages.Action]) -> None:
+    def _execute(self, index: int, actions: list[messages.Action]) -> None:
         for action in actions:
             match action:
                 case messages.StartAttempt():
                     self._start_attempt(index, action)
                 case messages.SetTimer():
-                    self.at(max(self.now, action.at_us), partial(self._fire, index, action.timer_id))
+                    self.schedule(
+                        max(self.now_us, action.at_us), partial(self._fire_timer, index, action.timer_id)
+                    )
                 case messages.CancelTimer():
                     self.cancelled_timers.add((index, action.timer_id))
                 case messages.CancelAttempt():
                     key = AttemptKey(index, action.request_id, action.attempt_number)
-                    self.at(self.now, partial(self._end_attempt, key, messages.Outcome.CANCELLED))
+                    self.schedule(self.now_us, partial(self._end_attempt, key, messages.Outcome.CANCELLED))
                 case messages.Reject() | messages.Fail():
                     self.requests_by_id[action.request_id].is_over = True
                 case messages.CheckHealth():
@@ -299,31 +324,31 @@
                 case _:
                     pass
 
-    def _fire(self, index: int, timer: int) -> None:
-        if (index, timer) in self.cancelled_timers:
-            self.cancelled_timers.remove((index, timer))
+    def _fire_timer(self, index: int, timer_id: int) -> None:
+        if (index, timer_id) in self.cancelled_timers:
+            self.cancelled_timers.remove((index, timer_id))
         else:
-            self._handle(index, messages.TimerFired(timer))
+            self._handle(index, messages.TimerFired(timer_id))
 
-    def _record_work(self, index: int, endpoint: SimulatedEndpoint) -> None:
+    def _record_arrival(self, index: int, endpoint: SimulatedEndpoint) -> None:
         listed_us = self.listed_incarnations_us[index].get(endpoint.entry.id)
-        endpoint.work.append((self.now, listed_us == endpoint.entry.incarnation_us))
+        endpoint.arrivals.append((self.now_us, listed_us == endpoint.entry.incarnation_us))
 
     def _start_attempt(self, index: int, action: messages.StartAttempt) -> None:
         request = self.requests_by_id[action.request_id]
         endpoint = self.endpoints[action.endpoint_id]
-        self.attempts.append((self.now, index))
-        self._record_work(index, endpoint)
+        self.attempts.append((self.now_us, index))
+        self._record_arrival(index, endpoint)
         key = AttemptKey(index, action.request_id, request.attempt_count)
         request.attempt_count += 1
-        self.in_flight[key] = AttemptInFlight(self.now, action.endpoint_id)
-        work = request.work * self.rng.uniform(0.8, 1.2)
-        times_out_at = self.now + action.timeout_us
-        end = endpoint.take(self.now + NET_US, work)
-        if end is None or end[0] > times_out_at:
-            end = times_out_at, messages.Outcome.TIMEOUT
-        ends_at, outcome = end
-        self.at(ends_at, partial(self._end_attempt, key, outcome))
+        self.in_flight[key] = AttemptInFlight(self.now_us, action.endpoint_id)
+        work_factor = request.work_factor * self.rng.uniform(0.8, 1.2)
+        timeout_at_us = self.now_us + action.timeout_us
+        end = endpoint.serve(self.now_us + NETWORK_DELAY_US, work_factor)
+        if end is None or end[0] > timeout_at_us:
+            end = timeout_at_us, messages.Outcome.TIMEOUT
+        ends_at_us, outcome = end
+        self.schedule(ends_at_us, partial(self._end_attempt, key, outcome))
 
     def _end_attempt(self, key: AttemptKey, outcome: messages.Outcome) -> None:
         if key not in self.in_flight:
@@ -331,63 +356,83 @@
         attempt = self.in_flight.pop(key)
         request = self.requests_by_id[key.request_id]
         if outcome is messages.Outcome.OK and not request.is_over:
-            request.is_over, request.answered_at = True, self.now
+            request.is_over, request.responded_at_us = True, self.now_us
         self._handle(
-            key.balancer,
+            key.balancer_index,
             messages.AttemptEnded(
                 key.request_id,
                 key.number,
                 attempt.endpoint_id,
                 outcome,
-                self.now - attempt.started_at,
+                self.now_us - attempt.started_at_us,
                 request.is_over,
             ),
         )
 
     def _check_health(self, index: int, endpoint_id: int) -> None:
         endpoint = self.endpoints[endpoint_id]
-        self._record_work(index, endpoint)
+        self._record_arrival(index, endpoint)
         is_alive = endpoint.mode != "silent"
-        load = float(sum(free_at > self.now for free_at in endpoint.free_at)) if is_alive else None
-        ends_at = self.now + (2 * NET_US if is_alive else SILENT_HEALTH_CHECK_US)
+        load = (
+            float(sum(free_at_us > self.now_us for free_at_us in endpoint.slot_free_at_us))
+            if is_alive
+            else None
+        )
+        ends_at_us = self.now_us + (2 * NETWORK_DELAY_US if is_alive else HEALTH_CHECK_TIMEOUT_US)
         result = messages.HealthCheckEnded(endpoint_id, is_alive, load)
-        self.at(ends_at, partial(self._handle, index, result))
+        self.schedule(ends_at_us, partial(self._handle, index, result))
 
     # Results
 
-    def worst_cold(self, page: bool = False) -> WarmingWindow:
+    def fullest_warming_window(self, use_small_count_margin: bool = False) -> WarmingWindow:
         """Return the fullest window of an endpoint in slow start.
 
-        Allowed are N + 2 x root of N + 2 attempts, by the `page` N + 3 x root of N + 3 where N is under 30.
+        Allowed are N + 2 x root of N + 2 attempts, with `use_small_count_margin` N + 3 x root of N + 3 where
+        N is under 30.
         Each start of an endpoint counts by itself.
         """
         worst = WarmingWindow(0.0, 0, 0.0)
         for endpoint in self.endpoints:
-            for started_at, ends_at in pairwise([*endpoint.starts, math.inf]):
-                for window in self._warming_windows(endpoint, started_at, ends_at, page):
+            for started_at_us, ends_at_us in pairwise([*endpoint.start_times_us, math.inf]):
+                for window in self._warming_windows(
+                    endpoint, started_at_us, ends_at_us, use_small_count_margin
+                ):
                     worst = max(worst, window)
         return worst
 
     def _warming_windows(
-        self, endpoint: SimulatedEndpoint, started_at: float, ends_at: float, page: bool
+        self,
+        endpoint: SimulatedEndpoint,
+        started_at_us: float,
+        ends_at_us: float,
+        use_small_count_margin: bool,
     ) -> Iterator[WarmingWindow]:
         """Yield the window that begins with each attempt while the endpoint warms up after this start."""
         rules = self.settings.rules
-        warm_at = started_at + rules.slow_start_us
-        last = min(ends_at, warm_at + rules.overload_window_us)
-        times = [at for at, _ in endpoint.work if started_at <= at < last]
-        for first, begin in enumerate(times):
-            if begin >= warm_at:
+        warm_at_us = started_at_us + rules.slow_start_us
+        end_us = min(ends_at_us, warm_at_us + rules.overload_window_us)
+        arrivals_us = [at_us for at_us, _ in endpoint.arrivals if started_at_us <= at_us < end_us]
+        for first_index, begin_us in enumerate(arrivals_us):
+            if begin_us >= warm_at_us:
                 return
-            mean = rules.overload_multiple * endpoint.capacity(begin, started_at) * endpoint.per_window
-            slack = 3.0 if page and mean < 30.0 else 2.0
-            allowed = mean + slack * math.sqrt(mean) + slack
-            attempt_count = bisect_left(times, begin + rules.overload_window_us) - first
-            yield WarmingWindow(attempt_count / allowed, attempt_count, allowed)
+            mean_count = (
+                rules.overload_multiple
+                * endpoint.capacity(begin_us, started_at_us)
+                * endpoint.requests_per_window
+            )
+            margin = 3.0 if use_small_count_margin and mean_count < 30.0 else 2.0
+            allowed_count = mean_count + margin * math.sqrt(mean_count) + margin
+            attempt_count = bisect_left(arrivals_us, begin_us + rules.overload_window_us) - first_index
+            yield WarmingWindow(attempt_count / allowed_count, attempt_count, allowed_count)
 
-    def served(self, requests: Iterable[SimulatedRequest]) -> float:
+    def on_time_share(self, requests: Iterable[SimulatedRequest]) -> float:
         """Return the share of these requests that were answered within their latency objective."""
-        objectives_us = {cls.name: cls.latency_objective_us for cls in self.settings.classes}
+        objectives_us = {
+            request_class.name: request_class.latency_objective_us for request_class in self.settings.classes
+        }
         counted = list(requests)
-        good = sum(0 < request.answered_at <= request.at + objectives_us[request.cls] for request in counted)
-        return good / len(counted) if counted else 1.0
+        on_time_count = sum(
+            0 < request.responded_at_us <= request.arrived_at_us + objectives_us[request.class_name]
+            for request in counted
+        )
+        return on_time_count / len(counted) if counted else 1.0
--- a/tests/support/stand_in_discovery.py
+++ b/tests/support/stand_in_discovery.py
@@ -34,7 +34,7 @@
     rules=messages.Rules(0.4, 5 * SECOND_US, 3.0, SECOND_US, max_poll_interval_us=3_600 * SECOND_US)
 )
 EACH_SUBSCRIPTION = pytest.mark.parametrize(
-    "setup", [POLLED_SETTINGS, PUSHED_SETTINGS], ids=["asked", "pushed"]
+    "settings", [POLLED_SETTINGS, PUSHED_SETTINGS], ids=["asked", "pushed"]
 )
 
 
@@ -58,7 +58,7 @@
 
 
 @dataclass
-class DiscoveryCall:
+class DiscoveryRequest:
     """One call to discovery, open until the test or the proxy ends it."""
 
     received_at_s: float  # stepped seconds
@@ -73,43 +73,43 @@
 
 
 class StandInDiscovery:
-    """Leaves each call open for the test to answer, after `on_call` has had it.
+    """Leaves each call open for the test to answer, after `on_request` has had it.
 
     Attributes:
-        calls: All calls so far, in order.
-        on_call: Gets each call as it comes.
+        requests: All calls so far, in order.
+        on_request: Gets each call as it comes.
         server: Where it listens.
     """
 
     def __init__(self, clock: SteppedClock) -> None:
         self.clock = clock
-        self.calls: list[DiscoveryCall] = []
-        self.on_call: Callable[[DiscoveryCall], None] = lambda call: None
+        self.requests: list[DiscoveryRequest] = []
+        self.on_request: Callable[[DiscoveryRequest], None] = lambda request: None
         self.server = StandInServer(self.handle)
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Receive one call, and note when the proxy ends it."""
         await reader.readuntil(b"\r\n\r\n")
-        call = DiscoveryCall(self.clock.advanced_s, writer)
-        self.calls.append(call)
-        self.on_call(call)
+        request = DiscoveryRequest(self.clock.advanced_s, writer)
+        self.requests.append(request)
+        self.on_request(request)
         try:
             await reader.read()
         finally:
-            call.closed_by_proxy.set()
+            request.closed_by_proxy.set()
 
 
 @asynccontextmanager
 async def watching_proxy(
-    setup: messages.Settings,
+    settings: messages.Settings,
 ) -> AsyncIterator[tuple[StandInDiscovery, LoopbackProxy, SteppedClock]]:
     """Run a proxy that watches a stand-in, on one stepped clock; its random waits last their longest."""
     discovery = StandInDiscovery(FrozenClock())
     async with (
         discovery.server,
-        running_proxy(settings=setup, discovery_port=discovery.server.port) as proxy,
+        running_proxy(settings=settings, discovery_port=discovery.server.port) as proxy,
     ):
-        proxy.step_policy_clock_with(discovery.clock)
+        proxy.link_policy_clock(discovery.clock)
         proxy.driver.balancer.subscription.jitter.uniform = lambda a, b: b  # type: ignore[method-assign]
         yield discovery, proxy, discovery.clock
 
@@ -128,14 +128,14 @@
     return started_at_s
 
 
-async def advance_to_next_call(discovery: StandInDiscovery, clock: SteppedClock) -> float:
+async def advance_to_next_request(discovery: StandInDiscovery, clock: SteppedClock) -> float:
     """Step time until a further call comes; return the seconds that it took."""
-    before = len(discovery.calls)
-    return await advance_until(clock, lambda: len(discovery.calls) > before)
+    before = len(discovery.requests)
+    return await advance_until(clock, lambda: len(discovery.requests) > before)
 
 
-async def answer_latest_call(
-    discovery: StandInDiscovery, proxy: LoopbackProxy, clock: SteppedClock, setup: messages.Settings
+async def respond_to_latest_request(
+    discovery: StandInDiscovery, proxy: LoopbackProxy, clock: SteppedClock, settings: messages.Settings
 ) -> float:
     """Send a list of version 7 to the latest call, a poll after its longest wait in the queue.
 
@@ -143,9 +143,9 @@
         The seconds until the proxy has applied the list.
     """
     waited_s = 0.0
-    if setup is POLLED_SETTINGS:
-        waited_s = await advance_until(clock, discovery.calls[-1].closed_by_proxy.is_set, POLL_QUEUE_S)
-    discovery.calls[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(7))
+    if settings is POLLED_SETTINGS:
+        waited_s = await advance_until(clock, discovery.requests[-1].closed_by_proxy.is_set, POLL_QUEUE_S)
+    discovery.requests[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(7))
     waited_s += await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 7, 1.0)
     assert proxy.driver.endpoint_list.watch.version == 7
     return waited_s
