--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -25,15 +25,15 @@
             await proxy.connect()
 
 
-@pytest.mark.parametrize("fresh", [True, False])
+@pytest.mark.parametrize("is_first_request", [True, False])
 async def test_connection_is_not_closed_at_shutdown_while_its_request_arrives(
-    proxy: LoopbackProxy, fresh: bool
+    proxy: LoopbackProxy, is_first_request: bool
 ) -> None:
     """Its response is the last one on its connection; until then the listener is not drained."""
 
     client, other = SocketClient(proxy), SocketClient(proxy)
     await wait_until(lambda: len(proxy.clients.open_connections) == 2)
-    if not fresh:
+    if not is_first_request:
         client.send(http_request(request_id="r1"))
         await wait_until(lambda: len(proxy.clients.idle_connections) == 1)
     clock = FrozenClock()
@@ -43,7 +43,9 @@
     assert not proxy.listener.is_drained
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)  # the other one is closed
     assert other.socket.recv(1) == b""
-    assert await client.read_statuses(1 if fresh else 2) == ([200] if fresh else [200, 200])
+    assert await client.read_statuses(1 if is_first_request else 2) == (
+        [200] if is_first_request else [200, 200]
+    )
     await wait_until(lambda: proxy.listener.is_drained and not proxy.clients.open_connections)
 
 
--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -20,17 +20,17 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port), max_connections=8) as proxy,
     ):
-        usual = [await proxy.connect() for _ in range(4)]
-        for number, (reader, writer) in enumerate(usual):
+        idle_clients = [await proxy.connect() for _ in range(4)]
+        for number, (reader, writer) in enumerate(idle_clients):
             writer.write(http_request(request_id=f"u{number}"))
             assert response_status(await read_http_message(reader)) == 200
-        crowd = [await proxy.connect() for _ in range(50)]
+        unused_clients = [await proxy.connect() for _ in range(50)]
         while len(proxy.clients.unused_connections) > 4 or len(proxy.clients.open_connections) > 8:
             await asyncio.sleep(0)
-        for number, (reader, writer) in enumerate(usual):
+        for number, (reader, writer) in enumerate(idle_clients):
             writer.write(http_request(request_id=f"v{number}"))
             assert response_status(await read_http_message(reader)) == 200
-        for _, writer in (*crowd, *usual):
+        for _, writer in (*unused_clients, *idle_clients):
             writer.close()
 
 
@@ -41,26 +41,26 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port), max_connections=8) as proxy,
     ):
-        stayed = [await proxy.connect() for _ in range(8)]
-        for number, (reader, writer) in enumerate(stayed):
+        idle_clients = [await proxy.connect() for _ in range(8)]
+        for number, (reader, writer) in enumerate(idle_clients):
             writer.write(http_request(request_id=f"s{number}"))
             assert response_status(await read_http_message(reader)) == 200
-        new = [await proxy.connect() for _ in range(3)]
+        new_clients = [await proxy.connect() for _ in range(3)]
         while len(proxy.clients.unused_connections) < 3:
             await asyncio.sleep(0)
-        for number, (reader, writer) in enumerate(new):
+        for number, (reader, writer) in enumerate(new_clients):
             writer.write(http_request(request_id=f"n{number}"))
             assert response_status(await read_http_message(reader)) == 200
-        for _, writer in (*stayed, *new):
+        for _, writer in (*idle_clients, *new_clients):
             writer.close()
 
 
 async def test_longest_idle_connection_is_evicted_and_a_surplus_one_answered_503() -> None:
-    blocked = asyncio.Event()
+    may_respond = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_http_message(reader)
-        await blocked.wait()
+        await may_respond.wait()
         writer.write(http_response(200, b"late"))
 
     async with (
@@ -76,14 +76,14 @@
         while endpoint.connection_count < 2:
             await asyncio.sleep(0)
         assert response_status(await proxy.send_request(http_request(request_id="c"))) == 503  # both are busy
-        blocked.set()
+        may_respond.set()
         assert response_status(await read_http_message(reader_a)) == 200
         assert response_status(await read_http_message(reader_b)) == 200
 
 
-@pytest.mark.parametrize("fresh", [True, False])
+@pytest.mark.parametrize("is_first_request", [True, False])
 async def test_connection_is_not_evicted_while_its_request_arrives(
-    fresh: bool, monkeypatch: pytest.MonkeyPatch
+    is_first_request: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """All other connections are busy or about to be, so the new one is answered 503."""
 
@@ -94,18 +94,20 @@
         client = SocketClient(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         [connection] = proxy.clients.open_connections
-        if not fresh:
+        if not is_first_request:
             client.send(http_request(request_id="r1"))
             await wait_until(lambda: connection in proxy.clients.idle_connections)
         add = proxy.clients.add
 
-        def crossed(newcomer: ClientConnection) -> bool:
+        def send_and_add(new_connection: ClientConnection) -> bool:
             client.send(http_request(request_id="r2"))
-            return add(newcomer)
+            return add(new_connection)
 
-        monkeypatch.setattr(proxy.clients, "add", crossed)
+        monkeypatch.setattr(proxy.clients, "add", send_and_add)
         assert response_status(await proxy.send_request(http_request(request_id="r3"))) == 503
-        assert await client.read_statuses(1 if fresh else 2) == ([200] if fresh else [200, 200])
+        assert await client.read_statuses(1 if is_first_request else 2) == (
+            [200] if is_first_request else [200, 200]
+        )
 
 
 async def test_connection_is_evicted_when_its_client_has_just_disconnected(
@@ -121,11 +123,11 @@
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         add = proxy.clients.add
 
-        def crossed(newcomer: ClientConnection) -> bool:
+        def send_disconnect_and_add(new_connection: ClientConnection) -> bool:
             client.send(http_request(request_id="r1"))
             client.socket.close()
-            return add(newcomer)
+            return add(new_connection)
 
-        monkeypatch.setattr(proxy.clients, "add", crossed)
+        monkeypatch.setattr(proxy.clients, "add", send_disconnect_and_add)
         assert response_status(await proxy.send_request(http_request(request_id="r2"))) == 200
         assert len(endpoint.received) == 1
--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -38,10 +38,10 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        for first in (b"", http_request()):  # as its first one, and later
+        for earlier_request in (b"", http_request()):  # as its first one, and later
             reader, writer = await proxy.connect()
-            if first:
-                writer.write(first)
+            if earlier_request:
+                writer.write(earlier_request)
                 assert response_status(await read_http_message(reader)) == 200
                 if not sent:
                     continue  # idle ones may stay for longer
@@ -85,12 +85,12 @@
 async def test_late_response_after_the_final_response_is_discarded() -> None:
     """Attempts are not cancelled by these settings, so the endpoint responds once the request has ended."""
 
-    late = asyncio.Event()
+    may_respond = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         _, headers, _ = await read_http_message(reader)
         if headers["req-id"] == "slow":
-            await late.wait()
+            await may_respond.wait()
         writer.write(http_response(200, headers["req-id"].encode()))
 
     limits = messages.Limits(max_attempts=3, cancel=False)
@@ -106,7 +106,7 @@
             await asyncio.sleep(0)
         proxy.driver.end_all_requests()
         assert response_status(await read_http_message(reader)) == 503
-        late.set()
+        may_respond.set()
         while proxy.driver.requests.attempts.in_flight:
             await asyncio.sleep(0)
         writer.write(http_request(request_id="next"))
@@ -127,31 +127,33 @@
         events: list[messages.Event] = []
         handle_event = proxy.driver.balancer.handle
 
-        def listen(now: int, event: messages.Event) -> list[messages.Action]:
+        def record_and_handle(now: int, event: messages.Event) -> list[messages.Action]:
             events.append(event)
             return handle_event(now, event)
 
-        monkeypatch.setattr(proxy.driver.balancer, "handle", listen)
+        monkeypatch.setattr(proxy.driver.balancer, "handle", record_and_handle)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at_s = loop.time()
         assert response_status(await proxy.send_request(http_request(Req_Deadline="0.6"))) in (502, 503)
-        assert loop.time() - began < 1.8  # by its own deadline, not by the class's aim of 2 s
+        assert loop.time() - started_at_s < 1.8  # by its own deadline, not by the class's aim of 2 s
         [request] = [event for event in events if isinstance(event, messages.Request)]
         assert 400_000 < request.time_remaining_us <= 600_000 - DEADLINE_MARGIN_US
 
 
-@pytest.mark.parametrize("fresh", [True, False])
+@pytest.mark.parametrize("is_first_request", [True, False])
 async def test_connection_is_not_closed_as_idle_while_its_request_arrives(
-    proxy: LoopbackProxy, fresh: bool
+    proxy: LoopbackProxy, is_first_request: bool
 ) -> None:
     client = SocketClient(proxy)
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)
     [connection] = proxy.clients.open_connections
-    if not fresh:
+    if not is_first_request:
         client.send(http_request(request_id="r1"))
         await wait_until(lambda: connection in proxy.clients.idle_connections)
     client.send(http_request(request_id="r2"))
     proxy.listener.time_limits.check(
         connection, proxy.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0
     )
-    assert await client.read_statuses(1 if fresh else 2) == ([200] if fresh else [200, 200])
+    assert await client.read_statuses(1 if is_first_request else 2) == (
+        [200] if is_first_request else [200, 200]
+    )
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -22,9 +22,11 @@
 from tests.support.stepped_clock import FrozenClock, run_loop_turns, wait_until
 
 
-@pytest.mark.parametrize("behind", [1, 3])
-@pytest.mark.parametrize("read", [True, False])
-async def test_pipelined_requests_are_answered_before_the_close_at_shutdown(behind: int, read: bool) -> None:
+@pytest.mark.parametrize("pipelined_count", [1, 3])
+@pytest.mark.parametrize("is_read_early", [True, False])
+async def test_pipelined_requests_are_answered_before_the_close_at_shutdown(
+    pipelined_count: int, is_read_early: bool
+) -> None:
     """Only the last response closes the connection, whether the requests behind were read or not."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
@@ -32,18 +34,20 @@
         client.send(http_request(request_id="r0"))
         await wait_until(lambda: len(endpoint.received) == 1)
         proxy.listener.close_idle_connections()
-        client.send(b"".join(http_request(request_id=f"r{number + 1}") for number in range(behind)))
-        if read:
+        client.send(b"".join(http_request(request_id=f"r{number + 1}") for number in range(pipelined_count)))
+        if is_read_early:
             [connection] = proxy.clients.open_connections
             await wait_until(lambda: connection.http.received.size_bytes > 0)
-        for number in range(1 + behind):
+        for number in range(1 + pipelined_count):
             await wait_until(lambda number=number: len(endpoint.received) == number + 1)  # type: ignore[misc]
             assert not proxy.listener.is_drained
             proxy.oldest_attempt_connection().data_received(http_response(200, b"%d" % number))
         reader, writer = await client.streams()
-        got = [await read_http_message(reader) for _ in range(1 + behind)]
-        assert [response[2] for response in got] == [b"%d" % number for number in range(1 + behind)]
-        assert [closes_connection(response) for response in got] == [False] * behind + [True]
+        responses = [await read_http_message(reader) for _ in range(1 + pipelined_count)]
+        assert [response[2] for response in responses] == [
+            b"%d" % number for number in range(1 + pipelined_count)
+        ]
+        assert [closes_connection(response) for response in responses] == [False] * pipelined_count + [True]
         assert await reader.read() == b""
         writer.close()
         await wait_until(lambda: proxy.listener.is_drained and not proxy.clients.open_connections)
@@ -61,9 +65,9 @@
             http_request(request_id="r1") + http_request(request_id="r2") + http_request(request_id="r3")
         )
         reader, writer = await surplus.streams()
-        got = [await read_http_message(reader) for _ in range(3)]
-        assert [response_status(response) for response in got] == [503] * 3
-        assert [closes_connection(response) for response in got] == [False, False, True]
+        responses = [await read_http_message(reader) for _ in range(3)]
+        assert [response_status(response) for response in responses] == [503] * 3
+        assert [closes_connection(response) for response in responses] == [False, False, True]
         assert await reader.read() == b""
         writer.close()
         assert len(endpoint.received) == 1
@@ -72,20 +76,22 @@
 
 
 async def send_last_request(
-    proxy: LoopbackProxy, endpoint: StandInServer, client: SocketClient, why: str
+    proxy: LoopbackProxy, endpoint: StandInServer, client: SocketClient, close_reason: str
 ) -> ClientConnection:
     """Send the request whose response is the last one, and return the connection once it lingers."""
     client.send(
         {"asked": http_request(Connection="close"), "bad": http_request(request_id="")}.get(
-            why, http_request()
+            close_reason, http_request()
         )
     )
-    if why in ("closing", "asked"):
+    if close_reason in ("closing", "asked"):
         await wait_until(lambda: len(endpoint.received) == 1)
-        proxy.clients.is_draining = why == "closing"
+        proxy.clients.is_draining = close_reason == "closing"
         proxy.oldest_attempt_connection().data_received(http_response(200, b"x"))
     [connection] = [
-        client_connection for client_connection in await shut(proxy) if client_connection.is_lingering
+        client_connection
+        for client_connection in await wait_for_lingering_connection(proxy)
+        if client_connection.is_lingering
     ]
     return connection
 
@@ -97,25 +103,25 @@
     await run_loop_turns()
 
 
-@pytest.mark.parametrize("why", ["closing", "asked", "surplus", "bad"])
-async def test_request_after_the_last_response_is_not_forwarded(why: str) -> None:
+@pytest.mark.parametrize("close_reason", ["closing", "asked", "surplus", "bad"])
+async def test_request_after_the_last_response_is_not_forwarded(close_reason: str) -> None:
     """The connection lingers by then: it is read only so that its close does not reset the response."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
         busy = SocketClient(proxy)
-        if why == "surplus":
+        if close_reason == "surplus":
             busy.send(http_request(request_id="busy"))
             await wait_until(lambda: len(endpoint.received) == 1)
-        client = busy if why != "surplus" else SocketClient(proxy)
-        connection = await send_last_request(proxy, endpoint, client, why)
+        client = busy if close_reason != "surplus" else SocketClient(proxy)
+        connection = await send_last_request(proxy, endpoint, client, close_reason)
         forwarded_count = len(endpoint.received)
         await send_late_requests(client)
         reader, writer = await client.streams()
-        got = await read_http_message(reader)
-        assert response_status(got) == {"surplus": 503, "bad": 400}.get(why, 200)
-        assert closes_connection(got)
+        response = await read_http_message(reader)
+        assert response_status(response) == {"surplus": 503, "bad": 400}.get(close_reason, 200)
+        assert closes_connection(response)
         assert await reader.read() == b""
         assert connection in proxy.clients.open_connections
         assert not connection.http.received
@@ -125,14 +131,14 @@
         busy.socket.close()
 
 
-async def shut(proxy: LoopbackProxy) -> list[ClientConnection]:
+async def wait_for_lingering_connection(proxy: LoopbackProxy) -> list[ClientConnection]:
     """Return the open connections, once one of them lingers."""
     await wait_until(lambda: any(connection.is_lingering for connection in proxy.clients.open_connections))
     return list(proxy.clients.open_connections)
 
 
-@pytest.mark.parametrize("last", [True, False])
-async def test_connection_is_not_evicted_while_it_writes_a_response(last: bool) -> None:
+@pytest.mark.parametrize("is_last", [True, False])
+async def test_connection_is_not_evicted_while_it_writes_a_response(is_last: bool) -> None:
     """The connection counts as idle, or as lingering, as soon as the response is handed to the transport."""
 
     async with (
@@ -141,7 +147,7 @@
     ):
         proxy.limit_send_buffers()
         reader, writer = await connect_paused_client(proxy)
-        writer.write(http_request(request_id="slow", Connection="close" if last else "keep-alive"))
+        writer.write(http_request(request_id="slow", Connection="close" if is_last else "keep-alive"))
         await wait_until(lambda: any(connection.is_writing for connection in proxy.clients.open_connections))
         assert response_status(await proxy.send_request(http_request(request_id="new"))) == 503
         writer.transport.resume_reading()  # type: ignore[attr-defined]
@@ -150,8 +156,8 @@
         await wait_until(lambda: not proxy.clients.open_connections)
 
 
-@pytest.mark.parametrize("last", [True, False])
-async def test_slowly_read_response_is_delivered_complete(last: bool) -> None:
+@pytest.mark.parametrize("is_last", [True, False])
+async def test_slowly_read_response_is_delivered_complete(is_last: bool) -> None:
     """Also where it is the last one: the end of the stream follows the whole response."""
 
     async with (
@@ -161,7 +167,7 @@
         proxy.limit_send_buffers()
         clock = FrozenClock()
         reader, writer = await connect_paused_client(proxy)
-        writer.write(http_request(request_id="slow", Connection="close" if last else "keep-alive"))
+        writer.write(http_request(request_id="slow", Connection="close" if is_last else "keep-alive"))
         await wait_until(
             lambda: any(client_connection.is_writing for client_connection in proxy.clients.open_connections)
         )
@@ -176,14 +182,14 @@
         proxy.listener.time_limits.check(connection, proxy.listener.loop.time())
         assert connection in proxy.clients.open_connections
         assert not connection.transport.is_closing()
-        if last:
+        if is_last:
             assert await reader.read() == b""
             clock.advance(client_limits.LINGER_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
             await wait_until(lambda: not proxy.clients.open_connections)
         writer.close()
 
 
-async def idle_connection(
+async def open_idle_connection(
     proxy: LoopbackProxy, endpoint: StandInServer, client: SocketClient
 ) -> ClientConnection:
     """Answer the client's first request, and return its connection once that is idle."""
@@ -196,26 +202,26 @@
 
 
 async def close_idle_connection(
-    proxy: LoopbackProxy, connection: ClientConnection, how: str
+    proxy: LoopbackProxy, connection: ClientConnection, close_cause: str
 ) -> SocketClient | None:
     """Have the connection closed in this way, and return the client that it makes room for."""
-    if how == "expiry":
+    if close_cause == "expiry":
         proxy.listener.time_limits.check(
             connection, proxy.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0
         )
-    elif how == "end":
+    elif close_cause == "end":
         proxy.listener.close_idle_connections()
     else:
-        other = SocketClient(proxy)
+        new_client = SocketClient(proxy)
         await wait_until(lambda: connection.transport.is_closing())
-        return other
+        return new_client
     return None
 
 
-@pytest.mark.parametrize("how", ["expiry", "end", "room"])
-@pytest.mark.parametrize("later", [False, True])
+@pytest.mark.parametrize("close_cause", ["expiry", "end", "room"])
+@pytest.mark.parametrize("after_loop_turns", [False, True])
 async def test_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(
-    how: str, later: bool
+    close_cause: str, after_loop_turns: bool
 ) -> None:
     """It comes after the last check of the connection, so the client can safely send it again."""
     async with (
@@ -223,11 +229,11 @@
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
         clock, client = FrozenClock(), SocketClient(proxy)
-        connection = await idle_connection(proxy, endpoint, client)
+        connection = await open_idle_connection(proxy, endpoint, client)
         clock.advance(1.0)
-        other = await close_idle_connection(proxy, connection, how)
+        new_client = await close_idle_connection(proxy, connection, close_cause)
         assert connection.transport.is_closing()
-        if later:
+        if after_loop_turns:
             await run_loop_turns()
         with contextlib.suppress(ConnectionError):
             client.send(http_request(request_id="crossing"))
@@ -240,13 +246,13 @@
         writer.close()
         assert len(endpoint.received) == 1
         assert proxy.driver.is_idle
-        if other is not None:
-            other.disconnect("FIN")
+        if new_client is not None:
+            new_client.disconnect("FIN")
         await wait_until(lambda: not proxy.clients.open_connections)
 
 
 @pytest.mark.parametrize(
-    ("sent", "statuses", "on"),
+    ("sent", "statuses", "forwarded_count"),
     [
         (
             [
@@ -283,23 +289,23 @@
     ],
     ids=["a close in the middle", "noise in the middle", "a bad one in the middle", "a 100", "one id again"],
 )
-@pytest.mark.parametrize("whole", [True, False])
+@pytest.mark.parametrize("in_one_write", [True, False])
 async def test_each_pipelined_request_up_to_the_last_gets_one_final_response(
-    sent: list[bytes], statuses: list[int], on: int, whole: bool
+    sent: list[bytes], statuses: list[int], forwarded_count: int, in_one_write: bool
 ) -> None:
     """Whether the requests come at once, or the others while the first one is open."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         client = SocketClient(proxy)
-        client.send(b"".join(sent) if whole else sent[0])
-        for number in range(on):
+        client.send(b"".join(sent) if in_one_write else sent[0])
+        for number in range(forwarded_count):
             await wait_until(lambda number=number: len(endpoint.received) == number + 1)  # type: ignore[misc]
-            if number == 0 and not whole:
+            if number == 0 and not in_one_write:
                 client.send(b"".join(sent[1:]))
             proxy.oldest_attempt_connection().data_received(http_response(200, b"%d" % number))
         reader, writer = await client.streams()
-        got = [await read_http_message(reader) for _ in statuses]
-        assert [response_status(response) for response in got] == statuses
+        responses = [await read_http_message(reader) for _ in statuses]
+        assert [response_status(response) for response in responses] == statuses
         await run_loop_turns()
         if statuses[-1] == 400 or len(statuses) == 2:
             assert await reader.read() == b""
@@ -307,6 +313,6 @@
             writer.write(http_request(path="/ready", Connection="close"))
             assert response_status(await read_http_message(reader)) == 200
             assert await reader.read() == b""
-        assert len(endpoint.received) == on
+        assert len(endpoint.received) == forwarded_count
         writer.close()
         await wait_until(lambda: not proxy.clients.open_connections)
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -23,28 +23,28 @@
 from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 
 
-class Turns:
+class TurnCounter:
     """Counts how often something is done, in all and at most in one turn of the event loop."""
 
     def __init__(self) -> None:
-        self.all = self.most = self._now = 0
+        self.total = self.max_per_turn = self._this_turn = 0
         self._loop = asyncio.get_running_loop()
-        self._turn()
+        self._start_turn()
 
-    def _turn(self) -> None:
-        self._now = 0
-        self._handle = self._loop.call_soon(self._turn)
+    def _start_turn(self) -> None:
+        self._this_turn = 0
+        self._handle = self._loop.call_soon(self._start_turn)
 
     def count(self) -> None:
-        self.all += 1
-        self._now += 1
-        self.most = max(self.most, self._now)
+        self.total += 1
+        self._this_turn += 1
+        self.max_per_turn = max(self.max_per_turn, self._this_turn)
 
     def stop(self) -> None:
         self._handle.cancel()
 
 
-def chunks(count: int) -> bytes:
+def chunked_request(count: int) -> bytes:
     """Return a request with a body in chunks of one byte."""
     head = http_request("mark", request_id="chunks", Content_Length="0").replace(
         b"Content-Length: 0", b"Transfer-Encoding: chunked"
@@ -53,19 +53,19 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "answers"),
+    ("sent", "response_count"),
     [
         (http_request(path="/ready") * 1000, 1000),
         (
             b"".join(http_request(request_id=f"r{number}", Req_Deadline="0") for number in range(1000)),
             1000,
         ),  # ended as they come
-        (chunks(20_000), 1),
+        (chunked_request(20_000), 1),
     ],
     ids=["ready", "refused", "chunks"],
 )
 async def test_parsing_and_responses_are_bounded_in_each_turn(
-    sent: bytes, answers: int, monkeypatch: pytest.MonkeyPatch
+    sent: bytes, response_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Parsing them all takes a second of real time, and longer on a busy machine.
     monkeypatch.setattr(client_limits, "REQUEST_TIMEOUT_S", 60.0)
@@ -76,41 +76,41 @@
         client = SocketClient(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         [connection] = proxy.clients.open_connections
-        events, answered = Turns(), Turns()
-        counted(monkeypatch, connection.http, "next_event", events)
-        counted(monkeypatch, connection, "write_response", answered)
+        parsed_events, written_responses = TurnCounter(), TurnCounter()
+        count_calls(monkeypatch, connection.http, "next_event", parsed_events)
+        count_calls(monkeypatch, connection, "write_response", written_responses)
         reader, writer = await client.streams()
         writer.write(sent)
-        got = [response_status(await read_http_message(reader)) for _ in range(answers)]
-        assert set(got) <= {200, 502, 503}
-        assert got[0] == 200 or not endpoint.received
+        statuses = [response_status(await read_http_message(reader)) for _ in range(response_count)]
+        assert set(statuses) <= {200, 502, 503}
+        assert statuses[0] == 200 or not endpoint.received
         # Where bytes come in a turn that has been taken already, that is one more step.
-        assert 0 < answered.most <= 2
-        assert events.most <= 2 * client_limits.MAX_EVENTS_PER_ITERATION
-        events.stop()
-        answered.stop()
+        assert 0 < written_responses.max_per_turn <= 2
+        assert parsed_events.max_per_turn <= 2 * client_limits.MAX_EVENTS_PER_ITERATION
+        parsed_events.stop()
+        written_responses.stop()
         writer.close()
 
 
-def counted(monkeypatch: pytest.MonkeyPatch, of: object, name: str, turns: Turns) -> None:
-    function: Callable[..., object] = getattr(of, name)
+def count_calls(monkeypatch: pytest.MonkeyPatch, target: object, name: str, counter: TurnCounter) -> None:
+    function: Callable[..., object] = getattr(target, name)
 
-    def called(*args: object, **named: object) -> object:
-        turns.count()
-        return function(*args, **named)
+    def count_and_call(*args: object, **kwargs: object) -> object:
+        counter.count()
+        return function(*args, **kwargs)
 
-    monkeypatch.setattr(of, name, called)
+    monkeypatch.setattr(target, name, count_and_call)
 
 
-KINDS = {"silent": b"", "half": b"GET /api HTTP/1.1\r\nHost", "asked": http_request(path="/ready")}
-FIXED = (
+SENT_BYTES = {"silent": b"", "half": b"GET /api HTTP/1.1\r\nHost", "asked": http_request(path="/ready")}
+FIXED_DESCRIPTORS = (
     8  # descriptors for standard streams, the event loop and its wake-up, the listener, and one for a file
 )
 FLOOD_SIZE = 400
-WATCHES = 2  # one that stands or comes up, and one that is just being closed
+MAX_WATCH_CONNECTIONS = 2  # one that stands or comes up, and one that is just being closed
 
 
-class Broken:
+class ClosingListeningSocket:
     """A listening socket whose accepted connections have ended at once."""
 
     def __init__(self, listener: socket.socket) -> None:
@@ -127,7 +127,9 @@
 ) -> None:
     with monkeypatch.context() as patch:
         patch.setattr(
-            proxy.listener.acceptor, "listening_socket", Broken(proxy.listener.acceptor.listening_socket)
+            proxy.listener.acceptor,
+            "listening_socket",
+            ClosingListeningSocket(proxy.listener.acceptor.listening_socket),
         )
         clients = [SocketClient(proxy) for _ in range(40)]
         for client in clients:
@@ -141,25 +143,25 @@
     assert response_status(await proxy.send_request(http_request())) == 200
 
 
-def open_count(accepted: list[socket.socket]) -> int:
+def open_socket_count(accepted: list[socket.socket]) -> int:
     return sum(connection.fileno() >= 0 for connection in accepted)
 
 
-async def flood(
+async def connect_flood(
     proxy: LoopbackProxy, kind: str, accepted: list[socket.socket]
 ) -> tuple[list[SocketClient], int]:
     """Connect 400 clients; return them and the most descriptors that their connections held at once."""
     clients = [SocketClient(proxy) for _ in range(FLOOD_SIZE)]
     for number, client in enumerate(clients):
-        client.send(KINDS[kind] if kind != "open" else http_request(request_id=f"r{number}"))
-    most = 0
+        client.send(SENT_BYTES[kind] if kind != "open" else http_request(request_id=f"r{number}"))
+    max_open_count = 0
     while len(accepted) < FLOOD_SIZE:
         await asyncio.sleep(0)
-        most = max(most, open_count(accepted))
-    return clients, most
+        max_open_count = max(max_open_count, open_socket_count(accepted))
+    return clients, max_open_count
 
 
-@pytest.mark.parametrize("kind", [*KINDS, "open"])
+@pytest.mark.parametrize("kind", [*SENT_BYTES, "open"])
 async def test_connection_flood_uses_no_more_descriptors_than_its_limit(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -171,15 +173,19 @@
         accepted: list[socket.socket] = []
         register_connection = proxy.listener.acceptor.register_connection
 
-        def listen(connection: socket.socket) -> Coroutine[None, None, None]:
+        def record_and_register(connection: socket.socket) -> Coroutine[None, None, None]:
             accepted.append(connection)
             return register_connection(connection)
 
-        monkeypatch.setattr(proxy.listener.acceptor, "register_connection", listen)
-        clients, most = await flood(proxy, kind, accepted)
-        assert most - 64 <= RESERVED_DESCRIPTORS - FIXED - WATCHES
+        monkeypatch.setattr(proxy.listener.acceptor, "register_connection", record_and_register)
+        clients, max_open_count = await connect_flood(proxy, kind, accepted)
+        assert max_open_count - 64 <= RESERVED_DESCRIPTORS - FIXED_DESCRIPTORS - MAX_WATCH_CONNECTIONS
         await run_loop_turns()
-        assert proxy.clients.descriptor_count == len(proxy.clients.open_connections) == open_count(accepted)
+        assert (
+            proxy.clients.descriptor_count
+            == len(proxy.clients.open_connections)
+            == open_socket_count(accepted)
+        )
         if kind != "open":
             ready, _, _ = await proxy.send_request(http_request(path="/ready"))
             assert ready.split()[1] == "200"
@@ -191,10 +197,10 @@
 
 
 @contextmanager
-def no_descriptors() -> Iterator[None]:
+def no_free_descriptors() -> Iterator[None]:
     """Have the system refuse this process every further descriptor."""
-    with socket.socket() as free:
-        lowest = free.fileno()
+    with socket.socket() as probe:
+        lowest = probe.fileno()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (lowest, hard))
     try:
@@ -203,16 +209,16 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-async def fail_to_accept(proxy: LoopbackProxy, clock: SteppedClock, times: int) -> int:
+async def make_accepts_fail(proxy: LoopbackProxy, clock: SteppedClock, min_failure_count: int) -> int:
     """Have at least so many accepts fail for lack of a descriptor, and return how many have failed."""
-    failures = Turns()
-    with pytest.MonkeyPatch.context() as patch, no_descriptors():
-        counted(patch, proxy.listener.acceptor.descriptor_faults, "record", failures)
-        for number in range(times):
-            await wait_until(lambda number=number: failures.all > number)  # type: ignore[misc]
+    failures = TurnCounter()
+    with pytest.MonkeyPatch.context() as patch, no_free_descriptors():
+        count_calls(patch, proxy.listener.acceptor.descriptor_faults, "record", failures)
+        for number in range(min_failure_count):
+            await wait_until(lambda number=number: failures.total > number)  # type: ignore[misc]
             clock.advance(client_limits.ACCEPT_RETRY_DELAY_S)
     failures.stop()
-    return failures.all
+    return failures.total
 
 
 ACCEPTOR_LOG = "load_balancer.net.client.connection_acceptor"
@@ -236,15 +242,15 @@
         for _ in range(2):  # a second shortage is logged again
             caplog.clear()
             client = SocketClient(proxy)
-            failure_count = await fail_to_accept(proxy, clock, times=30)
-            begin = "no descriptor for a connection: [Errno 24] Too many open files"
-            assert acceptor_lines(caplog) == [begin]
+            failure_count = await make_accepts_fail(proxy, clock, min_failure_count=30)
+            begin_line = "no descriptor for a connection: [Errno 24] Too many open files"
+            assert acceptor_lines(caplog) == [begin_line]
             client.send(http_request(path="/ready"))
             assert await client.read_statuses(1) == [200]
             clock.advance(quiet_s)
             await wait_until(lambda: len(acceptor_lines(caplog)) > 1)
-            end = f"no descriptor for a connection: ended after {failure_count} occurrences"
-            assert acceptor_lines(caplog)[1:] == [end]
+            end_line = f"no descriptor for a connection: ended after {failure_count} occurrences"
+            assert acceptor_lines(caplog)[1:] == [end_line]
             clock.advance(quiet_s)
             await run_loop_turns()
             assert len(acceptor_lines(caplog)) == 2
@@ -253,11 +259,11 @@
 async def test_connections_aborted_before_accept_are_logged_once(
     proxy: LoopbackProxy, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def fails(*args: object) -> None:
+    async def raise_aborted(*args: object) -> None:
         raise ConnectionAbortedError("gone")
 
     with monkeypatch.context() as patch:
-        patch.setattr(proxy.listener.loop, "connect_accepted_socket", fails)
+        patch.setattr(proxy.listener.loop, "connect_accepted_socket", raise_aborted)
         clients = [SocketClient(proxy) for _ in range(100)]
         for client in clients:
             client.socket.setblocking(False)
@@ -310,15 +316,15 @@
         client = SocketClient(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         [connection] = proxy.clients.open_connections
-        client.send(chunks(2_500))  # in one read, and in 25 turns
+        client.send(chunked_request(2_500))  # in one read, and in 25 turns
         await wait_until(lambda: connection.is_processing_scheduled)
         other = SocketClient(proxy)
         other.send(http_request(request_id="other"))
         await wait_until(lambda: len(proxy.clients.open_connections) == 2)
         assert connection.is_processing_scheduled
         assert connection in proxy.clients.unused_connections
-        for one, expected in ((client, 200), (other, 503)):
-            reader, writer = await one.streams()
+        for socket_client, expected in ((client, 200), (other, 503)):
+            reader, writer = await socket_client.streams()
             assert response_status(await read_http_message(reader)) == expected
             writer.close()
         assert [headers["req-id"] for _, headers, _ in endpoint.received] == ["chunks"]
--- a/tests/net/client/test_departed_client_attempts.py
+++ b/tests/net/client/test_disconnected_client_attempts.py
@@ -23,15 +23,15 @@
 from tests.support.stand_in_server import SilentEndpoint, StandInServer
 from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 
-WAYS = ["FIN", "half", "RST"]
-FAILURE = http_response(503, Srv_Declined="1")
+DISCONNECT_KINDS = ["FIN", "half", "RST"]
+DECLINED_RESPONSE = http_response(503, Srv_Declined="1")
 
 
-def limits(cancel: bool) -> messages.Settings:
+def settings_with_cancel(cancel: bool) -> messages.Settings:
     return balancer_settings(limits=messages.Limits(max_attempts=3, cancel=cancel))
 
 
-def nothing_left(proxy: LoopbackProxy) -> bool:
+def has_no_request_state(proxy: LoopbackProxy) -> bool:
     balancer = proxy.driver.balancer
     return proxy.driver.is_idle and not (
         balancer.open_requests.by_id
@@ -41,9 +41,9 @@
     )
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
 @pytest.mark.parametrize("cancel", [True, False])
-async def test_retry_is_not_sent_after_client_disconnects(way: str, cancel: bool) -> None:
+async def test_retry_is_not_sent_after_client_disconnects(disconnect_kind: str, cancel: bool) -> None:
     """The attempt fails in the turn in which its client disconnects, and that failure is read first."""
 
     async with (
@@ -52,22 +52,22 @@
         running_proxy(
             endpoint_entry("a", first_endpoint.port),
             endpoint_entry("b", second_endpoint.port),
-            settings=limits(cancel),
+            settings=settings_with_cancel(cancel),
         ) as proxy,
     ):
         client = SocketClient(proxy)
         client.send(http_request())
         await wait_until(lambda: len(first_endpoint.received) + len(second_endpoint.received) == 1)
-        failing = proxy.oldest_attempt_connection()
-        client.disconnect(way)
-        failing.data_received(FAILURE)
+        failing_connection = proxy.oldest_attempt_connection()
+        client.disconnect(disconnect_kind)
+        failing_connection.data_received(DECLINED_RESPONSE)
         assert not proxy.driver.requests.attempts.in_flight
         assert proxy.driver.is_idle
         await wait_until(lambda: not proxy.clients.open_connections)
         await run_loop_turns()
         assert len(first_endpoint.received) + len(second_endpoint.received) == 1
         assert first_endpoint.connection_count + second_endpoint.connection_count == 1
-        assert nothing_left(proxy)
+        assert has_no_request_state(proxy)
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -78,28 +78,28 @@
         running_proxy(
             endpoint_entry("a", first_endpoint.port),
             endpoint_entry("b", second_endpoint.port),
-            settings=limits(cancel),
+            settings=settings_with_cancel(cancel),
         ) as proxy,
     ):
         client = SocketClient(proxy)
         client.send(http_request())
         await wait_until(lambda: len(first_endpoint.received) + len(second_endpoint.received) == 1)
-        proxy.oldest_attempt_connection().data_received(FAILURE)
+        proxy.oldest_attempt_connection().data_received(DECLINED_RESPONSE)
         await wait_until(lambda: len(first_endpoint.received) + len(second_endpoint.received) == 2)
         client.socket.close()
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
 @pytest.mark.parametrize("cancel", [True, False])
 async def test_queued_request_is_not_forwarded_after_client_disconnects(
-    way: str, cancel: bool, monkeypatch: pytest.MonkeyPatch
+    disconnect_kind: str, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The endpoint has capacity again in the turn in which the client of a queued request disconnects."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)  # the connection that comes free is taken at once
 
     async with (
         SilentEndpoint() as endpoint,
-        running_proxy(endpoint_entry("b", endpoint.port), settings=limits(cancel)) as proxy,
+        running_proxy(endpoint_entry("b", endpoint.port), settings=settings_with_cancel(cancel)) as proxy,
     ):
         clients: list[SocketClient] = []
         while not proxy.driver.balancer.queue:
@@ -108,7 +108,7 @@
             await wait_until(lambda: len(proxy.driver.balancer.open_requests.by_id) == len(clients))
         sent = len(clients) - 1
         await wait_until(lambda: len(endpoint.received) == sent)
-        clients[-1].disconnect(way)
+        clients[-1].disconnect(disconnect_kind)
         proxy.oldest_attempt_connection().data_received(http_response(200, b"x"))
         assert not proxy.driver.balancer.queue  # its turn came
         await wait_until(lambda: len(proxy.clients.open_connections) == sent)
@@ -118,23 +118,23 @@
             client.disconnect("FIN")
         await wait_until(lambda: not proxy.clients.open_connections)
         if cancel:
-            assert nothing_left(proxy)
+            assert has_no_request_state(proxy)
 
 
-LATEST_S = 0.1  # from a client's end to the last attempt that may begin for it
-WHERE = ["held", "connecting", "out"]
+DISCONNECT_DETECTION_LIMIT_S = 0.1  # from a client's end to the last attempt that may begin for it
+REQUEST_STATES = ["held", "connecting", "out"]
 
 
-async def begin(proxy: LoopbackProxy, client: SocketClient, paused: bool) -> ClientConnection:
+async def send_until_forwarded(proxy: LoopbackProxy, client: SocketClient, paused: bool) -> ClientConnection:
     """Send a request, and behind it, where reading is to pause, more bytes than are buffered."""
-    before = set(proxy.clients.open_connections)
+    earlier_connections = set(proxy.clients.open_connections)
     client.socket.setblocking(False)
     sent = http_request(request_id="r0") + (
         http_request("mark", request_id="behind", body=b"x" * 60_000) if paused else b""
     )
     await asyncio.get_running_loop().sock_sendall(client.socket, sent)
-    await wait_until(lambda: len(proxy.clients.open_connections - before) == 1)
-    [connection] = proxy.clients.open_connections - before
+    await wait_until(lambda: len(proxy.clients.open_connections - earlier_connections) == 1)
+    [connection] = proxy.clients.open_connections - earlier_connections
     await wait_until(
         lambda: connection.forwarded_request_id is not None
         and connection.transport.is_reading() is not paused
@@ -154,22 +154,24 @@
     return clients
 
 
-async def wait_for_request_at(
-    where: str, proxy: LoopbackProxy, endpoint: StandInServer, gate: ConnectGates
+async def wait_for_request_state(
+    request_state: str, proxy: LoopbackProxy, endpoint: StandInServer, gate: ConnectGates
 ) -> None:
-    if where == "connecting":
+    if request_state == "connecting":
         await wait_until(lambda: gate.started_count == 1)
-    elif where == "out":
+    elif request_state == "out":
         await wait_until(lambda: len(endpoint.received) == 1)
     else:
         assert proxy.driver.balancer.queue
 
 
-async def end_all_attempts(proxy: LoopbackProxy, failing_request: str) -> None:
+async def end_all_attempts(proxy: LoopbackProxy, failing_request_id: str) -> None:
     """Bring the one request's attempt a failure that may be retried, and all others a response."""
     for (request, _), attempt in list(proxy.driver.requests.attempts.in_flight.items()):
         assert attempt.connection is not None
-        attempt.connection.data_received(FAILURE if request == failing_request else http_response(200, b"x"))
+        attempt.connection.data_received(
+            DECLINED_RESPONSE if request == failing_request_id else http_response(200, b"x")
+        )
     await run_loop_turns()
 
 
@@ -183,7 +185,7 @@
     clock: SteppedClock
     client: SocketClient
     connection: ClientConnection
-    crowd: list[SocketClient]  # clients whose requests fill the endpoint
+    other_clients: list[SocketClient]  # clients whose requests fill the endpoint
 
     @property
     def forwarded_ids(self) -> list[str]:
@@ -192,50 +194,50 @@
 
 
 @asynccontextmanager
-async def waiting_request(where: str, cancel: bool, paused: bool) -> AsyncIterator[WaitingRequest]:
+async def waiting_request(request_state: str, cancel: bool, paused: bool) -> AsyncIterator[WaitingRequest]:
     """Have a request wait there. The sweep, which is slower to notice a disconnect, is stopped."""
     async with (
         SilentEndpoint() as endpoint,
-        running_proxy(endpoint_entry("b", endpoint.port), settings=limits(cancel)) as proxy,
+        running_proxy(endpoint_entry("b", endpoint.port), settings=settings_with_cancel(cancel)) as proxy,
     ):
         proxy.listener.sweep_timer.cancel()
         gate, clock = ConnectGates(proxy.pool), FrozenClock()
-        if where != "connecting":
+        if request_state != "connecting":
             gate.open_all()
-        crowd = await fill_endpoint(proxy) if where == "held" else []
+        other_clients = await fill_endpoint(proxy) if request_state == "held" else []
         client = SocketClient(proxy)
-        connection = await begin(proxy, client, paused)
-        await wait_for_request_at(where, proxy, endpoint, gate)
-        yield WaitingRequest(proxy, endpoint, gate, clock, client, connection, crowd)
-        for other in crowd:
+        connection = await send_until_forwarded(proxy, client, paused)
+        await wait_for_request_state(request_state, proxy, endpoint, gate)
+        yield WaitingRequest(proxy, endpoint, gate, clock, client, connection, other_clients)
+        for other in other_clients:
             other.disconnect("FIN")
         await wait_until(lambda: not proxy.clients.open_connections)
 
 
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("where", WHERE)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
+@pytest.mark.parametrize("request_state", REQUEST_STATES)
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("paused", [True, False])
 async def test_client_disconnect_is_noticed_before_another_attempt_can_begin(
-    way: str, where: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
+    disconnect_kind: str, request_state: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """At once, or where reading is paused within half of the allowed time: the event loop may be late."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
-    async with waiting_request(where, cancel, paused) as waiting:
+    async with waiting_request(request_state, cancel, paused) as waiting:
         proxy, connection = waiting.proxy, waiting.connection
-        key = connection.forwarded_request_id
-        assert key is not None
-        waiting.client.disconnect(way)
+        request_id = connection.forwarded_request_id
+        assert request_id is not None
+        waiting.client.disconnect(disconnect_kind)
         await run_loop_turns()
         if paused:  # the event loop does not see it
             assert connection in proxy.clients.open_connections
-            waiting.clock.advance(LATEST_S / 2)
+            waiting.clock.advance(DISCONNECT_DETECTION_LIMIT_S / 2)
             await run_loop_turns()
         assert connection not in proxy.clients.open_connections
-        assert key not in proxy.driver.requests
+        assert request_id not in proxy.driver.requests
         waiting.gate.open_all()
-        await end_all_attempts(proxy, failing_request=key)
-        assert waiting.forwarded_ids == (["r0"] if where == "out" else [])
+        await end_all_attempts(proxy, failing_request_id=request_id)
+        assert waiting.forwarded_ids == (["r0"] if request_state == "out" else [])
         assert not proxy.clients.disconnect_poller.connections
 
 
@@ -273,24 +275,24 @@
         assert not polled_transports
         assert not proxy.clients.disconnect_poller.is_scheduled
         client = SocketClient(proxy)
-        connection = await begin(proxy, client, True)
+        connection = await send_until_forwarded(proxy, client, True)
         await pass_half_a_second(clock)
         assert len(polled_transports) >= 10
         assert set(polled_transports) == {connection.transport}
         proxy.driver.end_all_requests()
         await wait_until(lambda: not proxy.clients.disconnect_poller.connections)
-        for one in (idle, busy, client):
-            one.disconnect("RST")
+        for socket_client in (idle, busy, client):
+            socket_client.disconnect("RST")
         await wait_until(lambda: not proxy.clients.open_connections)
         clock.advance(0.05)
         await run_loop_turns()
         assert not proxy.clients.disconnect_poller.is_scheduled
 
 
-@pytest.mark.parametrize("way", WAYS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
 @pytest.mark.parametrize("paused", [True, False])
 async def test_request_behind_an_unread_response_is_not_forwarded_after_client_disconnects(
-    way: str, paused: bool, monkeypatch: pytest.MonkeyPatch
+    disconnect_kind: str, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     if paused:
@@ -299,7 +301,7 @@
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         proxy.limit_send_buffers()
         client = SocketClient(proxy, 4096)
-        connection = await begin(proxy, client, paused)
+        connection = await send_until_forwarded(proxy, client, paused)
         await wait_until(lambda: len(endpoint.received) == 1)
         if not paused:
             client.send(http_request(request_id="behind"))
@@ -307,9 +309,9 @@
         proxy.oldest_attempt_connection().data_received(http_response(200, b"x" * 65_536))
         assert connection.is_writing
         assert connection.http.has_unparsed_bytes
-        client.disconnect(way)
+        client.disconnect(disconnect_kind)
         await run_loop_turns()
-        if way == "half":  # it may still read, and what goes on then is the answer alone
+        if disconnect_kind == "half":  # it may still read, and what goes on then is the answer alone
             client.socket.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client.socket)
             assert len((await read_http_message(reader))[2]) == 65_536
@@ -317,4 +319,4 @@
         await wait_until(lambda: connection not in proxy.clients.open_connections)
         await run_loop_turns()
         assert len(endpoint.received) == 1
-        assert nothing_left(proxy)
+        assert has_no_request_state(proxy)
--- a/tests/net/client/test_departed_client_requests.py
+++ b/tests/net/client/test_disconnected_client_requests.py
@@ -22,13 +22,13 @@
 
 
 async def test_attempt_is_cancelled_when_its_client_disconnects() -> None:
-    gone = asyncio.Event()
+    is_cancelled = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_http_message(reader)
         client.close()
         assert await reader.read() == b""  # the proxy closes the attempt's connection
-        gone.set()
+        is_cancelled.set()
 
     async with (
         StandInServer(handle) as endpoint,
@@ -36,14 +36,14 @@
     ):
         _, client = await proxy.connect()
         client.write(http_request())
-        await gone.wait()
+        await is_cancelled.wait()
         assert proxy.driver.is_idle
 
 
-@pytest.mark.parametrize("kind", ["read", "pay"])
+@pytest.mark.parametrize("class_name", ["read", "pay"])
 @pytest.mark.parametrize("cancel", [True, False])
 async def test_attempt_awaiting_its_connection_is_not_sent_after_client_disconnects(
-    kind: str, cancel: bool
+    class_name: str, cancel: bool
 ) -> None:
     """Also where attempts must not be cancelled, as this one has not been sent yet."""
 
@@ -56,7 +56,7 @@
     ):
         gate = ConnectGates(proxy.pool)
         _, writer = await proxy.connect()
-        writer.write(http_request(kind))
+        writer.write(http_request(class_name))
         await wait_until(lambda: gate.started_count == 1)
         writer.close()
         await wait_until(lambda: proxy.driver.is_idle)
--- a/tests/net/client/test_departed_client_writes.py
+++ b/tests/net/client/test_disconnected_client_writes.py
@@ -16,7 +16,12 @@
 from load_balancer.net.upstream.upstream_attempt import UpstreamAttempt
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 from load_balancer.net.upstream.upstream_messages import UpstreamRequest
-from tests.net.client.test_departed_client_attempts import FAILURE, WAYS, limits, nothing_left
+from tests.net.client.test_disconnected_client_attempts import (
+    DECLINED_RESPONSE,
+    DISCONNECT_KINDS,
+    has_no_request_state,
+    settings_with_cancel,
+)
 from tests.support.connect_gates import ConnectGates
 from tests.support.endpoint_lists import endpoint_entry
 from tests.support.http_messages import http_request, http_response, read_http_message
@@ -25,28 +30,28 @@
 from tests.support.stand_in_server import SilentEndpoint, StandInServer
 from tests.support.stepped_clock import run_loop_turns, wait_until
 
-PATHS = ["connection comes up", "idle connection", "idle connection settles", "further attempt"]
+WRITE_PATHS = ["connection comes up", "idle connection", "idle connection settles", "further attempt"]
 
 
-class Hold:
-    """Runs `meanwhile` between the last look at the clock before an attempt is written, and its write."""
+class WriteHook:
+    """Runs `before_write` between the last look at the clock before an attempt is written, and its write."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.armed = False
-        self.held = 0
+        self.is_armed = False
+        self.call_count = 0
         unpatched: property = vars(UpstreamAttempt)["time_remaining_s"]
 
-        def held(attempt: UpstreamAttempt) -> float:
-            left: float = unpatched.__get__(attempt)
-            if self.armed:
-                self.armed = False
-                self.held += 1
-                self.meanwhile()
-            return left
+        def intercepted(attempt: UpstreamAttempt) -> float:
+            time_remaining_s: float = unpatched.__get__(attempt)
+            if self.is_armed:
+                self.is_armed = False
+                self.call_count += 1
+                self.before_write()
+            return time_remaining_s
 
-        monkeypatch.setattr(UpstreamAttempt, "time_remaining_s", property(held))
+        monkeypatch.setattr(UpstreamAttempt, "time_remaining_s", property(intercepted))
 
-    def meanwhile(self) -> None:
+    def before_write(self) -> None:
         raise NotImplementedError
 
 
@@ -58,7 +63,7 @@
     """Bring the pool one idle connection to each endpoint."""
     for address in proxy.driver.endpoint_list.endpoints.by_id.values():
         request = UpstreamRequest(b"GET", b"/", [(b"host", b"x")], b"", is_idempotent=True)
-        proxy.pool.start_attempt(address, request, 5.0, lambda outcome, reply: None)
+        proxy.pool.start_attempt(address, request, 5.0, lambda outcome, response: None)
     await wait_until(lambda: request_count(endpoints) == 2)
     for connection in list(proxy.pool.connections.open):
         connection.data_received(http_response(200, b"x"))
@@ -75,7 +80,7 @@
 
 
 @dataclass
-class HeldWrite:
+class InterceptedWrite:
     """An attempt that was held just before its write, its client and its endpoints."""
 
     proxy: LoopbackProxy
@@ -87,106 +92,120 @@
 
 
 @asynccontextmanager
-async def held_write(
-    hold: Hold, path: str, cancel: bool, paused: bool, meanwhile: Callable[[SocketClient], None]
-) -> AsyncIterator[HeldWrite]:
-    """Have a client's attempt written on this path, and `meanwhile` called just before the write."""
+async def intercepted_write(
+    write_hook: WriteHook,
+    write_path: str,
+    cancel: bool,
+    paused: bool,
+    before_write: Callable[[SocketClient], None],
+) -> AsyncIterator[InterceptedWrite]:
+    """Have a client's attempt written on this path, and `before_write` called just before the write."""
     async with (
         SilentEndpoint() as first_endpoint,
         SilentEndpoint() as second_endpoint,
         running_proxy(
             endpoint_entry("a", first_endpoint.port),
             endpoint_entry("b", second_endpoint.port),
-            settings=limits(cancel),
+            settings=settings_with_cancel(cancel),
         ) as proxy,
     ):
         endpoints = (first_endpoint, second_endpoint)
-        if path.startswith("idle connection"):
+        if write_path.startswith("idle connection"):
             await open_idle_connections(proxy, endpoints)
         gate, client = ConnectGates(proxy.pool), SocketClient(proxy)
-        if path in ("connection comes up", "further attempt"):
+        if write_path in ("connection comes up", "further attempt"):
             gate.open_all()
-        hold.meanwhile = lambda: meanwhile(client)  # type: ignore[method-assign]
-        hold.armed = path != "further attempt"
+        write_hook.before_write = lambda: before_write(client)  # type: ignore[method-assign]
+        write_hook.is_armed = write_path != "further attempt"
         requests_before = request_count(endpoints)
         connection = await send_request(proxy, client, paused)
-        if path == "further attempt":
+        if write_path == "further attempt":
             await wait_until(lambda: request_count(endpoints) == 1)
             await wait_until(lambda: connection.transport.is_reading() is not paused)
-            hold.armed, requests_before = True, 1
-            proxy.oldest_attempt_connection().data_received(FAILURE)
-        await wait_until(lambda: hold.held == 1)
-        yield HeldWrite(proxy, endpoints, client, connection, gate, requests_before)
+            write_hook.is_armed, requests_before = True, 1
+            proxy.oldest_attempt_connection().data_received(DECLINED_RESPONSE)
+        await wait_until(lambda: write_hook.call_count == 1)
+        yield InterceptedWrite(proxy, endpoints, client, connection, gate, requests_before)
 
 
 @pytest.fixture
-def hold(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Hold:
+def write_hook(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> WriteHook:
     """Hold each write, with limits that the test's paths need."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
-    if request.node.callspec.params["path"] == "idle connection":
+    if request.node.callspec.params["write_path"] == "idle connection":
         monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
-    return Hold(monkeypatch)
+    return WriteHook(monkeypatch)
 
 
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("path", PATHS)
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
+@pytest.mark.parametrize("write_path", WRITE_PATHS)
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("paused", [True, False])
 async def test_attempt_is_not_written_when_client_disconnects_after_the_decision(
-    way: str, path: str, cancel: bool, paused: bool, hold: Hold
+    disconnect_kind: str, write_path: str, cancel: bool, paused: bool, write_hook: WriteHook
 ) -> None:
     """The process is held up at the last clock that is read before the write, and the client leaves there.
 
     Its end is with the system by then, behind bytes that are not read where reading is paused; the event
     loop has not seen it.
     """
-    async with held_write(hold, path, cancel, paused, lambda client: client.disconnect(way)) as held:
-        clients = held.proxy.clients
-        await wait_until(lambda: held.connection not in clients.open_connections)
-        held.gate.open_all()
+    async with intercepted_write(
+        write_hook, write_path, cancel, paused, lambda client: client.disconnect(disconnect_kind)
+    ) as intercepted:
+        clients = intercepted.proxy.clients
+        await wait_until(lambda: intercepted.connection not in clients.open_connections)
+        intercepted.gate.open_all()
         await run_loop_turns()
-        assert request_count(held.endpoints) == held.requests_before
-        assert nothing_left(held.proxy)
-        assert not held.proxy.driver.requests.attempts.in_flight
+        assert request_count(intercepted.endpoints) == intercepted.requests_before
+        assert has_no_request_state(intercepted.proxy)
+        assert not intercepted.proxy.driver.requests.attempts.in_flight
         assert not clients.disconnect_poller.connections
-        assert not held.proxy.pool.waiting.by_endpoint
+        assert not intercepted.proxy.pool.waiting.by_endpoint
 
 
-@pytest.mark.parametrize("path", PATHS)
+@pytest.mark.parametrize("write_path", WRITE_PATHS)
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("paused", [True, False])
 async def test_attempt_is_written_while_client_stays_connected(
-    path: str, cancel: bool, paused: bool, hold: Hold
+    write_path: str, cancel: bool, paused: bool, write_hook: WriteHook
 ) -> None:
-    async with held_write(hold, path, cancel, paused, lambda client: None) as held:
-        await wait_until(lambda: request_count(held.endpoints) == held.requests_before + 1)
-        held.client.disconnect("RST")
-        await wait_until(lambda: not held.proxy.clients.open_connections)
+    async with intercepted_write(write_hook, write_path, cancel, paused, lambda client: None) as intercepted:
+        await wait_until(lambda: request_count(intercepted.endpoints) == intercepted.requests_before + 1)
+        intercepted.client.disconnect("RST")
+        await wait_until(lambda: not intercepted.proxy.clients.open_connections)
 
 
-@pytest.mark.parametrize("way", WAYS)
-async def test_unwritten_attempt_leaves_its_connection_to_another_waiting_attempt(way: str) -> None:
+@pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
+async def test_unwritten_attempt_leaves_its_connection_to_another_waiting_attempt(
+    disconnect_kind: str,
+) -> None:
     """Two attempts wait for connections, and the first client disconnects as these are established."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        gate, leaver, stayer = ConnectGates(proxy.pool), SocketClient(proxy), SocketClient(proxy)
-        for client, key in ((leaver, "leaves"), (stayer, "stays")):
-            client.send(http_request(request_id=key))
-            await wait_until(lambda key=key: key.encode() in proxy.clients.open_request_ids)  # type: ignore[misc]
+        gate, disconnecting_client, connected_client = (
+            ConnectGates(proxy.pool),
+            SocketClient(proxy),
+            SocketClient(proxy),
+        )
+        for client, request_id in ((disconnecting_client, "leaves"), (connected_client, "stays")):
+            client.send(http_request(request_id=request_id))
+            await wait_until(
+                lambda request_id=request_id: request_id.encode() in proxy.clients.open_request_ids  # type: ignore[misc]
+            )
         await wait_until(lambda: gate.started_count == 2)
-        came_up = proxy.pool.queue.connect_succeeded
+        connect_succeeded = proxy.pool.queue.connect_succeeded
 
-        def leaving(pending: PendingConnect, connection: UpstreamConnection) -> None:
+        def disconnect_and_succeed(pending: PendingConnect, connection: UpstreamConnection) -> None:
             if len(proxy.pool.waiting.by_endpoint[pending.endpoint]) == 2:
-                leaver.disconnect(way)
-            came_up(pending, connection)
+                disconnecting_client.disconnect(disconnect_kind)
+            connect_succeeded(pending, connection)
 
-        proxy.pool.queue.connect_succeeded = leaving  # type: ignore[method-assign]
+        proxy.pool.queue.connect_succeeded = disconnect_and_succeed  # type: ignore[method-assign]
         gate.open_all()
         await wait_until(lambda: bool(endpoint.received))
         proxy.oldest_attempt_connection().data_received(http_response(200, b"x"))
-        stayer.socket.setblocking(False)
-        reader, writer = await asyncio.open_connection(sock=stayer.socket)
+        connected_client.socket.setblocking(False)
+        reader, writer = await asyncio.open_connection(sock=connected_client.socket)
         assert (await read_http_message(reader))[2] == b"x"
         writer.close()
         await wait_until(lambda: not proxy.clients.open_connections)
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -18,18 +18,18 @@
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import FrozenClock, run_loop_turns, wait_until
 
-DUE_S = 3.0  # after its connect such a peer has got an error or a close
-LATE_S = 0.15  # of this, kept for an event loop that is late
+CLOSE_DEADLINE_S = 3.0  # after its connect such a peer has got an error or a close
+MAX_LOOP_DELAY_S = 0.15  # of this, kept for an event loop that is late
 
-CHUNKED = http_request("mark", Content_Length="0").replace(
+CHUNKED_HEAD = http_request("mark", Content_Length="0").replace(
     b"Content-Length: 0", b"Transfer-Encoding: chunked"
 )
-HELLO = b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03" + bytes(range(256)) * 2
-BAD = {
+TLS_CLIENT_HELLO = b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03" + bytes(range(256)) * 2
+MALFORMED_REQUESTS = {
     "NUL": b"\x00" * 100,
     "NUL in a header": http_request(Req_Owner="a\x00b"),
     "NUL in the target": http_request(path="/a\x00b"),
-    "TLS": HELLO,
+    "TLS": TLS_CLIENT_HELLO,
     "HTTP/2": b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\x00\x00\x00\x04\x00\x00\x00\x00\x00",
     "HTTP/0.9": b"GET /api\r\n\r\n",
     "HTTP/3.0": http_request().replace(b"HTTP/1.1", b"HTTP/3.0"),
@@ -44,13 +44,13 @@
     "no colon": http_request().replace(b"Req-Id:", b"Req-Id"),
     "two hosts": http_request(host="y"),
     "no host": http_request().replace(b"Host: x\r\n", b""),
-    "a chunk size over all sizes": CHUNKED + b"f" * 21 + b"\r\n",
-    "a chunk over the limit": CHUNKED + b"10001\r\n" + b"x" * 65_537 + b"\r\n0\r\n\r\n",
-    "a negative chunk": CHUNKED + b"-1\r\n",
-    "a chunk without its end": CHUNKED + b"1\r\nxx\r\n0\r\n\r\n",
-    "an extension without an end": CHUNKED + b"1;" + b"x" * 20_000,
-    "a trailer without an end": CHUNKED + b"0\r\n" + b"x" * 20_000,
-    "a coding that is none": CHUNKED.replace(b"chunked", b"gzip, chunked"),
+    "a chunk size over all sizes": CHUNKED_HEAD + b"f" * 21 + b"\r\n",
+    "a chunk over the limit": CHUNKED_HEAD + b"10001\r\n" + b"x" * 65_537 + b"\r\n0\r\n\r\n",
+    "a negative chunk": CHUNKED_HEAD + b"-1\r\n",
+    "a chunk without its end": CHUNKED_HEAD + b"1\r\nxx\r\n0\r\n\r\n",
+    "an extension without an end": CHUNKED_HEAD + b"1;" + b"x" * 20_000,
+    "a trailer without an end": CHUNKED_HEAD + b"0\r\n" + b"x" * 20_000,
+    "a coding that is none": CHUNKED_HEAD.replace(b"chunked", b"gzip, chunked"),
     "a header without an end": b"GET /api HTTP/1.1\r\nX: " + b"x" * 20_000,
     "headers without an end": b"GET /api HTTP/1.1\r\n" + b"X: y\r\n" * 4_000,
     "a line without an end": b"GET /" + b"x" * 20_000,
@@ -59,10 +59,10 @@
 }
 
 
-@pytest.mark.parametrize("sent", BAD.values(), ids=BAD.keys())
-@pytest.mark.parametrize("cut", [0, 1])
+@pytest.mark.parametrize("sent", MALFORMED_REQUESTS.values(), ids=MALFORMED_REQUESTS.keys())
+@pytest.mark.parametrize("piece_size", [0, 1])
 async def test_malformed_request_gets_an_error_and_a_close(
-    sent: bytes, cut: int, caplog: pytest.LogCaptureFixture
+    sent: bytes, piece_size: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     """At once, whether it is sent in one piece or byte by byte."""
 
@@ -73,14 +73,16 @@
         reader, writer = await proxy.connect()
         with contextlib.suppress(ConnectionError):
             for piece in (
-                [sent] if not cut else [sent[number : number + cut] for number in range(min(len(sent), 400))]
+                [sent]
+                if not piece_size
+                else [sent[number : number + piece_size] for number in range(min(len(sent), 400))]
             ):
                 writer.write(piece)
                 await asyncio.sleep(0)
-            writer.write(sent[400 * cut :] if cut else b"")
-        got = await read_http_message(reader)
-        assert 400 <= response_status(got) < 600
-        assert got[1]["connection"] == "close"
+            writer.write(sent[400 * piece_size :] if piece_size else b"")
+        response = await read_http_message(reader)
+        assert 400 <= response_status(response) < 600
+        assert response[1]["connection"] == "close"
         assert await reader.read() == b""
         writer.close()
         assert endpoint.received == []
@@ -88,21 +90,22 @@
         assert response_status(await proxy.send_request(http_request())) == 200
 
 
-def dribbled(begin: bytes, more: bytes) -> Iterator[bytes]:
+def byte_by_byte(first_bytes: bytes, repeated_bytes: bytes) -> Iterator[bytes]:
     return itertools.chain(
-        (begin[number : number + 1] for number in range(len(begin))), itertools.cycle([more])
+        (first_bytes[number : number + 1] for number in range(len(first_bytes))),
+        itertools.cycle([repeated_bytes]),
     )
 
 
-STILL: dict[str, Callable[[], Iterator[bytes]]] = {
+ENDLESS_REQUESTS: dict[str, Callable[[], Iterator[bytes]]] = {
     "silent": lambda: itertools.repeat(b""),
-    "a byte at a time": lambda: dribbled(b"GET /api HTTP/1.1\r\n", b"x"),
-    "lines without an end": lambda: dribbled(b"GET /api HTTP/1.1\r\n", b"X: y\r\n"),
+    "a byte at a time": lambda: byte_by_byte(b"GET /api HTTP/1.1\r\n", b"x"),
+    "lines without an end": lambda: byte_by_byte(b"GET /api HTTP/1.1\r\n", b"X: y\r\n"),
     "empty lines": lambda: itertools.repeat(b"\r\n"),
     "a request that stops": lambda: itertools.chain([http_request()[:-2]], itertools.repeat(b"")),
-    "chunks": lambda: itertools.chain([CHUNKED], itertools.repeat(b"1\r\nx\r\n")),
-    "a huge chunk": lambda: itertools.chain([CHUNKED + b"f" * 17 + b"\r\n"], itertools.repeat(b"x")),
-    "an extension": lambda: itertools.chain([CHUNKED, b"1;"], itertools.repeat(b"x")),
+    "chunks": lambda: itertools.chain([CHUNKED_HEAD], itertools.repeat(b"1\r\nx\r\n")),
+    "a huge chunk": lambda: itertools.chain([CHUNKED_HEAD + b"f" * 17 + b"\r\n"], itertools.repeat(b"x")),
+    "an extension": lambda: itertools.chain([CHUNKED_HEAD, b"1;"], itertools.repeat(b"x")),
     "a body that stops": lambda: itertools.chain(
         [http_request("mark", Content_Length="9")], itertools.repeat(b"")
     ),
@@ -112,7 +115,7 @@
 }
 
 
-@pytest.mark.parametrize("kind", STILL)
+@pytest.mark.parametrize("kind", ENDLESS_REQUESTS)
 async def test_connection_of_an_endless_request_is_closed_in_time(
     kind: str, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -122,16 +125,16 @@
         StandInEndpoint(http_response(200)) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        clock, client, gave = FrozenClock(), SocketClient(proxy), STILL[kind]()
+        clock, client, pieces = FrozenClock(), SocketClient(proxy), ENDLESS_REQUESTS[kind]()
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
-        while proxy.clients.open_connections and clock.advanced_s <= DUE_S - LATE_S:
+        while proxy.clients.open_connections and clock.advanced_s <= CLOSE_DEADLINE_S - MAX_LOOP_DELAY_S:
             with contextlib.suppress(ConnectionError):
-                client.send(next(gave))
+                client.send(next(pieces))
             await run_loop_turns()
             clock.advance(0.05)
             await run_loop_turns()
         assert not proxy.clients.open_connections
-        assert clock.advanced_s <= DUE_S - LATE_S
+        assert clock.advanced_s <= CLOSE_DEADLINE_S - MAX_LOOP_DELAY_S
         assert endpoint.received == []
         assert not proxy.clients.open_request_ids
         assert proxy.clients.buffered_total.size_bytes == 0
@@ -140,7 +143,7 @@
 
 
 @pytest.mark.parametrize(
-    "head", [http_request("mark", Content_Length="60000000"), b"", CHUNKED, http_request(request_id="")]
+    "head", [http_request("mark", Content_Length="60000000"), b"", CHUNKED_HEAD, http_request(request_id="")]
 )
 async def test_client_that_sends_60_mb_gets_an_error_and_a_close(
     head: bytes, caplog: pytest.LogCaptureFixture
@@ -153,8 +156,8 @@
     ):
         clock = FrozenClock()
         reader, writer = await proxy.connect()
-        sent = head + (b"4000000\r\n" if head is CHUNKED else b"")
-        got = asyncio.create_task(read_http_message(reader))
+        sent = head + (b"4000000\r\n" if head is CHUNKED_HEAD else b"")
+        response_task = asyncio.create_task(read_http_message(reader))
         with contextlib.suppress(ConnectionError):
             for _ in range(60):
                 writer.write(sent + b"x" * 1_000_000)
@@ -163,7 +166,7 @@
                 assert (
                     proxy.clients.buffered_total.size_bytes <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION
                 )
-        assert 400 <= response_status(await got) < 600
+        assert 400 <= response_status(await response_task) < 600
         clock.advance(client_limits.LINGER_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
         await wait_until(lambda: not proxy.clients.open_connections)
         writer.transport.abort()
@@ -171,29 +174,29 @@
         assert not info_lines(caplog)
 
 
-FORMS = {
+VALID_REQUESTS = {
     "usual": http_request("mark", "f1", "/api?a=b", b"hello"),
     "no spaces": http_request("mark", "f1", "/api?a=b", b"hello").replace(b": ", b":"),
     "spaces": http_request("mark", "f1", "/api?a=b", b"hello").replace(b": ", b": \t "),
     "case": http_request("mark", "f1", "/api?a=b", b"hello").replace(b"Req-Id", b"rEQ-iD"),
     "an empty line before": b"\r\n" + http_request("mark", "f1", "/api?a=b", b"hello"),
     "an empty line behind": http_request("mark", "f1", "/api?a=b", b"hello") + b"\r\n",
-    "chunks": CHUNKED.replace(b"Req-Id: a1", b"Req-Id: f1").replace(b"/api", b"/api?a=b")
+    "chunks": CHUNKED_HEAD.replace(b"Req-Id: a1", b"Req-Id: f1").replace(b"/api", b"/api?a=b")
     + b"003;x=y\r\nhel\r\n2;z\r\nlo\r\n0;end\r\nTrailer: t\r\n\r\n",
 }
 
 
-@pytest.mark.parametrize("kind", FORMS)
-@pytest.mark.parametrize("cut", [1, 2, 7])
-async def test_valid_requests_are_forwarded_in_any_form_and_split(kind: str, cut: int) -> None:
+@pytest.mark.parametrize("kind", VALID_REQUESTS)
+@pytest.mark.parametrize("piece_size", [1, 2, 7])
+async def test_valid_requests_are_forwarded_in_any_form_and_split(kind: str, piece_size: int) -> None:
     """Two pipelined requests: each gets its own response, and is forwarded unchanged."""
 
-    second = FORMS[kind].replace(b"f1", b"f2")
+    second = VALID_REQUESTS[kind].replace(b"f1", b"f2")
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         client = SocketClient(proxy)
-        sent = FORMS[kind] + second
-        for at in range(0, len(sent), cut):
-            client.send(sent[at : at + cut])
+        sent = VALID_REQUESTS[kind] + second
+        for start in range(0, len(sent), piece_size):
+            client.send(sent[start : start + piece_size])
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         for number in (1, 2):
@@ -201,30 +204,34 @@
             proxy.oldest_attempt_connection().data_received(http_response(200, b"%d" % number))
         reader, writer = await client.streams()
         assert [(await read_http_message(reader))[2] for _ in range(2)] == [b"1", b"2"]
-        for number, (first, headers, body) in enumerate(endpoint.received):
-            assert (first, headers["req-id"], body) == ("POST /api?a=b HTTP/1.1", f"f{number + 1}", b"hello")
+        for number, (start_line, headers, body) in enumerate(endpoint.received):
+            assert (start_line, headers["req-id"], body) == (
+                "POST /api?a=b HTTP/1.1",
+                f"f{number + 1}",
+                b"hello",
+            )
         writer.close()
 
 
-@pytest.mark.parametrize("ahead", [True, False])
-async def test_empty_lines_after_a_request_leave_the_connection_idle(ahead: bool) -> None:
+@pytest.mark.parametrize("sent_together", [True, False])
+async def test_empty_lines_after_a_request_leave_the_connection_idle(sent_together: bool) -> None:
     """They get no response, and the idle time of the connection is not extended."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         client = SocketClient(proxy)
-        client.send(http_request() + (b"\r\n\r\n" if ahead else b""))
+        client.send(http_request() + (b"\r\n\r\n" if sent_together else b""))
         await wait_until(lambda: len(endpoint.received) == 1)
         proxy.oldest_attempt_connection().data_received(http_response(200, b"x"))
         await wait_until(lambda: bool(proxy.clients.idle_connections))
         [connection] = proxy.clients.idle_connections
-        since = connection.last_progress_at_s
-        if not ahead:
+        progress_at_s = connection.last_progress_at_s
+        if not sent_together:
             for empty in (b"\r\n", b"\r", b"\n\r\n"):
                 client.send(empty)
                 await run_loop_turns()
         assert connection.is_idle
         assert connection in proxy.clients.idle_connections
-        assert connection.last_progress_at_s == since
+        assert connection.last_progress_at_s == progress_at_s
         assert proxy.clients.buffered_total.size_bytes == 0
         client.send(b"\r\n" + http_request(path="/ready", Connection="close"))
         reader, writer = await client.streams()
--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -16,17 +16,17 @@
 from tests.support.stepped_clock import FrozenClock, wait_until
 
 
-def record_times_left(proxy: LoopbackProxy, monkeypatch: pytest.MonkeyPatch) -> list[float]:
+def record_times_remaining(proxy: LoopbackProxy, monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """Collect the seconds left to each request as the driver gets it."""
-    times_left_s: list[float] = []
+    times_remaining_s: list[float] = []
     accept_request = proxy.driver.accept_request
 
     def record(request: ClientRequest) -> str:
-        times_left_s.append(request.time_remaining_us / 1e6)
+        times_remaining_s.append(request.time_remaining_us / 1e6)
         return accept_request(request)
 
     monkeypatch.setattr(proxy.driver, "accept_request", record)
-    return times_left_s
+    return times_remaining_s
 
 
 async def test_deadline_of_a_pipelined_request_counts_from_its_last_byte(
@@ -38,7 +38,7 @@
         StandInServer(delayed.handle) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        times_left_s = record_times_left(proxy, monkeypatch)
+        times_remaining_s = record_times_remaining(proxy, monkeypatch)
         reader, writer = await proxy.connect()
         writer.write(http_request(request_id="r1") + http_request(request_id="r2"))
         await wait_until(lambda: len(delayed.request_ids) == 1)
@@ -53,9 +53,9 @@
         delayed.may_respond.set()
         for _ in range(3):
             assert response_status(await read_http_message(reader)) == 200
-        assert 3.0 < times_left_s[0] <= 4.0
-        assert times_left_s[1] <= 2.5
-        assert 3.0 < times_left_s[2] <= 4.0
+        assert 3.0 < times_remaining_s[0] <= 4.0
+        assert times_remaining_s[1] <= 2.5
+        assert 3.0 < times_remaining_s[2] <= 4.0
         writer.close()
 
 
--- a/tests/net/client/test_policy_faults.py
+++ b/tests/net/client/test_policy_faults.py
@@ -21,11 +21,11 @@
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
 
-        def fault(now: int, event: messages.Event) -> list[messages.Action]:
+        def raise_fault(now: int, event: messages.Event) -> list[messages.Action]:
             raise ZeroDivisionError("a fault")
 
         with monkeypatch.context() as patch:
-            patch.setattr(proxy.driver.balancer, "handle", fault)
+            patch.setattr(proxy.driver.balancer, "handle", raise_fault)
             assert response_status(await proxy.send_request(http_request())) == 502
         assert "ZeroDivisionError: a fault" in caplog.text
         assert response_status(await proxy.send_request(http_request())) == 200
@@ -43,12 +43,12 @@
     ):
         handle = proxy.driver.balancer.handle
 
-        def faulty(now: int, event: messages.Event) -> list[messages.Action]:
+        def handle_with_fault(now: int, event: messages.Event) -> list[messages.Action]:
             if isinstance(event, messages.TimerFired | messages.AttemptEnded):
                 raise RuntimeError("a fault")
             return handle(now, event)
 
-        monkeypatch.setattr(proxy.driver.balancer, "handle", faulty)
+        monkeypatch.setattr(proxy.driver.balancer, "handle", handle_with_fault)
         assert response_status(await proxy.send_request(http_request(Req_Deadline="0.6"))) == 502
         assert proxy.driver.is_idle
         assert not proxy.driver.balancer.open_requests.by_id
@@ -61,7 +61,7 @@
     monkeypatch.setattr(
         proxy.driver.balancer,
         "handle",
-        lambda now, e: [messages.StartAttempt("x", 1, 1), messages.Reject(e.id)],
+        lambda now, event: [messages.StartAttempt("x", 1, 1), messages.Reject(event.id)],
     )
     monkeypatch.setattr(proxy.driver.attempts, "start", None)  # can't be called
     assert response_status(await proxy.send_request(http_request())) == 503
--- a/tests/net/client/test_request_forwarding.py
+++ b/tests/net/client/test_request_forwarding.py
@@ -28,10 +28,10 @@
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
         sent = http_request("mark", "id7", "/api?sid=ab%20c", b"payload", Idempotency_Key="k1")
-        got = await proxy.send_request(sent)
-        assert (response_status(got), got[2]) == (200, b"\x00body")
-        first, headers, body = endpoint.received[0]
-        assert first == "POST /api?sid=ab%20c HTTP/1.1"
+        response = await proxy.send_request(sent)
+        assert (response_status(response), response[2]) == (200, b"\x00body")
+        start_line, headers, body = endpoint.received[0]
+        assert start_line == "POST /api?sid=ab%20c HTTP/1.1"
         assert (headers["req-id"], headers["idempotency-key"], body) == ("id7", "k1", b"payload")
         assert 0 < float(headers["req-deadline"]) <= 4.0
 
@@ -71,18 +71,18 @@
 async def test_retry_header_marks_a_request_as_a_retry(
     proxy: LoopbackProxy, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    asked: list[bool] = []
-    take = proxy.driver.accept_request
+    retry_flags: list[bool] = []
+    accept_request = proxy.driver.accept_request
 
-    def listen(request: ClientRequest) -> str:
-        asked.append(request.is_retry)
-        return take(request)
+    def record_and_accept(request: ClientRequest) -> str:
+        retry_flags.append(request.is_retry)
+        return accept_request(request)
 
-    monkeypatch.setattr(proxy.driver, "accept_request", listen)
+    monkeypatch.setattr(proxy.driver, "accept_request", record_and_accept)
     assert response_status(await proxy.send_request(http_request())) == 200
     assert response_status(await proxy.send_request(http_request(Req_Retry="1"))) == 200
     assert response_status(await proxy.send_request(http_request(Req_Retry="0"))) == 200
-    assert asked == [False, True, False]
+    assert retry_flags == [False, True, False]
 
 
 async def test_chunked_body_is_forwarded_with_a_content_length(
@@ -109,9 +109,9 @@
     writer.close()
 
 
-@pytest.mark.parametrize(("kind", "kept"), [("pay", 0), ("mark", 1), ("read", 1)])
+@pytest.mark.parametrize(("class_name", "reused_count"), [("pay", 0), ("mark", 1), ("read", 1)])
 async def test_only_the_request_class_decides_whether_an_idle_connection_is_reused(
-    kind: str, kept: int, monkeypatch: pytest.MonkeyPatch
+    class_name: str, reused_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An Idempotency-Key header does not decide: a client may send one with a non-idempotent class."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
@@ -121,8 +121,8 @@
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
         assert response_status(await proxy.send_request(http_request(request_id="first"))) == 200
-        assert response_status(await proxy.send_request(http_request(kind, Idempotency_Key="k"))) == 200
-        assert endpoint.connection_count == 2 - kept
+        assert response_status(await proxy.send_request(http_request(class_name, Idempotency_Key="k"))) == 200
+        assert endpoint.connection_count == 2 - reused_count
         assert endpoint.received[1][1]["idempotency-key"] == "k"
 
 
@@ -130,25 +130,25 @@
 def policy_clock(monkeypatch: pytest.MonkeyPatch) -> Callable[[], SteppedClock]:
     """Return what makes a clock that steps both the running event loop and the policy."""
 
-    def make() -> SteppedClock:
+    def make_clock() -> SteppedClock:
         clock, now_us = FrozenClock(), Clock.now_us
         monkeypatch.setattr(Clock, "now_us", lambda self: now_us(self) + round(clock.advanced_s * 1e6))
         return clock
 
-    return make
+    return make_clock
 
 
 class HeldConnects:
     """Holds each connect of a pool until one more is permitted."""
 
     def __init__(self, pool: ConnectionPool, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.begun_count = 0
+        self.started_count = 0
         self.permits = asyncio.Semaphore(0)
         self._connect = pool.connector.open
         monkeypatch.setattr(pool.connector, "open", self.connect)
 
     async def connect(self, endpoint: EndpointAddress) -> UpstreamConnection:
-        self.begun_count += 1
+        self.started_count += 1
         await self.permits.acquire()
         return await self._connect(endpoint)
 
@@ -165,10 +165,10 @@
         ) as proxy,
     ):
         connects = HeldConnects(proxy.pool, monkeypatch)
-        got = asyncio.ensure_future(proxy.send_request(http_request(Req_Deadline="1.9")))
-        for number, late in ((1, 0.4), (2, 0.8)):
-            await wait_until(lambda number=number: connects.begun_count == number)  # type: ignore[misc]
-            clock.advance(late)
+        response_task = asyncio.ensure_future(proxy.send_request(http_request(Req_Deadline="1.9")))
+        for number, delay_s in ((1, 0.4), (2, 0.8)):
+            await wait_until(lambda number=number: connects.started_count == number)  # type: ignore[misc]
+            clock.advance(delay_s)
             connects.permits.release()
         await wait_until(lambda: len(endpoint.received) == 2)
         first, second = (float(headers["req-deadline"]) for _, headers, _ in endpoint.received)
@@ -176,4 +176,4 @@
         assert 1.0 < first <= 1.9 - 0.4 - margin
         assert 0.2 < second <= 1.9 - 1.2 - margin
         connects.permits.release()
-        assert response_status(await got) == 503
+        assert response_status(await response_task) == 503
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -94,8 +94,8 @@
     outer = http_request("mark", Content_Length=str(5 + len(hidden)), Transfer_Encoding="chunked")
     reader, writer = await proxy.connect()
     writer.write(outer + b"0\r\n\r\n" + hidden)
-    first, headers, _ = await read_http_message(reader)
-    assert (first.split()[1], headers["connection"]) == ("400", "close")
+    start_line, headers, _ = await read_http_message(reader)
+    assert (start_line.split()[1], headers["connection"]) == ("400", "close")
     assert await reader.read() == b""
     writer.close()
     assert endpoint.received == []
@@ -123,9 +123,9 @@
             endpoint_entry("s-1", endpoint.port), settings=balancer_settings(limits=limits)
         ) as proxy,
     ):
-        got = await proxy.send_request(http_request("pay"))
-        assert response_status(got) == 503  # it never ran, so even an unsafe one is refused
-        assert 0.0 < float(got[1]["retry-after"]) <= 2.0
+        response = await proxy.send_request(http_request("pay"))
+        assert response_status(response) == 503  # it never ran, so even an unsafe one is refused
+        assert 0.0 < float(response[1]["retry-after"]) <= 2.0
     async with (
         StandInEndpoint(http_response(503, Srv_Declined="1")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
@@ -134,9 +134,9 @@
 
 
 async def test_request_that_may_have_run_is_answered_502() -> None:
-    for said in (None, http_response(500), http_response(503)):
+    for endpoint_response in (None, http_response(500), http_response(503)):
         async with (
-            StandInEndpoint(said) as endpoint,
+            StandInEndpoint(endpoint_response) as endpoint,
             running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
         ):
             assert response_status(await proxy.send_request(http_request("pay"))) == 502
@@ -154,6 +154,6 @@
             response_status(await proxy.send_request(http_request())) == 502
         )  # no refusal: coming again would not help
         assert len(endpoint.received) == 1
-        [server] = proxy.driver.balancer.endpoints.states.values()
-        assert server.failure_penalty_ends_us == []
-        assert server.detector.mean == 1.0
+        [endpoint_state] = proxy.driver.balancer.endpoints.states.values()
+        assert endpoint_state.failure_penalty_ends_us == []
+        assert endpoint_state.detector.mean == 1.0
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -37,10 +37,10 @@
 from tests.support.units import SECOND_US
 
 STEP_S = 5.0
-WINDOW_S = 60.0
-CONNECT_S = 5.0
-TURNS = 40  # of the loop without any news: then all wait for the clock
-MOST = 3  # attempts
+RETRY_WINDOW_S = 60.0
+CONNECT_TIMEOUT_S = 5.0
+IDLE_TURNS = 40  # of the loop without any news: then all wait for the clock
+MAX_ATTEMPTS = 3  # attempts
 CLASSES = (
     messages.RequestClass("read", 200 * SECOND_US, 500 * SECOND_US, messages.Idempotency.SAFE),
     messages.RequestClass(
@@ -49,7 +49,7 @@
         500 * SECOND_US,
         messages.Idempotency.KEYED,
         messages.KeyScope.CELL,
-        round(WINDOW_S * SECOND_US),
+        round(RETRY_WINDOW_S * SECOND_US),
     ),
     messages.RequestClass(
         "mark",
@@ -57,11 +57,11 @@
         500 * SECOND_US,
         messages.Idempotency.KEYED,
         messages.KeyScope.ALL,
-        round(WINDOW_S * SECOND_US),
+        round(RETRY_WINDOW_S * SECOND_US),
     ),
     messages.RequestClass("pay", 200 * SECOND_US, 500 * SECOND_US),
 )
-WAYS = {
+BEHAVIOR_WEIGHTS = {
     "answer": 12,
     "answer twice": 2,
     "answer, late again": 2,
@@ -83,23 +83,23 @@
 
 
 @dataclass
-class Visit:
+class ReceivedAttempt:
     """An attempt as its endpoint received it."""
 
-    at: float
+    received_at_s: float
     step: int
     cell: int
-    way: str
-    wire: EndpointConnection
-    over: bool = False  # the endpoint has said its last word on it
+    behavior: str
+    connection: EndpointConnection
+    is_finished: bool = False  # the endpoint has said its last word on it
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Is it still out, on a connection that is still open?"""
-        if self.over or self.wire.is_closed:
+        if self.is_finished or self.connection.is_closed:
             return False
         try:
-            return self.wire.socket.recv(1, socket.MSG_PEEK) != b""
+            return self.connection.socket.recv(1, socket.MSG_PEEK) != b""
         except BlockingIOError:
             return True
         except OSError:
@@ -107,23 +107,23 @@
 
 
 @dataclass
-class Asked:
+class SentRequest:
     """A request that a client sent, and what came of it."""
 
-    kind: str
-    visits: list[Visit] = field(default_factory=list)
+    class_name: str
+    attempts: list[ReceivedAttempt] = field(default_factory=list)
     status: int = 0  # of its answer
-    ended: int | None = None  # the step in which it was answered or its client left
+    ended_step: int | None = None  # the step in which it was answered or its client left
 
 
-class World:
+class FaultyProxyRun:
     def __init__(self, seed: int, proxy: LoopbackProxy) -> None:
-        self.seed, self.p = seed, proxy
+        self.seed, self.proxy = seed, proxy
         self.clock: SteppedClock = proxy.use_stepped_clock()
         self.step = 0
-        self.news = 0  # counts whatever happens
-        self.late = 0  # second answers that are still to come
-        self.asked: dict[str, Asked] = {}
+        self.event_count = 0  # counts whatever happens
+        self.pending_late_responses = 0  # second answers that are still to come
+        self.requests: dict[str, SentRequest] = {}
         self.faults: list[str] = []
 
     def now(self) -> float:
@@ -132,185 +132,208 @@
     # Endpoints
 
     def endpoint_handler(self, cell: int) -> ConnectionHandler:
-        async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-            self.news += 1
-            request_id = got[1].get("req-id", "none")
-            asked = self.asked.get(request_id)
-            if asked is None:
+        async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
+            self.event_count += 1
+            request_id = request[1].get("req-id", "none")
+            sent = self.requests.get(request_id)
+            if sent is None:
                 self.faults.append(f"{request_id}: no client sent this")
                 return
-            rng = random.Random(f"{self.seed} {request_id} {len(asked.visits)}")
-            [way] = rng.choices([*WAYS], [*WAYS.values()])
-            visit = Visit(self.now(), self.step, cell, way, wire)
-            self.check(request_id, asked, visit)
-            asked.visits.append(visit)
+            rng = random.Random(f"{self.seed} {request_id} {len(sent.attempts)}")
+            [behavior] = rng.choices([*BEHAVIOR_WEIGHTS], [*BEHAVIOR_WEIGHTS.values()])
+            attempt = ReceivedAttempt(self.now(), self.step, cell, behavior, connection)
+            self.check_attempt(request_id, sent, attempt)
+            sent.attempts.append(attempt)
             with contextlib.suppress(OSError):  # the proxy may have left
-                await self.respond(rng, visit, http_response(200, request_id.encode()), request_id)
-            self.news += 1
+                await self.respond(rng, attempt, http_response(200, request_id.encode()), request_id)
+            self.event_count += 1
 
         return handle
 
-    async def respond(self, rng: random.Random, visit: Visit, good: bytes, request_id: str) -> None:
-        way = visit.way
-        if way in ("answer after a while", "silent, then reset"):
+    async def respond(
+        self, rng: random.Random, attempt: ReceivedAttempt, response: bytes, request_id: str
+    ) -> None:
+        behavior = attempt.behavior
+        if behavior in ("answer after a while", "silent, then reset"):
             until_step = self.step + rng.randrange(1, 12)
-            while self.step < until_step and visit.open:
+            while self.step < until_step and attempt.is_open:
                 await asyncio.sleep(0)
-            if not visit.open:
+            if not attempt.is_open:
                 return
-        visit.over = way != "silent"
-        if way.startswith("answer"):
-            await self.respond_well(rng, visit, good)
+        attempt.is_finished = behavior != "silent"
+        if behavior.startswith("answer"):
+            await self.send_valid_response(rng, attempt, response)
         else:
-            self.respond_badly(rng, visit, good, HEAD_WITHOUT_LENGTH + request_id.encode())
+            self.send_faulty_response(rng, attempt, response, HEAD_WITHOUT_LENGTH + request_id.encode())
 
-    async def respond_well(self, rng: random.Random, visit: Visit, good: bytes) -> None:
-        wire = visit.wire
-        match visit.way:
+    async def send_valid_response(
+        self, rng: random.Random, attempt: ReceivedAttempt, response: bytes
+    ) -> None:
+        connection = attempt.connection
+        match attempt.behavior:
             case "answer" | "answer after a while":
-                wire.send(good)
+                connection.send(response)
             case "answer twice":
-                wire.send(good + good)
+                connection.send(response + response)
             case "answer, late again":
-                wire.send(good)
-                self.late += 1
-                for _ in range(rng.randrange(TURNS)):
+                connection.send(response)
+                self.pending_late_responses += 1
+                for _ in range(rng.randrange(IDLE_TURNS)):
                     await asyncio.sleep(0)
-                self.late -= 1
-                wire.send(good)
+                self.pending_late_responses -= 1
+                connection.send(response)
             case "answer, then end":
-                wire.send(good)
-                wire.end_sending()
-
-    def respond_badly(self, rng: random.Random, visit: Visit, good: bytes, without_length: bytes) -> None:
-        wire, way = visit.wire, visit.way
-        match way:
+                connection.send(response)
+                connection.end_sending()
+
+    def send_faulty_response(
+        self, rng: random.Random, attempt: ReceivedAttempt, response: bytes, response_without_length: bytes
+    ) -> None:
+        connection, behavior = attempt.connection, attempt.behavior
+        match behavior:
             case "no length, end":
-                wire.send(without_length)
-                wire.end_sending()
+                connection.send(response_without_length)
+                connection.end_sending()
             case "no length, reset":
-                wire.send(without_length)
-                wire.reset()
+                connection.send(response_without_length)
+                connection.reset()
             case "500" | "503":
-                wire.send(http_response(int(way), b"x"))
+                connection.send(http_response(int(behavior), b"x"))
             case "declined":
-                wire.send(http_response(rng.choice((503, 504)), Srv_Declined="1"))
+                connection.send(http_response(rng.choice((503, 504)), Srv_Declined="1"))
             case "cut, end" | "cut, reset":
-                wire.send(good[: rng.randrange(1, len(good))])
-                wire.end_sending() if way == "cut, end" else wire.reset()
+                connection.send(response[: rng.randrange(1, len(response))])
+                connection.end_sending() if behavior == "cut, end" else connection.reset()
             case "invalid":
-                wire.send(rng.choice(INVALID_RESPONSES))
+                connection.send(rng.choice(INVALID_RESPONSES))
             case "reset" | "silent, then reset":
-                wire.reset()
+                connection.reset()
             case "end":
-                wire.end_sending()
+                connection.end_sending()
 
-    def check(self, request_id: str, asked: Asked, visit: Visit) -> None:
+    def check_attempt(self, request_id: str, sent: SentRequest, attempt: ReceivedAttempt) -> None:
         """The rules, as a further attempt comes in."""
-        before = asked.visits
-        if asked.ended is not None and visit.step > asked.ended:
+        earlier_attempts = sent.attempts
+        if sent.ended_step is not None and attempt.step > sent.ended_step:
             self.faults.append(f"{request_id}: sent after its end")
-        if any(visit.open for visit in before):
+        if any(attempt.is_open for attempt in earlier_attempts):
             self.faults.append(
-                f"{request_id}: a second copy, the first being {[visit.way for visit in before]}"
+                f"{request_id}: sent while another attempt is open, behaviors so far: "
+                f"{[attempt.behavior for attempt in earlier_attempts]}"
             )
-        if len(before) >= MOST:
+        if len(earlier_attempts) >= MAX_ATTEMPTS:
             self.faults.append(f"{request_id}: too many attempts")
-        ran = [visit for visit in before if visit.way != "declined"]
-        if ran and asked.kind == "pay":
-            self.faults.append(f"{request_id}: unsafe, and sent again after {ran[0].way}")
-        if ran and asked.kind in ("write", "mark") and visit.at - ran[0].at > WINDOW_S:
+        ran = [attempt for attempt in earlier_attempts if attempt.behavior != "declined"]
+        if ran and sent.class_name == "pay":
+            self.faults.append(f"{request_id}: unsafe, and sent again after {ran[0].behavior}")
+        if (
+            ran
+            and sent.class_name in ("write", "mark")
+            and attempt.received_at_s - ran[0].received_at_s > RETRY_WINDOW_S
+        ):
             self.faults.append(f"{request_id}: sent again after its window")
-        if ran and asked.kind == "write" and visit.cell != ran[0].cell:
+        if ran and sent.class_name == "write" and attempt.cell != ran[0].cell:
             self.faults.append(f"{request_id}: sent again in another cell")
 
     # Clients
 
-    async def client(self, number: int, requests: int) -> None:
+    async def run_client(self, number: int, request_count: int) -> None:
         """Send requests one after another, on a new connection wherever the last one is over."""
         rng = random.Random(f"{self.seed} client {number}")
         streams = None
-        for index in range(requests):
-            streams = streams or await self.p.connect()
-            kind = rng.choice([request_class.name for request_class in CLASSES])
-            if not await self.request(rng, f"r{number}-{index}", kind, streams):
+        for index in range(request_count):
+            streams = streams or await self.proxy.connect()
+            class_name = rng.choice([request_class.name for request_class in CLASSES])
+            if not await self.send_request(rng, f"r{number}-{index}", class_name, streams):
                 streams = None
         if streams is not None:
             streams[1].close()
 
-    async def request(self, rng: random.Random, request_id: str, kind: str, streams: StreamPair) -> bool:
+    async def send_request(
+        self, rng: random.Random, request_id: str, class_name: str, streams: StreamPair
+    ) -> bool:
         """Send one request and check its response, or leave; return whether the connection goes on."""
         reader, writer = streams
-        body = b"" if kind == "read" else b"b" * rng.randrange(2000)
+        body = b"" if class_name == "read" else b"b" * rng.randrange(2000)
         leaves_after = rng.randrange(30) if rng.random() < 0.2 else None
-        asked = self.asked[request_id] = Asked(kind)
-        writer.write(http_request(kind, request_id=request_id, body=body, Req_Deadline="500"))
-        got = asyncio.ensure_future(read_http_message(reader))
+        sent = self.requests[request_id] = SentRequest(class_name)
+        writer.write(http_request(class_name, request_id=request_id, body=body, Req_Deadline="500"))
+        pending_response = asyncio.ensure_future(read_http_message(reader))
         if leaves_after is not None:
             await run_loop_turns(leaves_after)
-            if not got.done():
-                got.cancel()
+            if not pending_response.done():
+                pending_response.cancel()
                 writer.transport.abort()
-                asked.ended = self.step
-                self.news += 1
+                sent.ended_step = self.step
+                self.event_count += 1
                 return False
         try:
-            response = await got
+            response = await pending_response
         except (asyncio.IncompleteReadError, ConnectionError):
             self.faults.append(f"{request_id}: lost")
             return False
-        self.news += 1
-        asked.ended, asked.status = self.step, response_status(response)
-        self.judge(request_id, asked, response.body)
+        self.event_count += 1
+        sent.ended_step, sent.status = self.step, response_status(response)
+        self.check_response(request_id, sent, response.body)
         return not closes_connection(response)
 
-    def judge(self, request_id: str, asked: Asked, said: bytes) -> None:
+    def check_response(self, request_id: str, sent: SentRequest, body: bytes) -> None:
         """The rules, as the final answer comes in. A second one would be taken for the next request's."""
-        made = {"answer", "answer twice", "answer, late again", "answer, then end", "answer after a while"}
-        ran = [visit for visit in asked.visits if visit.way != "declined"]
-        match asked.status:
+        valid_behaviors = {
+            "answer",
+            "answer twice",
+            "answer, late again",
+            "answer, then end",
+            "answer after a while",
+        }
+        ran = [attempt for attempt in sent.attempts if attempt.behavior != "declined"]
+        match sent.status:
             case 200:
-                if said != request_id.encode() or not any(
-                    visit.way in {*made, "no length, end"} for visit in asked.visits
+                if body != request_id.encode() or not any(
+                    attempt.behavior in {*valid_behaviors, "no length, end"} for attempt in sent.attempts
                 ):
-                    self.faults.append(f"{request_id}: served with {said!r}, which no endpoint made for it")
+                    self.faults.append(f"{request_id}: served with {body!r}, which no endpoint made for it")
             case 503:
-                if ran and asked.kind in ("write", "pay"):
-                    self.faults.append(f"{request_id}: refused, though it may have run by {ran[0].way}")
+                if ran and sent.class_name in ("write", "pay"):
+                    self.faults.append(f"{request_id}: refused, though it may have run by {ran[0].behavior}")
             case 502:
                 pass
             case other:
                 self.faults.append(f"{request_id}: answered {other}")
 
-    async def play(self, clients: int, requests: int) -> None:
-        tasks = [asyncio.ensure_future(self.client(index, requests)) for index in range(clients)]
+    async def run_clients(self, client_count: int, request_count: int) -> None:
+        tasks = [
+            asyncio.ensure_future(self.run_client(index, request_count)) for index in range(client_count)
+        ]
         while not all(task.done() for task in tasks):
-            seen, still = self.news, 0
-            while still < TURNS:
+            seen, still = self.event_count, 0
+            while still < IDLE_TURNS:
                 await asyncio.sleep(0)
-                still = still + 1 if self.news == seen and not self.late else 0
-                seen = self.news
+                still = still + 1 if self.event_count == seen and not self.pending_late_responses else 0
+                seen = self.event_count
             self.step += 1
             self.clock.advance(STEP_S)
         for task in tasks:
             task.result()
 
 
-def world_settings(seed: int) -> messages.Settings:
+def run_settings(seed: int) -> messages.Settings:
     limits = messages.Limits(
-        max_attempts=MOST, cancel=seed % 2 == 0, connect_timeout_us=round(CONNECT_S * SECOND_US)
+        max_attempts=MAX_ATTEMPTS,
+        cancel=seed % 2 == 0,
+        connect_timeout_us=round(CONNECT_TIMEOUT_S * SECOND_US),
     )
     return balancer_settings(classes=CLASSES, limits=limits)
 
 
 @asynccontextmanager
-async def running_world(seed: int) -> AsyncIterator[World]:
+async def running_proxy_with_faults(seed: int) -> AsyncIterator[FaultyProxyRun]:
     """Run a proxy before six endpoints that are as faulty as the seed says, and one that refuses connects."""
-    worlds: list[World] = []
+    runs: list[FaultyProxyRun] = []
 
     def handler(cell: int) -> ConnectionHandler:
-        async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-            await worlds[0].endpoint_handler(cell)(wire, got)
+        async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
+            await runs[0].endpoint_handler(cell)(connection, request)
 
         return handle
 
@@ -324,13 +347,13 @@
         proxy = await stack.enter_async_context(
             running_proxy(
                 *entries,
-                settings=world_settings(seed),
-                connect_timeout_s=CONNECT_S,
+                settings=run_settings(seed),
+                connect_timeout_s=CONNECT_TIMEOUT_S,
                 idle_timeout_s=9000.0,
             )
         )
-        worlds.append(World(seed, proxy))
-        yield worlds[0]
+        runs.append(FaultyProxyRun(seed, proxy))
+        yield runs[0]
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -338,13 +361,15 @@
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", 4 * STEP_S)
-    async with running_world(seed) as world:
-        await world.play(clients=8, requests=25)
-        assert world.faults == []
+    async with running_proxy_with_faults(seed) as run:
+        await run.run_clients(client_count=8, request_count=25)
+        assert run.faults == []
         # The world does reach what it is to check.
-        every = world.asked.values()
-        assert len(every) == 200
-        assert sum(request.status == 200 for request in every) > 40
-        assert sum(len(request.visits) > 1 for request in every) > 5
-        assert sum(request.ended is not None and not request.status for request in every) > 5
-        assert len(Counter(visit.way for request in every for visit in request.visits)) > 12
+        sent_requests = run.requests.values()
+        assert len(sent_requests) == 200
+        assert sum(request.status == 200 for request in sent_requests) > 40
+        assert sum(len(request.attempts) > 1 for request in sent_requests) > 5
+        assert sum(request.ended_step is not None and not request.status for request in sent_requests) > 5
+        assert (
+            len(Counter(attempt.behavior for request in sent_requests for attempt in request.attempts)) > 12
+        )
