--- a/tests/net/client/delayed_endpoint.py
+++ b/tests/net/client/delayed_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint whose responses a test holds back."""
+"""An endpoint that delays its responses until a test permits them."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class DelayedEndpoint:
-    """Takes one request at a time on each connection, and answers once `may_respond` is set.
+    """Endpoint that reads one request at a time on each connection and responds once `may_respond` is set.
 
     Attributes:
-        may_respond: Until it is set, requests wait for their responses; later ones are answered at once.
-        request_ids: The ids of the requests taken so far.
+        may_respond: Event that permits responses. Once it is set, each request is answered at once.
+        request_ids: Ids of the requests received so far.
     """
 
     def __init__(self) -> None:
--- a/tests/net/client/test_client_listener.py
+++ b/tests/net/client/test_client_listener.py
@@ -1,4 +1,4 @@
-"""The end of listening: accepted connections are served, and idle ones are closed."""
+"""Shutdown of the client listener: accepted connections are served, and idle ones are closed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 async def test_connections_in_the_accept_queue_are_served_after_listening_ends() -> None:
-    """With more of them than are taken in at once, their requests sent and none of it read."""
+    """The queue holds more connections than are accepted in one iteration, each with an unread request."""
 
     async with running_proxy(endpoint_entry("s-1", 9)) as proxy:
         clients = [SocketClient(proxy) for _ in range(40)]
@@ -29,7 +29,7 @@
 async def test_connection_is_not_closed_at_shutdown_while_its_request_arrives(
     proxy: LoopbackProxy, is_first_request: bool
 ) -> None:
-    """Its response is the last one on its connection; until then the listener is not drained."""
+    """The connection is closed after the response. The listener is not drained before that."""
 
     client, other = SocketClient(proxy), SocketClient(proxy)
     await wait_until(lambda: len(proxy.clients.open_connections) == 2)
@@ -37,11 +37,11 @@
         client.send(http_request(request_id="r1"))
         await wait_until(lambda: len(proxy.clients.idle_connections) == 1)
     clock = FrozenClock()
-    clock.advance(1.0)  # neither has just come
+    clock.advance(1.0)  # both connections are past the grace time for a first request
     client.send(http_request(request_id="r2"))
     proxy.listener.close_idle_connections()
     assert not proxy.listener.is_drained
-    await wait_until(lambda: len(proxy.clients.open_connections) == 1)  # the other one is closed
+    await wait_until(lambda: len(proxy.clients.open_connections) == 1)  # the idle connection is closed
     assert other.socket.recv(1) == b""
     assert await client.read_statuses(1 if is_first_request else 2) == (
         [200] if is_first_request else [200, 200]
--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -1,4 +1,4 @@
-"""Which connection is evicted at the connection limit, and which is not."""
+"""Choice of the connection that is evicted at the connection limit."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 async def test_new_connection_is_not_evicted_by_the_next_one() -> None:
-    """Idle connections fill the limit: one of them is evicted, not one that is about to bring a request."""
+    """Idle connections fill the limit. They are evicted before a new connection, whose request may arrive."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -55,7 +55,7 @@
             writer.close()
 
 
-async def test_longest_idle_connection_is_evicted_and_a_surplus_one_answered_503() -> None:
+async def test_longest_idle_connection_is_evicted_and_one_over_the_limit_is_answered_503() -> None:
     may_respond = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -70,12 +70,14 @@
         idle_reader, _ = await proxy.connect()
         reader_a, writer_a = await proxy.connect()
         writer_a.write(http_request(request_id="a"))
-        reader_b, writer_b = await proxy.connect()  # closes the idle one
+        reader_b, writer_b = await proxy.connect()  # evicts the idle connection
         assert await idle_reader.read() == b""
         writer_b.write(http_request(request_id="b"))
         while endpoint.connection_count < 2:
             await asyncio.sleep(0)
-        assert response_status(await proxy.send_request(http_request(request_id="c"))) == 503  # both are busy
+        assert (
+            response_status(await proxy.send_request(http_request(request_id="c"))) == 503
+        )  # both connections are busy
         may_respond.set()
         assert response_status(await read_http_message(reader_a)) == 200
         assert response_status(await read_http_message(reader_b)) == 200
@@ -85,7 +87,7 @@
 async def test_connection_is_not_evicted_while_its_request_arrives(
     is_first_request: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All other connections are busy or about to be, so the new one is answered 503."""
+    """No other connection can be evicted, so the request on the new connection is answered 503."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -113,7 +115,7 @@
 async def test_connection_is_evicted_when_its_client_has_just_disconnected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The request that it left behind unread is not forwarded."""
+    """The unread request of the disconnected client is not forwarded."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -38,15 +38,18 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        for earlier_request in (b"", http_request()):  # as its first one, and later
+        for earlier_request in (
+            b"",
+            http_request(),
+        ):  # as the first request of a connection, and as a later one
             reader, writer = await proxy.connect()
             if earlier_request:
                 writer.write(earlier_request)
                 assert response_status(await read_http_message(reader)) == 200
                 if not sent:
-                    continue  # idle ones may stay for longer
+                    continue  # an idle connection has a longer time limit
             writer.write(sent)
-            if sent:  # it is told why, before the end
+            if sent:  # a connection that has sent nothing is closed without a response
                 assert response_status(await read_http_message(reader)) == 408
             with contextlib.suppress(ConnectionError):
                 assert await reader.read() == b""
@@ -77,13 +80,13 @@
             assert (
                 connection.http.received.size_bytes
                 <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION + 256 * 1024
-            )  # the limit and one read
+            )  # the limit may be exceeded by one read
         assert len(endpoint.received) < 2000
         writer.transport.abort()
 
 
 async def test_late_response_after_the_final_response_is_discarded() -> None:
-    """Attempts are not cancelled by these settings, so the endpoint responds once the request has ended."""
+    """The settings disable cancellation, so the endpoint can respond after the request has ended."""
 
     may_respond = asyncio.Event()
 
@@ -135,7 +138,9 @@
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
         assert response_status(await proxy.send_request(http_request(Req_Deadline="0.6"))) in (502, 503)
-        assert loop.time() - started_at_s < 1.8  # by its own deadline, not by the class's aim of 2 s
+        assert (
+            loop.time() - started_at_s < 1.8
+        )  # ended by its own deadline, not by the on-time target of 2 s of its class
         [request] = [event for event in events if isinstance(event, messages.Request)]
         assert 400_000 < request.time_remaining_us <= 600_000 - DEADLINE_MARGIN_US
 
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -1,4 +1,4 @@
-"""The last responses before a close: each is complete, and no later request is forwarded."""
+"""Responses before the close of a client connection: each is complete, and no later request is forwarded."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 async def test_pipelined_requests_are_answered_before_the_close_at_shutdown(
     pipelined_count: int, is_read_early: bool
 ) -> None:
-    """Only the last response closes the connection, whether the requests behind were read or not."""
+    """Only the last response closes the connection, whether or not the pipelined requests were read."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         client = SocketClient(proxy)
@@ -53,18 +53,18 @@
         await wait_until(lambda: proxy.listener.is_drained and not proxy.clients.open_connections)
 
 
-async def test_each_request_on_a_surplus_connection_is_answered_503() -> None:
+async def test_each_request_on_a_connection_over_the_limit_is_answered_503() -> None:
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
-        busy, surplus = SocketClient(proxy), SocketClient(proxy)
+        busy, over_limit_client = SocketClient(proxy), SocketClient(proxy)
         busy.send(http_request(request_id="busy"))
         await wait_until(lambda: len(endpoint.received) == 1)
-        surplus.send(
+        over_limit_client.send(
             http_request(request_id="r1") + http_request(request_id="r2") + http_request(request_id="r3")
         )
-        reader, writer = await surplus.streams()
+        reader, writer = await over_limit_client.streams()
         responses = [await read_http_message(reader) for _ in range(3)]
         assert [response_status(response) for response in responses] == [503] * 3
         assert [closes_connection(response) for response in responses] == [False, False, True]
@@ -78,15 +78,15 @@
 async def send_last_request(
     proxy: LoopbackProxy, endpoint: StandInServer, client: SocketClient, close_reason: str
 ) -> ClientConnection:
-    """Send the request whose response is the last one, and return the connection once it lingers."""
+    """Send a request whose response closes the connection, and return the connection once it lingers."""
     client.send(
-        {"asked": http_request(Connection="close"), "bad": http_request(request_id="")}.get(
+        {"requested": http_request(Connection="close"), "malformed": http_request(request_id="")}.get(
             close_reason, http_request()
         )
     )
-    if close_reason in ("closing", "asked"):
+    if close_reason in ("draining", "requested"):
         await wait_until(lambda: len(endpoint.received) == 1)
-        proxy.clients.is_draining = close_reason == "closing"
+        proxy.clients.is_draining = close_reason == "draining"
         proxy.oldest_attempt_connection().data_received(http_response(200, b"x"))
     [connection] = [
         client_connection
@@ -103,24 +103,24 @@
     await run_loop_turns()
 
 
-@pytest.mark.parametrize("close_reason", ["closing", "asked", "surplus", "bad"])
+@pytest.mark.parametrize("close_reason", ["draining", "requested", "over the limit", "malformed"])
 async def test_request_after_the_last_response_is_not_forwarded(close_reason: str) -> None:
-    """The connection lingers by then: it is read only so that its close does not reset the response."""
+    """The lingering connection is read only so that its close does not reset the response."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
     ):
         busy = SocketClient(proxy)
-        if close_reason == "surplus":
+        if close_reason == "over the limit":
             busy.send(http_request(request_id="busy"))
             await wait_until(lambda: len(endpoint.received) == 1)
-        client = busy if close_reason != "surplus" else SocketClient(proxy)
+        client = busy if close_reason != "over the limit" else SocketClient(proxy)
         connection = await send_last_request(proxy, endpoint, client, close_reason)
         forwarded_count = len(endpoint.received)
         await send_late_requests(client)
         reader, writer = await client.streams()
         response = await read_http_message(reader)
-        assert response_status(response) == {"surplus": 503, "bad": 400}.get(close_reason, 200)
+        assert response_status(response) == {"over the limit": 503, "malformed": 400}.get(close_reason, 200)
         assert closes_connection(response)
         assert await reader.read() == b""
         assert connection in proxy.clients.open_connections
@@ -132,14 +132,14 @@
 
 
 async def wait_for_lingering_connection(proxy: LoopbackProxy) -> list[ClientConnection]:
-    """Return the open connections, once one of them lingers."""
+    """Wait until an open connection lingers, and return all open connections."""
     await wait_until(lambda: any(connection.is_lingering for connection in proxy.clients.open_connections))
     return list(proxy.clients.open_connections)
 
 
 @pytest.mark.parametrize("is_last", [True, False])
 async def test_connection_is_not_evicted_while_it_writes_a_response(is_last: bool) -> None:
-    """The connection counts as idle, or as lingering, as soon as the response is handed to the transport."""
+    """The connection is idle or lingering as soon as the response has been passed to the transport."""
 
     async with (
         StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize("is_last", [True, False])
 async def test_slowly_read_response_is_delivered_complete(is_last: bool) -> None:
-    """Also where it is the last one: the end of the stream follows the whole response."""
+    """A last response is complete too: the end of the stream follows it."""
 
     async with (
         StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
@@ -192,7 +192,7 @@
 async def open_idle_connection(
     proxy: LoopbackProxy, endpoint: StandInServer, client: SocketClient
 ) -> ClientConnection:
-    """Answer the client's first request, and return its connection once that is idle."""
+    """Answer the first request of the client, and return its connection once it is idle."""
     client.send(http_request(request_id="first"))
     await wait_until(lambda: len(endpoint.received) == 1)
     proxy.oldest_attempt_connection().data_received(http_response(200, b"first"))
@@ -204,12 +204,12 @@
 async def close_idle_connection(
     proxy: LoopbackProxy, connection: ClientConnection, close_cause: str
 ) -> SocketClient | None:
-    """Have the connection closed in this way, and return the client that it makes room for."""
-    if close_cause == "expiry":
+    """Close the connection for the given cause. For an eviction, return the client that caused it."""
+    if close_cause == "idle timeout":
         proxy.listener.time_limits.check(
             connection, proxy.listener.loop.time() + client_limits.KEEP_ALIVE_TIMEOUT_S + 1.0
         )
-    elif close_cause == "end":
+    elif close_cause == "shutdown":
         proxy.listener.close_idle_connections()
     else:
         new_client = SocketClient(proxy)
@@ -218,12 +218,12 @@
     return None
 
 
-@pytest.mark.parametrize("close_cause", ["expiry", "end", "room"])
+@pytest.mark.parametrize("close_cause", ["idle timeout", "shutdown", "eviction"])
 @pytest.mark.parametrize("after_loop_turns", [False, True])
 async def test_request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded(
     close_cause: str, after_loop_turns: bool
 ) -> None:
-    """It comes after the last check of the connection, so the client can safely send it again."""
+    """It arrives after the last check of the connection. The client can safely send it again."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
@@ -240,7 +240,7 @@
             client.send(http_request(request_id="another"))
         await run_loop_turns()
         reader, writer = await client.streams()
-        assert (await read_http_message(reader))[2] == b"first"  # it was not taken along
+        assert (await read_http_message(reader))[2] == b"first"  # the later requests have no response
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
         writer.close()
@@ -287,13 +287,19 @@
             2,
         ),
     ],
-    ids=["a close in the middle", "noise in the middle", "a bad one in the middle", "a 100", "one id again"],
+    ids=[
+        "close in the middle",
+        "not HTTP in the middle",
+        "malformed in the middle",
+        "100 continue",
+        "repeated id",
+    ],
 )
 @pytest.mark.parametrize("in_one_write", [True, False])
 async def test_each_pipelined_request_up_to_the_last_gets_one_final_response(
     sent: list[bytes], statuses: list[int], forwarded_count: int, in_one_write: bool
 ) -> None:
-    """Whether the requests come at once, or the others while the first one is open."""
+    """The requests are sent in one write, or the later ones while the first one is open."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         client = SocketClient(proxy)
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Limits on client connections: buffered bytes, work in each turn of the event loop, and descriptors."""
+"""Limits on client connections: buffered bytes, work per turn of the event loop, and descriptors."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class TurnCounter:
-    """Counts how often something is done, in all and at most in one turn of the event loop."""
+    """Counter of calls: their total, and the maximum in one turn of the event loop."""
 
     def __init__(self) -> None:
         self.total = self.max_per_turn = self._this_turn = 0
@@ -45,7 +45,7 @@
 
 
 def chunked_request(count: int) -> bytes:
-    """Return a request with a body in chunks of one byte."""
+    """Return a request with `count` chunks of one byte as its body."""
     head = http_request("mark", request_id="chunks", Content_Length="0").replace(
         b"Content-Length: 0", b"Transfer-Encoding: chunked"
     )
@@ -59,15 +59,15 @@
         (
             b"".join(http_request(request_id=f"r{number}", Req_Deadline="0") for number in range(1000)),
             1000,
-        ),  # ended as they come
+        ),  # ended on arrival
         (chunked_request(20_000), 1),
     ],
-    ids=["ready", "refused", "chunks"],
+    ids=["ready", "expired", "chunks"],
 )
 async def test_parsing_and_responses_are_bounded_in_each_turn(
     sent: bytes, response_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Parsing them all takes a second of real time, and longer on a busy machine.
+    # Parsing all requests takes a second of real time, and longer on a busy machine.
     monkeypatch.setattr(client_limits, "REQUEST_TIMEOUT_S", 60.0)
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -84,7 +84,7 @@
         statuses = [response_status(await read_http_message(reader)) for _ in range(response_count)]
         assert set(statuses) <= {200, 502, 503}
         assert statuses[0] == 200 or not endpoint.received
-        # Where bytes come in a turn that has been taken already, that is one more step.
+        # Bytes that arrive in a turn with a processing step already done add one more step to it.
         assert 0 < written_responses.max_per_turn <= 2
         assert parsed_events.max_per_turn <= 2 * client_limits.MAX_EVENTS_PER_ITERATION
         parsed_events.stop()
@@ -102,16 +102,14 @@
     monkeypatch.setattr(target, name, count_and_call)
 
 
-SENT_BYTES = {"silent": b"", "half": b"GET /api HTTP/1.1\r\nHost", "asked": http_request(path="/ready")}
-FIXED_DESCRIPTORS = (
-    8  # descriptors for standard streams, the event loop and its wake-up, the listener, and one for a file
-)
+SENT_BYTES = {"silent": b"", "partial": b"GET /api HTTP/1.1\r\nHost", "complete": http_request(path="/ready")}
+FIXED_DESCRIPTORS = 8  # standard streams, event loop and its wake-up sockets, listener, and one for a file
 FLOOD_SIZE = 400
-MAX_WATCH_CONNECTIONS = 2  # one that stands or comes up, and one that is just being closed
+MAX_WATCH_CONNECTIONS = 2  # an open or connecting one, and one that is being closed
 
 
 class ClosingListeningSocket:
-    """A listening socket whose accepted connections have ended at once."""
+    """Listening socket that closes each connection as soon as it is accepted."""
 
     def __init__(self, listener: socket.socket) -> None:
         self._listener = listener
@@ -122,7 +120,7 @@
         return accepted, address
 
 
-async def test_connection_that_ends_while_it_is_accepted_leaves_nothing_behind(
+async def test_connection_that_ends_while_it_is_accepted_releases_its_descriptor(
     proxy: LoopbackProxy, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with monkeypatch.context() as patch:
@@ -150,7 +148,7 @@
 async def connect_flood(
     proxy: LoopbackProxy, kind: str, accepted: list[socket.socket]
 ) -> tuple[list[SocketClient], int]:
-    """Connect 400 clients; return them and the most descriptors that their connections held at once."""
+    """Connect 400 clients. Return them and the maximum number of their descriptors open at the same time."""
     clients = [SocketClient(proxy) for _ in range(FLOOD_SIZE)]
     for number, client in enumerate(clients):
         client.send(SENT_BYTES[kind] if kind != "open" else http_request(request_id=f"r{number}"))
@@ -165,7 +163,7 @@
 async def test_connection_flood_uses_no_more_descriptors_than_its_limit(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Connections count from their accept until their socket is closed. A new client is served afterwards."""
+    """A connection counts from accept until its socket is closed. A new client is served after the flood."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=64) as proxy,
@@ -198,7 +196,7 @@
 
 @contextmanager
 def no_free_descriptors() -> Iterator[None]:
-    """Have the system refuse this process every further descriptor."""
+    """Lower the descriptor limit of the process, so that it can open no further descriptor."""
     with socket.socket() as probe:
         lowest = probe.fileno()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -210,7 +208,7 @@
 
 
 async def make_accepts_fail(proxy: LoopbackProxy, clock: SteppedClock, min_failure_count: int) -> int:
-    """Have at least so many accepts fail for lack of a descriptor, and return how many have failed."""
+    """Make at least `min_failure_count` accepts fail for lack of a descriptor, and return their number."""
     failures = TurnCounter()
     with pytest.MonkeyPatch.context() as patch, no_free_descriptors():
         count_calls(patch, proxy.listener.acceptor.descriptor_faults, "record", failures)
@@ -231,7 +229,7 @@
 async def test_descriptor_shortage_is_logged_once_when_it_begins_and_ends(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """The accept is repeated every 0.05 s; a client that waited is served once the shortage is over."""
+    """The accept is retried every 0.05 s. A waiting client is served once the shortage has ended."""
     caplog.set_level(logging.INFO, logger=ACCEPTOR_LOG)
     quiet_s = repeated_log_lines.QUIET_PERIOD_S + client_limits.SWEEP_INTERVAL_S
     async with (
@@ -276,14 +274,14 @@
 
 
 async def test_bytes_buffered_for_all_clients_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The total limit is exceeded by at most one read for each connection, however much the clients send."""
+    """The total limit is exceeded by at most one read per connection, however much the clients send."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES", 100_000)
     client_count = 40
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         clients = [SocketClient(proxy) for _ in range(client_count)]
         await wait_until(lambda: len(proxy.clients.open_connections) == client_count)
-        for number, client in enumerate(clients):  # all of it before any is read
+        for number, client in enumerate(clients):  # all bytes are sent before any of them are read
             client.socket.setblocking(False)
             client.socket.send(
                 http_request(request_id=f"r{number}")
@@ -291,7 +289,7 @@
             )
         connections = list(proxy.clients.open_connections)
         await wait_until(lambda: all(not connection.transport.is_reading() for connection in connections))
-        assert len(proxy.driver.requests) == client_count  # each with its own request open
+        assert len(proxy.driver.requests) == client_count  # one open request per client
         assert (
             100_000
             < proxy.clients.buffered_total.size_bytes
@@ -307,7 +305,7 @@
 
 
 async def test_connection_is_not_evicted_while_its_request_is_parsed() -> None:
-    """The whole request has been received by then."""
+    """Its request has been received in full and is parsed over several turns of the event loop."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -316,7 +314,7 @@
         client = SocketClient(proxy)
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
         [connection] = proxy.clients.open_connections
-        client.send(chunked_request(2_500))  # in one read, and in 25 turns
+        client.send(chunked_request(2_500))  # received in one read, parsed in 25 turns
         await wait_until(lambda: connection.is_processing_scheduled)
         other = SocketClient(proxy)
         other.send(http_request(request_id="other"))
--- a/tests/net/client/test_disconnected_client_attempts.py
+++ b/tests/net/client/test_disconnected_client_attempts.py
@@ -1,4 +1,4 @@
-"""After a client has disconnected no attempt begins for it, wherever its request waits."""
+"""No attempt begins after the client has disconnected, whatever state its request is in."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("disconnect_kind", DISCONNECT_KINDS)
 @pytest.mark.parametrize("cancel", [True, False])
 async def test_retry_is_not_sent_after_client_disconnects(disconnect_kind: str, cancel: bool) -> None:
-    """The attempt fails in the turn in which its client disconnects, and that failure is read first."""
+    """The attempt fails in the turn of the disconnect, and the event loop reads the failure first."""
 
     async with (
         SilentEndpoint() as first_endpoint,
@@ -95,7 +95,7 @@
     disconnect_kind: str, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The endpoint has capacity again in the turn in which the client of a queued request disconnects."""
-    monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)  # the connection that comes free is taken at once
+    monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)  # the idle connection is reused at once
 
     async with (
         SilentEndpoint() as endpoint,
@@ -110,7 +110,7 @@
         await wait_until(lambda: len(endpoint.received) == sent)
         clients[-1].disconnect(disconnect_kind)
         proxy.oldest_attempt_connection().data_received(http_response(200, b"x"))
-        assert not proxy.driver.balancer.queue  # its turn came
+        assert not proxy.driver.balancer.queue  # the request left the queue
         await wait_until(lambda: len(proxy.clients.open_connections) == sent)
         await run_loop_turns()
         assert len(endpoint.received) == sent == len(proxy.driver.balancer.dispatcher.in_flight) + 1
@@ -121,12 +121,12 @@
             assert has_no_request_state(proxy)
 
 
-DISCONNECT_DETECTION_LIMIT_S = 0.1  # from a client's end to the last attempt that may begin for it
-REQUEST_STATES = ["held", "connecting", "out"]
+DISCONNECT_DETECTION_LIMIT_S = 0.1  # no attempt may begin later than this after the disconnect
+REQUEST_STATES = ["queued", "connecting", "sent"]
 
 
 async def send_until_forwarded(proxy: LoopbackProxy, client: SocketClient, paused: bool) -> ClientConnection:
-    """Send a request, and behind it, where reading is to pause, more bytes than are buffered."""
+    """Send a request, with enough bytes behind it to pause reading if `paused`; wait until it is open."""
     earlier_connections = set(proxy.clients.open_connections)
     client.socket.setblocking(False)
     sent = http_request(request_id="r0") + (
@@ -143,7 +143,7 @@
 
 
 async def fill_endpoint(proxy: LoopbackProxy) -> list[SocketClient]:
-    """Have clients send requests until one more has to wait in the admission queue."""
+    """Send requests from several clients until a further one would wait in the admission queue."""
     clients: list[SocketClient] = []
     while not proxy.driver.balancer.queue:
         clients.append(SocketClient(proxy))
@@ -159,14 +159,14 @@
 ) -> None:
     if request_state == "connecting":
         await wait_until(lambda: gate.started_count == 1)
-    elif request_state == "out":
+    elif request_state == "sent":
         await wait_until(lambda: len(endpoint.received) == 1)
     else:
         assert proxy.driver.balancer.queue
 
 
 async def end_all_attempts(proxy: LoopbackProxy, failing_request_id: str) -> None:
-    """Bring the one request's attempt a failure that may be retried, and all others a response."""
+    """End the attempt of one request with a failure that may be retried, and all others with a response."""
     for (request, _), attempt in list(proxy.driver.requests.attempts.in_flight.items()):
         assert attempt.connection is not None
         attempt.connection.data_received(
@@ -177,7 +177,7 @@
 
 @dataclass
 class WaitingRequest:
-    """A request of a client's that waits at one place of the proxy, and what is around it."""
+    """A request that waits in a given state, with its client and the proxy around it."""
 
     proxy: LoopbackProxy
     endpoint: SilentEndpoint
@@ -185,17 +185,17 @@
     clock: SteppedClock
     client: SocketClient
     connection: ClientConnection
-    other_clients: list[SocketClient]  # clients whose requests fill the endpoint
+    other_clients: list[SocketClient]  # their requests use up the capacity of the endpoint
 
     @property
     def forwarded_ids(self) -> list[str]:
-        """The ids of the client's requests that came to the endpoint."""
+        """Ids of the client's requests that the endpoint received."""
         return [request_id for request_id in self.endpoint.request_ids if not request_id.startswith("c")]
 
 
 @asynccontextmanager
 async def waiting_request(request_state: str, cancel: bool, paused: bool) -> AsyncIterator[WaitingRequest]:
-    """Have a request wait there. The sweep, which is slower to notice a disconnect, is stopped."""
+    """Hold a request in the given state. The sweep, which detects a disconnect later, is stopped."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), settings=settings_with_cancel(cancel)) as proxy,
@@ -204,7 +204,7 @@
         gate, clock = ConnectGates(proxy.pool), FrozenClock()
         if request_state != "connecting":
             gate.open_all()
-        other_clients = await fill_endpoint(proxy) if request_state == "held" else []
+        other_clients = await fill_endpoint(proxy) if request_state == "queued" else []
         client = SocketClient(proxy)
         connection = await send_until_forwarded(proxy, client, paused)
         await wait_for_request_state(request_state, proxy, endpoint, gate)
@@ -221,7 +221,7 @@
 async def test_client_disconnect_is_noticed_before_another_attempt_can_begin(
     disconnect_kind: str, request_state: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At once, or where reading is paused within half of the allowed time: the event loop may be late."""
+    """At once, or within half of the limit while reading is paused, as the event loop may be late."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     async with waiting_request(request_state, cancel, paused) as waiting:
         proxy, connection = waiting.proxy, waiting.connection
@@ -229,7 +229,7 @@
         assert request_id is not None
         waiting.client.disconnect(disconnect_kind)
         await run_loop_turns()
-        if paused:  # the event loop does not see it
+        if paused:  # the event loop cannot detect the disconnect
             assert connection in proxy.clients.open_connections
             waiting.clock.advance(DISCONNECT_DETECTION_LIMIT_S / 2)
             await run_loop_turns()
@@ -237,7 +237,7 @@
         assert request_id not in proxy.driver.requests
         waiting.gate.open_all()
         await end_all_attempts(proxy, failing_request_id=request_id)
-        assert waiting.forwarded_ids == (["r0"] if request_state == "out" else [])
+        assert waiting.forwarded_ids == (["r0"] if request_state == "sent" else [])
         assert not proxy.clients.disconnect_poller.connections
 
 
@@ -249,7 +249,7 @@
 
 @pytest.fixture
 def polled_transports(monkeypatch: pytest.MonkeyPatch) -> list[asyncio.BaseTransport]:
-    """Collect the transports whose sockets are polled for the end of their client."""
+    """Collect the transports whose sockets are polled for a disconnect."""
     polled: list[asyncio.BaseTransport] = []
     is_closed_by_remote = socket_state.is_closed_by_remote
 
@@ -264,7 +264,7 @@
 async def test_only_paused_connections_are_polled_for_a_disconnect(
     polled_transports: list[asyncio.BaseTransport], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Neither an idle connection is polled, nor one with an open request that is being read."""
+    """An idle connection is not polled, and neither is one with an open request whose reading goes on."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         clock, idle, busy = FrozenClock(), SocketClient(proxy), SocketClient(proxy)
@@ -311,7 +311,9 @@
         assert connection.http.has_unparsed_bytes
         client.disconnect(disconnect_kind)
         await run_loop_turns()
-        if disconnect_kind == "half":  # it may still read, and what goes on then is the answer alone
+        if (
+            disconnect_kind == "half"
+        ):  # the client can still read: it gets the response, and nothing else is sent
             client.socket.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client.socket)
             assert len((await read_http_message(reader))[2]) == 65_536
--- a/tests/net/client/test_disconnected_client_requests.py
+++ b/tests/net/client/test_disconnected_client_requests.py
@@ -1,4 +1,4 @@
-"""Requests whose client has disconnected: none is forwarded, wherever it waits."""
+"""Requests whose client has disconnected are not forwarded, wherever they wait."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_http_message(reader)
         client.close()
-        assert await reader.read() == b""  # the proxy closes the attempt's connection
+        assert await reader.read() == b""  # the proxy closes the connection of the attempt
         is_cancelled.set()
 
     async with (
@@ -45,7 +45,7 @@
 async def test_attempt_awaiting_its_connection_is_not_sent_after_client_disconnects(
     class_name: str, cancel: bool
 ) -> None:
-    """Also where attempts must not be cancelled, as this one has not been sent yet."""
+    """This holds with cancellation disabled too, because the attempt has not been sent."""
 
     limits = messages.Limits(max_attempts=3, cancel=cancel)
     async with (
@@ -71,7 +71,7 @@
 async def test_pipelined_request_behind_a_response_is_not_forwarded_after_client_disconnects(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The next request is parsed once the response has been written, after the client's end of stream."""
+    """The next request is parsed after the response is written, and by then the client has disconnected."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
@@ -95,9 +95,10 @@
 
 
 def pipelined_requests(count: int) -> bytes:
-    """Return requests that are read in more than one go, so that a pause holds some of them back.
+    """Return requests that take more than one read, so that a pause leaves some of them unread.
 
-    The rest and the end of the stream fit into the system's receive buffer, so that the end can be seen.
+    The rest and the end of the stream fit into the receive buffer of the socket, so that the end of the
+    stream can be detected.
     """
     body = b"x" * 12_000
     return b"".join(http_request("mark", request_id=f"r{number}", body=body) for number in range(count))
@@ -108,7 +109,7 @@
 async def test_pipelined_request_behind_an_open_request_is_not_forwarded_after_client_disconnects(
     paused: bool, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end of the stream is noticed behind more bytes than are buffered."""
+    """The end of the stream is detected behind more bytes than the proxy buffers."""
     if paused:
         monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     clock, delayed = FrozenClock(), DelayedEndpoint()
@@ -127,7 +128,7 @@
         while not proxy.driver.is_idle:
             clock.advance(client_limits.DISCONNECT_POLL_INTERVAL_S)
             await run_loop_turns()
-        assert clock.advanced_s < 1.0  # the request's deadline has not ended it
+        assert clock.advanced_s < 1.0  # the request was not ended by its deadline
         delayed.may_respond.set()
         attempts = proxy.driver.requests.attempts
         await wait_until(lambda: not attempts.in_flight and not proxy.clients.open_connections)
@@ -138,7 +139,7 @@
 async def test_request_read_after_its_client_disconnected_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its bytes wait in the system while the event loop is busy; an idle connection is available."""
+    """Its bytes wait in the socket while the event loop is busy. An idle connection is available."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
--- a/tests/net/client/test_disconnected_client_writes.py
+++ b/tests/net/client/test_disconnected_client_writes.py
@@ -30,11 +30,11 @@
 from tests.support.stand_in_server import SilentEndpoint, StandInServer
 from tests.support.stepped_clock import run_loop_turns, wait_until
 
-WRITE_PATHS = ["connection comes up", "idle connection", "idle connection settles", "further attempt"]
+WRITE_PATHS = ["connection established", "idle connection", "idle connection settles", "retry"]
 
 
 class WriteHook:
-    """Runs `before_write` between the last look at the clock before an attempt is written, and its write."""
+    """Hook that calls `before_write` after the last clock reading before the write of an attempt."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.is_armed = False
@@ -60,7 +60,7 @@
 
 
 async def open_idle_connections(proxy: LoopbackProxy, endpoints: tuple[StandInServer, StandInServer]) -> None:
-    """Bring the pool one idle connection to each endpoint."""
+    """Open one idle connection to each endpoint in the pool."""
     for address in proxy.driver.endpoint_list.endpoints.by_id.values():
         request = UpstreamRequest(b"GET", b"/", [(b"host", b"x")], b"", is_idempotent=True)
         proxy.pool.start_attempt(address, request, 5.0, lambda outcome, response: None)
@@ -70,7 +70,7 @@
 
 
 async def send_request(proxy: LoopbackProxy, client: SocketClient, paused: bool) -> ClientConnection:
-    """Send a request, and behind it where reading is to pause more than is read; return the connection."""
+    """Send a request, followed by enough bytes to pause reading if `paused`, and return the connection."""
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)
     [connection] = proxy.clients.open_connections
     client.socket.setblocking(False)
@@ -81,14 +81,14 @@
 
 @dataclass
 class InterceptedWrite:
-    """An attempt that was held just before its write, its client and its endpoints."""
+    """An attempt that was intercepted just before its write, with its client and its endpoints."""
 
     proxy: LoopbackProxy
     endpoints: tuple[StandInServer, StandInServer]
     client: SocketClient
     connection: ClientConnection
     gate: ConnectGates
-    requests_before: int  # that came to the endpoints
+    requests_before: int  # requests that the endpoints had received before
 
 
 @asynccontextmanager
@@ -99,7 +99,7 @@
     paused: bool,
     before_write: Callable[[SocketClient], None],
 ) -> AsyncIterator[InterceptedWrite]:
-    """Have a client's attempt written on this path, and `before_write` called just before the write."""
+    """Start an attempt that is written on the given path, and call `before_write` just before the write."""
     async with (
         SilentEndpoint() as first_endpoint,
         SilentEndpoint() as second_endpoint,
@@ -113,13 +113,13 @@
         if write_path.startswith("idle connection"):
             await open_idle_connections(proxy, endpoints)
         gate, client = ConnectGates(proxy.pool), SocketClient(proxy)
-        if write_path in ("connection comes up", "further attempt"):
+        if write_path in ("connection established", "retry"):
             gate.open_all()
         write_hook.before_write = lambda: before_write(client)  # type: ignore[method-assign]
-        write_hook.is_armed = write_path != "further attempt"
+        write_hook.is_armed = write_path != "retry"
         requests_before = request_count(endpoints)
         connection = await send_request(proxy, client, paused)
-        if write_path == "further attempt":
+        if write_path == "retry":
             await wait_until(lambda: request_count(endpoints) == 1)
             await wait_until(lambda: connection.transport.is_reading() is not paused)
             write_hook.is_armed, requests_before = True, 1
@@ -130,7 +130,7 @@
 
 @pytest.fixture
 def write_hook(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> WriteHook:
-    """Hold each write, with limits that the test's paths need."""
+    """Return a hook for the next write, with the limits that the write path under test needs."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     if request.node.callspec.params["write_path"] == "idle connection":
         monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
@@ -144,10 +144,10 @@
 async def test_attempt_is_not_written_when_client_disconnects_after_the_decision(
     disconnect_kind: str, write_path: str, cancel: bool, paused: bool, write_hook: WriteHook
 ) -> None:
-    """The process is held up at the last clock that is read before the write, and the client leaves there.
+    """The client disconnects after the last clock reading before the write, while the process is delayed.
 
-    Its end is with the system by then, behind bytes that are not read where reading is paused; the event
-    loop has not seen it.
+    The socket has received the disconnect, behind unread bytes if reading is paused, but the event loop has
+    not processed it.
     """
     async with intercepted_write(
         write_hook, write_path, cancel, paused, lambda client: client.disconnect(disconnect_kind)
--- a/tests/net/client/test_http_request.py
+++ b/tests/net/client/test_http_request.py
@@ -1,4 +1,4 @@
-"""Parsing the head of a request: what is read from it, and which status rejects it."""
+"""Parsing of a request head: the values read from it, and the status of a rejection."""
 
 from __future__ import annotations
 
--- a/tests/net/client/test_http_server_protocol.py
+++ b/tests/net/client/test_http_server_protocol.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP/1.1 without I/O: bytes are fed by the test, split in any way."""
+"""Server side of the HTTP/1.1 protocol without I/O. The tests pass in the received bytes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def read_request(protocol: HttpServerProtocol) -> tuple[bytes, bytes] | None:
-    """Return the target and body of the next request, or None where it is not complete."""
+    """Return the target and the body of the next request, or None if it is incomplete."""
     target, body = b"", b""
     while True:
         match protocol.next_event():
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -1,4 +1,4 @@
-"""Malformed requests get an error or a close in time, are not forwarded and are not logged."""
+"""Malformed requests get an error response or a close in time, and are neither forwarded nor logged."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import FrozenClock, run_loop_turns, wait_until
 
-CLOSE_DEADLINE_S = 3.0  # after its connect such a peer has got an error or a close
-MAX_LOOP_DELAY_S = 0.15  # of this, kept for an event loop that is late
+CLOSE_DEADLINE_S = 3.0  # from the connect to an error response or a close
+MAX_LOOP_DELAY_S = 0.15  # part of the deadline reserved for event loop lag
 
 CHUNKED_HEAD = http_request("mark", Content_Length="0").replace(
     b"Content-Length: 0", b"Transfer-Encoding: chunked"
@@ -33,29 +33,29 @@
     "HTTP/2": b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\x00\x00\x00\x04\x00\x00\x00\x00\x00",
     "HTTP/0.9": b"GET /api\r\n\r\n",
     "HTTP/3.0": http_request().replace(b"HTTP/1.1", b"HTTP/3.0"),
-    "a method of its own": http_request().replace(b"GET", b"BREW"),
-    "a lower-case method": http_request().replace(b"GET", b"get"),
-    "an absolute target": http_request(path="http://x/api"),
-    "a target for all": http_request(path="*"),
-    "a space in the target": http_request(path="/a b"),
-    "a folded id": http_request(request_id="a\r\n b"),
-    "a folded first header": http_request().replace(b"\r\nHost", b"\r\n Host"),
-    "a space before the colon": http_request().replace(b"Req-Id:", b"Req-Id :"),
+    "unknown method": http_request().replace(b"GET", b"BREW"),
+    "lower-case method": http_request().replace(b"GET", b"get"),
+    "absolute target": http_request(path="http://x/api"),
+    "asterisk target": http_request(path="*"),
+    "space in the target": http_request(path="/a b"),
+    "folded request id": http_request(request_id="a\r\n b"),
+    "folded first header": http_request().replace(b"\r\nHost", b"\r\n Host"),
+    "space before the colon": http_request().replace(b"Req-Id:", b"Req-Id :"),
     "no colon": http_request().replace(b"Req-Id:", b"Req-Id"),
-    "two hosts": http_request(host="y"),
-    "no host": http_request().replace(b"Host: x\r\n", b""),
-    "a chunk size over all sizes": CHUNKED_HEAD + b"f" * 21 + b"\r\n",
-    "a chunk over the limit": CHUNKED_HEAD + b"10001\r\n" + b"x" * 65_537 + b"\r\n0\r\n\r\n",
-    "a negative chunk": CHUNKED_HEAD + b"-1\r\n",
-    "a chunk without its end": CHUNKED_HEAD + b"1\r\nxx\r\n0\r\n\r\n",
-    "an extension without an end": CHUNKED_HEAD + b"1;" + b"x" * 20_000,
-    "a trailer without an end": CHUNKED_HEAD + b"0\r\n" + b"x" * 20_000,
-    "a coding that is none": CHUNKED_HEAD.replace(b"chunked", b"gzip, chunked"),
-    "a header without an end": b"GET /api HTTP/1.1\r\nX: " + b"x" * 20_000,
-    "headers without an end": b"GET /api HTTP/1.1\r\n" + b"X: y\r\n" * 4_000,
-    "a line without an end": b"GET /" + b"x" * 20_000,
-    "a length that is none": http_request("mark", Content_Length="0x5") + b"hello",
-    "two lengths on a line": http_request("mark", Content_Length="5, 6") + b"hello",
+    "two Host headers": http_request(host="y"),
+    "no Host header": http_request().replace(b"Host: x\r\n", b""),
+    "chunk size of 21 digits": CHUNKED_HEAD + b"f" * 21 + b"\r\n",
+    "chunk over the limit": CHUNKED_HEAD + b"10001\r\n" + b"x" * 65_537 + b"\r\n0\r\n\r\n",
+    "negative chunk size": CHUNKED_HEAD + b"-1\r\n",
+    "chunk without its line end": CHUNKED_HEAD + b"1\r\nxx\r\n0\r\n\r\n",
+    "unterminated chunk extension": CHUNKED_HEAD + b"1;" + b"x" * 20_000,
+    "unterminated trailer": CHUNKED_HEAD + b"0\r\n" + b"x" * 20_000,
+    "unsupported transfer coding": CHUNKED_HEAD.replace(b"chunked", b"gzip, chunked"),
+    "unterminated header": b"GET /api HTTP/1.1\r\nX: " + b"x" * 20_000,
+    "unterminated headers": b"GET /api HTTP/1.1\r\n" + b"X: y\r\n" * 4_000,
+    "unterminated request line": b"GET /" + b"x" * 20_000,
+    "non-decimal length": http_request("mark", Content_Length="0x5") + b"hello",
+    "two lengths in one header": http_request("mark", Content_Length="5, 6") + b"hello",
 }
 
 
@@ -64,7 +64,7 @@
 async def test_malformed_request_gets_an_error_and_a_close(
     sent: bytes, piece_size: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """At once, whether it is sent in one piece or byte by byte."""
+    """The response comes at once, whether the request is sent in one piece or byte by byte."""
 
     async with (
         StandInEndpoint(http_response(200)) as endpoint,
@@ -99,17 +99,17 @@
 
 ENDLESS_REQUESTS: dict[str, Callable[[], Iterator[bytes]]] = {
     "silent": lambda: itertools.repeat(b""),
-    "a byte at a time": lambda: byte_by_byte(b"GET /api HTTP/1.1\r\n", b"x"),
-    "lines without an end": lambda: byte_by_byte(b"GET /api HTTP/1.1\r\n", b"X: y\r\n"),
+    "byte by byte": lambda: byte_by_byte(b"GET /api HTTP/1.1\r\n", b"x"),
+    "endless headers": lambda: byte_by_byte(b"GET /api HTTP/1.1\r\n", b"X: y\r\n"),
     "empty lines": lambda: itertools.repeat(b"\r\n"),
-    "a request that stops": lambda: itertools.chain([http_request()[:-2]], itertools.repeat(b"")),
+    "incomplete request": lambda: itertools.chain([http_request()[:-2]], itertools.repeat(b"")),
     "chunks": lambda: itertools.chain([CHUNKED_HEAD], itertools.repeat(b"1\r\nx\r\n")),
-    "a huge chunk": lambda: itertools.chain([CHUNKED_HEAD + b"f" * 17 + b"\r\n"], itertools.repeat(b"x")),
-    "an extension": lambda: itertools.chain([CHUNKED_HEAD, b"1;"], itertools.repeat(b"x")),
-    "a body that stops": lambda: itertools.chain(
+    "huge chunk": lambda: itertools.chain([CHUNKED_HEAD + b"f" * 17 + b"\r\n"], itertools.repeat(b"x")),
+    "chunk extension": lambda: itertools.chain([CHUNKED_HEAD, b"1;"], itertools.repeat(b"x")),
+    "incomplete body": lambda: itertools.chain(
         [http_request("mark", Content_Length="9")], itertools.repeat(b"")
     ),
-    "a body byte by byte": lambda: itertools.chain(
+    "body byte by byte": lambda: itertools.chain(
         [http_request("mark", Content_Length="9999")], itertools.repeat(b"x")
     ),
 }
@@ -119,7 +119,7 @@
 async def test_connection_of_an_endless_request_is_closed_in_time(
     kind: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """However it goes on sending: a byte or a line each 0.05 s, on a stepped clock."""
+    """The client goes on sending, a byte or a line each 0.05 s on a stepped clock."""
 
     async with (
         StandInEndpoint(http_response(200)) as endpoint,
@@ -148,7 +148,7 @@
 async def test_client_that_sends_60_mb_gets_an_error_and_a_close(
     head: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Its bytes are read and dropped for a while, so that a reset does not destroy the error response."""
+    """Its bytes are read and discarded for a while, so that a reset does not destroy the error response."""
 
     async with (
         StandInEndpoint(http_response(200)) as endpoint,
@@ -175,12 +175,12 @@
 
 
 VALID_REQUESTS = {
-    "usual": http_request("mark", "f1", "/api?a=b", b"hello"),
-    "no spaces": http_request("mark", "f1", "/api?a=b", b"hello").replace(b": ", b":"),
-    "spaces": http_request("mark", "f1", "/api?a=b", b"hello").replace(b": ", b": \t "),
-    "case": http_request("mark", "f1", "/api?a=b", b"hello").replace(b"Req-Id", b"rEQ-iD"),
-    "an empty line before": b"\r\n" + http_request("mark", "f1", "/api?a=b", b"hello"),
-    "an empty line behind": http_request("mark", "f1", "/api?a=b", b"hello") + b"\r\n",
+    "canonical": http_request("mark", "f1", "/api?a=b", b"hello"),
+    "no spaces after colons": http_request("mark", "f1", "/api?a=b", b"hello").replace(b": ", b":"),
+    "extra spaces after colons": http_request("mark", "f1", "/api?a=b", b"hello").replace(b": ", b": \t "),
+    "mixed-case header name": http_request("mark", "f1", "/api?a=b", b"hello").replace(b"Req-Id", b"rEQ-iD"),
+    "leading empty line": b"\r\n" + http_request("mark", "f1", "/api?a=b", b"hello"),
+    "trailing empty line": http_request("mark", "f1", "/api?a=b", b"hello") + b"\r\n",
     "chunks": CHUNKED_HEAD.replace(b"Req-Id: a1", b"Req-Id: f1").replace(b"/api", b"/api?a=b")
     + b"003;x=y\r\nhel\r\n2;z\r\nlo\r\n0;end\r\nTrailer: t\r\n\r\n",
 }
@@ -189,7 +189,7 @@
 @pytest.mark.parametrize("kind", VALID_REQUESTS)
 @pytest.mark.parametrize("piece_size", [1, 2, 7])
 async def test_valid_requests_are_forwarded_in_any_form_and_split(kind: str, piece_size: int) -> None:
-    """Two pipelined requests: each gets its own response, and is forwarded unchanged."""
+    """Of two pipelined requests each is forwarded unchanged and gets its own response."""
 
     second = VALID_REQUESTS[kind].replace(b"f1", b"f2")
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
@@ -215,7 +215,7 @@
 
 @pytest.mark.parametrize("sent_together", [True, False])
 async def test_empty_lines_after_a_request_leave_the_connection_idle(sent_together: bool) -> None:
-    """They get no response, and the idle time of the connection is not extended."""
+    """Empty lines get no response and do not extend the idle time of the connection."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         client = SocketClient(proxy)
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -1,4 +1,4 @@
-"""A request that was read in part gets an error response, whatever ends its connection."""
+"""A partially received request gets an error response, whatever closes its connection."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint, StandInServer
 from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 
-STATUS_BY_REASON = {"time": 408, "room": 503, "exit": 503}
+STATUS_BY_REASON = {"timeout": 408, "eviction": 503, "shutdown": 503}
 
 
 async def send_and_wait_until_read(
     proxy: LoopbackProxy, client: SocketClient, sent: bytes
 ) -> ClientConnection:
-    """Send the bytes, and return the client's connection once they have been read."""
+    """Send the bytes, and return the connection of the client once it has a pending request."""
     client.send(sent)
     name = client.socket.getsockname()
 
@@ -62,11 +62,11 @@
 async def close_connection(
     reason: str, proxy: LoopbackProxy, clock: SteppedClock, connection: ClientConnection
 ) -> SocketClient | None:
-    """Have the connection closed for this reason, and return the client that it makes room for."""
+    """Close the connection for the given reason. For an eviction, return the client that caused it."""
     new_client = None
-    if reason == "time":
+    if reason == "timeout":
         clock.advance(client_limits.REQUEST_TIMEOUT_S + client_limits.SWEEP_INTERVAL_S)
-    elif reason == "room":
+    elif reason == "eviction":
         new_client = SocketClient(proxy)
     else:
         proxy.listener.close()
@@ -76,7 +76,7 @@
 
 
 async def read_final_response(reader: asyncio.StreamReader) -> HttpMessage:
-    """Return the next response that is not an interim one."""
+    """Return the next response that is not an interim response."""
     response = await read_http_message(reader)
     return await read_http_message(reader) if response_status(response) == 100 else response
 
@@ -112,7 +112,7 @@
 
 
 async def test_unused_connection_is_evicted_before_one_with_a_partial_request() -> None:
-    """Although the connection with the partial request is the older one."""
+    """This holds although the connection with the partial request is the older one."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize("stop_position", PARTIAL_REQUESTS)
 async def test_connection_with_a_later_partial_request_is_not_evicted(stop_position: str) -> None:
-    """The connection has served a complete request before."""
+    """The connection has served a complete request before the partial one."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -154,8 +154,8 @@
         await wait_until(lambda: not proxy.clients.open_connections)
 
 
-async def test_open_request_is_not_answered_503_at_exit() -> None:
-    """It may have run. An incomplete request is answered 503, as nothing of it was forwarded."""
+async def test_open_request_is_not_answered_503_at_shutdown() -> None:
+    """The open request may have run. A partial request is answered 503, as nothing of it was forwarded."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         busy, partial_client = SocketClient(proxy), SocketClient(proxy)
@@ -174,16 +174,16 @@
 
 @contextmanager
 def raising_fault(fault_position: str, proxy: LoopbackProxy, connection: ClientConnection) -> Iterator[None]:
-    """Have an exception raised as a request is parsed, as it is complete or once the driver has it."""
+    """Raise an exception while a request is parsed, when it is complete or after the driver accepted it."""
     accept_request = proxy.driver.accept_request
 
     def fail(*requests: ClientRequest) -> str:
-        if fault_position == "taken over":
+        if fault_position == "accepted":
             accept_request(*requests)
-        raise KeyError("a fault")
+        raise KeyError("fault in a request")
 
     with pytest.MonkeyPatch.context() as patch:
-        if fault_position == "read":
+        if fault_position == "parsing":
             patch.setattr(connection.http, "next_event", fail)
         else:
             patch.setattr(proxy.driver, "accept_request", fail)
@@ -197,11 +197,11 @@
     connection.data_received(http_response(200))
 
 
-@pytest.mark.parametrize("fault_position", ["read", "whole", "taken over"])
-async def test_exception_over_a_request_is_answered_500_and_spares_other_requests(
+@pytest.mark.parametrize("fault_position", ["parsing", "complete", "accepted"])
+async def test_exception_in_a_request_is_answered_500_and_does_not_affect_other_requests(
     fault_position: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The status is 500 and not 503, as the exception may come after an attempt has begun."""
+    """The status is 500 and not 503, because the exception may be raised after an attempt has begun."""
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         other, client = SocketClient(proxy), SocketClient(proxy)
         await send_and_wait_until_read(proxy, other, http_request(request_id="other"))
@@ -215,8 +215,8 @@
         response = await read_http_message(reader)
         assert response_status(response) == 500
         assert closes_connection(response)
-        if fault_position == "taken over":
-            await respond_to_latest_attempt(proxy, endpoint)  # it comes too late
+        if fault_position == "accepted":
+            await respond_to_latest_attempt(proxy, endpoint)  # this response arrives after the final response
         assert await reader.read() == b""
         writer.close()
         assert caplog.text.count("Traceback") == 1
@@ -228,7 +228,7 @@
 
 
 async def test_request_completed_after_the_shutdown_deadline_is_answered_503() -> None:
-    """The shutdown has ended all requests by then, and no time is left for another."""
+    """The shutdown has ended all requests by then, and no time remains for a new one."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         client, request = SocketClient(proxy), http_request(request_id="late")
@@ -253,7 +253,7 @@
 async def test_eviction_examines_a_bounded_number_of_partial_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """There may be as many connections as descriptors, and as many new ones in a second."""
+    """There can be as many connections as descriptors, and as many new ones each second."""
     connection_limit = 2 * client_limits.MAX_SILENT_CANDIDATES
     examined_count = 0
     has_pending_request = ClientConnection.has_pending_request.fget  # type: ignore[attr-defined]
@@ -277,13 +277,13 @@
             and proxy.clients.descriptor_count == connection_limit
         )
         await wait_until(lambda: examined_count > 0)
-        assert examined_count <= client_limits.MAX_SILENT_CANDIDATES + 1  # and the one that makes room
+        assert examined_count <= client_limits.MAX_SILENT_CANDIDATES + 1  # and the evicted connection
         for client in [*clients, new_client]:
             client.disconnect("RST")
         await wait_until(lambda: not proxy.clients.open_connections)
 
 
-@pytest.mark.parametrize("stop_position", ["in the first line", "in the body", "between chunks"])
+@pytest.mark.parametrize("stop_position", ["in the request line", "in the body", "between chunks"])
 async def test_partial_request_gets_an_error_when_the_process_is_terminated(
     stop_position: str, tmp_path: Path
 ) -> None:
--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -1,4 +1,4 @@
-"""Requests that a client sends ahead: each waits for its turn, with its own deadline."""
+"""Pipelined requests: each is processed in order and has its own deadline."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def record_times_remaining(proxy: LoopbackProxy, monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """Collect the seconds left to each request as the driver gets it."""
+    """Record the time remaining of each request when the driver accepts it, in seconds."""
     times_remaining_s: list[float] = []
     accept_request = proxy.driver.accept_request
 
@@ -32,7 +32,7 @@
 async def test_deadline_of_a_pipelined_request_counts_from_its_last_byte(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """However long it waited behind other requests, and whenever these were received."""
+    """This holds however long it waits behind other requests, and whenever those were received."""
     clock, delayed = FrozenClock(), DelayedEndpoint()
     async with (
         StandInServer(delayed.handle) as endpoint,
@@ -88,7 +88,9 @@
         await wait_until(lambda: connection.transport.get_write_buffer_size() > 0)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert len(endpoint.received) == 1  # what is not read holds the next one back: guards memory
+        assert (
+            len(endpoint.received) == 1
+        )  # an unread response delays the next request, which bounds memory use
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(2):
             assert len((await read_http_message(reader))[2]) == size
--- a/tests/net/client/test_policy_faults.py
+++ b/tests/net/client/test_policy_faults.py
@@ -1,4 +1,4 @@
-"""Exceptions and silence of the policy: each request still gets one final response."""
+"""Each request gets one final response although the policy raises an exception or returns no action."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     ):
 
         def raise_fault(now: int, event: messages.Event) -> list[messages.Action]:
-            raise ZeroDivisionError("a fault")
+            raise ZeroDivisionError("fault in the policy")
 
         with monkeypatch.context() as patch:
             patch.setattr(proxy.driver.balancer, "handle", raise_fault)
             assert response_status(await proxy.send_request(http_request())) == 502
-        assert "ZeroDivisionError: a fault" in caplog.text
+        assert "ZeroDivisionError: fault in the policy" in caplog.text
         assert response_status(await proxy.send_request(http_request())) == 200
 
 
-async def test_policy_exception_over_an_outcome_is_answered_502(
+async def test_policy_exception_on_an_outcome_is_answered_502(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -45,7 +45,7 @@
 
         def handle_with_fault(now: int, event: messages.Event) -> list[messages.Action]:
             if isinstance(event, messages.TimerFired | messages.AttemptEnded):
-                raise RuntimeError("a fault")
+                raise RuntimeError("fault in the policy")
             return handle(now, event)
 
         monkeypatch.setattr(proxy.driver.balancer, "handle", handle_with_fault)
@@ -63,7 +63,7 @@
         "handle",
         lambda now, event: [messages.StartAttempt("x", 1, 1), messages.Reject(event.id)],
     )
-    monkeypatch.setattr(proxy.driver.attempts, "start", None)  # can't be called
+    monkeypatch.setattr(proxy.driver.attempts, "start", None)  # calling it raises an exception
     assert response_status(await proxy.send_request(http_request())) == 503
 
 
--- a/tests/net/client/test_receive_buffer.py
+++ b/tests/net/client/test_receive_buffer.py
@@ -1,4 +1,4 @@
-"""Bytes received before their turn: in order, with their times, and counted over all connections."""
+"""Buffer of received bytes: their order, their times, and their count over all connections."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 def test_beyond_the_total_maximum_only_non_empty_buffers_are_over_limit(
     total: BufferedTotal, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An empty connection would otherwise not be read again as long as others are full."""
+    """Otherwise a connection without buffered bytes would not be read while other buffers fill the total."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES", 3)
     full, little, empty = (ReceiveBuffer(total) for _ in range(3))
     full.append(1.0, b"abc")
--- a/tests/net/client/test_request_forwarding.py
+++ b/tests/net/client/test_request_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests of clients over real sockets: what is forwarded, and what comes back."""
+"""Client requests over real sockets: the forwarded request and the returned response."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 async def test_long_claimed_deadline_does_not_affect_other_requests(proxy: LoopbackProxy) -> None:
-    """Each deadline is capped by the class, and says nothing of the age of other requests."""
+    """Each deadline is capped by that of the class, and does not make other requests appear older."""
 
     assert response_status(await proxy.send_request(http_request(Req_Deadline="3600"))) == 200
     assert response_status(await proxy.send_request(http_request(request_id="a2"))) == 200
@@ -128,7 +128,7 @@
 
 @pytest.fixture
 def policy_clock(monkeypatch: pytest.MonkeyPatch) -> Callable[[], SteppedClock]:
-    """Return what makes a clock that steps both the running event loop and the policy."""
+    """Return a function that makes a clock for both the running event loop and the policy."""
 
     def make_clock() -> SteppedClock:
         clock, now_us = FrozenClock(), Clock.now_us
@@ -139,7 +139,7 @@
 
 
 class HeldConnects:
-    """Holds each connect of a pool until one more is permitted."""
+    """Delays each connect of a pool until a permit is released."""
 
     def __init__(self, pool: ConnectionPool, monkeypatch: pytest.MonkeyPatch) -> None:
         self.started_count = 0
@@ -156,7 +156,7 @@
 async def test_deadline_header_holds_the_time_remaining_when_the_attempt_is_written(
     policy_clock: Callable[[], SteppedClock], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """That of the first attempt and of the retry, although each connection is established late."""
+    """This holds for the first attempt and for the retry, although each connection is established late."""
     clock = policy_clock()
     async with (
         StandInEndpoint(http_response(500)) as endpoint,
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -1,4 +1,4 @@
-"""Requests that are not served: the status of each response, and that nothing is forwarded wrongly."""
+"""Rejected requests: the status of each response, and no request is forwarded by mistake."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
         assert response_status(await read_http_message(reader)) == 200
         assert (
             response_status(await proxy.send_request(http_request(request_id="same"))) == 200
-        )  # over, so it may come again
+        )  # the id is free once its request has ended
         writer.close()
         assert len(delayed.request_ids) == 2
         assert not proxy.clients.open_request_ids
@@ -124,7 +124,9 @@
         ) as proxy,
     ):
         response = await proxy.send_request(http_request("pay"))
-        assert response_status(response) == 503  # it never ran, so even an unsafe one is refused
+        assert (
+            response_status(response) == 503
+        )  # the request never ran, so even an unsafe one is answered 503
         assert 0.0 < float(response[1]["retry-after"]) <= 2.0
     async with (
         StandInEndpoint(http_response(503, Srv_Declined="1")) as endpoint,
@@ -152,7 +154,7 @@
     ):
         assert (
             response_status(await proxy.send_request(http_request())) == 502
-        )  # no refusal: coming again would not help
+        )  # not 503, as sending the request again would not help
         assert len(endpoint.received) == 1
         [endpoint_state] = proxy.driver.balancer.endpoints.states.values()
         assert endpoint_state.failure_penalty_ends_us == []
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -1,7 +1,7 @@
-"""The whole proxy between faulty endpoints and clients that disconnect, checked from outside.
+"""Random runs of the whole proxy with faulty endpoints and disconnecting clients, checked at its sockets.
 
-How an endpoint treats a request depends on the seed and the request alone. Times are long, and the test steps
-the clock whenever nothing else happens: the real time that passes does not matter.
+The behavior of an endpoint depends on the seed and the request alone. Times are long, and the test advances a
+stepped clock whenever nothing else happens, so the real time that passes does not matter.
 """
 
 from __future__ import annotations
@@ -39,8 +39,8 @@
 STEP_S = 5.0
 RETRY_WINDOW_S = 60.0
 CONNECT_TIMEOUT_S = 5.0
-IDLE_TURNS = 40  # of the loop without any news: then all wait for the clock
-MAX_ATTEMPTS = 3  # attempts
+IDLE_TURNS = 40  # turns of the event loop without an event, after which everything waits for the clock
+MAX_ATTEMPTS = 3
 CLASSES = (
     messages.RequestClass("read", 200 * SECOND_US, 500 * SECOND_US, messages.Idempotency.SAFE),
     messages.RequestClass(
@@ -62,11 +62,11 @@
     messages.RequestClass("pay", 200 * SECOND_US, 500 * SECOND_US),
 )
 BEHAVIOR_WEIGHTS = {
-    "answer": 12,
-    "answer twice": 2,
-    "answer, late again": 2,
-    "answer, then end": 2,
-    "answer after a while": 3,
+    "response": 12,
+    "response twice": 2,
+    "response, late duplicate": 2,
+    "response, then end": 2,
+    "response, delayed": 3,
     "no length, end": 3,
     "no length, reset": 2,
     "500": 2,
@@ -84,18 +84,18 @@
 
 @dataclass
 class ReceivedAttempt:
-    """An attempt as its endpoint received it."""
+    """An attempt as received by its endpoint."""
 
     received_at_s: float
     step: int
     cell: int
     behavior: str
     connection: EndpointConnection
-    is_finished: bool = False  # the endpoint has said its last word on it
+    is_finished: bool = False  # the endpoint has sent all that it sends for this attempt
 
     @property
     def is_open(self) -> bool:
-        """Is it still out, on a connection that is still open?"""
+        """Whether the endpoint still has to respond and the connection is still open."""
         if self.is_finished or self.connection.is_closed:
             return False
         try:
@@ -108,12 +108,12 @@
 
 @dataclass
 class SentRequest:
-    """A request that a client sent, and what came of it."""
+    """A request sent by a client, with its attempts and its result."""
 
     class_name: str
     attempts: list[ReceivedAttempt] = field(default_factory=list)
-    status: int = 0  # of its answer
-    ended_step: int | None = None  # the step in which it was answered or its client left
+    status: int = 0  # of its response
+    ended_step: int | None = None  # the step in which it was answered or its client disconnected
 
 
 class FaultyProxyRun:
@@ -121,8 +121,8 @@
         self.seed, self.proxy = seed, proxy
         self.clock: SteppedClock = proxy.use_stepped_clock()
         self.step = 0
-        self.event_count = 0  # counts whatever happens
-        self.pending_late_responses = 0  # second answers that are still to come
+        self.event_count = 0  # incremented on each event at a client or an endpoint
+        self.pending_late_responses = 0  # duplicate responses that are not sent yet
         self.requests: dict[str, SentRequest] = {}
         self.faults: list[str] = []
 
@@ -137,14 +137,14 @@
             request_id = request[1].get("req-id", "none")
             sent = self.requests.get(request_id)
             if sent is None:
-                self.faults.append(f"{request_id}: no client sent this")
+                self.faults.append(f"{request_id}: no client sent this request")
                 return
             rng = random.Random(f"{self.seed} {request_id} {len(sent.attempts)}")
             [behavior] = rng.choices([*BEHAVIOR_WEIGHTS], [*BEHAVIOR_WEIGHTS.values()])
             attempt = ReceivedAttempt(self.now(), self.step, cell, behavior, connection)
             self.check_attempt(request_id, sent, attempt)
             sent.attempts.append(attempt)
-            with contextlib.suppress(OSError):  # the proxy may have left
+            with contextlib.suppress(OSError):  # the proxy may have closed the connection
                 await self.respond(rng, attempt, http_response(200, request_id.encode()), request_id)
             self.event_count += 1
 
@@ -154,14 +154,14 @@
         self, rng: random.Random, attempt: ReceivedAttempt, response: bytes, request_id: str
     ) -> None:
         behavior = attempt.behavior
-        if behavior in ("answer after a while", "silent, then reset"):
+        if behavior in ("response, delayed", "silent, then reset"):
             until_step = self.step + rng.randrange(1, 12)
             while self.step < until_step and attempt.is_open:
                 await asyncio.sleep(0)
             if not attempt.is_open:
                 return
         attempt.is_finished = behavior != "silent"
-        if behavior.startswith("answer"):
+        if behavior.startswith("response"):
             await self.send_valid_response(rng, attempt, response)
         else:
             self.send_faulty_response(rng, attempt, response, HEAD_WITHOUT_LENGTH + request_id.encode())
@@ -171,18 +171,18 @@
     ) -> None:
         connection = attempt.connection
         match attempt.behavior:
-            case "answer" | "answer after a while":
+            case "response" | "response, delayed":
                 connection.send(response)
-            case "answer twice":
+            case "response twice":
                 connection.send(response + response)
-            case "answer, late again":
+            case "response, late duplicate":
                 connection.send(response)
                 self.pending_late_responses += 1
                 for _ in range(rng.randrange(IDLE_TURNS)):
                     await asyncio.sleep(0)
                 self.pending_late_responses -= 1
                 connection.send(response)
-            case "answer, then end":
+            case "response, then end":
                 connection.send(response)
                 connection.end_sending()
 
@@ -212,33 +212,33 @@
                 connection.end_sending()
 
     def check_attempt(self, request_id: str, sent: SentRequest, attempt: ReceivedAttempt) -> None:
-        """The rules, as a further attempt comes in."""
+        """Record each rule that the new attempt violates."""
         earlier_attempts = sent.attempts
         if sent.ended_step is not None and attempt.step > sent.ended_step:
-            self.faults.append(f"{request_id}: sent after its end")
+            self.faults.append(f"{request_id}: attempt after the request had ended")
         if any(attempt.is_open for attempt in earlier_attempts):
             self.faults.append(
-                f"{request_id}: sent while another attempt is open, behaviors so far: "
+                f"{request_id}: attempt while another one is open, earlier behaviors: "
                 f"{[attempt.behavior for attempt in earlier_attempts]}"
             )
         if len(earlier_attempts) >= MAX_ATTEMPTS:
             self.faults.append(f"{request_id}: too many attempts")
         ran = [attempt for attempt in earlier_attempts if attempt.behavior != "declined"]
         if ran and sent.class_name == "pay":
-            self.faults.append(f"{request_id}: unsafe, and sent again after {ran[0].behavior}")
+            self.faults.append(f"{request_id}: unsafe request retried after {ran[0].behavior}")
         if (
             ran
             and sent.class_name in ("write", "mark")
             and attempt.received_at_s - ran[0].received_at_s > RETRY_WINDOW_S
         ):
-            self.faults.append(f"{request_id}: sent again after its window")
+            self.faults.append(f"{request_id}: retried after its retry window")
         if ran and sent.class_name == "write" and attempt.cell != ran[0].cell:
-            self.faults.append(f"{request_id}: sent again in another cell")
+            self.faults.append(f"{request_id}: retried in another cell")
 
     # Clients
 
     async def run_client(self, number: int, request_count: int) -> None:
-        """Send requests one after another, on a new connection wherever the last one is over."""
+        """Send requests one after another, on a new connection whenever the previous one was closed."""
         rng = random.Random(f"{self.seed} client {number}")
         streams = None
         for index in range(request_count):
@@ -252,15 +252,15 @@
     async def send_request(
         self, rng: random.Random, request_id: str, class_name: str, streams: StreamPair
     ) -> bool:
-        """Send one request and check its response, or leave; return whether the connection goes on."""
+        """Send one request and check its response, or disconnect. Return whether the connection is kept."""
         reader, writer = streams
         body = b"" if class_name == "read" else b"b" * rng.randrange(2000)
-        leaves_after = rng.randrange(30) if rng.random() < 0.2 else None
+        disconnect_after_turns = rng.randrange(30) if rng.random() < 0.2 else None
         sent = self.requests[request_id] = SentRequest(class_name)
         writer.write(http_request(class_name, request_id=request_id, body=body, Req_Deadline="500"))
         pending_response = asyncio.ensure_future(read_http_message(reader))
-        if leaves_after is not None:
-            await run_loop_turns(leaves_after)
+        if disconnect_after_turns is not None:
+            await run_loop_turns(disconnect_after_turns)
             if not pending_response.done():
                 pending_response.cancel()
                 writer.transport.abort()
@@ -270,7 +270,7 @@
         try:
             response = await pending_response
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.faults.append(f"{request_id}: lost")
+            self.faults.append(f"{request_id}: connection lost before the response")
             return False
         self.event_count += 1
         sent.ended_step, sent.status = self.step, response_status(response)
@@ -278,13 +278,13 @@
         return not closes_connection(response)
 
     def check_response(self, request_id: str, sent: SentRequest, body: bytes) -> None:
-        """The rules, as the final answer comes in. A second one would be taken for the next request's."""
+        """Record a final response that violates a rule. A duplicate would be read as the next response."""
         valid_behaviors = {
-            "answer",
-            "answer twice",
-            "answer, late again",
-            "answer, then end",
-            "answer after a while",
+            "response",
+            "response twice",
+            "response, late duplicate",
+            "response, then end",
+            "response, delayed",
         }
         ran = [attempt for attempt in sent.attempts if attempt.behavior != "declined"]
         match sent.status:
@@ -292,25 +292,33 @@
                 if body != request_id.encode() or not any(
                     attempt.behavior in {*valid_behaviors, "no length, end"} for attempt in sent.attempts
                 ):
-                    self.faults.append(f"{request_id}: served with {body!r}, which no endpoint made for it")
+                    self.faults.append(
+                        f"{request_id}: answered 200 with body {body!r}, which no endpoint sent for it"
+                    )
             case 503:
                 if ran and sent.class_name in ("write", "pay"):
-                    self.faults.append(f"{request_id}: refused, though it may have run by {ran[0].behavior}")
+                    self.faults.append(
+                        f"{request_id}: answered 503, though it may have run: {ran[0].behavior}"
+                    )
             case 502:
                 pass
             case other:
-                self.faults.append(f"{request_id}: answered {other}")
+                self.faults.append(f"{request_id}: unexpected status {other}")
 
     async def run_clients(self, client_count: int, request_count: int) -> None:
         tasks = [
             asyncio.ensure_future(self.run_client(index, request_count)) for index in range(client_count)
         ]
         while not all(task.done() for task in tasks):
-            seen, still = self.event_count, 0
-            while still < IDLE_TURNS:
+            last_event_count, idle_turns = self.event_count, 0
+            while idle_turns < IDLE_TURNS:
                 await asyncio.sleep(0)
-                still = still + 1 if self.event_count == seen and not self.pending_late_responses else 0
-                seen = self.event_count
+                idle_turns = (
+                    idle_turns + 1
+                    if self.event_count == last_event_count and not self.pending_late_responses
+                    else 0
+                )
+                last_event_count = self.event_count
             self.step += 1
             self.clock.advance(STEP_S)
         for task in tasks:
@@ -328,7 +336,7 @@
 
 @asynccontextmanager
 async def running_proxy_with_faults(seed: int) -> AsyncIterator[FaultyProxyRun]:
-    """Run a proxy before six endpoints that are as faulty as the seed says, and one that refuses connects."""
+    """Run a proxy with six endpoints whose faults depend on the seed, and one that refuses connects."""
     runs: list[FaultyProxyRun] = []
 
     def handler(cell: int) -> ConnectionHandler:
@@ -338,9 +346,9 @@
         return handle
 
     async with AsyncExitStack() as stack:
-        closed = stack.enter_context(socket.socket())
-        closed.bind(("127.0.0.1", 0))
-        entries = [endpoint_entry("s-closed", closed.getsockname()[1])]
+        closed_socket = stack.enter_context(socket.socket())
+        closed_socket.bind(("127.0.0.1", 0))
+        entries = [endpoint_entry("s-closed", closed_socket.getsockname()[1])]
         for number in range(6):
             endpoint = await stack.enter_async_context(RawEndpoint(handler(number % 2)))
             entries.insert(number, endpoint_entry(f"s-{number}", endpoint.port, pod_group=number % 2))
@@ -364,7 +372,7 @@
     async with running_proxy_with_faults(seed) as run:
         await run.run_clients(client_count=8, request_count=25)
         assert run.faults == []
-        # The world does reach what it is to check.
+        # The run reaches the cases that it checks.
         sent_requests = run.requests.values()
         assert len(sent_requests) == 200
         assert sum(request.status == 200 for request in sent_requests) > 40
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -25,31 +25,31 @@
 from tests.support.stand_in_server import SilentEndpoint, StandInEndpoint
 from tests.support.stepped_clock import FrozenClock, SteppedClock, run_loop_turns, wait_until
 
-CLOSE_DEADLINE_S = 3.0  # from its connect, or from the first byte of a later request, to an error or a close
-MAX_LOOP_DELAY_S = (
-    0.15  # the event loop is late by so much, as it takes a client in and whenever it checks it
-)
+CLOSE_DEADLINE_S = 3.0  # from the connect, or from the first byte of a later request, to an error or a close
+MAX_LOOP_DELAY_S = 0.15  # event loop lag when a client is accepted and at each check of it
 
 COMPLETE_REQUEST = http_request("mark", request_id="stalled", body=b"x" * 2_000)
 HEAD_SIZE = len(COMPLETE_REQUEST) - 2_000
 PARTIAL_REQUESTS = {
-    "in the first line": COMPLETE_REQUEST[:9],
+    "in the request line": COMPLETE_REQUEST[:9],
     "in the head": COMPLETE_REQUEST[:60],
-    "before the head's end": COMPLETE_REQUEST[: HEAD_SIZE - 1],
+    "before the end of the head": COMPLETE_REQUEST[: HEAD_SIZE - 1],
     "before the body": COMPLETE_REQUEST[:HEAD_SIZE],
     "in the body": COMPLETE_REQUEST[: HEAD_SIZE + 1_000],
     "before the last byte": COMPLETE_REQUEST[:-1],
     "before a chunk": CHUNKED_HEAD,
-    "in a chunk's size": CHUNKED_HEAD + b"1",
+    "in a chunk size": CHUNKED_HEAD + b"1",
     "in a chunk": CHUNKED_HEAD + b"5\r\nab",
     "between chunks": CHUNKED_HEAD + b"5\r\nabcde\r\n",
     "before the last chunk": CHUNKED_HEAD + b"5\r\nabcde\r\n0\r\n",
-    "after a 100": http_request("mark", request_id="stalled", Expect="100-continue", Content_Length="9"),
+    "after a 100 response": http_request(
+        "mark", request_id="stalled", Expect="100-continue", Content_Length="9"
+    ),
 }
 
 
 class LateSweeps:
-    """Steps the clock to each sweep of the connections, as late as an event loop may be."""
+    """Sweeps of the client connections, each with the maximum event loop lag on a stepped clock."""
 
     def __init__(self, listener: ClientListener, clock: SteppedClock) -> None:
         self._listener, self.clock = listener, clock
@@ -63,7 +63,7 @@
 
 
 def error_or_close(client: SocketClient) -> bool:
-    """Return whether the client has received an error response, an end or a reset."""
+    """Return whether the client has received an error response, an end of stream or a reset."""
     client.socket.setblocking(False)
     try:
         received = client.socket.recv(65_536)
@@ -86,7 +86,7 @@
 
 
 async def serve_first_request(client: SocketClient, clock: SteppedClock) -> StreamPair:
-    """Have the client's first request answered, and let the connection be idle for a while."""
+    """Serve the first request of the client, and leave the connection idle for 5 s."""
     client.send(http_request(request_id="good"))
     reader, writer = await client.streams()
     assert response_status(await read_http_message(reader)) == 200
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("stop_position", PARTIAL_REQUESTS)
-@pytest.mark.parametrize("phase", ["first", "after a good one", "at the end"])
+@pytest.mark.parametrize("phase", ["first request", "later request", "shutdown"])
 async def test_stalled_client_gets_an_error_or_a_close_in_time(
     endpoint: StandInEndpoint,
     proxy: LoopbackProxy,
@@ -104,22 +104,20 @@
     phase: str,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Wherever it stalls, with each sweep late, and also during the shutdown."""
+    """This holds wherever it stalls, with each sweep late, and also during the shutdown."""
     clock, client = FrozenClock(), SocketClient(proxy)
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)
     sweeps = LateSweeps(proxy.listener, clock)
-    streams = await serve_first_request(client, clock) if phase == "after a good one" else None
-    started_at_s = clock.advanced_s - MAX_LOOP_DELAY_S  # it was taken in that late
+    streams = await serve_first_request(client, clock) if phase == "later request" else None
+    started_at_s = clock.advanced_s - MAX_LOOP_DELAY_S  # the accept was late by this much
     client.send(PARTIAL_REQUESTS[stop_position])
     [connection] = proxy.clients.open_connections
     await wait_until(lambda: not connection.is_idle)
-    if phase == "at the end":
+    if phase == "shutdown":
         proxy.clients.is_shutting_down = True
         proxy.listener.stop_listening()
         proxy.listener.close_idle_connections()
-    await sweep_until_closed(
-        sweeps, proxy, started_at_s + CLOSE_DEADLINE_S, at_shutdown=phase == "at the end"
-    )
+    await sweep_until_closed(sweeps, proxy, started_at_s + CLOSE_DEADLINE_S, at_shutdown=phase == "shutdown")
     if streams is None:
         assert error_or_close(client)
     else:
@@ -129,7 +127,7 @@
             assert b"HTTP/1.1 2" not in await reader.read()
         writer.close()
     client.socket.close()
-    assert len(endpoint.received) == (phase == "after a good one")
+    assert len(endpoint.received) == (phase == "later request")
     assert not proxy.clients.open_request_ids
     assert proxy.clients.buffered_total.size_bytes == 0
     assert not info_lines(caplog)
@@ -152,7 +150,7 @@
 
 
 def send_at_each_check(proxy: LoopbackProxy, client: SocketClient, pieces: Iterator[bytes]) -> None:
-    """Have the client send its next piece just before each check of its connection's time limits."""
+    """Send the next piece just before each check of the time limits of the client's connection."""
     time_limits = proxy.listener.time_limits
     check = time_limits.check
 
@@ -173,14 +171,14 @@
     first_sweep_s: float,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Each byte is sent between the event loop's last read and the check; each check is late."""
+    """Each byte is sent between the last read of the event loop and the check, and each check is late."""
     clock, client = FrozenClock(), SocketClient(proxy)
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)
     sweeps = LateSweeps(proxy.listener, clock)
     started_at_s = clock.advanced_s - MAX_LOOP_DELAY_S
     [connection] = proxy.clients.open_connections
     send_at_each_check(proxy, client, SLOW_REQUESTS[kind]())
-    clock.advance(first_sweep_s + 0.001)  # no check comes just as a time limit ends
+    clock.advance(first_sweep_s + 0.001)  # no check coincides with the end of a time limit
     while proxy.clients.open_connections:
         await sweeps.sweep()
         if connection.has_scheduled_final_check:
@@ -196,7 +194,7 @@
 
 @pytest.mark.parametrize("is_first_request", [True, False])
 async def test_request_that_crosses_the_final_check_is_forwarded(is_first_request: bool) -> None:
-    """The system has received it as the time limit of its connection ends."""
+    """Its bytes are in the socket when the time limit of the connection ends."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         clock, client = FrozenClock(), SocketClient(proxy)
