--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -9,18 +9,18 @@
 
 def test_prompt_failures_do_not_change_the_concurrency_limit() -> None:
     harness = BalancerHarness()
-    initial_limit = harness.balancer.limit.attempts_per_endpoint
+    initial_limit = harness.balancer.concurrency_limit.attempts_per_endpoint
     for number in range(60):
         for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
             harness.end_attempt(send, messages.Outcome.ERROR, took=5 * MILLISECOND_US)
         harness.now_us += 1 * SECOND_US
-    assert harness.balancer.limit.attempts_per_endpoint == initial_limit
+    assert harness.balancer.concurrency_limit.attempts_per_endpoint == initial_limit
 
 
 def test_few_late_answers_under_load_do_not_lower_the_concurrency_limit() -> None:
     """A running mean over only four answers lowered it: of 50 a second four are often late together."""
     harness = BalancerHarness(endpoint_count=8)
-    initial_limit = harness.balancer.limit.attempts_per_endpoint
+    initial_limit = harness.balancer.concurrency_limit.attempts_per_endpoint
     for number in range(400):
         harness.now_us += 25 * MILLISECOND_US
         harness.request(f"r{number}")
@@ -40,4 +40,4 @@
                     is_request_finished=True,
                 )
             )
-    assert harness.balancer.limit.attempts_per_endpoint >= initial_limit
+    assert harness.balancer.concurrency_limit.attempts_per_endpoint >= initial_limit
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -123,7 +123,7 @@
         mean = harness.balancer.endpoints.states[0].detector.mean
         again = actions_of_type(harness.end_attempt(send, outcome), messages.StartAttempt)
         assert harness.balancer.endpoints.states[0].detector.mean == mean
-        assert len(harness.balancer.endpoints.states[0].load) == len(again)
+        assert len(harness.balancer.endpoints.states[0].in_flight) == len(again)
 
 
 ZONES = tuple(messages.Endpoint(number, zone="abc"[number % 3]) for number in range(12))
@@ -136,12 +136,12 @@
         endpoint_count=0,
     )
     harness.update_endpoint_list(*ZONES)
-    harness.balancer.limit.attempts = 20.0
-    harness.balancer.limit.split(harness.balancer.endpoints.subset)
+    harness.balancer.concurrency_limit.attempts_per_endpoint = 20.0
+    harness.balancer.concurrency_limit.split(harness.balancer.endpoints.subset)
     read_class = harness.balancer.request_factory.classes["read"]
     for state in harness.balancer.endpoints.states.values():
         if state.endpoint.zone == "a":
-            state.load = [
+            state.in_flight = [
                 Attempt("busy", number, state, read_class, harness.now_us, 5 * SECOND_US)
                 for number in range(busy)
             ]
