--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -35,8 +35,8 @@
 MEASURED_BY_TIME = frozenset({"cpu_s"})
 USUAL_FLEET = (100, 17)  # endpoints and balancers
 LARGE_FLEETS = [(1_600, 272), (1_600, 17)]
-PLAY = Scenario(*USUAL_FLEET, calls=240, seconds=None, deadline_s=20.0, service_s=0.001)
-LIST_PLAY = replace(PLAY, calls=40, moves_at=(0.2,), silence_at=0.5)
+SCENARIO = Scenario(*USUAL_FLEET, calls=240, seconds=None, deadline_s=20.0, service_s=0.001)
+LIST_SCENARIO = replace(SCENARIO, calls=40, moves_at=(0.2,), silence_at=0.5)
 
 BASE = Figures(1.0, 20e6, 25, 35, 100e3, 1.0)
 
@@ -67,16 +67,16 @@
     at_limit = figures_by_name(limit)
     assert not limit_violations(Figures(**at_limit), limit)
     above_limit = Figures(**{**at_limit, name: at_limit[name] * 1.001})
-    [found] = limit_violations(above_limit, limit)
-    assert found.name == name
-    assert name in str(found)
+    [violation] = limit_violations(above_limit, limit)
+    assert violation.name == name
+    assert name in str(violation)
     assert not limit_violations(above_limit, limit, ignored=frozenset({name}))
 
 
 def test_served_share_just_below_its_limit_is_reported() -> None:
     limit = limits(BASE, 3_200)
-    [found] = limit_violations(Figures(**{**figures_by_name(limit), "share_served": 0.849}), limit)
-    assert found.name == "share_served"
+    [violation] = limit_violations(Figures(**{**figures_by_name(limit), "share_served": 0.849}), limit)
+    assert violation.name == "share_served"
 
 
 @pytest.mark.parametrize("seconds", [None, 10.0])
@@ -102,14 +102,14 @@
 @pytest.mark.parametrize("fleet", LARGE_FLEETS)
 def test_large_fleet_is_within_its_limits(fleet: tuple[int, int]) -> None:
     """Half of its endpoints are replaced one by one under requests."""
-    base, large = result_of(PLAY, USUAL_FLEET), result_of(PLAY, fleet)
+    base, large = result_of(SCENARIO, USUAL_FLEET), result_of(SCENARIO, fleet)
     assert not violations_by_fleet([base, large], ignored=MEASURED_BY_TIME)
     assert base.figures.share_served == 1.0  # without which the limit of the large one would mean nothing
     assert (base.complete_lists, large.complete_lists) == (0, 0)  # as both have the list from their start
 
 
 def test_move_of_discovery_costs_one_complete_list_and_a_silent_watch_none() -> None:
-    base, large = result_of(LIST_PLAY, USUAL_FLEET), result_of(LIST_PLAY, LARGE_FLEETS[0])
+    base, large = result_of(LIST_SCENARIO, USUAL_FLEET), result_of(LIST_SCENARIO, LARGE_FLEETS[0])
     assert not violations_by_fleet([base, large], ignored=MEASURED_BY_TIME)
     for result in (base, large):
         assert result.watches >= 3  # the first, after the move and after the silence
@@ -233,10 +233,10 @@
     with StepCounter() as counter:
         actions = balancer.handle(now_us, messages.Request(str(number), "read", 2_000_000))
         [attempt] = [action for action in actions if isinstance(action, messages.StartAttempt)]
-        answered = messages.AttemptEnded(
+        ended = messages.AttemptEnded(
             str(number), 0, attempt.endpoint_id, messages.Outcome.OK, 10_000, is_request_finished=True
         )
-        balancer.handle(now_us + 10_000, answered)
+        balancer.handle(now_us + 10_000, ended)
     return counter.count
 
 
--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -66,9 +66,9 @@
 
 @pytest.mark.parametrize("share", [0.0, 0.5, 0.99])
 def test_policy_takes_a_change_at_the_cost_of_the_change(share: float) -> None:
-    few = change_cost(200, 34, int(share * 34))
-    many = change_cost(3200, 544, int(share * 544))
-    assert many < MAX_GROWTH * few, (few, many)
+    small_fleet_cost = change_cost(200, 34, int(share * 34))
+    large_fleet_cost = change_cost(3200, 544, int(share * 544))
+    assert large_fleet_cost < MAX_GROWTH * small_fleet_cost, (small_fleet_cost, large_fleet_cost)
 
 
 def listed_states(harness: BalancerHarness) -> list[EndpointState]:
@@ -84,13 +84,15 @@
 def plain_subset(harness: BalancerHarness) -> list[int]:
     """Return the ids of the subset by plain computation from all endpoints that are up."""
     settings = harness.balancer.settings
-    up = sorted(up_states(harness), key=lambda state: (state.hashed_id, state.endpoint.id))
-    size = max(MIN_SUBSET, math.ceil(SUBSETS_PER_ENDPOINT * len(up) / settings.instances))
-    first = settings.index * len(up) // settings.instances
-    ring = up[first:] + up[:first]
-    has_price = settings.cross_zone_cost > 0
-    local = [state for state in ring if not has_price or state.endpoint.zone == settings.zone][:size]
-    remote = [state for state in ring if has_price and state.endpoint.zone != settings.zone]
+    up_sorted = sorted(up_states(harness), key=lambda state: (state.hashed_id, state.endpoint.id))
+    size = max(MIN_SUBSET, math.ceil(SUBSETS_PER_ENDPOINT * len(up_sorted) / settings.instances))
+    first = settings.index * len(up_sorted) // settings.instances
+    ring = up_sorted[first:] + up_sorted[:first]
+    has_cross_zone_cost = settings.cross_zone_cost > 0
+    local = [state for state in ring if not has_cross_zone_cost or state.endpoint.zone == settings.zone][
+        :size
+    ]
+    remote = [state for state in ring if has_cross_zone_cost and state.endpoint.zone != settings.zone]
     return [state.endpoint.id for state in local + remote[: max(MIN_REMOTE, size - len(local))]]
 
 
@@ -133,8 +135,8 @@
         assert [state.endpoint.id for state in endpoints.subset] == plain_subset(harness)
         assert all(endpoints.states[state.endpoint.id] is state for state in endpoints.subset)
         up_count = len(up_states(harness))
-        sharing = instances * len(endpoints.subset) / max(1, up_count)
-        assert endpoints.balancers_per_endpoint == max(1.0, sharing)
+        expected_sharing = instances * len(endpoints.subset) / max(1, up_count)
+        assert endpoints.balancers_per_endpoint == max(1.0, expected_sharing)
         warm_at_us = (slow_start.warm_at_us(state) for state in endpoints.subset)
         assert slow_start.first_warm_at_us == min(warm_at_us, default=0)
 
@@ -159,8 +161,11 @@
 
 
 async def test_driver_takes_a_change_at_the_cost_of_the_change() -> None:
-    few, many = await driver_change_cost(200, 34), await driver_change_cost(3200, 544)
-    assert many < MAX_GROWTH * few, (few, many)
+    small_fleet_cost, large_fleet_cost = (
+        await driver_change_cost(200, 34),
+        await driver_change_cost(3200, 544),
+    )
+    assert large_fleet_cost < MAX_GROWTH * small_fleet_cost, (small_fleet_cost, large_fleet_cost)
 
 
 def covering_size(endpoint_count: int, instances: int) -> int:
@@ -171,39 +176,39 @@
 @pytest.mark.parametrize("instances", [1, 3, 10, 34, 100, 200, 544])
 def test_subset_stays_within_the_descriptors_of_a_proxy(instances: int) -> None:
     """At sixteen times the endpoints a proxy may need twice the usual descriptors and 40 more."""
-    at_200 = covering_size(200, instances)
-    for usual in range(1, 201):
-        usual_size = covering_size(usual, instances)
-        assert subset_size(usual, instances) == usual_size
-        large_size = subset_size(16 * usual, instances)
-        assert large_size <= max(at_200, 2 * usual_size + 40)
-        assert large_size >= min(at_200, covering_size(16 * usual, instances))
+    size_at_200 = covering_size(200, instances)
+    for small_count in range(1, 201):
+        small_size = covering_size(small_count, instances)
+        assert subset_size(small_count, instances) == small_size
+        large_size = subset_size(16 * small_count, instances)
+        assert large_size <= max(size_at_200, 2 * small_size + 40)
+        assert large_size >= min(size_at_200, covering_size(16 * small_count, instances))
 
 
 def test_subset_size_is_kept_when_balancers_grow_with_their_endpoints() -> None:
-    for usual in range(1, 201):
-        sizes = {subset_size(usual * times, 34 * times) for times in (1, 4, 16)}
+    for endpoint_count in range(1, 201):
+        sizes = {subset_size(endpoint_count * factor, 34 * factor) for factor in (1, 4, 16)}
         assert len(sizes) == 1
 
 
 def test_decision_does_not_examine_sixteen_times_the_endpoints() -> None:
-    def cost(endpoint_count: int) -> int:
+    def lines_for(endpoint_count: int) -> int:
         harness = BalancerHarness(balancer_settings(instances=34, index=17), endpoint_count)
         return lines_run(lambda: harness.request("r"))
 
-    assert cost(3200) < 8 * cost(200)
+    assert lines_for(3200) < 8 * lines_for(200)
 
 
 def test_list_is_split_without_a_step_for_each_end_of_a_string() -> None:
     """A release brings thousands of entries, most of them strings."""
 
-    def cost(entry_count: int) -> int:
+    def lines_for(entry_count: int) -> int:
         entries = [endpoint_entry(f"s-{number}", 9) for number in range(entry_count)]
         text = json.dumps(endpoint_list(*entries)).encode()
         return lines_run(lambda: list(JsonTextSplitter().feed(text)))
 
     string_count = json.dumps(endpoint_entry("s-1", 9)).count('"') // 2
-    lines_for_an_entry = (cost(20) - cost(10)) / 10
+    lines_for_an_entry = (lines_for(20) - lines_for(10)) / 10
     lines_for_a_step = 6
     assert lines_for_an_entry < lines_for_a_step * (string_count + 2)  # and an entry's two braces
 
@@ -236,19 +241,19 @@
 @pytest.mark.parametrize("key_scope", [messages.KeyScope.ZONE, messages.KeyScope.CELL])
 def test_retry_examines_a_bounded_number_of_its_zone_or_cell(key_scope: messages.KeyScope) -> None:
     """The retry may go to all of them, and where they are few it does examine all."""
-    few, eligible_ids = retry_cost(key_scope, MAX_RETRY_CANDIDATES, 1)
+    small_fleet_cost, eligible_ids = retry_cost(key_scope, MAX_RETRY_CANDIDATES, 1)
     assert eligible_ids == set(range(MAX_RETRY_CANDIDATES))
-    many, eligible_ids = retry_cost(key_scope, 3200, 1)
+    large_fleet_cost, eligible_ids = retry_cost(key_scope, 3200, 1)
     assert len(eligible_ids) == MAX_RETRY_CANDIDATES
     assert eligible_ids != retry_cost(key_scope, 3200, 2)[1]
     # Which zone and cell each one is in, and whether it is up, takes a few lines for each pass over the list.
     passes, lines_for_each = 2, 4
-    assert many < 2 * few + passes * lines_for_each * 3200
+    assert large_fleet_cost < 2 * small_fleet_cost + passes * lines_for_each * 3200
 
 
 def test_change_outside_the_subset_costs_little_for_each_member_of_the_subset() -> None:
-    few, many = change_cost(200, 34, 17), change_cost(3200, 34, 17)
+    small_fleet_cost, large_fleet_cost = change_cost(200, 34, 17), change_cost(3200, 34, 17)
     added_members = subset_size(3200, 34) - subset_size(200, 34)
     lines_for_a_limit = 4
     changes = 2 * REPLACED_COUNT
-    assert many < few + 1.2 * changes * added_members * lines_for_a_limit
+    assert large_fleet_cost < small_fleet_cost + 1.2 * changes * added_members * lines_for_a_limit
--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -10,10 +10,10 @@
 
 
 def balancer_with_full_endpoints(
-    setup: messages.Settings | None = None, endpoints: int = 2
+    settings: messages.Settings | None = None, endpoint_count: int = 2
 ) -> BalancerHarness:
     """Return a balancer whose endpoints are all at their concurrency limit, with one request in its queue."""
-    harness = BalancerHarness(setup or balancer_settings(), endpoints)
+    harness = BalancerHarness(settings or balancer_settings(), endpoint_count)
     while not harness.balancer.queue:
         harness.request(f"c{harness.now_us}-{len(harness.actions)}", "pay")
     return harness
@@ -21,13 +21,13 @@
 
 def time_until_rejection_us(harness: BalancerHarness, request_id: str, within_us: int) -> int | None:
     """Return the microseconds until the request is rejected, to a millisecond; None if it is not."""
-    began = harness.now_us
-    while harness.now_us - began < within_us:
+    started_at_us = harness.now_us
+    while harness.now_us - started_at_us < within_us:
         if any(
             reject.request_id == request_id
             for reject in actions_of_type(harness.advance(MILLISECOND_US), messages.Reject)
         ):
-            return harness.now_us - began
+            return harness.now_us - started_at_us
     return None
 
 
@@ -44,24 +44,24 @@
     harness.advance(phase_us)
     harness.request("queued", "read", time_remaining_us)
     useful_us = min(time_remaining_us, 2 * SECOND_US)  # an answer after its latency objective earns nothing
-    after_us = time_until_rejection_us(harness, "queued", 3 * SECOND_US)
-    assert after_us is not None
-    assert useful_us // 2 - 2 * MILLISECOND_US <= after_us <= useful_us // 2
+    elapsed_us = time_until_rejection_us(harness, "queued", 3 * SECOND_US)
+    assert elapsed_us is not None
+    assert useful_us // 2 - 2 * MILLISECOND_US <= elapsed_us <= useful_us // 2
 
 
-def balancer_with_queued_retry(outcome: messages.Outcome, after_us: int) -> BalancerHarness:
+def balancer_with_queued_retry(outcome: messages.Outcome, elapsed_us: int) -> BalancerHarness:
     """Return a balancer with a retry in its queue: one endpoint drains, the other is at its limit."""
     harness = BalancerHarness(balancer_settings(), 2)
     harness.request("first", "read", 5 * SECOND_US)
-    [send] = actions_of_type(harness.actions, messages.StartAttempt)
+    [attempt] = actions_of_type(harness.actions, messages.StartAttempt)
     while not harness.balancer.queue:
         harness.request(f"c{len(harness.actions)}", "pay")
-    harness.advance(after_us)
+    harness.advance(elapsed_us)
     draining = messages.Endpoint(
-        send.endpoint_id, messages.EndpointStatus.DRAINING, cell=send.endpoint_id % 2
+        attempt.endpoint_id, messages.EndpointStatus.DRAINING, cell=attempt.endpoint_id % 2
     )
     harness.update_endpoint_list(draining, kind=messages.EndpointListKind.CHANGES, version=2)
-    harness.end_attempt(send, outcome)
+    harness.end_attempt(attempt, outcome)
     assert "first" in harness.balancer.queue.request_ids
     return harness
 
@@ -70,18 +70,18 @@
 def test_queued_retry_of_unwritten_request_is_rejected_by_half_of_its_time_since_arrival(
     outcome: messages.Outcome,
 ) -> None:
-    after_us = time_until_rejection_us(
+    elapsed_us = time_until_rejection_us(
         balancer_with_queued_retry(outcome, 600 * MILLISECOND_US), "first", 3 * SECOND_US
     )
-    assert after_us is not None
-    assert 398 * MILLISECOND_US <= after_us <= 400 * MILLISECOND_US
+    assert elapsed_us is not None
+    assert 398 * MILLISECOND_US <= elapsed_us <= 400 * MILLISECOND_US
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.ERROR, messages.Outcome.RESET])
 def test_queued_retry_of_written_request_waits_for_its_full_queue_time(outcome: messages.Outcome) -> None:
     """A rejection of such a request costs no more when it comes later."""
-    after_us = time_until_rejection_us(
+    elapsed_us = time_until_rejection_us(
         balancer_with_queued_retry(outcome, 200 * MILLISECOND_US), "first", 3 * SECOND_US
     )
-    assert after_us is not None
-    assert 998 * MILLISECOND_US <= after_us <= SECOND_US
+    assert elapsed_us is not None
+    assert 998 * MILLISECOND_US <= elapsed_us <= SECOND_US
--- a/tests/policy/test_change_detector.py
+++ b/tests/policy/test_change_detector.py
@@ -19,19 +19,19 @@
 from load_balancer.policy.warming_state import WarmingState
 
 
-def run_length(shift: float, spread: float, threshold: float) -> float:
+def mean_run_length(shift: float, spread: float, threshold: float) -> float:
     """Return the mean run length by Siegmund's approximation, as the design states it."""
     delta = -shift / spread
     adjusted_threshold = threshold / spread + 1.166
     return (math.exp(-2 * delta * adjusted_threshold) + 2 * delta * adjusted_threshold - 1) / (2 * delta**2)
 
 
-@pytest.mark.parametrize("target", [50.0, 100.0, 500.0, 5000.0])
+@pytest.mark.parametrize("target_run_length", [50.0, 100.0, 500.0, 5000.0])
 @pytest.mark.parametrize("spread", [0.3, 1.0, 4.0])
-def test_threshold_inverts_siegmund_run_length(target: float, spread: float) -> None:
-    threshold = siegmund_threshold(0.25, spread, target)
+def test_threshold_inverts_siegmund_run_length(target_run_length: float, spread: float) -> None:
+    threshold = siegmund_threshold(0.25, spread, target_run_length)
     assert threshold > 0
-    assert run_length(0.25, spread, threshold) == pytest.approx(target, rel=1e-6)
+    assert mean_run_length(0.25, spread, threshold) == pytest.approx(target_run_length, rel=1e-6)
 
 
 def test_threshold_for_degenerate_spread_or_shift() -> None:
@@ -41,15 +41,15 @@
     assert siegmund_threshold(1e-6, 1.0, 100) == pytest.approx(10 - 1.166, rel=1e-3)
 
 
-def noisy(rng: random.Random, mean: float) -> float:
+def noisy_sample(rng: random.Random, mean: float) -> float:
     return mean * rng.uniform(0.5, 1.5)
 
 
-def samples_until_epoch(detector: ChangeDetector, rng: random.Random, mean: float, most: int) -> int:
-    for number in range(1, most + 1):
-        if detector.add(noisy(rng, mean)):
+def samples_until_epoch(detector: ChangeDetector, rng: random.Random, mean: float, max_samples: int) -> int:
+    for number in range(1, max_samples + 1):
+        if detector.add(noisy_sample(rng, mean)):
             return number
-    return most + 1
+    return max_samples + 1
 
 
 def test_constant_stream_raises_no_alarm() -> None:
@@ -61,7 +61,7 @@
     alarms = 0
     for seed in range(20):
         rng, detector = random.Random(seed), ChangeDetector()
-        alarms += sum(detector.add(noisy(rng, 1.0)) for _ in range(500))
+        alarms += sum(detector.add(noisy_sample(rng, 1.0)) for _ in range(500))
     assert alarms < 20 * 500 / RUN_LENGTH
 
 
@@ -69,18 +69,18 @@
     for seed in range(20):
         rng, detector = random.Random(seed), ChangeDetector()
         for _ in range(50):
-            detector.add(noisy(rng, 1.0))
+            detector.add(noisy_sample(rng, 1.0))
         epoch = detector.epoch
         assert samples_until_epoch(detector, rng, 5.0, 40) <= 40
         assert detector.epoch == epoch + 1
         assert detector.epoch_mean > 1.1
         for _ in range(40):
-            detector.add(noisy(rng, 5.0))
-        high = detector.epoch_mean
+            detector.add(noisy_sample(rng, 5.0))
+        high_mean = detector.epoch_mean
         for _ in range(60):
-            detector.add(noisy(rng, 1.0))
-        assert high > 2.5
-        assert detector.epoch_mean < high / 2
+            detector.add(noisy_sample(rng, 1.0))
+        assert high_mean > 2.5
+        assert detector.epoch_mean < high_mean / 2
 
 
 def test_alarm_resets_its_sums_and_sets_mean_to_epoch_mean() -> None:
@@ -101,17 +101,17 @@
 
 
 def test_share_changes_only_when_an_epoch_opens() -> None:
-    rng, state, moves = (
+    rng, state, epoch_count = (
         random.Random(3),
         EndpointState(Endpoint(1), WarmingState(0.0, 0, TokenBucket(0.0))),
         0,
     )
     for number in range(300):
-        before = state.share
-        opened = state.add_latency(noisy(rng, 1.0 if number < 150 else 6.0))
-        assert opened or state.share == before
-        if opened:
-            moves += 1
+        share_before = state.share
+        epoch_opened = state.add_latency(noisy_sample(rng, 1.0 if number < 150 else 6.0))
+        assert epoch_opened or state.share == share_before
+        if epoch_opened:
+            epoch_count += 1
             assert state.share == 1.0 / state.detector.epoch_mean
-    assert moves >= 1
+    assert epoch_count >= 1
     assert state.share < 0.5
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -14,65 +14,67 @@
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.units import MILLISECOND_US, SECOND_US
 
-ASKING = balancer_settings(must_subscribe=True)
+SUBSCRIBING_SETTINGS = balancer_settings(must_subscribe=True)
 
 
 def test_subscribes_at_start_only_where_required() -> None:
-    assert actions_of_type(BalancerHarness(ASKING, endpoint_count=0).actions, messages.Subscribe)
+    assert actions_of_type(
+        BalancerHarness(SUBSCRIBING_SETTINGS, endpoint_count=0).actions, messages.Subscribe
+    )
     assert not actions_of_type(BalancerHarness(endpoint_count=0).actions, messages.Subscribe)
 
 
 def test_subscription_backoff_grows_within_bounds() -> None:
-    harness, waits_us = BalancerHarness(ASKING), []
+    harness, waits_us = BalancerHarness(SUBSCRIBING_SETTINGS), []
     for _ in range(8):
         harness.update_endpoint_list(kind=messages.EndpointListKind.FAILED)
         failed_at_us = harness.now_us
         while not actions_of_type(harness.advance(10 * MILLISECOND_US), messages.Subscribe):
-            assert harness.now_us - failed_at_us < ASKING.rules.max_poll_interval_us / 2
+            assert harness.now_us - failed_at_us < SUBSCRIBING_SETTINGS.rules.max_poll_interval_us / 2
         waits_us.append(harness.now_us - failed_at_us)
     assert waits_us[0] < waits_us[1]  # the backoff grows, except for its jitter
     assert waits_us[0] <= SECOND_US
     assert (
         max(waits_us[3:]) - min(waits_us[3:])
-        <= BACKOFF_JITTER * ASKING.rules.max_poll_interval_us * MAX_BACKOFF_SHARE
+        <= BACKOFF_JITTER * SUBSCRIBING_SETTINGS.rules.max_poll_interval_us * MAX_BACKOFF_SHARE
     )
     assert min(waits_us[3:]) >= waits_us[1] * (1 - BACKOFF_JITTER)
 
 
-def resubscription_wait_us(harness: BalancerHarness, stood_us: int) -> int:
-    """Return the microseconds until the next subscription after one that lasted `stood_us` has failed."""
-    harness.now_us += stood_us
+def resubscription_wait_us(harness: BalancerHarness, duration_us: int) -> int:
+    """Return the microseconds until the next subscription after one that lasted `duration_us` has failed."""
+    harness.now_us += duration_us
     [timer] = actions_of_type(
         harness.handle(messages.EndpointListUpdate(messages.EndpointListKind.FAILED)), messages.SetTimer
     )
-    at = harness.now_us
-    harness.advance(timer.at_us - at)
-    return harness.now_us - at
+    failed_at_us = harness.now_us
+    harness.advance(timer.at_us - failed_at_us)
+    return harness.now_us - failed_at_us
 
 
 def test_long_lived_subscription_resets_the_backoff_for_one_retry() -> None:
     """Otherwise changes would come late, or a discovery that has just restarted would be overloaded."""
     for seed in range(20):
-        harness = BalancerHarness(ASKING, seed=seed)
+        harness = BalancerHarness(SUBSCRIBING_SETTINGS, seed=seed)
         for _ in range(6):
             resubscription_wait_us(harness, 0)
-        least_share = 1.0 - BACKOFF_JITTER
+        min_jitter_factor = 1.0 - BACKOFF_JITTER
         assert (
-            least_share * FIRST_BACKOFF_US
+            min_jitter_factor * FIRST_BACKOFF_US
             <= resubscription_wait_us(harness, 2_500 * MILLISECOND_US)
             <= FIRST_BACKOFF_US
         )
-        assert least_share * MAX_BACKOFF_US <= resubscription_wait_us(harness, 0) <= MAX_BACKOFF_US
+        assert min_jitter_factor * MAX_BACKOFF_US <= resubscription_wait_us(harness, 0) <= MAX_BACKOFF_US
 
 
-@pytest.mark.parametrize("stood_us", [0, 1 * SECOND_US, 2_500 * MILLISECOND_US])
-def test_resubscriptions_of_many_balancers_are_spread_after_repeated_failures(stood_us: int) -> None:
+@pytest.mark.parametrize("duration_us", [0, 1 * SECOND_US, 2_500 * MILLISECOND_US])
+def test_resubscriptions_of_many_balancers_are_spread_after_repeated_failures(duration_us: int) -> None:
     waits_us = []
     for seed in range(20):
-        harness = BalancerHarness(ASKING, seed=seed)
+        harness = BalancerHarness(SUBSCRIBING_SETTINGS, seed=seed)
         for _ in range(6):
             resubscription_wait_us(harness, 0)
-        waits_us.append(resubscription_wait_us(harness, stood_us))
+        waits_us.append(resubscription_wait_us(harness, duration_us))
     assert len(set(waits_us)) > 10
     assert max(waits_us) - min(waits_us) > BACKOFF_JITTER * FIRST_BACKOFF_US / 2
 
@@ -96,7 +98,7 @@
 def test_resubscriptions_of_many_balancers_are_spread_after_first_failure() -> None:
     waits_us = []
     for seed in range(20):
-        harness = BalancerHarness(ASKING, seed=seed)
+        harness = BalancerHarness(SUBSCRIBING_SETTINGS, seed=seed)
         [timer] = actions_of_type(
             harness.handle(messages.EndpointListUpdate(messages.EndpointListKind.FAILED)), messages.SetTimer
         )
@@ -105,7 +107,7 @@
 
 
 def test_failed_subscription_keeps_the_endpoint_list() -> None:
-    harness = BalancerHarness(ASKING)
+    harness = BalancerHarness(SUBSCRIBING_SETTINGS)
     harness.update_endpoint_list(kind=messages.EndpointListKind.FAILED)
     assert actions_of_type(harness.request("r"), messages.StartAttempt)
 
@@ -170,15 +172,15 @@
     harness.update_endpoint_list(
         messages.Endpoint(0, incarnation_us=harness.now_us), kind=messages.EndpointListKind.CHANGES, version=2
     )
-    fresh = harness.balancer.endpoints.states[0]
-    assert (fresh.share, fresh.in_flight, fresh.hashed_id) == (1.0, [], state.hashed_id)
+    new_state = harness.balancer.endpoints.states[0]
+    assert (new_state.share, new_state.in_flight, new_state.hashed_id) == (1.0, [], state.hashed_id)
 
 
 def test_outcome_from_removed_endpoint_ends_its_request() -> None:
     harness = BalancerHarness(endpoint_count=1)
-    [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.request("r"), messages.StartAttempt)
     harness.update_endpoint_list()
-    harness.end_attempt(send, messages.Outcome.OK)
+    harness.end_attempt(attempt, messages.Outcome.OK)
     assert not harness.balancer.open_requests.by_id
     assert not harness.balancer.dispatcher.in_flight
 
@@ -194,26 +196,26 @@
 
 
 def send_times_by_endpoint(
-    harness: BalancerHarness, seconds: float, per_s: int = 100
+    harness: BalancerHarness, seconds: float, requests_per_s: int = 100
 ) -> dict[int, list[int]]:
     """Return the send times of each endpoint under steady load, each attempt answered after 20 ms."""
-    sent: dict[int, list[int]] = {}
-    for number in range(int(seconds * per_s)):
-        harness.now_us += SECOND_US // per_s
-        for send in actions_of_type(harness.request(f"s{harness.now_us}.{number}"), messages.StartAttempt):
-            sent.setdefault(send.endpoint_id, []).append(harness.now_us)
-            harness.end_attempt(send, messages.Outcome.OK, took=20 * MILLISECOND_US)
-    return sent
+    times_us: dict[int, list[int]] = {}
+    for number in range(int(seconds * requests_per_s)):
+        harness.now_us += SECOND_US // requests_per_s
+        for attempt in actions_of_type(harness.request(f"s{harness.now_us}.{number}"), messages.StartAttempt):
+            times_us.setdefault(attempt.endpoint_id, []).append(harness.now_us)
+            harness.end_attempt(attempt, messages.Outcome.OK, took=20 * MILLISECOND_US)
+    return times_us
 
 
-def most_in_window(times: list[int], window_us: int) -> int:
+def max_in_window(times: list[int], window_us: int) -> int:
     return max((sum(start <= time < start + window_us for time in times) for start in times), default=0)
 
 
 def test_warming_endpoint_stays_within_its_budget_relative_to_warm_ones() -> None:
     for seed in range(5):
         harness = BalancerHarness(seed=seed)
-        warm = send_times_by_endpoint(harness, 5)
+        warm_times_us = send_times_by_endpoint(harness, 5)
         rules = harness.balancer.settings.rules
         harness.update_endpoint_list(
             messages.Endpoint(9, incarnation_us=harness.now_us),
@@ -221,13 +223,13 @@
             version=2,
         )
         harness.balancer.endpoints.states[9].share = 50.0  # even where its share would draw everything
-        warming = send_times_by_endpoint(harness, 2).get(9, [])
-        most_warm = max(most_in_window(times, rules.overload_window_us) for times in warm.values())
+        warming_times_us = send_times_by_endpoint(harness, 2).get(9, [])
+        max_warm = max(max_in_window(times, rules.overload_window_us) for times in warm_times_us.values())
         capacity = rules.start_capacity + (1 - rules.start_capacity) * 2 * SECOND_US / rules.slow_start_us
         assert (
             0
-            < most_in_window(warming, rules.overload_window_us)
-            <= rules.overload_multiple * capacity * most_warm
+            < max_in_window(warming_times_us, rules.overload_window_us)
+            <= rules.overload_multiple * capacity * max_warm
         )
 
 
@@ -236,13 +238,13 @@
     harness.update_endpoint_list(messages.Endpoint(0), messages.Endpoint(9, incarnation_us=harness.now_us))
     warming_count = 0
     for number in range(50):
-        for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
-            warming_count += send.endpoint_id == 9
-            for again in actions_of_type(
-                harness.end_attempt(send, messages.Outcome.REJECTED), messages.StartAttempt
+        for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
+            warming_count += attempt.endpoint_id == 9
+            for retry in actions_of_type(
+                harness.end_attempt(attempt, messages.Outcome.REJECTED), messages.StartAttempt
             ):
-                warming_count += again.endpoint_id == 9
-                harness.end_attempt(again, messages.Outcome.REJECTED, attempt=1)
+                warming_count += retry.endpoint_id == 9
+                harness.end_attempt(retry, messages.Outcome.REJECTED, attempt=1)
     assert warming_count <= 2
 
 
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -19,7 +19,7 @@
 from tests.support.units import MILLISECOND_US, SECOND_US
 
 LIMITS = messages.Limits(max_attempts=3, cancel=True, health_checks=True)
-PROBING = balancer_settings(limits=LIMITS)
+HEALTH_CHECK_SETTINGS = balancer_settings(limits=LIMITS)
 
 
 def health_checks_within(harness: BalancerHarness, within_us: int) -> list[messages.CheckHealth]:
@@ -27,15 +27,15 @@
 
 
 def test_health_checks_of_hanging_attempt_back_off() -> None:
-    harness = BalancerHarness(PROBING)
+    harness = BalancerHarness(HEALTH_CHECK_SETTINGS)
     harness.request("a")
     assert not health_checks_within(harness, 1150 * MILLISECOND_US)
-    times: list[int] = []
+    check_times_us: list[int] = []
     for _ in range(35):
         for check in health_checks_within(harness, 100 * MILLISECOND_US):
-            times.append(harness.now_us)
+            check_times_us.append(harness.now_us)
             harness.handle(messages.HealthCheckEnded(check.endpoint_id, True, 1.0))
-    assert [later - sooner for sooner, later in pairwise(times)] == [
+    assert [later - earlier for earlier, later in pairwise(check_times_us)] == [
         400 * MILLISECOND_US,
         800 * MILLISECOND_US,
         1600 * MILLISECOND_US,
@@ -46,24 +46,25 @@
 
 
 @pytest.mark.parametrize(
-    ("cls", "answers", "again"), [("read", False, True), ("read", True, False), ("pay", False, False)]
+    ("class_name", "endpoint_responds", "is_retried"),
+    [("read", False, True), ("read", True, False), ("pay", False, False)],
 )
 def test_attempt_at_silent_endpoint_is_abandoned_without_health_checks(
-    cls: str, answers: bool, again: bool
+    class_name: str, endpoint_responds: bool, is_retried: bool
 ) -> None:
     """An endpoint that answers other requests is only slow, and an unsafe request is never abandoned."""
     harness = BalancerHarness(endpoint_count=2)
-    [send] = actions_of_type(harness.request("a", cls), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.request("a", class_name), messages.StartAttempt)
     harness.now_us += 100 * MILLISECOND_US
-    other_sends = [
-        send
+    other_attempts = [
+        attempt
         for number in range(6)
-        for send in actions_of_type(harness.request(f"b{number}"), messages.StartAttempt)
+        for attempt in actions_of_type(harness.request(f"b{number}"), messages.StartAttempt)
     ]
-    for other in other_sends:
-        if answers or other.endpoint_id != send.endpoint_id:
+    for other in other_attempts:
+        if endpoint_responds or other.endpoint_id != attempt.endpoint_id:
             harness.end_attempt(other, messages.Outcome.OK, took=1 * MILLISECOND_US)
-    usual_latency_us = harness.balancer.request_factory.classes[cls].usual_latency_us
+    usual_latency_us = harness.balancer.request_factory.classes[class_name].usual_latency_us
     cancels = [
         cancel
         for cancel in actions_of_type(
@@ -71,17 +72,17 @@
         )
         if cancel.request_id == "a"
     ]
-    assert cancels == ([messages.CancelAttempt("a", 0)] if again else [])
-    if again:
-        [resend] = actions_of_type(
-            harness.end_attempt(send, messages.Outcome.CANCELLED), messages.StartAttempt
+    assert cancels == ([messages.CancelAttempt("a", 0)] if is_retried else [])
+    if is_retried:
+        [retry] = actions_of_type(
+            harness.end_attempt(attempt, messages.Outcome.CANCELLED), messages.StartAttempt
         )
-        assert resend.request_id == "a"
-        assert resend.endpoint_id != send.endpoint_id
+        assert retry.request_id == "a"
+        assert retry.endpoint_id != attempt.endpoint_id
 
 
 def test_attempt_is_cancelled_when_endpoint_reports_fewer_requests_than_are_in_flight() -> None:
-    harness = BalancerHarness(PROBING)
+    harness = BalancerHarness(HEALTH_CHECK_SETTINGS)
     [first] = actions_of_type(harness.request("a"), messages.StartAttempt)
     [check] = health_checks_within(harness, 1300 * MILLISECOND_US)
     assert check.endpoint_id == first.endpoint_id
@@ -89,16 +90,16 @@
         harness.handle(messages.HealthCheckEnded(check.endpoint_id, True, 0.0)), messages.CancelAttempt
     )
     assert cancel == messages.CancelAttempt("a", 0)
-    [again] = actions_of_type(harness.end_attempt(first, messages.Outcome.CANCELLED), messages.StartAttempt)
+    [retry] = actions_of_type(harness.end_attempt(first, messages.Outcome.CANCELLED), messages.StartAttempt)
     assert (
         len(health_checks_within(harness, 1100 * MILLISECOND_US)) == 1
     )  # the next hanging attempt is checked sooner
-    assert again.request_id == "a"
-    assert again.endpoint_id != first.endpoint_id
+    assert retry.request_id == "a"
+    assert retry.endpoint_id != first.endpoint_id
 
 
 def test_attempt_younger_than_the_load_report_is_not_cancelled() -> None:
-    harness = BalancerHarness(PROBING, endpoint_count=1)
+    harness = BalancerHarness(HEALTH_CHECK_SETTINGS, endpoint_count=1)
     harness.request("a")
     harness.advance(1200 * MILLISECOND_US)
     harness.request("b")
@@ -111,7 +112,7 @@
 
 
 def test_endpoint_that_fails_two_health_checks_gets_nothing_until_it_responds() -> None:
-    harness = BalancerHarness(PROBING, endpoint_count=1)
+    harness = BalancerHarness(HEALTH_CHECK_SETTINGS, endpoint_count=1)
     [first] = actions_of_type(harness.request("a"), messages.StartAttempt)
     [check] = health_checks_within(harness, 1300 * MILLISECOND_US)
     after_first_failure = harness.handle(messages.HealthCheckEnded(check.endpoint_id, False))
@@ -128,7 +129,7 @@
 
 
 def test_unsafe_request_with_lost_response_is_not_retried() -> None:
-    harness = BalancerHarness(PROBING)
+    harness = BalancerHarness(HEALTH_CHECK_SETTINGS)
     [first] = actions_of_type(harness.request("a", "pay"), messages.StartAttempt)
     [check] = health_checks_within(harness, 1300 * MILLISECOND_US)
     harness.handle(messages.HealthCheckEnded(check.endpoint_id, True, 0.0))
@@ -183,7 +184,9 @@
         StandInServer(handle) as first,
         StandInServer(handle) as second,
         running_proxy(
-            endpoint_entry("s-1", first.port), endpoint_entry("s-2", second.port), settings=PROBING
+            endpoint_entry("s-1", first.port),
+            endpoint_entry("s-2", second.port),
+            settings=HEALTH_CHECK_SETTINGS,
         ) as proxy,
     ):
         assert (await proxy.send_request(http_request(request_id="a1")))[2] == b"x"
--- a/tests/policy/test_no_starvation.py
+++ b/tests/policy/test_no_starvation.py
@@ -17,7 +17,7 @@
 from tests.support.simulated_fleet import START_US, SimulatedClient, SimulatedFleet, SimulatedRequest
 from tests.support.units import MILLISECOND_US, SECOND_US
 
-SHORT = messages.RequestClass(
+SHORT_WINDOW_CLASS = messages.RequestClass(
     "short",
     2 * SECOND_US,
     5 * SECOND_US,
@@ -32,121 +32,128 @@
     overload_multiple=3.0,
     overload_window_us=1500 * MILLISECOND_US,
 )
-LENGTH_US = 24 * SECOND_US
-USUAL_US = 300 * MILLISECOND_US  # about what an attempt takes
-AWAY_US = 5 * SECOND_US  # a lost zone is away for this long
+SIMULATION_US = 24 * SECOND_US
+USUAL_LATENCY_US = 300 * MILLISECOND_US  # about what an attempt takes
+ZONE_LOSS_US = 5 * SECOND_US  # a lost zone is away for this long
 # A balancer may not reject this many requests in a period of this length without making an attempt.
-NO_ATTEMPT_US = 4 * SECOND_US
-MAX_REQUESTS_WITHOUT_ATTEMPT = 15
+GAP_WITHOUT_ATTEMPT_US = 4 * SECOND_US
+MAX_REQUESTS_IN_GAP = 15
 CLIENTS = tuple(
-    SimulatedClient(cls, part * weight, tenant)
-    for cls, part in (("read", 0.5), ("short", 0.3), ("pay", 0.2))
-    for tenant, weight in (("large", 0.9), ("small", 0.1))
+    SimulatedClient(cls, traffic_share * tenant_share, tenant)
+    for cls, traffic_share in (("read", 0.5), ("short", 0.3), ("pay", 0.2))
+    for tenant, tenant_share in (("large", 0.9), ("small", 0.1))
 )
-SIZES = [(3, 8, 20.0, 0.45), (30, 16, 3.0, 0.45), (30, 8, 1.0, 0.45), (12, 12, 8.0, 0.45)]
+FLEETS = [(3, 8, 20.0, 0.45), (30, 16, 3.0, 0.45), (30, 8, 1.0, 0.45), (12, 12, 8.0, 0.45)]
 
 
-def build_fleet(balancers: int, endpoints: int, calls: float, load: float, seed: int) -> SimulatedFleet:
-    """Return a fleet in which each balancer gets `calls` requests in each overload window.
+def build_fleet(
+    balancer_count: int, endpoint_count: int, requests_per_window: float, load: float, seed: int
+) -> SimulatedFleet:
+    """Return a fleet in which each balancer gets `requests_per_window` requests in each overload window.
 
     `load` is the share of the capacity of all machines that the requests need.
     """
-    per_window = balancers * calls / endpoints / load
-    asked_per_s = balancers * calls * SECOND_US / RULES.overload_window_us
-    setup = balancer_settings(
-        classes=(SAFE_CLASS, SHORT, UNSAFE_CLASS),
+    requests_per_endpoint = balancer_count * requests_per_window / endpoint_count / load
+    offered_per_s = balancer_count * requests_per_window * SECOND_US / RULES.overload_window_us
+    settings = balancer_settings(
+        classes=(SAFE_CLASS, SHORT_WINDOW_CLASS, UNSAFE_CLASS),
         rules=RULES,
-        tenants=(messages.Tenant("large", asked_per_s), messages.Tenant("small", 0.3 * asked_per_s)),
+        tenants=(messages.Tenant("large", offered_per_s), messages.Tenant("small", 0.3 * offered_per_s)),
         over_quota_weight=0.1,
     )
-    slots = max(1, round(USUAL_US * per_window / RULES.overload_window_us))
-    return SimulatedFleet(setup, balancers, endpoints, per_window, load, seed, CLIENTS, slots=slots)
+    slots = max(1, round(USUAL_LATENCY_US * requests_per_endpoint / RULES.overload_window_us))
+    return SimulatedFleet(
+        settings, balancer_count, endpoint_count, requests_per_endpoint, load, seed, CLIENTS, slots=slots
+    )
 
 
 def lose_zones(fleet: SimulatedFleet, zones: str) -> None:
     """Remove the endpoints of these zones for a while; they come back warming up."""
-    lost_machines = [machine for machine in fleet.endpoints if machine.entry.zone in zones]
-    for machine in lost_machines:
-        machine.mode = "silent"
+    lost_endpoints = [endpoint for endpoint in fleet.endpoints if endpoint.entry.zone in zones]
+    for endpoint in lost_endpoints:
+        endpoint.mode = "silent"
     fleet.send_list(
-        [replace(machine.entry, status=messages.EndpointStatus.REMOVED) for machine in lost_machines]
+        [replace(endpoint.entry, status=messages.EndpointStatus.REMOVED) for endpoint in lost_endpoints]
     )
-    fleet.run(fleet.now + AWAY_US)
-    for machine in lost_machines:
-        machine.mode = "sound"
-    fleet.restart(lost_machines)
+    fleet.run(fleet.now + ZONE_LOSS_US)
+    for endpoint in lost_endpoints:
+        endpoint.mode = "sound"
+    fleet.restart(lost_endpoints)
 
 
-def simulate_day(fleet: SimulatedFleet, fault: str) -> None:
+def run_with_fault(fleet: SimulatedFleet, fault: str) -> None:
     """Simulate a day: "calm", with one endpoint in eight "failing" or "slow", or with a "zone" lost."""
-    fleet.run(START_US + LENGTH_US // 6)
-    for machine in fleet.endpoints[::8]:
+    fleet.run(START_US + SIMULATION_US // 6)
+    for endpoint in fleet.endpoints[::8]:
         if fault == "failing":
-            machine.mode = "failing"
+            endpoint.mode = "failing"
         elif fault == "slow":
-            machine.slower = 6.0
+            endpoint.slower = 6.0
     if fault == "zone":
         lose_zones(fleet, "a")
-    fleet.run(START_US + LENGTH_US)
+    fleet.run(START_US + SIMULATION_US)
 
 
-def most_requests_without_attempt(fleet: SimulatedFleet, since: int = START_US) -> int:
+def max_requests_in_gap(fleet: SimulatedFleet, since_us: int = START_US) -> int:
     """Return the most requests that a balancer got in a period of 4 s or more without an attempt."""
-    worst = 0
+    max_requests = 0
     for index in range(fleet.balancers):
-        sends = [at for at, balancer in fleet.attempts if balancer == index and at >= since]
-        marks = [since, *sends, fleet.now]
-        for begin, end in pairwise(marks):
-            if end - begin >= NO_ATTEMPT_US:
-                arrived = sum(call.balancer == index and begin < call.at <= end for call in fleet.requests)
-                worst = max(worst, arrived)
-    return worst
+        attempt_times_us = [at for at, balancer in fleet.attempts if balancer == index and at >= since_us]
+        times_us = [since_us, *attempt_times_us, fleet.now]
+        for start_us, end_us in pairwise(times_us):
+            if end_us - start_us >= GAP_WITHOUT_ATTEMPT_US:
+                request_count = sum(
+                    request.balancer == index and start_us < request.at <= end_us
+                    for request in fleet.requests
+                )
+                max_requests = max(max_requests, request_count)
+    return max_requests
 
 
 @pytest.mark.parametrize("seed", [0, 1])
 @pytest.mark.parametrize("fault", ["calm", "failing", "slow", "zone"])
-@pytest.mark.parametrize(("balancers", "endpoints", "calls", "load"), SIZES)
+@pytest.mark.parametrize(("balancer_count", "endpoint_count", "requests_per_window", "load"), FLEETS)
 def test_every_class_tenant_and_period_has_half_of_its_requests_served(
-    balancers: int, endpoints: int, calls: float, load: float, fault: str, seed: int
+    balancer_count: int, endpoint_count: int, requests_per_window: float, load: float, fault: str, seed: int
 ) -> None:
-    fleet = build_fleet(balancers, endpoints, calls, load, seed)
-    simulate_day(fleet, fault)
+    fleet = build_fleet(balancer_count, endpoint_count, requests_per_window, load, seed)
+    run_with_fault(fleet, fault)
     groups: dict[str, list[SimulatedRequest]] = defaultdict(list)
-    for call in fleet.requests:
-        if call.at < fleet.now - 5 * SECOND_US:  # those after may still be under way
-            groups[call.cls].append(call)
-            groups[str(call.tenant)].append(call)
-            groups[f"third {3 * (call.at - START_US) // (LENGTH_US - 5 * SECOND_US)}"].append(call)
-    served = {name: fleet.served(calls) for name, calls in groups.items()}
+    for request in fleet.requests:
+        if request.at < fleet.now - 5 * SECOND_US:  # those after may still be under way
+            groups[request.cls].append(request)
+            groups[str(request.tenant)].append(request)
+            groups[f"third {3 * (request.at - START_US) // (SIMULATION_US - 5 * SECOND_US)}"].append(request)
+    served = {name: fleet.served(requests) for name, requests in groups.items()}
     assert len(served) == 8
-    assert min(len(calls) for calls in groups.values()) >= 20
+    assert min(len(requests) for requests in groups.values()) >= 20
     assert min(served.values()) >= 0.5, served
-    assert most_requests_without_attempt(fleet) < MAX_REQUESTS_WITHOUT_ATTEMPT
+    assert max_requests_in_gap(fleet) < MAX_REQUESTS_IN_GAP
 
 
 @pytest.mark.parametrize("seed", [0, 1])
 @pytest.mark.parametrize(
-    ("balancers", "endpoints", "calls", "load"),
+    ("balancer_count", "endpoint_count", "requests_per_window", "load"),
     [(3, 8, 20.0, 0.25), (30, 16, 3.0, 0.25), (30, 8, 1.0, 0.25), (12, 12, 8.0, 0.25)],
 )
 def test_every_balancer_serves_requests_when_all_endpoints_are_warming(
-    balancers: int, endpoints: int, calls: float, load: float, seed: int
+    balancer_count: int, endpoint_count: int, requests_per_window: float, load: float, seed: int
 ) -> None:
     """At a quarter of the load even warming endpoints could serve everything."""
-    fleet = build_fleet(balancers, endpoints, calls, load, seed)
+    fleet = build_fleet(balancer_count, endpoint_count, requests_per_window, load, seed)
     fleet.run(START_US + 3 * SECOND_US)
     lose_zones(fleet, "abc")
     restored_at_us = fleet.now
     fleet.run(restored_at_us + 7 * SECOND_US)
     arrived = [
-        call
-        for call in fleet.requests
-        if restored_at_us + fleet.spread_us <= call.at < restored_at_us + 5 * SECOND_US
+        request
+        for request in fleet.requests
+        if restored_at_us + fleet.spread_us <= request.at < restored_at_us + 5 * SECOND_US
     ]
-    for index in range(balancers):
-        own_calls = [call for call in arrived if call.balancer == index]
-        if len(own_calls) >= MAX_REQUESTS_WITHOUT_ATTEMPT:
-            assert fleet.served(own_calls) >= 0.3
+    for index in range(balancer_count):
+        own_requests = [request for request in arrived if request.balancer == index]
+        if len(own_requests) >= MAX_REQUESTS_IN_GAP:
+            assert fleet.served(own_requests) >= 0.3
     for cls in ("read", "short", "pay"):
-        assert fleet.served(call for call in arrived if call.cls == cls) >= 0.5
-    assert most_requests_without_attempt(fleet, restored_at_us) < MAX_REQUESTS_WITHOUT_ATTEMPT
+        assert fleet.served(request for request in arrived if request.cls == cls) >= 0.5
+    assert max_requests_in_gap(fleet, restored_at_us) < MAX_REQUESTS_IN_GAP
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -15,18 +15,18 @@
     harness, attempts_at_dead = BalancerHarness(endpoint_count=3), 0
     harness.balancer.endpoints.states[0].endpoint = messages.Endpoint(0)
     for number in range(40):
-        for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
-            while send.endpoint_id == 0:  # rejected within the same instant
+        for attempt in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
+            while attempt.endpoint_id == 0:  # rejected within the same instant
                 attempts_at_dead += 1
-                again = actions_of_type(
+                retries = actions_of_type(
                     harness.end_attempt(
-                        send, messages.Outcome.NO_CONNECTION, took=1 * MILLISECOND_US, attempt=0
+                        attempt, messages.Outcome.NO_CONNECTION, took=1 * MILLISECOND_US, attempt=0
                     ),
                     messages.StartAttempt,
                 )
-                if not again:
+                if not retries:
                     break
-                send = again[0]
+                attempt = retries[0]
     assert attempts_at_dead <= INITIAL_LIMIT
 
 
@@ -37,12 +37,12 @@
         in_flight: list[messages.StartAttempt] = []
         for number in range(400):
             harness.now_us += 10 * MILLISECOND_US
-            more = actions_of_type(
+            new_attempts = actions_of_type(
                 harness.request(f"r{phase}.{number}") + harness.request(f"s{phase}.{number}"),
                 messages.StartAttempt,
             )
-            in_flight += more
-            if len(in_flight) >= 4 or not more:
+            in_flight += new_attempts
+            if len(in_flight) >= 4 or not new_attempts:
                 in_flight += actions_of_type(
                     harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
                     messages.StartAttempt,
@@ -62,40 +62,42 @@
     harness = BalancerHarness()
     harness.balancer.endpoints.states[0].share = 10.0
     harness.balancer.concurrency_limit.split(harness.balancer.endpoints.subset)
-    sends = [
-        send
+    attempts = [
+        attempt
         for number in range(40)
-        for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
     ]
     assert (
         0
-        < sum(send.endpoint_id == 0 for send in sends)
+        < sum(attempt.endpoint_id == 0 for attempt in attempts)
         <= harness.balancer.concurrency_limit.attempts_per_endpoint
     )
 
 
 def test_queued_requests_are_sent_by_priority_and_rejected_when_their_wait_ends() -> None:
     harness = BalancerHarness(endpoint_count=1)
-    sends = []
+    attempts = []
     for number in range(10):
-        sends += actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
-    assert 0 < len(sends) < 10
+        attempts += actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+    assert 0 < len(attempts) < 10
     assert not actions_of_type(harness.request("dear", "pay"), messages.StartAttempt)
-    next_send, *_ = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.OK), messages.StartAttempt)
-    assert next_send.request_id == "dear"
-    refused = actions_of_type(harness.advance(1 * SECOND_US), messages.Reject)
-    assert len(refused) >= 5
+    next_attempt, *_ = actions_of_type(
+        harness.end_attempt(attempts[0], messages.Outcome.OK), messages.StartAttempt
+    )
+    assert next_attempt.request_id == "dear"
+    rejections = actions_of_type(harness.advance(1 * SECOND_US), messages.Reject)
+    assert len(rejections) >= 5
 
 
 def test_least_served_class_goes_first_with_worst_class_weight() -> None:
     """By priority weight alone a class of low weight would starve; both cost the same here."""
-    first_send = {}
-    for part in (0.0, 0.6):
-        harness = BalancerHarness(balancer_settings(worst_class_weight=part), endpoint_count=1)
-        while sends := actions_of_type(
+    first_request_ids = {}
+    for worst_class_weight in (0.0, 0.6):
+        harness = BalancerHarness(balancer_settings(worst_class_weight=worst_class_weight), endpoint_count=1)
+        while attempts := actions_of_type(
             harness.request(f"fill{len(harness.actions)}", "mark"), messages.StartAttempt
         ):
-            busy_send = sends[0]
+            blocking_attempt = attempts[0]
         harness.advance(300 * MILLISECOND_US)  # what was queued is rejected: no class is served well
         for number in range(20):
             harness.request(
@@ -103,47 +105,49 @@
             )  # cannot be answered in time
         harness.request("twice the worth", "mark")
         harness.request("least served", "read")
-        send, *_ = actions_of_type(
-            harness.end_attempt(busy_send, messages.Outcome.OK, took=300 * MILLISECOND_US),
+        attempt, *_ = actions_of_type(
+            harness.end_attempt(blocking_attempt, messages.Outcome.OK, took=300 * MILLISECOND_US),
             messages.StartAttempt,
         )
-        first_send[part] = send.request_id
-    assert first_send == {0.0: "twice the worth", 0.6: "least served"}
+        first_request_ids[worst_class_weight] = attempt.request_id
+    assert first_request_ids == {0.0: "twice the worth", 0.6: "least served"}
 
 
 def test_tenant_over_quota_waits_behind_others() -> None:
     tenants = (messages.Tenant("greedy", 2.0), messages.Tenant("modest", 50.0))
     harness = BalancerHarness(balancer_settings(tenants=tenants, over_quota_weight=0.1), endpoint_count=1)
-    sends = []
+    attempts = []
     for number in range(10):
-        sends += actions_of_type(
+        attempts += actions_of_type(
             harness.handle(messages.Request(f"g{number}", "read", 5 * SECOND_US, "greedy")),
             messages.StartAttempt,
         )
     assert not actions_of_type(
         harness.handle(messages.Request("m", "read", 5 * SECOND_US, "modest")), messages.StartAttempt
     )
-    send, *_ = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.OK), messages.StartAttempt)
-    assert send.request_id == "m"
+    attempt, *_ = actions_of_type(
+        harness.end_attempt(attempts[0], messages.Outcome.OK), messages.StartAttempt
+    )
+    assert attempt.request_id == "m"
 
 
 def test_request_that_cannot_meet_its_latency_objective_is_rejected_at_once() -> None:
     harness = BalancerHarness()
     for number in range(60):
-        for send in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
-            harness.end_attempt(send, messages.Outcome.OK, took=SECOND_US)
+        for attempt in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
+            harness.end_attempt(attempt, messages.Outcome.OK, took=SECOND_US)
     actions = harness.request("late", time_left=500 * MILLISECOND_US)
     assert actions_of_type(actions, messages.Reject) == [messages.Reject("late")]
 
 
 def test_time_spent_before_arrival_shortens_the_attempt_timeout() -> None:
     harness = BalancerHarness()
-    [send] = actions_of_type(harness.request("first"), messages.StartAttempt)
-    harness.end_attempt(send, messages.Outcome.OK)
-    [send] = actions_of_type(
+    [attempt] = actions_of_type(harness.request("first"), messages.StartAttempt)
+    harness.end_attempt(attempt, messages.Outcome.OK)
+    [attempt] = actions_of_type(
         harness.request("older", time_left=4 * SECOND_US, retry=True), messages.StartAttempt
     )
-    assert send.timeout_us <= 1 * SECOND_US
+    assert attempt.timeout_us <= 1 * SECOND_US
 
 
 def test_client_retry_with_longer_deadline_does_not_age_first_requests() -> None:
@@ -153,22 +157,22 @@
         ("a", 27 * SECOND_US // 10, False),
         ("b", 45 * SECOND_US // 10, True),
     ):
-        [send] = actions_of_type(
+        [attempt] = actions_of_type(
             harness.request(request_id, time_left=time_left, retry=retry), messages.StartAttempt
         )
-        harness.end_attempt(send, messages.Outcome.OK)
+        harness.end_attempt(attempt, messages.Outcome.OK)
     for request_id, retry in (("c", False), ("d", True)):  # both deadlines are as short: no age can be told
-        [send] = actions_of_type(
+        [attempt] = actions_of_type(
             harness.request(request_id, time_left=27 * SECOND_US // 10, retry=retry), messages.StartAttempt
         )
-        assert send.timeout_us > 19 * SECOND_US // 10
-        harness.end_attempt(send, messages.Outcome.OK)
+        assert attempt.timeout_us > 19 * SECOND_US // 10
+        harness.end_attempt(attempt, messages.Outcome.OK)
 
 
 def test_unknown_class_is_handled_as_unsafe() -> None:
     harness = BalancerHarness()
-    [send] = actions_of_type(harness.request("r", "never heard of"), messages.StartAttempt)
-    assert actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.Fail) == [
+    [attempt] = actions_of_type(harness.request("r", "unknown"), messages.StartAttempt)
+    assert actions_of_type(harness.end_attempt(attempt, messages.Outcome.ERROR), messages.Fail) == [
         messages.Fail("r")
     ]
 
@@ -192,15 +196,15 @@
     in_flight: list[tuple[int, messages.StartAttempt]] = []
     sent_count = 0
     for number in range(int(seconds * 20)):
-        sends = actions_of_type(harness.advance(50 * MILLISECOND_US), messages.StartAttempt)
+        attempts = actions_of_type(harness.advance(50 * MILLISECOND_US), messages.StartAttempt)
         while in_flight and in_flight[0][0] <= harness.now_us:
-            sends += actions_of_type(
+            attempts += actions_of_type(
                 harness.end_attempt(in_flight.pop(0)[1], messages.Outcome.OK, took=took_us),
                 messages.StartAttempt,
             )
-        sends += actions_of_type(harness.request(f"q{harness.now_us}.{number}"), messages.StartAttempt)
-        in_flight += [(harness.now_us + took_us, send) for send in sends]
-        sent_count += len(sends)
+        attempts += actions_of_type(harness.request(f"q{harness.now_us}.{number}"), messages.StartAttempt)
+        in_flight += [(harness.now_us + took_us, attempt) for attempt in attempts]
+        sent_count += len(attempts)
     return sent_count
 
 
@@ -235,28 +239,30 @@
 def test_endpoint_that_failed_a_class_is_avoided_for_that_class_only() -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)))
 
-    def chosen(cls: str, number: int) -> int:
-        [send] = actions_of_type(harness.request(f"{cls}{number}", cls), messages.StartAttempt)
+    def chosen_endpoint_id(class_name: str, number: int) -> int:
+        [attempt] = actions_of_type(
+            harness.request(f"{class_name}{number}", class_name), messages.StartAttempt
+        )
         harness.now_us += 1 * MILLISECOND_US
-        harness.end_attempt(send, messages.Outcome.OK, took=1 * MILLISECOND_US)
-        return send.endpoint_id
+        harness.end_attempt(attempt, messages.Outcome.OK, took=1 * MILLISECOND_US)
+        return attempt.endpoint_id
 
-    [first_send] = actions_of_type(harness.request("a"), messages.StartAttempt)
-    harness.end_attempt(first_send, messages.Outcome.ERROR)
+    [first_attempt] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    harness.end_attempt(first_attempt, messages.Outcome.ERROR)
     harness.now_us += 500 * MILLISECOND_US  # the failed attempt no longer counts as in flight
     harness.balancer.endpoints.states[
-        first_send.endpoint_id
+        first_attempt.endpoint_id
     ].share = 1.0  # what the change detector does about it is tested elsewhere
-    assert first_send.endpoint_id not in {chosen("read", number) for number in range(60)}
-    assert first_send.endpoint_id in {chosen("mark", number) for number in range(60)}
+    assert first_attempt.endpoint_id not in {chosen_endpoint_id("read", number) for number in range(60)}
+    assert first_attempt.endpoint_id in {chosen_endpoint_id("mark", number) for number in range(60)}
     harness.now_us += 5 * SECOND_US
-    assert first_send.endpoint_id in {chosen("read", 100 + number) for number in range(60)}
+    assert first_attempt.endpoint_id in {chosen_endpoint_id("read", 100 + number) for number in range(60)}
 
 
 def test_endpoint_that_failed_a_class_is_used_when_no_other_is_open() -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)), endpoint_count=1)
-    [first_send] = actions_of_type(harness.request("a"), messages.StartAttempt)
-    harness.end_attempt(first_send, messages.Outcome.ERROR)
+    [first_attempt] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    harness.end_attempt(first_attempt, messages.Outcome.ERROR)
     harness.now_us += 500 * MILLISECOND_US
     assert actions_of_type(harness.request("b"), messages.StartAttempt)
 
@@ -265,8 +271,8 @@
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)))
     for number in range(40):
         limit_before = harness.balancer.concurrency_limit.attempts_per_endpoint
-        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
-        harness.end_attempt(send, messages.Outcome.NO_CONNECTION, took=1)
+        [attempt] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        harness.end_attempt(attempt, messages.Outcome.NO_CONNECTION, took=1)
         harness.advance(500 * MILLISECOND_US)
         assert harness.balancer.concurrency_limit.attempts_per_endpoint >= limit_before
 
@@ -277,19 +283,23 @@
 ) -> None:
     """It is rejected then, without an attempt: the client may safely retry."""
     harness = BalancerHarness(endpoint_count=1)
-    sends: list[messages.StartAttempt] = []
-    while len(more := actions_of_type(harness.request(f"r{len(sends)}"), messages.StartAttempt)) == 1:
-        sends += more
-    done = harness.advance(
+    attempts: list[messages.StartAttempt] = []
+    while (
+        len(new_attempts := actions_of_type(harness.request(f"r{len(attempts)}"), messages.StartAttempt)) == 1
+    ):
+        attempts += new_attempts
+    actions_after = harness.advance(
         int(waited_share * harness.balancer.request_factory.classes["read"].settings.latency_objective_us)
     )
-    waiting = f"r{len(sends)}"
-    assert [action.request_id for action in actions_of_type(done, messages.Reject)] == (
-        [] if served else [waiting]
+    queued_id = f"r{len(attempts)}"
+    assert [action.request_id for action in actions_of_type(actions_after, messages.Reject)] == (
+        [] if served else [queued_id]
     )
-    done = [action for send in sends for action in harness.end_attempt(send, messages.Outcome.OK)]
-    assert [action.request_id for action in actions_of_type(done, messages.StartAttempt)] == (
-        [waiting] if served else []
+    actions_after = [
+        action for attempt in attempts for action in harness.end_attempt(attempt, messages.Outcome.OK)
+    ]
+    assert [action.request_id for action in actions_of_type(actions_after, messages.StartAttempt)] == (
+        [queued_id] if served else []
     )
 
 
@@ -301,33 +311,43 @@
     )
     for state in harness.balancer.endpoints.subset:
         state.warming.bucket.tokens = state.warming.phase = 0.0
-    sends = [
-        send
+    attempts = [
+        attempt
         for number in range(3)
-        for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt)
+        for attempt in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt)
     ]
-    assert len({send.endpoint_id for send in sends}) == 3  # one attempt at each
+    assert len({attempt.endpoint_id for attempt in attempts}) == 3  # one attempt at each
     assert not actions_of_type(harness.request("cheap", "read"), messages.StartAttempt)
-    return harness, sends
+    return harness, attempts
 
 
 def test_queued_request_with_unsent_attempt_does_not_hold_back_first_attempts() -> None:
     """It counts as a first attempt again and is sent at once; the next free place is the other request's."""
-    harness, sends = busy_warming_endpoints()
-    after = actions_of_type(harness.end_attempt(sends[0], messages.Outcome.NOT_SENT), messages.StartAttempt)
-    assert [(send.request_id, send.endpoint_id) for send in after] == [("r0", sends[0].endpoint_id)]
-    after = actions_of_type(harness.end_attempt(sends[1], messages.Outcome.OK), messages.StartAttempt)
-    assert [(send.request_id, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
+    harness, attempts = busy_warming_endpoints()
+    after = actions_of_type(
+        harness.end_attempt(attempts[0], messages.Outcome.NOT_SENT), messages.StartAttempt
+    )
+    assert [(attempt.request_id, attempt.endpoint_id) for attempt in after] == [
+        ("r0", attempts[0].endpoint_id)
+    ]
+    after = actions_of_type(harness.end_attempt(attempts[1], messages.Outcome.OK), messages.StartAttempt)
+    assert [(attempt.request_id, attempt.endpoint_id) for attempt in after] == [
+        ("cheap", attempts[1].endpoint_id)
+    ]
 
 
 def test_queued_request_with_rejected_attempt_does_not_hold_back_first_attempts() -> None:
     """A retry at warming endpoints needs budget; a first attempt, which needs none, waited behind it."""
-    harness, sends = busy_warming_endpoints()
+    harness, attempts = busy_warming_endpoints()
     assert not actions_of_type(
-        harness.end_attempt(sends[0], messages.Outcome.REJECTED), messages.StartAttempt
+        harness.end_attempt(attempts[0], messages.Outcome.REJECTED), messages.StartAttempt
+    )
+    after = actions_of_type(
+        harness.end_attempt(attempts[1], messages.Outcome.UNUSABLE), messages.StartAttempt
     )
-    after = actions_of_type(harness.end_attempt(sends[1], messages.Outcome.UNUSABLE), messages.StartAttempt)
-    assert [(send.request_id, send.endpoint_id) for send in after] == [("cheap", sends[1].endpoint_id)]
+    assert [(attempt.request_id, attempt.endpoint_id) for attempt in after] == [
+        ("cheap", attempts[1].endpoint_id)
+    ]
 
 
 @pytest.mark.parametrize("max_attempts", [1, 3, 20])
@@ -336,12 +356,14 @@
     harness = BalancerHarness(
         balancer_settings(limits=messages.Limits(max_attempts=max_attempts, cancel=True))
     )
-    actions, sends = harness.request("r", "pay"), 0
-    while again := actions_of_type(actions, messages.StartAttempt):
-        sends += 1
-        assert sends <= max_attempts
-        actions = harness.end_attempt(again[0], messages.Outcome.NOT_SENT, took=0, attempt=sends - 1)
-    assert sends == max_attempts
+    actions, attempt_count = harness.request("r", "pay"), 0
+    while started := actions_of_type(actions, messages.StartAttempt):
+        attempt_count += 1
+        assert attempt_count <= max_attempts
+        actions = harness.end_attempt(
+            started[0], messages.Outcome.NOT_SENT, took=0, attempt=attempt_count - 1
+        )
+    assert attempt_count == max_attempts
     assert [action.request_id for action in actions_of_type(actions, messages.Reject)] == ["r"]
     assert not harness.balancer.open_requests.by_id
     assert not harness.balancer.dispatcher.in_flight
--- a/tests/policy/test_policy_modules.py
+++ b/tests/policy/test_policy_modules.py
@@ -41,8 +41,10 @@
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
 def test_module_imports_no_clock_and_no_io(path: Path) -> None:
-    others = {name for name in imported_modules(path) if not name.startswith("load_balancer.policy.")}
-    assert others <= ALLOWED_IMPORTS
+    outside_imports = {
+        name for name in imported_modules(path) if not name.startswith("load_balancer.policy.")
+    }
+    assert outside_imports <= ALLOWED_IMPORTS
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
@@ -62,5 +64,5 @@
 
 
 def test_deploy_file_names_every_policy_module() -> None:
-    deploy = (POLICY.parent.parent / "deploy" / "balancer.toml").read_text()
-    assert all(f'"load_balancer/policy/{path.name}"' in deploy for path in MODULES)
+    deploy_text = (POLICY.parent.parent / "deploy" / "balancer.toml").read_text()
+    assert all(f'"load_balancer/policy/{path.name}"' in deploy_text for path in MODULES)
--- a/tests/policy/test_policy_rules_random.py
+++ b/tests/policy/test_policy_rules_random.py
@@ -16,13 +16,13 @@
 from tests.support.units import MILLISECOND_US, SECOND_US
 
 OUTCOMES = tuple(messages.Outcome)
-PROVES_NOTHING_RAN = (
+NOT_RUN_OUTCOMES = (
     messages.Outcome.REJECTED,
     messages.Outcome.NO_CONNECTION,
     messages.Outcome.UNREACHABLE,
     messages.Outcome.NOT_SENT,
 )
-KEYED_ZONE = messages.RequestClass(
+KEYED_IN_ZONE_CLASS = messages.RequestClass(
     "note",
     2 * SECOND_US,
     5 * SECOND_US,
@@ -30,40 +30,40 @@
     messages.KeyScope.ZONE,
     deduplication_window_us=3 * SECOND_US,
 )
-FORGETFUL = messages.RequestClass(
+SHORT_WINDOW_CLASS = messages.RequestClass(
     "mail",
     4 * SECOND_US,
     5 * SECOND_US,
     messages.Idempotency.KEYED,
     deduplication_window_us=100 * MILLISECOND_US,
 )
-UNSAFE_BUT_REMEMBERED = messages.RequestClass(
+UNSAFE_CLASS_WITH_WINDOW = messages.RequestClass(
     "book", 4 * SECOND_US, 5 * SECOND_US, deduplication_window_us=5 * SECOND_US
 )  # a window that it may not use
-ALL_CLASSES = (*REQUEST_CLASSES, KEYED_ZONE, FORGETFUL, UNSAFE_BUT_REMEMBERED)
-UNLISTED = messages.RequestClass(
-    "nobody told", 5 * SECOND_US, 5 * SECOND_US
+ALL_CLASSES = (*REQUEST_CLASSES, KEYED_IN_ZONE_CLASS, SHORT_WINDOW_CLASS, UNSAFE_CLASS_WITH_WINDOW)
+UNKNOWN_CLASS = messages.RequestClass(
+    "unknown", 5 * SECOND_US, 5 * SECOND_US
 )  # used, but missing from the settings: unsafe
-MOST_ATTEMPTS = 4
-FINAL_SLACK = 20 * MILLISECOND_US  # how late the wire allows a final response to be
+MAX_ATTEMPTS = 4
+FINAL_RESPONSE_SLACK_US = 20 * MILLISECOND_US  # how late the wire allows a final response to be
 
 
 @dataclass
 class SentAttempt:
-    send: messages.StartAttempt
+    action: messages.StartAttempt
     endpoint: messages.Endpoint
-    at: int
+    sent_at_us: int
     outcome: messages.Outcome | None = None
 
     @property
     def may_have_run(self) -> bool:
-        return self.outcome not in PROVES_NOTHING_RAN
+        return self.outcome not in NOT_RUN_OUTCOMES
 
 
 @dataclass
 class PendingRequest:
-    cls: messages.RequestClass
-    deadline: int
+    request_class: messages.RequestClass
+    deadline_us: int
     attempts: list[SentAttempt]
 
 
@@ -75,23 +75,23 @@
         self.pending: dict[str, PendingRequest] = {}
         self.requests: dict[str, PendingRequest] = {}  # the same, kept when they have ended
         self.in_flight: list[tuple[str, int]] = []
-        self.warming_sends: dict[int, list[int]] = {}  # times by endpoint, since its latest start
-        self.warm_sends: dict[int, list[int]] = {}
+        self.warming_times_us: dict[int, list[int]] = {}  # times by endpoint, since its latest start
+        self.warm_times_us: dict[int, list[int]] = {}
         self.trace: list[object] = []
-        self.serial = 0
+        self.request_count = 0
         self.listed = {
             number: messages.Endpoint(number, cell=number % 3, zone="ab"[number % 2]) for number in range(8)
         }
         self.version = 1
-        limits = messages.Limits(max_attempts=MOST_ATTEMPTS, cancel=seed % 3 > 0)
-        self.setup = balancer_settings(
+        limits = messages.Limits(max_attempts=MAX_ATTEMPTS, cancel=seed % 3 > 0)
+        self.settings = balancer_settings(
             classes=ALL_CLASSES,
             limits=limits,
             instances=1 + seed % 3,
             must_subscribe=seed % 2 == 0,
             worst_class_weight=0.3 * (seed % 2),
         )
-        super().__init__(self.setup, endpoint_count=0, seed=seed)
+        super().__init__(self.settings, endpoint_count=0, seed=seed)
         self.update_endpoint_list(*self.listed.values())
 
     # Checks
@@ -108,72 +108,84 @@
             case messages.StartAttempt():
                 self.check_start_attempt(action)
             case messages.Reject():
-                assert action.request_id in self.pending, "lost: a second final answer"
+                assert action.request_id in self.pending, "final response: a second one"
                 pending = self.pending.pop(action.request_id)
-                keyed_everywhere = (pending.cls.idempotency, pending.cls.key_scope) == (
+                keyed_everywhere = (pending.request_class.idempotency, pending.request_class.key_scope) == (
                     messages.Idempotency.KEYED,
                     messages.KeyScope.ALL,
                 )
-                harmless = pending.cls.idempotency is messages.Idempotency.SAFE or keyed_everywhere
+                harmless = pending.request_class.idempotency is messages.Idempotency.SAFE or keyed_everywhere
                 assert harmless or not any(attempt.may_have_run for attempt in pending.attempts), (
-                    "twice: rejected what may have run"
+                    "repeated: rejected a request that may have run"
+                )
+                assert self.now_us <= pending.deadline_us + FINAL_RESPONSE_SLACK_US, (
+                    "final response: rejected too late"
                 )
-                assert self.now_us <= pending.deadline + FINAL_SLACK, "lost: rejected too late"
             case messages.Fail():
-                assert action.request_id in self.pending, "lost: a second final answer"
+                assert action.request_id in self.pending, "final response: a second one"
                 pending = self.pending.pop(action.request_id)
-                assert self.now_us <= pending.deadline + FINAL_SLACK, "lost: failed too late"
+                assert self.now_us <= pending.deadline_us + FINAL_RESPONSE_SLACK_US, (
+                    "final response: failed too late"
+                )
             case messages.CancelAttempt():
-                assert self.setup.limits.cancel
+                assert self.settings.limits.cancel
                 assert action.attempt_number < len(self.requests[action.request_id].attempts)
             case messages.SetTimer():
                 assert action.at_us >= self.now_us
 
-    def check_start_attempt(self, send: messages.StartAttempt) -> None:
-        assert send.request_id in self.pending, "lost: sent after the end"
-        pending = self.pending[send.request_id]
-        endpoint = self.listed.get(send.endpoint_id)
-        assert endpoint is not None, "drain: sent to an endpoint that drains or is gone"
+    def check_start_attempt(self, action: messages.StartAttempt) -> None:
+        assert action.request_id in self.pending, "final response: attempt started after it"
+        pending = self.pending[action.request_id]
+        endpoint = self.listed.get(action.endpoint_id)
+        assert endpoint is not None, "draining: attempt sent to an endpoint that is draining or removed"
         assert endpoint.status is messages.EndpointStatus.UP, (
-            "drain: sent to an endpoint that drains or is gone"
+            "draining: attempt sent to an endpoint that is draining or removed"
+        )
+        assert 0 < action.timeout_us <= pending.deadline_us - self.now_us
+        assert len(pending.attempts) < MAX_ATTEMPTS
+        assert all(attempt.outcome is not None for attempt in pending.attempts), (
+            "concurrent: the previous attempt has not ended"
         )
-        assert 0 < send.timeout_us <= pending.deadline - self.now_us
-        assert len(pending.attempts) < MOST_ATTEMPTS
-        assert all(attempt.outcome is not None for attempt in pending.attempts), "two at once"
         may_have_run_attempts = [attempt for attempt in pending.attempts if attempt.may_have_run]
         if may_have_run_attempts:
             first = may_have_run_attempts[0]
-            assert pending.cls.idempotency is not messages.Idempotency.UNSAFE, "twice: unsafe sent again"
-            if pending.cls.idempotency is messages.Idempotency.KEYED:
-                assert self.now_us <= first.at + pending.cls.deduplication_window_us, (
-                    "twice: after the deduplication window"
+            assert pending.request_class.idempotency is not messages.Idempotency.UNSAFE, (
+                "repeated: unsafe request sent again"
+            )
+            if pending.request_class.idempotency is messages.Idempotency.KEYED:
+                assert self.now_us <= first.sent_at_us + pending.request_class.deduplication_window_us, (
+                    "repeated: after the deduplication window"
                 )
-                if pending.cls.key_scope is not messages.KeyScope.ALL:
-                    assert endpoint.zone == first.endpoint.zone, "twice: another zone"
-                if pending.cls.key_scope is messages.KeyScope.CELL:
-                    assert endpoint.cell == first.endpoint.cell, "twice: another cell"
+                if pending.request_class.key_scope is not messages.KeyScope.ALL:
+                    assert endpoint.zone == first.endpoint.zone, "repeated: in another zone"
+                if pending.request_class.key_scope is messages.KeyScope.CELL:
+                    assert endpoint.cell == first.endpoint.cell, "repeated: in another cell"
         self.check_slow_start(endpoint)
-        self.in_flight.append((send.request_id, len(pending.attempts)))
-        pending.attempts.append(SentAttempt(send, endpoint, self.now_us))
+        self.in_flight.append((action.request_id, len(pending.attempts)))
+        pending.attempts.append(SentAttempt(action, endpoint, self.now_us))
 
     def check_slow_start(self, endpoint: messages.Endpoint) -> None:
         """Check a warming endpoint's budget in the window that ends now, by the most that a warm one got."""
-        rules = self.setup.rules
-        age = self.now_us - endpoint.incarnation_us
-        if endpoint.incarnation_us <= 0 or age >= rules.slow_start_us:
-            self.warm_sends.setdefault(endpoint.id, []).append(self.now_us)
+        rules = self.settings.rules
+        age_us = self.now_us - endpoint.incarnation_us
+        if endpoint.incarnation_us <= 0 or age_us >= rules.slow_start_us:
+            self.warm_times_us.setdefault(endpoint.id, []).append(self.now_us)
             return
-        times = self.warming_sends.setdefault(endpoint.id, [])
+        times = self.warming_times_us.setdefault(endpoint.id, [])
         times.append(self.now_us)
-        recent = sum(self.now_us - rules.overload_window_us < at for at in times)
-        warm = max((self.most_in_window(warm_times) for warm_times in self.warm_sends.values()), default=0)
-        capacity = rules.start_capacity + (1 - rules.start_capacity) * age / rules.slow_start_us
+        attempts_in_window = sum(self.now_us - rules.overload_window_us < at for at in times)
+        max_warm = max(
+            (self.max_in_window(warm_times) for warm_times in self.warm_times_us.values()), default=0
+        )
+        capacity = rules.start_capacity + (1 - rules.start_capacity) * age_us / rules.slow_start_us
         # A few attempts overload nothing; beyond that the warm endpoints are the measure.
-        assert recent <= max(6.0, rules.overload_multiple * capacity * warm), "slow start: over the budget"
+        assert attempts_in_window <= max(6.0, rules.overload_multiple * capacity * max_warm), (
+            "slow start: attempts exceed the budget"
+        )
 
-    def most_in_window(self, times: list[int]) -> int:
-        window = self.setup.rules.overload_window_us
-        return max(sum(at <= other < at + window for other in times) for at in times)
+    def max_in_window(self, times: list[int]) -> int:
+        window_us = self.settings.rules.overload_window_us
+        return max(sum(at <= other < at + window_us for other in times) for at in times)
 
     # Random events
 
@@ -183,24 +195,29 @@
         attempt.outcome = outcome
         if outcome is messages.Outcome.OK:
             self.pending.pop(request_id, None)
-        took = self.now_us - attempt.at
+        latency_us = self.now_us - attempt.sent_at_us
         self.handle(
             messages.AttemptEnded(
-                request_id, number, attempt.send.endpoint_id, outcome, took, request_id not in self.pending
+                request_id,
+                number,
+                attempt.action.endpoint_id,
+                outcome,
+                latency_us,
+                request_id not in self.pending,
             )
         )
 
     def send_request(self) -> None:
         rng = self.rng
-        self.serial += 1
-        request_id, cls = f"r{self.serial}", rng.choice((*ALL_CLASSES, UNLISTED))
+        self.request_count += 1
+        request_id, request_class = f"r{self.request_count}", rng.choice((*ALL_CLASSES, UNKNOWN_CLASS))
         time_left = rng.choice(
             (0, 1, 10 * MILLISECOND_US, 300 * MILLISECOND_US, 2 * SECOND_US, 5 * SECOND_US)
         )
         self.pending[request_id] = self.requests[request_id] = PendingRequest(
-            cls, self.now_us + time_left, []
+            request_class, self.now_us + time_left, []
         )
-        self.handle(messages.Request(request_id, cls.name, time_left))
+        self.handle(messages.Request(request_id, request_class.name, time_left))
 
     def random_entry(self) -> messages.Endpoint:
         """Return a new state of a random endpoint, which may have restarted."""
@@ -214,17 +231,19 @@
                 messages.EndpointStatus.REMOVED,
             )
         )
-        known = self.listed.get(endpoint_id)
-        since = self.now_us if known is None or rng.random() < 0.3 else known.incarnation_us
+        listed_endpoint = self.listed.get(endpoint_id)
+        incarnation_us = (
+            self.now_us if listed_endpoint is None or rng.random() < 0.3 else listed_endpoint.incarnation_us
+        )
         return messages.Endpoint(
-            endpoint_id, status, "ab"[endpoint_id % 2], cell=endpoint_id % 3, incarnation_us=since
+            endpoint_id, status, "ab"[endpoint_id % 2], cell=endpoint_id % 3, incarnation_us=incarnation_us
         )
 
     def change_list(self) -> None:
         entry = self.random_entry()
         if entry.incarnation_us == self.now_us:
-            self.warming_sends.pop(entry.id, None)
-            self.warm_sends.pop(entry.id, None)
+            self.warming_times_us.pop(entry.id, None)
+            self.warm_times_us.pop(entry.id, None)
         self.version += 1
         self.listed[entry.id] = entry
         if self.rng.random() < 0.3:
@@ -251,40 +270,40 @@
     def step(self) -> None:
         rng = self.rng
         self.advance(rng.choice((0, 1, 5, 20, 20, 200)) * MILLISECOND_US)
-        self.time_out_attempts()
+        self.end_timed_out_attempts()
         kind = rng.random()
         if kind < 0.5:
             for _ in range(rng.choice((1, 1, 1, 6))):
                 self.send_request()
         elif kind < 0.85 and self.in_flight:
-            good = rng.random() < 0.6
+            succeeds = rng.random() < 0.6
             self.finish_attempt(
-                rng.randrange(len(self.in_flight)), messages.Outcome.OK if good else rng.choice(OUTCOMES)
+                rng.randrange(len(self.in_flight)), messages.Outcome.OK if succeeds else rng.choice(OUTCOMES)
             )
         elif kind < 0.9 and self.pending:
-            gone = rng.choice(list(self.pending))
-            del self.pending[gone]
-            self.handle(messages.ClientGone(gone))
+            request_id = rng.choice(list(self.pending))
+            del self.pending[request_id]
+            self.handle(messages.ClientGone(request_id))
         elif kind < 0.95:
             self.change_list()
         else:
             self.send_odd_event()
         self.check_final_responses()
 
-    def time_out_attempts(self) -> None:
+    def end_timed_out_attempts(self) -> None:
         for index in range(len(self.in_flight) - 1, -1, -1):
             request_id, number = self.in_flight[index]
             attempt = self.requests[request_id].attempts[number]
-            if attempt.at + attempt.send.timeout_us <= self.now_us:
+            if attempt.sent_at_us + attempt.action.timeout_us <= self.now_us:
                 self.finish_attempt(index, messages.Outcome.TIMEOUT)
 
     def check_final_responses(self) -> None:
-        late = [
+        overdue_ids = [
             request_id
             for request_id, pending in self.pending.items()
-            if self.now_us > pending.deadline + FINAL_SLACK
+            if self.now_us > pending.deadline_us + FINAL_RESPONSE_SLACK_US
         ]
-        assert not late, "lost: no answer in time"
+        assert not overdue_ids, "final response: none by the deadline"
 
     def run(self, steps: int) -> None:
         for _ in range(steps):
@@ -296,23 +315,23 @@
         self.advance(10 * SECOND_US)
         while self.in_flight:
             self.finish_attempt(len(self.in_flight) - 1, messages.Outcome.TIMEOUT)
-        assert not self.pending, "lost: no answer at all"
+        assert not self.pending, "final response: none at all"
 
 
 @pytest.mark.parametrize("first", range(0, 2000, 100))
 def test_safety_rules_hold_under_random_events(first: int) -> None:
     """2,000 streams of 60 steps each, a hundred in each of these tests."""
-    sent = retried = sent_to_warming = 0
+    attempt_count = retried_count = warming_attempt_count = 0
     for seed in range(first, first + 100):
         checked = CheckedBalancer(seed)
         checked.run(60)
-        sent += sum(len(pending.attempts) for pending in checked.requests.values())
-        retried += sum(len(pending.attempts) > 1 for pending in checked.requests.values())
-        sent_to_warming += sum(len(times) for times in checked.warming_sends.values())
+        attempt_count += sum(len(pending.attempts) for pending in checked.requests.values())
+        retried_count += sum(len(pending.attempts) > 1 for pending in checked.requests.values())
+        warming_attempt_count += sum(len(times) for times in checked.warming_times_us.values())
     # The streams do reach what they are meant to check.
-    assert sent > 1000
-    assert retried > 20
-    assert sent_to_warming > 20
+    assert attempt_count > 1000
+    assert retried_count > 20
+    assert warming_attempt_count > 20
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/policy/test_request_deadline.py
+++ b/tests/policy/test_request_deadline.py
@@ -11,8 +11,8 @@
 
 def test_attempt_times_out_before_its_answer_would_be_late() -> None:
     harness = BalancerHarness()
-    [send] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
-    assert send.timeout_us <= UNSAFE_CLASS.latency_objective_us - 2 * harness.balancer.settings.tick_us
+    [attempt] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
+    assert attempt.timeout_us <= UNSAFE_CLASS.latency_objective_us - 2 * harness.balancer.settings.tick_us
 
 
 @pytest.mark.parametrize("allowed", [True, False])
--- a/tests/policy/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -9,9 +9,9 @@
 from tests.support.units import MILLISECOND_US, SECOND_US
 
 
-def first_send(harness: BalancerHarness, cls: str) -> messages.StartAttempt:
-    [send] = actions_of_type(harness.request("r", cls), messages.StartAttempt)
-    return send
+def start_first_attempt(harness: BalancerHarness, class_name: str) -> messages.StartAttempt:
+    [attempt] = actions_of_type(harness.request("r", class_name), messages.StartAttempt)
+    return attempt
 
 
 @pytest.mark.parametrize(
@@ -20,7 +20,7 @@
 )
 def test_unsafe_request_that_may_have_run_fails_at_once(outcome: messages.Outcome) -> None:
     harness = BalancerHarness()
-    actions = harness.end_attempt(first_send(harness, "pay"), outcome)
+    actions = harness.end_attempt(start_first_attempt(harness, "pay"), outcome)
     assert actions_of_type(actions, messages.Fail) == [messages.Fail("r")]
     assert not actions_of_type(actions, messages.StartAttempt)
     assert not actions_of_type(actions, messages.Reject)
@@ -29,13 +29,13 @@
 @pytest.mark.parametrize("outcome", [messages.Outcome.REJECTED, messages.Outcome.NO_CONNECTION])
 def test_unsafe_request_that_never_ran_is_retried_elsewhere_then_rejected(outcome: messages.Outcome) -> None:
     harness = BalancerHarness()
-    send, tried = first_send(harness, "pay"), set()
-    for attempt in range(3):
-        tried.add(send.endpoint_id)
-        actions = harness.end_attempt(send, outcome, attempt=attempt)
-        if attempt < 2:
-            [send] = actions_of_type(actions, messages.StartAttempt)
-    assert len(tried) == 3
+    attempt, tried_ids = start_first_attempt(harness, "pay"), set()
+    for attempt_number in range(3):
+        tried_ids.add(attempt.endpoint_id)
+        actions = harness.end_attempt(attempt, outcome, attempt=attempt_number)
+        if attempt_number < 2:
+            [attempt] = actions_of_type(actions, messages.StartAttempt)
+    assert len(tried_ids) == 3
     assert actions_of_type(actions, messages.Reject)
     assert not actions_of_type(actions, messages.StartAttempt)
 
@@ -43,17 +43,17 @@
 def test_keyed_request_that_may_have_run_is_retried_in_its_cell() -> None:
     for seed in range(20):
         harness = BalancerHarness(endpoint_count=6, seed=seed)
-        send = first_send(harness, "write")
-        [again] = actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.StartAttempt)
-        assert again.endpoint_id % 2 == send.endpoint_id % 2
-        assert again.endpoint_id != send.endpoint_id
+        attempt = start_first_attempt(harness, "write")
+        [retry] = actions_of_type(harness.end_attempt(attempt, messages.Outcome.ERROR), messages.StartAttempt)
+        assert retry.endpoint_id % 2 == attempt.endpoint_id % 2
+        assert retry.endpoint_id != attempt.endpoint_id
 
 
 def test_keyed_request_is_not_retried_after_its_deduplication_window() -> None:
     harness = BalancerHarness()
-    send = first_send(harness, "write")
+    attempt = start_first_attempt(harness, "write")
     harness.now_us += 4 * SECOND_US - 1 * MILLISECOND_US
-    actions = harness.end_attempt(send, messages.Outcome.ERROR)
+    actions = harness.end_attempt(attempt, messages.Outcome.ERROR)
     assert actions_of_type(actions, messages.Fail)
     assert not actions_of_type(actions, messages.StartAttempt)
 
@@ -66,11 +66,11 @@
 
 def test_nothing_is_sent_after_client_disconnects() -> None:
     harness = BalancerHarness()
-    send = first_send(harness, "read")
+    attempt = start_first_attempt(harness, "read")
     assert actions_of_type(harness.handle(messages.ClientGone("r")), messages.CancelAttempt) == [
         messages.CancelAttempt("r", 0)
     ]
-    actions = harness.end_attempt(send, messages.Outcome.CANCELLED) + harness.advance(6 * SECOND_US)
+    actions = harness.end_attempt(attempt, messages.Outcome.CANCELLED) + harness.advance(6 * SECOND_US)
     assert not actions_of_type(actions, messages.StartAttempt)
     assert not actions_of_type(actions, messages.Reject)
     assert not actions_of_type(actions, messages.Fail)
@@ -88,17 +88,19 @@
         kind=messages.EndpointListKind.CHANGES,
         version=2,
     )
-    sends = [actions_of_type(harness.request(f"r{number}"), messages.StartAttempt) for number in range(3)]
-    assert [started[0].endpoint_id for started in sends] == [0, 0, 0]
+    attempts_by_request = [
+        actions_of_type(harness.request(f"r{number}"), messages.StartAttempt) for number in range(3)
+    ]
+    assert [attempts[0].endpoint_id for attempts in attempts_by_request] == [0, 0, 0]
 
 
 def test_started_response_is_not_cut_off_at_the_deadline() -> None:
     harness = BalancerHarness()
-    send = first_send(harness, "read")
+    attempt = start_first_attempt(harness, "read")
     harness.handle(messages.StreamStarted("r", 0))
     late = harness.advance(8 * SECOND_US)
     assert not actions_of_type(late, messages.Reject)
     assert not actions_of_type(late, messages.Fail)
     assert not actions_of_type(late, messages.CancelAttempt)
-    harness.end_attempt(send, messages.Outcome.OK)
+    harness.end_attempt(attempt, messages.Outcome.OK)
     assert not harness.balancer.open_requests.by_id
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -20,14 +20,16 @@
             )
         )
     )
-    [send] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
-    actions = harness.end_attempt(send, messages.Outcome.ERROR)
+    [attempt] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
+    actions = harness.end_attempt(attempt, messages.Outcome.ERROR)
     assert actions_of_type(actions, messages.Fail) == [messages.Fail("r")]
     assert not actions_of_type(actions, messages.StartAttempt)
 
 
-@pytest.mark.parametrize(("after", "sent"), [(100 * MILLISECOND_US, 1), (1500 * MILLISECOND_US, 0)])
-def test_keyed_retry_is_sent_only_within_the_deduplication_window(after: int, sent: int) -> None:
+@pytest.mark.parametrize(
+    ("elapsed_us", "retry_count"), [(100 * MILLISECOND_US, 1), (1500 * MILLISECOND_US, 0)]
+)
+def test_keyed_retry_is_sent_only_within_the_deduplication_window(elapsed_us: int, retry_count: int) -> None:
     keyed = messages.RequestClass(
         "write",
         6 * SECOND_US,
@@ -36,16 +38,19 @@
         deduplication_window_us=1 * SECOND_US,
     )
     harness = BalancerHarness(balancer_settings(classes=(keyed,)))
-    [send] = actions_of_type(harness.request("r", "write", time_left=9 * SECOND_US), messages.StartAttempt)
-    harness.now_us += after
+    [attempt] = actions_of_type(harness.request("r", "write", time_left=9 * SECOND_US), messages.StartAttempt)
+    harness.now_us += elapsed_us
     assert (
-        len(actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.StartAttempt)) == sent
+        len(actions_of_type(harness.end_attempt(attempt, messages.Outcome.ERROR), messages.StartAttempt))
+        == retry_count
     )
 
 
-@pytest.mark.parametrize(("after", "sent"), [(590 * MILLISECOND_US, 1), (610 * MILLISECOND_US, 0)])
+@pytest.mark.parametrize(
+    ("elapsed_us", "retry_count"), [(590 * MILLISECOND_US, 1), (610 * MILLISECOND_US, 0)]
+)
 def test_keyed_retry_leaves_time_for_its_connection_within_the_deduplication_window(
-    after: int, sent: int
+    elapsed_us: int, retry_count: int
 ) -> None:
     keyed = messages.RequestClass(
         "write",
@@ -56,10 +61,11 @@
     )
     limits = messages.Limits(max_attempts=3, connect_timeout_us=250 * MILLISECOND_US)
     harness = BalancerHarness(balancer_settings(classes=(keyed,), limits=limits))
-    [send] = actions_of_type(harness.request("r", "write", time_left=9 * SECOND_US), messages.StartAttempt)
-    harness.now_us += after
+    [attempt] = actions_of_type(harness.request("r", "write", time_left=9 * SECOND_US), messages.StartAttempt)
+    harness.now_us += elapsed_us
     assert (
-        len(actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.StartAttempt)) == sent
+        len(actions_of_type(harness.end_attempt(attempt, messages.Outcome.ERROR), messages.StartAttempt))
+        == retry_count
     )
 
 
@@ -77,33 +83,33 @@
         harness.update_endpoint_list(
             *(messages.Endpoint(number, zone="ab"[number % 2]) for number in range(8))
         )
-        [send] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
-        [again] = actions_of_type(harness.end_attempt(send, messages.Outcome.ERROR), messages.StartAttempt)
-        assert again.endpoint_id % 2 == send.endpoint_id % 2
+        [attempt] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
+        [retry] = actions_of_type(harness.end_attempt(attempt, messages.Outcome.ERROR), messages.StartAttempt)
+        assert retry.endpoint_id % 2 == attempt.endpoint_id % 2
 
 
 def test_retry_goes_to_an_untried_endpoint() -> None:
     for seed in range(8):
         harness = BalancerHarness(endpoint_count=2, seed=seed)
-        [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+        [attempt] = actions_of_type(harness.request("r"), messages.StartAttempt)
         harness.now_us += 1 * SECOND_US  # the failed attempt no longer counts as in flight
-        [again] = actions_of_type(harness.end_attempt(send, messages.Outcome.RESET), messages.StartAttempt)
-        assert again.endpoint_id != send.endpoint_id
+        [retry] = actions_of_type(harness.end_attempt(attempt, messages.Outcome.RESET), messages.StartAttempt)
+        assert retry.endpoint_id != attempt.endpoint_id
 
 
 def test_retries_are_paid_from_the_retry_budget() -> None:
-    harness, sends, requests = BalancerHarness(), 0, 200
-    for number in range(requests):
+    harness, attempt_count, request_count = BalancerHarness(), 0, 200
+    for number in range(request_count):
         pending = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
-        attempt = 0
+        attempt_number = 0
         while pending:
-            sends += 1
+            attempt_count += 1
             pending = actions_of_type(
                 harness.end_attempt(
-                    pending[0], messages.Outcome.REJECTED, took=MILLISECOND_US, attempt=attempt
+                    pending[0], messages.Outcome.REJECTED, took=MILLISECOND_US, attempt=attempt_number
                 ),
                 messages.StartAttempt,
             )
-            attempt += 1
+            attempt_number += 1
         harness.now_us += 1 * SECOND_US
-    assert requests < sends <= requests * (1 + RETRIES_PER_REQUEST) + MAX_SAVED_RETRIES
+    assert request_count < attempt_count <= request_count * (1 + RETRIES_PER_REQUEST) + MAX_SAVED_RETRIES
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -30,35 +30,41 @@
     busy, idle = harness.balancer.endpoints.states.values()
     busy.share = 3.0
     for number in range(20):
-        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
-        assert send.endpoint_id == idle.endpoint.id
-        assert [draw.load for draw in send.draws] == [0, 1]
-        harness.end_attempt(send, messages.Outcome.OK)
+        [attempt] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        assert attempt.endpoint_id == idle.endpoint.id
+        assert [draw.load for draw in attempt.draws] == [0, 1]
+        harness.end_attempt(attempt, messages.Outcome.OK)
 
 
 def test_overdue_attempt_counts_twice() -> None:
     """A missing response shows that an endpoint hangs long before the attempt times out."""
     harness = BalancerHarness(endpoint_count=1)
-    [send] = actions_of_type(harness.request("stuck"), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.request("stuck"), messages.StartAttempt)
     [state] = harness.balancer.endpoints.states.values()
-    usual = int(harness.balancer.request_factory.classes["read"].usual_latency_us)
-    assert [state.load(harness.now_us + after) for after in (0, usual, 3 * usual)] == [1, 1, 2]
-    harness.now_us += 3 * usual
-    harness.end_attempt(send, messages.Outcome.OK, took=3 * usual)
+    usual_us = int(harness.balancer.request_factory.classes["read"].usual_latency_us)
+    assert [state.load(harness.now_us + elapsed_us) for elapsed_us in (0, usual_us, 3 * usual_us)] == [
+        1,
+        1,
+        2,
+    ]
+    harness.now_us += 3 * usual_us
+    harness.end_attempt(attempt, messages.Outcome.OK, took=3 * usual_us)
     assert state.load(harness.now_us) == 0
 
 
 def test_draws_are_distinct() -> None:
     harness = BalancerHarness(endpoint_count=5)
     for number in range(50):
-        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
-        assert len({draw.endpoint_id for draw in send.draws}) == 2
-        harness.end_attempt(send, messages.Outcome.OK)
+        [attempt] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        assert len({draw.endpoint_id for draw in attempt.draws}) == 2
+        harness.end_attempt(attempt, messages.Outcome.OK)
 
 
 def test_selection_from_one_endpoint_and_from_none() -> None:
     harness = BalancerHarness(endpoint_count=1)
-    assert [send.endpoint_id for send in actions_of_type(harness.request("a"), messages.StartAttempt)] == [0]
+    assert [
+        attempt.endpoint_id for attempt in actions_of_type(harness.request("a"), messages.StartAttempt)
+    ] == [0]
     harness.update_endpoint_list()
     assert not actions_of_type(harness.request("b"), messages.StartAttempt)
 
@@ -86,15 +92,15 @@
 def test_failing_endpoint_gets_less_and_is_not_ejected() -> None:
     harness, counts = BalancerHarness(endpoint_count=6), Counter[int]()
     for number in range(600):
-        for send in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
-            is_failing = send.endpoint_id == 0
+        for attempt in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
+            is_failing = attempt.endpoint_id == 0
             harness.now_us += 20 * MILLISECOND_US
             harness.end_attempt(
-                send,
+                attempt,
                 messages.Outcome.ERROR if is_failing else messages.Outcome.OK,
                 took=5 * MILLISECOND_US if is_failing else 100 * MILLISECOND_US,
             )
-            counts[send.endpoint_id] += number >= 300
+            counts[attempt.endpoint_id] += number >= 300
     fair = 300 / 6
     assert 0 < counts[0] < fair / 2
     assert harness.balancer.endpoints.states[0].share > 0
@@ -105,11 +111,11 @@
     shares = []
     for phase in range(3):
         for number in range(500):
-            for send in actions_of_type(harness.request(f"r{phase}.{number}"), messages.StartAttempt):
+            for attempt in actions_of_type(harness.request(f"r{phase}.{number}"), messages.StartAttempt):
                 harness.now_us += 20 * MILLISECOND_US
-                slow = phase == 1 and send.endpoint_id == 0
+                is_slow = phase == 1 and attempt.endpoint_id == 0
                 harness.end_attempt(
-                    send, messages.Outcome.OK, took=SECOND_US if slow else 100 * MILLISECOND_US
+                    attempt, messages.Outcome.OK, took=SECOND_US if is_slow else 100 * MILLISECOND_US
                 )
         shares.append(harness.balancer.endpoints.states[0].share)
     assert shares[1] < shares[0] / 2
@@ -119,20 +125,20 @@
 def test_cancelled_and_unsent_attempts_are_no_latency_samples() -> None:
     for outcome in (messages.Outcome.CANCELLED, messages.Outcome.NOT_SENT):
         harness = BalancerHarness(endpoint_count=1)
-        [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+        [attempt] = actions_of_type(harness.request("r"), messages.StartAttempt)
         mean = harness.balancer.endpoints.states[0].detector.mean
-        again = actions_of_type(harness.end_attempt(send, outcome), messages.StartAttempt)
+        retries = actions_of_type(harness.end_attempt(attempt, outcome), messages.StartAttempt)
         assert harness.balancer.endpoints.states[0].detector.mean == mean
-        assert len(harness.balancer.endpoints.states[0].in_flight) == len(again)
+        assert len(harness.balancer.endpoints.states[0].in_flight) == len(retries)
 
 
 ZONES = tuple(messages.Endpoint(number, zone="abc"[number % 3]) for number in range(12))
 
 
-def count_local_attempts(price: float, busy: int = 0) -> int:
+def count_local_attempts(cross_zone_cost: float, busy: int = 0) -> int:
     """Return how many of 200 requests in a row stay in zone a, each endpoint there with `busy` attempts."""
     harness = BalancerHarness(
-        balancer_settings(zone="a", cross_zone_cost=price, limits=messages.Limits(max_attempts=3)),
+        balancer_settings(zone="a", cross_zone_cost=cross_zone_cost, limits=messages.Limits(max_attempts=3)),
         endpoint_count=0,
     )
     harness.update_endpoint_list(*ZONES)
@@ -147,18 +153,18 @@
             ]
     local_count = 0
     for number in range(200):
-        [send] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
-        local_count += harness.balancer.endpoints.states[send.endpoint_id].endpoint.zone == "a"
-        harness.end_attempt(send, messages.Outcome.OK)
+        [attempt] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        local_count += harness.balancer.endpoints.states[attempt.endpoint_id].endpoint.zone == "a"
+        harness.end_attempt(attempt, messages.Outcome.OK)
     return local_count
 
 
 def test_requests_stay_in_their_zone_when_leaving_it_has_a_price() -> None:
-    assert count_local_attempts(price=0.05) > 120 > 100 > count_local_attempts(price=0.0)
+    assert count_local_attempts(cross_zone_cost=0.05) > 120 > 100 > count_local_attempts(cross_zone_cost=0.0)
 
 
 def test_busy_zone_spills_over_to_other_zones() -> None:
-    assert count_local_attempts(price=0.05, busy=REMOTE_PENALTY_ATTEMPTS + 2) < 80
+    assert count_local_attempts(cross_zone_cost=0.05, busy=REMOTE_PENALTY_ATTEMPTS + 2) < 80
 
 
 def test_subset_holds_the_local_zone_and_some_remote_endpoints() -> None:
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -18,28 +18,29 @@
     TOKEN_EXPIRY_WINDOWS,
     UNBUDGETED_FIRST_ATTEMPTS,
 )
-from tests.policy.test_slow_start_fleet import TIGHT
+from tests.policy.test_slow_start_fleet import TIGHT_RULES
 from tests.policy.warming_fleet import RULES, warming_fleet
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.units import MILLISECOND_US, SECOND_US
 
-SLOWEST = replace(TIGHT, start_capacity=0.1)  # N is about one attempt in a window
+LOW_CAPACITY_RULES = replace(TIGHT_RULES, start_capacity=0.1)  # N is about one attempt in a window
 
-SPARSE, COMPLETE = (30, 12, 0.7), (30, 6, 3.0)  # balancers, endpoints, calls of each balancer in a window
+# Balancers, endpoints, requests of each balancer in an overload window
+FLEET_OF_12, FLEET_OF_6 = (30, 12, 0.7), (30, 6, 3.0)
 
 # Size, faults, rules, seeds; each exceeded the stricter bound while first attempts were left to chance
-ALL_WARMING = [
-    (SPARSE, "burst", TIGHT, (2, 3, 5)),
-    (SPARSE, "tripled failing", TIGHT, (1, 2, 3, 5)),
-    (SPARSE, "burst", SLOWEST, (2,)),
-    (SPARSE, "burst failing", SLOWEST, (2, 4)),
-    (COMPLETE, "burst failing", TIGHT, (3, 5)),
-    (COMPLETE, "burst failing", SLOWEST, (0, 1, 2, 3, 4, 5)),
-    (COMPLETE, "burst", SLOWEST, (0, 1, 2, 4, 5)),
+ALL_WARMING_CASES = [
+    (FLEET_OF_12, "burst", TIGHT_RULES, (2, 3, 5)),
+    (FLEET_OF_12, "tripled failing", TIGHT_RULES, (1, 2, 3, 5)),
+    (FLEET_OF_12, "burst", LOW_CAPACITY_RULES, (2,)),
+    (FLEET_OF_12, "burst failing", LOW_CAPACITY_RULES, (2, 4)),
+    (FLEET_OF_6, "burst failing", TIGHT_RULES, (3, 5)),
+    (FLEET_OF_6, "burst failing", LOW_CAPACITY_RULES, (0, 1, 2, 3, 4, 5)),
+    (FLEET_OF_6, "burst", LOW_CAPACITY_RULES, (0, 1, 2, 4, 5)),
 ]
 
 
-@pytest.mark.parametrize(("size", "faults", "rules", "seeds"), ALL_WARMING)
+@pytest.mark.parametrize(("size", "faults", "rules", "seeds"), ALL_WARMING_CASES)
 def test_first_attempts_stay_within_the_budget_when_all_endpoints_are_warming(
     size: tuple[int, int, float], faults: str, rules: messages.Rules, seeds: tuple[int, ...]
 ) -> None:
@@ -54,9 +55,9 @@
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("warming", ["zone", "all"])
-@pytest.mark.parametrize("rules", [TIGHT, SLOWEST])
+@pytest.mark.parametrize("rules", [TIGHT_RULES, LOW_CAPACITY_RULES])
 def test_tight_overload_multiple_holds_for_every_seed(warming: str, rules: messages.Rules, seed: int) -> None:
-    fleet = warming_fleet(*SPARSE, warming, "burst failing", seed, rules=rules)
+    fleet = warming_fleet(*FLEET_OF_12, warming, "burst failing", seed, rules=rules)
     worst, sent, allowed = fleet.worst_cold(page=True)
     assert sent > 0
     assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
@@ -74,18 +75,24 @@
 @pytest.mark.parametrize("faults", FAULTS)
 @pytest.mark.parametrize("warming", ["zone", "all"])
 def test_budget_holds_under_other_faults(warming: str, faults: str) -> None:
-    fleet = warming_fleet(*SPARSE, warming, faults, seed=2, rules=TIGHT, health_checks=True)
+    fleet = warming_fleet(*FLEET_OF_12, warming, faults, seed=2, rules=TIGHT_RULES, health_checks=True)
     worst, sent, allowed = fleet.worst_cold(page=True)
     assert sent > 0
     assert worst <= 1.0, f"{sent} attempts and checks, {allowed:.1f} allowed"
 
 
-@pytest.mark.parametrize(("balancers", "endpoints"), [(30, 12), (30, 6), (120, 6), (200, 200), (34, 3)])
-def test_phases_of_the_balancers_of_an_endpoint_are_evenly_spread(balancers: int, endpoints: int) -> None:
+@pytest.mark.parametrize(
+    ("balancer_count", "endpoint_count"), [(30, 12), (30, 6), (120, 6), (200, 200), (34, 3)]
+)
+def test_phases_of_the_balancers_of_an_endpoint_are_evenly_spread(
+    balancer_count: int, endpoint_count: int
+) -> None:
     """With random phases the attempts of several balancers became due at once."""
-    phases_by_endpoint: dict[int, list[float]] = {number: [] for number in range(endpoints)}
-    for index in range(balancers):
-        harness = BalancerHarness(balancer_settings(instances=balancers, index=index), endpoints, seed=index)
+    phases_by_endpoint: dict[int, list[float]] = {number: [] for number in range(endpoint_count)}
+    for index in range(balancer_count):
+        harness = BalancerHarness(
+            balancer_settings(instances=balancer_count, index=index), endpoint_count, seed=index
+        )
         for state in harness.balancer.endpoints.subset:
             phases_by_endpoint[state.endpoint.id].append(state.warming.phase)
     for phases in phases_by_endpoint.values():
@@ -94,25 +101,25 @@
 
 
 def balancer_with_warming_endpoints(
-    instances: int, index: int, endpoints: int, rules: messages.Rules = RULES
+    instances: int, index: int, endpoint_count: int, rules: messages.Rules = RULES
 ) -> BalancerHarness:
     """Return a balancer whose endpoints have all just started."""
     harness = BalancerHarness(
         balancer_settings(rules=rules, instances=instances, index=index), endpoint_count=0, seed=index
     )
     harness.update_endpoint_list(
-        *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(endpoints))
+        *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(endpoint_count))
     )
     return harness
 
 
 def test_free_first_attempts_rotate_and_expire_unused() -> None:
     harnesses = [balancer_with_warming_endpoints(30, index, 6) for index in range(30)]
-    turns = []
+    slot_holders = []
     for _ in range(64):
         for harness in harnesses:
             harness.now_us += RULES.overload_window_us // 4
-        turns.append(
+        slot_holders.append(
             {
                 index
                 for index, harness in enumerate(harnesses)
@@ -121,35 +128,35 @@
                 and harness.balancer.slow_start.is_first_attempt_slot(harness.now_us, state, 0.34)
             }
         )
-    holders = set().union(*turns)
-    assert max(len(turn) for turn in turns) <= UNBUDGETED_FIRST_ATTEMPTS
-    assert len(holders) == 15  # each balancer with this endpoint in its subset
+    all_holders = set().union(*slot_holders)
+    assert max(len(holders_at_once) for holders_at_once in slot_holders) <= UNBUDGETED_FIRST_ATTEMPTS
+    assert len(all_holders) == 15  # each balancer with this endpoint in its subset
 
 
 def test_balancer_without_free_first_attempt_uses_its_remembered_rate() -> None:
     """Its own attempts stopped with the budget, and the rate measured from them fell to nothing."""
-    served = []
+    attempt_counts = []
     for index in range(30):
         harness = BalancerHarness(
-            balancer_settings(rules=TIGHT, instances=30, index=index), endpoint_count=6, seed=index
+            balancer_settings(rules=TIGHT_RULES, instances=30, index=index), endpoint_count=6, seed=index
         )
         for number in range(40):
             harness.advance(RULES.overload_window_us // 3)
-            for send in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
-                harness.end_attempt(send, messages.Outcome.OK, took=100 * MILLISECOND_US)
+            for attempt in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
+                harness.end_attempt(attempt, messages.Outcome.OK, took=100 * MILLISECOND_US)
         harness.update_endpoint_list(
             *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6)), version=2
         )
-        sends = 0
+        attempt_count = 0
         for number in range(4):
-            for send in actions_of_type(
+            for attempt in actions_of_type(
                 harness.advance(RULES.overload_window_us // 3) + harness.request(f"c{number}"),
                 messages.StartAttempt,
             ):
-                harness.end_attempt(send, messages.Outcome.OK, took=100 * MILLISECOND_US)
-                sends += 1
-        served.append(sends)
-    assert min(served) > 0
+                harness.end_attempt(attempt, messages.Outcome.OK, took=100 * MILLISECOND_US)
+                attempt_count += 1
+        attempt_counts.append(attempt_count)
+    assert min(attempt_counts) > 0
 
 
 def test_attempt_without_tokens_is_paid_by_the_next_token() -> None:
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -20,14 +20,14 @@
 
 FAULTS = ("burst", "burst failing", "burst held", "burst failing held")
 
-TIGHT = replace(RULES, overload_multiple=1.5)  # less is allowed than a warm endpoint serves
+TIGHT_RULES = replace(RULES, overload_multiple=1.5)  # less is allowed than a warm endpoint serves
 
 # Balancers, endpoints, calls of each balancer in a window, which endpoints warm up, faults, rules
-SIZES = [
+FLEETS = [
     *((3, 10, 20.0, warming, faults, RULES) for warming in ("one", "zone", "all") for faults in FAULTS),
     *((30, 12, 0.7, warming, faults, RULES) for warming in ("one", "zone", "all") for faults in FAULTS),
     *((30, 6, 3.0, warming, faults, RULES) for warming in ("one", "zone", "all") for faults in FAULTS),
-    *((30, 6, 3.0, warming, faults, TIGHT) for warming in ("one", "zone") for faults in FAULTS),
+    *((30, 6, 3.0, warming, faults, TIGHT_RULES) for warming in ("one", "zone") for faults in FAULTS),
     (200, 200, 3.0, "one", "burst failing", RULES),
     (200, 200, 0.7, "zone", "burst failing held", RULES),
     (200, 200, 3.0, "all", "burst failing", RULES),
@@ -35,13 +35,29 @@
 ]
 
 
-@pytest.mark.parametrize(("balancers", "endpoints", "calls", "warming", "faults", "rules"), SIZES)
+@pytest.mark.parametrize(
+    ("balancer_count", "endpoint_count", "requests_per_window", "warming", "faults", "rules"), FLEETS
+)
 def test_all_balancers_keep_a_warming_endpoint_within_its_budget(
-    balancers: int, endpoints: int, calls: float, warming: str, faults: str, rules: messages.Rules
+    balancer_count: int,
+    endpoint_count: int,
+    requests_per_window: float,
+    warming: str,
+    faults: str,
+    rules: messages.Rules,
 ) -> None:
-    before, after = (SECOND_US, 2 * SECOND_US) if balancers > 100 else (3 * SECOND_US, 4 * SECOND_US)
+    before_us, after_us = (
+        (SECOND_US, 2 * SECOND_US) if balancer_count > 100 else (3 * SECOND_US, 4 * SECOND_US)
+    )
     fleet = warming_fleet(
-        balancers, endpoints, calls, warming, faults, rules=rules, before=before, after=after
+        balancer_count,
+        endpoint_count,
+        requests_per_window,
+        warming,
+        faults,
+        rules=rules,
+        before_us=before_us,
+        after_us=after_us,
     )
     worst, sent, allowed = fleet.worst_cold()
     assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
@@ -51,34 +67,34 @@
 
 def test_request_examines_no_more_endpoints_than_its_subset(monkeypatch: pytest.MonkeyPatch) -> None:
     """With 880 endpoints all warming, each request examined all of them for each one in its subset."""
-    examined = 0
+    capacity_calls = 0
     capacity = SlowStart.capacity
 
-    def counted(slow_start: SlowStart, now: int, state: EndpointState) -> float:
-        nonlocal examined
-        examined += 1
+    def counted_capacity(slow_start: SlowStart, now: int, state: EndpointState) -> float:
+        nonlocal capacity_calls
+        capacity_calls += 1
         return capacity(slow_start, now, state)
 
     harness = BalancerHarness(balancer_settings(instances=880), endpoint_count=0)
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(880))
     )
-    monkeypatch.setattr(SlowStart, "capacity", counted)
+    monkeypatch.setattr(SlowStart, "capacity", counted_capacity)
     harness.request("r")
-    assert 0 < examined <= 2 * len(harness.balancer.endpoints.subset)
+    assert 0 < capacity_calls <= 2 * len(harness.balancer.endpoints.subset)
 
 
 def assert_within_budget(
-    balancers: int,
-    endpoints: int,
-    calls: float,
+    balancer_count: int,
+    endpoint_count: int,
+    requests_per_window: float,
     warming: str,
     faults: str,
     rules: messages.Rules,
     seed: int = 1,
 ) -> None:
     worst, sent, allowed = warming_fleet(
-        balancers, endpoints, calls, warming, faults, seed=seed, rules=rules
+        balancer_count, endpoint_count, requests_per_window, warming, faults, seed=seed, rules=rules
     ).worst_cold()
     assert sent > 0
     assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
@@ -86,42 +102,49 @@
 
 # The least rate, the first attempt and two saved attempts of each of many balancers were too much together.
 # Balancers, endpoints, calls of each balancer in a window, which endpoints warm up, faults, rules
-PARTS = [
+QUOTA_FLEETS = [
     (30, 12, 0.7, "zone", "burst refusing", RULES),
     (30, 6, 0.7, "zone", "burst refusing", RULES),
-    (30, 6, 0.7, "zone", "burst refusing", TIGHT),
-    (30, 6, 0.7, "zone", "burst failing held", TIGHT),
+    (30, 6, 0.7, "zone", "burst refusing", TIGHT_RULES),
+    (30, 6, 0.7, "zone", "burst failing held", TIGHT_RULES),
     (120, 6, 0.3, "one", "refusing burst wanted", RULES),
-    (120, 6, 1.0, "one", "burst wanted", TIGHT),
+    (120, 6, 1.0, "one", "burst wanted", TIGHT_RULES),
 ]
 
 
-@pytest.mark.parametrize(("balancers", "endpoints", "calls", "warming", "faults", "rules"), PARTS)
+@pytest.mark.parametrize(
+    ("balancer_count", "endpoint_count", "requests_per_window", "warming", "faults", "rules"), QUOTA_FLEETS
+)
 def test_quotas_of_all_balancers_sum_to_no_more_than_the_budget(
-    balancers: int, endpoints: int, calls: float, warming: str, faults: str, rules: messages.Rules
+    balancer_count: int,
+    endpoint_count: int,
+    requests_per_window: float,
+    warming: str,
+    faults: str,
+    rules: messages.Rules,
 ) -> None:
-    assert_within_budget(balancers, endpoints, calls, warming, faults, rules)
+    assert_within_budget(balancer_count, endpoint_count, requests_per_window, warming, faults, rules)
 
 
 def test_request_is_sent_when_its_whole_subset_is_warming() -> None:
     """Others are warm, but no endpoint that it may use shows how much one can take."""
     harness = BalancerHarness(balancer_settings(instances=20), endpoint_count=0)
     harness.update_endpoint_list(*(messages.Endpoint(number) for number in range(30)))
-    ours = {state.endpoint.id for state in harness.balancer.endpoints.subset}
+    own_subset = {state.endpoint.id for state in harness.balancer.endpoints.subset}
     harness.update_endpoint_list(
         *(
-            messages.Endpoint(number, incarnation_us=harness.now_us if number in ours else 0)
+            messages.Endpoint(number, incarnation_us=harness.now_us if number in own_subset else 0)
             for number in range(30)
         ),
         version=2,
     )
-    assert {state.endpoint.id for state in harness.balancer.endpoints.subset} == ours
+    assert {state.endpoint.id for state in harness.balancer.endpoints.subset} == own_subset
     assert actions_of_type(harness.request("r"), messages.StartAttempt)
 
 
 def test_unused_tokens_are_saved_for_at_most_one_window() -> None:
     """Otherwise all of them would send their saved attempts at the same moment, when a burst comes."""
-    rules, saved, flow = replace(RULES, slow_start_us=60 * SECOND_US), 0, 0.0
+    rules, saved, requests_per_window = replace(RULES, slow_start_us=60 * SECOND_US), 0, 0.0
     for index in range(0, 120, 2):
         harness = BalancerHarness(
             balancer_settings(rules=rules, instances=120, index=index), endpoint_count=0, seed=index
@@ -136,28 +159,28 @@
         restarted = harness.balancer.endpoints.states[restarted.endpoint.id]
         restarted.share = 1e-9
         for number in range(30):
-            for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
-                harness.end_attempt(send, messages.Outcome.OK)
+            for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
+                harness.end_attempt(attempt, messages.Outcome.OK)
             harness.advance(SECOND_US)
         saved += int(harness.balancer.slow_start.refill(harness.now_us, restarted))
-        flow += rules.overload_window_us / SECOND_US / len(harness.balancer.endpoints.subset)
-    assert 0 < saved <= rules.overload_multiple * 0.67 * flow
+        requests_per_window += rules.overload_window_us / SECOND_US / len(harness.balancer.endpoints.subset)
+    assert 0 < saved <= rules.overload_multiple * 0.67 * requests_per_window
 
 
 def test_retries_do_not_raise_the_rate_of_a_warming_endpoint() -> None:
-    harness, sent = (
+    harness, attempt_count = (
         BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=3)), endpoint_count=8),
         0,
     )
     for number in range(3):
-        sends = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
-        for attempt in range(3):
-            sent += len(sends)
-            sends = actions_of_type(
-                harness.end_attempt(sends[0], messages.Outcome.REJECTED, MILLISECOND_US, attempt),
+        attempts = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        for attempt_number in range(3):
+            attempt_count += len(attempts)
+            attempts = actions_of_type(
+                harness.end_attempt(attempts[0], messages.Outcome.REJECTED, MILLISECOND_US, attempt_number),
                 messages.StartAttempt,
             )
-    assert sent == 9
+    assert attempt_count == 9
     assert harness.balancer.slow_start.first_attempts.per_us(harness.now_us) <= 3 / RATE_TIME_CONSTANT_US
 
 
@@ -170,41 +193,49 @@
     for number in range(40):
         harness.request(f"r{number}")
     harness.now_us += 100 * MILLISECOND_US
-    ours = harness.balancer.endpoints.subset[0]
-    other = next(
+    subset_state = harness.balancer.endpoints.subset[0]
+    outside_state = next(
         state
         for state in harness.balancer.endpoints.states.values()
         if state not in harness.balancer.endpoints.subset
     )
-    earned = []
-    for state in (ours, other):
+    refills = []
+    for state in (subset_state, outside_state):
         state.warming.bucket.tokens, state.warming.bucket.updated_at_us = (
             0.0,
             harness.now_us - 100 * MILLISECOND_US,
         )
-        earned.append(harness.balancer.slow_start.refill(harness.now_us, state))
-    assert 0 < earned[1] * 40 <= 0.21 * earned[0] * harness.balancer.endpoints.balancers_per_endpoint
+        refills.append(harness.balancer.slow_start.refill(harness.now_us, state))
+    assert 0 < refills[1] * 40 <= 0.21 * refills[0] * harness.balancer.endpoints.balancers_per_endpoint
 
 
 # With all warming, endpoints that fail answer one attempt at a time as fast as it comes
-ALL_WARMING = [
+ALL_WARMING_FLEETS = [
     (30, 12, 3.0, "all", "burst failing", RULES),
-    (30, 12, 3.0, "all", "burst failing", TIGHT),
+    (30, 12, 3.0, "all", "burst failing", TIGHT_RULES),
     (30, 6, 0.7, "all", "burst failing", RULES),
     (30, 6, 3.0, "all", "burst refusing", RULES),
     (120, 6, 0.3, "all", "burst failing", RULES),
 ]
 
 
-@pytest.mark.parametrize(("balancers", "endpoints", "calls", "warming", "faults", "rules"), ALL_WARMING)
+@pytest.mark.parametrize(
+    ("balancer_count", "endpoint_count", "requests_per_window", "warming", "faults", "rules"),
+    ALL_WARMING_FLEETS,
+)
 def test_failing_endpoints_stay_within_budget_when_all_are_warming(
-    balancers: int, endpoints: int, calls: float, warming: str, faults: str, rules: messages.Rules
+    balancer_count: int,
+    endpoint_count: int,
+    requests_per_window: float,
+    warming: str,
+    faults: str,
+    rules: messages.Rules,
 ) -> None:
-    assert_within_budget(balancers, endpoints, calls, warming, faults, rules)
+    assert_within_budget(balancer_count, endpoint_count, requests_per_window, warming, faults, rules)
 
 
 def test_first_attempts_of_many_balancers_make_no_burst() -> None:
-    sent = [0] * 6
+    attempt_counts = [0] * 6
     for index in range(30):
         harness = BalancerHarness(
             balancer_settings(rules=RULES, instances=30, index=index), endpoint_count=0, seed=index
@@ -213,11 +244,11 @@
             *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6))
         )
         for number in range(3):
-            for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
-                sent[send.endpoint_id] += 1
+            for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
+                attempt_counts[attempt.endpoint_id] += 1
     # One from each balancer made five for an endpoint: more than the rule allows where it can take one.
-    assert sum(sent) > 0
-    assert max(sent) <= UNBUDGETED_FIRST_ATTEMPTS
+    assert sum(attempt_counts) > 0
+    assert max(attempt_counts) <= UNBUDGETED_FIRST_ATTEMPTS
 
 
 def test_retry_is_not_a_free_first_attempt() -> None:
@@ -225,9 +256,9 @@
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6))
     )
-    [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.request("r"), messages.StartAttempt)
     assert not actions_of_type(
-        harness.end_attempt(send, messages.Outcome.REJECTED, MILLISECOND_US), messages.StartAttempt
+        harness.end_attempt(attempt, messages.Outcome.REJECTED, MILLISECOND_US), messages.StartAttempt
     )
 
 
@@ -256,10 +287,10 @@
     checks = actions_of_type(harness.advance(250 * MILLISECOND_US), messages.CheckHealth)
     assert len(checks) == 1
     harness.balancer.endpoints.states[0].warming.bucket.tokens = 0.0
-    again = actions_of_type(
+    repeated_checks = actions_of_type(
         harness.handle(messages.HealthCheckEnded(0, is_alive=False)), messages.CheckHealth
     )
-    assert len(checks) + len(again) == check_count
+    assert len(checks) + len(repeated_checks) == check_count
 
 
 def test_budget_allows_concurrent_attempts_when_all_are_warming() -> None:
@@ -267,31 +298,31 @@
     harness = BalancerHarness(endpoint_count=3)
     for number in range(300):
         harness.advance(10 * MILLISECOND_US)
-        for send in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
-            harness.end_attempt(send, messages.Outcome.OK, took=20 * MILLISECOND_US)
+        for attempt in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
+            harness.end_attempt(attempt, messages.Outcome.OK, took=20 * MILLISECOND_US)
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(3)), version=2
     )
-    sent = []
+    endpoint_ids = []
     for number in range(50):
-        sent += [
-            send.endpoint_id
-            for send in actions_of_type(
+        endpoint_ids += [
+            attempt.endpoint_id
+            for attempt in actions_of_type(
                 harness.advance(10 * MILLISECOND_US) + harness.request(f"c{number}"), messages.StartAttempt
             )
         ]
-    assert min(sent.count(number) for number in range(3)) >= 2
-    assert len(sent) <= 50 * 3.0 * 0.5
+    assert min(endpoint_ids.count(number) for number in range(3)) >= 2
+    assert len(endpoint_ids) <= 50 * 3.0 * 0.5
 
 
 def test_first_listed_endpoint_is_not_sent_an_attempt_by_every_balancer() -> None:
     """A list in parts may name one warming endpoint first, while all balancers have queued requests."""
-    sent = 0
+    attempt_count = 0
     for index in range(200):
         harness = BalancerHarness(
             balancer_settings(rules=RULES, instances=200, index=index), endpoint_count=0, seed=index
         )
         harness.request("r")
         harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=harness.now_us))
-        sent += len(actions_of_type(harness.actions, messages.StartAttempt))
-    assert 0 < sent <= 12
+        attempt_count += len(actions_of_type(harness.actions, messages.StartAttempt))
+    assert 0 < attempt_count <= 12
--- a/tests/policy/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -13,12 +13,12 @@
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(3))
     )
-    sends = [
-        send.endpoint_id
+    endpoint_ids = [
+        attempt.endpoint_id
         for number in range(30)
-        for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
     ]
-    assert sorted(sends) == [0, 1, 2]
+    assert sorted(endpoint_ids) == [0, 1, 2]
 
 
 def test_warming_endpoint_saves_up_no_burst() -> None:
@@ -28,12 +28,12 @@
     harness.update_endpoint_list(messages.Endpoint(0), messages.Endpoint(9, incarnation_us=harness.now_us))
     harness.balancer.endpoints.states[9].share = 1000.0
     harness.now_us += 20 * SECOND_US  # long idle
-    sends = [
-        send.endpoint_id
+    endpoint_ids = [
+        attempt.endpoint_id
         for number in range(30)
-        for send in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
     ]
-    assert sends.count(9) <= MAX_BURST_ATTEMPTS
+    assert endpoint_ids.count(9) <= MAX_BURST_ATTEMPTS
 
 
 def test_endpoint_with_future_start_is_warm_without_a_slow_start_phase() -> None:
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -29,14 +29,14 @@
         for _ in range(endpoints):
             self.add()
 
-    def add(self) -> None:
+    def add_member(self) -> None:
         self.member_count += 1
         member = Member(self.member_count, self.rng.randrange(2**32))
         insort(self.members, member, key=RING_POSITION)
         for ring in self.rings:
             ring.add(member)
 
-    def replace_one(self) -> None:
+    def replace_member(self) -> None:
         """Remove a random member and add another one, as two separate changes of the list."""
         member = self.members.pop(self.rng.randrange(len(self.members)))
         for ring in self.rings:
@@ -54,7 +54,7 @@
         return counts
 
 
-def bounds(endpoints: int, instances: int) -> tuple[int, int, int]:
+def coverage_bounds(endpoints: int, instances: int) -> tuple[int, int, int]:
     """Return the fewest and most subsets that may hold an endpoint, and the size of a subset."""
     size = min(endpoints, subset_size(endpoints, instances))
     slack = start_slack(endpoints, instances, size)
@@ -72,7 +72,7 @@
     )
     indexes = range(indexes.start, min(indexes.stop, instances))
     rings = NeighbouringRings(endpoints, instances, indexes)
-    fewest, most, size = bounds(endpoints, instances)
+    min_subsets, max_subsets, size = coverage_bounds(endpoints, instances)
     slack = start_slack(endpoints, instances, size)
     for _ in range(2):
         counts = list(rings.count_subsets().values())
@@ -80,35 +80,37 @@
             first = indexes.start * endpoints // instances + size + slack
             counts = counts[first : indexes.stop * endpoints // instances - slack]
         assert counts
-        assert fewest <= min(counts)
-        assert max(counts) <= most
-        assert fewest >= 1 or size * instances < endpoints
+        assert min_subsets <= min(counts)
+        assert max(counts) <= max_subsets
+        assert min_subsets >= 1 or size * instances < endpoints
         for _ in range(endpoints // 2):
             rings.replace_one()
 
 
-@pytest.mark.parametrize(("instances", "index", "most"), [(34, 17, 1.7), (100, 50, 2.4)])
-def test_subset_stays_in_place_while_endpoints_are_replaced(instances: int, index: int, most: float) -> None:
+@pytest.mark.parametrize(("instances", "index", "max_size_ratio"), [(34, 17, 1.7), (100, 50, 2.4)])
+def test_subset_stays_in_place_while_endpoints_are_replaced(
+    instances: int, index: int, max_size_ratio: float
+) -> None:
     """Only the changes within it, half of its size, and little else change it."""
     rings = NeighbouringRings(3200, instances, range(index, index + 1))
     [ring] = rings.rings
-    seen = set(ring.subset())
-    always_even = set(seen)  # the members of a subset that always starts at its even position
-    size = len(seen)
+    seen_members = set(ring.subset())
+    always_even = set(seen_members)  # the members of a subset that always starts at its even position
+    size = len(seen_members)
     for _ in range(1600):
         rings.replace_one()
-        seen |= set(ring.subset())
+        seen_members |= set(ring.subset())
         start = index * 3200 // instances
         always_even |= set(rings.members[start : start + size])
-    assert len(seen) < most * size < len(always_even)
+    assert len(seen_members) < max_size_ratio * size < len(always_even)
 
 
 def test_subset_starts_at_its_even_position_unless_its_size_is_bounded() -> None:
     for instances in (9, 34, 200):
-        for usual in range(1, 201):
-            for times in (1, 4, 16):
-                size = subset_size(usual * times, instances * times)
-                assert start_slack(usual * times, instances * times, size) == 0
+        for endpoint_count in range(1, 201):
+            for factor in (1, 4, 16):
+                size = subset_size(endpoint_count * factor, instances * factor)
+                assert start_slack(endpoint_count * factor, instances * factor, size) == 0
 
 
 def test_subset_start_leaves_its_even_position_by_at_most_half_of_the_gap() -> None:
@@ -116,13 +118,15 @@
     rings = NeighbouringRings(3200, 34, range(17, 18))
     [ring] = rings.rings
     first = ring.subset()
-    for gone in range(1, 100):
+    for removed_count in range(1, 100):
         ring.remove(rings.members.pop(0))
         subset = ring.subset()
         gap = len(rings.members) / 34 - len(subset)
-        off = rings.members.index(subset[0]) - 17 * len(rings.members) // 34
-        assert off == -min(gone // 2, int(gap / 2))  # its even position moves by one for two that leave
-        if gone < 25:
+        offset = rings.members.index(subset[0]) - 17 * len(rings.members) // 34
+        assert offset == -min(
+            removed_count // 2, int(gap / 2)
+        )  # its even position moves by one for two that leave
+        if removed_count < 25:
             assert subset == first
 
 
--- a/tests/policy/test_unsent_attempts.py
+++ b/tests/policy/test_unsent_attempts.py
@@ -22,14 +22,14 @@
 def test_unsent_attempt_is_retried_at_an_idle_warming_endpoint() -> None:
     """It counted as a retry, and was rejected although endpoints were idle."""
     harness = balancer_with_warming_endpoints()
-    [send] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
-    done = harness.end_attempt(send, messages.Outcome.NOT_SENT, took=0)
-    assert [again.request_id for again in actions_of_type(done, messages.StartAttempt)] == ["r"]
-    assert not actions_of_type(done, messages.Reject)
+    [attempt] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
+    actions = harness.end_attempt(attempt, messages.Outcome.NOT_SENT, took=0)
+    assert [retry.request_id for retry in actions_of_type(actions, messages.StartAttempt)] == ["r"]
+    assert not actions_of_type(actions, messages.Reject)
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.REJECTED, messages.Outcome.NO_CONNECTION])
 def test_sent_attempt_leaves_no_free_first_attempt(outcome: messages.Outcome) -> None:
     harness = balancer_with_warming_endpoints()
-    [send] = actions_of_type(harness.request("r"), messages.StartAttempt)
-    assert not actions_of_type(harness.end_attempt(send, outcome, took=0), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.request("r"), messages.StartAttempt)
+    assert not actions_of_type(harness.end_attempt(attempt, outcome, took=0), messages.StartAttempt)
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -15,27 +15,27 @@
     overload_multiple=3.0,
     overload_window_us=1500 * MILLISECOND_US,
 )
-USUAL_US = (
+MIN_LATENCY_US = (
     250 * MILLISECOND_US
 )  # what an attempt takes at least, so that few of them a second are a real load
 LOAD = 0.6
 
 
 def warming_fleet(
-    balancers: int,
-    endpoints: int,
-    calls: float,
+    balancer_count: int,
+    endpoint_count: int,
+    requests_per_window: float,
     warming: str,
     faults: str,
     seed: int = 0,
     health_checks: bool = False,
     rules: messages.Rules = RULES,
-    before: int = 3 * SECOND_US,
-    after: int = 4 * SECOND_US,
+    before_us: int = 3 * SECOND_US,
+    after_us: int = 4 * SECOND_US,
 ) -> SimulatedFleet:
     """Return a fleet in which endpoints have started: "one", those of a "zone" of three, or "all".
 
-    Each balancer gets `calls` requests in each overload window. The faults are any of:
+    Each balancer gets `requests_per_window` requests in each overload window. The faults are any of:
 
     - "burst": twice the load right after the start; "tripled": three times the load;
     - "failing", "refusing" or "silent": a third or two of all endpoints are;
@@ -46,25 +46,27 @@
     - "moving": every 0.4 s another one of the others leaves the list and comes back, so that subsets change;
     - "zoned" or "celled": all requests are of keyed classes of that scope.
     """
-    started_at_us = START_US + before
-    fleet = loaded_fleet(balancers, endpoints, calls, faults, seed, health_checks, rules, started_at_us)
-    started = restart_endpoints(fleet, warming, faults, started_at_us)
+    started_at_us = START_US + before_us
+    fleet = loaded_fleet(
+        balancer_count, endpoint_count, requests_per_window, faults, seed, health_checks, rules, started_at_us
+    )
+    restarted = restart_endpoints(fleet, warming, faults, started_at_us)
     if "wanted" in faults or "saved" in faults:
-        draw_requests_to(fleet, started, started_at_us, faults)
+        raise_shares(fleet, restarted, started_at_us, faults)
     if "again" in faults:
         for wait_us in (700 * MILLISECOND_US, 1900 * MILLISECOND_US):
             fleet.run(started_at_us + wait_us)
-            fleet.restart(started)
+            fleet.restart(restarted)
     if "moving" in faults:
-        remove_others_in_turn(fleet, started, started_at_us + after)
-    fleet.run(started_at_us + after)
+        remove_others_in_turn(fleet, restarted, started_at_us + after_us)
+    fleet.run(started_at_us + after_us)
     return fleet
 
 
 def loaded_fleet(
-    balancers: int,
-    endpoints: int,
-    calls: float,
+    balancer_count: int,
+    endpoint_count: int,
+    requests_per_window: float,
     faults: str,
     seed: int,
     health_checks: bool,
@@ -72,18 +74,18 @@
     surge_at_us: int,
 ) -> SimulatedFleet:
     """Return a fleet of warm endpoints under load, with a surge of 3 s where the faults name one."""
-    per_window = balancers * calls / endpoints / LOAD
-    usual_us = rules.overload_window_us / per_window  # of an attempt, with one at a time
+    requests_per_endpoint = balancer_count * requests_per_window / endpoint_count / LOAD
+    latency_us = rules.overload_window_us / requests_per_endpoint  # of an attempt, with one at a time
     surge = 3.0 if "tripled" in faults else 2.0 if "burst" in faults else 1.0
     return SimulatedFleet(
         balancer_settings(
-            classes=request_classes_for(faults, stretch=max(1.0, usual_us / USUAL_US)),
+            classes=request_classes_for(faults, time_factor=max(1.0, latency_us / MIN_LATENCY_US)),
             rules=rules,
             limits=messages.Limits(max_attempts=4, cancel=True, health_checks=health_checks),
         ),
-        balancers,
-        endpoints,
-        per_window,
+        balancer_count,
+        endpoint_count,
+        requests_per_endpoint,
         LOAD,
         seed,
         clients=(
@@ -94,7 +96,7 @@
         ),
         surge=lambda now: surge if surge_at_us <= now < surge_at_us + 3 * SECOND_US else 1.0,
         most_surge=surge,
-        slots=max(1, round(USUAL_US / usual_us)),
+        slots=max(1, round(MIN_LATENCY_US / latency_us)),
     )
 
 
@@ -103,32 +105,35 @@
 ) -> list[SimulatedEndpoint]:
     """Restart the endpoints that are to warm up, after 0.3 s without them, and return their machines."""
     fleet.run(at_us - 300 * MILLISECOND_US)
-    chosen = warming_machines(fleet, warming)
+    restarted = endpoints_to_restart(fleet, warming)
     if "held" in faults:
         fleet.send_list(
-            [replace(machine.entry, status=messages.EndpointStatus.DRAINING) for machine in fleet.endpoints],
+            [
+                replace(endpoint.entry, status=messages.EndpointStatus.DRAINING)
+                for endpoint in fleet.endpoints
+            ],
             within=0,
         )
     elif warming != "one":
         fleet.send_list(
-            [replace(machine.entry, status=messages.EndpointStatus.REMOVED) for machine in chosen]
+            [replace(endpoint.entry, status=messages.EndpointStatus.REMOVED) for endpoint in restarted]
         )
     fleet.run(at_us)
-    break_machines(fleet, faults)
-    fleet.restart(chosen)
+    inject_failures(fleet, faults)
+    fleet.restart(restarted)
     if "held" in faults:
-        fleet.send_list([machine.entry for machine in fleet.endpoints])
-    return chosen
+        fleet.send_list([endpoint.entry for endpoint in fleet.endpoints])
+    return restarted
 
 
-def request_classes_for(faults: str, stretch: float) -> tuple[messages.RequestClass, ...]:
+def request_classes_for(faults: str, time_factor: float) -> tuple[messages.RequestClass, ...]:
     """Return the usual classes with their times stretched, all keyed where the faults say so."""
     classes = tuple(
         replace(
             request_class,
-            latency_objective_us=int(request_class.latency_objective_us * stretch),
-            deadline_us=int(request_class.deadline_us * stretch),
-            deduplication_window_us=int(request_class.deduplication_window_us * stretch),
+            latency_objective_us=int(request_class.latency_objective_us * time_factor),
+            deadline_us=int(request_class.deadline_us * time_factor),
+            deduplication_window_us=int(request_class.deduplication_window_us * time_factor),
         )
         for request_class in REQUEST_CLASSES
     )
@@ -146,44 +151,44 @@
     return classes
 
 
-def warming_machines(fleet: SimulatedFleet, warming: str) -> list[SimulatedEndpoint]:
+def endpoints_to_restart(fleet: SimulatedFleet, warming: str) -> list[SimulatedEndpoint]:
     return {
         "one": fleet.endpoints[:1],
-        "zone": [machine for machine in fleet.endpoints if machine.entry.zone == "a"],
+        "zone": [endpoint for endpoint in fleet.endpoints if endpoint.entry.zone == "a"],
         "all": fleet.endpoints,
     }[warming]
 
 
-def break_machines(fleet: SimulatedFleet, faults: str) -> None:
+def inject_failures(fleet: SimulatedFleet, faults: str) -> None:
     """Let a third or two of all machines fail in the way that the faults name."""
     for mode, parts in (("failing", (1,)), ("refusing", (0, 1)), ("silent", (0, 1))):
-        for number, machine in enumerate(fleet.endpoints):
+        for number, endpoint in enumerate(fleet.endpoints):
             if mode in faults and number % 3 in parts:
-                machine.mode = mode
+                endpoint.mode = mode
 
 
-def draw_requests_to(
-    fleet: SimulatedFleet, chosen: list[SimulatedEndpoint], started_at_us: int, faults: str
+def raise_shares(
+    fleet: SimulatedFleet, restarted: list[SimulatedEndpoint], started_at_us: int, faults: str
 ) -> None:
     """Give these machines shares that would draw every request, after none for a while with "saved"."""
     fleet.run(started_at_us + fleet.spread_us)
     if "saved" in faults:
-        set_shares(fleet, chosen, 1e-9)
+        set_shares(fleet, restarted, 1e-9)
         fleet.run(started_at_us + 20 * SECOND_US)
-    set_shares(fleet, chosen, 1e9)
+    set_shares(fleet, restarted, 1e9)
 
 
-def remove_others_in_turn(fleet: SimulatedFleet, chosen: list[SimulatedEndpoint], until: int) -> None:
+def remove_others_in_turn(fleet: SimulatedFleet, restarted: list[SimulatedEndpoint], until_us: int) -> None:
     """Remove one random other machine after another from the list, each for 0.4 s."""
-    others = [machine.entry for machine in fleet.endpoints if machine not in chosen]
-    while others and fleet.now + 400 * MILLISECOND_US < until:
-        leaves = fleet.rng.choice(others)
-        fleet.send_list([replace(leaves, status=messages.EndpointStatus.REMOVED)])
+    others = [endpoint.entry for endpoint in fleet.endpoints if endpoint not in restarted]
+    while others and fleet.now + 400 * MILLISECOND_US < until_us:
+        leaving_entry = fleet.rng.choice(others)
+        fleet.send_list([replace(leaving_entry, status=messages.EndpointStatus.REMOVED)])
         fleet.run(fleet.now + 400 * MILLISECOND_US)
-        fleet.send_list([leaves])
+        fleet.send_list([leaving_entry])
 
 
-def set_shares(fleet: SimulatedFleet, machines: list[SimulatedEndpoint], share: float) -> None:
-    for module in fleet.policies:
-        for machine in machines:
-            module.endpoints.states[machine.entry.id].share = share
+def set_shares(fleet: SimulatedFleet, endpoints: list[SimulatedEndpoint], share: float) -> None:
+    for balancer in fleet.policies:
+        for endpoint in endpoints:
+            balancer.endpoints.states[endpoint.entry.id].share = share
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -9,7 +9,7 @@
 from load_balancer import messages
 from tests.support.balancer_harness import SAFE_CLASS
 
-IMPOSSIBLE: dict[str, Callable[[], object]] = {
+INVALID_SETTINGS: dict[str, Callable[[], object]] = {
     "classes is empty": lambda: messages.Settings(()),
     "classes names a class twice": lambda: messages.Settings((SAFE_CLASS, SAFE_CLASS)),
     "tenants names": lambda: messages.Settings(
@@ -37,7 +37,7 @@
 }
 
 
-@pytest.mark.parametrize(("named", "make"), IMPOSSIBLE.items())
-def test_impossible_settings_are_rejected_by_name(named: str, make: Callable[[], object]) -> None:
-    with pytest.raises(ValueError, match=f"^{named}"):
-        make()
+@pytest.mark.parametrize(("error_start", "construct"), INVALID_SETTINGS.items())
+def test_impossible_settings_are_rejected_by_name(error_start: str, construct: Callable[[], object]) -> None:
+    with pytest.raises(ValueError, match=f"^{error_start}"):
+        construct()
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -51,12 +51,12 @@
     ]
 
 
-def request_event(request_id: str, cls: str = "read") -> dict[str, Any]:
+def request_event(request_id: str, class_name: str = "read") -> dict[str, Any]:
     """Return a request with 5 s of time remaining, and with a field that the adapter does not know."""
     return {
         "msg": "REQ",
         "msgId": request_id,
-        "profile": cls,
+        "profile": class_name,
         "patienceLeftUs": 5 * SECOND_US,
         "unheardOf": 1,
     }
@@ -89,9 +89,9 @@
 
 def replies_to(batches: list[dict[str, Any]], hash_seed: int = 0) -> list[dict[str, Any]]:
     """Return the adapter's replies to these batches, which it has to understand."""
-    ended = run_adapter("".join(json.dumps(sent) + "\n" for sent in batches), hash_seed)
-    assert ended.returncode == 0, ended.stderr
-    return [json.loads(line) for line in ended.stdout.splitlines()]
+    completed = run_adapter("".join(json.dumps(message) + "\n" for message in batches), hash_seed)
+    assert completed.returncode == 0, completed.stderr
+    return [json.loads(line) for line in completed.stdout.splitlines()]
 
 
 def decisions_in(reply: dict[str, Any]) -> list[dict[str, Any]]:
@@ -109,8 +109,8 @@
 def test_simulator_starts_answers_and_exits() -> None:
     replies = replies_to(random_batches(range(2)))
     assert [reply["n"] for reply in replies] == list(range(60))
-    words = {decision["msg"] for reply in replies for decision in decisions_in(reply)}
-    assert {"TAIL", "CALL_OUT", "AFTER"} <= words
+    message_names = {decision["msg"] for reply in replies for decision in decisions_in(reply)}
+    assert {"TAIL", "CALL_OUT", "AFTER"} <= message_names
 
 
 def test_empty_input_and_empty_batch() -> None:
@@ -135,14 +135,22 @@
     return json.dumps(batch(0, {0: list(events)}, SECOND_US))
 
 
-def without(fields: dict[str, Any], name: str) -> dict[str, Any]:
+def without_field(fields: dict[str, Any], name: str) -> dict[str, Any]:
     """Return all of the fields but one."""
     return {other: value for other, value in fields.items() if other != name}
 
 
-ROW = {"backend": 1, "condition": "IN"}
-END = {"msg": "ATTEMPT_END", "msgId": "r", "attempt": 0, "backend": 1, "ending": 10, "rttUs": 9, "last": True}
-MALFORMED = {
+ENDPOINT_ROW = {"backend": 1, "condition": "IN"}
+ATTEMPT_END = {
+    "msg": "ATTEMPT_END",
+    "msgId": "r",
+    "attempt": 0,
+    "backend": 1,
+    "ending": 10,
+    "rttUs": 9,
+    "last": True,
+}
+INVALID_LINES = {
     "not JSON": ("{", "not JSON"),
     "a word": ("nonsense", "not JSON"),
     "an array": ("[1]", "not a JSON object"),
@@ -163,22 +171,27 @@
         "ANNOUNCE.form",
     ),
     "row without id": (
-        batch_line({"msg": "MANIFEST", "bank": 0, "rows": [ROW, without(ROW, "backend")]}),
+        batch_line(
+            {"msg": "MANIFEST", "bank": 0, "rows": [ENDPOINT_ROW, without_field(ENDPOINT_ROW, "backend")]}
+        ),
         "MANIFEST.rows[1].backend",
     ),
     "row in no known condition": (
-        batch_line({"msg": "MANIFEST", "bank": 0, "rows": [{**ROW, "condition": "ODD"}]}),
+        batch_line({"msg": "MANIFEST", "bank": 0, "rows": [{**ENDPOINT_ROW, "condition": "ODD"}]}),
         "MANIFEST.rows[0].condition",
     ),
     "request without class": (
-        batch_line(*start_events(), without(request_event("r"), "profile")),
+        batch_line(*start_events(), without_field(request_event("r"), "profile")),
         "REQ.profile",
     ),
     "patience a text": (
         batch_line(*start_events(), {**request_event("r"), "patienceLeftUs": "5"}),
         "REQ.patienceLeftUs",
     ),
-    "outcome without time": (batch_line(*start_events(), without(END, "rttUs")), "ATTEMPT_END.rttUs"),
+    "outcome without time": (
+        batch_line(*start_events(), without_field(ATTEMPT_END, "rttUs")),
+        "ATTEMPT_END.rttUs",
+    ),
     "class twice": (
         batch_line(*start_events(lanes=raw_settings()["lanes"] * 2)[:1]),
         "field settings.lanes ",
@@ -189,19 +202,19 @@
 }
 
 
-@pytest.mark.parametrize(("line", "named"), MALFORMED.values(), ids=MALFORMED.keys())
-def test_invalid_line_is_reported_in_one_line(line: str, named: str) -> None:
-    first = '{"tUs":1,"n":7,"proxys":[]}'
-    ended = run_adapter(f"{first}\n{line}\n")
-    assert ended.returncode == 2
-    [reported] = ended.stderr.splitlines()
-    assert "line 2" in reported
-    assert named in reported
-    assert ended.stdout == '{"n":7,"proxys":[]}\n'
+@pytest.mark.parametrize(("line", "expected_text"), INVALID_LINES.values(), ids=INVALID_LINES.keys())
+def test_invalid_line_is_reported_in_one_line(line: str, expected_text: str) -> None:
+    valid_line = '{"tUs":1,"n":7,"proxys":[]}'
+    completed = run_adapter(f"{valid_line}\n{line}\n")
+    assert completed.returncode == 2
+    [error_line] = completed.stderr.splitlines()
+    assert "line 2" in error_line
+    assert expected_text in error_line
+    assert completed.stdout == '{"n":7,"proxys":[]}\n'
 
 
 def test_line_that_is_not_utf8_is_reported_in_one_line() -> None:
-    ended = subprocess.run(
+    completed = subprocess.run(
         deploy_command("sim"),
         input=b'{"tUs":1,"n":1,"proxys":[\xff]}\n',
         capture_output=True,
@@ -209,14 +222,14 @@
         check=False,
         timeout=60,
     )
-    assert ended.returncode == 2
-    assert ended.stdout == b""
-    [reported] = ended.stderr.decode().splitlines()
-    assert "line 1" in reported
-    assert "UTF-8" in reported
+    assert completed.returncode == 2
+    assert completed.stdout == b""
+    [error_line] = completed.stderr.decode().splitlines()
+    assert "line 1" in error_line
+    assert "UTF-8" in error_line
 
 
-REQUIRED = {
+REQUIRED_SETTINGS = {
     "lanes": None,
     "contract": None,
     "limits": None,
@@ -228,7 +241,7 @@
 }
 
 
-@pytest.mark.parametrize(("name", "path"), REQUIRED.items())
+@pytest.mark.parametrize(("name", "path"), REQUIRED_SETTINGS.items())
 def test_missing_setting_is_named_in_full(name: str, path: tuple[Any, ...] | None) -> None:
     settings = raw_settings()
     *outer_keys, last_key = path or (name,)
@@ -236,10 +249,10 @@
     for key in outer_keys:
         inner = inner[key]
     del inner[last_key]
-    ended = run_adapter(batch_line({"msg": "CONFIGURE", "rngSeed": 1, "settings": settings}) + "\n")
-    assert ended.returncode == 2
-    assert f"missing required field settings.{name}" in ended.stderr
-    assert len(ended.stderr.splitlines()) == 1
+    completed = run_adapter(batch_line({"msg": "CONFIGURE", "rngSeed": 1, "settings": settings}) + "\n")
+    assert completed.returncode == 2
+    assert f"missing required field settings.{name}" in completed.stderr
+    assert len(completed.stderr.splitlines()) == 1
 
 
 def test_missing_optional_settings_have_documented_defaults() -> None:
@@ -251,8 +264,10 @@
 
 
 def test_unknown_parts_are_ignored() -> None:
-    unknown = [{"msg": "NEWS", "a": 1}, {**END, "gauge": {"unheard_of": 3}, "extra": [1]}]
-    assert run_adapter(batch_line(*start_events(), *unknown, request_event("r")) + "\n").returncode == 0
+    unknown_events = [{"msg": "NEWS", "a": 1}, {**ATTEMPT_END, "gauge": {"unheard_of": 3}, "extra": [1]}]
+    assert (
+        run_adapter(batch_line(*start_events(), *unknown_events, request_event("r")) + "\n").returncode == 0
+    )
 
 
 def endpoint_of_first_attempt(batches: list[dict[str, Any]]) -> int:
@@ -265,19 +280,28 @@
     """Return by their words the decisions after the first attempt of an unsafe request has ended so."""
     batches = random_batches(range(1), count=1)
     batches.append(batch(1, {0: [request_event("r", "pay")]}, 2 * SECOND_US))
-    end = {"msg": "ATTEMPT_END", "msgId": "r", "attempt": 0, "backend": endpoint_of_first_attempt(batches)}
-    end |= {"ending": ending, "rttUs": 9, "last": False, "gauge": None}
-    batches.append(batch(2, {0: [end, {"msg": "NEWS"}]}, 3 * SECOND_US))
+    attempt_ended = {
+        "msg": "ATTEMPT_END",
+        "msgId": "r",
+        "attempt": 0,
+        "backend": endpoint_of_first_attempt(batches),
+    }
+    attempt_ended |= {"ending": ending, "rttUs": 9, "last": False, "gauge": None}
+    batches.append(batch(2, {0: [attempt_ended, {"msg": "NEWS"}]}, 3 * SECOND_US))
     return {decision["msg"]: decision for decision in decisions_in(replies_to(batches)[2])}
 
 
-@pytest.mark.parametrize(("ending", "word"), [(20, "ABORT"), (60, "ABORT"), (999, "ABORT"), (30, "CALL_OUT")])
-def test_outcomes_are_read_from_the_wire(ending: int, word: str) -> None:
-    assert word in decisions_after(ending)
+@pytest.mark.parametrize(
+    ("ending", "message_name"), [(20, "ABORT"), (60, "ABORT"), (999, "ABORT"), (30, "CALL_OUT")]
+)
+def test_outcomes_are_read_from_the_wire(ending: int, message_name: str) -> None:
+    assert message_name in decisions_after(ending)
 
 
 def test_client_retry_is_read_from_its_bit() -> None:
-    retries = [read_request({**request_event("r"), "bitmap": bits}).retry for bits in (None, 0, 1, 2, 3, 4)]
+    retries = [
+        read_request({**request_event("r"), "bitmap": bitmap}).retry for bitmap in (None, 0, 1, 2, 3, 4)
+    ]
     assert retries == [False, False, False, True, True, False]
 
 
