--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("seconds", [None, 10.0])
-def test_half_of_the_endpoints_are_replaced_evenly_over_the_play(seconds: float | None) -> None:
+def test_half_of_the_endpoints_are_replaced_evenly_over_the_scenario(seconds: float | None) -> None:
     steps = Scenario(100, 17, calls=300, seconds=seconds, moves_at=(0.3,), silence_at=0.5).steps()
     times = {kind: [time for time, step in steps if step is kind] for kind in Step}
     all_times = [time for time, _ in steps]
@@ -219,7 +219,7 @@
 
 
 @pytest.mark.parametrize("fleet", LARGE_FLEET_NAMES)
-def test_change_costs_by_its_own_size(fleet: str) -> None:
+def test_work_per_change_does_not_grow_with_the_fleet(fleet: str) -> None:
     """Sixteen times the endpoints bring sixteen times the changes, so hardly more is left for each."""
     usual_steps, usual_bytes = work_of_changes("usual")
     steps, peak_bytes = work_of_changes(fleet)
@@ -254,7 +254,7 @@
 
 
 @pytest.mark.parametrize("fleet", LARGE_FLEET_NAMES)
-def test_decision_costs_by_a_subset_that_the_limit_on_descriptors_allows(fleet: str) -> None:
+def test_work_per_decision_grows_no_more_than_the_descriptor_limit_allows(fleet: str) -> None:
     """The limit on CPU time bounds the sum over the day; a decision is bounded by what it chooses from.
 
     Each endpoint of the subset gets a connection in time, so of these there may be twice as many and 40.
--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("share", [0.0, 0.5, 0.99])
-def test_policy_takes_a_change_at_the_cost_of_the_change(share: float) -> None:
+def test_policy_cost_of_a_change_does_not_grow_with_the_endpoint_list(share: float) -> None:
     small_fleet_cost = change_cost(200, 34, int(share * 34))
     large_fleet_cost = change_cost(3200, 544, int(share * 544))
     assert large_fleet_cost < MAX_GROWTH * small_fleet_cost, (small_fleet_cost, large_fleet_cost)
@@ -81,7 +81,7 @@
     return [state for state in listed_states(harness) if state.endpoint.status is EndpointStatus.UP]
 
 
-def plain_subset(harness: BalancerHarness) -> list[int]:
+def recomputed_subset(harness: BalancerHarness) -> list[int]:
     """Return the ids of the subset by plain computation from all endpoints that are up."""
     settings = harness.balancer.settings
     up_sorted = sorted(up_states(harness), key=lambda state: (state.hashed_id, state.endpoint.id))
@@ -123,7 +123,7 @@
 
 @pytest.mark.parametrize("cross_zone_cost", [0.0, 0.05])
 @pytest.mark.parametrize("seed", range(6))
-def test_incrementally_updated_ring_gives_the_plain_subset(seed: int, cross_zone_cost: float) -> None:
+def test_incrementally_updated_ring_matches_the_recomputed_subset(seed: int, cross_zone_cost: float) -> None:
     rng = random.Random(seed)
     instances = rng.choice((1, 3, 9))
     index = rng.randrange(instances)
@@ -132,7 +132,7 @@
     endpoints, slow_start = harness.balancer.endpoints, harness.balancer.slow_start
     for version in range(1, 150):
         apply_random_list(harness, rng, version)
-        assert [state.endpoint.id for state in endpoints.subset] == plain_subset(harness)
+        assert [state.endpoint.id for state in endpoints.subset] == recomputed_subset(harness)
         assert all(endpoints.states[state.endpoint.id] is state for state in endpoints.subset)
         up_count = len(up_states(harness))
         expected_sharing = instances * len(endpoints.subset) / max(1, up_count)
@@ -160,7 +160,7 @@
         return lines_run(receive_lists)
 
 
-async def test_driver_takes_a_change_at_the_cost_of_the_change() -> None:
+async def test_driver_cost_of_a_change_does_not_grow_with_the_endpoint_list() -> None:
     small_fleet_cost, large_fleet_cost = (
         await driver_change_cost(200, 34),
         await driver_change_cost(3200, 544),
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -7,7 +7,7 @@
 from tests.support.units import MILLISECOND_US, SECOND_US
 
 
-def test_prompt_failures_do_not_change_the_concurrency_limit() -> None:
+def test_fast_failures_do_not_change_the_concurrency_limit() -> None:
     harness = BalancerHarness()
     initial_limit = harness.balancer.concurrency_limit.attempts_per_endpoint
     for number in range(60):
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -10,7 +10,7 @@
 from tests.support.units import MILLISECOND_US, SECOND_US
 
 
-def test_dead_endpoint_does_not_draw_queued_requests() -> None:
+def test_unreachable_endpoint_does_not_attract_queued_requests() -> None:
     """It rejects at once, so it always looks idle while all others are at their limits."""
     harness, attempts_at_dead = BalancerHarness(endpoint_count=3), 0
     harness.balancer.endpoints.states[0].endpoint = messages.Endpoint(0)
@@ -30,7 +30,7 @@
     assert attempts_at_dead <= INITIAL_LIMIT
 
 
-def test_concurrency_limit_falls_with_late_answers_and_recovers() -> None:
+def test_concurrency_limit_falls_with_late_responses_and_recovers() -> None:
     harness = BalancerHarness()
     limits = [harness.balancer.concurrency_limit.attempts_per_endpoint]
     for phase, took_us in enumerate((1500 * MILLISECOND_US, 50 * MILLISECOND_US)):
@@ -177,7 +177,7 @@
     ]
 
 
-def test_request_with_hardly_any_time_left_is_rejected() -> None:
+def test_request_with_too_little_time_remaining_is_rejected() -> None:
     for time_left in (0, 1, 1500):
         harness = BalancerHarness()
         actions = harness.request("r", "pay", time_left)
--- a/tests/policy/test_policy_modules.py
+++ b/tests/policy/test_policy_modules.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.name)
-def test_module_stays_within_its_size(path: Path) -> None:
+def test_module_size_is_limited(path: Path) -> None:
     lines = path.read_text().splitlines()
     assert len(lines) <= 400
     assert max(len(line) for line in lines) <= 110
@@ -52,7 +52,7 @@
     assert ast.get_docstring(ast.parse(path.read_text()))
 
 
-def test_imports_form_no_circle_and_none_is_for_type_checking_only() -> None:
+def test_imports_have_no_cycle_and_none_is_for_type_checking_only() -> None:
     imports = {
         f"load_balancer.policy.{path.stem}": {
             name for name in imported_modules(path) if name.startswith("load_balancer.policy.")
--- a/tests/policy/test_request_deadline.py
+++ b/tests/policy/test_request_deadline.py
@@ -9,7 +9,7 @@
 from tests.support.units import SECOND_US
 
 
-def test_attempt_times_out_before_its_answer_would_be_late() -> None:
+def test_attempt_times_out_before_its_response_would_be_late() -> None:
     harness = BalancerHarness()
     [attempt] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
     assert attempt.timeout_us <= UNSAFE_CLASS.latency_objective_us - 2 * harness.balancer.settings.tick_us
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -97,7 +97,7 @@
         assert retry.endpoint_id != attempt.endpoint_id
 
 
-def test_retries_are_paid_from_the_retry_budget() -> None:
+def test_retries_are_limited_by_the_retry_budget() -> None:
     harness, attempt_count, request_count = BalancerHarness(), 0, 200
     for number in range(request_count):
         pending = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -159,7 +159,7 @@
     return local_count
 
 
-def test_requests_stay_in_their_zone_when_leaving_it_has_a_price() -> None:
+def test_requests_stay_in_their_zone_when_crossing_zones_has_a_cost() -> None:
     assert count_local_attempts(cross_zone_cost=0.05) > 120 > 100 > count_local_attempts(cross_zone_cost=0.0)
 
 
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -113,7 +113,7 @@
     return harness
 
 
-def test_free_first_attempts_rotate_and_expire_unused() -> None:
+def test_first_attempt_slots_rotate_and_expire_unused() -> None:
     harnesses = [balancer_with_warming_endpoints(30, index, 6) for index in range(30)]
     slot_holders = []
     for _ in range(64):
@@ -133,7 +133,7 @@
     assert len(all_holders) == 15  # each balancer with this endpoint in its subset
 
 
-def test_balancer_without_free_first_attempt_uses_its_remembered_rate() -> None:
+def test_balancer_without_a_first_attempt_slot_uses_its_rate_before_warming() -> None:
     """Its own attempts stopped with the budget, and the rate measured from them fell to nothing."""
     attempt_counts = []
     for index in range(30):
@@ -159,7 +159,7 @@
     assert min(attempt_counts) > 0
 
 
-def test_attempt_without_tokens_is_paid_by_the_next_token() -> None:
+def test_attempt_without_a_token_is_charged_to_the_next_token() -> None:
     harness = balancer_with_warming_endpoints(1, 0, 1)
     [state] = harness.balancer.endpoints.subset
     state.warming.bucket.tokens = 0.2
@@ -186,7 +186,7 @@
     assert (1.0 + TOKEN_EXPIRY_WINDOWS) * BUDGET_UTILIZATION <= 1.0 + 1e-9
 
 
-def test_credit_of_an_answer_expires_unused() -> None:
+def test_response_credit_expires_unused() -> None:
     harness = balancer_with_warming_endpoints(30, 0, 6, replace(RULES, slow_start_us=600 * SECOND_US))
     state = harness.balancer.endpoints.subset[0]
     state.last_attempt = LastAttemptResult.SUCCEEDED
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -251,7 +251,7 @@
     assert max(attempt_counts) <= UNBUDGETED_FIRST_ATTEMPTS
 
 
-def test_retry_is_not_a_free_first_attempt() -> None:
+def test_retry_is_not_an_unbudgeted_first_attempt() -> None:
     harness = BalancerHarness(balancer_settings(rules=RULES, instances=30), endpoint_count=0)
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6))
--- a/tests/policy/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -21,7 +21,7 @@
     assert sorted(endpoint_ids) == [0, 1, 2]
 
 
-def test_warming_endpoint_saves_up_no_burst() -> None:
+def test_idle_warming_endpoint_accumulates_no_burst() -> None:
     harness = BalancerHarness(
         balancer_settings(rules=messages.Rules(0.4, 60 * SECOND_US, 3.0, 1 * SECOND_US)), endpoint_count=0
     )
--- a/tests/policy/test_unsent_attempts.py
+++ b/tests/policy/test_unsent_attempts.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.REJECTED, messages.Outcome.NO_CONNECTION])
-def test_sent_attempt_leaves_no_free_first_attempt(outcome: messages.Outcome) -> None:
+def test_sent_attempt_uses_up_the_unbudgeted_first_attempt(outcome: messages.Outcome) -> None:
     harness = balancer_with_warming_endpoints()
     [attempt] = actions_of_type(harness.request("r"), messages.StartAttempt)
     assert not actions_of_type(harness.end_attempt(attempt, outcome, took=0), messages.StartAttempt)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -38,6 +38,8 @@
 
 
 @pytest.mark.parametrize(("error_start", "construct"), INVALID_SETTINGS.items())
-def test_impossible_settings_are_rejected_by_name(error_start: str, construct: Callable[[], object]) -> None:
+def test_invalid_settings_are_rejected_by_field_name(
+    error_start: str, construct: Callable[[], object]
+) -> None:
     with pytest.raises(ValueError, match=f"^{error_start}"):
         construct()
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -106,7 +106,7 @@
     ]
 
 
-def test_simulator_starts_answers_and_exits() -> None:
+def test_simulator_adapter_starts_replies_and_exits() -> None:
     replies = replies_to(random_batches(range(2)))
     assert [reply["n"] for reply in replies] == list(range(60))
     message_names = {decision["msg"] for reply in replies for decision in decisions_in(reply)}
@@ -123,7 +123,7 @@
     assert replies_to(batches, hash_seed=1) == replies_to(batches, hash_seed=2)
 
 
-def test_instances_act_alike_in_one_process_and_in_several() -> None:
+def test_instances_act_the_same_in_one_process_and_in_several() -> None:
     together = replies_to(random_batches(range(3)))
     for instance in range(3):
         alone = replies_to(random_batches(range(instance, instance + 1)))
@@ -263,7 +263,7 @@
     assert settings.rules.max_poll_interval_us == Rules().max_poll_interval_us
 
 
-def test_unknown_parts_are_ignored() -> None:
+def test_unknown_messages_and_fields_are_ignored() -> None:
     unknown_events = [{"msg": "NEWS", "a": 1}, {**ATTEMPT_END, "gauge": {"unheard_of": 3}, "extra": [1]}]
     assert (
         run_adapter(batch_line(*start_events(), *unknown_events, request_event("r")) + "\n").returncode == 0
@@ -305,7 +305,7 @@
     assert retries == [False, False, False, True, True, False]
 
 
-def test_list_version_reused_within_a_batch_and_a_restart() -> None:
+def test_list_id_is_reused_within_a_batch_and_after_a_restart() -> None:
     events = [
         *start_events(),
         {"msg": "MANIFEST", "bank": 0, "rows": [{"backend": 77, "condition": "IN"}]},
@@ -323,7 +323,7 @@
     assert attempts[1]["backend"] < 6
 
 
-def test_health_checks_on_the_wire() -> None:
+def test_health_checks_are_encoded_and_decoded() -> None:
     assert encode_action(messages.CheckHealth(7)) == {"msg": "INSPECT", "backend": 7}
     assert encode_action(messages.CancelTimer(7)) is None  # the wire has no such message
     read_result = EVENT_READERS["SAMPLED"]
