--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -1,9 +1,9 @@
-"""What one proxy needs grows with its fleet no more than the operators allow, by counts without times.
+"""The resources of one proxy grow with its fleet no more than the operators' limits allow.
 
-The tests run the plays of `benchmarks.fleet_growth` at a smaller size and by no clock: each step begins once
-the one before is over, so a busy machine makes them longer and changes no figure. CPU time is for the
-benchmark itself; here the work on one change and on one decision is counted in steps of the interpreter and
-in bytes.
+The tests run the scenarios of `benchmarks.fleet_growth` at a smaller size and without a clock: each step
+starts when the previous one is complete, so a busy machine makes them slower but changes no result. CPU time
+is left to the benchmark itself; here the work per list change and per decision is counted in interpreter
+steps and bytes.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 
 
 def figures_by_name(figures: Figures) -> dict[str, float]:
-    """Return the figures by their names."""
+    """Return the figures as a dictionary by name."""
     return {name: getattr(figures, name) for name in Figures.__slots__}
 
 
@@ -95,37 +95,37 @@
 
 @cache
 def result_of(scenario: Scenario, fleet: tuple[int, int]) -> Result:
-    """Return the result of a play with this fleet, which is played once."""
+    """Return the result of a scenario with this fleet; the scenario runs once and its result is cached."""
     return run_scenario(replace(scenario, endpoints=fleet[0], instances=fleet[1]))
 
 
 @pytest.mark.parametrize("fleet", LARGE_FLEETS)
 def test_large_fleet_is_within_its_limits(fleet: tuple[int, int]) -> None:
-    """Half of its endpoints are replaced one by one under requests."""
+    """Half of the endpoints are replaced one by one under load."""
     base, large = result_of(SCENARIO, USUAL_FLEET), result_of(SCENARIO, fleet)
     assert not violations_by_fleet([base, large], ignored=MEASURED_BY_TIME)
-    assert base.figures.share_served == 1.0  # without which the limit of the large one would mean nothing
-    assert (base.complete_lists, large.complete_lists) == (0, 0)  # as both have the list from their start
+    assert base.figures.share_served == 1.0  # otherwise the limit of the large fleet would mean nothing
+    assert (base.complete_lists, large.complete_lists) == (0, 0)  # both have the list from the start
 
 
 def test_move_of_discovery_costs_one_complete_list_and_a_silent_watch_none() -> None:
     base, large = result_of(LIST_SCENARIO, USUAL_FLEET), result_of(LIST_SCENARIO, LARGE_FLEETS[0])
     assert not violations_by_fleet([base, large], ignored=MEASURED_BY_TIME)
     for result in (base, large):
-        assert result.watches >= 3  # the first, after the move and after the silence
+        assert result.watches >= 3  # the first one, one after the move, one after the silence
         assert result.complete_lists == 1
 
 
-# Work, by count
+# Counted work
 
-FLEETS = {"usual": (200, 34), "many of both": (3_200, 544), "many endpoints": (3_200, 34)}
-LARGE_FLEET_NAMES = ["many of both", "many endpoints"]
+FLEETS = {"usual": (200, 34), "more endpoints and balancers": (3_200, 544), "more endpoints": (3_200, 34)}
+LARGE_FLEET_NAMES = ["more endpoints and balancers", "more endpoints"]
 REPLACED_COUNT = 16  # endpoints, each in three changes
 DECISION_COUNT = 40
 
 
 class StepCounter:
-    """Counts the steps of the interpreter in all that is called in this context."""
+    """Context manager that counts the interpreter steps (opcodes) of all calls in its block."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -145,7 +145,7 @@
 
 
 class PeakMemoryCounter:
-    """Counts the bytes allocated at most in this context, beside those before it; copies show here."""
+    """Context manager that measures the peak of bytes allocated in its block, which copies of lists raise."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -160,17 +160,17 @@
 
 
 def fleet_entry(number: int, state: str = "in_service") -> dict[str, object]:
-    """Return the entry of one endpoint."""
+    """Return the endpoint list entry of one endpoint."""
     return {**endpoint_entry(f"s-{number:08x}", f"127.0.0.1:{1 + number}", number // 8, 0), "state": state}
 
 
 def list_message(*entries: dict[str, object], rev: int, full: bool = False) -> EndpointListMessage:
-    """Return a list as the product reads it."""
+    """Return an endpoint list message as parsed by the proxy."""
     return read_list({"rev": rev, "all": full, "targets": list(entries)})
 
 
 def replacements(endpoint_count: int) -> list[EndpointListMessage]:
-    """Return changes all over the list: an endpoint drains, a new one is added, the old one is removed."""
+    """Return changes spread over the list: an endpoint drains, a new one is added, the old one is removed."""
     changes = []
     for number in range(REPLACED_COUNT):
         old, new = number * endpoint_count // REPLACED_COUNT, endpoint_count + number
@@ -191,7 +191,7 @@
 async def count_work_of_changes(
     fleet: str, counter_type: type[StepCounter] | type[PeakMemoryCounter]
 ) -> list[int]:
-    """Return the work of each change, from discovery's entry to the shares of the policy."""
+    """Return the work of each change, from the receipt of its entry to the shares of the policy."""
     balancer_settings, complete_list = settings_and_list(fleet)
     driver = EventLoopDriver(balancer_settings, 1, ConnectionPool(0.25, 30.0, 100), ("127.0.0.1", 1))
     driver.endpoint_list.watch.start = lambda: None  # type: ignore[method-assign]
@@ -200,7 +200,7 @@
     for change in replacements(FLEETS[fleet][0]):
         with counter_type() as counter:
             driver.endpoint_list.receive(change)
-            await asyncio.sleep(0)  # work that is put off to the loop's next turn counts as well
+            await asyncio.sleep(0)  # includes work deferred to the next iteration of the event loop
         counts.append(counter.count)
     driver.close()
     return counts
@@ -208,7 +208,7 @@
 
 @cache
 def work_of_changes(fleet: str) -> tuple[float, float]:
-    """Return the mean steps and the median bytes of a change."""
+    """Return the mean steps and the median of the peak bytes of a change."""
 
     async def count_both() -> tuple[list[int], list[int]]:
         steps = await count_work_of_changes(fleet, StepCounter)
@@ -220,15 +220,15 @@
 
 @pytest.mark.parametrize("fleet", LARGE_FLEET_NAMES)
 def test_work_per_change_does_not_grow_with_the_fleet(fleet: str) -> None:
-    """Sixteen times the endpoints bring sixteen times the changes, so hardly more is left for each."""
+    """A fleet of sixteen times the size has sixteen times the changes, so each may cost hardly more."""
     usual_steps, usual_bytes = work_of_changes("usual")
     steps, peak_bytes = work_of_changes(fleet)
-    assert steps <= 2 * usual_steps, "it walks the list"
-    assert peak_bytes <= 2 * usual_bytes, "it copies the list"
+    assert steps <= 2 * usual_steps, "the work per change grows with the list"
+    assert peak_bytes <= 2 * usual_bytes, "the memory per change grows with the list"
 
 
 def count_steps_of_decision(balancer: Balancer, number: int) -> int:
-    """Let a balancer decide on one request, whose attempt succeeds; return the steps that it took."""
+    """Return the steps that a balancer runs for one request and its successful attempt."""
     now_us = number * 33_000
     with StepCounter() as counter:
         actions = balancer.handle(now_us, messages.Request(str(number), "read", 2_000_000))
@@ -242,7 +242,7 @@
 
 @cache
 def work_of_decisions(fleet: str) -> tuple[float, int]:
-    """Return the mean steps of the policy over a request and its answer, and the size of the subset."""
+    """Return the mean steps of the policy for a request and its response, and the size of the subset."""
     balancer_settings, complete_list = settings_and_list(fleet)
     balancer = Balancer(balancer_settings, 1)
     update = messages.EndpointListUpdate(
@@ -255,9 +255,10 @@
 
 @pytest.mark.parametrize("fleet", LARGE_FLEET_NAMES)
 def test_work_per_decision_grows_no_more_than_the_descriptor_limit_allows(fleet: str) -> None:
-    """The limit on CPU time bounds the sum over the day; a decision is bounded by what it chooses from.
+    """The cost of a decision is bounded by the size of the subset, not by the limit on total CPU time.
 
-    Each endpoint of the subset gets a connection in time, so of these there may be twice as many and 40.
+    Each endpoint of the subset eventually gets a connection, so by the limit on descriptors the subset may
+    have twice the usual size plus 40.
     """
     usual_steps, usual_subset_size = work_of_decisions("usual")
     steps, _ = work_of_decisions(fleet)
--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -1,6 +1,6 @@
-"""The cost of a change of the list follows the change and not the fleet, and the subset stays what it was.
+"""The cost of a list change depends on the change and not on the fleet, and the subset stays correct.
 
-Costs are counted in calls of functions and lines run, so that they are the same on every machine.
+Costs are counted in executed lines, so that they are the same on every machine.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.loopback_proxy import running_proxy
 
-MAX_GROWTH = 1.5  # a change may cost this many times as much with sixteen times the endpoints
+MAX_GROWTH = 1.5  # permitted factor in the cost of a change with sixteen times the endpoints
 REPLACED_COUNT = 20
 
 
 def lines_run(work: Callable[[], object]) -> int:
-    """Return how many lines of Python a piece of work runs, in all functions that it calls."""
+    """Return the number of Python lines that `work` executes, including the functions that it calls."""
     count = 0
 
     def trace(frame: FrameType, event: str, arg: Any) -> Any:
@@ -49,7 +49,7 @@
 
 
 def change_cost(endpoint_count: int, instances: int, index: int) -> int:
-    """Return the lines that the policy runs for the replacement of 20 endpoints, one by one."""
+    """Return the lines that the policy executes to replace 20 endpoints one by one."""
     settings = balancer_settings(instances=instances, index=index)
     harness = BalancerHarness(settings, endpoint_count)
     version = 1
@@ -82,7 +82,7 @@
 
 
 def recomputed_subset(harness: BalancerHarness) -> list[int]:
-    """Return the ids of the subset by plain computation from all endpoints that are up."""
+    """Return the ids of the subset, computed from scratch from all endpoints that are up."""
     settings = harness.balancer.settings
     up_sorted = sorted(up_states(harness), key=lambda state: (state.hashed_id, state.endpoint.id))
     size = max(MIN_SUBSET, math.ceil(SUBSETS_PER_ENDPOINT * len(up_sorted) / settings.instances))
@@ -96,12 +96,12 @@
     return [state.endpoint.id for state in local + remote[: max(MIN_REMOTE, size - len(local))]]
 
 
-RANK_PERIOD = 2**32  # ids that differ by it have the same rank
+RANK_PERIOD = 2**32  # ids that differ by a multiple of it have the same rank
 STATUSES = (EndpointStatus.UP, EndpointStatus.UP, *EndpointStatus)
 
 
 def random_endpoint(rng: random.Random, version: int) -> Endpoint:
-    """Return one of 36 endpoints, three of each rank, with another status, zone and incarnation each time."""
+    """Return one of 36 endpoints, three of each rank, with a random status, zone and incarnation."""
     return Endpoint(
         id=rng.randrange(12) + RANK_PERIOD * rng.randrange(3),
         status=rng.choice(STATUSES),
@@ -111,7 +111,7 @@
 
 
 def apply_random_list(harness: BalancerHarness, rng: random.Random, version: int) -> None:
-    """Apply a few changes or, seldom, a complete list; one in ten is older than the list that is held."""
+    """Apply a few changes or, rarely, a complete list; one update in ten is older than the present list."""
     entries = [random_endpoint(rng, version) for _ in range(rng.choice((0, 1, 1, 1, 3)))]
     kind = EndpointListKind.CHANGES
     if rng.random() < 0.08:
@@ -142,7 +142,7 @@
 
 
 async def driver_change_cost(endpoint_count: int, instances: int) -> int:
-    """Return the lines of driver and policy for 20 endpoints that drain, go and are replaced, one by one."""
+    """Return the lines that driver and policy execute to drain and replace 20 endpoints one by one."""
     entries = [endpoint_entry(f"s-{number}", 9) for number in range(endpoint_count)]
     settings = balancer_settings(instances=instances, index=instances // 2)
     async with running_proxy(*entries, settings=settings) as proxy:
@@ -169,13 +169,13 @@
 
 
 def covering_size(endpoint_count: int, instances: int) -> int:
-    """Return the size of a subset by which the balancers together cover all endpoints often enough."""
+    """Return the subset size with which the balancers together cover each endpoint often enough."""
     return max(MIN_SUBSET, math.ceil(SUBSETS_PER_ENDPOINT * endpoint_count / instances))
 
 
 @pytest.mark.parametrize("instances", [1, 3, 10, 34, 100, 200, 544])
 def test_subset_stays_within_the_descriptors_of_a_proxy(instances: int) -> None:
-    """At sixteen times the endpoints a proxy may need twice the usual descriptors and 40 more."""
+    """With sixteen times the endpoints a proxy may use twice the usual descriptors plus 40."""
     size_at_200 = covering_size(200, instances)
     for small_count in range(1, 201):
         small_size = covering_size(small_count, instances)
@@ -200,7 +200,7 @@
 
 
 def test_list_is_split_without_a_step_for_each_end_of_a_string() -> None:
-    """A release brings thousands of entries, most of them strings."""
+    """A release sends thousands of entries, whose text is mostly strings."""
 
     def lines_for(entry_count: int) -> int:
         entries = [endpoint_entry(f"s-{number}", 9) for number in range(entry_count)]
@@ -210,11 +210,11 @@
     string_count = json.dumps(endpoint_entry("s-1", 9)).count('"') // 2
     lines_for_an_entry = (lines_for(20) - lines_for(10)) / 10
     lines_for_a_step = 6
-    assert lines_for_an_entry < lines_for_a_step * (string_count + 2)  # and an entry's two braces
+    assert lines_for_an_entry < lines_for_a_step * (string_count + 2)  # plus the two braces of an entry
 
 
 def harness_in_one_cell(key_scope: messages.KeyScope, endpoint_count: int, seed: int) -> BalancerHarness:
-    """Return a balancer whose keyed requests may go to one cell or zone, in which all endpoints are."""
+    """Return a balancer whose keyed retries stay in one cell or zone, which has all endpoints."""
     keyed_class = messages.RequestClass(
         "write", 2_000_000, 5_000_000, messages.Idempotency.KEYED, key_scope, 4_000_000
     )
@@ -226,7 +226,7 @@
 
 
 def retry_cost(key_scope: messages.KeyScope, endpoint_count: int, seed: int) -> tuple[int, set[int]]:
-    """Return the lines of a failed attempt and its retry, and the endpoints that the retry may go to."""
+    """Return the lines executed for a failed attempt and its retry, and the retry's eligible endpoints."""
     harness = harness_in_one_cell(key_scope, endpoint_count, seed)
     balancer = harness.balancer
     [attempt] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
@@ -240,13 +240,13 @@
 
 @pytest.mark.parametrize("key_scope", [messages.KeyScope.ZONE, messages.KeyScope.CELL])
 def test_retry_examines_a_bounded_number_of_its_zone_or_cell(key_scope: messages.KeyScope) -> None:
-    """The retry may go to all of them, and where they are few it does examine all."""
+    """If the zone or cell has few endpoints, all are examined; otherwise a random selection of them."""
     small_fleet_cost, eligible_ids = retry_cost(key_scope, MAX_RETRY_CANDIDATES, 1)
     assert eligible_ids == set(range(MAX_RETRY_CANDIDATES))
     large_fleet_cost, eligible_ids = retry_cost(key_scope, 3200, 1)
     assert len(eligible_ids) == MAX_RETRY_CANDIDATES
     assert eligible_ids != retry_cost(key_scope, 3200, 2)[1]
-    # Which zone and cell each one is in, and whether it is up, takes a few lines for each pass over the list.
+    # The check of zone, cell and status takes a few lines per endpoint and pass over the list.
     passes, lines_for_each = 2, 4
     assert large_fleet_cost < 2 * small_fleet_cost + passes * lines_for_each * 3200
 
--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -1,4 +1,4 @@
-"""How long a request waits in the admission queue for a free endpoint, and when it is rejected instead."""
+"""How long a request waits in the admission queue for an available endpoint before it is rejected."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def balancer_with_full_endpoints(
     settings: messages.Settings | None = None, endpoint_count: int = 2
 ) -> BalancerHarness:
-    """Return a balancer whose endpoints are all at their concurrency limit, with one request in its queue."""
+    """Return a balancer whose endpoints are all at their concurrency limit, with one queued request."""
     harness = BalancerHarness(settings or balancer_settings(), endpoint_count)
     while not harness.balancer.queue:
         harness.request(f"c{harness.now_us}-{len(harness.actions)}", "pay")
@@ -20,7 +20,7 @@
 
 
 def time_until_rejection_us(harness: BalancerHarness, request_id: str, within_us: int) -> int | None:
-    """Return the microseconds until the request is rejected, to a millisecond; None if it is not."""
+    """Return the microseconds until the request is rejected, rounded up to 1 ms, or None if it is not."""
     started_at_us = harness.now_us
     while harness.now_us - started_at_us < within_us:
         if any(
@@ -39,18 +39,18 @@
 def test_queued_request_is_rejected_within_half_of_its_useful_time(
     time_remaining_us: int, phase_us: int
 ) -> None:
-    """It holds at any phase of the periodic queue scan, and the rejection comes no sooner."""
+    """Holds at any phase of the periodic queue scan; the request is not rejected earlier either."""
     harness = balancer_with_full_endpoints()
     harness.advance(phase_us)
     harness.request("queued", "read", time_remaining_us)
-    useful_us = min(time_remaining_us, 2 * SECOND_US)  # an answer after its latency objective earns nothing
+    useful_us = min(time_remaining_us, 2 * SECOND_US)  # a response after the latency objective is of no use
     elapsed_us = time_until_rejection_us(harness, "queued", 3 * SECOND_US)
     assert elapsed_us is not None
     assert useful_us // 2 - 2 * MILLISECOND_US <= elapsed_us <= useful_us // 2
 
 
 def balancer_with_queued_retry(outcome: messages.Outcome, elapsed_us: int) -> BalancerHarness:
-    """Return a balancer with a retry in its queue: one endpoint drains, the other is at its limit."""
+    """Return a balancer with a queued retry: one endpoint is draining, the other is at its limit."""
     harness = BalancerHarness(balancer_settings(), 2)
     harness.request("first", "read", 5 * SECOND_US)
     [attempt] = actions_of_type(harness.actions, messages.StartAttempt)
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("outcome", [messages.Outcome.ERROR, messages.Outcome.RESET])
 def test_queued_retry_of_written_request_waits_for_its_full_queue_time(outcome: messages.Outcome) -> None:
-    """A rejection of such a request costs no more when it comes later."""
+    """A later rejection of such a request costs the client no more than an early one."""
     elapsed_us = time_until_rejection_us(
         balancer_with_queued_retry(outcome, 200 * MILLISECOND_US), "first", 3 * SECOND_US
     )
--- a/tests/policy/test_change_detector.py
+++ b/tests/policy/test_change_detector.py
@@ -1,4 +1,4 @@
-"""The change detector, against figures computed independently of it."""
+"""The change detector, checked against values that are computed independently of it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def mean_run_length(shift: float, spread: float, threshold: float) -> float:
-    """Return the mean run length by Siegmund's approximation, as the design states it."""
+    """Return the mean run length by Siegmund's approximation as stated in the design."""
     delta = -shift / spread
     adjusted_threshold = threshold / spread + 1.166
     return (math.exp(-2 * delta * adjusted_threshold) + 2 * delta * adjusted_threshold - 1) / (2 * delta**2)
@@ -37,7 +37,7 @@
 def test_threshold_for_degenerate_spread_or_shift() -> None:
     assert siegmund_threshold(0.25, 0.0, 100) == 0.0
     assert siegmund_threshold(0.25, 1e-9, 100) == pytest.approx(0.0, abs=1e-6)
-    # As the shift goes to nothing the formula goes to b^2.
+    # For a shift close to zero the run length approaches the square of the adjusted threshold.
     assert siegmund_threshold(1e-6, 1.0, 100) == pytest.approx(10 - 1.166, rel=1e-3)
 
 
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Subscription to the endpoint list, its updates, draining and warming endpoints."""
+"""The subscription to the endpoint list, its updates, and endpoints that drain or are warming up."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         while not actions_of_type(harness.advance(10 * MILLISECOND_US), messages.Subscribe):
             assert harness.now_us - failed_at_us < SUBSCRIBING_SETTINGS.rules.max_poll_interval_us / 2
         waits_us.append(harness.now_us - failed_at_us)
-    assert waits_us[0] < waits_us[1]  # the backoff grows, except for its jitter
+    assert waits_us[0] < waits_us[1]  # the jitter is smaller than the growth
     assert waits_us[0] <= SECOND_US
     assert (
         max(waits_us[3:]) - min(waits_us[3:])
@@ -42,7 +42,7 @@
 
 
 def resubscription_wait_us(harness: BalancerHarness, duration_us: int) -> int:
-    """Return the microseconds until the next subscription after one that lasted `duration_us` has failed."""
+    """Return the microseconds from the failure of a subscription after `duration_us` to the next one."""
     harness.now_us += duration_us
     [timer] = actions_of_type(
         harness.handle(messages.EndpointListUpdate(messages.EndpointListKind.FAILED)), messages.SetTimer
@@ -53,7 +53,7 @@
 
 
 def test_long_lived_subscription_resets_the_backoff_for_one_retry() -> None:
-    """Otherwise changes would come late, or a discovery that has just restarted would be overloaded."""
+    """Without the reset changes would arrive late; a reset for several retries would overload discovery."""
     for seed in range(20):
         harness = BalancerHarness(SUBSCRIBING_SETTINGS, seed=seed)
         for _ in range(6):
@@ -80,7 +80,7 @@
 
 
 def test_pushed_watch_is_reopened_at_once_then_every_100_ms() -> None:
-    """An open watch is not needed for discovery to count a change as delivered, and polling is free."""
+    """Discovery counts a change as delivered without an open watch, and polling has no cost."""
     harness, waits_us = BalancerHarness(), []
     for number in range(20):
         harness.update_endpoint_list(kind=messages.EndpointListKind.FAILED)
@@ -141,7 +141,7 @@
 
 
 def test_endpoints_are_in_about_equally_many_subsets() -> None:
-    """Subsets drawn independently left some endpoints out and put others into many."""
+    """Subsets drawn independently would omit some endpoints and have others in many subsets."""
     for instances, endpoints in ((9, 43), (43, 100), (14, 33), (3, 40)):
         counts = dict.fromkeys(range(endpoints), 0)
         for index in range(instances):
@@ -198,7 +198,7 @@
 def send_times_by_endpoint(
     harness: BalancerHarness, seconds: float, requests_per_s: int = 100
 ) -> dict[int, list[int]]:
-    """Return the send times of each endpoint under steady load, each attempt answered after 20 ms."""
+    """Return the send times of attempts by endpoint under steady load, with responses after 20 ms."""
     times_us: dict[int, list[int]] = {}
     for number in range(int(seconds * requests_per_s)):
         harness.now_us += SECOND_US // requests_per_s
@@ -222,7 +222,7 @@
             kind=messages.EndpointListKind.CHANGES,
             version=2,
         )
-        harness.balancer.endpoints.states[9].share = 50.0  # even where its share would draw everything
+        harness.balancer.endpoints.states[9].share = 50.0  # by its share it would get every request
         warming_times_us = send_times_by_endpoint(harness, 2).get(9, [])
         max_warm = max(max_in_window(times, rules.overload_window_us) for times in warm_times_us.values())
         capacity = rules.start_capacity + (1 - rules.start_capacity) * 2 * SECOND_US / rules.slow_start_us
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -1,4 +1,4 @@
-"""Attempts whose responses never come, although the endpoint is up or the connection stays open."""
+"""Attempts that never get a response although the endpoint is up or the connection stays open."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     ]
     assert not actions_of_type(
         harness.actions, messages.CancelAttempt
-    )  # the endpoint still has the request: it is only slow
+    )  # the endpoint still processes the request: it is slow
 
 
 @pytest.mark.parametrize(
@@ -52,7 +52,7 @@
 def test_attempt_at_silent_endpoint_is_abandoned_without_health_checks(
     class_name: str, endpoint_responds: bool, is_retried: bool
 ) -> None:
-    """An endpoint that answers other requests is only slow, and an unsafe request is never abandoned."""
+    """An endpoint that responds to other requests is only slow; an unsafe request is never abandoned."""
     harness = BalancerHarness(endpoint_count=2)
     [attempt] = actions_of_type(harness.request("a", class_name), messages.StartAttempt)
     harness.now_us += 100 * MILLISECOND_US
@@ -93,7 +93,7 @@
     [retry] = actions_of_type(harness.end_attempt(first, messages.Outcome.CANCELLED), messages.StartAttempt)
     assert (
         len(health_checks_within(harness, 1100 * MILLISECOND_US)) == 1
-    )  # the next hanging attempt is checked sooner
+    )  # the next hanging attempt is checked earlier
     assert retry.request_id == "a"
     assert retry.endpoint_id != first.endpoint_id
 
@@ -117,7 +117,9 @@
     [check] = health_checks_within(harness, 1300 * MILLISECOND_US)
     after_first_failure = harness.handle(messages.HealthCheckEnded(check.endpoint_id, False))
     assert actions_of_type(after_first_failure, messages.CheckHealth)
-    assert not actions_of_type(after_first_failure, messages.CancelAttempt)  # it may have been a pause
+    assert not actions_of_type(
+        after_first_failure, messages.CancelAttempt
+    )  # the endpoint may have paused briefly
     assert actions_of_type(
         harness.handle(messages.HealthCheckEnded(check.endpoint_id, False)), messages.CancelAttempt
     )
@@ -176,7 +178,7 @@
             if "/status/load" in start_line:
                 writer.write(http_response(200, b"busy_reqs=0"))
             elif not lost:
-                lost.append(headers["req-id"])  # and its connection stays open
+                lost.append(headers["req-id"])  # no response, and the connection stays open
             else:
                 writer.write(http_response(200, b"x"))
 
--- a/tests/policy/test_no_starvation.py
+++ b/tests/policy/test_no_starvation.py
@@ -1,7 +1,7 @@
-"""No class, tenant, period or balancer is starved, in the simulated fleet.
+"""No request class, tenant, period or balancer is starved in the simulated fleet.
 
-All machines together can serve more than twice the load, so a policy that knew their true state could serve
-every request but those on a machine as it failed. These tests require half of that.
+All endpoints together can serve more than twice the load. A policy that knew their actual state could serve
+every request except those in flight at an endpoint when it fails; these tests require half of the requests.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
     overload_window_us=1500 * MILLISECOND_US,
 )
 SIMULATION_US = 24 * SECOND_US
-USUAL_LATENCY_US = 300 * MILLISECOND_US  # about what an attempt takes
-ZONE_LOSS_US = 5 * SECOND_US  # a lost zone is away for this long
-# A balancer may not reject this many requests in a period of this length without making an attempt.
+USUAL_LATENCY_US = 300 * MILLISECOND_US  # approximate latency of an attempt
+ZONE_LOSS_US = 5 * SECOND_US  # time from the loss of a zone until its endpoints restart
+# A balancer must not get this many requests in a gap of this length between two of its attempts.
 GAP_WITHOUT_ATTEMPT_US = 4 * SECOND_US
 MAX_REQUESTS_IN_GAP = 15
 CLIENTS = tuple(
@@ -51,7 +51,7 @@
 ) -> SimulatedFleet:
     """Return a fleet in which each balancer gets `requests_per_window` requests in each overload window.
 
-    `load` is the share of the capacity of all machines that the requests need.
+    `load` is the share of the capacity of all endpoints that the requests need.
     """
     requests_per_endpoint = balancer_count * requests_per_window / endpoint_count / load
     offered_per_s = balancer_count * requests_per_window * SECOND_US / RULES.overload_window_us
@@ -68,7 +68,7 @@
 
 
 def lose_zones(fleet: SimulatedFleet, zones: str) -> None:
-    """Remove the endpoints of these zones for a while; they come back warming up."""
+    """Silence and remove the endpoints of these zones, then restart them, which makes them warm up."""
     lost_endpoints = [endpoint for endpoint in fleet.endpoints if endpoint.entry.zone in zones]
     for endpoint in lost_endpoints:
         endpoint.mode = "silent"
@@ -82,7 +82,7 @@
 
 
 def run_with_fault(fleet: SimulatedFleet, fault: str) -> None:
-    """Simulate a day: "calm", with one endpoint in eight "failing" or "slow", or with a "zone" lost."""
+    """Run the fleet: "calm", with one endpoint in eight "failing" or "slow", or with the loss of a "zone"."""
     fleet.run(START_US + SIMULATION_US // 6)
     for endpoint in fleet.endpoints[::8]:
         if fault == "failing":
@@ -95,7 +95,7 @@
 
 
 def max_requests_in_gap(fleet: SimulatedFleet, since_us: int = START_US) -> int:
-    """Return the most requests that a balancer got in a period of 4 s or more without an attempt."""
+    """Return the maximum of requests that a balancer got in a gap of at least 4 s without an attempt."""
     max_requests = 0
     for index in range(fleet.balancers):
         attempt_times_us = [at for at, balancer in fleet.attempts if balancer == index and at >= since_us]
@@ -120,7 +120,7 @@
     run_with_fault(fleet, fault)
     groups: dict[str, list[SimulatedRequest]] = defaultdict(list)
     for request in fleet.requests:
-        if request.at < fleet.now - 5 * SECOND_US:  # those after may still be under way
+        if request.at < fleet.now - 5 * SECOND_US:  # later requests may still be in flight
             groups[request.cls].append(request)
             groups[str(request.tenant)].append(request)
             groups[f"third {3 * (request.at - START_US) // (SIMULATION_US - 5 * SECOND_US)}"].append(request)
@@ -139,7 +139,7 @@
 def test_every_balancer_serves_requests_when_all_endpoints_are_warming(
     balancer_count: int, endpoint_count: int, requests_per_window: float, load: float, seed: int
 ) -> None:
-    """At a quarter of the load even warming endpoints could serve everything."""
+    """At a load of 0.25 the endpoints could serve every request even while warming up."""
     fleet = build_fleet(balancer_count, endpoint_count, requests_per_window, load, seed)
     fleet.run(START_US + 3 * SECOND_US)
     lose_zones(fleet, "abc")
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -1,4 +1,4 @@
-"""Outliers, the concurrency limit and admission: faults met on the bench, each as a small scripted case."""
+"""Outlier endpoints, the concurrency limit and admission, in small scripted cases of observed faults."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def test_unreachable_endpoint_does_not_attract_queued_requests() -> None:
-    """It rejects at once, so it always looks idle while all others are at their limits."""
+    """Its attempts fail immediately, so it appears idle while all other endpoints are at their limits."""
     harness, attempts_at_dead = BalancerHarness(endpoint_count=3), 0
     harness.balancer.endpoints.states[0].endpoint = messages.Endpoint(0)
     for number in range(40):
         for attempt in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
-            while attempt.endpoint_id == 0:  # rejected within the same instant
+            while attempt.endpoint_id == 0:  # the attempt fails at the time at which it starts
                 attempts_at_dead += 1
                 retries = actions_of_type(
                     harness.end_attempt(
@@ -58,7 +58,7 @@
 
 
 def test_large_share_does_not_exceed_the_concurrency_limit() -> None:
-    """A share raised by a few quick samples let one endpoint be overloaded."""
+    """Guards against the overload of an endpoint whose share was raised by a few low latencies."""
     harness = BalancerHarness()
     harness.balancer.endpoints.states[0].share = 10.0
     harness.balancer.concurrency_limit.split(harness.balancer.endpoints.subset)
@@ -90,7 +90,7 @@
 
 
 def test_least_served_class_goes_first_with_worst_class_weight() -> None:
-    """By priority weight alone a class of low weight would starve; both cost the same here."""
+    """By priority weight alone a class of low weight would be starved; both classes cost the same here."""
     first_request_ids = {}
     for worst_class_weight in (0.0, 0.6):
         harness = BalancerHarness(balancer_settings(worst_class_weight=worst_class_weight), endpoint_count=1)
@@ -98,11 +98,13 @@
             harness.request(f"fill{len(harness.actions)}", "mark"), messages.StartAttempt
         ):
             blocking_attempt = attempts[0]
-        harness.advance(300 * MILLISECOND_US)  # what was queued is rejected: no class is served well
+        harness.advance(
+            300 * MILLISECOND_US
+        )  # the queued requests are rejected, so that no class is served well
         for number in range(20):
             harness.request(
                 f"cheap{number}", "read", time_left=1 * MILLISECOND_US
-            )  # cannot be answered in time
+            )  # no response is possible in time
         harness.request("twice the worth", "mark")
         harness.request("least served", "read")
         attempt, *_ = actions_of_type(
@@ -151,7 +153,7 @@
 
 
 def test_client_retry_with_longer_deadline_does_not_age_first_requests() -> None:
-    """Clients wait for all of the time remaining in their last attempt, for a part of it in those before."""
+    """A client's last attempt has the whole time remaining as its deadline, the earlier ones a part of it."""
     harness = BalancerHarness()
     for request_id, time_left, retry in (
         ("a", 27 * SECOND_US // 10, False),
@@ -161,7 +163,7 @@
             harness.request(request_id, time_left=time_left, retry=retry), messages.StartAttempt
         )
         harness.end_attempt(attempt, messages.Outcome.OK)
-    for request_id, retry in (("c", False), ("d", True)):  # both deadlines are as short: no age can be told
+    for request_id, retry in (("c", False), ("d", True)):  # equal, short deadlines: they show no age
         [attempt] = actions_of_type(
             harness.request(request_id, time_left=27 * SECOND_US // 10, retry=retry), messages.StartAttempt
         )
@@ -192,7 +194,7 @@
 
 
 def count_sent_attempts(harness: BalancerHarness, seconds: float, took_us: int) -> int:
-    """Return how many of 20 requests a second are sent while each response takes `took_us`."""
+    """Return how many attempts are sent at 20 requests per second with responses after `took_us`."""
     in_flight: list[tuple[int, messages.StartAttempt]] = []
     sent_count = 0
     for number in range(int(seconds * 20)):
@@ -209,7 +211,7 @@
 
 
 def test_initial_concurrency_limit_is_shared_by_many_balancers() -> None:
-    """One attempt at each endpoint from each of hundreds of balancers was no limit at all."""
+    """One attempt at each endpoint from each of hundreds of balancers would overload the endpoints."""
     harness = BalancerHarness(balancer_settings(instances=400), endpoint_count=40)
     balancer = harness.balancer
     assert balancer.endpoints.balancers_per_endpoint == 400 * len(balancer.endpoints.subset) / 40
@@ -218,7 +220,7 @@
         == pytest.approx(INITIAL_SHARED_LIMIT)
     )
     sent_count = count_sent_attempts(harness, 10, took_us=400 * MILLISECOND_US)
-    # By Little's law: the limit of each endpoint of the subset, over the 400 ms that an attempt takes.
+    # Little's law: the sum of the limits over the subset, divided by the latency of 400 ms.
     assert (
         0
         < sent_count
@@ -228,7 +230,7 @@
 
 def test_concurrency_limit_falls_below_one_only_under_overload() -> None:
     limits = []
-    for took_us in (800 * MILLISECOND_US, 1800 * MILLISECOND_US):  # late; under overload
+    for took_us in (800 * MILLISECOND_US, 1800 * MILLISECOND_US):  # late; overload
         harness = BalancerHarness(balancer_settings(instances=8), endpoint_count=4)
         count_sent_attempts(harness, 60, took_us)
         limits.append(harness.balancer.concurrency_limit.attempts_per_endpoint)
@@ -252,7 +254,7 @@
     harness.now_us += 500 * MILLISECOND_US  # the failed attempt no longer counts as in flight
     harness.balancer.endpoints.states[
         first_attempt.endpoint_id
-    ].share = 1.0  # what the change detector does about it is tested elsewhere
+    ].share = 1.0  # undoes the effect of the change detector, which has its own tests
     assert first_attempt.endpoint_id not in {chosen_endpoint_id("read", number) for number in range(60)}
     assert first_attempt.endpoint_id in {chosen_endpoint_id("mark", number) for number in range(60)}
     harness.now_us += 5 * SECOND_US
@@ -281,7 +283,7 @@
 def test_request_waits_for_a_free_endpoint_for_half_of_its_useful_time(
     waited_share: float, served: bool
 ) -> None:
-    """It is rejected then, without an attempt: the client may safely retry."""
+    """It is then rejected without an attempt, so that the client may safely retry."""
     harness = BalancerHarness(endpoint_count=1)
     attempts: list[messages.StartAttempt] = []
     while (
@@ -304,7 +306,7 @@
 
 
 def busy_warming_endpoints() -> tuple[BalancerHarness, list[messages.StartAttempt]]:
-    """Return a balancer with three busy warming endpoints, a queued request, and the attempts."""
+    """Return a balancer with three busy warming endpoints and a queued request, and its attempts."""
     harness = BalancerHarness(endpoint_count=0)
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(3))
@@ -322,7 +324,7 @@
 
 
 def test_queued_request_with_unsent_attempt_does_not_hold_back_first_attempts() -> None:
-    """It counts as a first attempt again and is sent at once; the next free place is the other request's."""
+    """The request counts as a first attempt and is sent at once; the other one gets the next endpoint."""
     harness, attempts = busy_warming_endpoints()
     after = actions_of_type(
         harness.end_attempt(attempts[0], messages.Outcome.NOT_SENT), messages.StartAttempt
@@ -337,7 +339,7 @@
 
 
 def test_queued_request_with_rejected_attempt_does_not_hold_back_first_attempts() -> None:
-    """A retry at warming endpoints needs budget; a first attempt, which needs none, waited behind it."""
+    """A first attempt, which needs no budget, must not wait behind a retry, which needs some."""
     harness, attempts = busy_warming_endpoints()
     assert not actions_of_type(
         harness.end_attempt(attempts[0], messages.Outcome.REJECTED), messages.StartAttempt
@@ -352,7 +354,7 @@
 
 @pytest.mark.parametrize("max_attempts", [1, 3, 20])
 def test_unsent_attempts_end_at_the_limit_on_attempts(max_attempts: int) -> None:
-    """They cost no retry budget, so the budget alone would let them go on for ever."""
+    """They use no retry budget, so the budget alone would not end them."""
     harness = BalancerHarness(
         balancer_settings(limits=messages.Limits(max_attempts=max_attempts, cancel=True))
     )
--- a/tests/policy/test_policy_modules.py
+++ b/tests/policy/test_policy_modules.py
@@ -1,4 +1,4 @@
-"""The form of the policy's modules: size, imports, docstrings, and the deploy file that lists them."""
+"""Size, imports and docstrings of the policy modules, and their list in the deploy file."""
 
 import ast
 from graphlib import TopologicalSorter
@@ -60,7 +60,7 @@
         for path in MODULES
     }
     assert not any("TYPE_CHECKING" in path.read_text() for path in MODULES)
-    list(TopologicalSorter(imports).static_order())  # raises CycleError where modules form a circle
+    list(TopologicalSorter(imports).static_order())  # raises CycleError if the imports have a cycle
 
 
 def test_deploy_file_names_every_policy_module() -> None:
--- a/tests/policy/test_policy_rules_random.py
+++ b/tests/policy/test_policy_rules_random.py
@@ -1,7 +1,7 @@
-"""The four safety rules under seeded streams of odd but legal events.
+"""The four safety rules under seeded streams of random events, which are unusual but valid.
 
-`CheckedBalancer` drives one balancer through its public interface and checks every action against records of
-its own; it looks at nothing inside the balancer.
+`CheckedBalancer` drives a balancer through its public interface and checks every action against its own
+records of the events and actions, without access to the balancer's internal state.
 """
 
 from __future__ import annotations
@@ -39,13 +39,13 @@
 )
 UNSAFE_CLASS_WITH_WINDOW = messages.RequestClass(
     "book", 4 * SECOND_US, 5 * SECOND_US, deduplication_window_us=5 * SECOND_US
-)  # a window that it may not use
+)  # an unsafe class must not use its window
 ALL_CLASSES = (*REQUEST_CLASSES, KEYED_IN_ZONE_CLASS, SHORT_WINDOW_CLASS, UNSAFE_CLASS_WITH_WINDOW)
 UNKNOWN_CLASS = messages.RequestClass(
     "unknown", 5 * SECOND_US, 5 * SECOND_US
-)  # used, but missing from the settings: unsafe
+)  # requested but absent from the settings, so unsafe
 MAX_ATTEMPTS = 4
-FINAL_RESPONSE_SLACK_US = 20 * MILLISECOND_US  # how late the wire allows a final response to be
+FINAL_RESPONSE_SLACK_US = 20 * MILLISECOND_US  # permitted delay of a final response after the deadline
 
 
 @dataclass
@@ -68,14 +68,14 @@
 
 
 class CheckedBalancer(BalancerHarness):
-    """A harness that checks each action against its own records of the events and actions so far."""
+    """Harness that checks each action against its own records of the previous events and actions."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.pending: dict[str, PendingRequest] = {}
-        self.requests: dict[str, PendingRequest] = {}  # the same, kept when they have ended
+        self.requests: dict[str, PendingRequest] = {}  # all requests, including ended ones
         self.in_flight: list[tuple[str, int]] = []
-        self.warming_times_us: dict[int, list[int]] = {}  # times by endpoint, since its latest start
+        self.warming_times_us: dict[int, list[int]] = {}  # send times by endpoint, since its latest start
         self.warm_times_us: dict[int, list[int]] = {}
         self.trace: list[object] = []
         self.request_count = 0
@@ -165,7 +165,7 @@
         pending.attempts.append(SentAttempt(action, endpoint, self.now_us))
 
     def check_slow_start(self, endpoint: messages.Endpoint) -> None:
-        """Check a warming endpoint's budget in the window that ends now, by the most that a warm one got."""
+        """Check the window that ends now against a budget relative to the maximum of a warm endpoint."""
         rules = self.settings.rules
         age_us = self.now_us - endpoint.incarnation_us
         if endpoint.incarnation_us <= 0 or age_us >= rules.slow_start_us:
@@ -178,7 +178,7 @@
             (self.max_in_window(warm_times) for warm_times in self.warm_times_us.values()), default=0
         )
         capacity = rules.start_capacity + (1 - rules.start_capacity) * age_us / rules.slow_start_us
-        # A few attempts overload nothing; beyond that the warm endpoints are the measure.
+        # A few attempts never overload an endpoint; above that the budget is relative to warm endpoints.
         assert attempts_in_window <= max(6.0, rules.overload_multiple * capacity * max_warm), (
             "slow start: attempts exceed the budget"
         )
@@ -220,7 +220,7 @@
         self.handle(messages.Request(request_id, request_class.name, time_left))
 
     def random_entry(self) -> messages.Endpoint:
-        """Return a new state of a random endpoint, which may have restarted."""
+        """Return a list entry with a new state for a random endpoint, which may have restarted."""
         rng = self.rng
         endpoint_id = rng.randrange(10)
         status = rng.choice(
@@ -320,7 +320,7 @@
 
 @pytest.mark.parametrize("first", range(0, 2000, 100))
 def test_safety_rules_hold_under_random_events(first: int) -> None:
-    """2,000 streams of 60 steps each, a hundred in each of these tests."""
+    """Each test runs 100 of the 2,000 streams, with 60 steps each."""
     attempt_count = retried_count = warming_attempt_count = 0
     for seed in range(first, first + 100):
         checked = CheckedBalancer(seed)
@@ -328,7 +328,7 @@
         attempt_count += sum(len(pending.attempts) for pending in checked.requests.values())
         retried_count += sum(len(pending.attempts) > 1 for pending in checked.requests.values())
         warming_attempt_count += sum(len(times) for times in checked.warming_times_us.values())
-    # The streams do reach what they are meant to check.
+    # The streams exercise attempts, retries and slow start often enough for the checks to mean something.
     assert attempt_count > 1000
     assert retried_count > 20
     assert warming_attempt_count > 20
--- a/tests/policy/test_request_deadline.py
+++ b/tests/policy/test_request_deadline.py
@@ -1,4 +1,4 @@
-"""Attempts and requests end before their response would be of no use."""
+"""Timeouts of attempts, and requests whose deadline passes during an attempt."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def test_attempt_in_flight_at_the_deadline_is_cancelled_where_allowed(allowed: bool) -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=3, cancel=allowed)))
     harness.request("r")
-    actions = harness.advance(6 * SECOND_US)  # no outcome comes
+    actions = harness.advance(6 * SECOND_US)  # without an outcome
     assert actions_of_type(actions, messages.Reject) == [messages.Reject("r")]
     assert actions_of_type(actions, messages.CancelAttempt) == (
         [messages.CancelAttempt("r", 0)] if allowed else []
--- a/tests/policy/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -1,4 +1,4 @@
-"""The life of a request: exactly one final response, and no effect twice."""
+"""Each request gets exactly one final response and takes effect at most once."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -92,7 +92,7 @@
     for seed in range(8):
         harness = BalancerHarness(endpoint_count=2, seed=seed)
         [attempt] = actions_of_type(harness.request("r"), messages.StartAttempt)
-        harness.now_us += 1 * SECOND_US  # the failed attempt no longer counts as in flight
+        harness.now_us += 1 * SECOND_US  # from here the failed attempt no longer counts as in flight
         [retry] = actions_of_type(harness.end_attempt(attempt, messages.Outcome.RESET), messages.StartAttempt)
         assert retry.endpoint_id != attempt.endpoint_id
 
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""Selection: the better of two draws by share, and the subset that it draws from."""
+"""Selection of an endpoint: the better of two draws by share from the subset."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def test_overdue_attempt_counts_twice() -> None:
-    """A missing response shows that an endpoint hangs long before the attempt times out."""
+    """A hanging endpoint gets fewer requests long before its attempt times out."""
     harness = BalancerHarness(endpoint_count=1)
     [attempt] = actions_of_type(harness.request("stuck"), messages.StartAttempt)
     [state] = harness.balancer.endpoints.states.values()
@@ -136,7 +136,7 @@
 
 
 def count_local_attempts(cross_zone_cost: float, busy: int = 0) -> int:
-    """Return how many of 200 requests in a row stay in zone a, each endpoint there with `busy` attempts."""
+    """Return how many of 200 requests in sequence stay in zone a, with `busy` attempts per endpoint there."""
     harness = BalancerHarness(
         balancer_settings(zone="a", cross_zone_cost=cross_zone_cost, limits=messages.Limits(max_attempts=3)),
         endpoint_count=0,
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -1,7 +1,7 @@
-"""The budget of an endpoint in slow start: its sum over all balancers, and that each of them gets a part.
+"""The budget of an endpoint in slow start: the sum over all balancers, and the part of each balancer.
 
-The sums are those of the simulated fleet. The rule allows N + 3 x sqrt(N) + 3 attempts in an overload window
-where N is under 30, N being the number that the settings allow the endpoint then.
+The sums are measured in the simulated fleet. With N as the number of attempts in an overload window that the
+settings allow the endpoint, the overload rule allows N + 3 x sqrt(N) + 3 attempts where N is below 30.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from tests.support.balancer_harness import BalancerHarness, actions_of_type, balancer_settings
 from tests.support.units import MILLISECOND_US, SECOND_US
 
-LOW_CAPACITY_RULES = replace(TIGHT_RULES, start_capacity=0.1)  # N is about one attempt in a window
+LOW_CAPACITY_RULES = replace(TIGHT_RULES, start_capacity=0.1)  # N is about one attempt per window
 
 # Balancers, endpoints, requests of each balancer in an overload window
 FLEET_OF_12, FLEET_OF_6 = (30, 12, 0.7), (30, 6, 3.0)
 
-# Size, faults, rules, seeds; each exceeded the stricter bound while first attempts were left to chance
+# Fleet, faults, rules, seeds. Each exceeded the stricter bound when first attempts had random phases.
 ALL_WARMING_CASES = [
     (FLEET_OF_12, "burst", TIGHT_RULES, (2, 3, 5)),
     (FLEET_OF_12, "tripled failing", TIGHT_RULES, (1, 2, 3, 5)),
@@ -44,7 +44,7 @@
 def test_first_attempts_stay_within_the_budget_when_all_endpoints_are_warming(
     size: tuple[int, int, float], faults: str, rules: messages.Rules, seeds: tuple[int, ...]
 ) -> None:
-    """Each stays within the rule, and their mean within the stricter bound, which each had exceeded."""
+    """Each fleet stays within the overload rule; the mean of the fleets stays within the stricter bound."""
     fleets = [warming_fleet(*size, "all", faults, seed, rules=rules) for seed in seeds]
     for fleet in fleets:
         worst, sent, allowed = fleet.worst_cold(page=True)
@@ -87,7 +87,7 @@
 def test_phases_of_the_balancers_of_an_endpoint_are_evenly_spread(
     balancer_count: int, endpoint_count: int
 ) -> None:
-    """With random phases the attempts of several balancers became due at once."""
+    """With random phases the attempts of several balancers would become due at the same time."""
     phases_by_endpoint: dict[int, list[float]] = {number: [] for number in range(endpoint_count)}
     for index in range(balancer_count):
         harness = BalancerHarness(
@@ -103,7 +103,7 @@
 def balancer_with_warming_endpoints(
     instances: int, index: int, endpoint_count: int, rules: messages.Rules = RULES
 ) -> BalancerHarness:
-    """Return a balancer whose endpoints have all just started."""
+    """Return a balancer whose endpoints have all just started to warm up."""
     harness = BalancerHarness(
         balancer_settings(rules=rules, instances=instances, index=index), endpoint_count=0, seed=index
     )
@@ -130,11 +130,11 @@
         )
     all_holders = set().union(*slot_holders)
     assert max(len(holders_at_once) for holders_at_once in slot_holders) <= UNBUDGETED_FIRST_ATTEMPTS
-    assert len(all_holders) == 15  # each balancer with this endpoint in its subset
+    assert len(all_holders) == 15  # all balancers that have this endpoint in their subset
 
 
 def test_balancer_without_a_first_attempt_slot_uses_its_rate_before_warming() -> None:
-    """Its own attempts stopped with the budget, and the rate measured from them fell to nothing."""
+    """The budget limits the balancer's attempts, so the rate measured from them alone would fall to zero."""
     attempt_counts = []
     for index in range(30):
         harness = BalancerHarness(
@@ -168,7 +168,7 @@
 
 
 def test_token_expires_after_a_part_of_the_window() -> None:
-    """With the tokens kept from before it, a window then has one budget at most."""
+    """The tokens added in a window and those from before it then add up to at most one budget."""
     harness = balancer_with_warming_endpoints(30, 0, 6, replace(RULES, slow_start_us=600 * SECOND_US))
     state = harness.balancer.endpoints.subset[0]
     state.warming.bucket.tokens, due_steps, step = 0.0, 0, 10 * MILLISECOND_US
@@ -178,7 +178,7 @@
         * RULES.start_capacity
         / (harness.balancer.endpoints.balancers_per_endpoint * RULES.overload_window_us)
     )
-    for _ in range(int(1.5 / rate / step)):  # one token becomes due
+    for _ in range(int(1.5 / rate / step)):  # long enough for one token to become due
         harness.now_us += step
         due_steps += harness.balancer.slow_start.refill(harness.now_us, state) >= 1.0
     kept = due_steps * step / RULES.overload_window_us
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -1,7 +1,7 @@
-"""Warming endpoints under the sum of what all balancers send, in the simulated fleet.
+"""Warming endpoints under the attempts of all balancers together, in the simulated fleet.
 
-A warming endpoint is overloaded by more than N + 2 x sqrt(N) + 2 attempts in an overload window, where N is
-the number that the settings allow it then.
+The bound for a warming endpoint is N + 2 x sqrt(N) + 2 attempts in an overload window, where N is the number
+that the settings allow at that time.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 
 FAULTS = ("burst", "burst failing", "burst held", "burst failing held")
 
-TIGHT_RULES = replace(RULES, overload_multiple=1.5)  # less is allowed than a warm endpoint serves
+TIGHT_RULES = replace(RULES, overload_multiple=1.5)  # allows fewer attempts than a warm endpoint serves
 
-# Balancers, endpoints, calls of each balancer in a window, which endpoints warm up, faults, rules
+# Balancers, endpoints, requests of each balancer in a window, endpoints that warm up, faults, rules
 FLEETS = [
     *((3, 10, 20.0, warming, faults, RULES) for warming in ("one", "zone", "all") for faults in FAULTS),
     *((30, 12, 0.7, warming, faults, RULES) for warming in ("one", "zone", "all") for faults in FAULTS),
@@ -66,7 +66,7 @@
 
 
 def test_request_examines_no_more_endpoints_than_its_subset(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With 880 endpoints all warming, each request examined all of them for each one in its subset."""
+    """Guards against a cost per request of the number of endpoints times the size of the subset."""
     capacity_calls = 0
     capacity = SlowStart.capacity
 
@@ -100,8 +100,8 @@
     assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
 
 
-# The least rate, the first attempt and two saved attempts of each of many balancers were too much together.
-# Balancers, endpoints, calls of each balancer in a window, which endpoints warm up, faults, rules
+# With many balancers, a minimum rate, a first attempt and two saved tokens for each exceeded the budget.
+# Balancers, endpoints, requests of each balancer in a window, endpoints that warm up, faults, rules
 QUOTA_FLEETS = [
     (30, 12, 0.7, "zone", "burst refusing", RULES),
     (30, 6, 0.7, "zone", "burst refusing", RULES),
@@ -127,7 +127,7 @@
 
 
 def test_request_is_sent_when_its_whole_subset_is_warming() -> None:
-    """Others are warm, but no endpoint that it may use shows how much one can take."""
+    """Other endpoints are warm, but none in the subset shows how many attempts an endpoint can take."""
     harness = BalancerHarness(balancer_settings(instances=20), endpoint_count=0)
     harness.update_endpoint_list(*(messages.Endpoint(number) for number in range(30)))
     own_subset = {state.endpoint.id for state in harness.balancer.endpoints.subset}
@@ -143,7 +143,7 @@
 
 
 def test_unused_tokens_are_saved_for_at_most_one_window() -> None:
-    """Otherwise all of them would send their saved attempts at the same moment, when a burst comes."""
+    """Otherwise all balancers would spend their saved tokens at the same time in a burst of requests."""
     rules, saved, requests_per_window = replace(RULES, slow_start_us=60 * SECOND_US), 0, 0.0
     for index in range(0, 120, 2):
         harness = BalancerHarness(
@@ -185,7 +185,7 @@
 
 
 def test_endpoint_outside_the_subset_gets_smaller_quotas_from_more_balancers() -> None:
-    """Only retries go there, but from all balancers."""
+    """Such an endpoint gets retries only, but from all balancers."""
     harness = BalancerHarness(balancer_settings(rules=RULES, instances=40), endpoint_count=0)
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(40))
@@ -209,7 +209,7 @@
     assert 0 < refills[1] * 40 <= 0.21 * refills[0] * harness.balancer.endpoints.balancers_per_endpoint
 
 
-# With all warming, endpoints that fail answer one attempt at a time as fast as it comes
+# When all endpoints are warming up, a failing one responds to one attempt after another without delay.
 ALL_WARMING_FLEETS = [
     (30, 12, 3.0, "all", "burst failing", RULES),
     (30, 12, 3.0, "all", "burst failing", TIGHT_RULES),
@@ -246,7 +246,7 @@
         for number in range(3):
             for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
                 attempt_counts[attempt.endpoint_id] += 1
-    # One from each balancer made five for an endpoint: more than the rule allows where it can take one.
+    # One attempt from each balancer would be five per endpoint, above the bound where N is one.
     assert sum(attempt_counts) > 0
     assert max(attempt_counts) <= UNBUDGETED_FIRST_ATTEMPTS
 
@@ -282,7 +282,9 @@
     harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=started_at_us))
     harness.request("r")
     harness.advance(950 * MILLISECOND_US)
-    harness.balancer.endpoints.states[0].warming.bucket.tokens = 1.0  # expires after a part of the window
+    harness.balancer.endpoints.states[
+        0
+    ].warming.bucket.tokens = 1.0  # tokens expire after a part of the window
     harness.balancer.endpoints.states[0].warming.bucket.updated_at_us = harness.now_us
     checks = actions_of_type(harness.advance(250 * MILLISECOND_US), messages.CheckHealth)
     assert len(checks) == 1
@@ -294,7 +296,7 @@
 
 
 def test_budget_allows_concurrent_attempts_when_all_are_warming() -> None:
-    """Warming endpoints respond slowly; with one attempt at a time they served half of what they could."""
+    """Warming endpoints respond slowly: one attempt at a time would use half of their capacity."""
     harness = BalancerHarness(endpoint_count=3)
     for number in range(300):
         harness.advance(10 * MILLISECOND_US)
@@ -316,7 +318,7 @@
 
 
 def test_first_listed_endpoint_is_not_sent_an_attempt_by_every_balancer() -> None:
-    """A list in parts may name one warming endpoint first, while all balancers have queued requests."""
+    """A list sent in parts may name one warming endpoint first, while every balancer has queued requests."""
     attempt_count = 0
     for index in range(200):
         harness = BalancerHarness(
--- a/tests/policy/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -1,4 +1,4 @@
-"""What an endpoint gets during slow start, and when it counts as warm."""
+"""Limits on the attempts at an endpoint during slow start, and when an endpoint counts as warm."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     )
     harness.update_endpoint_list(messages.Endpoint(0), messages.Endpoint(9, incarnation_us=harness.now_us))
     harness.balancer.endpoints.states[9].share = 1000.0
-    harness.now_us += 20 * SECOND_US  # long idle
+    harness.now_us += 20 * SECOND_US  # no attempts in this time
     endpoint_ids = [
         attempt.endpoint_id
         for number in range(30)
@@ -37,7 +37,7 @@
 
 
 def test_endpoint_with_future_start_is_warm_without_a_slow_start_phase() -> None:
-    """With a clock a little behind and no slow start configured, each request failed until the start time."""
+    """Guards against requests that fail until the start time, if the clock is behind and slow start is off."""
     harness = BalancerHarness(
         balancer_settings(rules=messages.Rules(0.4, 0, 3.0, 1 * SECOND_US)), endpoint_count=0
     )
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -1,4 +1,4 @@
-"""Each endpoint is in about equally many subsets, also after many changes, and subsets stay in place."""
+"""Endpoints are in about equally many subsets, also after many list changes, and subsets stay stable."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class Member:
-    """An endpoint on a ring."""
+    """Endpoint on a ring."""
 
     def __init__(self, member_id: int, rank: int) -> None:
         self.ring_position: RingPosition = (rank, member_id)
 
 
 class NeighbouringRings:
-    """The rings of some neighbouring balancers, which have the same endpoint list."""
+    """Rings of neighbouring balancers that have the same endpoint list."""
 
     def __init__(self, endpoints: int, instances: int, indexes: range) -> None:
         self.rng = random.Random(endpoints * instances)
         self.instances = instances
         self.rings: list[Ring[Member]] = [Ring(index, instances, lambda member: False) for index in indexes]
-        self.members: list[Member] = []  # in the order of their ring positions
+        self.members: list[Member] = []  # ordered by ring position
         self.member_count = 0
         for _ in range(endpoints):
             self.add()
@@ -37,7 +37,7 @@
             ring.add(member)
 
     def replace_member(self) -> None:
-        """Remove a random member and add another one, as two separate changes of the list."""
+        """Remove a random member and add a new one, as two separate changes of the list."""
         member = self.members.pop(self.rng.randrange(len(self.members)))
         for ring in self.rings:
             ring.remove(member)
@@ -55,7 +55,7 @@
 
 
 def coverage_bounds(endpoints: int, instances: int) -> tuple[int, int, int]:
-    """Return the fewest and most subsets that may hold an endpoint, and the size of a subset."""
+    """Return the minimum and maximum number of subsets that hold an endpoint, and the size of a subset."""
     size = min(endpoints, subset_size(endpoints, instances))
     slack = start_slack(endpoints, instances, size)
     return (size - 2 * slack) * instances // endpoints, -(-(size + 2 * slack) * instances // endpoints), size
@@ -66,7 +66,7 @@
 def test_endpoints_are_covered_evenly_at_first_and_after_half_are_replaced(
     endpoints: int, instances: int
 ) -> None:
-    """Of many balancers only some neighbours are simulated; endpoints that others reach are not counted."""
+    """With many balancers only some neighbours are simulated; endpoints in subsets of others don't count."""
     indexes = (
         range(instances) if instances * endpoints < 10_000 else range(instances // 3, instances // 3 + 20)
     )
@@ -91,7 +91,7 @@
 def test_subset_stays_in_place_while_endpoints_are_replaced(
     instances: int, index: int, max_size_ratio: float
 ) -> None:
-    """Only the changes within it, half of its size, and little else change it."""
+    """Replacements within the subset, half of its size, and few others may change it."""
     rings = NeighbouringRings(3200, instances, range(index, index + 1))
     [ring] = rings.rings
     seen_members = set(ring.subset())
@@ -114,7 +114,7 @@
 
 
 def test_subset_start_leaves_its_even_position_by_at_most_half_of_the_gap() -> None:
-    """Endpoints leave on one side of it only, so that its even position moves away from it."""
+    """Endpoints are removed on one side of the subset only, so that its even position moves away from it."""
     rings = NeighbouringRings(3200, 34, range(17, 18))
     [ring] = rings.rings
     first = ring.subset()
@@ -125,7 +125,7 @@
         offset = rings.members.index(subset[0]) - 17 * len(rings.members) // 34
         assert offset == -min(
             removed_count // 2, int(gap / 2)
-        )  # its even position moves by one for two that leave
+        )  # the even position moves by one for two removed endpoints
         if removed_count < 25:
             assert subset == first
 
@@ -134,7 +134,7 @@
     rings = NeighbouringRings(3200, 34, range(1))
     [ring] = rings.rings
     first = ring.subset()
-    # Endpoints leave at the ring's end, and as many are added at its beginning.
+    # Endpoints are removed at the end of the ring, and as many are added at its beginning.
     for number in range(8):
         ring.remove(rings.members.pop())
         ring.add(Member(10_000 + number, -1 - number))
--- a/tests/policy/test_unsent_attempts.py
+++ b/tests/policy/test_unsent_attempts.py
@@ -1,4 +1,4 @@
-"""Requests whose attempts ended with nothing sent, when all endpoints are in slow start."""
+"""Requests whose attempts ended before anything was sent, with all endpoints in slow start."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def balancer_with_warming_endpoints() -> BalancerHarness:
-    """Return a balancer with three endpoints that have just started, without any budget yet."""
+    """Return a balancer with three endpoints that have just started and have no tokens yet."""
     harness = BalancerHarness(endpoint_count=0)
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(3))
@@ -20,7 +20,7 @@
 
 
 def test_unsent_attempt_is_retried_at_an_idle_warming_endpoint() -> None:
-    """It counted as a retry, and was rejected although endpoints were idle."""
+    """If the next attempt counted as a retry, the request would be rejected although endpoints are idle."""
     harness = balancer_with_warming_endpoints()
     [attempt] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
     actions = harness.end_attempt(attempt, messages.Outcome.NOT_SENT, took=0)
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -1,4 +1,4 @@
-"""Simulated fleets whose endpoints have just started, for the tests of slow start."""
+"""Simulated fleets with endpoints that have just started, for the tests of slow start."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 MIN_LATENCY_US = (
     250 * MILLISECOND_US
-)  # what an attempt takes at least, so that few of them a second are a real load
+)  # minimum latency of an attempt, so that a few per second are a substantial load
 LOAD = 0.6
 
 
@@ -33,18 +33,19 @@
     before_us: int = 3 * SECOND_US,
     after_us: int = 4 * SECOND_US,
 ) -> SimulatedFleet:
-    """Return a fleet in which endpoints have started: "one", those of a "zone" of three, or "all".
+    """Return a fleet in which endpoints were restarted: "one", those of one "zone" in three, or "all".
 
     Each balancer gets `requests_per_window` requests in each overload window. The faults are any of:
 
-    - "burst": twice the load right after the start; "tripled": three times the load;
-    - "failing", "refusing" or "silent": a third or two of all endpoints are;
-    - "held": no endpoint at all for 0.3 s, so that all queued requests go out at once;
-    - "wanted": the started endpoints have shares that would draw every request; "saved": the same, after
-      20 s in which they got none;
-    - "again": the same endpoints restart after 0.7 s and after 1.9 s;
-    - "moving": every 0.4 s another one of the others leaves the list and comes back, so that subsets change;
-    - "zoned" or "celled": all requests are of keyed classes of that scope.
+    - "burst": twice the load for 3 s after the restart; "tripled": three times the load;
+    - "failing", "refusing" or "silent": the mode of a third ("failing") or two thirds of all endpoints;
+    - "held": no endpoint is available for 0.3 s, so that all queued requests are sent at once afterwards;
+    - "wanted": the restarted endpoints have shares that attract every request; "saved": the same, after
+      20 s in which they got no requests;
+    - "again": the same endpoints restart again after 0.7 s and after 1.9 s;
+    - "moving": every 0.4 s a random other endpoint is removed from the list and added again, so that
+      subsets change;
+    - "zoned" or "celled": all request classes are keyed, with the zone or the cell as their key scope.
     """
     started_at_us = START_US + before_us
     fleet = loaded_fleet(
@@ -73,9 +74,11 @@
     rules: messages.Rules,
     surge_at_us: int,
 ) -> SimulatedFleet:
-    """Return a fleet of warm endpoints under load, with a surge of 3 s where the faults name one."""
+    """Return a fleet of warm endpoints under load, with a surge of 3 s if the faults include one."""
     requests_per_endpoint = balancer_count * requests_per_window / endpoint_count / LOAD
-    latency_us = rules.overload_window_us / requests_per_endpoint  # of an attempt, with one at a time
+    latency_us = (
+        rules.overload_window_us / requests_per_endpoint
+    )  # of an attempt at an endpoint that serves one at a time
     surge = 3.0 if "tripled" in faults else 2.0 if "burst" in faults else 1.0
     return SimulatedFleet(
         balancer_settings(
@@ -103,7 +106,7 @@
 def restart_endpoints(
     fleet: SimulatedFleet, warming: str, faults: str, at_us: int
 ) -> list[SimulatedEndpoint]:
-    """Restart the endpoints that are to warm up, after 0.3 s without them, and return their machines."""
+    """Restart the endpoints that are to warm up, after 0.3 s without them, and return them."""
     fleet.run(at_us - 300 * MILLISECOND_US)
     restarted = endpoints_to_restart(fleet, warming)
     if "held" in faults:
@@ -127,7 +130,7 @@
 
 
 def request_classes_for(faults: str, time_factor: float) -> tuple[messages.RequestClass, ...]:
-    """Return the usual classes with their times stretched, all keyed where the faults say so."""
+    """Return the usual request classes with scaled times, all keyed if the faults include a key scope."""
     classes = tuple(
         replace(
             request_class,
@@ -160,7 +163,7 @@
 
 
 def inject_failures(fleet: SimulatedFleet, faults: str) -> None:
-    """Let a third or two of all machines fail in the way that the faults name."""
+    """Set the failure modes that the faults include, on one or two thirds of all endpoints."""
     for mode, parts in (("failing", (1,)), ("refusing", (0, 1)), ("silent", (0, 1))):
         for number, endpoint in enumerate(fleet.endpoints):
             if mode in faults and number % 3 in parts:
@@ -170,7 +173,7 @@
 def raise_shares(
     fleet: SimulatedFleet, restarted: list[SimulatedEndpoint], started_at_us: int, faults: str
 ) -> None:
-    """Give these machines shares that would draw every request, after none for a while with "saved"."""
+    """Raise the shares so that the endpoints attract every request; with "saved", lower them for 20 s first."""
     fleet.run(started_at_us + fleet.spread_us)
     if "saved" in faults:
         set_shares(fleet, restarted, 1e-9)
@@ -179,7 +182,7 @@
 
 
 def remove_others_in_turn(fleet: SimulatedFleet, restarted: list[SimulatedEndpoint], until_us: int) -> None:
-    """Remove one random other machine after another from the list, each for 0.4 s."""
+    """Remove random other endpoints from the list one after another, for 0.4 s each."""
     others = [endpoint.entry for endpoint in fleet.endpoints if endpoint not in restarted]
     while others and fleet.now + 400 * MILLISECOND_US < until_us:
         leaving_entry = fleet.rng.choice(others)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages' links lead somewhere, and the files, modules and names that they mention exist."""
+"""Links in the pages have targets, and the files, modules and names in them exist."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 MODULE = re.compile(r"`((?:process|net|policy|messages)/[a-z_/]*)(?:\.([A-Za-z_.]+))?`")
 
 
-# The pages that describe the program as it is. Incidents and measurements use the names of their time.
+# Pages that describe the present program. Incidents and measurements keep the names of their time.
 DESCRIPTIONS = [
     ROOT / name
     for name in (
@@ -36,7 +36,7 @@
 
 
 def anchor(heading: str) -> str:
-    """Return the anchor that a Markdown viewer gives to a heading."""
+    """Return the anchor that Markdown viewers generate for a heading."""
     return re.sub(r"[^\w\- ]", "", heading.lower()).strip().replace(" ", "-")
 
 
@@ -65,7 +65,7 @@
 
 
 def is_defined(path: str, name: str) -> bool:
-    """Tell whether a module or package exists, and where a name follows, the module defines it."""
+    """Return whether the module or package exists and, if a name is given, the module defines it."""
     module = PACKAGE / f"{path.rstrip('/')}.py"
     if name:
         return module.exists() and name in defined_names(module)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Settings that can't be are refused by name."""
+"""Invalid settings are rejected with an error that starts with the field's name."""
 
 from __future__ import annotations
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""What the README shows works as shown."""
+"""The examples in the README work as shown."""
 
 from __future__ import annotations
 
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter runs as the deploy file starts it, and speaks over pipes."""
+"""The simulator adapter, started by the command of the deploy file and driven over pipes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run_adapter(text: str, hash_seed: int = 0) -> subprocess.CompletedProcess[str]:
-    """Return the end of an adapter that has read this text."""
+    """Run the adapter on this input and return the completed process."""
     env = {**os.environ, "PYTHONHASHSEED": str(hash_seed)}
     return subprocess.run(
         deploy_command("sim"),
@@ -34,11 +34,11 @@
 
 
 def start_events(seed: int = 5, **changes: Any) -> list[dict[str, Any]]:
-    """Return the events that configure an instance and give it a list of six endpoints.
+    """Return the events that configure an instance and send it a list of six endpoints.
 
     Args:
         seed: The seed of the instance.
-        changes: Settings in place of the usual ones.
+        changes: Settings that replace the usual ones.
     """
     rows = [
         {"backend": number, "condition": "IN", "campus": "z", "bay": number % 2, "sinceUs": None}
@@ -52,7 +52,7 @@
 
 
 def request_event(request_id: str, class_name: str = "read") -> dict[str, Any]:
-    """Return a request with 5 s of time remaining, and with a field that the adapter does not know."""
+    """Return a request event with 5 s of time remaining and a field that is unknown to the adapter."""
     return {
         "msg": "REQ",
         "msgId": request_id,
@@ -63,13 +63,13 @@
 
 
 def batch(number: int, events_by_instance: dict[int, list[dict[str, Any]]], at_us: int) -> dict[str, Any]:
-    """Return a batch of events as the simulator sends it."""
+    """Return a batch of events in the simulator's format."""
     groups = [{"proxy": instance, "events": events} for instance, events in events_by_instance.items()]
     return {"tUs": at_us, "n": number, "proxys": groups}
 
 
 def random_requests(instance: int, batch_number: int) -> list[dict[str, Any]]:
-    """Return up to three requests, which depend on nothing but the instance and the batch."""
+    """Return up to three request events, determined by the instance and the batch number."""
     rng = random.Random(instance * 1000 + batch_number)
     return [
         request_event(f"q{instance}_{batch_number}_{number}", rng.choice(("read", "pay")))
@@ -78,7 +78,7 @@
 
 
 def random_batches(instances: range, count: int = 60) -> list[dict[str, Any]]:
-    """Return so many batches; the first one starts the instances."""
+    """Return `count` batches, of which the first one configures the instances."""
     starts = {instance: start_events(seed=instance) for instance in instances}
     batches = [batch(0, starts, SECOND_US)]
     for number in range(1, count):
@@ -88,7 +88,7 @@
 
 
 def replies_to(batches: list[dict[str, Any]], hash_seed: int = 0) -> list[dict[str, Any]]:
-    """Return the adapter's replies to these batches, which it has to understand."""
+    """Return the adapter's replies to these batches, which must be valid."""
     completed = run_adapter("".join(json.dumps(message) + "\n" for message in batches), hash_seed)
     assert completed.returncode == 0, completed.stderr
     return [json.loads(line) for line in completed.stdout.splitlines()]
@@ -131,12 +131,12 @@
 
 
 def batch_line(*events: Any) -> str:
-    """Return the line of a batch with these events of one instance."""
+    """Return a batch with these events of one instance, encoded as a line."""
     return json.dumps(batch(0, {0: list(events)}, SECOND_US))
 
 
 def without_field(fields: dict[str, Any], name: str) -> dict[str, Any]:
-    """Return all of the fields but one."""
+    """Return the fields without the one of this name."""
     return {other: value for other, value in fields.items() if other != name}
 
 
@@ -152,14 +152,14 @@
 }
 INVALID_LINES = {
     "not JSON": ("{", "not JSON"),
-    "a word": ("nonsense", "not JSON"),
+    "plain text": ("nonsense", "not JSON"),
     "an array": ("[1]", "not a JSON object"),
     "a number": ("3", "not a JSON object"),
-    "no clock": ('{"n":1,"proxys":[]}', "tUs"),
+    "no time": ('{"n":1,"proxys":[]}', "tUs"),
     "no number": ('{"tUs":1,"proxys":[]}', "required field n"),
     "no groups": ('{"tUs":1,"n":1}', "proxys"),
-    "groups no array": ('{"tUs":1,"n":1,"proxys":7}', "proxys"),
-    "a group no object": ('{"tUs":1,"n":1,"proxys":[5]}', "proxys[0].proxy"),
+    "groups not an array": ('{"tUs":1,"n":1,"proxys":7}', "proxys"),
+    "group not an object": ('{"tUs":1,"n":1,"proxys":[5]}', "proxys[0].proxy"),
     "no events": ('{"tUs":1,"n":1,"proxys":[{"proxy":1}]}', "proxys[0].events"),
     "no msg": (batch_line({"msgId": "r"}), "msg"),
     "list never sent": (
@@ -176,7 +176,7 @@
         ),
         "MANIFEST.rows[1].backend",
     ),
-    "row in no known condition": (
+    "row in unknown condition": (
         batch_line({"msg": "MANIFEST", "bank": 0, "rows": [{**ENDPOINT_ROW, "condition": "ODD"}]}),
         "MANIFEST.rows[0].condition",
     ),
@@ -184,11 +184,11 @@
         batch_line(*start_events(), without_field(request_event("r"), "profile")),
         "REQ.profile",
     ),
-    "patience a text": (
+    "time remaining as text": (
         batch_line(*start_events(), {**request_event("r"), "patienceLeftUs": "5"}),
         "REQ.patienceLeftUs",
     ),
-    "outcome without time": (
+    "outcome without latency": (
         batch_line(*start_events(), without_field(ATTEMPT_END, "rttUs")),
         "ATTEMPT_END.rttUs",
     ),
@@ -271,13 +271,13 @@
 
 
 def endpoint_of_first_attempt(batches: list[dict[str, Any]]) -> int:
-    """Return the endpoint that the only attempt in the last of these batches goes to."""
+    """Return the endpoint of the first attempt in the reply to the last of these batches."""
     last_reply = replies_to(batches)[-1]
     return int(next(item["backend"] for item in decisions_in(last_reply) if item["msg"] == "CALL_OUT"))
 
 
 def decisions_after(ending: int) -> dict[str, dict[str, Any]]:
-    """Return by their words the decisions after the first attempt of an unsafe request has ended so."""
+    """Return the decisions by message name after the first attempt of an unsafe request has this ending."""
     batches = random_batches(range(1), count=1)
     batches.append(batch(1, {0: [request_event("r", "pay")]}, 2 * SECOND_US))
     attempt_ended = {
@@ -325,7 +325,7 @@
 
 def test_health_checks_are_encoded_and_decoded() -> None:
     assert encode_action(messages.CheckHealth(7)) == {"msg": "INSPECT", "backend": 7}
-    assert encode_action(messages.CancelTimer(7)) is None  # the wire has no such message
+    assert encode_action(messages.CancelTimer(7)) is None  # the simulator has no such message
     read_result = EVENT_READERS["SAMPLED"]
     with_load = {"backend": 7, "ending": 10, "gauge": {"busy_reqs": 2.5}}
     assert read_result(with_load) == messages.HealthCheckEnded(7, True, 2.5)
