--- a/tests/policy/test_admission_queue.py
+++ b/tests/policy/test_admission_queue.py
@@ -15,7 +15,7 @@
     """Return a balancer whose endpoints are all at their concurrency limit, with one queued request."""
     harness = BalancerHarness(settings or balancer_settings(), endpoint_count)
     while not harness.balancer.queue:
-        harness.request(f"c{harness.now_us}-{len(harness.actions)}", "pay")
+        harness.send_request(f"c{harness.now_us}-{len(harness.actions)}", "pay")
     return harness
 
 
@@ -42,7 +42,7 @@
     """Holds at any phase of the periodic queue scan; the request is not rejected earlier either."""
     harness = balancer_with_full_endpoints()
     harness.advance(phase_us)
-    harness.request("queued", "read", time_remaining_us)
+    harness.send_request("queued", "read", time_remaining_us)
     useful_us = min(time_remaining_us, 2 * SECOND_US)  # a response after the latency objective is of no use
     elapsed_us = time_until_rejection_us(harness, "queued", 3 * SECOND_US)
     assert elapsed_us is not None
@@ -52,10 +52,10 @@
 def balancer_with_queued_retry(outcome: messages.Outcome, elapsed_us: int) -> BalancerHarness:
     """Return a balancer with a queued retry: one endpoint is draining, the other is at its limit."""
     harness = BalancerHarness(balancer_settings(), 2)
-    harness.request("first", "read", 5 * SECOND_US)
+    harness.send_request("first", "read", 5 * SECOND_US)
     [attempt] = actions_of_type(harness.actions, messages.StartAttempt)
     while not harness.balancer.queue:
-        harness.request(f"c{len(harness.actions)}", "pay")
+        harness.send_request(f"c{len(harness.actions)}", "pay")
     harness.advance(elapsed_us)
     draining = messages.Endpoint(
         attempt.endpoint_id, messages.EndpointStatus.DRAINING, cell=attempt.endpoint_id % 2
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -11,8 +11,8 @@
     harness = BalancerHarness()
     initial_limit = harness.balancer.concurrency_limit.attempts_per_endpoint
     for number in range(60):
-        for attempt in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
-            harness.end_attempt(attempt, messages.Outcome.ERROR, took=5 * MILLISECOND_US)
+        for attempt in actions_of_type(harness.send_request(f"r{number}", "pay"), messages.StartAttempt):
+            harness.end_attempt(attempt, messages.Outcome.ERROR, duration_us=5 * MILLISECOND_US)
         harness.now_us += 1 * SECOND_US
     assert harness.balancer.concurrency_limit.attempts_per_endpoint == initial_limit
 
@@ -23,7 +23,7 @@
     initial_limit = harness.balancer.concurrency_limit.attempts_per_endpoint
     for number in range(400):
         harness.now_us += 25 * MILLISECOND_US
-        harness.request(f"r{number}")
+        harness.send_request(f"r{number}")
         in_flight = list(harness.balancer.dispatcher.in_flight)
         if len(in_flight) >= 20:
             is_late = number % 40 < 5
--- a/tests/policy/test_no_starvation.py
+++ b/tests/policy/test_no_starvation.py
@@ -63,7 +63,7 @@
     )
     slots = max(1, round(USUAL_LATENCY_US * requests_per_endpoint / RULES.overload_window_us))
     return SimulatedFleet(
-        settings, balancer_count, endpoint_count, requests_per_endpoint, load, seed, CLIENTS, slots=slots
+        settings, balancer_count, endpoint_count, requests_per_endpoint, load, seed, CLIENTS, slot_count=slots
     )
 
 
@@ -75,35 +75,35 @@
     fleet.send_list(
         [replace(endpoint.entry, status=messages.EndpointStatus.REMOVED) for endpoint in lost_endpoints]
     )
-    fleet.run(fleet.now + ZONE_LOSS_US)
+    fleet.run_until(fleet.now_us + ZONE_LOSS_US)
     for endpoint in lost_endpoints:
-        endpoint.mode = "sound"
+        endpoint.mode = "healthy"
     fleet.restart(lost_endpoints)
 
 
 def run_with_fault(fleet: SimulatedFleet, fault: str) -> None:
     """Run the fleet: "calm", with one endpoint in eight "failing" or "slow", or with the loss of a "zone"."""
-    fleet.run(START_US + SIMULATION_US // 6)
+    fleet.run_until(START_US + SIMULATION_US // 6)
     for endpoint in fleet.endpoints[::8]:
         if fault == "failing":
             endpoint.mode = "failing"
         elif fault == "slow":
-            endpoint.slower = 6.0
+            endpoint.slowdown_factor = 6.0
     if fault == "zone":
         lose_zones(fleet, "a")
-    fleet.run(START_US + SIMULATION_US)
+    fleet.run_until(START_US + SIMULATION_US)
 
 
 def max_requests_in_gap(fleet: SimulatedFleet, since_us: int = START_US) -> int:
     """Return the maximum of requests that a balancer got in a gap of at least 4 s without an attempt."""
     max_requests = 0
-    for index in range(fleet.balancers):
+    for index in range(fleet.balancer_count):
         attempt_times_us = [at for at, balancer in fleet.attempts if balancer == index and at >= since_us]
-        times_us = [since_us, *attempt_times_us, fleet.now]
+        times_us = [since_us, *attempt_times_us, fleet.now_us]
         for start_us, end_us in pairwise(times_us):
             if end_us - start_us >= GAP_WITHOUT_ATTEMPT_US:
                 request_count = sum(
-                    request.balancer == index and start_us < request.at <= end_us
+                    request.balancer_index == index and start_us < request.arrived_at_us <= end_us
                     for request in fleet.requests
                 )
                 max_requests = max(max_requests, request_count)
@@ -120,11 +120,13 @@
     run_with_fault(fleet, fault)
     groups: dict[str, list[SimulatedRequest]] = defaultdict(list)
     for request in fleet.requests:
-        if request.at < fleet.now - 5 * SECOND_US:  # later requests may still be in flight
-            groups[request.cls].append(request)
+        if request.arrived_at_us < fleet.now_us - 5 * SECOND_US:  # later requests may still be in flight
+            groups[request.class_name].append(request)
             groups[str(request.tenant)].append(request)
-            groups[f"third {3 * (request.at - START_US) // (SIMULATION_US - 5 * SECOND_US)}"].append(request)
-    served = {name: fleet.served(requests) for name, requests in groups.items()}
+            groups[
+                f"third {3 * (request.arrived_at_us - START_US) // (SIMULATION_US - 5 * SECOND_US)}"
+            ].append(request)
+    served = {name: fleet.on_time_share(requests) for name, requests in groups.items()}
     assert len(served) == 8
     assert min(len(requests) for requests in groups.values()) >= 20
     assert min(served.values()) >= 0.5, served
@@ -141,19 +143,19 @@
 ) -> None:
     """At a load of 0.25 the endpoints could serve every request even while warming up."""
     fleet = build_fleet(balancer_count, endpoint_count, requests_per_window, load, seed)
-    fleet.run(START_US + 3 * SECOND_US)
+    fleet.run_until(START_US + 3 * SECOND_US)
     lose_zones(fleet, "abc")
-    restored_at_us = fleet.now
-    fleet.run(restored_at_us + 7 * SECOND_US)
+    restored_at_us = fleet.now_us
+    fleet.run_until(restored_at_us + 7 * SECOND_US)
     arrived = [
         request
         for request in fleet.requests
-        if restored_at_us + fleet.spread_us <= request.at < restored_at_us + 5 * SECOND_US
+        if restored_at_us + fleet.max_list_delay_us <= request.arrived_at_us < restored_at_us + 5 * SECOND_US
     ]
     for index in range(balancer_count):
-        own_requests = [request for request in arrived if request.balancer == index]
+        own_requests = [request for request in arrived if request.balancer_index == index]
         if len(own_requests) >= MAX_REQUESTS_IN_GAP:
-            assert fleet.served(own_requests) >= 0.3
+            assert fleet.on_time_share(own_requests) >= 0.3
     for cls in ("read", "short", "pay"):
-        assert fleet.served(request for request in arrived if request.cls == cls) >= 0.5
+        assert fleet.on_time_share(request for request in arrived if request.class_name == cls) >= 0.5
     assert max_requests_in_gap(fleet, restored_at_us) < MAX_REQUESTS_IN_GAP
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -15,12 +15,15 @@
     harness, attempts_at_dead = BalancerHarness(endpoint_count=3), 0
     harness.balancer.endpoints.states[0].endpoint = messages.Endpoint(0)
     for number in range(40):
-        for attempt in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt):
+        for attempt in actions_of_type(harness.send_request(f"r{number}", "pay"), messages.StartAttempt):
             while attempt.endpoint_id == 0:  # the attempt fails at the time at which it starts
                 attempts_at_dead += 1
                 retries = actions_of_type(
                     harness.end_attempt(
-                        attempt, messages.Outcome.NO_CONNECTION, took=1 * MILLISECOND_US, attempt=0
+                        attempt,
+                        messages.Outcome.NO_CONNECTION,
+                        duration_us=1 * MILLISECOND_US,
+                        attempt_number=0,
                     ),
                     messages.StartAttempt,
                 )
@@ -38,19 +41,19 @@
         for number in range(400):
             harness.now_us += 10 * MILLISECOND_US
             new_attempts = actions_of_type(
-                harness.request(f"r{phase}.{number}") + harness.request(f"s{phase}.{number}"),
+                harness.send_request(f"r{phase}.{number}") + harness.send_request(f"s{phase}.{number}"),
                 messages.StartAttempt,
             )
             in_flight += new_attempts
             if len(in_flight) >= 4 or not new_attempts:
                 in_flight += actions_of_type(
-                    harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
+                    harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, duration_us=took_us),
                     messages.StartAttempt,
                 )
         limits.append(harness.balancer.concurrency_limit.attempts_per_endpoint)
         while in_flight:
             in_flight += actions_of_type(
-                harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, took=took_us),
+                harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, duration_us=took_us),
                 messages.StartAttempt,
             )
     assert limits[1] == 1.0 < limits[0]
@@ -65,7 +68,7 @@
     attempts = [
         attempt
         for number in range(40)
-        for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        for attempt in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
     ]
     assert (
         0
@@ -78,9 +81,9 @@
     harness = BalancerHarness(endpoint_count=1)
     attempts = []
     for number in range(10):
-        attempts += actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        attempts += actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
     assert 0 < len(attempts) < 10
-    assert not actions_of_type(harness.request("dear", "pay"), messages.StartAttempt)
+    assert not actions_of_type(harness.send_request("dear", "pay"), messages.StartAttempt)
     next_attempt, *_ = actions_of_type(
         harness.end_attempt(attempts[0], messages.Outcome.OK), messages.StartAttempt
     )
@@ -95,20 +98,20 @@
     for worst_class_weight in (0.0, 0.6):
         harness = BalancerHarness(balancer_settings(worst_class_weight=worst_class_weight), endpoint_count=1)
         while attempts := actions_of_type(
-            harness.request(f"fill{len(harness.actions)}", "mark"), messages.StartAttempt
+            harness.send_request(f"fill{len(harness.actions)}", "mark"), messages.StartAttempt
         ):
             blocking_attempt = attempts[0]
         harness.advance(
             300 * MILLISECOND_US
         )  # the queued requests are rejected, so that no class is served well
         for number in range(20):
-            harness.request(
-                f"cheap{number}", "read", time_left=1 * MILLISECOND_US
+            harness.send_request(
+                f"cheap{number}", "read", time_remaining_us=1 * MILLISECOND_US
             )  # no response is possible in time
-        harness.request("twice the worth", "mark")
-        harness.request("least served", "read")
+        harness.send_request("twice the worth", "mark")
+        harness.send_request("least served", "read")
         attempt, *_ = actions_of_type(
-            harness.end_attempt(blocking_attempt, messages.Outcome.OK, took=300 * MILLISECOND_US),
+            harness.end_attempt(blocking_attempt, messages.Outcome.OK, duration_us=300 * MILLISECOND_US),
             messages.StartAttempt,
         )
         first_request_ids[worst_class_weight] = attempt.request_id
@@ -136,18 +139,18 @@
 def test_request_that_cannot_meet_its_latency_objective_is_rejected_at_once() -> None:
     harness = BalancerHarness()
     for number in range(60):
-        for attempt in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
-            harness.end_attempt(attempt, messages.Outcome.OK, took=SECOND_US)
-    actions = harness.request("late", time_left=500 * MILLISECOND_US)
+        for attempt in actions_of_type(harness.send_request(f"w{number}"), messages.StartAttempt):
+            harness.end_attempt(attempt, messages.Outcome.OK, duration_us=SECOND_US)
+    actions = harness.send_request("late", time_remaining_us=500 * MILLISECOND_US)
     assert actions_of_type(actions, messages.Reject) == [messages.Reject("late")]
 
 
 def test_time_spent_before_arrival_shortens_the_attempt_timeout() -> None:
     harness = BalancerHarness()
-    [attempt] = actions_of_type(harness.request("first"), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.send_request("first"), messages.StartAttempt)
     harness.end_attempt(attempt, messages.Outcome.OK)
     [attempt] = actions_of_type(
-        harness.request("older", time_left=4 * SECOND_US, retry=True), messages.StartAttempt
+        harness.send_request("older", time_remaining_us=4 * SECOND_US, retry=True), messages.StartAttempt
     )
     assert attempt.timeout_us <= 1 * SECOND_US
 
@@ -160,12 +163,13 @@
         ("b", 45 * SECOND_US // 10, True),
     ):
         [attempt] = actions_of_type(
-            harness.request(request_id, time_left=time_left, retry=retry), messages.StartAttempt
+            harness.send_request(request_id, time_remaining_us=time_left, retry=retry), messages.StartAttempt
         )
         harness.end_attempt(attempt, messages.Outcome.OK)
     for request_id, retry in (("c", False), ("d", True)):  # equal, short deadlines: they show no age
         [attempt] = actions_of_type(
-            harness.request(request_id, time_left=27 * SECOND_US // 10, retry=retry), messages.StartAttempt
+            harness.send_request(request_id, time_remaining_us=27 * SECOND_US // 10, retry=retry),
+            messages.StartAttempt,
         )
         assert attempt.timeout_us > 19 * SECOND_US // 10
         harness.end_attempt(attempt, messages.Outcome.OK)
@@ -173,7 +177,7 @@
 
 def test_unknown_class_is_handled_as_unsafe() -> None:
     harness = BalancerHarness()
-    [attempt] = actions_of_type(harness.request("r", "unknown"), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.send_request("r", "unknown"), messages.StartAttempt)
     assert actions_of_type(harness.end_attempt(attempt, messages.Outcome.ERROR), messages.Fail) == [
         messages.Fail("r")
     ]
@@ -182,14 +186,17 @@
 def test_request_with_too_little_time_remaining_is_rejected() -> None:
     for time_left in (0, 1, 1500):
         harness = BalancerHarness()
-        actions = harness.request("r", "pay", time_left)
+        actions = harness.send_request("r", "pay", time_left)
         assert actions_of_type(actions, messages.Reject)
         assert not actions_of_type(actions, messages.StartAttempt)
 
 
 def test_duplicate_request_id_is_one_request() -> None:
     harness = BalancerHarness()
-    assert len(actions_of_type(harness.request("r") + harness.request("r"), messages.StartAttempt)) == 1
+    assert (
+        len(actions_of_type(harness.send_request("r") + harness.send_request("r"), messages.StartAttempt))
+        == 1
+    )
     assert harness.balancer.request_factory.classes["read"].requests == 1
 
 
@@ -201,10 +208,12 @@
         attempts = actions_of_type(harness.advance(50 * MILLISECOND_US), messages.StartAttempt)
         while in_flight and in_flight[0][0] <= harness.now_us:
             attempts += actions_of_type(
-                harness.end_attempt(in_flight.pop(0)[1], messages.Outcome.OK, took=took_us),
+                harness.end_attempt(in_flight.pop(0)[1], messages.Outcome.OK, duration_us=took_us),
                 messages.StartAttempt,
             )
-        attempts += actions_of_type(harness.request(f"q{harness.now_us}.{number}"), messages.StartAttempt)
+        attempts += actions_of_type(
+            harness.send_request(f"q{harness.now_us}.{number}"), messages.StartAttempt
+        )
         in_flight += [(harness.now_us + took_us, attempt) for attempt in attempts]
         sent_count += len(attempts)
     return sent_count
@@ -243,13 +252,13 @@
 
     def chosen_endpoint_id(class_name: str, number: int) -> int:
         [attempt] = actions_of_type(
-            harness.request(f"{class_name}{number}", class_name), messages.StartAttempt
+            harness.send_request(f"{class_name}{number}", class_name), messages.StartAttempt
         )
         harness.now_us += 1 * MILLISECOND_US
-        harness.end_attempt(attempt, messages.Outcome.OK, took=1 * MILLISECOND_US)
+        harness.end_attempt(attempt, messages.Outcome.OK, duration_us=1 * MILLISECOND_US)
         return attempt.endpoint_id
 
-    [first_attempt] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    [first_attempt] = actions_of_type(harness.send_request("a"), messages.StartAttempt)
     harness.end_attempt(first_attempt, messages.Outcome.ERROR)
     harness.now_us += 500 * MILLISECOND_US  # the failed attempt no longer counts as in flight
     harness.balancer.endpoints.states[
@@ -263,18 +272,18 @@
 
 def test_endpoint_that_failed_a_class_is_used_when_no_other_is_open() -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)), endpoint_count=1)
-    [first_attempt] = actions_of_type(harness.request("a"), messages.StartAttempt)
+    [first_attempt] = actions_of_type(harness.send_request("a"), messages.StartAttempt)
     harness.end_attempt(first_attempt, messages.Outcome.ERROR)
     harness.now_us += 500 * MILLISECOND_US
-    assert actions_of_type(harness.request("b"), messages.StartAttempt)
+    assert actions_of_type(harness.send_request("b"), messages.StartAttempt)
 
 
 def test_failed_connection_does_not_lower_the_concurrency_limit() -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)))
     for number in range(40):
         limit_before = harness.balancer.concurrency_limit.attempts_per_endpoint
-        [attempt] = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
-        harness.end_attempt(attempt, messages.Outcome.NO_CONNECTION, took=1)
+        [attempt] = actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
+        harness.end_attempt(attempt, messages.Outcome.NO_CONNECTION, duration_us=1)
         harness.advance(500 * MILLISECOND_US)
         assert harness.balancer.concurrency_limit.attempts_per_endpoint >= limit_before
 
@@ -287,7 +296,8 @@
     harness = BalancerHarness(endpoint_count=1)
     attempts: list[messages.StartAttempt] = []
     while (
-        len(new_attempts := actions_of_type(harness.request(f"r{len(attempts)}"), messages.StartAttempt)) == 1
+        len(new_attempts := actions_of_type(harness.send_request(f"r{len(attempts)}"), messages.StartAttempt))
+        == 1
     ):
         attempts += new_attempts
     actions_after = harness.advance(
@@ -316,10 +326,10 @@
     attempts = [
         attempt
         for number in range(3)
-        for attempt in actions_of_type(harness.request(f"r{number}", "pay"), messages.StartAttempt)
+        for attempt in actions_of_type(harness.send_request(f"r{number}", "pay"), messages.StartAttempt)
     ]
     assert len({attempt.endpoint_id for attempt in attempts}) == 3  # one attempt at each
-    assert not actions_of_type(harness.request("cheap", "read"), messages.StartAttempt)
+    assert not actions_of_type(harness.send_request("cheap", "read"), messages.StartAttempt)
     return harness, attempts
 
 
@@ -358,12 +368,12 @@
     harness = BalancerHarness(
         balancer_settings(limits=messages.Limits(max_attempts=max_attempts, cancel=True))
     )
-    actions, attempt_count = harness.request("r", "pay"), 0
+    actions, attempt_count = harness.send_request("r", "pay"), 0
     while started := actions_of_type(actions, messages.StartAttempt):
         attempt_count += 1
         assert attempt_count <= max_attempts
         actions = harness.end_attempt(
-            started[0], messages.Outcome.NOT_SENT, took=0, attempt=attempt_count - 1
+            started[0], messages.Outcome.NOT_SENT, duration_us=0, attempt_number=attempt_count - 1
         )
     assert attempt_count == max_attempts
     assert [action.request_id for action in actions_of_type(actions, messages.Reject)] == ["r"]
--- a/tests/policy/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -10,7 +10,7 @@
 
 
 def start_first_attempt(harness: BalancerHarness, class_name: str) -> messages.StartAttempt:
-    [attempt] = actions_of_type(harness.request("r", class_name), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.send_request("r", class_name), messages.StartAttempt)
     return attempt
 
 
@@ -32,7 +32,7 @@
     attempt, tried_ids = start_first_attempt(harness, "pay"), set()
     for attempt_number in range(3):
         tried_ids.add(attempt.endpoint_id)
-        actions = harness.end_attempt(attempt, outcome, attempt=attempt_number)
+        actions = harness.end_attempt(attempt, outcome, attempt_number=attempt_number)
         if attempt_number < 2:
             [attempt] = actions_of_type(actions, messages.StartAttempt)
     assert len(tried_ids) == 3
@@ -60,7 +60,7 @@
 
 def test_request_without_endpoints_is_queued_then_rejected() -> None:
     harness = BalancerHarness(endpoint_count=0)
-    assert not actions_of_type(harness.request("r"), messages.StartAttempt)
+    assert not actions_of_type(harness.send_request("r"), messages.StartAttempt)
     assert actions_of_type(harness.advance(5 * SECOND_US), messages.Reject) == [messages.Reject("r")]
 
 
@@ -89,7 +89,7 @@
         version=2,
     )
     attempts_by_request = [
-        actions_of_type(harness.request(f"r{number}"), messages.StartAttempt) for number in range(3)
+        actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt) for number in range(3)
     ]
     assert [attempts[0].endpoint_id for attempts in attempts_by_request] == [0, 0, 0]
 
--- a/tests/policy/test_retry_rules.py
+++ b/tests/policy/test_retry_rules.py
@@ -20,7 +20,7 @@
             )
         )
     )
-    [attempt] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.send_request("r", "pay"), messages.StartAttempt)
     actions = harness.end_attempt(attempt, messages.Outcome.ERROR)
     assert actions_of_type(actions, messages.Fail) == [messages.Fail("r")]
     assert not actions_of_type(actions, messages.StartAttempt)
@@ -38,7 +38,9 @@
         deduplication_window_us=1 * SECOND_US,
     )
     harness = BalancerHarness(balancer_settings(classes=(keyed,)))
-    [attempt] = actions_of_type(harness.request("r", "write", time_left=9 * SECOND_US), messages.StartAttempt)
+    [attempt] = actions_of_type(
+        harness.send_request("r", "write", time_remaining_us=9 * SECOND_US), messages.StartAttempt
+    )
     harness.now_us += elapsed_us
     assert (
         len(actions_of_type(harness.end_attempt(attempt, messages.Outcome.ERROR), messages.StartAttempt))
@@ -61,7 +63,9 @@
     )
     limits = messages.Limits(max_attempts=3, connect_timeout_us=250 * MILLISECOND_US)
     harness = BalancerHarness(balancer_settings(classes=(keyed,), limits=limits))
-    [attempt] = actions_of_type(harness.request("r", "write", time_left=9 * SECOND_US), messages.StartAttempt)
+    [attempt] = actions_of_type(
+        harness.send_request("r", "write", time_remaining_us=9 * SECOND_US), messages.StartAttempt
+    )
     harness.now_us += elapsed_us
     assert (
         len(actions_of_type(harness.end_attempt(attempt, messages.Outcome.ERROR), messages.StartAttempt))
@@ -83,7 +87,7 @@
         harness.update_endpoint_list(
             *(messages.Endpoint(number, zone="ab"[number % 2]) for number in range(8))
         )
-        [attempt] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
+        [attempt] = actions_of_type(harness.send_request("r", "write"), messages.StartAttempt)
         [retry] = actions_of_type(harness.end_attempt(attempt, messages.Outcome.ERROR), messages.StartAttempt)
         assert retry.endpoint_id % 2 == attempt.endpoint_id % 2
 
@@ -91,7 +95,7 @@
 def test_retry_goes_to_an_untried_endpoint() -> None:
     for seed in range(8):
         harness = BalancerHarness(endpoint_count=2, seed=seed)
-        [attempt] = actions_of_type(harness.request("r"), messages.StartAttempt)
+        [attempt] = actions_of_type(harness.send_request("r"), messages.StartAttempt)
         harness.now_us += 1 * SECOND_US  # from here the failed attempt no longer counts as in flight
         [retry] = actions_of_type(harness.end_attempt(attempt, messages.Outcome.RESET), messages.StartAttempt)
         assert retry.endpoint_id != attempt.endpoint_id
@@ -100,13 +104,16 @@
 def test_retries_are_limited_by_the_retry_budget() -> None:
     harness, attempt_count, request_count = BalancerHarness(), 0, 200
     for number in range(request_count):
-        pending = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        pending = actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
         attempt_number = 0
         while pending:
             attempt_count += 1
             pending = actions_of_type(
                 harness.end_attempt(
-                    pending[0], messages.Outcome.REJECTED, took=MILLISECOND_US, attempt=attempt_number
+                    pending[0],
+                    messages.Outcome.REJECTED,
+                    duration_us=MILLISECOND_US,
+                    attempt_number=attempt_number,
                 ),
                 messages.StartAttempt,
             )
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -47,10 +47,10 @@
     """Each fleet stays within the overload rule; the mean of the fleets stays within the stricter bound."""
     fleets = [warming_fleet(*size, "all", faults, seed, rules=rules) for seed in seeds]
     for fleet in fleets:
-        worst, sent, allowed = fleet.worst_cold(page=True)
+        worst, sent, allowed = fleet.fullest_warming_window(use_small_count_margin=True)
         assert sent > 0
         assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
-    assert sum(fleet.worst_cold()[0] for fleet in fleets) / len(fleets) <= 1.0
+    assert sum(fleet.fullest_warming_window()[0] for fleet in fleets) / len(fleets) <= 1.0
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -58,7 +58,7 @@
 @pytest.mark.parametrize("rules", [TIGHT_RULES, LOW_CAPACITY_RULES])
 def test_tight_overload_multiple_holds_for_every_seed(warming: str, rules: messages.Rules, seed: int) -> None:
     fleet = warming_fleet(*FLEET_OF_12, warming, "burst failing", seed, rules=rules)
-    worst, sent, allowed = fleet.worst_cold(page=True)
+    worst, sent, allowed = fleet.fullest_warming_window(use_small_count_margin=True)
     assert sent > 0
     assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
 
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("warming", ["zone", "all"])
 def test_budget_holds_under_other_faults(warming: str, faults: str) -> None:
     fleet = warming_fleet(*FLEET_OF_12, warming, faults, seed=2, rules=TIGHT_RULES, health_checks=True)
-    worst, sent, allowed = fleet.worst_cold(page=True)
+    worst, sent, allowed = fleet.fullest_warming_window(use_small_count_margin=True)
     assert sent > 0
     assert worst <= 1.0, f"{sent} attempts and checks, {allowed:.1f} allowed"
 
@@ -142,18 +142,18 @@
         )
         for number in range(40):
             harness.advance(RULES.overload_window_us // 3)
-            for attempt in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
-                harness.end_attempt(attempt, messages.Outcome.OK, took=100 * MILLISECOND_US)
+            for attempt in actions_of_type(harness.send_request(f"w{number}"), messages.StartAttempt):
+                harness.end_attempt(attempt, messages.Outcome.OK, duration_us=100 * MILLISECOND_US)
         harness.update_endpoint_list(
             *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6)), version=2
         )
         attempt_count = 0
         for number in range(4):
             for attempt in actions_of_type(
-                harness.advance(RULES.overload_window_us // 3) + harness.request(f"c{number}"),
+                harness.advance(RULES.overload_window_us // 3) + harness.send_request(f"c{number}"),
                 messages.StartAttempt,
             ):
-                harness.end_attempt(attempt, messages.Outcome.OK, took=100 * MILLISECOND_US)
+                harness.end_attempt(attempt, messages.Outcome.OK, duration_us=100 * MILLISECOND_US)
                 attempt_count += 1
         attempt_counts.append(attempt_count)
     assert min(attempt_counts) > 0
@@ -163,7 +163,7 @@
     harness = balancer_with_warming_endpoints(1, 0, 1)
     [state] = harness.balancer.endpoints.subset
     state.warming.bucket.tokens = 0.2
-    assert len(actions_of_type(harness.request("r"), messages.StartAttempt)) == 1
+    assert len(actions_of_type(harness.send_request("r"), messages.StartAttempt)) == 1
     assert math.isclose(state.warming.bucket.tokens, -0.8)
 
 
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -59,7 +59,7 @@
         before_us=before_us,
         after_us=after_us,
     )
-    worst, sent, allowed = fleet.worst_cold()
+    worst, sent, allowed = fleet.fullest_warming_window()
     assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
     assert sent > 0
     assert len(fleet.requests) >= 100
@@ -80,7 +80,7 @@
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(880))
     )
     monkeypatch.setattr(SlowStart, "capacity", counted_capacity)
-    harness.request("r")
+    harness.send_request("r")
     assert 0 < capacity_calls <= 2 * len(harness.balancer.endpoints.subset)
 
 
@@ -95,7 +95,7 @@
 ) -> None:
     worst, sent, allowed = warming_fleet(
         balancer_count, endpoint_count, requests_per_window, warming, faults, seed=seed, rules=rules
-    ).worst_cold()
+    ).fullest_warming_window()
     assert sent > 0
     assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
 
@@ -139,7 +139,7 @@
         version=2,
     )
     assert {state.endpoint.id for state in harness.balancer.endpoints.subset} == own_subset
-    assert actions_of_type(harness.request("r"), messages.StartAttempt)
+    assert actions_of_type(harness.send_request("r"), messages.StartAttempt)
 
 
 def test_unused_tokens_are_saved_for_at_most_one_window() -> None:
@@ -159,7 +159,7 @@
         restarted = harness.balancer.endpoints.states[restarted.endpoint.id]
         restarted.share = 1e-9
         for number in range(30):
-            for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
+            for attempt in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt):
                 harness.end_attempt(attempt, messages.Outcome.OK)
             harness.advance(SECOND_US)
         saved += int(harness.balancer.slow_start.refill(harness.now_us, restarted))
@@ -173,7 +173,7 @@
         0,
     )
     for number in range(3):
-        attempts = actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        attempts = actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
         for attempt_number in range(3):
             attempt_count += len(attempts)
             attempts = actions_of_type(
@@ -191,7 +191,7 @@
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(40))
     )
     for number in range(40):
-        harness.request(f"r{number}")
+        harness.send_request(f"r{number}")
     harness.now_us += 100 * MILLISECOND_US
     subset_state = harness.balancer.endpoints.subset[0]
     outside_state = next(
@@ -244,7 +244,7 @@
             *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6))
         )
         for number in range(3):
-            for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt):
+            for attempt in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt):
                 attempt_counts[attempt.endpoint_id] += 1
     # One attempt from each balancer would be five per endpoint, above the bound where N is one.
     assert sum(attempt_counts) > 0
@@ -256,7 +256,7 @@
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(6))
     )
-    [attempt] = actions_of_type(harness.request("r"), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.send_request("r"), messages.StartAttempt)
     assert not actions_of_type(
         harness.end_attempt(attempt, messages.Outcome.REJECTED, MILLISECOND_US), messages.StartAttempt
     )
@@ -265,7 +265,7 @@
 @pytest.mark.parametrize("seed", [0, 3, 4])
 def test_health_checks_and_their_repeats_stay_within_the_budget(seed: int) -> None:
     fleet = warming_fleet(30, 6, 0.7, "all", "burst silent", seed, health_checks=True)
-    worst, sent, allowed = fleet.worst_cold()
+    worst, sent, allowed = fleet.fullest_warming_window()
     assert sent > 0
     assert worst <= 1.0, f"{sent} attempts and checks, {allowed:.1f} allowed"
 
@@ -280,7 +280,7 @@
     )
     harness = BalancerHarness(setup, endpoint_count=0)
     harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=started_at_us))
-    harness.request("r")
+    harness.send_request("r")
     harness.advance(950 * MILLISECOND_US)
     harness.balancer.endpoints.states[
         0
@@ -300,8 +300,8 @@
     harness = BalancerHarness(endpoint_count=3)
     for number in range(300):
         harness.advance(10 * MILLISECOND_US)
-        for attempt in actions_of_type(harness.request(f"w{number}"), messages.StartAttempt):
-            harness.end_attempt(attempt, messages.Outcome.OK, took=20 * MILLISECOND_US)
+        for attempt in actions_of_type(harness.send_request(f"w{number}"), messages.StartAttempt):
+            harness.end_attempt(attempt, messages.Outcome.OK, duration_us=20 * MILLISECOND_US)
     harness.update_endpoint_list(
         *(messages.Endpoint(number, incarnation_us=harness.now_us) for number in range(3)), version=2
     )
@@ -310,7 +310,8 @@
         endpoint_ids += [
             attempt.endpoint_id
             for attempt in actions_of_type(
-                harness.advance(10 * MILLISECOND_US) + harness.request(f"c{number}"), messages.StartAttempt
+                harness.advance(10 * MILLISECOND_US) + harness.send_request(f"c{number}"),
+                messages.StartAttempt,
             )
         ]
     assert min(endpoint_ids.count(number) for number in range(3)) >= 2
@@ -324,7 +325,7 @@
         harness = BalancerHarness(
             balancer_settings(rules=RULES, instances=200, index=index), endpoint_count=0, seed=index
         )
-        harness.request("r")
+        harness.send_request("r")
         harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=harness.now_us))
         attempt_count += len(actions_of_type(harness.actions, messages.StartAttempt))
     assert 0 < attempt_count <= 12
--- a/tests/policy/test_slow_start_limits.py
+++ b/tests/policy/test_slow_start_limits.py
@@ -16,7 +16,7 @@
     endpoint_ids = [
         attempt.endpoint_id
         for number in range(30)
-        for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        for attempt in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
     ]
     assert sorted(endpoint_ids) == [0, 1, 2]
 
@@ -31,13 +31,13 @@
     endpoint_ids = [
         attempt.endpoint_id
         for number in range(30)
-        for attempt in actions_of_type(harness.request(f"r{number}"), messages.StartAttempt)
+        for attempt in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt)
     ]
     assert endpoint_ids.count(9) <= MAX_BURST_ATTEMPTS
 
 
 def test_endpoint_with_future_start_is_warm_without_a_slow_start_phase() -> None:
-    """Guards against requests that fail until the start time, if the clock is behind and slow start is off."""
+    """Guards against requests that fail until the start time if the clock is behind and slow start off."""
     harness = BalancerHarness(
         balancer_settings(rules=messages.Rules(0.4, 0, 3.0, 1 * SECOND_US)), endpoint_count=0
     )
@@ -47,4 +47,4 @@
             for number in range(3)
         )
     )
-    assert actions_of_type(harness.request("r"), messages.StartAttempt)
+    assert actions_of_type(harness.send_request("r"), messages.StartAttempt)
--- a/tests/policy/test_unsent_attempts.py
+++ b/tests/policy/test_unsent_attempts.py
@@ -22,8 +22,8 @@
 def test_unsent_attempt_is_retried_at_an_idle_warming_endpoint() -> None:
     """If the next attempt counted as a retry, the request would be rejected although endpoints are idle."""
     harness = balancer_with_warming_endpoints()
-    [attempt] = actions_of_type(harness.request("r", "pay"), messages.StartAttempt)
-    actions = harness.end_attempt(attempt, messages.Outcome.NOT_SENT, took=0)
+    [attempt] = actions_of_type(harness.send_request("r", "pay"), messages.StartAttempt)
+    actions = harness.end_attempt(attempt, messages.Outcome.NOT_SENT, duration_us=0)
     assert [retry.request_id for retry in actions_of_type(actions, messages.StartAttempt)] == ["r"]
     assert not actions_of_type(actions, messages.Reject)
 
@@ -31,5 +31,5 @@
 @pytest.mark.parametrize("outcome", [messages.Outcome.REJECTED, messages.Outcome.NO_CONNECTION])
 def test_sent_attempt_uses_up_the_unbudgeted_first_attempt(outcome: messages.Outcome) -> None:
     harness = balancer_with_warming_endpoints()
-    [attempt] = actions_of_type(harness.request("r"), messages.StartAttempt)
-    assert not actions_of_type(harness.end_attempt(attempt, outcome, took=0), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.send_request("r"), messages.StartAttempt)
+    assert not actions_of_type(harness.end_attempt(attempt, outcome, duration_us=0), messages.StartAttempt)
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -56,11 +56,11 @@
         raise_shares(fleet, restarted, started_at_us, faults)
     if "again" in faults:
         for wait_us in (700 * MILLISECOND_US, 1900 * MILLISECOND_US):
-            fleet.run(started_at_us + wait_us)
+            fleet.run_until(started_at_us + wait_us)
             fleet.restart(restarted)
     if "moving" in faults:
         remove_others_in_turn(fleet, restarted, started_at_us + after_us)
-    fleet.run(started_at_us + after_us)
+    fleet.run_until(started_at_us + after_us)
     return fleet
 
 
@@ -97,9 +97,9 @@
             SimulatedClient("mark", 2),
             SimulatedClient("pay", 2),
         ),
-        surge=lambda now: surge if surge_at_us <= now < surge_at_us + 3 * SECOND_US else 1.0,
-        most_surge=surge,
-        slots=max(1, round(MIN_LATENCY_US / latency_us)),
+        load_factor_at=lambda now: surge if surge_at_us <= now < surge_at_us + 3 * SECOND_US else 1.0,
+        max_load_factor=surge,
+        slot_count=max(1, round(MIN_LATENCY_US / latency_us)),
     )
 
 
@@ -107,7 +107,7 @@
     fleet: SimulatedFleet, warming: str, faults: str, at_us: int
 ) -> list[SimulatedEndpoint]:
     """Restart the endpoints that are to warm up, after 0.3 s without them, and return them."""
-    fleet.run(at_us - 300 * MILLISECOND_US)
+    fleet.run_until(at_us - 300 * MILLISECOND_US)
     restarted = endpoints_to_restart(fleet, warming)
     if "held" in faults:
         fleet.send_list(
@@ -115,13 +115,13 @@
                 replace(endpoint.entry, status=messages.EndpointStatus.DRAINING)
                 for endpoint in fleet.endpoints
             ],
-            within=0,
+            max_delay_us=0,
         )
     elif warming != "one":
         fleet.send_list(
             [replace(endpoint.entry, status=messages.EndpointStatus.REMOVED) for endpoint in restarted]
         )
-    fleet.run(at_us)
+    fleet.run_until(at_us)
     inject_failures(fleet, faults)
     fleet.restart(restarted)
     if "held" in faults:
@@ -173,25 +173,25 @@
 def raise_shares(
     fleet: SimulatedFleet, restarted: list[SimulatedEndpoint], started_at_us: int, faults: str
 ) -> None:
-    """Raise the shares so that the endpoints attract every request; with "saved", lower them for 20 s first."""
-    fleet.run(started_at_us + fleet.spread_us)
+    """Raise the shares so that these endpoints attract every request; with "saved", lower them first."""
+    fleet.run_until(started_at_us + fleet.max_list_delay_us)
     if "saved" in faults:
         set_shares(fleet, restarted, 1e-9)
-        fleet.run(started_at_us + 20 * SECOND_US)
+        fleet.run_until(started_at_us + 20 * SECOND_US)
     set_shares(fleet, restarted, 1e9)
 
 
 def remove_others_in_turn(fleet: SimulatedFleet, restarted: list[SimulatedEndpoint], until_us: int) -> None:
     """Remove random other endpoints from the list one after another, for 0.4 s each."""
     others = [endpoint.entry for endpoint in fleet.endpoints if endpoint not in restarted]
-    while others and fleet.now + 400 * MILLISECOND_US < until_us:
+    while others and fleet.now_us + 400 * MILLISECOND_US < until_us:
         leaving_entry = fleet.rng.choice(others)
         fleet.send_list([replace(leaving_entry, status=messages.EndpointStatus.REMOVED)])
-        fleet.run(fleet.now + 400 * MILLISECOND_US)
+        fleet.run_until(fleet.now_us + 400 * MILLISECOND_US)
         fleet.send_list([leaving_entry])
 
 
 def set_shares(fleet: SimulatedFleet, endpoints: list[SimulatedEndpoint], share: float) -> None:
-    for balancer in fleet.policies:
+    for balancer in fleet.balancers:
         for endpoint in endpoints:
             balancer.endpoints.states[endpoint.entry.id].share = share
