--- a/tests/policy/test_no_starvation.py
+++ b/tests/policy/test_no_starvation.py
@@ -39,8 +39,8 @@
 GAP_WITHOUT_ATTEMPT_US = 4 * SECOND_US
 MAX_REQUESTS_IN_GAP = 15
 CLIENTS = tuple(
-    SimulatedClient(cls, traffic_share * tenant_share, tenant)
-    for cls, traffic_share in (("read", 0.5), ("short", 0.3), ("pay", 0.2))
+    SimulatedClient(class_name, traffic_share * tenant_share, tenant)
+    for class_name, traffic_share in (("read", 0.5), ("short", 0.3), ("pay", 0.2))
     for tenant, tenant_share in (("large", 0.9), ("small", 0.1))
 )
 FLEETS = [(3, 8, 20.0, 0.45), (30, 16, 3.0, 0.45), (30, 8, 1.0, 0.45), (12, 12, 8.0, 0.45)]
@@ -61,9 +61,16 @@
         tenants=(messages.Tenant("large", offered_per_s), messages.Tenant("small", 0.3 * offered_per_s)),
         over_quota_weight=0.1,
     )
-    slots = max(1, round(USUAL_LATENCY_US * requests_per_endpoint / RULES.overload_window_us))
+    slot_count = max(1, round(USUAL_LATENCY_US * requests_per_endpoint / RULES.overload_window_us))
     return SimulatedFleet(
-        settings, balancer_count, endpoint_count, requests_per_endpoint, load, seed, CLIENTS, slot_count=slots
+        settings,
+        balancer_count,
+        endpoint_count,
+        requests_per_endpoint,
+        load,
+        seed,
+        CLIENTS,
+        slot_count=slot_count,
     )
 
 
@@ -147,15 +154,18 @@
     lose_zones(fleet, "abc")
     restored_at_us = fleet.now_us
     fleet.run_until(restored_at_us + 7 * SECOND_US)
-    arrived = [
+    arrived_requests = [
         request
         for request in fleet.requests
         if restored_at_us + fleet.max_list_delay_us <= request.arrived_at_us < restored_at_us + 5 * SECOND_US
     ]
     for index in range(balancer_count):
-        own_requests = [request for request in arrived if request.balancer_index == index]
+        own_requests = [request for request in arrived_requests if request.balancer_index == index]
         if len(own_requests) >= MAX_REQUESTS_IN_GAP:
             assert fleet.on_time_share(own_requests) >= 0.3
-    for cls in ("read", "short", "pay"):
-        assert fleet.on_time_share(request for request in arrived if request.class_name == cls) >= 0.5
+    for class_name in ("read", "short", "pay"):
+        assert (
+            fleet.on_time_share(request for request in arrived_requests if request.class_name == class_name)
+            >= 0.5
+        )
     assert max_requests_in_gap(fleet, restored_at_us) < MAX_REQUESTS_IN_GAP
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -36,7 +36,7 @@
 def test_concurrency_limit_falls_with_late_responses_and_recovers() -> None:
     harness = BalancerHarness()
     limits = [harness.balancer.concurrency_limit.attempts_per_endpoint]
-    for phase, took_us in enumerate((1500 * MILLISECOND_US, 50 * MILLISECOND_US)):
+    for phase, latency_us in enumerate((1500 * MILLISECOND_US, 50 * MILLISECOND_US)):
         in_flight: list[messages.StartAttempt] = []
         for number in range(400):
             harness.now_us += 10 * MILLISECOND_US
@@ -47,13 +47,13 @@
             in_flight += new_attempts
             if len(in_flight) >= 4 or not new_attempts:
                 in_flight += actions_of_type(
-                    harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, duration_us=took_us),
+                    harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, duration_us=latency_us),
                     messages.StartAttempt,
                 )
         limits.append(harness.balancer.concurrency_limit.attempts_per_endpoint)
         while in_flight:
             in_flight += actions_of_type(
-                harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, duration_us=took_us),
+                harness.end_attempt(in_flight.pop(0), messages.Outcome.OK, duration_us=latency_us),
                 messages.StartAttempt,
             )
     assert limits[1] == 1.0 < limits[0]
@@ -158,12 +158,13 @@
 def test_client_retry_with_longer_deadline_does_not_age_first_requests() -> None:
     """A client's last attempt has the whole time remaining as its deadline, the earlier ones a part of it."""
     harness = BalancerHarness()
-    for request_id, time_left, retry in (
+    for request_id, time_remaining_us, retry in (
         ("a", 27 * SECOND_US // 10, False),
         ("b", 45 * SECOND_US // 10, True),
     ):
         [attempt] = actions_of_type(
-            harness.send_request(request_id, time_remaining_us=time_left, retry=retry), messages.StartAttempt
+            harness.send_request(request_id, time_remaining_us=time_remaining_us, retry=retry),
+            messages.StartAttempt,
         )
         harness.end_attempt(attempt, messages.Outcome.OK)
     for request_id, retry in (("c", False), ("d", True)):  # equal, short deadlines: they show no age
@@ -184,9 +185,9 @@
 
 
 def test_request_with_too_little_time_remaining_is_rejected() -> None:
-    for time_left in (0, 1, 1500):
+    for time_remaining_us in (0, 1, 1500):
         harness = BalancerHarness()
-        actions = harness.send_request("r", "pay", time_left)
+        actions = harness.send_request("r", "pay", time_remaining_us)
         assert actions_of_type(actions, messages.Reject)
         assert not actions_of_type(actions, messages.StartAttempt)
 
@@ -200,21 +201,21 @@
     assert harness.balancer.request_factory.classes["read"].requests == 1
 
 
-def count_sent_attempts(harness: BalancerHarness, seconds: float, took_us: int) -> int:
-    """Return how many attempts are sent at 20 requests per second with responses after `took_us`."""
+def count_sent_attempts(harness: BalancerHarness, seconds: float, latency_us: int) -> int:
+    """Return how many attempts are sent at 20 requests per second with responses after `latency_us`."""
     in_flight: list[tuple[int, messages.StartAttempt]] = []
     sent_count = 0
     for number in range(int(seconds * 20)):
         attempts = actions_of_type(harness.advance(50 * MILLISECOND_US), messages.StartAttempt)
         while in_flight and in_flight[0][0] <= harness.now_us:
             attempts += actions_of_type(
-                harness.end_attempt(in_flight.pop(0)[1], messages.Outcome.OK, duration_us=took_us),
+                harness.end_attempt(in_flight.pop(0)[1], messages.Outcome.OK, duration_us=latency_us),
                 messages.StartAttempt,
             )
         attempts += actions_of_type(
             harness.send_request(f"q{harness.now_us}.{number}"), messages.StartAttempt
         )
-        in_flight += [(harness.now_us + took_us, attempt) for attempt in attempts]
+        in_flight += [(harness.now_us + latency_us, attempt) for attempt in attempts]
         sent_count += len(attempts)
     return sent_count
 
@@ -228,7 +229,7 @@
         balancer.concurrency_limit.attempts_per_endpoint * balancer.endpoints.balancers_per_endpoint
         == pytest.approx(INITIAL_SHARED_LIMIT)
     )
-    sent_count = count_sent_attempts(harness, 10, took_us=400 * MILLISECOND_US)
+    sent_count = count_sent_attempts(harness, 10, latency_us=400 * MILLISECOND_US)
     # Little's law: the sum of the limits over the subset, divided by the latency of 400 ms.
     assert (
         0
@@ -239,9 +240,9 @@
 
 def test_concurrency_limit_falls_below_one_only_under_overload() -> None:
     limits = []
-    for took_us in (800 * MILLISECOND_US, 1800 * MILLISECOND_US):  # late; overload
+    for latency_us in (800 * MILLISECOND_US, 1800 * MILLISECOND_US):  # late; overload
         harness = BalancerHarness(balancer_settings(instances=8), endpoint_count=4)
-        count_sent_attempts(harness, 60, took_us)
+        count_sent_attempts(harness, 60, latency_us)
         limits.append(harness.balancer.concurrency_limit.attempts_per_endpoint)
     assert limits[0] == pytest.approx(1.0, abs=0.1)
     assert MIN_LIMIT / 8 <= limits[1] < 0.5
--- a/tests/policy/test_policy_rules_random.py
+++ b/tests/policy/test_policy_rules_random.py
@@ -211,13 +211,13 @@
         rng = self.rng
         self.request_count += 1
         request_id, request_class = f"r{self.request_count}", rng.choice((*ALL_CLASSES, UNKNOWN_CLASS))
-        time_left = rng.choice(
+        time_remaining_us = rng.choice(
             (0, 1, 10 * MILLISECOND_US, 300 * MILLISECOND_US, 2 * SECOND_US, 5 * SECOND_US)
         )
         self.pending[request_id] = self.requests[request_id] = PendingRequest(
-            request_class, self.now_us + time_left, []
+            request_class, self.now_us + time_remaining_us, []
         )
-        self.handle(messages.Request(request_id, request_class.name, time_left))
+        self.handle(messages.Request(request_id, request_class.name, time_remaining_us))
 
     def random_entry(self) -> messages.Endpoint:
         """Return a list entry with a new state for a random endpoint, which may have restarted."""
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -47,9 +47,9 @@
     """Each fleet stays within the overload rule; the mean of the fleets stays within the stricter bound."""
     fleets = [warming_fleet(*size, "all", faults, seed, rules=rules) for seed in seeds]
     for fleet in fleets:
-        worst, sent, allowed = fleet.fullest_warming_window(use_small_count_margin=True)
-        assert sent > 0
-        assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
+        used_share, attempt_count, allowed_count = fleet.fullest_warming_window(use_small_count_margin=True)
+        assert attempt_count > 0
+        assert used_share <= 1.0, f"{attempt_count} attempts, {allowed_count:.1f} allowed"
     assert sum(fleet.fullest_warming_window()[0] for fleet in fleets) / len(fleets) <= 1.0
 
 
@@ -58,9 +58,9 @@
 @pytest.mark.parametrize("rules", [TIGHT_RULES, LOW_CAPACITY_RULES])
 def test_tight_overload_multiple_holds_for_every_seed(warming: str, rules: messages.Rules, seed: int) -> None:
     fleet = warming_fleet(*FLEET_OF_12, warming, "burst failing", seed, rules=rules)
-    worst, sent, allowed = fleet.fullest_warming_window(use_small_count_margin=True)
-    assert sent > 0
-    assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
+    used_share, attempt_count, allowed_count = fleet.fullest_warming_window(use_small_count_margin=True)
+    assert attempt_count > 0
+    assert used_share <= 1.0, f"{attempt_count} attempts, {allowed_count:.1f} allowed"
 
 
 FAULTS = (
@@ -76,9 +76,9 @@
 @pytest.mark.parametrize("warming", ["zone", "all"])
 def test_budget_holds_under_other_faults(warming: str, faults: str) -> None:
     fleet = warming_fleet(*FLEET_OF_12, warming, faults, seed=2, rules=TIGHT_RULES, health_checks=True)
-    worst, sent, allowed = fleet.fullest_warming_window(use_small_count_margin=True)
-    assert sent > 0
-    assert worst <= 1.0, f"{sent} attempts and checks, {allowed:.1f} allowed"
+    used_share, attempt_count, allowed_count = fleet.fullest_warming_window(use_small_count_margin=True)
+    assert attempt_count > 0
+    assert used_share <= 1.0, f"{attempt_count} attempts and checks, {allowed_count:.1f} allowed"
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -59,9 +59,9 @@
         before_us=before_us,
         after_us=after_us,
     )
-    worst, sent, allowed = fleet.fullest_warming_window()
-    assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
-    assert sent > 0
+    used_share, attempt_count, allowed_count = fleet.fullest_warming_window()
+    assert used_share <= 1.0, f"{attempt_count} attempts, {allowed_count:.1f} allowed"
+    assert attempt_count > 0
     assert len(fleet.requests) >= 100
 
 
@@ -93,11 +93,11 @@
     rules: messages.Rules,
     seed: int = 1,
 ) -> None:
-    worst, sent, allowed = warming_fleet(
+    used_share, attempt_count, allowed_count = warming_fleet(
         balancer_count, endpoint_count, requests_per_window, warming, faults, seed=seed, rules=rules
     ).fullest_warming_window()
-    assert sent > 0
-    assert worst <= 1.0, f"{sent} attempts, {allowed:.1f} allowed"
+    assert attempt_count > 0
+    assert used_share <= 1.0, f"{attempt_count} attempts, {allowed_count:.1f} allowed"
 
 
 # With many balancers, a minimum rate, a first attempt and two saved tokens for each exceeded the budget.
@@ -144,7 +144,7 @@
 
 def test_unused_tokens_are_saved_for_at_most_one_window() -> None:
     """Otherwise all balancers would spend their saved tokens at the same time in a burst of requests."""
-    rules, saved, requests_per_window = replace(RULES, slow_start_us=60 * SECOND_US), 0, 0.0
+    rules, saved_tokens, requests_per_window = replace(RULES, slow_start_us=60 * SECOND_US), 0, 0.0
     for index in range(0, 120, 2):
         harness = BalancerHarness(
             balancer_settings(rules=rules, instances=120, index=index), endpoint_count=0, seed=index
@@ -162,9 +162,9 @@
             for attempt in actions_of_type(harness.send_request(f"r{number}"), messages.StartAttempt):
                 harness.end_attempt(attempt, messages.Outcome.OK)
             harness.advance(SECOND_US)
-        saved += int(harness.balancer.slow_start.refill(harness.now_us, restarted))
+        saved_tokens += int(harness.balancer.slow_start.refill(harness.now_us, restarted))
         requests_per_window += rules.overload_window_us / SECOND_US / len(harness.balancer.endpoints.subset)
-    assert 0 < saved <= rules.overload_multiple * 0.67 * requests_per_window
+    assert 0 < saved_tokens <= rules.overload_multiple * 0.67 * requests_per_window
 
 
 def test_retries_do_not_raise_the_rate_of_a_warming_endpoint() -> None:
@@ -265,9 +265,9 @@
 @pytest.mark.parametrize("seed", [0, 3, 4])
 def test_health_checks_and_their_repeats_stay_within_the_budget(seed: int) -> None:
     fleet = warming_fleet(30, 6, 0.7, "all", "burst silent", seed, health_checks=True)
-    worst, sent, allowed = fleet.fullest_warming_window()
-    assert sent > 0
-    assert worst <= 1.0, f"{sent} attempts and checks, {allowed:.1f} allowed"
+    used_share, attempt_count, allowed_count = fleet.fullest_warming_window()
+    assert attempt_count > 0
+    assert used_share <= 1.0, f"{attempt_count} attempts and checks, {allowed_count:.1f} allowed"
 
 
 @pytest.mark.parametrize(("started_at_us", "check_count"), [(0, 2), (10 * SECOND_US, 1)])
