--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What pytest offers to every test: the bound in real time on asynchronous tests."""
+"""Pytest hooks and fixtures of all tests, including the real-time limit of asynchronous tests."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Register the marker for a test that needs a longer bound."""
+    """Register the marker for tests that need a longer time limit."""
     config.addinivalue_line("markers", "time_limit_s(seconds): bound on an asynchronous test in real time")
 
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_call(item: pytest.Item) -> Generator[None, None, None]:
-    """Bound the real time of each asynchronous test."""
+    """Limit the real time of each asynchronous test."""
     if isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.obj):
         marker = item.get_closest_marker("time_limit_s")
         item.obj = limited(item.obj, *(marker.args if marker else ()))
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def bytes_from_endpoints(monkeypatch: pytest.MonkeyPatch) -> bytearray:
-    """All that the proxy has read from endpoints so far."""
+    """All bytes that the proxy has read from endpoints so far."""
     read = bytearray()
     data_received = UpstreamConnection.data_received
 
@@ -48,10 +48,12 @@
 
 @pytest.fixture
 def socket_failures(monkeypatch: pytest.MonkeyPatch) -> Iterator[SocketFailures]:
-    """Failures of system calls that the test adds; they concern all sockets made from now on."""
+    """System call failures added by the test; they apply to all sockets created from now on."""
     in_force = SocketFailures()
 
-    class SocketOfThisTest(FailingSocket):  # one that outlives its test never asks the next one's failures
+    class SocketOfThisTest(
+        FailingSocket
+    ):  # own class: a socket that outlives its test must not use the next test's failures
         failures = in_force
 
     monkeypatch.setattr(socket, "socket", SocketOfThisTest)
@@ -61,7 +63,7 @@
 
 @pytest.fixture
 def no_problems_until_loop_closes() -> Iterator[None]:
-    """Fail the test where anything from warnings up is logged, also while its event loop is closed."""
+    """Fail the test if it logs a line of level WARNING or above, also while its event loop closes."""
     with recorded_problem_lines() as lines:
         yield
     assert not lines
@@ -69,7 +71,7 @@
 
 @pytest.fixture
 def no_tracebacks_until_loop_closes() -> Iterator[None]:
-    """Fail the test where a traceback is logged, also while its event loop is closed."""
+    """Fail the test if it logs a traceback, also while its event loop closes."""
     with recorded_problem_lines() as lines:
         yield
     assert not [line for line in lines if "Traceback" in line]
@@ -77,21 +79,21 @@
 
 @pytest.fixture
 async def endpoint() -> AsyncIterator[StandInEndpoint]:
-    """An endpoint that answers each request with 200 and the body `x`."""
+    """An endpoint that responds to each request with 200 and the body `x`."""
     async with StandInEndpoint(http_response(200, b"x")) as stand_in:
         yield stand_in
 
 
 @pytest.fixture
 async def proxy(endpoint: StandInEndpoint) -> AsyncIterator[LoopbackProxy]:
-    """A proxy with the usual settings before that endpoint, which its list calls `s-1`."""
+    """A proxy with the default test settings in front of that endpoint, whose uid is `s-1`."""
     async with running_proxy(endpoint_entry("s-1", endpoint.port)) as running:
         yield running
 
 
 @pytest.fixture
 def at_most_one_problem_until_loop_closes() -> Iterator[None]:
-    """Fail the test where more than one warning or worse is logged, also while its event loop is closed."""
+    """Fail the test if it logs more than one line of level WARNING or above, also while its loop closes."""
     with recorded_problem_lines() as lines:
         yield
     assert len(lines) <= 1
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts on a connection pool and how they end, the requests they carry, and responses they meet."""
+"""Attempts on a connection pool with their outcomes, and sample requests and responses."""
 
 from __future__ import annotations
 
@@ -27,7 +27,8 @@
 OK_RESPONSE = UpstreamResponse(200, [(b"content-length", b"2")], b"ok")
 REQUEST_CLASS_NAMES = ["read", "write", "mark", "pay"]
 
-# How long earlier connects took, in seconds that no busy machine comes near: all that passes is stepped.
+# Durations of earlier connects, in seconds. They are far longer than any test takes in real time, even on a
+# busy machine, so that only steps of the clock reach them.
 MOSTLY_FAST_CONNECTS_S = [5.0] * 10 + [1_000.0] * 5
 SLOW_CONNECTS_S = [1_000.0, 1_010.0, 1_020.0] * 5
 LONG_CONNECT_TIMEOUT_S = 60_000.0
@@ -54,7 +55,7 @@
     timeout_s: float = 5.0,
     endpoint_id: int = 1,
 ) -> AttemptResult:
-    """Return how one attempt on the endpoint at this address ends."""
+    """Run one attempt on the endpoint at this address, and return its outcome and response."""
     ended: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     endpoint = EndpointAddress(endpoint_id, address)
     pool.enable_endpoint(endpoint)
@@ -63,7 +64,7 @@
 
 
 class RecordedAttempt:
-    """One attempt, and each of its ends."""
+    """One attempt, with every result that the pool reports for it."""
 
     def __init__(
         self,
@@ -79,7 +80,7 @@
         )
 
     async def result(self) -> AttemptResult:
-        """Return the only end of the attempt, after the turns in which another one would follow."""
+        """Return the only result, after enough turns of the event loop for a second result to be reported."""
         await wait_until(lambda: bool(self.results))
         for _ in range(5):
             await asyncio.sleep(0)
@@ -88,7 +89,7 @@
 
 
 class RecordedAttempts:
-    """Attempts on one endpoint, and their outcomes by request id."""
+    """Attempts on one endpoint, with their outcomes by request id."""
 
     def __init__(self, pool: ConnectionPool, server: StandInServer) -> None:
         self.pool, self.endpoint = pool, EndpointAddress(1, ("127.0.0.1", server.port))
@@ -102,7 +103,7 @@
         timeout_s: float = LONG_CONNECT_TIMEOUT_S / 2,
         failover_within_s: float = 0.0,
     ) -> UpstreamAttempt:
-        """Start an attempt of a request with this id."""
+        """Start an attempt for a request with this id."""
         request = replace(request, headers=[*request.headers, (b"req-id", request_id.encode())])
         return self.pool.start_attempt(
             self.endpoint,
@@ -113,5 +114,5 @@
         )
 
     async def wait_for_outcomes(self, **outcomes: Outcome) -> None:
-        """Wait until exactly these requests have ended so."""
+        """Wait until exactly these requests have ended, with these outcomes."""
         await wait_until(lambda: self.outcomes == outcomes)
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -1,4 +1,4 @@
-"""One balancer with short calls for its events, which keeps the actions that come of them."""
+"""Test harness for one balancer: builds its events and records the actions that it returns."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def balancer_settings(**changes: object) -> messages.Settings:
-    """Return settings with these fields in place of the usual ones."""
+    """Return the default test settings with these fields replaced."""
     values: dict[str, object] = {
         "classes": REQUEST_CLASSES,
         "rules": messages.Rules(0.4, 5 * SECOND_US, 3.0, 1 * SECOND_US),
@@ -48,11 +48,11 @@
 
 
 class BalancerHarness:
-    """A balancer on a clock that the test moves.
+    """A balancer on a clock that the test advances.
 
     Attributes:
-        now_us: The time; it begins at ten seconds.
-        actions: All actions so far, but timers that have fired.
+        now_us: The current time, initially 10 s.
+        actions: All actions returned so far, except timers that have fired.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
             self.update_endpoint_list(*(messages.Endpoint(n, cell=n % 2) for n in range(endpoint_count)))
 
     def handle(self, event: messages.Event) -> list[messages.Action]:
-        """Return the actions that come of this event now."""
+        """Pass this event to the balancer at the current time, and return its actions."""
         actions = self.balancer.handle(self.now_us, event)
         self.actions += actions
         return actions
@@ -76,7 +76,7 @@
         kind: messages.EndpointListKind = messages.EndpointListKind.COMPLETE,
         version: int = 1,
     ) -> None:
-        """Give the balancer a list of this kind."""
+        """Pass an endpoint list of this kind to the balancer."""
         self.handle(messages.EndpointListUpdate(kind, version, endpoints))
 
     def send_request(
@@ -86,7 +86,7 @@
         time_remaining_us: int = 5 * SECOND_US,
         retry: bool = False,
     ) -> list[messages.Action]:
-        """Return the actions that come of a request of this class with so many microseconds left."""
+        """Pass a request of this class to the balancer, and return its actions."""
         return self.handle(messages.Request(request_id, class_name, time_remaining_us, retry=retry))
 
     def end_attempt(
@@ -96,7 +96,7 @@
         duration_us: int = 50 * MILLISECOND_US,
         attempt_number: int = 0,
     ) -> list[messages.Action]:
-        """Return the actions that come of the end of an attempt, which took so many microseconds."""
+        """Report the end of an attempt after this duration to the balancer, and return its actions."""
         is_ok = outcome is messages.Outcome.OK
         return self.handle(
             messages.AttemptEnded(
@@ -105,7 +105,7 @@
         )
 
     def advance(self, duration_us: int) -> list[messages.Action]:
-        """Let time pass, and return the actions of the timers that fire on the way."""
+        """Advance the clock, fire each timer that becomes due, and return the resulting actions."""
         end_us, fired = self.now_us + duration_us, []
         while True:
             due = [a for a in self.actions if isinstance(a, messages.SetTimer) and a.at_us <= end_us]
@@ -120,5 +120,5 @@
 
 
 def actions_of_type(actions: list[messages.Action], kind: type[ActionType]) -> list[ActionType]:
-    """Return those of the actions that are of this type, in order."""
+    """Return the actions of this type, in order."""
     return [action for action in actions if isinstance(action, kind)]
--- a/tests/support/config_fields.py
+++ b/tests/support/config_fields.py
@@ -1,4 +1,4 @@
-"""Configurations with one field changed, and the names that errors must give to such fields."""
+"""Configurations with one field changed, and the names of such fields in error messages."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def config_with_field(path: FieldPath, value: object) -> dict[str, Any]:
-    """Return a configuration with another value at this place in it."""
+    """Return a configuration with the field at this path set to this value."""
     changed: Any = json.loads(json.dumps(proxy_config(known=endpoint_list(endpoint_entry("a", 9)))))
     changed["settings"]["limits"]["retryAfter"] = True
     changed["settings"]["tenants"] = [{"name": "t", "quotaPerS": 5}]
@@ -44,6 +44,6 @@
 
 
 def field_name(path: FieldPath) -> str:
-    """Return the name that an error must give to the field at this place."""
+    """Return the name by which an error message must refer to the field at this path."""
     parts = [f"[{step}]" if isinstance(step, int) else f".{step}" for step in path]
     return "".join(parts).removeprefix(".")
--- a/tests/support/connect_gates.py
+++ b/tests/support/connect_gates.py
@@ -1,4 +1,4 @@
-"""Holds connections to endpoints before they are made, until a test lets them come up."""
+"""Gates that block connects to endpoints until a test opens them."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class ConnectGates:
-    """Holds each connection of a pool just before it is made; the limits on connects don't run meanwhile.
+    """Blocks each connect of a pool before it begins, so that connect time-outs do not run meanwhile.
 
     Attributes:
-        gates: One for each connect, in the order of their start.
-        clock: The event loop's clock, which `advance` moves.
+        gates: One gate for each connect, in the order in which the connects were started.
+        clock: The event loop's clock, moved by `advance`.
     """
 
     def __init__(self, pool: ConnectionPool, earlier_connects_s: Iterable[float] = ()) -> None:
@@ -38,32 +38,32 @@
 
     @property
     def started_count(self) -> int:
-        """How many connects have been started."""
+        """The number of connects started so far."""
         return len(self.gates)
 
     async def wait_for_started(self, count: int) -> None:
-        """Wait until exactly so many connects have been started."""
+        """Wait until exactly this many connects have been started."""
         await wait_until(lambda: len(self.gates) == count)
 
     def open(self, *numbers: int) -> None:
-        """Let these connects go on, counted from 0."""
+        """Open the gates of these connects, numbered from 0."""
         for number in numbers:
             self.gates[number].set()
 
     def open_all(self) -> None:
-        """Let all connects go on, those to come as well."""
+        """Open the gates of all connects, including later ones."""
         self._are_all_open = True
         for gate in self.gates:
             gate.set()
 
     async def advance(self, seconds: float) -> None:
-        """Move the clock on, and let all that falls due then run."""
+        """Advance the clock, and run the callbacks that become due."""
         self.clock.advance(seconds)
         await run_loop_turns(12)
 
 
 class SystemConnectGate:
-    """Holds all connects of the event loop until `opened` is set; the limits on connects run meanwhile."""
+    """Blocks all connects of the event loop until `opened` is set, while connect time-outs run."""
 
     def __init__(self) -> None:
         self.opened = asyncio.Event()
--- a/tests/support/endpoint_lists.py
+++ b/tests/support/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in discovery's own form, as tests state them."""
+"""Builders of endpoint lists in the wire format of discovery."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def endpoint_entry(
     uid: str, port: int, state: str = "in_service", **other_fields: object
 ) -> dict[str, object]:
-    """Return the entry of one endpoint on loopback."""
+    """Return the list entry of one endpoint on loopback."""
     return {
         "uid": uid,
         "endpoint": f"127.0.0.1:{port}",
@@ -27,15 +27,15 @@
 
 
 def endpoint_list(*entries: dict[str, object], rev: int = 1, is_complete: bool = True) -> dict[str, object]:
-    """Return the complete list with these entries, or the changes to one where it is not `is_complete`."""
+    """Return a complete list with these entries, or a list of changes if `is_complete` is false."""
     return {"rev": rev, "all": is_complete, "targets": list(entries)}
 
 
 def parsed_endpoint_list(*entries: dict[str, object], rev: int = 1) -> EndpointListMessage:
-    """Return the complete list with these entries as the product reads it."""
+    """Return the complete list with these entries as parsed by the product."""
     return read_list(endpoint_list(*entries, rev=rev))
 
 
 def endpoint_list_chunk(message: dict[str, object]) -> bytes:
-    """Return one chunk of a watch's response that holds this list."""
+    """Return one chunk of a watch response that contains this list."""
     return http_chunk(json.dumps(message) + "\n")
--- a/tests/support/failing_sockets.py
+++ b/tests/support/failing_sockets.py
@@ -1,7 +1,7 @@
-"""Sockets whose system calls fail, or do half of what was asked, as a test says.
+"""Sockets whose system calls fail or move only one byte, as configured by a test.
 
-The failures are made at the boundary to the system, on real sockets. The fixture `socket_failures` makes all
-sockets of a test's process so.
+The failures are injected at the system call boundary of real sockets. The fixture `socket_failures` replaces
+the socket class of the test's process.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 SocketFilter = Callable[[socket.socket], bool]
 
-# After these from `accept`, the system has taken one connection out of its queue.
+# When `accept` fails with one of these, the system has removed one connection from its queue.
 ERRNOS_OF_LOST_CONNECTION = [
     errno.ECONNABORTED,
     errno.EHOSTDOWN,
@@ -31,17 +31,17 @@
 ]
 
 ERRNOS_OF_RESOURCE_SHORTAGE = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
-# An open connection ends with one of these.
+# Errors that end an established connection.
 ERRNOS_OF_BROKEN_CONNECTION = [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ECONNRESET]
 
 
 def accepted_on(port: int) -> SocketFilter:
-    """Select the listener on this port, and the connections that it has accepted."""
+    """Select the listener on this port and the connections that it has accepted."""
     return lambda checked: bool(checked.getsockname()[1] == port)
 
 
 def connected_to(port: int) -> SocketFilter:
-    """Select sockets that are connected to this port, or about to be."""
+    """Select sockets that are connected or connecting to this port."""
     return lambda checked: bool(getattr(checked, "target_port", None) == port)
 
 
@@ -52,37 +52,37 @@
 
 @dataclass
 class SocketFailure:
-    """What happens to one system call on some sockets, the next few times."""
+    """A failure of one system call on the selected sockets, for the next `times` calls."""
 
-    call: str  # its name: socket, accept, connect, recv, send, shutdown
+    call: str  # name of the call: socket, accept, connect, recv, send, shutdown
     applies_to: SocketFilter
-    error: int = 0  # 0: the call moves one byte only
+    error: int = 0  # errno; 0: the call moves only one byte
     times: int = 1
     hit_count: int = 0
 
     def exception(self) -> OSError:
-        """Return the error as the call raises it."""
+        """Return the exception that the call raises."""
         return OSError(self.error, os.strerror(self.error))
 
 
 class SocketFailures:
-    """The failures in force. Each holds until it is used up; the first that fits counts."""
+    """The active failures. Each applies until used up; the first one that matches a call is used."""
 
     def __init__(self) -> None:
         self._failures: list[SocketFailure] = []
 
     def add(self, call: str, applies_to: SocketFilter, error: int = 0, times: int = 1) -> SocketFailure:
-        """Let a system call fail with this error on some sockets, the next few times."""
+        """Add a failure of a system call on the selected sockets, for its next `times` calls."""
         failure = SocketFailure(call, applies_to, error, times)
         self._failures.append(failure)
         return failure
 
     def clear(self) -> None:
-        """Let all calls succeed from now on."""
+        """Remove all failures."""
         self._failures.clear()
 
     def next_failure(self, call: str, checked: socket.socket) -> SocketFailure | None:
-        """Use up and return the failure that fits this call, if there is one."""
+        """Return the first failure that matches this call, and count its use; None if there is none."""
         for failure in self._failures:
             if failure.call == call and failure.hit_count < failure.times and failure.applies_to(checked):
                 failure.hit_count += 1
@@ -91,7 +91,7 @@
 
 
 class FailingSocket(socket.socket):
-    """Asks the failures in force before each system call."""
+    """Socket that applies the active failures before each system call."""
 
     failures: ClassVar[SocketFailures]
 
@@ -102,7 +102,7 @@
             raise failure.exception()
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """Accept a connection, unless the call is to fail."""
+        """Accept a connection, or raise the injected error."""
         if failure := self.failures.next_failure("accept", self):
             if failure.error in ERRNOS_OF_LOST_CONNECTION:
                 super().accept()[0].close()
@@ -110,32 +110,32 @@
         return super().accept()
 
     def connect(self, address: Any) -> None:
-        """Connect, unless the call is to fail."""
+        """Connect, or raise the injected error."""
         self.target_port = address[1]
         if failure := self.failures.next_failure("connect", self):
             raise failure.exception()
         super().connect(address)
 
     def recv(self, size: int, *flags: int) -> bytes:
-        """Receive bytes, one where the call is to be cut short."""
+        """Receive bytes; at most one if a failure shortens the call."""
         return super().recv(self._allowed_bytes("recv", size), *flags)
 
     def recv_into(self, buffer: Any, size: int = 0, *flags: int) -> int:
-        """Receive bytes, one where the call is to be cut short."""
+        """Receive bytes; at most one if a failure shortens the call."""
         return super().recv_into(buffer, self._allowed_bytes("recv", size or len(buffer)), *flags)
 
     def send(self, data: Any, *flags: int) -> int:
-        """Send bytes, one where the call is to be cut short."""
+        """Send bytes; only one if a failure shortens the call."""
         return super().send(data[: self._allowed_bytes("send", len(data))], *flags)
 
     def shutdown(self, how: int) -> None:
-        """Shut down a side, unless the call is to fail."""
+        """Shut down one or both directions, or raise the injected error."""
         if failure := self.failures.next_failure("shutdown", self):
             raise failure.exception()
         super().shutdown(how)
 
     def _allowed_bytes(self, call: str, size: int) -> int:
-        """Return how many bytes the call may move, which a failure may cut to one."""
+        """Return how many bytes the call may move: at most one if a failure shortens it."""
         failure = self.failures.next_failure(call, self)
         if failure is not None and failure.error:
             raise failure.exception()
--- a/tests/support/http_messages.py
+++ b/tests/support/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as bytes, for the stand-ins and clients of tests, and how these read one."""
+"""Builders and readers of HTTP messages for the stand-ins and clients of tests."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class HttpMessage(NamedTuple):
-    """One request or response as it was read."""
+    """One request or response that was read."""
 
     start_line: str
-    headers: dict[str, str]  # by their names in lower case
+    headers: dict[str, str]  # by lower-case name
     body: bytes
 
 
 def parse_head(head: bytes) -> tuple[str, dict[str, str]]:
-    """Return the start line and the headers, by their names in lower case."""
+    """Return the start line, and the headers by lower-case name."""
     start_line, *lines = head.decode().split("\r\n")
     fields = (line.partition(":") for line in lines if line)
     return start_line, {name.lower(): value.strip() for name, _, value in fields}
 
 
 async def read_http_message(reader: asyncio.StreamReader) -> HttpMessage:
-    """Read one message whose length is stated in its headers, or that has no body."""
+    """Read one message that has a Content-Length header or no body."""
     start_line, headers = parse_head(await reader.readuntil(b"\r\n\r\n"))
     body = await reader.readexactly(int(headers.get("content-length", 0)))
     return HttpMessage(start_line, headers, body)
@@ -36,7 +36,7 @@
 
 
 async def send_request_to(port: int, request: bytes) -> HttpMessage:
-    """Return the response to one request on a new connection to this port of loopback."""
+    """Send one request on a new connection to this loopback port, and return the response."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(request)
     try:
@@ -49,9 +49,10 @@
     """Return the bytes of a message.
 
     Args:
-        start_line: Without its line end.
-        body: The content.
-        headers: By name, with `_` for `-`. The length of the body is added where no other one is given.
+        start_line: The start line without its line end.
+        body: The body.
+        headers: The headers by name, with `_` for `-`. The Content-Length of the body is added,
+            unless the body is empty and `Content_Length` is given.
     """
     lines = [start_line, *(f"{name.replace('_', '-')}: {value}" for name, value in headers.items())]
     if body or "Content_Length" not in headers:
@@ -67,7 +68,7 @@
 def http_request(
     class_name: str = "read", request_id: str = "a1", path: str = "/api", body: bytes = b"", **headers: str
 ) -> bytes:
-    """Return the bytes of a client's request of one class, with the headers that the proxy asks for."""
+    """Return the bytes of a client's request of one class, with the headers that the proxy requires."""
     method = "GET" if class_name == "read" else "POST"
     fields = {"Host": "x", "Req_Id": request_id, "Req_Kind": class_name, "Req_Deadline": "4.0", **headers}
     if class_name in ("write", "mark"):
@@ -86,5 +87,5 @@
 
 
 def closes_connection(message: HttpMessage) -> bool:
-    """Return whether the message says that it is the last one on its connection."""
+    """Return whether the message has the header `Connection: close`."""
     return message.headers.get("connection") == "close"
--- a/tests/support/in_process_server.py
+++ b/tests/support/in_process_server.py
@@ -1,4 +1,4 @@
-"""The whole proxy with its start and its graceful shutdown, in the test's own process."""
+"""The whole proxy, including its start and graceful shutdown, in the test's own process."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @asynccontextmanager
 async def serving_in_process(folder: Path, port: int, config: dict[str, Any]) -> AsyncIterator[SteppedClock]:
-    """Start a proxy with this configuration on this port, on a stepped clock; shut it down by SIGTERM."""
+    """Run a proxy with this configuration on this port, on a stepped clock; shut it down with SIGTERM."""
     source = ConfigSource(write_config(folder, {**config, "listen": f"127.0.0.1:{port}"}))
     clock = SteppedClock()
     serving = asyncio.ensure_future(serve_until_stopped(source.read(), source))
@@ -28,7 +28,7 @@
     try:
         yield clock
     finally:
-        if not serving.done():  # else nothing handles the signal, and it ends the process of the tests
+        if not serving.done():  # a finished proxy handles no signals: SIGTERM would end the test process
             os.kill(os.getpid(), signal.SIGTERM)
         while not serving.done():
             clock.advance(SHUTDOWN_STEP_S)
--- a/tests/support/loopback_proxy.py
+++ b/tests/support/loopback_proxy.py
@@ -22,23 +22,23 @@
 from tests.support.stepped_clock import FrozenClock, SteppedClock
 from tests.support.units import SECOND_US
 
-NO_DISCOVERY_PORT = 1  # no server listens on this port
+NO_DISCOVERY_PORT = 1  # nothing listens on this port
 
 
 class PolicyClockOffset:
-    """How far the policy's clock is moved on, as a test has stepped the event loop's clock."""
+    """Offset that keeps the policy's clock in step with the event loop's stepped clock."""
 
     def __init__(self) -> None:
         self.stepped_clock: SteppedClock | None = None
         self._frozen_at_us: int | None = None
 
     def follow(self, clock: SteppedClock) -> None:
-        """Move on with this clock from now on; real time counts where it counts for the clock."""
+        """Follow this clock from now on; real time is added unless the clock is frozen."""
         self.stepped_clock = clock
         self._frozen_at_us = monotonic_us() if isinstance(clock, FrozenClock) else None
 
     def clock(self) -> Clock:
-        """Return a clock for the policy that is moved on with the event loop's clock."""
+        """Return a clock for the policy that advances with the followed clock."""
         return Clock(monotonic_us=self._now_us)
 
     def _now_us(self) -> int:
@@ -49,7 +49,7 @@
 
 @dataclass
 class LoopbackProxy:
-    """A proxy that listens on a port of its own; `running_proxy` makes it and ends it."""
+    """A proxy that listens on a port chosen by the system; `running_proxy` creates and closes it."""
 
     driver: EventLoopDriver
     listener: ClientListener
@@ -59,35 +59,35 @@
 
     @property
     def clients(self) -> ClientRegistry[ClientConnection]:
-        """The connections of clients."""
+        """The registry of client connections."""
         return self.listener.clients
 
     def use_stepped_clock(self) -> SteppedClock:
-        """Return a clock that moves the event loop's time and the policy's together."""
+        """Install and return a clock that steps the event loop's time and the policy's time together."""
         clock = SteppedClock()
         self.link_policy_clock(clock)
         return clock
 
     def link_policy_clock(self, clock: SteppedClock) -> None:
-        """Move the policy's time on together with this clock of the event loop."""
+        """Make the policy's clock follow this clock of the event loop."""
         self._policy_clock_offset.follow(clock)
 
     async def connect(self) -> StreamPair:
-        """Open a client's connection."""
+        """Open a client connection."""
         return await asyncio.open_connection("127.0.0.1", self.port)
 
     async def send_request(self, request: bytes) -> HttpMessage:
-        """Return the response to one request on a new connection."""
+        """Send one request on a new connection, and return the response."""
         return await send_request_to(self.port, request)
 
     def oldest_attempt_connection(self) -> UpstreamConnection:
-        """Return the connection of the open attempt that was begun first."""
+        """Return the connection of the attempt in flight that was started first."""
         attempt = next(iter(self.driver.requests.attempts.in_flight.values()))
         assert attempt.connection is not None
         return attempt.connection
 
     def limit_send_buffers(self, size_bytes: int = 4096) -> None:
-        """Let connections accepted from now on buffer little, so that responses wait for their client."""
+        """Shrink the send buffers of later client connections, so that unread responses stay in the proxy."""
         self.listener.acceptor.listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size_bytes)
 
 
@@ -100,7 +100,7 @@
     max_connections: int = 100,
     connect_timeout_s: float = 5.0,
 ) -> AsyncIterator[LoopbackProxy]:
-    """Run a proxy that knows these endpoints, and follows discovery where its port is given."""
+    """Run a proxy with these endpoints in its cached list; it watches discovery if a port is given."""
     settings = settings or balancer_settings()
     pool = ConnectionPool(connect_timeout_s, idle_timeout_s, max_connections)
     clock_offset = PolicyClockOffset()
@@ -108,7 +108,7 @@
     driver = EventLoopDriver(settings, 1, pool, discovery, clock_offset.clock())
     listener = ClientListener(driver, {c.name: c for c in settings.classes}, max_connections)
     _, port = listener.listen(("127.0.0.1", 0))
-    if discovery_port == NO_DISCOVERY_PORT:  # the list stays as known
+    if discovery_port == NO_DISCOVERY_PORT:  # without discovery, the cached list stays unchanged
         driver.endpoint_list.watch.start = lambda: None  # type: ignore[method-assign]
     driver.start(parsed_endpoint_list(*endpoint_entries) if endpoint_entries else None)
     try:
--- a/tests/support/manual_clocks.py
+++ b/tests/support/manual_clocks.py
@@ -1,4 +1,4 @@
-"""The two clocks of a machine as a test moves them, and a driver on them that is given lists directly."""
+"""Monotonic and wall clock controlled by a test, and a driver on them that gets endpoint lists directly."""
 
 from __future__ import annotations
 
@@ -25,30 +25,30 @@
 
 @dataclass
 class ManualClocks:
-    """The monotonic clock and the wall clock of a machine."""
+    """The monotonic clock and the wall clock of a machine, moved by the test."""
 
     monotonic_us: int = 1000 * SECOND_US
-    wall_offset_us: int = START_UNIX_US  # how far the wall clock is ahead
+    wall_offset_us: int = START_UNIX_US  # wall clock minus monotonic clock
 
     def wall_us(self) -> int:
         """Return the time of the wall clock."""
         return self.monotonic_us + self.wall_offset_us
 
     def clock(self) -> Clock:
-        """Return the product's clock on these two."""
+        """Return a product clock that reads these two."""
         return Clock(self.wall_us, lambda: self.monotonic_us)
 
     def advance(self, duration_us: int) -> None:
-        """Let time pass on both clocks."""
+        """Advance both clocks."""
         self.monotonic_us += duration_us
 
     def step_wall_clock(self, by_us: int) -> None:
-        """Set the wall clock to another time."""
+        """Step the wall clock by this much; the monotonic clock stays."""
         self.wall_offset_us += by_us
 
 
 class ManualDriver:
-    """A driver that a test gives endpoint lists to, on clocks that the test moves."""
+    """A driver on manual clocks, whose endpoint lists come from the test in place of discovery."""
 
     def __init__(self, known: EndpointListMessage | None = None, clocks: ManualClocks | None = None) -> None:
         self.clocks = clocks or ManualClocks()
@@ -64,18 +64,18 @@
         self.version = 1
 
     def apply_list(self, *starts: tuple[str, int], is_complete: bool = False) -> None:
-        """Apply a list, or changes to it, of endpoints with these starts in Unix time, microseconds."""
+        """Apply a list or changes, of endpoints with these start times in Unix time, microseconds."""
         self.version += 1
         self.driver.endpoint_list.receive(
             list_with_start_times(*starts, is_complete=is_complete, rev=self.version)
         )
 
     def receive_heartbeat(self) -> None:
-        """Do what the watch does at a heartbeat that follows a list."""
+        """Process a heartbeat after a list, as the watch does."""
         self.driver.endpoint_list.start_times.confirm()
 
     def terminate(self, uid: str) -> None:
-        """Apply a change by which this endpoint is gone."""
+        """Apply a change in which this endpoint is terminated."""
         self.version += 1
         entry = endpoint_entry(uid, 9, "terminated")
         self.driver.endpoint_list.receive(
@@ -83,12 +83,12 @@
         )
 
     def age_us(self, uid: str) -> int:
-        """Return for how long the endpoint has run, as the policy sees it."""
+        """Return the time since the endpoint's start, as the policy knows it."""
         state = self.driver.balancer.endpoints.states[endpoint_id_from_uid(uid)]
         return self.driver.clock.now_us() - state.started_us
 
     def capacity(self, uid: str) -> float:
-        """Return the share of its full capacity that the policy gives the endpoint."""
+        """Return the share of full capacity that the policy assumes for the endpoint."""
         state = self.driver.balancer.endpoints.states[endpoint_id_from_uid(uid)]
         return self.driver.balancer.slow_start.capacity(self.driver.clock.now_us(), state)
 
@@ -96,6 +96,6 @@
 def list_with_start_times(
     *starts: tuple[str, int], is_complete: bool = True, rev: int = 1
 ) -> EndpointListMessage:
-    """Return a list of endpoints with these starts in Unix time, microseconds."""
+    """Return a list of endpoints with these start times in Unix time, microseconds."""
     entries = (endpoint_entry(uid, 9, boot_ms=start_us // 1000) for uid, start_us in starts)
     return read_list(endpoint_list(*entries, rev=rev, is_complete=is_complete))
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -1,4 +1,4 @@
-"""The proxy as a process of its own, started as the deploy file says, and the configuration it is given."""
+"""The proxy as a separate process, started by the command of the deploy file, and its configuration."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 ROOT = Path(__file__).parent.parent.parent
 
-# With both fields that the settings of the simulator leave out.
+# Includes the two fields that the simulator's settings do not have: connectTimeoutUs and connIdleUs.
 LIMITS = {"maxAttempts": 3, "cancel": True, "connectTimeoutUs": 250_000, "connIdleUs": 30_000_000}
 
 
 def raw_settings(**changes: Any) -> dict[str, Any]:
-    """Return settings in the form of the configuration file, with fields that the proxy does not know."""
+    """Return settings in the format of the configuration file, including fields unknown to the proxy."""
     lanes = [
         {
             "name": "read",
@@ -53,7 +53,7 @@
 
 
 def proxy_config(**changes: Any) -> dict[str, Any]:
-    """Return a configuration with these fields in place of the usual ones."""
+    """Return the default test configuration with these fields replaced."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -66,14 +66,14 @@
 
 
 def write_config(folder: Path, content: object) -> dict[str, str]:
-    """Write a configuration file; return the environment that names it to a process."""
+    """Write a configuration file, and return the environment variables that point a process to it."""
     path = folder / "config.json"
     path.write_text(json.dumps(content))
     return {"NODE_CONFIG": str(path)}
 
 
 def deploy_command(entry: str = "run") -> list[str]:
-    """Return the command of an entry of the deploy file, with this interpreter in place of its own."""
+    """Return the command of an entry of the deploy file, with the current Python interpreter."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     words = str(deploy[entry]).split()
     assert words[:2] == ["exec", ".venv/bin/python"]
@@ -84,7 +84,7 @@
 async def running_proxy_process(
     env: dict[str, str], descriptors: int = 1024
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Run a proxy as the deploy file says, with at most so many descriptors; kill it at the end."""
+    """Run a proxy by the deploy file's command, with a limit on file descriptors; kill it on exit."""
     pipe = asyncio.subprocess.PIPE
     started = await asyncio.create_subprocess_exec(
         "/bin/sh",
@@ -108,32 +108,32 @@
 async def read_listening_port(
     process: asyncio.subprocess.Process, lines_before: list[str] | None = None
 ) -> int:
-    """Return the port that the process logs as the one it listens on.
+    """Return the listening port that the process logs.
 
     Args:
-        process: A proxy that has just been started.
-        lines_before: Gets the lines up to that one.
+        process: A newly started proxy.
+        lines_before: Receives the log lines up to and including the one with the port.
     """
     assert process.stderr is not None
     while True:
         line = (await process.stderr.readline()).decode()
-        assert line, "it ended before it listened"
+        assert line, "the proxy process ended before it logged its listening port"
         if lines_before is not None:
             lines_before.append(line)
         if "listens on" in line:
             return int(line.rsplit(":", 1)[1])
 
 
-# Each process that runs tests begins at another port. Those that run side by side were started one after the
-# other, so their ids are close together: each begins this many ports, more than a run takes, behind the last.
+# Each test process starts at a different port, so that parallel ones do not choose the same. Parallel test
+# processes have nearby process ids; each id shifts the first port by this many, more than one run uses.
 PORTS_PER_PROCESS = 397
 PORTS = itertools.cycle(range(20_000 + os.getpid() * PORTS_PER_PROCESS % 10_000, 32_000))
 
 
 def unused_port() -> int:
-    """Return another port each time, outside the range that the system chooses from, so it stays unused."""
+    """Return a different unused port on each call, outside the range of ports that the system assigns."""
     for port in itertools.islice(PORTS, 12_000):
         with socket.socket() as free, contextlib.suppress(OSError):
             free.bind(("127.0.0.1", port))
             return port
-    raise OSError("no free port")
+    raise OSError("no free port between 20000 and 31999")
--- a/tests/support/raw_endpoint.py
+++ b/tests/support/raw_endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint on plain sockets: what it does is with the system before the call returns."""
+"""An endpoint on plain sockets: each send, end or reset has reached the system when the call returns."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EndpointConnection:
-    """The endpoint's end of one connection."""
+    """The endpoint's side of one connection."""
 
     def __init__(self, accepted: socket.socket, reading: asyncio.Event) -> None:
         self.socket = accepted
@@ -24,26 +24,26 @@
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def send(self, data: bytes) -> None:
-        """Hand the bytes to the system."""
+        """Send all bytes before returning."""
         self.socket.sendall(data)
 
     def end_sending(self) -> None:
-        """Send a proper end."""
+        """End the sending direction with FIN."""
         self.socket.shutdown(socket.SHUT_WR)
 
     def reset(self) -> None:
-        """Reset the connection."""
-        asyncio.get_running_loop().remove_reader(self.socket)  # it may be waiting for more
+        """Close the connection with RST."""
+        asyncio.get_running_loop().remove_reader(self.socket)  # a pending read may have registered it
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
 
     @property
     def is_closed(self) -> bool:
-        """Whether this end has closed or reset the connection."""
+        """Whether the endpoint has closed or reset the connection."""
         return self.socket.fileno() < 0
 
     async def read_more(self) -> bool:
-        """Read what has come; return False at the end of either side."""
+        """Read available bytes, waiting for some; return False once either side has closed."""
         while True:
             await self._reading.wait()
             if self.is_closed:
@@ -70,7 +70,7 @@
                 loop.remove_reader(self.socket)
 
     async def read_request(self) -> HttpMessage | None:
-        """Return the next request once it is complete; None at the end of the connection."""
+        """Return the next complete request, or None if the connection ends before."""
         while b"\r\n\r\n" not in self.unparsed:
             if not await self.read_more():
                 return None
@@ -90,15 +90,15 @@
 
 
 class RawEndpoint:
-    """An endpoint, as an async context manager; its handler gets each request with its connection.
+    """An endpoint as an async context manager; its handler is called with each request and its connection.
 
     Attributes:
-        port: Where it listens.
-        endpoint: Its address as the pool knows it.
-        connections: The connections so far, in order.
-        accepting: Until it is set, connections wait in the system's queue.
-        reading: While it is not set, nothing is read.
-        received: The requests so far.
+        port: The port that it listens on.
+        endpoint: Its address in the form used by the connection pool.
+        connections: The connections accepted so far, in order.
+        accepting: While it is not set, connections stay in the system's accept queue.
+        reading: While it is not set, no connection is read.
+        received: The requests received so far.
     """
 
     def __init__(self, handler: ConnectionHandler, *, accepts: bool = True) -> None:
@@ -139,7 +139,7 @@
         return self
 
     async def __aexit__(self, *exception: object) -> None:
-        """Close all, and raise what a handler has raised: a test's own mistake."""
+        """Close all sockets, and re-raise the exception of a handler: an error in the test itself."""
         failed = [task.exception() for task in self._tasks if task.done() and not task.cancelled()]
         for task in self._tasks:
             task.cancel()
@@ -151,10 +151,10 @@
 
 
 def respond_with(*steps: bytes | str) -> ConnectionHandler:
-    """Return a handler that does these steps at each request, in one turn of the event loop.
+    """Return a handler that performs these steps for each request, in one turn of the event loop.
 
     Args:
-        steps: Bytes to send, "end" for the end of sending, "reset".
+        steps: Bytes to send, "end" to end the sending direction, or "reset" to reset the connection.
     """
 
     async def respond(connection: EndpointConnection, request: HttpMessage) -> None:
--- a/tests/support/reload_harness.py
+++ b/tests/support/reload_harness.py
@@ -1,4 +1,4 @@
-"""A running proxy, its configuration file, and what a reload of the file does."""
+"""Test harness for reloading the configuration file of a running proxy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ReloadHarness:
-    """Reloads the configuration of a proxy, and records the discoveries that the proxy is moved to."""
+    """Reloads the configuration of a proxy, and records the discovery addresses that it switches to."""
 
     def __init__(self, folder: Path, proxy: LoopbackProxy, caplog: pytest.LogCaptureFixture) -> None:
         env = write_config(folder, proxy_config())
@@ -26,7 +26,7 @@
         proxy.driver.change_discovery_address = lambda address: self.discovery_addresses.append(address)  # type: ignore[method-assign]
 
     def reload(self) -> str:
-        """Reload a file that is not sound, and return the only error that is logged."""
+        """Reload an invalid file, and return the one error line that is logged."""
         self.caplog.clear()
         self.reloader.reload()
         [line] = [r for r in self.caplog.records if r.levelno >= logging.ERROR]
@@ -35,14 +35,14 @@
         return line.getMessage()
 
     def assert_rejected(self, *names: str) -> None:
-        """Reload a file; it must be rejected with one of these names of fields."""
+        """Assert that a reload rejects the file with an error that contains one of these field names."""
         line = self.reload()
         assert "the old one stays" in line, line
         assert any(name in line for name in names), line
         assert not self.discovery_addresses
 
     def assert_valid_file_is_applied(self) -> None:
-        """Reload a sound file; the proxy must take it up."""
+        """Assert that a reload applies a valid file."""
         self.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:2")))
         self.reloader.reload()
         assert self.discovery_addresses == [("127.0.0.1", 2)]
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -1,7 +1,7 @@
-"""Many real balancers before simulated endpoints and clients, on one clock that their events move.
+"""Discrete-event simulation of a fleet: real balancers with simulated endpoints and clients.
 
-There is no socket, thread or real time: events lie in a heap, and all chance comes from the seed. Times are
-in microseconds.
+No sockets, threads or real time are used: events are processed from a heap in order of time, and the seed
+determines all random values.
 """
 
 from __future__ import annotations
@@ -19,24 +19,26 @@
 from load_balancer import Balancer, messages
 from tests.support.units import MILLISECOND_US, SECOND_US
 
-NETWORK_DELAY_US = 1 * MILLISECOND_US  # an attempt's way to its endpoint
-ERROR_RESPONSE_US = 5 * MILLISECOND_US  # how long a failing endpoint takes to respond
-START_US = 10 * SECOND_US  # the clock's first moment
-HEALTH_CHECK_TIMEOUT_US = 250 * MILLISECOND_US  # after which a health check without a response has failed
+NETWORK_DELAY_US = 1 * MILLISECOND_US  # one-way delay from a balancer to an endpoint
+ERROR_RESPONSE_US = 5 * MILLISECOND_US  # response time of a failing endpoint
+START_US = 10 * SECOND_US  # initial time of the clock
+HEALTH_CHECK_TIMEOUT_US = 250 * MILLISECOND_US
 ZONES = "abcdefgh"
 
 
 class SimulatedEndpoint:
-    """An endpoint with slots, a queue, and less capacity for a while after each start.
+    """An endpoint with a limited concurrency, a queue, and reduced capacity during slow start.
 
     Attributes:
-        entry: How the endpoint list states it.
+        entry: Its entry in the endpoint list.
         start_times_us: The times of its restarts, in order.
-        service_time_us: How long a request of mean work takes while warm.
-        requests_per_window: Requests of mean work that it does in the overload window while warm.
-        mode: "healthy", "failing", "refusing" or "silent".
-        slowdown_factor: What the time of each request is multiplied with.
-        arrivals: The time of each attempt or health check, and whether its sender knew the latest start.
+        service_time_us: The duration of a request of mean work while warm.
+        requests_per_window: The requests of mean work that it completes per overload window while warm.
+        mode: "healthy", "failing" (responds with errors), "refusing" (rejects requests) or "silent" (does not
+            respond).
+        slowdown_factor: Factor on the duration of each request.
+        arrivals: The arrival time of each attempt or health check, and whether the list of its balancer
+            had the latest incarnation of the endpoint.
     """
 
     def __init__(
@@ -51,13 +53,13 @@
         self.start_times_us: list[int] = []
         self.service_time_us = slot_count * rules.overload_window_us / requests_per_window
         self.requests_per_window = requests_per_window
-        self.slot_free_at_us = [0] * slot_count  # when each slot is free
+        self.slot_free_at_us = [0] * slot_count  # when each slot becomes free
         self.mode = "healthy"
         self.slowdown_factor = 1.0
         self.arrivals: list[tuple[int, bool]] = []
 
     def capacity(self, now_us: int, started_at_us: float | None = None) -> float:
-        """Return the share of its full capacity that it has, by its latest start or by this one."""
+        """Return its share of full capacity at this time, after this start or by default the latest one."""
         rules = self.rules
         started_at_us = self.entry.incarnation_us if started_at_us is None else started_at_us
         if started_at_us <= 0 or now_us >= started_at_us + rules.slow_start_us:
@@ -68,7 +70,7 @@
         )
 
     def serve(self, now_us: int, work_factor: float) -> tuple[int, messages.Outcome] | None:
-        """Return when an attempt that comes now ends, and how; None where it never does."""
+        """Return the end time and outcome of an attempt that arrives now; None if it gets no response."""
         if self.mode == "silent":
             return None
         if self.mode == "failing":
@@ -84,7 +86,7 @@
         return self.slot_free_at_us[slot], messages.Outcome.OK
 
     def restart(self, started_at_us: int) -> None:
-        """Start anew at this time, with less capacity."""
+        """Restart at this time, with an empty queue and reduced capacity."""
         self.slot_free_at_us = [0] * len(self.slot_free_at_us)
         self.start_times_us.append(started_at_us)
         self.entry = messages.Endpoint(
@@ -94,16 +96,16 @@
 
 @dataclass
 class SimulatedRequest:
-    """A client's request and its result.
+    """A client's request and its state.
 
     Attributes:
-        class_name: The name of its class.
-        tenant: Its tenant, if it has one.
-        balancer_index: The index of the balancer that it came to.
-        arrived_at_us: When it came.
+        class_name: The name of its request class.
+        tenant: Its tenant, if any.
+        balancer_index: The index of the balancer that received it.
+        arrived_at_us: When it arrived.
         work_factor: Its work as a multiple of the mean.
-        attempt_count: How many attempts it has had.
-        responded_at_us: When it was answered; 0 where it was rejected or failed.
+        attempt_count: The number of its attempts so far.
+        responded_at_us: When its successful response arrived; 0 if it has none.
         is_over: Whether it has its final response.
     """
 
@@ -118,7 +120,7 @@
 
 
 class AttemptKey(NamedTuple):
-    """Identifies an attempt: its balancer's index, its request's id and its number."""
+    """Key of an attempt: index of the balancer, id of the request and number of the attempt."""
 
     balancer_index: int
     request_id: str
@@ -126,7 +128,7 @@
 
 
 class AttemptInFlight(NamedTuple):
-    """When an attempt was started, and on which endpoint."""
+    """Start time and endpoint of an attempt in flight."""
 
     started_at_us: int
     endpoint_id: int
@@ -136,9 +138,9 @@
     """An overload window of an endpoint in slow start.
 
     Attributes:
-        used_share: The attempts as a share of those allowed.
-        attempt_count: The attempts and health checks that came.
-        allowed_count: How many may come.
+        used_share: `attempt_count` divided by `allowed_count`.
+        attempt_count: The attempts and health checks that arrived in the window.
+        allowed_count: The maximum number of attempts and health checks.
     """
 
     used_share: float
@@ -148,7 +150,7 @@
 
 @dataclass
 class SimulatedClient:
-    """Where requests come from: a class, a tenant and their share of all requests."""
+    """A source of requests of one class and tenant, with its share of all requests."""
 
     class_name: str
     traffic_share: float = 1.0
@@ -157,17 +159,17 @@
 
 @dataclass
 class SimulatedFleet:
-    """Balancers before endpoints, each of which does `requests_per_window` requests in the overload window.
+    """Balancers and endpoints, each of which completes `requests_per_window` requests per overload window.
 
     Attributes:
-        load: The share of what all endpoints do while warm that clients ask for.
-        load_factor_at: What the load is multiplied with at a time, at most `max_load_factor`.
-        max_list_delay_us: Within this time a change of the list reaches all balancers.
-        traffic_sigma: The spread of the traffic of balancers, as the sigma of a lognormal distribution.
+        load: The clients' load as a share of the capacity of all endpoints while warm.
+        load_factor_at: Returns the factor on the load at a time, at most `max_load_factor`.
+        max_list_delay_us: The maximum delay of a change of the endpoint list to a balancer.
+        traffic_sigma: The sigma of the lognormal distribution of traffic over balancers.
         requests: All requests so far.
-        attempts: The time and the balancer's index of each attempt so far.
-        endpoints: The endpoints, by their ids.
-        balancers: The balancers, by their indices.
+        attempts: The start time and the balancer's index of each attempt so far.
+        endpoints: The endpoints, indexed by id.
+        balancers: The balancers, by index.
     """
 
     settings: messages.Settings
@@ -194,7 +196,7 @@
         self.event_heap: list[tuple[int, int, Callable[[], None]]] = []
         self.endpoints = [self._new_endpoint(number) for number in range(self.endpoint_count)]
         self.balancers = [self._new_balancer(index) for index in range(self.balancer_count)]
-        # What each balancer's list states: incarnations by endpoint.
+        # For each balancer, the incarnations in its endpoint list by endpoint id.
         self.listed_incarnations_us: list[dict[int, int]] = [{} for _ in self.balancers]
         self.in_flight: dict[AttemptKey, AttemptInFlight] = {}
         self.cancelled_timers: set[tuple[int, int]] = set()
@@ -222,20 +224,20 @@
             settings = replace(settings, zone=ZONES[index % self.zone_count])
         return Balancer(settings, self.seed * 10_007 + index)
 
-    # The clock
+    # Event loop
 
     def schedule(self, at_us: int, event: Callable[[], None]) -> None:
-        """Schedule an event."""
+        """Schedule an event at this time; events of equal time keep their order."""
         heapq.heappush(self.event_heap, (at_us, next(self.sequence_numbers), event))
 
     def run_until(self, end_us: int) -> None:
-        """Let all events up to this time happen."""
+        """Process all events up to this time."""
         while self.event_heap and self.event_heap[0][0] <= end_us:
             self.now_us, _, event = heapq.heappop(self.event_heap)
             event()
         self.now_us = end_us
 
-    # The list
+    # Endpoint list
 
     def send_list(
         self,
@@ -243,7 +245,7 @@
         kind: messages.EndpointListKind = messages.EndpointListKind.CHANGES,
         max_delay_us: int | None = None,
     ) -> None:
-        """Send a list to all balancers, each at its own moment of the time in which changes spread."""
+        """Send a list to all balancers, to each after a random delay."""
         self.version += 1
         update = messages.EndpointListUpdate(kind, self.version, tuple(entries))
         delay_limit_us = self.max_list_delay_us if max_delay_us is None else max_delay_us
@@ -252,13 +254,13 @@
             self.schedule(received_at_us, partial(self.receive_list, index, update))
 
     def receive_list(self, index: int, update: messages.EndpointListUpdate) -> None:
-        """Hand a balancer a list, as discovery does."""
+        """Deliver a list to a balancer."""
         incarnations_us = {entry.id: entry.incarnation_us for entry in update.endpoints}
         self.listed_incarnations_us[index].update(incarnations_us)
         self._handle(index, update)
 
     def restart(self, chosen: Iterable[SimulatedEndpoint]) -> None:
-        """Restart these endpoints now, and send the list that says so."""
+        """Restart these endpoints now, and send their new list entries."""
         entries = []
         for endpoint in chosen:
             endpoint.restart(self.now_us)
@@ -287,7 +289,7 @@
         )
 
     def add_request(self, index: int, client: SimulatedClient) -> None:
-        """Let a request of this client come to a balancer."""
+        """Send a request of this client to a balancer."""
         request_class = next(known for known in self.settings.classes if known.name == client.class_name)
         work_factor = self.rng.lognormvariate(-0.08, 0.4)
         request = SimulatedRequest(client.class_name, client.tenant, index, self.now_us, work_factor)
@@ -387,9 +389,9 @@
     def fullest_warming_window(self, use_small_count_margin: bool = False) -> WarmingWindow:
         """Return the fullest window of an endpoint in slow start.
 
-        Allowed are N + 2 x root of N + 2 attempts, with `use_small_count_margin` N + 3 x root of N + 3 where
-        N is under 30.
-        Each start of an endpoint counts by itself.
+        N is the overload multiple times the requests per window at the endpoint's capacity. The limit on
+        attempts and health checks is N + 2 * sqrt(N) + 2, or N + 3 * sqrt(N) + 3 if `use_small_count_margin`
+        is set and N < 30. Each start of an endpoint is evaluated separately.
         """
         worst = WarmingWindow(0.0, 0, 0.0)
         for endpoint in self.endpoints:
@@ -407,7 +409,7 @@
         ends_at_us: float,
         use_small_count_margin: bool,
     ) -> Iterator[WarmingWindow]:
-        """Yield the window that begins with each attempt while the endpoint warms up after this start."""
+        """Yield the window that begins at each arrival while the endpoint is warming up after this start."""
         rules = self.settings.rules
         warm_at_us = started_at_us + rules.slow_start_us
         end_us = min(ends_at_us, warm_at_us + rules.overload_window_us)
@@ -426,7 +428,7 @@
             yield WarmingWindow(attempt_count / allowed_count, attempt_count, allowed_count)
 
     def on_time_share(self, requests: Iterable[SimulatedRequest]) -> float:
-        """Return the share of these requests that were answered within their latency objective."""
+        """Return the share of these requests that met their latency objective; 1.0 if there are none."""
         objectives_us = {
             request_class.name: request_class.latency_objective_us for request_class in self.settings.classes
         }
--- a/tests/support/socket_client.py
+++ b/tests/support/socket_client.py
@@ -1,4 +1,4 @@
-"""Clients of the proxy on plain sockets: their bytes and their end are with the system at once."""
+"""Clients of the proxy on plain sockets: sends and closes take effect without a turn of the event loop."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SocketClient:
-    """A client that is connected once constructed, before the event loop turns again."""
+    """A client that is connected when its constructor returns, without a turn of the event loop."""
 
     def __init__(self, proxy: LoopbackProxy, receive_buffer_bytes: int | None = None) -> None:
         self.socket = socket.socket()
@@ -22,15 +22,15 @@
         self.socket.connect(("127.0.0.1", proxy.port))
 
     def send(self, data: bytes) -> None:
-        """Hand the bytes to the system."""
+        """Send all bytes before returning."""
         self.socket.sendall(data)
 
     async def streams(self) -> StreamPair:
-        """Return streams of the event loop on this client's connection."""
+        """Return asyncio streams on this client's connection."""
         return await stream_pair(self.socket)
 
     async def read_statuses(self, count: int) -> list[int]:
-        """Return the status of each of so many responses, and disconnect."""
+        """Read this many responses, disconnect, and return their statuses."""
         reader, writer = await self.streams()
         try:
             return [response_status(await read_http_message(reader)) for _ in range(count)]
@@ -41,7 +41,8 @@
         """End the connection.
 
         Args:
-            how: "FIN", "RST" for a reset, or "half" for the end of sending alone, which counts as well.
+            how: "FIN" to close, "RST" to reset, or "half" to end only the sending direction, which also
+            counts as a disconnect.
         """
         if how == "half":
             self.socket.shutdown(socket.SHUT_WR)
@@ -52,7 +53,7 @@
 
 
 async def connect_paused_client(proxy: LoopbackProxy) -> StreamPair:
-    """Connect a client that reads nothing until its transport's `resume_reading`, and buffers little."""
+    """Connect a client with a small receive buffer that reads nothing until `resume_reading` is called."""
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
     client.setblocking(False)
@@ -63,20 +64,20 @@
 
 
 def queue_request(port: int, request_id: str) -> socket.socket:
-    """Return a connection in the system's queue of accepted ones, with a request on it."""
+    """Connect and send a request; return the connection, which waits in the system's accept queue."""
     client = socket.create_connection(("127.0.0.1", port))
     client.sendall(http_request(request_id=request_id))
     return client
 
 
 async def stream_pair(client: socket.socket) -> StreamPair:
-    """Return streams of the event loop on this connection."""
+    """Return asyncio streams on this connection."""
     client.setblocking(False)
     return await asyncio.open_connection(sock=client)
 
 
 async def read_status_or_end(client: socket.socket) -> int:
-    """Return the status of the response; 0 where the connection ends without one."""
+    """Return the status of the response, or 0 if the connection ends without one."""
     reader, writer = await stream_pair(client)
     try:
         return response_status(await read_http_message(reader))
--- a/tests/support/stand_in_discovery.py
+++ b/tests/support/stand_in_discovery.py
@@ -1,4 +1,4 @@
-"""Servers that stand in for discovery, and a proxy that watches one while its time is stepped."""
+"""Stand-in servers for discovery, and a proxy that watches one on a stepped clock."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 from tests.support.stepped_clock import FrozenClock, SteppedClock, advance_until
 from tests.support.units import SECOND_US
 
-# By the protocol: how soon a change must be applied, and how long a poll may wait in the queue.
+# Limits of the discovery protocol: the time within which a change must be applied, and the longest time that
+# a poll may wait in discovery's queue.
 LIST_DEADLINE_S = 6.0
 POLL_QUEUE_S = 2.0
 
@@ -39,12 +40,12 @@
 
 
 def list_chunk_of_version(rev: int) -> bytes:
-    """Return a complete list of this version with one endpoint, as a chunk of a watch's response."""
+    """Return a watch response chunk with a complete list of this version that has one endpoint."""
     return endpoint_list_chunk(endpoint_list(endpoint_entry(f"s-{rev}", 9), rev=rev))
 
 
 class StandInListServer(StandInServer):
-    """Sends each watch the next of some lists, the last one for ever, and keeps the watch open."""
+    """Sends the next of the given lists to each watch, repeating the last one, and keeps the watch open."""
 
     def __init__(self, *lists: dict[str, object]) -> None:
         super().__init__(self._send_list)
@@ -59,26 +60,26 @@
 
 @dataclass
 class DiscoveryRequest:
-    """One call to discovery, open until the test or the proxy ends it."""
+    """One request to discovery, open until the test or the proxy closes the connection."""
 
-    received_at_s: float  # stepped seconds
+    received_at_s: float  # in the stepped time of the clock
     writer: asyncio.StreamWriter
     closed_by_proxy: asyncio.Event = field(default_factory=asyncio.Event)
 
     def send(self, data: bytes, end: bool = False) -> None:
-        """Send the bytes, and end the connection where told to."""
+        """Send the bytes, then close the connection if `end` is true."""
         self.writer.write(data)
         if end:
             self.writer.close()
 
 
 class StandInDiscovery:
-    """Leaves each call open for the test to answer, after `on_request` has had it.
+    """Discovery that passes each request to `on_request` and leaves the response to the test.
 
     Attributes:
-        requests: All calls so far, in order.
-        on_request: Gets each call as it comes.
-        server: Where it listens.
+        requests: All requests so far, in order.
+        on_request: Called with each request when it arrives.
+        server: The server that receives the requests.
     """
 
     def __init__(self, clock: SteppedClock) -> None:
@@ -88,7 +89,7 @@
         self.server = StandInServer(self.handle)
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Receive one call, and note when the proxy ends it."""
+        """Receive one request, and set `closed_by_proxy` when the proxy closes the connection."""
         await reader.readuntil(b"\r\n\r\n")
         request = DiscoveryRequest(self.clock.advanced_s, writer)
         self.requests.append(request)
@@ -103,7 +104,7 @@
 async def watching_proxy(
     settings: messages.Settings,
 ) -> AsyncIterator[tuple[StandInDiscovery, LoopbackProxy, SteppedClock]]:
-    """Run a proxy that watches a stand-in, on one stepped clock; its random waits last their longest."""
+    """Run a proxy that watches a stand-in discovery, on one frozen clock and with the maximum jitter."""
     discovery = StandInDiscovery(FrozenClock())
     async with (
         discovery.server,
@@ -115,7 +116,7 @@
 
 
 def record_watch_starts(proxy: LoopbackProxy) -> list[float]:
-    """Return a list that grows with each call begun from now on, whether or not discovery listens."""
+    """Return a list that collects the start time of each later watch, even if discovery does not listen."""
     started_at_s: list[float] = []
     watch = proxy.driver.endpoint_list.watch
     start = watch.start
@@ -129,7 +130,7 @@
 
 
 async def advance_to_next_request(discovery: StandInDiscovery, clock: SteppedClock) -> float:
-    """Step time until a further call comes; return the seconds that it took."""
+    """Step time until the next request arrives, and return the seconds stepped."""
     before = len(discovery.requests)
     return await advance_until(clock, lambda: len(discovery.requests) > before)
 
@@ -137,10 +138,10 @@
 async def respond_to_latest_request(
     discovery: StandInDiscovery, proxy: LoopbackProxy, clock: SteppedClock, settings: messages.Settings
 ) -> float:
-    """Send a list of version 7 to the latest call, a poll after its longest wait in the queue.
+    """Respond to the latest request with a list of version 7; to a poll after its longest wait in the queue.
 
     Returns:
-        The seconds until the proxy has applied the list.
+        The seconds stepped until the proxy has applied the list.
     """
     waited_s = 0.0
     if settings is POLLED_SETTINGS:
@@ -152,7 +153,7 @@
 
 
 def running_watch_count() -> int:
-    """Return how many watches run, whether or not anything still refers to them."""
+    """Return how many watch tasks are running, including those that nothing refers to any more."""
     return sum(
         "EndpointWatch._run" in str(task.get_coro()) for task in asyncio.all_tasks() if not task.done()
     )
--- a/tests/support/stand_in_server.py
+++ b/tests/support/stand_in_server.py
@@ -1,4 +1,4 @@
-"""Servers on loopback that stand in for endpoints and for discovery, and do what a test says."""
+"""Stand-in servers on loopback for endpoints and discovery, controlled by the test."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class StandInServer:
-    """A server on a port of its own, as an async context manager.
+    """A server on a port chosen by the system, as an async context manager.
 
-    Its handler gets each connection, which is closed as the handler returns. The handler may append what
-    it has read to `received`.
+    The handler is called with each connection, which is closed when the handler returns. The handler may
+    append the requests that it reads to `received`.
     """
 
     def __init__(self, handler: StreamHandler) -> None:
         self.handler = handler
-        self.port = 0  # known once it listens
-        self.connection_count = 0  # accepted so far
+        self.port = 0  # set when the server listens
+        self.connection_count = 0  # number of connections accepted so far
         self.received: list[HttpMessage] = []
         self.writers: list[asyncio.StreamWriter] = []  # of all connections accepted so far
         self.server: asyncio.Server | None = None
@@ -33,7 +33,7 @@
         return [message.headers["req-id"] for message in self.received]
 
     async def accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Hand one connection to the handler, and close the connection afterwards."""
+        """Run the handler on one connection, then close the connection."""
         self.connection_count += 1
         self.writers.append(writer)
         try:
@@ -44,7 +44,7 @@
             writer.close()
 
     async def start(self, listening_socket: socket.socket | None = None) -> None:
-        """Listen on this bound socket, or on a port that the system chooses."""
+        """Listen on this bound socket, or on a port chosen by the system."""
         if listening_socket is not None:
             self.server = await asyncio.start_server(self.accept, sock=listening_socket)
         else:
@@ -52,7 +52,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def stop_listening(self) -> None:
-        """Refuse connections from now on; those that are open stay."""
+        """Refuse new connections; established ones stay open."""
         assert self.server is not None
         self.server.close()
 
@@ -75,9 +75,9 @@
 
 
 class StandInEndpoint(StandInServer):
-    """Answers each request with the next of some responses, the last one for ever.
+    """Sends the next of the given responses to each request, repeating the last one.
 
-    None in place of a response closes the connection without one.
+    None closes the connection without a response.
     """
 
     def __init__(self, *responses: bytes | None) -> None:
@@ -94,7 +94,7 @@
 
 
 class SilentEndpoint(StandInServer):
-    """Takes requests and answers none; a test answers in its place through `writers`."""
+    """Reads requests without responding; a test can send responses through `writers`."""
 
     def __init__(self) -> None:
         super().__init__(self._receive)
--- a/tests/support/stepped_clock.py
+++ b/tests/support/stepped_clock.py
@@ -1,4 +1,4 @@
-"""The event loop's clock as a test moves it, and how a test lets the event loop run."""
+"""Event loop clocks that a test advances, and helpers that run the event loop."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 from collections.abc import Callable
 
 STEP_S = 0.02
-TURNS_BETWEEN_STEPS = 40  # far more than a call and its response take on loopback
+TURNS_BETWEEN_STEPS = 40  # far more than a request and its response take on loopback
 
 
 class SteppedClock:
-    """The running event loop's clock, which a test can move on: what falls due then fires at once."""
+    """Clock of the running event loop that a test can advance; timers that become due fire at once."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         real_time_s = loop.time
-        self.advanced_s = 0.0  # in all, beyond the time that has really passed
+        self.advanced_s = 0.0  # total, in addition to the real time elapsed
         loop.time = lambda: real_time_s() + self.advanced_s  # type: ignore[method-assign]
 
     def advance(self, seconds: float) -> None:
-        """Move the clock on."""
+        """Advance the clock."""
         self.advanced_s += seconds
 
 
 class FrozenClock(SteppedClock):
-    """A stepped clock for which real time does not count: the same on a busy machine as on an idle one."""
+    """Stepped clock that ignores real time, so that the load of the machine does not affect a test."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,13 +34,13 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Let the event loop run until the condition holds; the test's bound in time is the only limit."""
+    """Run the event loop until the condition holds; only the test's time limit bounds the wait."""
     while not condition():
         await asyncio.sleep(0)
 
 
 async def run_loop_turns(count: int = 50) -> None:
-    """Let the event loop turn so many times, for all that is ready to run."""
+    """Run this many turns of the event loop, so that ready callbacks are processed."""
     for _ in range(count):
         await asyncio.sleep(0)
 
@@ -53,22 +53,22 @@
     step_s: float = STEP_S,
     must_hold: bool = False,
 ) -> float:
-    """Step time until the condition holds, at most this long; the loop runs between two steps.
+    """Step time until the condition holds or `max_s` is reached; run the event loop after each step.
 
     Args:
         clock: The clock to move.
-        condition: Looked at before each step.
-        max_s: The longest time to step, in all.
+        condition: Checked before each step.
+        max_s: The maximum total time to step.
         step_s: The length of a step.
-        must_hold: Fail the test where the time is over before the condition holds.
+        must_hold: Whether to fail the test if the condition does not hold within `max_s`.
 
     Returns:
-        The seconds that it took.
+        The seconds stepped.
     """
     began_s = clock.advanced_s
     while not condition():
         if clock.advanced_s - began_s >= max_s:
-            assert not must_hold, "the condition never held"
+            assert not must_hold, "the condition did not hold within the maximum time"
             break
         clock.advance(step_s)
         await run_loop_turns(TURNS_BETWEEN_STEPS)
--- a/tests/support/time_limit.py
+++ b/tests/support/time_limit.py
@@ -1,4 +1,4 @@
-"""The bound in real time on each asynchronous test: a fault then fails the test instead of hanging it."""
+"""Real-time limit of each asynchronous test, so that a fault fails the test instead of hanging it."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @asynccontextmanager
 async def real_time_limit(seconds: float) -> AsyncIterator[None]:
-    """Raise `TimeoutError` in the current task once this much real time has passed.
+    """Raise `TimeoutError` in the current task after this much real time.
 
-    A thread measures the time, because a test may step the event loop's own clock.
+    A thread measures the time because a test may step the event loop's clock.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(None) as limit:
@@ -34,7 +34,7 @@
 def limited(
     test: Callable[Parameters, Awaitable[None]], seconds: float = TEST_TIMEOUT_S
 ) -> Callable[Parameters, Coroutine[None, None, None]]:
-    """Return this asynchronous test function with the bound on its time, in seconds."""
+    """Return this asynchronous test function with a real-time limit."""
 
     @wraps(test)
     async def within_limit(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
@@ -45,5 +45,5 @@
 
 
 def run_in_event_loop(part: Callable[[], Awaitable[None]]) -> None:
-    """Run the asynchronous part of a synchronous test, which looks at what the end of the loop leaves."""
+    """Run the asynchronous part of a synchronous test that checks the state after its event loop closes."""
     asyncio.run(limited(part)())
--- a/tests/support/units.py
+++ b/tests/support/units.py
@@ -1,4 +1,4 @@
-"""Units of time, in the microseconds that the policy and the settings count in."""
+"""Units of time in microseconds, the unit of the policy and the settings."""
 
 MILLISECOND_US = 1_000
 SECOND_US = 1_000_000
