--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 from tests.support.log_lines import recorded_problem_lines
 from tests.support.loopback_proxy import LoopbackProxy, running_proxy
 from tests.support.stand_in_server import StandInEndpoint
-from tests.support.time_limit import limited
+from tests.support.time_limit import with_time_limit
 
 
 def pytest_configure(config: pytest.Config) -> None:
@@ -28,37 +28,37 @@
     """Limit the real time of each asynchronous test."""
     if isinstance(item, pytest.Function) and inspect.iscoroutinefunction(item.obj):
         marker = item.get_closest_marker("time_limit_s")
-        item.obj = limited(item.obj, *(marker.args if marker else ()))
+        item.obj = with_time_limit(item.obj, *(marker.args if marker else ()))
     return (yield)
 
 
 @pytest.fixture
 def bytes_from_endpoints(monkeypatch: pytest.MonkeyPatch) -> bytearray:
     """All bytes that the proxy has read from endpoints so far."""
-    read = bytearray()
+    received = bytearray()
     data_received = UpstreamConnection.data_received
 
     def record_and_receive(connection: UpstreamConnection, data: bytes) -> None:
-        read.extend(data)
+        received.extend(data)
         data_received(connection, data)
 
     monkeypatch.setattr(UpstreamConnection, "data_received", record_and_receive)
-    return read
+    return received
 
 
 @pytest.fixture
 def socket_failures(monkeypatch: pytest.MonkeyPatch) -> Iterator[SocketFailures]:
     """System call failures added by the test; they apply to all sockets created from now on."""
-    in_force = SocketFailures()
+    active_failures = SocketFailures()
 
     class SocketOfThisTest(
         FailingSocket
     ):  # own class: a socket that outlives its test must not use the next test's failures
-        failures = in_force
+        failures = active_failures
 
     monkeypatch.setattr(socket, "socket", SocketOfThisTest)
-    yield in_force
-    in_force.clear()
+    yield active_failures
+    active_failures.clear()
 
 
 @pytest.fixture
--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -56,11 +56,11 @@
     endpoint_id: int = 1,
 ) -> AttemptResult:
     """Run one attempt on the endpoint at this address, and return its outcome and response."""
-    ended: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
+    result_future: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     endpoint = EndpointAddress(endpoint_id, address)
     pool.enable_endpoint(endpoint)
-    pool.start_attempt(endpoint, request, timeout_s, lambda *result: ended.set_result(result))
-    return await ended
+    pool.start_attempt(endpoint, request, timeout_s, lambda *result: result_future.set_result(result))
+    return await result_future
 
 
 class RecordedAttempt:
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -91,7 +91,7 @@
 
     def end_attempt(
         self,
-        send: messages.StartAttempt,
+        start_attempt: messages.StartAttempt,
         outcome: messages.Outcome,
         duration_us: int = 50 * MILLISECOND_US,
         attempt_number: int = 0,
@@ -100,25 +100,30 @@
         is_ok = outcome is messages.Outcome.OK
         return self.handle(
             messages.AttemptEnded(
-                send.request_id, attempt_number, send.endpoint_id, outcome, duration_us, is_ok
+                start_attempt.request_id,
+                attempt_number,
+                start_attempt.endpoint_id,
+                outcome,
+                duration_us,
+                is_ok,
             )
         )
 
     def advance(self, duration_us: int) -> list[messages.Action]:
         """Advance the clock, fire each timer that becomes due, and return the resulting actions."""
-        end_us, fired = self.now_us + duration_us, []
+        end_us, resulting_actions = self.now_us + duration_us, []
         while True:
-            due = [a for a in self.actions if isinstance(a, messages.SetTimer) and a.at_us <= end_us]
-            if not due:
+            due_timers = [a for a in self.actions if isinstance(a, messages.SetTimer) and a.at_us <= end_us]
+            if not due_timers:
                 break
-            timer = min(due, key=lambda a: (a.at_us, a.timer_id))
+            timer = min(due_timers, key=lambda a: (a.at_us, a.timer_id))
             self.actions.remove(timer)
             self.now_us = max(self.now_us, timer.at_us)
-            fired += self.handle(messages.TimerFired(timer.timer_id))
+            resulting_actions += self.handle(messages.TimerFired(timer.timer_id))
         self.now_us = end_us
-        return fired
+        return resulting_actions
 
 
-def actions_of_type(actions: list[messages.Action], kind: type[ActionType]) -> list[ActionType]:
+def actions_of_type(actions: list[messages.Action], action_type: type[ActionType]) -> list[ActionType]:
     """Return the actions of this type, in order."""
-    return [action for action in actions if isinstance(action, kind)]
+    return [action for action in actions if isinstance(action, action_type)]
--- a/tests/support/config_fields.py
+++ b/tests/support/config_fields.py
@@ -13,15 +13,15 @@
 
 def config_with_field(path: FieldPath, value: object) -> dict[str, Any]:
     """Return a configuration with the field at this path set to this value."""
-    changed: Any = json.loads(json.dumps(proxy_config(known=endpoint_list(endpoint_entry("a", 9)))))
-    changed["settings"]["limits"]["retryAfter"] = True
-    changed["settings"]["tenants"] = [{"name": "t", "quotaPerS": 5}]
-    inner = changed
-    for step in path[:-1]:
-        inner = inner[step] if not isinstance(inner, dict) else inner.setdefault(step, {})
-    inner[path[-1]] = value
-    assert isinstance(changed, dict)
-    return changed
+    config: Any = json.loads(json.dumps(proxy_config(known=endpoint_list(endpoint_entry("a", 9)))))
+    config["settings"]["limits"]["retryAfter"] = True
+    config["settings"]["tenants"] = [{"name": "t", "quotaPerS": 5}]
+    parent = config
+    for key in path[:-1]:
+        parent = parent[key] if not isinstance(parent, dict) else parent.setdefault(key, {})
+    parent[path[-1]] = value
+    assert isinstance(config, dict)
+    return config
 
 
 FIRST_REQUEST_CLASS: FieldPath = ("settings", "lanes", 0)
@@ -45,5 +45,5 @@
 
 def field_name(path: FieldPath) -> str:
     """Return the name by which an error message must refer to the field at this path."""
-    parts = [f"[{step}]" if isinstance(step, int) else f".{step}" for step in path]
+    parts = [f"[{key}]" if isinstance(key, int) else f".{key}" for key in path]
     return "".join(parts).removeprefix(".")
--- a/tests/support/failing_sockets.py
+++ b/tests/support/failing_sockets.py
@@ -37,15 +37,15 @@
 
 def accepted_on(port: int) -> SocketFilter:
     """Select the listener on this port and the connections that it has accepted."""
-    return lambda checked: bool(checked.getsockname()[1] == port)
+    return lambda candidate: bool(candidate.getsockname()[1] == port)
 
 
 def connected_to(port: int) -> SocketFilter:
     """Select sockets that are connected or connecting to this port."""
-    return lambda checked: bool(getattr(checked, "target_port", None) == port)
+    return lambda candidate: bool(getattr(candidate, "target_port", None) == port)
 
 
-def any_socket(checked: socket.socket) -> bool:
+def any_socket(candidate: socket.socket) -> bool:
     """Select all sockets."""
     return True
 
@@ -81,10 +81,10 @@
         """Remove all failures."""
         self._failures.clear()
 
-    def next_failure(self, call: str, checked: socket.socket) -> SocketFailure | None:
+    def next_failure(self, call: str, candidate: socket.socket) -> SocketFailure | None:
         """Return the first failure that matches this call, and count its use; None if there is none."""
         for failure in self._failures:
-            if failure.call == call and failure.hit_count < failure.times and failure.applies_to(checked):
+            if failure.call == call and failure.hit_count < failure.times and failure.applies_to(candidate):
                 failure.hit_count += 1
                 return failure
         return None
@@ -95,9 +95,9 @@
 
     failures: ClassVar[SocketFailures]
 
-    def __init__(self, *args: Any, **named: Any) -> None:
-        super().__init__(*args, **named)
-        if named.get("fileno") is None and (failure := self.failures.next_failure("socket", self)):
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
+        if kwargs.get("fileno") is None and (failure := self.failures.next_failure("socket", self)):
             self.close()
             raise failure.exception()
 
--- a/tests/support/loopback_proxy.py
+++ b/tests/support/loopback_proxy.py
@@ -43,8 +43,8 @@
 
     def _now_us(self) -> int:
         advanced_s = self.stepped_clock.advanced_s if self.stepped_clock is not None else 0.0
-        since_us = monotonic_us() if self._frozen_at_us is None else self._frozen_at_us
-        return since_us + round(advanced_s * SECOND_US)
+        base_us = monotonic_us() if self._frozen_at_us is None else self._frozen_at_us
+        return base_us + round(advanced_s * SECOND_US)
 
 
 @dataclass
--- a/tests/support/manual_clocks.py
+++ b/tests/support/manual_clocks.py
@@ -42,9 +42,9 @@
         """Advance both clocks."""
         self.monotonic_us += duration_us
 
-    def step_wall_clock(self, by_us: int) -> None:
+    def step_wall_clock(self, step_us: int) -> None:
         """Step the wall clock by this much; the monotonic clock stays."""
-        self.wall_offset_us += by_us
+        self.wall_offset_us += step_us
 
 
 class ManualDriver:
@@ -63,11 +63,11 @@
         self.driver.start(known)
         self.version = 1
 
-    def apply_list(self, *starts: tuple[str, int], is_complete: bool = False) -> None:
+    def apply_list(self, *start_times: tuple[str, int], is_complete: bool = False) -> None:
         """Apply a list or changes, of endpoints with these start times in Unix time, microseconds."""
         self.version += 1
         self.driver.endpoint_list.receive(
-            list_with_start_times(*starts, is_complete=is_complete, rev=self.version)
+            list_with_start_times(*start_times, is_complete=is_complete, rev=self.version)
         )
 
     def receive_heartbeat(self) -> None:
@@ -94,8 +94,8 @@
 
 
 def list_with_start_times(
-    *starts: tuple[str, int], is_complete: bool = True, rev: int = 1
+    *start_times: tuple[str, int], is_complete: bool = True, rev: int = 1
 ) -> EndpointListMessage:
     """Return a list of endpoints with these start times in Unix time, microseconds."""
-    entries = (endpoint_entry(uid, 9, boot_ms=start_us // 1000) for uid, start_us in starts)
+    entries = (endpoint_entry(uid, 9, boot_ms=start_us // 1000) for uid, start_us in start_times)
     return read_list(endpoint_list(*entries, rev=rev, is_complete=is_complete))
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -74,22 +74,22 @@
 
 def deploy_command(entry: str = "run") -> list[str]:
     """Return the command of an entry of the deploy file, with the current Python interpreter."""
-    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    words = str(deploy[entry]).split()
-    assert words[:2] == ["exec", ".venv/bin/python"]
-    return [sys.executable, *words[2:]]
+    deploy_config = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    arguments = str(deploy_config[entry]).split()
+    assert arguments[:2] == ["exec", ".venv/bin/python"]
+    return [sys.executable, *arguments[2:]]
 
 
 @asynccontextmanager
 async def running_proxy_process(
-    env: dict[str, str], descriptors: int = 1024
+    env: dict[str, str], max_descriptors: int = 1024
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """Run a proxy by the deploy file's command, with a limit on file descriptors; kill it on exit."""
     pipe = asyncio.subprocess.PIPE
-    started = await asyncio.create_subprocess_exec(
+    process = await asyncio.create_subprocess_exec(
         "/bin/sh",
         "-c",
-        f'ulimit -n {descriptors}; exec "$@"',
+        f'ulimit -n {max_descriptors}; exec "$@"',
         "sh",
         *deploy_command(),
         cwd=ROOT,
@@ -98,11 +98,11 @@
         stderr=pipe,
     )
     try:
-        yield started
+        yield process
     finally:
-        if started.returncode is None:
-            started.kill()
-        await started.wait()
+        if process.returncode is None:
+            process.kill()
+        await process.wait()
 
 
 async def read_listening_port(
@@ -133,7 +133,7 @@
 def unused_port() -> int:
     """Return a different unused port on each call, outside the range of ports that the system assigns."""
     for port in itertools.islice(PORTS, 12_000):
-        with socket.socket() as free, contextlib.suppress(OSError):
-            free.bind(("127.0.0.1", port))
+        with socket.socket() as candidate, contextlib.suppress(OSError):
+            candidate.bind(("127.0.0.1", port))
             return port
     raise OSError("no free port between 20000 and 31999")
--- a/tests/support/raw_endpoint.py
+++ b/tests/support/raw_endpoint.py
@@ -140,14 +140,14 @@
 
     async def __aexit__(self, *exception: object) -> None:
         """Close all sockets, and re-raise the exception of a handler: an error in the test itself."""
-        failed = [task.exception() for task in self._tasks if task.done() and not task.cancelled()]
+        exceptions = [task.exception() for task in self._tasks if task.done() and not task.cancelled()]
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        for closing in (self.socket, *(connection.socket for connection in self.connections)):
-            closing.close()
-        for fault in filter(None, failed):
-            raise fault
+        for open_socket in (self.socket, *(connection.socket for connection in self.connections)):
+            open_socket.close()
+        for error in filter(None, exceptions):
+            raise error
 
 
 def respond_with(*steps: bytes | str) -> ConnectionHandler:
--- a/tests/support/reload_harness.py
+++ b/tests/support/reload_harness.py
@@ -29,16 +29,16 @@
         """Reload an invalid file, and return the one error line that is logged."""
         self.caplog.clear()
         self.reloader.reload()
-        [line] = [r for r in self.caplog.records if r.levelno >= logging.ERROR]
-        assert not line.exc_info
-        assert "\n" not in line.getMessage()
-        return line.getMessage()
+        [error_record] = [record for record in self.caplog.records if record.levelno >= logging.ERROR]
+        assert not error_record.exc_info
+        assert "\n" not in error_record.getMessage()
+        return error_record.getMessage()
 
-    def assert_rejected(self, *names: str) -> None:
+    def assert_rejected(self, *field_names: str) -> None:
         """Assert that a reload rejects the file with an error that contains one of these field names."""
-        line = self.reload()
-        assert "the old one stays" in line, line
-        assert any(name in line for name in names), line
+        message = self.reload()
+        assert "the old one stays" in message, message
+        assert any(name in message for name in field_names), message
         assert not self.discovery_addresses
 
     def assert_valid_file_is_applied(self) -> None:
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -393,14 +393,14 @@
         attempts and health checks is N + 2 * sqrt(N) + 2, or N + 3 * sqrt(N) + 3 if `use_small_count_margin`
         is set and N < 30. Each start of an endpoint is evaluated separately.
         """
-        worst = WarmingWindow(0.0, 0, 0.0)
+        fullest = WarmingWindow(0.0, 0, 0.0)
         for endpoint in self.endpoints:
             for started_at_us, ends_at_us in pairwise([*endpoint.start_times_us, math.inf]):
                 for window in self._warming_windows(
                     endpoint, started_at_us, ends_at_us, use_small_count_margin
                 ):
-                    worst = max(worst, window)
-        return worst
+                    fullest = max(fullest, window)
+        return fullest
 
     def _warming_windows(
         self,
@@ -412,18 +412,18 @@
         """Yield the window that begins at each arrival while the endpoint is warming up after this start."""
         rules = self.settings.rules
         warm_at_us = started_at_us + rules.slow_start_us
-        end_us = min(ends_at_us, warm_at_us + rules.overload_window_us)
-        arrivals_us = [at_us for at_us, _ in endpoint.arrivals if started_at_us <= at_us < end_us]
+        cutoff_us = min(ends_at_us, warm_at_us + rules.overload_window_us)
+        arrivals_us = [at_us for at_us, _ in endpoint.arrivals if started_at_us <= at_us < cutoff_us]
         for first_index, begin_us in enumerate(arrivals_us):
             if begin_us >= warm_at_us:
                 return
-            mean_count = (
+            expected_count = (
                 rules.overload_multiple
                 * endpoint.capacity(begin_us, started_at_us)
                 * endpoint.requests_per_window
             )
-            margin = 3.0 if use_small_count_margin and mean_count < 30.0 else 2.0
-            allowed_count = mean_count + margin * math.sqrt(mean_count) + margin
+            margin = 3.0 if use_small_count_margin and expected_count < 30.0 else 2.0
+            allowed_count = expected_count + margin * math.sqrt(expected_count) + margin
             attempt_count = bisect_left(arrivals_us, begin_us + rules.overload_window_us) - first_index
             yield WarmingWindow(attempt_count / allowed_count, attempt_count, allowed_count)
 
--- a/tests/support/stand_in_discovery.py
+++ b/tests/support/stand_in_discovery.py
@@ -131,8 +131,8 @@
 
 async def advance_to_next_request(discovery: StandInDiscovery, clock: SteppedClock) -> float:
     """Step time until the next request arrives, and return the seconds stepped."""
-    before = len(discovery.requests)
-    return await advance_until(clock, lambda: len(discovery.requests) > before)
+    request_count_before = len(discovery.requests)
+    return await advance_until(clock, lambda: len(discovery.requests) > request_count_before)
 
 
 async def respond_to_latest_request(
--- a/tests/support/stepped_clock.py
+++ b/tests/support/stepped_clock.py
@@ -65,11 +65,11 @@
     Returns:
         The seconds stepped.
     """
-    began_s = clock.advanced_s
+    started_at_s = clock.advanced_s
     while not condition():
-        if clock.advanced_s - began_s >= max_s:
+        if clock.advanced_s - started_at_s >= max_s:
             assert not must_hold, "the condition did not hold within the maximum time"
             break
         clock.advance(step_s)
         await run_loop_turns(TURNS_BETWEEN_STEPS)
-    return clock.advanced_s - began_s
+    return clock.advanced_s - started_at_s
--- a/tests/support/time_limit.py
+++ b/tests/support/time_limit.py
@@ -21,8 +21,8 @@
     A thread measures the time because a test may step the event loop's clock.
     """
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(None) as limit:
-        timer = threading.Timer(seconds, loop.call_soon_threadsafe, (limit.reschedule, 0.0))
+    async with asyncio.timeout(None) as timeout:
+        timer = threading.Timer(seconds, loop.call_soon_threadsafe, (timeout.reschedule, 0.0))
         timer.daemon = True
         timer.start()
         try:
@@ -31,7 +31,7 @@
             timer.cancel()
 
 
-def limited(
+def with_time_limit(
     test: Callable[Parameters, Awaitable[None]], seconds: float = TEST_TIMEOUT_S
 ) -> Callable[Parameters, Coroutine[None, None, None]]:
     """Return this asynchronous test function with a real-time limit."""
@@ -44,6 +44,6 @@
     return within_limit
 
 
-def run_in_event_loop(part: Callable[[], Awaitable[None]]) -> None:
+def run_in_event_loop(coroutine_function: Callable[[], Awaitable[None]]) -> None:
     """Run the asynchronous part of a synchronous test that checks the state after its event loop closes."""
-    asyncio.run(limited(part)())
+    asyncio.run(with_time_limit(coroutine_function)())
