--- a/tests/support/attempts.py
+++ b/tests/support/attempts.py
@@ -114,5 +114,5 @@
         )
 
     async def wait_for_outcomes(self, **outcomes: Outcome) -> None:
-        """Wait until exactly these requests have ended, with these outcomes."""
+        """Wait until exactly these requests have ended with these outcomes."""
         await wait_until(lambda: self.outcomes == outcomes)
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -159,9 +159,10 @@
 
 @dataclass
 class SimulatedFleet:
-    """Balancers and endpoints, each of which completes `requests_per_window` requests per overload window.
+    """Balancers, endpoints and clients on one simulated clock.
 
     Attributes:
+        requests_per_window: The requests of mean work that a warm endpoint completes per overload window.
         load: The clients' load as a share of the capacity of all endpoints while warm.
         load_factor_at: Returns the factor on the load at a time, at most `max_load_factor`.
         max_list_delay_us: The maximum delay of a change of the endpoint list to a balancer.
@@ -227,7 +228,7 @@
     # Event loop
 
     def schedule(self, at_us: int, event: Callable[[], None]) -> None:
-        """Schedule an event at this time; events of equal time keep their order."""
+        """Schedule an event; events with the same time are processed in the order of scheduling."""
         heapq.heappush(self.event_heap, (at_us, next(self.sequence_numbers), event))
 
     def run_until(self, end_us: int) -> None:
@@ -390,8 +391,8 @@
         """Return the fullest window of an endpoint in slow start.
 
         N is the overload multiple times the requests per window at the endpoint's capacity. The limit on
-        attempts and health checks is N + 2 * sqrt(N) + 2, or N + 3 * sqrt(N) + 3 if `use_small_count_margin`
-        is set and N < 30. Each start of an endpoint is evaluated separately.
+        attempts and health checks is N + 2 * sqrt(N) + 2. With `use_small_count_margin` it is the limit of
+        the requirements, which is N + 3 * sqrt(N) + 3 if N < 30. Each start is evaluated separately.
         """
         fullest = WarmingWindow(0.0, 0, 0.0)
         for endpoint in self.endpoints:
