--- a/tests/support/time_limit.py
+++ b/tests/support/time_limit.py
@@ -1,4 +1,4 @@
-"""The bound in real time on each asynchronous test: a fault then fails the test instead of hanging it."""
+"""Real-time limit of each asynchronous test, so that a fault fails the test instead of hanging it."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @asynccontextmanager
 async def real_time_limit(seconds: float) -> AsyncIterator[None]:
-    """Raise `TimeoutError` in the current task once this much real time has passed.
+    """Raise `TimeoutError` in the current task after this much real time.
 
-    A thread measures the time, because a test may step the event loop's own clock.
+    A thread measures the time because a test may step the event loop's clock.
     """
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(None) as limit:
-        timer = threading.Timer(seconds, loop.call_soon_threadsafe, (limit.reschedule, 0.0))
+    async with asyncio.timeout(None) as timeout:
+        timer = threading.Timer(seconds, loop.call_soon_threadsafe, (timeout.reschedule, 0.0))
         timer.daemon = True
         timer.start()
         try:
@@ -31,10 +31,10 @@
             timer.cancel()
 
 
-def limited(
+def with_time_limit(
     test: Callable[Parameters, Awaitable[None]], seconds: float = TEST_TIMEOUT_S
 ) -> Callable[Parameters, Coroutine[None, None, None]]:
-    """Return this asynchronous test function with the bound on its time, in seconds."""
+    """Return this asynchronous test function with a real-time limit."""
 
     @wraps(test)
     async def within_limit(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
@@ -44,6 +44,6 @@
     return within_limit
 
 
-def run_in_event_loop(part: Callable[[], Awaitable[None]]) -> None:
-    """Run the asynchronous part of a synchronous test, which looks at what the end of the loop leaves."""
-    asyncio.run(limited(part)())
+def run_in_event_loop(coroutine_function: Callable[[], Awaitable[None]]) -> None:
+    """Run the asynchronous part of a synchronous test that checks the state after its event loop closes."""
+    asyncio.run(with_time_limit(coroutine_function)())
