--- a/tests/benchmarks/test_fleet_growth.py
+++ b/tests/benchmarks/test_fleet_growth.py
@@ -164,9 +164,9 @@
     return {**endpoint_entry(f"s-{number:08x}", f"127.0.0.1:{1 + number}", number // 8, 0), "state": state}
 
 
-def list_message(*entries: dict[str, object], rev: int, full: bool = False) -> EndpointListMessage:
+def list_message(*entries: dict[str, object], rev: int, is_complete: bool = False) -> EndpointListMessage:
     """Return an endpoint list message as parsed by the proxy."""
-    return read_list({"rev": rev, "all": full, "targets": list(entries)})
+    return read_list({"rev": rev, "all": is_complete, "targets": list(entries)})
 
 
 def replacements(endpoint_count: int) -> list[EndpointListMessage]:
@@ -184,7 +184,7 @@
     """Return the settings of one balancer in this fleet, and the complete list."""
     endpoint_count, balancer_count = FLEETS[fleet]
     entries = [fleet_entry(number) for number in range(endpoint_count)]
-    complete_list = list_message(*entries, rev=1, full=True)
+    complete_list = list_message(*entries, rev=1, is_complete=True)
     return read_settings(settings(Scenario(endpoint_count, balancer_count))), complete_list
 
 
--- a/tests/policy/test_policy_rules_random.py
+++ b/tests/policy/test_policy_rules_random.py
@@ -207,7 +207,7 @@
             )
         )
 
-    def send_request(self) -> None:
+    def send_random_request(self) -> None:
         rng = self.rng
         self.request_count += 1
         request_id, request_class = f"r{self.request_count}", rng.choice((*ALL_CLASSES, UNKNOWN_CLASS))
@@ -267,14 +267,14 @@
         )
         self.handle(self.rng.choice(events))
 
-    def step(self) -> None:
+    def run_step(self) -> None:
         rng = self.rng
         self.advance(rng.choice((0, 1, 5, 20, 20, 200)) * MILLISECOND_US)
         self.end_timed_out_attempts()
         kind = rng.random()
         if kind < 0.5:
             for _ in range(rng.choice((1, 1, 1, 6))):
-                self.send_request()
+                self.send_random_request()
         elif kind < 0.85 and self.in_flight:
             succeeds = rng.random() < 0.6
             self.finish_attempt(
@@ -305,9 +305,9 @@
         ]
         assert not overdue_ids, "final response: none by the deadline"
 
-    def run(self, steps: int) -> None:
+    def run_steps(self, steps: int) -> None:
         for _ in range(steps):
-            self.step()
+            self.run_step()
         while self.in_flight:
             self.finish_attempt(
                 len(self.in_flight) - 1, self.rng.choice((messages.Outcome.RESET, messages.Outcome.TIMEOUT))
@@ -324,7 +324,7 @@
     attempt_count = retried_count = warming_attempt_count = 0
     for seed in range(first, first + 100):
         checked = CheckedBalancer(seed)
-        checked.run(60)
+        checked.run_steps(60)
         attempt_count += sum(len(pending.attempts) for pending in checked.requests.values())
         retried_count += sum(len(pending.attempts) > 1 for pending in checked.requests.values())
         warming_attempt_count += sum(len(times) for times in checked.warming_times_us.values())
@@ -337,6 +337,6 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_same_events_give_the_same_actions(seed: int) -> None:
     first, second = CheckedBalancer(seed), CheckedBalancer(seed)
-    first.run(300)
-    second.run(300)
+    first.run_steps(300)
+    second.run_steps(300)
     assert first.trace == second.trace
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -27,7 +27,7 @@
         self.members: list[Member] = []  # ordered by ring position
         self.member_count = 0
         for _ in range(endpoints):
-            self.add()
+            self.add_member()
 
     def add_member(self) -> None:
         self.member_count += 1
@@ -42,7 +42,7 @@
         for ring in self.rings:
             ring.remove(member)
             ring.subset()
-        self.add()
+        self.add_member()
         for ring in self.rings:
             ring.subset()
 
@@ -84,7 +84,7 @@
         assert max(counts) <= max_subsets
         assert min_subsets >= 1 or size * instances < endpoints
         for _ in range(endpoints // 2):
-            rings.replace_one()
+            rings.replace_member()
 
 
 @pytest.mark.parametrize(("instances", "index", "max_size_ratio"), [(34, 17, 1.7), (100, 50, 2.4)])
@@ -98,7 +98,7 @@
     always_even = set(seen_members)  # the members of a subset that always starts at its even position
     size = len(seen_members)
     for _ in range(1600):
-        rings.replace_one()
+        rings.replace_member()
         seen_members |= set(ring.subset())
         start = index * 3200 // instances
         always_even |= set(rings.members[start : start + size])
