--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -157,11 +157,11 @@
 def test_new_endpoint_changes_few_members_of_a_subset() -> None:
     for index in range(10):
         harness = BalancerHarness(balancer_settings(instances=10, index=index), endpoint_count=60)
-        before = {state.endpoint.id for state in harness.balancer.endpoints.subset}
+        subset_before = {state.endpoint.id for state in harness.balancer.endpoints.subset}
         harness.update_endpoint_list(
             messages.Endpoint(777), kind=messages.EndpointListKind.CHANGES, version=2
         )
-        assert len(before - {state.endpoint.id for state in harness.balancer.endpoints.subset}) <= 2
+        assert len(subset_before - {state.endpoint.id for state in harness.balancer.endpoints.subset}) <= 2
 
 
 def test_restarted_endpoint_starts_with_fresh_state() -> None:
--- a/tests/policy/test_health_check.py
+++ b/tests/policy/test_health_check.py
@@ -40,9 +40,8 @@
         800 * MILLISECOND_US,
         1600 * MILLISECOND_US,
     ]
-    assert not actions_of_type(
-        harness.actions, messages.CancelAttempt
-    )  # the endpoint still processes the request: it is slow
+    # The endpoint still processes the request: it is slow.
+    assert not actions_of_type(harness.actions, messages.CancelAttempt)
 
 
 @pytest.mark.parametrize(
@@ -91,9 +90,8 @@
     )
     assert cancel == messages.CancelAttempt("a", 0)
     [retry] = actions_of_type(harness.end_attempt(first, messages.Outcome.CANCELLED), messages.StartAttempt)
-    assert (
-        len(health_checks_within(harness, 1100 * MILLISECOND_US)) == 1
-    )  # the next hanging attempt is checked earlier
+    # The next hanging attempt is checked earlier.
+    assert len(health_checks_within(harness, 1100 * MILLISECOND_US)) == 1
     assert retry.request_id == "a"
     assert retry.endpoint_id != first.endpoint_id
 
@@ -117,9 +115,8 @@
     [check] = health_checks_within(harness, 1300 * MILLISECOND_US)
     after_first_failure = harness.handle(messages.HealthCheckEnded(check.endpoint_id, False))
     assert actions_of_type(after_first_failure, messages.CheckHealth)
-    assert not actions_of_type(
-        after_first_failure, messages.CancelAttempt
-    )  # the endpoint may have paused briefly
+    # The endpoint may have paused briefly.
+    assert not actions_of_type(after_first_failure, messages.CancelAttempt)
     assert actions_of_type(
         harness.handle(messages.HealthCheckEnded(check.endpoint_id, False)), messages.CancelAttempt
     )
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -101,13 +101,11 @@
             harness.send_request(f"fill{len(harness.actions)}", "mark"), messages.StartAttempt
         ):
             blocking_attempt = attempts[0]
-        harness.advance(
-            300 * MILLISECOND_US
-        )  # the queued requests are rejected, so that no class is served well
+        # The queued requests are rejected, so that no class is served well.
+        harness.advance(300 * MILLISECOND_US)
         for number in range(20):
-            harness.send_request(
-                f"cheap{number}", "read", time_remaining_us=1 * MILLISECOND_US
-            )  # no response is possible in time
+            # No response is possible in time.
+            harness.send_request(f"cheap{number}", "read", time_remaining_us=1 * MILLISECOND_US)
         harness.send_request("twice the worth", "mark")
         harness.send_request("least served", "read")
         attempt, *_ = actions_of_type(
@@ -262,9 +260,8 @@
     [first_attempt] = actions_of_type(harness.send_request("a"), messages.StartAttempt)
     harness.end_attempt(first_attempt, messages.Outcome.ERROR)
     harness.now_us += 500 * MILLISECOND_US  # the failed attempt no longer counts as in flight
-    harness.balancer.endpoints.states[
-        first_attempt.endpoint_id
-    ].share = 1.0  # undoes the effect of the change detector, which has its own tests
+    # Undoes the effect of the change detector, which has its own tests.
+    harness.balancer.endpoints.states[first_attempt.endpoint_id].share = 1.0
     assert first_attempt.endpoint_id not in {chosen_endpoint_id("read", number) for number in range(60)}
     assert first_attempt.endpoint_id in {chosen_endpoint_id("mark", number) for number in range(60)}
     harness.now_us += 5 * SECOND_US
@@ -337,14 +334,16 @@
 def test_queued_request_with_unsent_attempt_does_not_hold_back_first_attempts() -> None:
     """The request counts as a first attempt and is sent at once; the other one gets the next endpoint."""
     harness, attempts = busy_warming_endpoints()
-    after = actions_of_type(
+    next_attempts = actions_of_type(
         harness.end_attempt(attempts[0], messages.Outcome.NOT_SENT), messages.StartAttempt
     )
-    assert [(attempt.request_id, attempt.endpoint_id) for attempt in after] == [
+    assert [(attempt.request_id, attempt.endpoint_id) for attempt in next_attempts] == [
         ("r0", attempts[0].endpoint_id)
     ]
-    after = actions_of_type(harness.end_attempt(attempts[1], messages.Outcome.OK), messages.StartAttempt)
-    assert [(attempt.request_id, attempt.endpoint_id) for attempt in after] == [
+    next_attempts = actions_of_type(
+        harness.end_attempt(attempts[1], messages.Outcome.OK), messages.StartAttempt
+    )
+    assert [(attempt.request_id, attempt.endpoint_id) for attempt in next_attempts] == [
         ("cheap", attempts[1].endpoint_id)
     ]
 
@@ -355,10 +354,10 @@
     assert not actions_of_type(
         harness.end_attempt(attempts[0], messages.Outcome.REJECTED), messages.StartAttempt
     )
-    after = actions_of_type(
+    next_attempts = actions_of_type(
         harness.end_attempt(attempts[1], messages.Outcome.UNUSABLE), messages.StartAttempt
     )
-    assert [(attempt.request_id, attempt.endpoint_id) for attempt in after] == [
+    assert [(attempt.request_id, attempt.endpoint_id) for attempt in next_attempts] == [
         ("cheap", attempts[1].endpoint_id)
     ]
 
--- a/tests/policy/test_policy_rules_random.py
+++ b/tests/policy/test_policy_rules_random.py
@@ -37,13 +37,13 @@
     messages.Idempotency.KEYED,
     deduplication_window_us=100 * MILLISECOND_US,
 )
+# An unsafe class must not use its window.
 UNSAFE_CLASS_WITH_WINDOW = messages.RequestClass(
     "book", 4 * SECOND_US, 5 * SECOND_US, deduplication_window_us=5 * SECOND_US
-)  # an unsafe class must not use its window
+)
 ALL_CLASSES = (*REQUEST_CLASSES, KEYED_IN_ZONE_CLASS, SHORT_WINDOW_CLASS, UNSAFE_CLASS_WITH_WINDOW)
-UNKNOWN_CLASS = messages.RequestClass(
-    "unknown", 5 * SECOND_US, 5 * SECOND_US
-)  # requested but absent from the settings, so unsafe
+# Requested but absent from the settings, so unsafe.
+UNKNOWN_CLASS = messages.RequestClass("unknown", 5 * SECOND_US, 5 * SECOND_US)
 MAX_ATTEMPTS = 4
 FINAL_RESPONSE_SLACK_US = 20 * MILLISECOND_US  # permitted delay of a final response after the deadline
 
--- a/tests/policy/test_request_handler.py
+++ b/tests/policy/test_request_handler.py
@@ -98,9 +98,9 @@
     harness = BalancerHarness()
     attempt = start_first_attempt(harness, "read")
     harness.handle(messages.StreamStarted("r", 0))
-    late = harness.advance(8 * SECOND_US)
-    assert not actions_of_type(late, messages.Reject)
-    assert not actions_of_type(late, messages.Fail)
-    assert not actions_of_type(late, messages.CancelAttempt)
+    later_actions = harness.advance(8 * SECOND_US)
+    assert not actions_of_type(later_actions, messages.Reject)
+    assert not actions_of_type(later_actions, messages.Fail)
+    assert not actions_of_type(later_actions, messages.CancelAttempt)
     harness.end_attempt(attempt, messages.Outcome.OK)
     assert not harness.balancer.open_requests.by_id
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -73,19 +73,19 @@
     subsets = set()
     for index in range(0, 40, 8):
         harness = BalancerHarness(balancer_settings(instances=40, index=index), endpoint_count=40)
-        before = [state.endpoint.id for state in harness.balancer.endpoints.subset]
-        assert len(before) == MIN_SUBSET
-        assert before != sorted(before)
-        subsets.add(tuple(before))
+        subset_before = [state.endpoint.id for state in harness.balancer.endpoints.subset]
+        assert len(subset_before) == MIN_SUBSET
+        assert subset_before != sorted(subset_before)
+        subsets.add(tuple(subset_before))
         harness.update_endpoint_list(
-            messages.Endpoint(before[0], messages.EndpointStatus.REMOVED),
+            messages.Endpoint(subset_before[0], messages.EndpointStatus.REMOVED),
             kind=messages.EndpointListKind.CHANGES,
             version=2,
         )
-        after = [state.endpoint.id for state in harness.balancer.endpoints.subset]
-        assert len(after) == MIN_SUBSET
-        assert before[0] not in after
-        assert len(set(after) & set(before)) >= MIN_SUBSET - 2
+        subset_after = [state.endpoint.id for state in harness.balancer.endpoints.subset]
+        assert len(subset_after) == MIN_SUBSET
+        assert subset_before[0] not in subset_after
+        assert len(set(subset_after) & set(subset_before)) >= MIN_SUBSET - 2
     assert len(subsets) == 5
 
 
@@ -101,8 +101,8 @@
                 duration_us=5 * MILLISECOND_US if is_failing else 100 * MILLISECOND_US,
             )
             counts[attempt.endpoint_id] += number >= 300
-    fair = 300 / 6
-    assert 0 < counts[0] < fair / 2
+    even_count = 300 / 6
+    assert 0 < counts[0] < even_count / 2
     assert harness.balancer.endpoints.states[0].share > 0
 
 
@@ -135,8 +135,8 @@
 ZONES = tuple(messages.Endpoint(number, zone="abc"[number % 3]) for number in range(12))
 
 
-def count_local_attempts(cross_zone_cost: float, busy: int = 0) -> int:
-    """Return how many of 200 requests in sequence stay in zone a, with `busy` attempts per endpoint there."""
+def count_local_attempts(cross_zone_cost: float, busy_attempts: int = 0) -> int:
+    """Return how many of 200 requests stay in zone a, whose endpoints have `busy_attempts` each."""
     harness = BalancerHarness(
         balancer_settings(zone="a", cross_zone_cost=cross_zone_cost, limits=messages.Limits(max_attempts=3)),
         endpoint_count=0,
@@ -149,7 +149,7 @@
         if state.endpoint.zone == "a":
             state.in_flight = [
                 Attempt("busy", number, state, read_class, harness.now_us, 5 * SECOND_US)
-                for number in range(busy)
+                for number in range(busy_attempts)
             ]
     local_count = 0
     for number in range(200):
@@ -164,7 +164,7 @@
 
 
 def test_busy_zone_spills_over_to_other_zones() -> None:
-    assert count_local_attempts(cross_zone_cost=0.05, busy=REMOTE_PENALTY_ATTEMPTS + 2) < 80
+    assert count_local_attempts(cross_zone_cost=0.05, busy_attempts=REMOTE_PENALTY_ATTEMPTS + 2) < 80
 
 
 def test_subset_holds_the_local_zone_and_some_remote_endpoints() -> None:
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -282,9 +282,8 @@
     harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=started_at_us))
     harness.send_request("r")
     harness.advance(950 * MILLISECOND_US)
-    harness.balancer.endpoints.states[
-        0
-    ].warming.bucket.tokens = 1.0  # tokens expire after a part of the window
+    # Tokens expire after a part of the window.
+    harness.balancer.endpoints.states[0].warming.bucket.tokens = 1.0
     harness.balancer.endpoints.states[0].warming.bucket.updated_at_us = harness.now_us
     checks = actions_of_type(harness.advance(250 * MILLISECOND_US), messages.CheckHealth)
     assert len(checks) == 1
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -20,13 +20,13 @@
 class NeighbouringRings:
     """Rings of neighbouring balancers that have the same endpoint list."""
 
-    def __init__(self, endpoints: int, instances: int, indexes: range) -> None:
-        self.rng = random.Random(endpoints * instances)
+    def __init__(self, endpoint_count: int, instances: int, indexes: range) -> None:
+        self.rng = random.Random(endpoint_count * instances)
         self.instances = instances
         self.rings: list[Ring[Member]] = [Ring(index, instances, lambda member: False) for index in indexes]
         self.members: list[Member] = []  # ordered by ring position
         self.member_count = 0
-        for _ in range(endpoints):
+        for _ in range(endpoint_count):
             self.add_member()
 
     def add_member(self) -> None:
@@ -54,36 +54,42 @@
         return counts
 
 
-def coverage_bounds(endpoints: int, instances: int) -> tuple[int, int, int]:
+def coverage_bounds(endpoint_count: int, instances: int) -> tuple[int, int, int]:
     """Return the minimum and maximum number of subsets that hold an endpoint, and the size of a subset."""
-    size = min(endpoints, subset_size(endpoints, instances))
-    slack = start_slack(endpoints, instances, size)
-    return (size - 2 * slack) * instances // endpoints, -(-(size + 2 * slack) * instances // endpoints), size
+    size = min(endpoint_count, subset_size(endpoint_count, instances))
+    slack = start_slack(endpoint_count, instances, size)
+    return (
+        (size - 2 * slack) * instances // endpoint_count,
+        -(-(size + 2 * slack) * instances // endpoint_count),
+        size,
+    )
 
 
 @pytest.mark.parametrize("instances", [3, 34, 200, 544])
-@pytest.mark.parametrize("endpoints", [10, 200, 3200])
+@pytest.mark.parametrize("endpoint_count", [10, 200, 3200])
 def test_endpoints_are_covered_evenly_at_first_and_after_half_are_replaced(
-    endpoints: int, instances: int
+    endpoint_count: int, instances: int
 ) -> None:
     """With many balancers only some neighbours are simulated; endpoints in subsets of others don't count."""
     indexes = (
-        range(instances) if instances * endpoints < 10_000 else range(instances // 3, instances // 3 + 20)
+        range(instances)
+        if instances * endpoint_count < 10_000
+        else range(instances // 3, instances // 3 + 20)
     )
     indexes = range(indexes.start, min(indexes.stop, instances))
-    rings = NeighbouringRings(endpoints, instances, indexes)
-    min_subsets, max_subsets, size = coverage_bounds(endpoints, instances)
-    slack = start_slack(endpoints, instances, size)
+    rings = NeighbouringRings(endpoint_count, instances, indexes)
+    min_subsets, max_subsets, size = coverage_bounds(endpoint_count, instances)
+    slack = start_slack(endpoint_count, instances, size)
     for _ in range(2):
         counts = list(rings.count_subsets().values())
         if len(indexes) < instances:
-            first = indexes.start * endpoints // instances + size + slack
-            counts = counts[first : indexes.stop * endpoints // instances - slack]
+            first = indexes.start * endpoint_count // instances + size + slack
+            counts = counts[first : indexes.stop * endpoint_count // instances - slack]
         assert counts
         assert min_subsets <= min(counts)
         assert max(counts) <= max_subsets
-        assert min_subsets >= 1 or size * instances < endpoints
-        for _ in range(endpoints // 2):
+        assert min_subsets >= 1 or size * instances < endpoint_count
+        for _ in range(endpoint_count // 2):
             rings.replace_member()
 
 
@@ -123,9 +129,8 @@
         subset = ring.subset()
         gap = len(rings.members) / 34 - len(subset)
         offset = rings.members.index(subset[0]) - 17 * len(rings.members) // 34
-        assert offset == -min(
-            removed_count // 2, int(gap / 2)
-        )  # the even position moves by one for two removed endpoints
+        # The even position moves by one for two removed endpoints.
+        assert offset == -min(removed_count // 2, int(gap / 2))
         if removed_count < 25:
             assert subset == first
 
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -15,9 +15,8 @@
     overload_multiple=3.0,
     overload_window_us=1500 * MILLISECOND_US,
 )
-MIN_LATENCY_US = (
-    250 * MILLISECOND_US
-)  # minimum latency of an attempt, so that a few per second are a substantial load
+# Minimum latency of an attempt, so that a few per second are a substantial load.
+MIN_LATENCY_US = 250 * MILLISECOND_US
 LOAD = 0.6
 
 
@@ -76,9 +75,8 @@
 ) -> SimulatedFleet:
     """Return a fleet of warm endpoints under load, with a surge of 3 s if the faults include one."""
     requests_per_endpoint = balancer_count * requests_per_window / endpoint_count / LOAD
-    latency_us = (
-        rules.overload_window_us / requests_per_endpoint
-    )  # of an attempt at an endpoint that serves one at a time
+    # Of an attempt at an endpoint that serves one at a time.
+    latency_us = rules.overload_window_us / requests_per_endpoint
     surge = 3.0 if "tripled" in faults else 2.0 if "burst" in faults else 1.0
     return SimulatedFleet(
         balancer_settings(
