--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -75,7 +75,7 @@
 ) -> SimulatedFleet:
     """Return a fleet of warm endpoints under load, with a surge of 3 s if the faults include one."""
     requests_per_endpoint = balancer_count * requests_per_window / endpoint_count / LOAD
-    # Of an attempt at an endpoint that serves one at a time.
+    # Latency of an attempt at an endpoint that serves one at a time.
     latency_us = rules.overload_window_us / requests_per_endpoint
     surge = 3.0 if "tripled" in faults else 2.0 if "burst" in faults else 1.0
     return SimulatedFleet(
