--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -1,4 +1,4 @@
-"""Each endpoint is in about equally many subsets, also after many changes, and subsets stay in place."""
+"""Endpoints are in about equally many subsets, also after many list changes, and subsets stay stable."""
 
 from __future__ import annotations
 
@@ -11,38 +11,38 @@
 
 
 class Member:
-    """An endpoint on a ring."""
+    """Endpoint on a ring."""
 
     def __init__(self, member_id: int, rank: int) -> None:
         self.ring_position: RingPosition = (rank, member_id)
 
 
 class NeighbouringRings:
-    """The rings of some neighbouring balancers, which have the same endpoint list."""
+    """Rings of neighbouring balancers that have the same endpoint list."""
 
-    def __init__(self, endpoints: int, instances: int, indexes: range) -> None:
-        self.rng = random.Random(endpoints * instances)
+    def __init__(self, endpoint_count: int, instances: int, indexes: range) -> None:
+        self.rng = random.Random(endpoint_count * instances)
         self.instances = instances
         self.rings: list[Ring[Member]] = [Ring(index, instances, lambda member: False) for index in indexes]
-        self.members: list[Member] = []  # in the order of their ring positions
+        self.members: list[Member] = []  # ordered by ring position
         self.member_count = 0
-        for _ in range(endpoints):
-            self.add()
+        for _ in range(endpoint_count):
+            self.add_member()
 
-    def add(self) -> None:
+    def add_member(self) -> None:
         self.member_count += 1
         member = Member(self.member_count, self.rng.randrange(2**32))
         insort(self.members, member, key=RING_POSITION)
         for ring in self.rings:
             ring.add(member)
 
-    def replace_one(self) -> None:
-        """Remove a random member and add another one, as two separate changes of the list."""
+    def replace_member(self) -> None:
+        """Remove a random member and add a new one, as two separate changes of the list."""
         member = self.members.pop(self.rng.randrange(len(self.members)))
         for ring in self.rings:
             ring.remove(member)
             ring.subset()
-        self.add()
+        self.add_member()
         for ring in self.rings:
             ring.subset()
 
@@ -54,75 +54,84 @@
         return counts
 
 
-def bounds(endpoints: int, instances: int) -> tuple[int, int, int]:
-    """Return the fewest and most subsets that may hold an endpoint, and the size of a subset."""
-    size = min(endpoints, subset_size(endpoints, instances))
-    slack = start_slack(endpoints, instances, size)
-    return (size - 2 * slack) * instances // endpoints, -(-(size + 2 * slack) * instances // endpoints), size
+def coverage_bounds(endpoint_count: int, instances: int) -> tuple[int, int, int]:
+    """Return the minimum and maximum number of subsets that hold an endpoint, and the size of a subset."""
+    size = min(endpoint_count, subset_size(endpoint_count, instances))
+    slack = start_slack(endpoint_count, instances, size)
+    return (
+        (size - 2 * slack) * instances // endpoint_count,
+        -(-(size + 2 * slack) * instances // endpoint_count),
+        size,
+    )
 
 
 @pytest.mark.parametrize("instances", [3, 34, 200, 544])
-@pytest.mark.parametrize("endpoints", [10, 200, 3200])
+@pytest.mark.parametrize("endpoint_count", [10, 200, 3200])
 def test_endpoints_are_covered_evenly_at_first_and_after_half_are_replaced(
-    endpoints: int, instances: int
+    endpoint_count: int, instances: int
 ) -> None:
-    """Of many balancers only some neighbours are simulated; endpoints that others reach are not counted."""
+    """With many balancers only some neighbours are simulated; endpoints in subsets of others don't count."""
     indexes = (
-        range(instances) if instances * endpoints < 10_000 else range(instances // 3, instances // 3 + 20)
+        range(instances)
+        if instances * endpoint_count < 10_000
+        else range(instances // 3, instances // 3 + 20)
     )
     indexes = range(indexes.start, min(indexes.stop, instances))
-    rings = NeighbouringRings(endpoints, instances, indexes)
-    fewest, most, size = bounds(endpoints, instances)
-    slack = start_slack(endpoints, instances, size)
+    rings = NeighbouringRings(endpoint_count, instances, indexes)
+    min_subsets, max_subsets, size = coverage_bounds(endpoint_count, instances)
+    slack = start_slack(endpoint_count, instances, size)
     for _ in range(2):
         counts = list(rings.count_subsets().values())
         if len(indexes) < instances:
-            first = indexes.start * endpoints // instances + size + slack
-            counts = counts[first : indexes.stop * endpoints // instances - slack]
+            first = indexes.start * endpoint_count // instances + size + slack
+            counts = counts[first : indexes.stop * endpoint_count // instances - slack]
         assert counts
-        assert fewest <= min(counts)
-        assert max(counts) <= most
-        assert fewest >= 1 or size * instances < endpoints
-        for _ in range(endpoints // 2):
-            rings.replace_one()
+        assert min_subsets <= min(counts)
+        assert max(counts) <= max_subsets
+        assert min_subsets >= 1 or size * instances < endpoint_count
+        for _ in range(endpoint_count // 2):
+            rings.replace_member()
 
 
-@pytest.mark.parametrize(("instances", "index", "most"), [(34, 17, 1.7), (100, 50, 2.4)])
-def test_subset_stays_in_place_while_endpoints_are_replaced(instances: int, index: int, most: float) -> None:
-    """Only the changes within it, half of its size, and little else change it."""
+@pytest.mark.parametrize(("instances", "index", "max_size_ratio"), [(34, 17, 1.7), (100, 50, 2.4)])
+def test_subset_stays_in_place_while_endpoints_are_replaced(
+    instances: int, index: int, max_size_ratio: float
+) -> None:
+    """Replacements within the subset, half of its size, and few others may change it."""
     rings = NeighbouringRings(3200, instances, range(index, index + 1))
     [ring] = rings.rings
-    seen = set(ring.subset())
-    always_even = set(seen)  # the members of a subset that always starts at its even position
-    size = len(seen)
+    seen_members = set(ring.subset())
+    always_even = set(seen_members)  # the members of a subset that always starts at its even position
+    size = len(seen_members)
     for _ in range(1600):
-        rings.replace_one()
-        seen |= set(ring.subset())
+        rings.replace_member()
+        seen_members |= set(ring.subset())
         start = index * 3200 // instances
         always_even |= set(rings.members[start : start + size])
-    assert len(seen) < most * size < len(always_even)
+    assert len(seen_members) < max_size_ratio * size < len(always_even)
 
 
 def test_subset_starts_at_its_even_position_unless_its_size_is_bounded() -> None:
     for instances in (9, 34, 200):
-        for usual in range(1, 201):
-            for times in (1, 4, 16):
-                size = subset_size(usual * times, instances * times)
-                assert start_slack(usual * times, instances * times, size) == 0
+        for endpoint_count in range(1, 201):
+            for factor in (1, 4, 16):
+                size = subset_size(endpoint_count * factor, instances * factor)
+                assert start_slack(endpoint_count * factor, instances * factor, size) == 0
 
 
 def test_subset_start_leaves_its_even_position_by_at_most_half_of_the_gap() -> None:
-    """Endpoints leave on one side of it only, so that its even position moves away from it."""
+    """Endpoints are removed on one side of the subset only, so that its even position moves away from it."""
     rings = NeighbouringRings(3200, 34, range(17, 18))
     [ring] = rings.rings
     first = ring.subset()
-    for gone in range(1, 100):
+    for removed_count in range(1, 100):
         ring.remove(rings.members.pop(0))
         subset = ring.subset()
         gap = len(rings.members) / 34 - len(subset)
-        off = rings.members.index(subset[0]) - 17 * len(rings.members) // 34
-        assert off == -min(gone // 2, int(gap / 2))  # its even position moves by one for two that leave
-        if gone < 25:
+        offset = rings.members.index(subset[0]) - 17 * len(rings.members) // 34
+        # The even position moves by one for two removed endpoints.
+        assert offset == -min(removed_count // 2, int(gap / 2))
+        if removed_count < 25:
             assert subset == first
 
 
@@ -130,7 +139,7 @@
     rings = NeighbouringRings(3200, 34, range(1))
     [ring] = rings.rings
     first = ring.subset()
-    # Endpoints leave at the ring's end, and as many are added at its beginning.
+    # Endpoints are removed at the end of the ring, and as many are added at its beginning.
     for number in range(8):
         ring.remove(rings.members.pop())
         ring.add(Member(10_000 + number, -1 - number))
--- a/tests/test_simulator.py
+++ b/tests/test_simulator.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter runs as the deploy file starts it, and speaks over pipes."""
+"""The simulator adapter, started by the command of the deploy file and driven over pipes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run_adapter(text: str, hash_seed: int = 0) -> subprocess.CompletedProcess[str]:
-    """Return the end of an adapter that has read this text."""
+    """Run the adapter on this input and return the completed process."""
     env = {**os.environ, "PYTHONHASHSEED": str(hash_seed)}
     return subprocess.run(
         deploy_command("sim"),
@@ -34,11 +34,11 @@
 
 
 def start_events(seed: int = 5, **changes: Any) -> list[dict[str, Any]]:
-    """Return the events that configure an instance and give it a list of six endpoints.
+    """Return the events that configure an instance and send it a list of six endpoints.
 
     Args:
         seed: The seed of the instance.
-        changes: Settings in place of the usual ones.
+        changes: Settings that replace the usual ones.
     """
     rows = [
         {"backend": number, "condition": "IN", "campus": "z", "bay": number % 2, "sinceUs": None}
@@ -51,25 +51,25 @@
     ]
 
 
-def request_event(request_id: str, cls: str = "read") -> dict[str, Any]:
-    """Return a request with 5 s of time remaining, and with a field that the adapter does not know."""
+def request_event(request_id: str, class_name: str = "read") -> dict[str, Any]:
+    """Return a request event with 5 s of time remaining and a field that is unknown to the adapter."""
     return {
         "msg": "REQ",
         "msgId": request_id,
-        "profile": cls,
+        "profile": class_name,
         "patienceLeftUs": 5 * SECOND_US,
         "unheardOf": 1,
     }
 
 
 def batch(number: int, events_by_instance: dict[int, list[dict[str, Any]]], at_us: int) -> dict[str, Any]:
-    """Return a batch of events as the simulator sends it."""
+    """Return a batch of events in the simulator's format."""
     groups = [{"proxy": instance, "events": events} for instance, events in events_by_instance.items()]
     return {"tUs": at_us, "n": number, "proxys": groups}
 
 
 def random_requests(instance: int, batch_number: int) -> list[dict[str, Any]]:
-    """Return up to three requests, which depend on nothing but the instance and the batch."""
+    """Return up to three request events, determined by the instance and the batch number."""
     rng = random.Random(instance * 1000 + batch_number)
     return [
         request_event(f"q{instance}_{batch_number}_{number}", rng.choice(("read", "pay")))
@@ -78,7 +78,7 @@
 
 
 def random_batches(instances: range, count: int = 60) -> list[dict[str, Any]]:
-    """Return so many batches; the first one starts the instances."""
+    """Return `count` batches, of which the first one configures the instances."""
     starts = {instance: start_events(seed=instance) for instance in instances}
     batches = [batch(0, starts, SECOND_US)]
     for number in range(1, count):
@@ -88,10 +88,10 @@
 
 
 def replies_to(batches: list[dict[str, Any]], hash_seed: int = 0) -> list[dict[str, Any]]:
-    """Return the adapter's replies to these batches, which it has to understand."""
-    ended = run_adapter("".join(json.dumps(sent) + "\n" for sent in batches), hash_seed)
-    assert ended.returncode == 0, ended.stderr
-    return [json.loads(line) for line in ended.stdout.splitlines()]
+    """Return the adapter's replies to these batches, which must be valid."""
+    completed = run_adapter("".join(json.dumps(message) + "\n" for message in batches), hash_seed)
+    assert completed.returncode == 0, completed.stderr
+    return [json.loads(line) for line in completed.stdout.splitlines()]
 
 
 def decisions_in(reply: dict[str, Any]) -> list[dict[str, Any]]:
@@ -106,11 +106,11 @@
     ]
 
 
-def test_simulator_starts_answers_and_exits() -> None:
+def test_simulator_adapter_starts_replies_and_exits() -> None:
     replies = replies_to(random_batches(range(2)))
     assert [reply["n"] for reply in replies] == list(range(60))
-    words = {decision["msg"] for reply in replies for decision in decisions_in(reply)}
-    assert {"TAIL", "CALL_OUT", "AFTER"} <= words
+    message_names = {decision["msg"] for reply in replies for decision in decisions_in(reply)}
+    assert {"TAIL", "CALL_OUT", "AFTER"} <= message_names
 
 
 def test_empty_input_and_empty_batch() -> None:
@@ -123,7 +123,7 @@
     assert replies_to(batches, hash_seed=1) == replies_to(batches, hash_seed=2)
 
 
-def test_instances_act_alike_in_one_process_and_in_several() -> None:
+def test_instances_act_the_same_in_one_process_and_in_several() -> None:
     together = replies_to(random_batches(range(3)))
     for instance in range(3):
         alone = replies_to(random_batches(range(instance, instance + 1)))
@@ -131,27 +131,35 @@
 
 
 def batch_line(*events: Any) -> str:
-    """Return the line of a batch with these events of one instance."""
+    """Return a batch with these events of one instance, encoded as a line."""
     return json.dumps(batch(0, {0: list(events)}, SECOND_US))
 
 
-def without(fields: dict[str, Any], name: str) -> dict[str, Any]:
-    """Return all of the fields but one."""
+def without_field(fields: dict[str, Any], name: str) -> dict[str, Any]:
+    """Return the fields without the one of this name."""
     return {other: value for other, value in fields.items() if other != name}
 
 
-ROW = {"backend": 1, "condition": "IN"}
-END = {"msg": "ATTEMPT_END", "msgId": "r", "attempt": 0, "backend": 1, "ending": 10, "rttUs": 9, "last": True}
-MALFORMED = {
+ENDPOINT_ROW = {"backend": 1, "condition": "IN"}
+ATTEMPT_END = {
+    "msg": "ATTEMPT_END",
+    "msgId": "r",
+    "attempt": 0,
+    "backend": 1,
+    "ending": 10,
+    "rttUs": 9,
+    "last": True,
+}
+INVALID_LINES = {
     "not JSON": ("{", "not JSON"),
-    "a word": ("nonsense", "not JSON"),
+    "plain text": ("nonsense", "not JSON"),
     "an array": ("[1]", "not a JSON object"),
     "a number": ("3", "not a JSON object"),
-    "no clock": ('{"n":1,"proxys":[]}', "tUs"),
+    "no time": ('{"n":1,"proxys":[]}', "tUs"),
     "no number": ('{"tUs":1,"proxys":[]}', "required field n"),
     "no groups": ('{"tUs":1,"n":1}', "proxys"),
-    "groups no array": ('{"tUs":1,"n":1,"proxys":7}', "proxys"),
-    "a group no object": ('{"tUs":1,"n":1,"proxys":[5]}', "proxys[0].proxy"),
+    "groups not an array": ('{"tUs":1,"n":1,"proxys":7}', "proxys"),
+    "group not an object": ('{"tUs":1,"n":1,"proxys":[5]}', "proxys[0].proxy"),
     "no events": ('{"tUs":1,"n":1,"proxys":[{"proxy":1}]}', "proxys[0].events"),
     "no msg": (batch_line({"msgId": "r"}), "msg"),
     "list never sent": (
@@ -163,22 +171,27 @@
         "ANNOUNCE.form",
     ),
     "row without id": (
-        batch_line({"msg": "MANIFEST", "bank": 0, "rows": [ROW, without(ROW, "backend")]}),
+        batch_line(
+            {"msg": "MANIFEST", "bank": 0, "rows": [ENDPOINT_ROW, without_field(ENDPOINT_ROW, "backend")]}
+        ),
         "MANIFEST.rows[1].backend",
     ),
-    "row in no known condition": (
-        batch_line({"msg": "MANIFEST", "bank": 0, "rows": [{**ROW, "condition": "ODD"}]}),
+    "row in unknown condition": (
+        batch_line({"msg": "MANIFEST", "bank": 0, "rows": [{**ENDPOINT_ROW, "condition": "ODD"}]}),
         "MANIFEST.rows[0].condition",
     ),
     "request without class": (
-        batch_line(*start_events(), without(request_event("r"), "profile")),
+        batch_line(*start_events(), without_field(request_event("r"), "profile")),
         "REQ.profile",
     ),
-    "patience a text": (
+    "time remaining as text": (
         batch_line(*start_events(), {**request_event("r"), "patienceLeftUs": "5"}),
         "REQ.patienceLeftUs",
     ),
-    "outcome without time": (batch_line(*start_events(), without(END, "rttUs")), "ATTEMPT_END.rttUs"),
+    "outcome without latency": (
+        batch_line(*start_events(), without_field(ATTEMPT_END, "rttUs")),
+        "ATTEMPT_END.rttUs",
+    ),
     "class twice": (
         batch_line(*start_events(lanes=raw_settings()["lanes"] * 2)[:1]),
         "field settings.lanes ",
@@ -189,19 +202,19 @@
 }
 
 
-@pytest.mark.parametrize(("line", "named"), MALFORMED.values(), ids=MALFORMED.keys())
-def test_invalid_line_is_reported_in_one_line(line: str, named: str) -> None:
-    first = '{"tUs":1,"n":7,"proxys":[]}'
-    ended = run_adapter(f"{first}\n{line}\n")
-    assert ended.returncode == 2
-    [reported] = ended.stderr.splitlines()
-    assert "line 2" in reported
-    assert named in reported
-    assert ended.stdout == '{"n":7,"proxys":[]}\n'
+@pytest.mark.parametrize(("line", "expected_text"), INVALID_LINES.values(), ids=INVALID_LINES.keys())
+def test_invalid_line_is_reported_in_one_line(line: str, expected_text: str) -> None:
+    valid_line = '{"tUs":1,"n":7,"proxys":[]}'
+    completed = run_adapter(f"{valid_line}\n{line}\n")
+    assert completed.returncode == 2
+    [error_line] = completed.stderr.splitlines()
+    assert "line 2" in error_line
+    assert expected_text in error_line
+    assert completed.stdout == '{"n":7,"proxys":[]}\n'
 
 
 def test_line_that_is_not_utf8_is_reported_in_one_line() -> None:
-    ended = subprocess.run(
+    completed = subprocess.run(
         deploy_command("sim"),
         input=b'{"tUs":1,"n":1,"proxys":[\xff]}\n',
         capture_output=True,
@@ -209,14 +222,14 @@
         check=False,
         timeout=60,
     )
-    assert ended.returncode == 2
-    assert ended.stdout == b""
-    [reported] = ended.stderr.decode().splitlines()
-    assert "line 1" in reported
-    assert "UTF-8" in reported
+    assert completed.returncode == 2
+    assert completed.stdout == b""
+    [error_line] = completed.stderr.decode().splitlines()
+    assert "line 1" in error_line
+    assert "UTF-8" in error_line
 
 
-REQUIRED = {
+REQUIRED_SETTINGS = {
     "lanes": None,
     "contract": None,
     "limits": None,
@@ -228,7 +241,7 @@
 }
 
 
-@pytest.mark.parametrize(("name", "path"), REQUIRED.items())
+@pytest.mark.parametrize(("name", "path"), REQUIRED_SETTINGS.items())
 def test_missing_setting_is_named_in_full(name: str, path: tuple[Any, ...] | None) -> None:
     settings = raw_settings()
     *outer_keys, last_key = path or (name,)
@@ -236,10 +249,10 @@
     for key in outer_keys:
         inner = inner[key]
     del inner[last_key]
-    ended = run_adapter(batch_line({"msg": "CONFIGURE", "rngSeed": 1, "settings": settings}) + "\n")
-    assert ended.returncode == 2
-    assert f"missing required field settings.{name}" in ended.stderr
-    assert len(ended.stderr.splitlines()) == 1
+    completed = run_adapter(batch_line({"msg": "CONFIGURE", "rngSeed": 1, "settings": settings}) + "\n")
+    assert completed.returncode == 2
+    assert f"missing required field settings.{name}" in completed.stderr
+    assert len(completed.stderr.splitlines()) == 1
 
 
 def test_missing_optional_settings_have_documented_defaults() -> None:
@@ -250,38 +263,49 @@
     assert settings.rules.max_poll_interval_us == Rules().max_poll_interval_us
 
 
-def test_unknown_parts_are_ignored() -> None:
-    unknown = [{"msg": "NEWS", "a": 1}, {**END, "gauge": {"unheard_of": 3}, "extra": [1]}]
-    assert run_adapter(batch_line(*start_events(), *unknown, request_event("r")) + "\n").returncode == 0
+def test_unknown_messages_and_fields_are_ignored() -> None:
+    unknown_events = [{"msg": "NEWS", "a": 1}, {**ATTEMPT_END, "gauge": {"unheard_of": 3}, "extra": [1]}]
+    assert (
+        run_adapter(batch_line(*start_events(), *unknown_events, request_event("r")) + "\n").returncode == 0
+    )
 
 
 def endpoint_of_first_attempt(batches: list[dict[str, Any]]) -> int:
-    """Return the endpoint that the only attempt in the last of these batches goes to."""
+    """Return the endpoint of the first attempt in the reply to the last of these batches."""
     last_reply = replies_to(batches)[-1]
     return int(next(item["backend"] for item in decisions_in(last_reply) if item["msg"] == "CALL_OUT"))
 
 
 def decisions_after(ending: int) -> dict[str, dict[str, Any]]:
-    """Return by their words the decisions after the first attempt of an unsafe request has ended so."""
+    """Return the decisions by message name after the first attempt of an unsafe request has this ending."""
     batches = random_batches(range(1), count=1)
     batches.append(batch(1, {0: [request_event("r", "pay")]}, 2 * SECOND_US))
-    end = {"msg": "ATTEMPT_END", "msgId": "r", "attempt": 0, "backend": endpoint_of_first_attempt(batches)}
-    end |= {"ending": ending, "rttUs": 9, "last": False, "gauge": None}
-    batches.append(batch(2, {0: [end, {"msg": "NEWS"}]}, 3 * SECOND_US))
+    attempt_ended = {
+        "msg": "ATTEMPT_END",
+        "msgId": "r",
+        "attempt": 0,
+        "backend": endpoint_of_first_attempt(batches),
+    }
+    attempt_ended |= {"ending": ending, "rttUs": 9, "last": False, "gauge": None}
+    batches.append(batch(2, {0: [attempt_ended, {"msg": "NEWS"}]}, 3 * SECOND_US))
     return {decision["msg"]: decision for decision in decisions_in(replies_to(batches)[2])}
 
 
-@pytest.mark.parametrize(("ending", "word"), [(20, "ABORT"), (60, "ABORT"), (999, "ABORT"), (30, "CALL_OUT")])
-def test_outcomes_are_read_from_the_wire(ending: int, word: str) -> None:
-    assert word in decisions_after(ending)
+@pytest.mark.parametrize(
+    ("ending", "message_name"), [(20, "ABORT"), (60, "ABORT"), (999, "ABORT"), (30, "CALL_OUT")]
+)
+def test_outcomes_are_read_from_the_wire(ending: int, message_name: str) -> None:
+    assert message_name in decisions_after(ending)
 
 
 def test_client_retry_is_read_from_its_bit() -> None:
-    retries = [read_request({**request_event("r"), "bitmap": bits}).retry for bits in (None, 0, 1, 2, 3, 4)]
+    retries = [
+        read_request({**request_event("r"), "bitmap": bitmap}).retry for bitmap in (None, 0, 1, 2, 3, 4)
+    ]
     assert retries == [False, False, False, True, True, False]
 
 
-def test_list_version_reused_within_a_batch_and_a_restart() -> None:
+def test_list_id_is_reused_within_a_batch_and_after_a_restart() -> None:
     events = [
         *start_events(),
         {"msg": "MANIFEST", "bank": 0, "rows": [{"backend": 77, "condition": "IN"}]},
@@ -299,9 +323,9 @@
     assert attempts[1]["backend"] < 6
 
 
-def test_health_checks_on_the_wire() -> None:
+def test_health_checks_are_encoded_and_decoded() -> None:
     assert encode_action(messages.CheckHealth(7)) == {"msg": "INSPECT", "backend": 7}
-    assert encode_action(messages.CancelTimer(7)) is None  # the wire has no such message
+    assert encode_action(messages.CancelTimer(7)) is None  # the simulator has no such message
     read_result = EVENT_READERS["SAMPLED"]
     with_load = {"backend": 7, "ending": 10, "gauge": {"busy_reqs": 2.5}}
     assert read_result(with_load) == messages.HealthCheckEnded(7, True, 2.5)
