--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -75,9 +75,8 @@
         writer_b.write(http_request(request_id="b"))
         while endpoint.connection_count < 2:
             await asyncio.sleep(0)
-        assert (
-            response_status(await proxy.send_request(http_request(request_id="c"))) == 503
-        )  # both connections are busy
+        # Both connections are busy.
+        assert response_status(await proxy.send_request(http_request(request_id="c"))) == 503
         may_respond.set()
         assert response_status(await read_http_message(reader_a)) == 200
         assert response_status(await read_http_message(reader_b)) == 200
--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -38,10 +38,8 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        for earlier_request in (
-            b"",
-            http_request(),
-        ):  # as the first request of a connection, and as a later one
+        # The incomplete request is the first one of its connection, then a later one.
+        for earlier_request in (b"", http_request()):
             reader, writer = await proxy.connect()
             if earlier_request:
                 writer.write(earlier_request)
@@ -77,10 +75,11 @@
         while proxy.clients.open_connections:
             await asyncio.sleep(0.01)
             assert connection.transport.get_write_buffer_size() <= 2 * 65536 + 1024
+            # The limit may be exceeded by one read.
             assert (
                 connection.http.received.size_bytes
                 <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION + 256 * 1024
-            )  # the limit may be exceeded by one read
+            )
         assert len(endpoint.received) < 2000
         writer.transport.abort()
 
@@ -138,9 +137,8 @@
         loop = asyncio.get_running_loop()
         started_at_s = loop.time()
         assert response_status(await proxy.send_request(http_request(Req_Deadline="0.6"))) in (502, 503)
-        assert (
-            loop.time() - started_at_s < 1.8
-        )  # ended by its own deadline, not by the on-time target of 2 s of its class
+        # The request is ended by its own deadline, not by the on-time target of 2 s of its class.
+        assert loop.time() - started_at_s < 1.8
         [request] = [event for event in events if isinstance(event, messages.Request)]
         assert 400_000 < request.time_remaining_us <= 600_000 - DEADLINE_MARGIN_US
 
--- a/tests/net/client/test_disconnected_client_attempts.py
+++ b/tests/net/client/test_disconnected_client_attempts.py
@@ -264,7 +264,7 @@
 async def test_only_paused_connections_are_polled_for_a_disconnect(
     polled_transports: list[asyncio.BaseTransport], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An idle connection is not polled, and neither is one with an open request whose reading goes on."""
+    """An idle connection is not polled, and neither is one that is read while a request is open."""
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         clock, idle, busy = FrozenClock(), SocketClient(proxy), SocketClient(proxy)
@@ -311,9 +311,8 @@
         assert connection.http.has_unparsed_bytes
         client.disconnect(disconnect_kind)
         await run_loop_turns()
-        if (
-            disconnect_kind == "half"
-        ):  # the client can still read: it gets the response, and nothing else is sent
+        # A half-closed client can still read: it gets the response, and nothing else is sent.
+        if disconnect_kind == "half":
             client.socket.setblocking(False)
             reader, writer = await asyncio.open_connection(sock=client.socket)
             assert len((await read_http_message(reader))[2]) == 65_536
--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -88,9 +88,8 @@
         await wait_until(lambda: connection.transport.get_write_buffer_size() > 0)
         for _ in range(20):
             await asyncio.sleep(0)
-        assert (
-            len(endpoint.received) == 1
-        )  # an unread response delays the next request, which bounds memory use
+        # An unread response delays the next request, which bounds memory use.
+        assert len(endpoint.received) == 1
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         for _ in range(2):
             assert len((await read_http_message(reader))[2]) == size
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -79,9 +79,8 @@
         assert response_status(await proxy.send_request(http_request(request_id="same"))) == 409
         delayed.may_respond.set()
         assert response_status(await read_http_message(reader)) == 200
-        assert (
-            response_status(await proxy.send_request(http_request(request_id="same"))) == 200
-        )  # the id is free once its request has ended
+        # The id is free once its request has ended.
+        assert response_status(await proxy.send_request(http_request(request_id="same"))) == 200
         writer.close()
         assert len(delayed.request_ids) == 2
         assert not proxy.clients.open_request_ids
@@ -124,9 +123,8 @@
         ) as proxy,
     ):
         response = await proxy.send_request(http_request("pay"))
-        assert (
-            response_status(response) == 503
-        )  # the request never ran, so even an unsafe one is answered 503
+        # The request never ran, so even an unsafe one is answered 503.
+        assert response_status(response) == 503
         assert 0.0 < float(response[1]["retry-after"]) <= 2.0
     async with (
         StandInEndpoint(http_response(503, Srv_Declined="1")) as endpoint,
@@ -152,9 +150,8 @@
         StandInEndpoint(http_response(400)) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        assert (
-            response_status(await proxy.send_request(http_request())) == 502
-        )  # not 503, as sending the request again would not help
+        # Not 503, as sending the request again would not help.
+        assert response_status(await proxy.send_request(http_request())) == 502
         assert len(endpoint.received) == 1
         [endpoint_state] = proxy.driver.balancer.endpoints.states.values()
         assert endpoint_state.failure_penalty_ends_us == []
