--- a/tests/scenarios/test_accept_failures.py
+++ b/tests/scenarios/test_accept_failures.py
@@ -50,20 +50,20 @@
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import wait_until
 
-ERRNOS_BEFORE_A_CONNECTION = [
+ERRNOS_WITHOUT_LOST_CONNECTION = [
     errno.EINTR,
     *ERRNOS_OF_RESOURCE_SHORTAGE,
     errno.EINVAL,
     errno.EIO,
 ]  # all connections stay in the queue
-EACH_ACCEPT = pytest.mark.parametrize(
+EACH_ACCEPT_ERROR = pytest.mark.parametrize(
     "error",
-    [*ERRNOS_OF_LOST_CONNECTION, *ERRNOS_BEFORE_A_CONNECTION],
+    [*ERRNOS_OF_LOST_CONNECTION, *ERRNOS_WITHOUT_LOST_CONNECTION],
     ids=lambda number: errno.errorcode[number],
 )
 
 
-@EACH_ACCEPT
+@EACH_ACCEPT_ERROR
 @pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
 async def test_accept_failures_are_logged_once_and_later_connections_are_served(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
@@ -83,7 +83,7 @@
     assert len([line for line in problem_lines(caplog) if "connection" in line]) <= 1
 
 
-@EACH_ACCEPT
+@EACH_ACCEPT_ERROR
 @pytest.mark.usefixtures("no_tracebacks_until_loop_closes", "at_most_one_problem_until_loop_closes")
 async def test_accept_failure_during_shutdown_loses_only_the_failed_connection(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.EINTR, errno.EMFILE, errno.EINVAL])
-async def test_accept_that_keeps_failing_does_not_busy_the_event_loop(
+async def test_persistent_accept_failure_does_not_spin_the_event_loop(
     error: int, socket_failures: SocketFailures, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The listening socket stays readable all the while; each pause between two tries is one timer."""
@@ -165,7 +165,7 @@
             writer.write(http_response(200, b"x"))
 
 
-async def test_accept_queue_is_served_during_shutdown_as_clients_leave(
+async def test_accept_queue_is_served_during_shutdown_as_connections_are_freed(
     socket_failures: SocketFailures,
 ) -> None:
     """More connections wait there than the proxy may hold, and those that it holds have open requests."""
@@ -175,26 +175,26 @@
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=2) as proxy,
     ):
         connection_limit = 2 + 8
-        first = [
+        first_statuses = [
             asyncio.ensure_future(read_status_or_end(queue_request(proxy.port, f"a{number}")))
             for number in range(2)
         ]
         await wait_until(lambda: endpoint.held_count == 2)
-        remaining = [queue_request(proxy.port, f"r{number}") for number in range(2 * connection_limit)]
+        queued_clients = [queue_request(proxy.port, f"r{number}") for number in range(2 * connection_limit)]
         proxy.listener.stop_listening()
         proxy.listener.close_idle_connections()
         assert proxy.clients.descriptor_count <= connection_limit
         assert not proxy.listener.is_drained
         endpoint.may_respond.set()
-        statuses = [asyncio.ensure_future(read_status_or_end(connection)) for connection in remaining]
+        statuses = [asyncio.ensure_future(read_status_or_end(connection)) for connection in queued_clients]
         while not all(status.done() for status in statuses):
             proxy.listener.close_idle_connections()
             await asyncio.sleep(0)
         assert all(status.result() in (200, 503) for status in statuses)
-        assert [await status for status in first] == [200, 200]
+        assert [await status for status in first_statuses] == [200, 200]
 
 
-PROCESS = """
+FAILING_ACCEPT_PROGRAM = """
 import resource, socket, sys
 import load_balancer.__main__ as program
 from load_balancer.net.client.client_listener import ClientListener
@@ -230,7 +230,7 @@
 """
 
 
-async def until_logged(process: asyncio.subprocess.Process, text: bytes) -> None:
+async def read_log_until(process: asyncio.subprocess.Process, text: bytes) -> None:
     """Read the log of a process up to a line with this text."""
     assert process.stderr is not None
     while text not in (line := await process.stderr.readline()):
@@ -239,7 +239,7 @@
 
 @asynccontextmanager
 async def process_with_failing_accept(
-    tmp_path: Path, endpoint: StandInServer, failed: int, descriptors: int
+    tmp_path: Path, endpoint: StandInServer, accept_error: int, descriptor_limit: int
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """Run a proxy process whose accept fails at shutdown, by this error or for want of descriptors."""
     # A response is of use for long enough that a request may still be open as the process stops listening.
@@ -248,7 +248,7 @@
     config = proxy_config(known=endpoint_list(endpoint_entry("b", endpoint.port)), settings=settings)
     env = {**os.environ, **write_config(tmp_path, config)}
     pipe = asyncio.subprocess.PIPE
-    arguments = [sys.executable, "-c", PROCESS, str(failed), str(descriptors)]
+    arguments = [sys.executable, "-c", FAILING_ACCEPT_PROGRAM, str(accept_error), str(descriptor_limit)]
     process = await asyncio.create_subprocess_exec(*arguments, cwd=ROOT, env=env, stdin=pipe, stderr=pipe)
     try:
         yield process
@@ -262,34 +262,36 @@
     """Shut the process down, and return the statuses of six requests in its accept queue at that moment."""
     assert process.stdin is not None
     process.send_signal(signal.SIGTERM)
-    await until_logged(process, b"about to stop listening")
+    await read_log_until(process, b"about to stop listening")
     clients = [queue_request(port, f"r{number}") for number in range(6)]
     process.stdin.write(b"\n")
     return await asyncio.gather(*map(read_status_or_end, clients))
 
 
-@pytest.mark.parametrize(("failed", "descriptors"), [(errno.ENETUNREACH, 0), (0, 40)], ids=["one", "EMFILE"])
-async def test_process_with_failing_accept_answers_all_and_exits_on_shutdown(
-    failed: int, descriptors: int, tmp_path: Path
+@pytest.mark.parametrize(
+    ("accept_error", "descriptor_limit"), [(errno.ENETUNREACH, 0), (0, 40)], ids=["one", "EMFILE"]
+)
+async def test_process_with_failing_accept_responds_to_all_and_exits_on_shutdown(
+    accept_error: int, descriptor_limit: int, tmp_path: Path
 ) -> None:
     """It fails for one connection, or for a real shortage of descriptors, which the settings don't name."""
     async with (
         HoldingEndpoint(held_id="open") as endpoint,
-        process_with_failing_accept(tmp_path, endpoint, failed, descriptors) as process,
+        process_with_failing_accept(tmp_path, endpoint, accept_error, descriptor_limit) as process,
     ):
         port = await read_listening_port(process)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(http_request(request_id="open", Req_Deadline="9.0"))
         await endpoint.is_holding.wait()
         # These keep their connections, and with them all descriptors.
-        idle_clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(descriptors)]
-        if descriptors:
-            await until_logged(process, b"Too many open files")
+        idle_clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(descriptor_limit)]
+        if descriptor_limit:
+            await read_log_until(process, b"Too many open files")
         statuses = await statuses_at_shutdown(process, port)
         endpoint.may_respond.set()
         assert response_status(await read_http_message(reader)) == 200
         writer.close()
-        assert sorted(statuses) == [0 if failed else 200, *[200] * 5]
+        assert sorted(statuses) == [0 if accept_error else 200, *[200] * 5]
         assert process.stderr is not None
         remaining_log = await process.stderr.read()
         assert await process.wait() == 0
--- a/tests/scenarios/test_connection_failures.py
+++ b/tests/scenarios/test_connection_failures.py
@@ -43,13 +43,13 @@
 from tests.support.stepped_clock import wait_until
 
 SIDES = ["client", "endpoint", "discovery"]
-NEVER_ENDING = sys.maxsize  # times
-EACH_STANDING = pytest.mark.parametrize(
+UNLIMITED = sys.maxsize  # times
+EACH_CONNECTION_ERROR = pytest.mark.parametrize(
     "error", ERRNOS_OF_BROKEN_CONNECTION, ids=lambda number: errno.errorcode[number]
 )
 
 
-def sockets_of(
+def select_sockets_of(
     side: str, endpoint: StandInServer, discovery: StandInServer, proxy: LoopbackProxy
 ) -> SocketFilter:
     """Select the proxy's sockets to one of these three sides."""
@@ -61,18 +61,18 @@
 
 
 @pytest.mark.parametrize("side", SIDES)
-@pytest.mark.parametrize("name", ["recv", "send"])
+@pytest.mark.parametrize("call", ["recv", "send"])
 @pytest.mark.usefixtures("no_problems_until_loop_closes")
-async def test_bytes_that_come_or_go_one_by_one_are_read_and_written_completely(
-    name: str, side: str, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
+async def test_messages_are_complete_when_each_call_moves_one_byte(
+    call: str, side: str, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with (
         StandInEndpoint(http_response(200, b"said" * 50)) as endpoint,
         StandInListServer(endpoint_list(endpoint_entry("b", endpoint.port))) as discovery,
         running_proxy(discovery_port=discovery.port) as proxy,
     ):
-        sockets = sockets_of(side, endpoint, discovery, proxy)
-        failure = socket_failures.add(name, sockets, times=NEVER_ENDING)
+        sockets = select_sockets_of(side, endpoint, discovery, proxy)
+        failure = socket_failures.add(call, sockets, times=UNLIMITED)
         await wait_until(lambda: proxy.driver.is_ready)
         for number in range(2):
             response = await proxy.send_request(
@@ -97,9 +97,9 @@
 
 
 @pytest.mark.parametrize("side", SIDES)
-@pytest.mark.parametrize("name", ["recv", "send"])
+@pytest.mark.parametrize("call", ["recv", "send"])
 async def test_interrupted_system_calls_are_repeated(
-    name: str, side: str, socket_failures: SocketFailures, received_signals: list[int]
+    call: str, side: str, socket_failures: SocketFailures, received_signals: list[int]
 ) -> None:
     """Calls are made to fail so, though Python repeats most itself; real signals interrupt waits."""
     async with (
@@ -107,8 +107,8 @@
         StandInListServer(endpoint_list(endpoint_entry("b", endpoint.port))) as discovery,
         running_proxy(discovery_port=discovery.port) as proxy,
     ):
-        sockets = sockets_of(side, endpoint, discovery, proxy)
-        failure = socket_failures.add(name, sockets, errno.EINTR, times=3)
+        sockets = select_sockets_of(side, endpoint, discovery, proxy)
+        failure = socket_failures.add(call, sockets, errno.EINTR, times=3)
         await wait_until(lambda: proxy.driver.is_ready)
         for number in range(3):
             assert response_status(await proxy.send_request(http_request(request_id=f"r{number}"))) == 200
@@ -118,26 +118,29 @@
     assert received_signals
 
 
-@pytest.mark.parametrize("all_but", [0, 1, 40])
+@pytest.mark.parametrize("unsent_byte_count", [0, 1, 40])
 async def test_request_counts_as_sent_with_its_last_byte(
-    all_but: int, socket_failures: SocketFailures
+    unsent_byte_count: int, socket_failures: SocketFailures
 ) -> None:
     """The system takes one byte at a time and then no more; the endpoint reads these and closes."""
     request = UpstreamRequest(
         b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True, adds_deadline_header=False
     )
-    complete = b"GET /api HTTP/1.1\r\nhost: x\r\n\r\n"
-    all_but = min(all_but, len(complete) - 1)
+    request_bytes = b"GET /api HTTP/1.1\r\nhost: x\r\n\r\n"
+    unsent_byte_count = min(unsent_byte_count, len(request_bytes) - 1)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        assert await reader.readexactly(len(complete) - all_but) == complete[: len(complete) - all_but]
+        assert (
+            await reader.readexactly(len(request_bytes) - unsent_byte_count)
+            == request_bytes[: len(request_bytes) - unsent_byte_count]
+        )
 
     async with StandInServer(handle) as endpoint:
         pool = ConnectionPool(5.0, 30.0, 10)
-        socket_failures.add("send", connected_to(endpoint.port), times=len(complete) - all_but)
-        socket_failures.add("send", connected_to(endpoint.port), errno.EAGAIN, times=NEVER_ENDING)
+        socket_failures.add("send", connected_to(endpoint.port), times=len(request_bytes) - unsent_byte_count)
+        socket_failures.add("send", connected_to(endpoint.port), errno.EAGAIN, times=UNLIMITED)
         outcome, _ = await run_attempt(pool, ("127.0.0.1", endpoint.port), request)
-        assert outcome is (Outcome.NO_CONNECTION if all_but else Outcome.RESET)
+        assert outcome is (Outcome.NO_CONNECTION if unsent_byte_count else Outcome.RESET)
         pool.close()
 
 
@@ -161,25 +164,26 @@
         self.ended_ids.append(headers["req-id"])
 
 
-@EACH_STANDING
-@pytest.mark.parametrize("name", ["recv", "send"])
+@EACH_CONNECTION_ERROR
+@pytest.mark.parametrize("call", ["recv", "send"])
 @pytest.mark.usefixtures("no_problems_until_loop_closes")
 async def test_failed_client_connection_ends_only_its_own_attempt(
-    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
+    call: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with HoldingEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
-        other_reader, other = await proxy.connect()
-        other.write(http_request(request_id="other"))
+        other_reader, other_writer = await proxy.connect()
+        other_writer.write(http_request(request_id="other"))
         _, writer = await proxy.connect()
         writer.write(http_request(request_id="lost"))
         await wait_until(lambda: len(endpoint.writer_by_id) == 2)
         client_address = writer.get_extra_info("sockname")
         failure = socket_failures.add(
-            name,
-            lambda checked: accepted_on(proxy.port)(checked) and checked.getpeername() == client_address,
+            call,
+            lambda candidate: accepted_on(proxy.port)(candidate)
+            and candidate.getpeername() == client_address,
             error,
         )
-        if name == "recv":
+        if call == "recv":
             writer.write(b"G")  # what comes makes it read
             await wait_until(lambda: endpoint.ended_ids == ["lost"])
         else:
@@ -191,46 +195,48 @@
         assert not proxy.driver.requests.attempts.in_flight
         assert not proxy.clients.open_request_ids
         assert len(endpoint.writer_by_id) == 2  # no attempt was made for it again
-        other.close()
+        other_writer.close()
         writer.close()
     assert not problem_lines(caplog)
 
 
-@EACH_STANDING
-@pytest.mark.parametrize("when", ["at the first byte", "half written", "half written, read", "written"])
+@EACH_CONNECTION_ERROR
+@pytest.mark.parametrize(
+    "failure_point", ["at the first byte", "half written", "half written, read", "written"]
+)
 @pytest.mark.usefixtures("no_problems_until_loop_closes")
-async def test_failed_endpoint_connection_tells_by_the_last_byte_whether_the_request_may_have_run(
-    when: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
+async def test_failed_endpoint_connection_counts_as_reset_only_once_the_request_is_sent(
+    failure_point: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    half = 10  # bytes
+    half_byte_count = 10  # bytes
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if when == "written":
+        if failure_point == "written":
             await read_http_message(reader)
         else:
-            await reader.readexactly(half)
-        if when in ("half written, read", "written"):
+            await reader.readexactly(half_byte_count)
+        if failure_point in ("half written, read", "written"):
             writer.write(b"HTTP")  # makes the proxy read
         await reader.read()
 
     async with StandInServer(handle) as endpoint:
         pool = ConnectionPool(5.0, 30.0, 10)
-        side = connected_to(endpoint.port)
-        if "half" in when:
-            socket_failures.add("send", side, times=half)
-        if when == "half written, read":
-            socket_failures.add("send", side, errno.EAGAIN, times=NEVER_ENDING)
-        reads = when in ("half written, read", "written")
-        failure = socket_failures.add("recv" if reads else "send", side, error)
+        endpoint_sockets = connected_to(endpoint.port)
+        if "half" in failure_point:
+            socket_failures.add("send", endpoint_sockets, times=half_byte_count)
+        if failure_point == "half written, read":
+            socket_failures.add("send", endpoint_sockets, errno.EAGAIN, times=UNLIMITED)
+        fails_on_read = failure_point in ("half written, read", "written")
+        failure = socket_failures.add("recv" if fails_on_read else "send", endpoint_sockets, error)
         outcome, _ = await run_attempt(pool, ("127.0.0.1", endpoint.port))
-        assert outcome is (Outcome.RESET if when == "written" else Outcome.NO_CONNECTION)
+        assert outcome is (Outcome.RESET if failure_point == "written" else Outcome.NO_CONNECTION)
         assert failure.hit_count == 1
         await wait_until(lambda: not pool.connections.open)
         pool.close()
     assert not problem_lines(caplog)
 
 
-@EACH_STANDING
+@EACH_CONNECTION_ERROR
 @pytest.mark.usefixtures("no_problems_until_loop_closes")
 async def test_failed_idle_connection_is_not_reused(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
@@ -251,7 +257,7 @@
 
 
 @pytest.mark.usefixtures("no_problems_until_loop_closes")
-async def test_reset_at_the_end_of_sending_is_not_logged(
+async def test_failed_shutdown_of_a_reset_connection_is_not_logged(
     socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with (
--- a/tests/scenarios/test_deduplication_window.py
+++ b/tests/scenarios/test_deduplication_window.py
@@ -150,8 +150,8 @@
         request.clock.advance(50.0)
         next_request = http_request("mark", request_id="r2", Req_Deadline=str(DEADLINE_S))
         assert response_status(await request.proxy.send_request(next_request)) == 200
-        received_ids = [sent for endpoint in request.endpoints for sent in endpoint.request_ids]
-        assert [sent for sent in received_ids if sent == "r1"] == ["r1"]
+        received_ids = [request_id for endpoint in request.endpoints for request_id in endpoint.request_ids]
+        assert [request_id for request_id in received_ids if request_id == "r1"] == ["r1"]
 
 
 # Connections that are reset after the endpoint has received the request
@@ -204,10 +204,10 @@
         yield fleet, await stack.enter_async_context(proxy)
 
 
-@pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
+@pytest.mark.parametrize("class_name", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("after_s", [0.0, 10.0, 60.0])
 async def test_request_reset_after_its_first_byte_is_retried_only_where_safe(
-    kind: str, after_s: float
+    class_name: str, after_s: float
 ) -> None:
     """The endpoint may have run the request, however late the reset is.
 
@@ -215,16 +215,16 @@
     """
     async with proxy_before_reset_fleet() as (fleet, proxy):
         clock = proxy.use_stepped_clock()
-        request = http_request(kind, request_id="r1", Req_Deadline=str(DEADLINE_S))
+        request = http_request(class_name, request_id="r1", Req_Deadline=str(DEADLINE_S))
         response = asyncio.ensure_future(proxy.send_request(request))
         await wait_until(lambda: len(fleet.connections) == 1)
         clock.advance(after_s)
         fleet.connections[0].reset()
         status = response_status(await response)
-        is_retried = kind == "read" or (kind != "pay" and after_s < RESET_WINDOW_S - 1.0)
+        is_retried = class_name == "read" or (class_name != "pay" and after_s < RESET_WINDOW_S - 1.0)
         # The rule on rejections knows no window: a request whose key all endpoints share may be rejected.
-        assert status == (200 if is_retried else 503 if kind == "mark" else 502)
+        assert status == (200 if is_retried else 503 if class_name == "mark" else 502)
         assert len(fleet.connections) == 1 + is_retried
-        if kind == "write" and is_retried:  # by the other endpoint of the same cell
+        if class_name == "write" and is_retried:  # by the other endpoint of the same cell
             has_received = fleet.has_received_by_endpoint()
             assert has_received[:4] == has_received[4:]
--- a/tests/scenarios/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -67,11 +67,11 @@
 
 def ids_ranked_before(hashed_id: int, count: int) -> list[int]:
     """Return so many ids of endpoints that stand on the ring before this position."""
-    mixed = ((number * 2_654_435_761 % 2**32, number) for number in range(1_000, 100_000))
-    return [number for rank, number in mixed if rank < hashed_id][:count]
+    hashed_ids = ((number * 2_654_435_761 % 2**32, number) for number in range(1_000, 100_000))
+    return [number for candidate_hash, number in hashed_ids if candidate_hash < hashed_id][:count]
 
 
-def test_longest_departed_endpoint_is_closed_first_and_returned_one_is_kept() -> None:
+def test_longest_departed_endpoint_is_closed_first_and_rejoined_one_keeps_connections() -> None:
     harness = BalancerHarness(balancer_settings(instances=34, index=0), endpoint_count=0)
     harness.update_endpoint_list(*(messages.Endpoint(number) for number in range(1, 189)))
     endpoints = harness.balancer.endpoints
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -108,14 +108,14 @@
     """Check that each kind of line stays within its limit, and that none is about descriptors."""
     counts = Counter("watch" if "watch on discovery" in line else "other" for line in lines)
     assert counts["other"] <= MAX_OTHER_LINES, lines
-    windows = 1 + int(duration_s / FAILURE_LOG_WINDOW_S)
-    assert counts["watch"] <= windows * (MAX_LOGGED_FAILURES + 1), lines
+    window_count = 1 + int(duration_s / FAILURE_LOG_WINDOW_S)
+    assert counts["watch"] <= window_count * (MAX_LOGGED_FAILURES + 1), lines
     assert not any("Traceback" in line or "descriptor" in line for line in lines)
 
 
-@pytest.mark.parametrize("kind", SENT_BY_IDLE_CLIENTS)
+@pytest.mark.parametrize("client_kind", SENT_BY_IDLE_CLIENTS)
 async def test_idle_clients_leave_descriptors_for_watch_attempts_and_other_clients(
-    kind: str, tmp_path: Path
+    client_kind: str, tmp_path: Path
 ) -> None:
     began_s, lines, discovery_socket = time.monotonic(), list[str](), bound_socket()
     async with (
@@ -127,7 +127,7 @@
             port = await read_listening_port(process, lines)
             assert process.stderr is not None
             log_end = asyncio.create_task(process.stderr.read())
-            clients = IdleClients(port, SENT_BY_IDLE_CLIENTS[kind])
+            clients = IdleClients(port, SENT_BY_IDLE_CLIENTS[client_kind])
             await check_requests_among_idle_clients(process.pid, clients)
             discovery = StandInListServer(endpoint_list(endpoint_entry("b", second.port), rev=2))
             await discovery.start(discovery_socket)
@@ -171,14 +171,14 @@
             if not proxy.driver.endpoint_list.watch.is_running:
                 clock.advance(3.0)
         lines = [line for line in caplog.messages if "endpoint" in line]
-        changes = [line for line in lines if line.startswith("endpoint ")]
-        summaries = [line for line in lines if line not in changes]
-        assert len(changes) == 20 + 2
-        assert summaries == ["80 more changes of endpoints"]  # 102 in all
-        assert sum("draining" in line for line in changes) == 1
+        change_lines = [line for line in lines if line.startswith("endpoint ")]
+        summary_lines = [line for line in lines if line not in change_lines]
+        assert len(change_lines) == 20 + 2
+        assert summary_lines == ["80 more changes of endpoints"]  # 102 in all
+        assert sum("draining" in line for line in change_lines) == 1
 
 
-class AbsentDiscovery(StandInServer):
+class RefusingDiscovery(StandInServer):
     """Refuses each watch with status 503.
 
     Attributes:
@@ -207,15 +207,15 @@
             self.advanced_s = clock.advanced_s
 
 
-def test_absent_discovery_is_logged_a_few_times_with_a_count(caplog: pytest.LogCaptureFixture) -> None:
+def test_refused_watches_are_logged_a_few_times_with_a_count(caplog: pytest.LogCaptureFixture) -> None:
     """The proxy opens a watch ten times a second where lists are pushed."""
     caplog.set_level(logging.INFO, logger="load_balancer.net.discovery.endpoint_watch")
-    discovery = AbsentDiscovery()
+    discovery = RefusingDiscovery()
     run_in_event_loop(discovery.refuse_watches)
     lines = caplog.messages
-    breaks = [line for line in lines if line.endswith("failed: discovery responded with status 503")]
-    repeats = [int(line.split()[4]) for line in lines if "more times" in line]
-    windows = 1 + int(discovery.advanced_s / FAILURE_LOG_WINDOW_S)
-    assert len(breaks) + len(repeats) == len(lines)
-    assert len(breaks) == len(repeats) + 1 <= windows
-    assert discovery.refused_count - 100 < len(breaks) + sum(repeats) <= discovery.refused_count
+    failure_lines = [line for line in lines if line.endswith("failed: discovery responded with status 503")]
+    repeat_counts = [int(line.split()[4]) for line in lines if "more times" in line]
+    window_count = 1 + int(discovery.advanced_s / FAILURE_LOG_WINDOW_S)
+    assert len(failure_lines) + len(repeat_counts) == len(lines)
+    assert len(failure_lines) == len(repeat_counts) + 1 <= window_count
+    assert discovery.refused_count - 100 < len(failure_lines) + sum(repeat_counts) <= discovery.refused_count
--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -22,13 +22,13 @@
 MEASURED_ROUNDS = 240
 
 
-def parts_of(owner: object, seen: dict[int, object]) -> None:
+def collect_objects(owner: object, objects_by_id: dict[int, object]) -> None:
     """Collect this object of the product and all that it refers to other than through a collection."""
-    if id(owner) in seen or not type(owner).__module__.startswith("load_balancer."):
+    if id(owner) in objects_by_id or not type(owner).__module__.startswith("load_balancer."):
         return
-    seen[id(owner)] = owner
+    objects_by_id[id(owner)] = owner
     for value in vars(owner).values() if hasattr(owner, "__dict__") else ():
-        parts_of(value, seen)
+        collect_objects(value, objects_by_id)
 
 
 class TimerRecorder:
@@ -40,9 +40,9 @@
         call_at = self._loop.call_at
 
         def record_and_call_at(
-            when_s: float, callback: Callable[..., object], *args: Any, **named: Any
+            when_s: float, callback: Callable[..., object], *args: Any, **kwargs: Any
         ) -> asyncio.TimerHandle:
-            timer = call_at(when_s, callback, *args, **named)
+            timer = call_at(when_s, callback, *args, **kwargs)
             self._timers.add(timer)
             return timer
 
@@ -57,17 +57,17 @@
 
 def collection_sizes(proxy: LoopbackProxy, timers: TimerRecorder) -> dict[str, int]:
     """Return the size of every collection that lives as long as the process."""
-    parts: dict[int, object] = {}
+    objects_by_id: dict[int, object] = {}
     for owner in (proxy.driver, proxy.pool, proxy.listener, proxy.clients):
-        parts_of(owner, parts)
-    counted: dict[str, int] = defaultdict(int)
-    for part in parts.values():
-        for name, value in vars(part).items() if hasattr(part, "__dict__") else ():
+        collect_objects(owner, objects_by_id)
+    sizes: dict[str, int] = defaultdict(int)
+    for instance in objects_by_id.values():
+        for name, value in vars(instance).items() if hasattr(instance, "__dict__") else ():
             if isinstance(value, Sized) and not isinstance(value, str | bytes):
-                counted[f"{type(part).__name__}.{name}"] += len(value)
-    counted["tasks"] = len(asyncio.all_tasks())
-    counted["timers"] = timers.pending_count
-    return counted
+                sizes[f"{type(instance).__name__}.{name}"] += len(value)
+    sizes["tasks"] = len(asyncio.all_tasks())
+    sizes["timers"] = timers.pending_count
+    return sizes
 
 
 async def collection_sizes_at_rest(proxy: LoopbackProxy, timers: TimerRecorder) -> dict[str, int]:
--- a/tests/scenarios/test_little_time.py
+++ b/tests/scenarios/test_little_time.py
@@ -21,7 +21,7 @@
 
 
 @asynccontextmanager
-async def lasts_less_than(seconds: float) -> AsyncIterator[None]:
+async def assert_shorter_than(seconds: float) -> AsyncIterator[None]:
     """Fail the test where the steps inside take this long by the event loop's clock."""
     loop = asyncio.get_running_loop()
     began_s = loop.time()
@@ -42,13 +42,13 @@
     return attempts
 
 
-@pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
+@pytest.mark.parametrize("class_name", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("remaining_ms", [0, 1, 5, 14, 16, 18, 30])
-async def test_request_with_hardly_any_time_left_gets_a_response_and_no_attempt(
-    endpoint: StandInEndpoint, proxy: LoopbackProxy, kind: str, remaining_ms: int
+async def test_request_with_hardly_any_time_remaining_gets_a_response_and_no_attempt(
+    endpoint: StandInEndpoint, proxy: LoopbackProxy, class_name: str, remaining_ms: int
 ) -> None:
-    async with lasts_less_than(MAX_LATENESS_S):
-        request = http_request(kind, Req_Deadline=f"{remaining_ms / 1e3:.3f}")
+    async with assert_shorter_than(MAX_LATENESS_S):
+        request = http_request(class_name, Req_Deadline=f"{remaining_ms / 1e3:.3f}")
         response = await proxy.send_request(request)
     assert response_status(response) in (502, 503)
     assert not endpoint.received
@@ -57,26 +57,26 @@
     assert not proxy.driver.requests.attempts.in_flight
 
 
-@pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
-async def test_rejected_attempts_end_at_once_within_the_limit_on_attempts(kind: str) -> None:
+@pytest.mark.parametrize("class_name", REQUEST_CLASS_NAMES)
+async def test_rejected_attempts_end_at_once_within_the_limit_on_attempts(class_name: str) -> None:
     ports = [unused_port() for _ in range(5)]  # all of them refuse connections
     entries = [endpoint_entry(f"s-{number}", port) for number, port in enumerate(ports)]
     async with running_proxy(*entries) as proxy:
         attempts = record_attempts(proxy)
-        async with lasts_less_than(1.0):  # of the 2 s of the latency objective
-            response = await proxy.send_request(http_request(kind))
+        async with assert_shorter_than(1.0):  # of the 2 s of the latency objective
+            response = await proxy.send_request(http_request(class_name))
         assert response_status(response) == 503
         assert len(attempts) == 3
         assert proxy.driver.is_idle
 
 
-@pytest.mark.parametrize("kind", ["read", "mark", "pay"])
-async def test_silently_dropped_request_gets_a_response(kind: str) -> None:
+@pytest.mark.parametrize("class_name", ["read", "mark", "pay"])
+async def test_silently_dropped_request_gets_a_response(class_name: str) -> None:
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        async with lasts_less_than(0.5 + MAX_LATENESS_S):
-            response = await proxy.send_request(http_request(kind, Req_Deadline="0.5"))
+        async with assert_shorter_than(0.5 + MAX_LATENESS_S):
+            response = await proxy.send_request(http_request(class_name, Req_Deadline="0.5"))
         assert response_status(response) in (502, 503)
         assert proxy.driver.is_idle
--- a/tests/scenarios/test_local_resource_shortage.py
+++ b/tests/scenarios/test_local_resource_shortage.py
@@ -45,16 +45,16 @@
     *(("connect", error) for error in (errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM)),
 ]
 EACH_SHORTAGE = pytest.mark.parametrize(
-    ("name", "error"),
+    ("call", "error"),
     SHORTAGES,
-    ids=[f"{name} {errno.errorcode[error]}" for name, error in SHORTAGES],
+    ids=[f"{call} {errno.errorcode[error]}" for call, error in SHORTAGES],
 )
 
 
 @EACH_SHORTAGE
 @pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
-async def test_local_resource_shortage_is_not_blamed_on_the_endpoint(
-    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
+async def test_local_resource_shortage_does_not_count_against_the_endpoint(
+    call: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -62,7 +62,7 @@
     ):
         reader, writer = await proxy.connect()
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
-        failure = socket_failures.add(name, any_socket, error)
+        failure = socket_failures.add(call, any_socket, error)
         writer.write(http_request())
         assert response_status(await read_http_message(reader)) == 200
         assert failure.hit_count == 1
@@ -78,7 +78,7 @@
 @EACH_SHORTAGE
 @pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
 async def test_lasting_local_resource_shortage_rejects_requests_at_once(
-    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
+    call: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Each makes as many attempts as the settings allow, costs no retry budget, and leaves nothing open."""
 
@@ -88,7 +88,7 @@
     ):
         reader, writer = await proxy.connect()
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
-        failure = socket_failures.add(name, any_socket, error, times=sys.maxsize)
+        failure = socket_failures.add(call, any_socket, error, times=sys.maxsize)
         for request_count in range(1, 31):
             writer.write(http_request(request_id=f"r{request_count}"))
             assert response_status(await read_http_message(reader)) == 503
@@ -158,19 +158,19 @@
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        failing = FailingPoll(error)
+        failing_poll = FailingPoll(error)
         reader, writer = await proxy.connect()
-        idle_reader, idle = await proxy.connect()
+        idle_reader, idle_writer = await proxy.connect()
         await wait_until(lambda: len(proxy.clients.open_connections) == 2)
         clock = SteppedClock()
         with monkeypatch.context() as patch:
-            patch.setattr("load_balancer.net.socket_state.select.poll", lambda: failing)
+            patch.setattr("load_balancer.net.socket_state.select.poll", lambda: failing_poll)
             for number in range(3):
                 writer.write(http_request(request_id=f"r{number}"))
                 assert response_status(await read_http_message(reader)) == 200
                 clock.advance(SETTLE_S)
             assert endpoint.connection_count == 3
-            assert failing.poll_count
+            assert failing_poll.poll_count
             assert proxy.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
             clock.advance(1.0)
             proxy.listener.close_idle_connections()
@@ -180,5 +180,5 @@
         proxy.listener.close_idle_connections()  # it can tell again
         assert await idle_reader.read() == await reader.read() == b""
         writer.close()
-        idle.close()
+        idle_writer.close()
     assert not problem_lines(caplog)
--- a/tests/scenarios/test_no_files.py
+++ b/tests/scenarios/test_no_files.py
@@ -22,7 +22,7 @@
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 # Each way to change the file system is told before it happens, whether or not it would succeed.
-AUDITED = """
+AUDITED_PROGRAM = """
 import os, runpy, sys
 
 WRITES = os.O_WRONLY | os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
@@ -40,49 +40,51 @@
 
 
 @asynccontextmanager
-async def started(
-    words: list[str], env: dict[str, str], shell: str = ""
+async def running_command(
+    command: list[str], env: dict[str, str], shell: str = ""
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """A process with this environment and no other."""
-    made = await asyncio.create_subprocess_exec(
+    process = await asyncio.create_subprocess_exec(
         "/bin/sh",
         "-c",
         f'{shell} exec "$@"',
         "sh",
-        *words,
+        *command,
         cwd=ROOT,
         env=env,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
     try:
-        yield made
+        yield process
     finally:
-        if made.returncode is None:
-            made.kill()
-        await made.wait()
+        if process.returncode is None:
+            process.kill()
+        await process.wait()
 
 
-async def serve_move_and_end(tmp_path: Path, words: list[str], env: dict[str, str], shell: str = "") -> str:
+async def serve_across_reload(
+    tmp_path: Path, command: list[str], env: dict[str, str], shell: str = ""
+) -> str:
     """A request, a new configuration, a request to the backend that it tells of, the end; its log."""
 
-    async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def send_list(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(
             WATCH_RESPONSE_HEAD
-            + endpoint_list_chunk(endpoint_list(endpoint_entry("b", second_endpoint.port), rev=2))
+            + endpoint_list_chunk(endpoint_list(endpoint_entry("b", new_endpoint.port), rev=2))
         )
         await reader.read()
 
     async with (
-        StandInEndpoint(http_response(200, b"a")) as first_endpoint,
-        StandInEndpoint(http_response(200, b"b")) as second_endpoint,
-        StandInServer(tell) as discovery,
+        StandInEndpoint(http_response(200, b"a")) as old_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as new_endpoint,
+        StandInServer(send_list) as discovery,
     ):
-        config = proxy_config(known=endpoint_list(endpoint_entry("a", first_endpoint.port)))
-        async with started(words, {**write_config(tmp_path, config), **env}, shell) as made:
-            said: list[str] = []
-            port = await read_listening_port(made, said)
+        config = proxy_config(known=endpoint_list(endpoint_entry("a", old_endpoint.port)))
+        async with running_command(command, {**write_config(tmp_path, config), **env}, shell) as process:
+            log_lines: list[str] = []
+            port = await read_listening_port(process, log_lines)
             for expected in (b"a", b"b"):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 writer.write(http_request())
@@ -90,35 +92,35 @@
                 writer.close()
                 if expected == b"a":
                     write_config(tmp_path, {**config, "discovery": f"127.0.0.1:{discovery.port}"})
-                    made.send_signal(signal.SIGHUP)
-                    assert made.stderr is not None
-                    while "is b," not in said[-1]:
-                        said.append((await made.stderr.readline()).decode())
-                        assert said[-1], "it ended"
-            made.send_signal(signal.SIGTERM)
-            _, rest = await made.communicate()
-            assert made.returncode == 0
-            return "".join(said) + rest.decode()
-
-
-@pytest.mark.parametrize("folder", ["missing", "no folder", "empty", "unset"])
-async def test_process_runs_without_writable_files_or_folders(tmp_path: Path, folder: str) -> None:
+                    process.send_signal(signal.SIGHUP)
+                    assert process.stderr is not None
+                    while "is b," not in log_lines[-1]:
+                        log_lines.append((await process.stderr.readline()).decode())
+                        assert log_lines[-1], "it ended"
+            process.send_signal(signal.SIGTERM)
+            _, remaining_log = await process.communicate()
+            assert process.returncode == 0
+            return "".join(log_lines) + remaining_log.decode()
+
+
+@pytest.mark.parametrize("folder_state", ["missing", "no folder", "empty", "unset"])
+async def test_process_runs_without_writable_files_or_folders(tmp_path: Path, folder_state: str) -> None:
     """Each write to a file fails for it, as on a full disk, and there is no home."""
 
-    place = tmp_path / "place"
-    if folder == "no folder":
-        place.write_bytes(b"")
-    elif folder == "empty":
-        place.mkdir()
-    env = {} if folder == "unset" else {"TMPDIR": str(place)}
-    text = await serve_move_and_end(tmp_path, deploy_command(), env, "ulimit -f 0;")
-    assert "Traceback" not in text
-    assert "Error" not in text
-    assert not place.is_dir() or not list(place.iterdir())
+    temporary_folder = tmp_path / "temporary_folder"
+    if folder_state == "no folder":
+        temporary_folder.write_bytes(b"")
+    elif folder_state == "empty":
+        temporary_folder.mkdir()
+    env = {} if folder_state == "unset" else {"TMPDIR": str(temporary_folder)}
+    log = await serve_across_reload(tmp_path, deploy_command(), env, "ulimit -f 0;")
+    assert "Traceback" not in log
+    assert "Error" not in log
+    assert not temporary_folder.is_dir() or not list(temporary_folder.iterdir())
 
 
 async def test_process_opens_no_file_for_writing(tmp_path: Path) -> None:
     assert deploy_command()[1:] == ["-B", "-m", "load_balancer"]  # -B: no compiled module is written either
-    words = [sys.executable, "-B", "-c", AUDITED]
-    text = await serve_move_and_end(tmp_path, words, {"TMPDIR": str(tmp_path)})
-    assert "FILE" not in text, text
+    command = [sys.executable, "-B", "-c", AUDITED_PROGRAM]
+    log = await serve_across_reload(tmp_path, command, {"TMPDIR": str(tmp_path)})
+    assert "FILE" not in log, log
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -29,76 +29,76 @@
 
     async with keyed_request(100.0) as request:
         request.clock.advance(70.0)
-        begin = request.proxy.pool.start_attempt
+        start_attempt = request.proxy.pool.start_attempt
 
-        def stands_still(*what: Any) -> UpstreamAttempt:
-            out = begin(*what)
+        def call_and_pause(*arguments: Any) -> UpstreamAttempt:
+            attempt = start_attempt(*arguments)
             request.clock.advance(40.0)
-            return out
+            return attempt
 
-        monkeypatch.setattr(request.proxy.pool, "start_attempt", stands_still)
+        monkeypatch.setattr(request.proxy.pool, "start_attempt", call_and_pause)
         request.first_connection.reset()
         await request.status()
         first, last = request.received[0], request.received[-1]
         assert last[0] - first[0] <= 100.0
 
 
-async def test_idle_connection_is_kept_when_the_process_pauses_as_it_is_taken(
+async def test_idle_connection_is_kept_when_the_process_pauses_while_it_is_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The attempt ends as too late; the connection has no timer any more, and none would ever close it."""
 
-    async with StandInEndpoint(http_response(200)) as stand_in:
+    async with StandInEndpoint(http_response(200)) as stand_in_endpoint:
         pool = ConnectionPool(60.0, 30.0, 10)
-        calls, connects = RecordedAttempts(pool, stand_in), ConnectGates(pool, [])
-        calls.start_attempt("a")
+        attempts, connects = RecordedAttempts(pool, stand_in_endpoint), ConnectGates(pool, [])
+        attempts.start_attempt("a")
         await connects.wait_for_started(1)
         connects.open(0)
-        await calls.wait_for_outcomes(a=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.OK)
         await connects.advance(idle_connections.SETTLE_S)
         take = pool.idle.take
 
-        def stands_still(endpoint: EndpointAddress) -> UpstreamConnection | None:
+        def call_and_pause(endpoint: EndpointAddress) -> UpstreamConnection | None:
             connection = take(endpoint)
             connects.clock.advance(61.0)
             return connection
 
-        with monkeypatch.context() as patched:
-            patched.setattr(pool.idle, "take", stands_still)
-            calls.start_attempt("b", timeout_s=300.0)
-        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.NO_CONNECTION)
-        assert pool.connections.open == set(pool.idle.by_endpoint.get(calls.endpoint, ()))
+        with monkeypatch.context() as patch:
+            patch.setattr(pool.idle, "take", call_and_pause)
+            attempts.start_attempt("b", timeout_s=300.0)
+        await attempts.wait_for_outcomes(a=Outcome.OK, b=Outcome.NO_CONNECTION)
+        assert pool.connections.open == set(pool.idle.by_endpoint.get(attempts.endpoint, ()))
         await connects.advance(31.0)
         await wait_until(lambda: not pool.connections.open)
-        assert stand_in.request_ids == ["a"]
+        assert stand_in_endpoint.request_ids == ["a"]
 
 
-@pytest.mark.parametrize("turn_s", [0.003, 0.01, 0.05])
-@pytest.mark.parametrize("turns", [1, 1000], ids=["one slow turn", "all turns slow"])
-async def test_connection_noticed_late_by_the_event_loop_does_not_count_as_late(
-    turn_s: float, turns: int
+@pytest.mark.parametrize("turn_duration_s", [0.003, 0.01, 0.05])
+@pytest.mark.parametrize("slow_turns", [1, 1000], ids=["one slow turn", "all turns slow"])
+async def test_connection_reported_late_by_the_event_loop_does_not_count_as_late(
+    turn_duration_s: float, slow_turns: int
 ) -> None:
     """It stands at once, and any other one would cost the backend a handshake, and the proxy more turns."""
 
-    async with StandInEndpoint(http_response(200)) as stand_in:
-        pool, clock, begun = ConnectionPool(60.0, 30.0, 10), SteppedClock(), 0
+    async with StandInEndpoint(http_response(200)) as stand_in_endpoint:
+        pool, clock, connect_count = ConnectionPool(60.0, 30.0, 10), SteppedClock(), 0
         for _ in range(WINDOW_SIZE):
             pool.pacing.latency.add(0.001)
         connect = pool.connector.open
 
-        async def counted(endpoint: EndpointAddress) -> UpstreamConnection:
-            nonlocal begun
-            begun += 1
+        async def count_and_connect(endpoint: EndpointAddress) -> UpstreamConnection:
+            nonlocal connect_count
+            connect_count += 1
             return await connect(endpoint)
 
-        pool.connector.open = counted  # type: ignore[method-assign]
-        calls = RecordedAttempts(pool, stand_in)
-        calls.start_attempt("a", failover_within_s=30.0)
-        slow = turns
-        while not calls.outcomes:
+        pool.connector.open = count_and_connect  # type: ignore[method-assign]
+        attempts = RecordedAttempts(pool, stand_in_endpoint)
+        attempts.start_attempt("a", failover_within_s=30.0)
+        slow_turns_remaining = slow_turns
+        while not attempts.outcomes:
             await asyncio.sleep(0)
-            if slow:
-                clock.advance(turn_s)
-                slow -= 1
-        assert (calls.outcomes, begun) == ({"a": Outcome.OK}, 1)
+            if slow_turns_remaining:
+                clock.advance(turn_duration_s)
+                slow_turns_remaining -= 1
+        assert (attempts.outcomes, connect_count) == ({"a": Outcome.OK}, 1)
         pool.close()
--- a/tests/scenarios/test_process_stalls.py
+++ b/tests/scenarios/test_process_stalls.py
@@ -55,9 +55,9 @@
         """Stall before each call of this function."""
         original = getattr(owner, name)
 
-        def stall_and_call(*args: Any, **named: Any) -> Any:
+        def stall_and_call(*args: Any, **kwargs: Any) -> Any:
             self._pass_time()
-            return original(*args, **named)
+            return original(*args, **kwargs)
 
         monkeypatch.setattr(owner, name, stall_and_call)
 
@@ -65,8 +65,8 @@
         """Stall after each call of this function, before its result is used."""
         original = getattr(owner, name)
 
-        def call_and_stall(*args: Any, **named: Any) -> Any:
-            result = original(*args, **named)
+        def call_and_stall(*args: Any, **kwargs: Any) -> Any:
+            result = original(*args, **kwargs)
             self._pass_time()
             return result
 
@@ -74,9 +74,9 @@
 
 
 # No check of the proxy can see this stall, as it is between the last look at the clock and the write itself.
-UNSEEN_STALL = "between the time remaining and the write"
-StallMaker = Callable[[Stall, pytest.MonkeyPatch, LoopbackProxy], None]
-STALLED_LINES: dict[str, StallMaker] = {
+UNDETECTABLE_STALL = "between the time remaining and the write"
+StallInstaller = Callable[[Stall, pytest.MonkeyPatch, LoopbackProxy], None]
+STALL_POINTS: dict[str, StallInstaller] = {
     "between the request's time and the driver": (
         lambda stall, patch, proxy: stall.before(patch, proxy.driver, "accept_request")
     ),
@@ -101,7 +101,7 @@
     "between the check and the request's head": (
         lambda stall, patch, proxy: stall.before(patch, UpstreamConnection, "send")
     ),
-    UNSEEN_STALL: (lambda stall, patch, proxy: stall.after(patch, socket_state, "has_unread_bytes")),
+    UNDETECTABLE_STALL: (lambda stall, patch, proxy: stall.after(patch, socket_state, "has_unread_bytes")),
 }
 
 
@@ -126,12 +126,12 @@
 
 
 def record_deadline_writes(
-    monkeypatch: pytest.MonkeyPatch, transports: type[asyncio.Transport]
+    monkeypatch: pytest.MonkeyPatch, transport_type: type[asyncio.Transport]
 ) -> list[DeadlineWrite]:
     """Return a list that grows with each deadline header that such a transport takes for an endpoint."""
     writes: list[DeadlineWrite] = []
     loop = asyncio.get_running_loop()
-    write = transports.write
+    write = transport_type.write
 
     def record_and_write(transport: asyncio.Transport, data: bytes) -> None:
         # An endpoint gets the header in lower case, the proxy in the case of the tests' requests.
@@ -140,7 +140,7 @@
             writes.append(DeadlineWrite(float(rest.split(b"\r\n")[0]), loop.time()))
         write(transport, data)
 
-    monkeypatch.setattr(transports, "write", record_and_write)
+    monkeypatch.setattr(transport_type, "write", record_and_write)
     return writes
 
 
@@ -151,10 +151,10 @@
     await run_loop_turns(20)
 
 
-@pytest.mark.parametrize("line", STALLED_LINES)
+@pytest.mark.parametrize("stall_point", STALL_POINTS)
 @EACH_CONNECTION
-async def test_deadline_header_tells_the_time_remaining_wherever_the_process_stalls(
-    line: str, reused: bool, monkeypatch: pytest.MonkeyPatch
+async def test_deadline_header_states_the_time_remaining_wherever_the_process_stalls(
+    stall_point: str, reused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The first attempt and its retry are both stalled at that line."""
     responses = [*[http_response(200)] * reused, http_response(500), http_response(200)]
@@ -169,13 +169,13 @@
         writes = record_deadline_writes(monkeypatch, await transport_class(endpoint.port))
         stall = Stall(clock)
         with monkeypatch.context() as patch:
-            STALLED_LINES[line](stall, patch, proxy)
+            STALL_POINTS[stall_point](stall, patch, proxy)
             deadline_at_s = asyncio.get_running_loop().time() + DEADLINE_S
             request = http_request(request_id="r1", Req_Deadline=str(DEADLINE_S))
             response = await proxy.send_request(request)
         assert response_status(response) == 200
         assert stall.count >= 1
-        slack_s = SLACK_S if line == UNSEEN_STALL else 0.0
+        slack_s = SLACK_S if stall_point == UNDETECTABLE_STALL else 0.0
         assert len(writes) == 2
         assert all(write.is_in_time(deadline_at_s, slack_s) for write in writes)
 
@@ -244,12 +244,12 @@
 def endpoint_of_only_attempt(proxy: LoopbackProxy, *endpoints: StandInEndpoint) -> StandInEndpoint:
     """Return the endpoint that the only attempt in flight goes to."""
     [attempt] = proxy.driver.requests.attempts.in_flight.values()
-    [endpoint] = [one for one in endpoints if one.port == attempt.endpoint.address[1]]
+    [endpoint] = [candidate for candidate in endpoints if candidate.port == attempt.endpoint.address[1]]
     return endpoint
 
 
 @pytest.mark.parametrize("method", ["send_on", "begin"])
-async def test_request_waiting_for_a_draining_endpoint_goes_elsewhere_when_the_list_is_read_late(
+async def test_request_waiting_for_a_draining_endpoint_is_sent_elsewhere_when_the_list_is_read_late(
     method: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its connection comes up in the turn after the list, which was unread while the event loop stalled."""
@@ -264,8 +264,10 @@
         response = asyncio.ensure_future(proxy.send_request(http_request()))
         await wait_until(lambda: connects.started_count == 1)
         draining = endpoint_of_only_attempt(proxy, first, second)
-        uid, other = ("s-1", second) if draining is first else ("s-2", first)
-        change = endpoint_list(endpoint_entry(uid, draining.port, "terminating"), rev=2, is_complete=False)
+        draining_uid, other = ("s-1", second) if draining is first else ("s-2", first)
+        change = endpoint_list(
+            endpoint_entry(draining_uid, draining.port, "terminating"), rev=2, is_complete=False
+        )
         clock.advance(STALL_S)
         with monkeypatch.context() as patch:
             Stall(clock).before(patch, UpstreamAttempt, method)
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -27,51 +27,53 @@
 from tests.support.stepped_clock import advance_until, run_loop_turns, wait_until
 from tests.support.units import MILLISECOND_US, SECOND_US
 
-HOURS = 10
+QUIET_HOURS = 10
 HEARTBEAT_INTERVAL_S = 2.0
 
 
-def answers_as(name: bytes) -> ConnectionHandler:
+def respond_with_body(body: bytes) -> ConnectionHandler:
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
-        connection.send(http_response(200, name))
+        connection.send(http_response(200, body))
 
     return handle
 
 
 def numbers_in(root: object) -> list[float]:
     """Return each number in the state of an object, however deep."""
-    found: list[float] = []
+    numbers: list[float] = []
     seen: set[int] = set()
-    left = [root]
-    while left:
-        value = left.pop()
+    pending_values = [root]
+    while pending_values:
+        value = pending_values.pop()
         if isinstance(value, bool) or id(value) in seen:
             continue
         if isinstance(value, int | float):
-            found.append(float(value))
+            numbers.append(float(value))
             continue
         seen.add(id(value))
         if isinstance(value, dict):
-            left += [*value.keys(), *value.values()]
+            pending_values += [*value.keys(), *value.values()]
         elif isinstance(value, list | tuple | set):
-            left += value
+            pending_values += value
         elif hasattr(value, "__dict__"):
-            left += vars(value).values()
-    return found
+            pending_values += vars(value).values()
+    return numbers
 
 
 # The policy
 
 
-@pytest.mark.parametrize("quiet_s", [60, 3_600, HOURS * 3_600, 30 * 24 * 3_600])
+@pytest.mark.parametrize("quiet_s", [60, 3_600, QUIET_HOURS * 3_600, 30 * 24 * 3_600])
 def test_decisions_are_unchanged_after_a_quiet_period(quiet_s: int) -> None:
     """Rates decay to zero and never to NaN; epochs and shares stay as they were."""
     harness = BalancerHarness(balancer_settings(tenants=(messages.Tenant("t", 5.0),)))
     for number in range(200):
         harness.now_us += 10 * MILLISECOND_US
-        for send in actions_of_type(harness.send_request(f"a{number}"), messages.StartAttempt):
+        for attempt in actions_of_type(harness.send_request(f"a{number}"), messages.StartAttempt):
             harness.end_attempt(
-                send, messages.Outcome.OK, duration_us=(20 + 200 * (send.endpoint_id == 3)) * MILLISECOND_US
+                attempt,
+                messages.Outcome.OK,
+                duration_us=(20 + 200 * (attempt.endpoint_id == 3)) * MILLISECOND_US,
             )
     shares = {endpoint_id: state.share for endpoint_id, state in harness.balancer.endpoints.states.items()}
     assert shares[3] < min(shares[number] for number in range(3))
@@ -82,10 +84,10 @@
     attempts_by_endpoint = dict.fromkeys(range(4), 0)
     for number in range(400):
         harness.now_us += 10 * MILLISECOND_US
-        [send] = actions_of_type(harness.send_request(f"b{number}"), messages.StartAttempt)
-        attempts_by_endpoint[send.endpoint_id] += 1
+        [attempt] = actions_of_type(harness.send_request(f"b{number}"), messages.StartAttempt)
+        attempts_by_endpoint[attempt.endpoint_id] += 1
         harness.end_attempt(
-            send, messages.Outcome.OK, duration_us=(20 + 200 * (send.endpoint_id == 3)) * MILLISECOND_US
+            attempt, messages.Outcome.OK, duration_us=(20 + 200 * (attempt.endpoint_id == 3)) * MILLISECOND_US
         )
     assert attempts_by_endpoint[3] < min(attempts_by_endpoint[number] for number in range(3))
     assert all(math.isfinite(number) for number in numbers_in(harness.balancer))
@@ -94,15 +96,15 @@
     assert len(harness.balancer.outbox.timers) <= 2
 
 
-@pytest.mark.parametrize("quiet_s", [60, HOURS * 3_600])
-def test_warming_endpoint_is_spared_after_a_quiet_period(quiet_s: int) -> None:
+@pytest.mark.parametrize("quiet_s", [60, QUIET_HOURS * 3_600])
+def test_warming_up_endpoint_is_not_overloaded_after_a_quiet_period(quiet_s: int) -> None:
     """No rate is known after hours without a request, as a burst meets an endpoint that has just started."""
     settings = balancer_settings(instances=20, index=3)
     harness = BalancerHarness(settings, endpoint_count=40)
     for number in range(500):
         harness.now_us += 10 * MILLISECOND_US
-        for send in actions_of_type(harness.send_request(f"a{number}"), messages.StartAttempt):
-            harness.end_attempt(send, messages.Outcome.OK, duration_us=20 * MILLISECOND_US)
+        for attempt in actions_of_type(harness.send_request(f"a{number}"), messages.StartAttempt):
+            harness.end_attempt(attempt, messages.Outcome.OK, duration_us=20 * MILLISECOND_US)
     harness.advance(quiet_s * SECOND_US)
     restarted_id = harness.balancer.endpoints.subset[0].endpoint.id
     harness.update_endpoint_list(
@@ -114,12 +116,13 @@
     attempts_at_restarted = 0
     for number in range(100):
         harness.now_us += 10 * MILLISECOND_US
-        for send in actions_of_type(harness.send_request(f"b{number}"), messages.StartAttempt):
-            attempts_at_restarted += send.endpoint_id == restarted_id
-            harness.end_attempt(send, messages.Outcome.OK, duration_us=20 * MILLISECOND_US)
-    warm_share = 100 / len(harness.balancer.endpoints.subset)
+        for attempt in actions_of_type(harness.send_request(f"b{number}"), messages.StartAttempt):
+            attempts_at_restarted += attempt.endpoint_id == restarted_id
+            harness.end_attempt(attempt, messages.Outcome.OK, duration_us=20 * MILLISECOND_US)
+    mean_attempts = 100 / len(harness.balancer.endpoints.subset)
     assert (
-        attempts_at_restarted <= settings.rules.overload_multiple * settings.rules.start_capacity * warm_share
+        attempts_at_restarted
+        <= settings.rules.overload_multiple * settings.rules.start_capacity * mean_attempts
     )
     assert all(math.isfinite(number) for number in numbers_in(harness.balancer))
 
@@ -128,7 +131,7 @@
 
 
 @EACH_SUBSCRIPTION
-async def test_watch_with_only_heartbeats_stands_for_hours_and_is_reopened_in_time(
+async def test_watch_with_only_heartbeats_stays_open_for_hours_and_is_reopened_in_time(
     settings: messages.Settings,
 ) -> None:
     async with watching_proxy(settings) as (discovery, proxy, clock):
@@ -143,8 +146,8 @@
             await run_loop_turns(12)
         assert len(discovery.requests) == 1
         assert len(proxy.driver.balancer.outbox.timers) == len(proxy.driver.timers) == 0
-        waited = await advance_to_next_request(discovery, clock)  # it falls silent
-        assert waited + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
+        waited_s = await advance_to_next_request(discovery, clock)  # it falls silent
+        assert waited_s + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
 
 
 # Idle connections
@@ -152,13 +155,13 @@
 
 async def test_first_request_after_a_quiet_period_uses_no_closed_connection() -> None:
     async with (
-        RawEndpoint(answers_as(b"x")) as endpoint,
+        RawEndpoint(respond_with_body(b"x")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
         clock = proxy.use_stepped_clock()
         assert (await proxy.send_request(http_request(request_id="r0")))[2] == b"x"
         for number in range(1, 5):
-            clock.advance(HOURS * 3_600.0)
+            clock.advance(QUIET_HOURS * 3_600.0)
             await wait_until(lambda number=number: endpoint.connections[number - 1].has_proxy_closed)  # type: ignore[misc]
             assert (await proxy.send_request(http_request(request_id=f"r{number}")))[2] == b"x"
             assert len(endpoint.connections) == number + 1
--- a/tests/scenarios/test_stale_idle_connections.py
+++ b/tests/scenarios/test_stale_idle_connections.py
@@ -22,30 +22,30 @@
 from tests.support.raw_endpoint import ConnectionHandler, EndpointConnection, RawEndpoint
 from tests.support.stepped_clock import SteppedClock, run_loop_turns, wait_until
 
-KINDS = ["read", "write", "mark", "pay"]
+REQUEST_CLASS_NAMES = ["read", "write", "mark", "pay"]
 IDLE_S = 30.0
-GET = UpstreamRequest(b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True)
+GET_REQUEST = UpstreamRequest(b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True)
 
 
-def answers_as(name: bytes) -> ConnectionHandler:
+def respond_with_body(body: bytes) -> ConnectionHandler:
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
-        connection.send(http_response(200, name))
+        connection.send(http_response(200, body))
 
     return handle
 
 
-@pytest.mark.parametrize("late_s", [0.0, 0.15, 3_600.0])
-async def test_connection_past_its_idle_time_is_not_used_before_its_timer_runs(
-    late_s: float,
+@pytest.mark.parametrize("delay_s", [0.0, 0.15, 3_600.0])
+async def test_connection_past_its_idle_time_is_not_reused_before_its_timer_runs(
+    delay_s: float,
 ) -> None:
     """The process was stalled: a request is read in the very loop turn in which the timer is due."""
 
     clock = SteppedClock()
-    async with RawEndpoint(answers_as(b"x")) as endpoint:
+    async with RawEndpoint(respond_with_body(b"x")) as endpoint:
         pool = ConnectionPool(0.25, IDLE_S, 10)
-        assert (await RecordedAttempt(pool, endpoint.endpoint, GET).result())[0] is Outcome.OK
-        clock.advance(IDLE_S * (1.0 - idle_connections.IDLE_MARGIN_SHARE) + late_s)
-        assert (await RecordedAttempt(pool, endpoint.endpoint, GET).result())[0] is Outcome.OK
+        assert (await RecordedAttempt(pool, endpoint.endpoint, GET_REQUEST).result())[0] is Outcome.OK
+        clock.advance(IDLE_S * (1.0 - idle_connections.IDLE_MARGIN_SHARE) + delay_s)
+        assert (await RecordedAttempt(pool, endpoint.endpoint, GET_REQUEST).result())[0] is Outcome.OK
         assert len(endpoint.connections) == 2
         pool.close()
 
@@ -55,12 +55,12 @@
     """The process may stall for 0.15 s before it writes, and the endpoint may close meanwhile."""
 
     clock = SteppedClock()
-    async with RawEndpoint(answers_as(b"x")) as endpoint:
+    async with RawEndpoint(respond_with_body(b"x")) as endpoint:
         pool = ConnectionPool(0.25, idle_s, 10)
-        assert (await RecordedAttempt(pool, endpoint.endpoint, GET).result())[0] is Outcome.OK
+        assert (await RecordedAttempt(pool, endpoint.endpoint, GET_REQUEST).result())[0] is Outcome.OK
         await run_loop_turns(30)
         clock.advance(max(0.0, idle_s - 0.15))
-        assert (await RecordedAttempt(pool, endpoint.endpoint, GET).result())[0] is Outcome.OK
+        assert (await RecordedAttempt(pool, endpoint.endpoint, GET_REQUEST).result())[0] is Outcome.OK
         assert len(endpoint.connections) == 2
         pool.close()
 
@@ -70,15 +70,15 @@
 
     def __init__(self, fault: str) -> None:
         self.fault = fault
-        self.used: set[EndpointConnection] = set()
-        self.forgotten: set[EndpointConnection] = set()
+        self.used_connections: set[EndpointConnection] = set()
+        self.forgotten_connections: set[EndpointConnection] = set()
 
     def forget_connections(self) -> None:
-        self.forgotten = set(self.used)
+        self.forgotten_connections = set(self.used_connections)
 
     async def handle(self, connection: EndpointConnection, request: HttpMessage) -> None:
-        if connection not in self.forgotten:
-            self.used.add(connection)
+        if connection not in self.forgotten_connections:
+            self.used_connections.add(connection)
             connection.send(http_response(200, request[1]["req-id"].encode()))
         elif self.fault == "reset":
             connection.reset()
@@ -108,7 +108,7 @@
     await wait_until(lambda: sum(map(len, proxy.pool.idle.by_endpoint.values())) == count)
 
 
-ROOMY = balancer_settings(limits=messages.Limits(max_attempts=3, cancel=True))
+SETTINGS = balancer_settings(limits=messages.Limits(max_attempts=3, cancel=True))
 
 
 async def status_while_time_passes(
@@ -126,9 +126,9 @@
 
 @pytest.mark.parametrize("endpoint_count", [1, 3])
 @pytest.mark.parametrize("fault", ["reset", "end", "silence"])
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("class_name", REQUEST_CLASS_NAMES)
 async def test_forgotten_idle_connections_cost_one_request_at_most(
-    kind: str, fault: str, endpoint_count: int, monkeypatch: pytest.MonkeyPatch
+    class_name: str, fault: str, endpoint_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is retried on a new connection, and later requests use none of the idle connections there."""
 
@@ -139,7 +139,7 @@
         ]
         entries = [endpoint_entry(f"s-{number}", endpoint.port) for number, endpoint in enumerate(endpoints)]
         proxy = await stack.enter_async_context(
-            running_proxy(*entries, settings=ROOMY, idle_timeout_s=1e6, max_connections=200)
+            running_proxy(*entries, settings=SETTINGS, idle_timeout_s=1e6, max_connections=200)
         )
         clock = proxy.use_stepped_clock()
         await open_idle_connections(proxy, monkeypatch, 40 * endpoint_count)
@@ -148,17 +148,17 @@
         clock.advance(3_600.0)
         statuses = []
         for number in range(4):
-            request = http_request(kind, request_id=f"r{number}", Req_Deadline="2.0")
+            request = http_request(class_name, request_id=f"r{number}", Req_Deadline="2.0")
             statuses.append(await status_while_time_passes(proxy, clock, request))
         # With one silent endpoint there is nowhere to retry the first one; "pay" uses no idle connection.
-        failed_count = fault == "silence" and endpoint_count == 1 and kind != "pay"
+        failed_count = fault == "silence" and endpoint_count == 1 and class_name != "pay"
         assert statuses[failed_count:] == ["200"] * (4 - failed_count)
 
 
 async def leave_idle_in_pool(pool: ConnectionPool, endpoint: RawEndpoint, count: int) -> None:
     """Leave exactly so many idle connections in a pool, each of which has carried a request."""
     endpoint.reading.clear()
-    attempts = [RecordedAttempt(pool, endpoint.endpoint, GET) for _ in range(count)]
+    attempts = [RecordedAttempt(pool, endpoint.endpoint, GET_REQUEST) for _ in range(count)]
     await wait_until(lambda: len(endpoint.connections) == count)
     endpoint.reading.set()
     for attempt in attempts:
@@ -170,7 +170,7 @@
 )
 async def test_idle_connections_are_closed_only_after_a_reused_one_stays_silent(case: str) -> None:
     """Not when a client disconnects, on a new connection, or when the endpoint answers others meanwhile."""
-    silent = case in ("time out", "given up")
+    closes_idle_connections = case in ("time out", "given up")
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
         if request[0].startswith("GET"):
@@ -185,7 +185,7 @@
         attempt = RecordedAttempt(pool, endpoint.endpoint, request, 2.0)
         await wait_until(lambda: len(endpoint.received) == 4)
         if case == "it answers others":
-            assert (await RecordedAttempt(pool, endpoint.endpoint, GET).result())[0] is Outcome.OK
+            assert (await RecordedAttempt(pool, endpoint.endpoint, GET_REQUEST).result())[0] is Outcome.OK
         if case == "given up":
             attempt.attempt.cancel_without_response()
         elif case == "cancelled":
@@ -194,11 +194,11 @@
             clock.advance(2.0)
         await attempt.result()
         idle_count = len(pool.idle.by_endpoint.get(endpoint.endpoint, ()))
-        assert idle_count == (0 if silent else 3 if case == "a new connection" else 2)
+        assert idle_count == (0 if closes_idle_connections else 3 if case == "a new connection" else 2)
         pool.close()
 
 
-class BreakingHandler:
+class ResettingHandler:
     """Resets the connection that the request "r1" comes on first, and responds to every other request."""
 
     def __init__(self) -> None:
@@ -212,21 +212,21 @@
             connection.send(http_response(200, b"x"))
 
 
-@pytest.mark.parametrize(("idle_for_s", "new_connections"), [(500.0, 0), (2_000.0, 1)])
-async def test_retry_uses_a_new_connection_only_after_a_break_of_a_long_idle_one(
-    idle_for_s: float, new_connections: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(("idle_for_s", "new_connection_count"), [(500.0, 0), (2_000.0, 1)])
+async def test_retry_uses_a_new_connection_only_after_a_long_idle_one_is_reset(
+    idle_for_s: float, new_connection_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An endpoint that breaks a busy connection says nothing about connections to other endpoints."""
     monkeypatch.setattr(upstream_attempt, "LONG_IDLE_S", 1_000.0)  # real time never comes near this
 
-    handle = BreakingHandler().handle
+    handle = ResettingHandler().handle
     async with (
         RawEndpoint(handle) as first_endpoint,
         RawEndpoint(handle) as second_endpoint,
         running_proxy(
             endpoint_entry("s-1", first_endpoint.port),
             endpoint_entry("s-2", second_endpoint.port),
-            settings=ROOMY,
+            settings=SETTINGS,
             idle_timeout_s=1e6,
         ) as proxy,
     ):
@@ -236,10 +236,13 @@
                 *(proxy.send_request(http_request(request_id=f"k{number}")) for number in range(8))
             )
         clock.advance(idle_for_s)
-        before = len(first_endpoint.connections) + len(second_endpoint.connections)
+        connection_count_before = len(first_endpoint.connections) + len(second_endpoint.connections)
         assert (await proxy.send_request(http_request(request_id="r1")))[2] == b"x"
         assert (first_endpoint.request_ids + second_endpoint.request_ids).count("r1") == 2
-        assert len(first_endpoint.connections) + len(second_endpoint.connections) - before == new_connections
+        assert (
+            len(first_endpoint.connections) + len(second_endpoint.connections) - connection_count_before
+            == new_connection_count
+        )
 
 
 async def test_client_disconnect_closes_no_idle_connection() -> None:
@@ -249,7 +252,7 @@
 
     async with (
         RawEndpoint(handle) as endpoint,
-        running_proxy(endpoint_entry("s-1", endpoint.port), settings=ROOMY, idle_timeout_s=1e6) as proxy,
+        running_proxy(endpoint_entry("s-1", endpoint.port), settings=SETTINGS, idle_timeout_s=1e6) as proxy,
     ):
         clock = proxy.use_stepped_clock()
         await leave_idle_connections(proxy, endpoint, 3)
@@ -262,11 +265,11 @@
         assert sum(map(len, proxy.pool.idle.by_endpoint.values())) == 2
 
 
-@pytest.mark.parametrize("kept", [False, True], ids=["new", "kept"])
-@pytest.mark.parametrize("time_left", ["0.005", "0.030", "0.100", "0.300"])
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("is_reused", [False, True], ids=["new", "reused"])
+@pytest.mark.parametrize("time_remaining_s", ["0.005", "0.030", "0.100", "0.300"])
+@pytest.mark.parametrize("class_name", REQUEST_CLASS_NAMES)
 async def test_silently_dropped_request_with_little_time_gets_a_final_response(
-    kind: str, time_left: str, kept: bool
+    class_name: str, time_remaining_s: str, is_reused: bool
 ) -> None:
     """It comes within half a second after the deadline, whatever time remained."""
 
@@ -279,17 +282,17 @@
         running_proxy(endpoint_entry("s-1", endpoint.port), idle_timeout_s=1e6) as proxy,
     ):
         clock = proxy.use_stepped_clock()
-        if kept:
+        if is_reused:
             await leave_idle_connections(proxy, endpoint, 1)
             clock.advance(60.0)
         response = asyncio.ensure_future(
-            proxy.send_request(http_request(kind, request_id="r1", Req_Deadline=time_left))
+            proxy.send_request(http_request(class_name, request_id="r1", Req_Deadline=time_remaining_s))
         )
         await wait_until(lambda: "r1" in endpoint.request_ids or response.done())
         began_s = clock.advanced_s
         while not response.done():
-            assert clock.advanced_s - began_s < float(time_left) + 0.5, "no final answer"
+            assert clock.advanced_s - began_s < float(time_remaining_s) + 0.5, "no final answer"
             clock.advance(0.01)
             await run_loop_turns(30)
         assert (await response)[0].split()[1] in ("502", "503")
-        assert endpoint.request_ids.count("r1") <= (1 if kind == "pay" else 3)
+        assert endpoint.request_ids.count("r1") <= (1 if class_name == "pay" else 3)
--- a/tests/scenarios/test_unreachable_endpoints.py
+++ b/tests/scenarios/test_unreachable_endpoints.py
@@ -44,9 +44,9 @@
 REQUEST_NUMBERS = count()
 
 
-def address_of(proxy: LoopbackProxy, endpoint: StandInEndpoint) -> EndpointAddress:
+def endpoint_address(proxy: LoopbackProxy, endpoint: StandInEndpoint) -> EndpointAddress:
     addresses = proxy.driver.endpoint_list.endpoints.by_id.values()
-    return next(known for known in addresses if known.address[1] == endpoint.port)
+    return next(listed for listed in addresses if listed.address[1] == endpoint.port)
 
 
 async def check_served(proxy: LoopbackProxy) -> None:
@@ -55,15 +55,15 @@
     assert response_status(await proxy.send_request(http_request(request_id=request_id))) == 200
 
 
-async def lose_route(
-    proxy: LoopbackProxy, lost_state: EndpointState, failure: SocketFailure, failure_count: int
+async def fail_connects(
+    proxy: LoopbackProxy, unreachable_state: EndpointState, failure: SocketFailure, failure_count: int
 ) -> None:
     """Send requests until so many connects have failed, each time after the endpoint is avoided no more."""
     clock = FrozenClock()
     proxy.link_policy_clock(clock)
     while failure.hit_count < failure_count:
         await check_served(proxy)
-        if proxy.driver.clock.now_us() < lost_state.unreachable_until_us:
+        if proxy.driver.clock.now_us() < unreachable_state.unreachable_until_us:
             clock.advance(COOL_DOWN_US / SECOND_US)
 
 
@@ -74,27 +74,27 @@
 ) -> None:
     """The requests that met it are served elsewhere."""
     async with (
-        StandInEndpoint(http_response(200, b"a")) as lost,
+        StandInEndpoint(http_response(200, b"a")) as unreachable,
         StandInEndpoint(http_response(200, b"b")) as other,
-        running_proxy(endpoint_entry("a", lost.port), endpoint_entry("b", other.port)) as proxy,
+        running_proxy(endpoint_entry("a", unreachable.port), endpoint_entry("b", other.port)) as proxy,
     ):
-        pacing, lost_address = proxy.pool.pacing, address_of(proxy, lost)
-        lost_state = proxy.driver.balancer.endpoints.states[lost_address.id]
-        failure = socket_failures.add("connect", connected_to(lost.port), error, times=3)
-        await lose_route(proxy, lost_state, failure, 3)
-        assert lost_state.detector.first_epoch_count == PRIOR_SAMPLES
-        assert lost_state.share == 1.0
-        assert not lost.received
-        avoided_until_s = pacing.no_extra_connect_until_s[lost_address]
+        pacing, unreachable_address = proxy.pool.pacing, endpoint_address(proxy, unreachable)
+        unreachable_state = proxy.driver.balancer.endpoints.states[unreachable_address.id]
+        failure = socket_failures.add("connect", connected_to(unreachable.port), error, times=3)
+        await fail_connects(proxy, unreachable_state, failure, 3)
+        assert unreachable_state.detector.first_epoch_count == PRIOR_SAMPLES
+        assert unreachable_state.share == 1.0
+        assert not unreachable.received
+        avoided_until_s = pacing.no_extra_connect_until_s[unreachable_address]
         assert avoided_until_s <= proxy.pool.loop.time() + pacing.connect_timeout_s
-        while not lost.received:
+        while not unreachable.received:
             await check_served(proxy)
         assert not pacing.no_extra_connect_until_s
-        assert lost_state.unreachable_backoff_us == 0
+        assert unreachable_state.unreachable_backoff_us == 0
     assert not traceback_lines(caplog)
 
 
-def test_brief_loss_of_route_avoids_an_endpoint_briefly() -> None:
+def test_endpoint_is_avoided_only_briefly_after_a_brief_loss_of_route() -> None:
     """Four backends, a hundred requests a second; for 0.3 s one of them cannot be reached."""
     harness, number = BalancerHarness(endpoint_count=4), 0
 
@@ -104,12 +104,12 @@
         harness.now_us += 10 * MILLISECOND_US
         actions, attempt_number = harness.send_request(f"r{number}"), 0
         while True:
-            [sent] = actions_of_type(actions, messages.StartAttempt)
-            if sent.endpoint_id or is_reachable:
-                harness.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, attempt_number)
-                return sent.endpoint_id
+            [attempt] = actions_of_type(actions, messages.StartAttempt)
+            if attempt.endpoint_id or is_reachable:
+                harness.end_attempt(attempt, messages.Outcome.OK, 50 * MILLISECOND_US, attempt_number)
+                return attempt.endpoint_id
             actions = harness.end_attempt(
-                sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt_number
+                attempt, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt_number
             )
             attempt_number += 1
 
@@ -130,18 +130,19 @@
     for number in range(6000):  # a minute
         harness.now_us += 10 * MILLISECOND_US
         actions, attempt_number = harness.send_request(f"r{number}"), 0
-        while (sent := actions_of_type(actions, messages.StartAttempt)[0]).endpoint_id == 0:
+        while (attempt := actions_of_type(actions, messages.StartAttempt)[0]).endpoint_id == 0:
             attempt_count += 1
             actions = harness.end_attempt(
-                sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt_number
+                attempt, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US, attempt_number
             )
             attempt_number += 1
-        harness.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, attempt_number)
+        harness.end_attempt(attempt, messages.Outcome.OK, 50 * MILLISECOND_US, attempt_number)
     assert 60 * SECOND_US / COOL_DOWN_US <= attempt_count <= 60 * SECOND_US / COOL_DOWN_US + 5
-    alone = BalancerHarness(endpoint_count=1)
+    single_endpoint_harness = BalancerHarness(endpoint_count=1)
     for number in range(3):
-        [sent] = actions_of_type(alone.send_request(f"r{number}"), messages.StartAttempt)
-        [sent] = actions_of_type(
-            alone.end_attempt(sent, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US), messages.StartAttempt
+        [attempt] = actions_of_type(single_endpoint_harness.send_request(f"r{number}"), messages.StartAttempt)
+        [attempt] = actions_of_type(
+            single_endpoint_harness.end_attempt(attempt, messages.Outcome.UNREACHABLE, 1 * MILLISECOND_US),
+            messages.StartAttempt,
         )
-        alone.end_attempt(sent, messages.Outcome.OK, 50 * MILLISECOND_US, 1)
+        single_endpoint_harness.end_attempt(attempt, messages.Outcome.OK, 50 * MILLISECOND_US, 1)
--- a/tests/scenarios/test_unreadable_configuration.py
+++ b/tests/scenarios/test_unreadable_configuration.py
@@ -34,25 +34,25 @@
 from tests.support.stepped_clock import SteppedClock, wait_until
 
 
-class ReadFile:
+class FailingConfigFile:
     """The configuration file, each read of which a test may make fail."""
 
     def __init__(self, path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.reads, self.error = 0, 0
+        self.read_count, self.error = 0, 0
         read_bytes = Path.read_bytes
 
-        def read(asked: Path) -> bytes:
-            if asked == path:
-                self.reads += 1
+        def read(requested_path: Path) -> bytes:
+            if requested_path == path:
+                self.read_count += 1
                 if self.error:
                     raise OSError(self.error, os.strerror(self.error))
-            return read_bytes(asked)
+            return read_bytes(requested_path)
 
         monkeypatch.setattr(Path, "read_bytes", read)
 
 
 VALID_CONFIG = json.dumps(proxy_config(discovery="127.0.0.1:2"))
-UNREADABLE: dict[str, int | str | None] = {
+FILE_FAULTS: dict[str, int | str | None] = {
     "EIO": errno.EIO,
     "EMFILE": errno.EMFILE,
     "ENFILE": errno.ENFILE,
@@ -62,7 +62,7 @@
 }
 
 
-def spoil(path: Path, file: ReadFile, fault: int | str | None) -> None:
+def make_unreadable(path: Path, file: FailingConfigFile, fault: int | str | None) -> None:
     if fault is None:
         path.unlink()
     elif isinstance(fault, int):
@@ -71,103 +71,103 @@
         path.write_text(fault)
 
 
-async def step(clock: SteppedClock, seconds: float) -> None:
+async def advance_clock(clock: SteppedClock, seconds: float) -> None:
     clock.advance(seconds)
     for _ in range(3):
         await asyncio.sleep(0)
 
 
-@pytest.mark.parametrize("fault", UNREADABLE.values(), ids=UNREADABLE.keys())
+@pytest.mark.parametrize("fault", FILE_FAULTS.values(), ids=FILE_FAULTS.keys())
 async def test_briefly_unreadable_configuration_is_reloaded_once_readable(
     fault: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with running_proxy() as proxy:
         clock, reload = SteppedClock(), ReloadHarness(tmp_path, proxy, caplog)
-        file = ReadFile(reload.path, monkeypatch)
-        spoil(reload.path, file, fault)
+        file = FailingConfigFile(reload.path, monkeypatch)
+        make_unreadable(reload.path, file, fault)
         reload.assert_rejected("NODE_CONFIG")
         for _ in range(12):
-            await step(clock, RELOAD_RETRY_INTERVAL_S)
+            await advance_clock(clock, RELOAD_RETRY_INTERVAL_S)
         assert not reload.discovery_addresses
         assert len(problem_lines(caplog)) == 1
         file.error = 0
         reload.path.write_text(VALID_CONFIG)
-        await step(clock, RELOAD_RETRY_INTERVAL_S)
+        await advance_clock(clock, RELOAD_RETRY_INTERVAL_S)
         assert reload.discovery_addresses == [("127.0.0.1", 2)]
         assert len(problem_lines(caplog)) == 1
-        read_count = file.reads
-        await step(clock, 10.0)
-        assert file.reads == read_count
+        read_count = file.read_count
+        await advance_clock(clock, 10.0)
+        assert file.read_count == read_count
         assert len(reload.discovery_addresses) == 1
 
 
-@pytest.mark.parametrize("fault", UNREADABLE.values(), ids=UNREADABLE.keys())
-async def test_unreadable_configuration_is_given_up_and_the_old_one_kept(
+@pytest.mark.parametrize("fault", FILE_FAULTS.values(), ids=FILE_FAULTS.keys())
+async def test_reload_of_an_unreadable_file_is_given_up_and_the_old_configuration_kept(
     fault: int | str | None, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with running_proxy() as proxy:
         clock, reload = SteppedClock(), ReloadHarness(tmp_path, proxy, caplog)
-        file = ReadFile(reload.path, monkeypatch)
-        spoil(reload.path, file, fault)
+        file = FailingConfigFile(reload.path, monkeypatch)
+        make_unreadable(reload.path, file, fault)
         reload.assert_rejected("NODE_CONFIG")
         for _ in range(100):
-            await step(clock, RELOAD_RETRY_INTERVAL_S)
+            await advance_clock(clock, RELOAD_RETRY_INTERVAL_S)
         assert not reload.discovery_addresses
         assert len(problem_lines(caplog)) == 1
-        assert file.reads == 1 + MAX_RELOAD_RETRIES
+        assert file.read_count == 1 + MAX_RELOAD_RETRIES
         file.error = 0
         reload.assert_valid_file_is_applied()  # at the next signal
 
 
 @pytest.mark.parametrize("end", ["another signal", "the end", "another fault"])
-async def test_configuration_rereads_end_with(
+async def test_configuration_is_not_reread_after(
     end: str, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What another signal brings is taken over once."""
 
     async with running_proxy() as proxy:
         clock, reload = SteppedClock(), ReloadHarness(tmp_path, proxy, caplog)
-        file = ReadFile(reload.path, monkeypatch)
-        spoil(reload.path, file, None)
+        file = FailingConfigFile(reload.path, monkeypatch)
+        make_unreadable(reload.path, file, None)
         reload.assert_rejected("NODE_CONFIG")
-        await step(clock, RELOAD_RETRY_INTERVAL_S)
+        await advance_clock(clock, RELOAD_RETRY_INTERVAL_S)
         if end == "the end":
             reload.reloader.close()
         elif end == "another fault":  # it can be read, and cannot be used
             reload.path.write_text("[1]")
-            await step(clock, RELOAD_RETRY_INTERVAL_S)
+            await advance_clock(clock, RELOAD_RETRY_INTERVAL_S)
             assert "field settings" in problem_lines(caplog)[-1]
             assert len(problem_lines(caplog)) == 2
         else:
             reload.assert_valid_file_is_applied()
-        read_count = file.reads
+        read_count = file.read_count
         reload.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:3")))
         for _ in range(30):
-            await step(clock, RELOAD_RETRY_INTERVAL_S)
-        assert file.reads == read_count
+            await advance_clock(clock, RELOAD_RETRY_INTERVAL_S)
+        assert file.read_count == read_count
         assert reload.discovery_addresses == ([("127.0.0.1", 2)] if end == "another signal" else [])
 
 
-@pytest.mark.parametrize("serving", [True, False], ids=["serving", "not yet"])
-async def test_configuration_rereads_end_at_shutdown(
-    serving: bool, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("is_serving", [True, False], ids=["serving", "not yet"])
+async def test_configuration_is_not_reread_after_shutdown(
+    is_serving: bool, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     caplog.set_level(logging.INFO)
 
     async with serving_in_process(tmp_path, unused_port(), proxy_config()) as clock:
-        if serving:
+        if is_serving:
             await wait_until(lambda: "listens on" in caplog.text)
-        file = ReadFile(tmp_path / "config.json", monkeypatch)
+        file = FailingConfigFile(tmp_path / "config.json", monkeypatch)
         (tmp_path / "config.json").unlink()
         os.kill(os.getpid(), signal.SIGHUP)
-        await wait_until(lambda: file.reads == 1)
-    read_count = file.reads
+        await wait_until(lambda: file.read_count == 1)
+    read_count = file.read_count
     for _ in range(100):
-        await step(clock, RELOAD_RETRY_INTERVAL_S)
-    assert read_count == file.reads < 1 + MAX_RELOAD_RETRIES
+        await advance_clock(clock, RELOAD_RETRY_INTERVAL_S)
+    assert read_count == file.read_count < 1 + MAX_RELOAD_RETRIES
 
 
-class RecordingDiscovery(StandInServer):
+class ListDiscovery(StandInServer):
     """Sends each watch a list and keeps it open; `watch_started` is set as one comes."""
 
     def __init__(self) -> None:
@@ -190,21 +190,21 @@
         assert line, "it ended"
 
 
-async def test_process_follows_a_configuration_replaced_during_the_signal(tmp_path: Path) -> None:
+async def test_process_applies_a_configuration_replaced_after_the_reload_signal(tmp_path: Path) -> None:
     """At the end, a file that never comes is no fault either."""
-    async with RecordingDiscovery() as old, RecordingDiscovery() as new:
-        config = proxy_config(discovery=f"127.0.0.1:{old.port}")
+    async with ListDiscovery() as old_discovery, ListDiscovery() as new_discovery:
+        config = proxy_config(discovery=f"127.0.0.1:{old_discovery.port}")
         async with running_proxy_process(write_config(tmp_path, config)) as process:
             await read_listening_port(process)
             assert process.stderr is not None
-            await old.watch_started.wait()
-            assert not new.watch_started.is_set()
+            await old_discovery.watch_started.wait()
+            assert not new_discovery.watch_started.is_set()
             await reload_without_file(process, tmp_path / "config.json")
-            write_config(tmp_path, {**config, "discovery": f"127.0.0.1:{new.port}"})
-            await new.watch_started.wait()
-            assert old.connection_count == new.connection_count == 1
+            write_config(tmp_path, {**config, "discovery": f"127.0.0.1:{new_discovery.port}"})
+            await new_discovery.watch_started.wait()
+            assert old_discovery.connection_count == new_discovery.connection_count == 1
             await reload_without_file(process, tmp_path / "config.json")
             process.send_signal(signal.SIGTERM)
-            rest = await process.stderr.read()
+            remaining_log = await process.stderr.read()
             assert await process.wait() == 0
-            assert b"Traceback" not in rest
+            assert b"Traceback" not in remaining_log
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -55,14 +55,14 @@
     """The wall clock of this process, which a test can step."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.ahead_us = 0
+        self.offset_us = 0
         time_s, time_ns = time.time, time.time_ns
-        monkeypatch.setattr(time, "time", lambda: time_s() + self.ahead_us / SECOND_US)
-        monkeypatch.setattr(time, "time_ns", lambda: time_ns() + self.ahead_us * 1000)
+        monkeypatch.setattr(time, "time", lambda: time_s() + self.offset_us / SECOND_US)
+        monkeypatch.setattr(time, "time_ns", lambda: time_ns() + self.offset_us * 1000)
 
     def step(self, by_us: int) -> None:
         """Set the clock to another time."""
-        self.ahead_us += by_us
+        self.offset_us += by_us
 
 
 class OpenWatchDiscovery(StandInServer):
@@ -72,15 +72,15 @@
         watch_count: How many watches have been requested so far.
     """
 
-    def __init__(self, first: bytes) -> None:
+    def __init__(self, initial_bytes: bytes) -> None:
         super().__init__(self._open_watch)
-        self.first = first
+        self.initial_bytes = initial_bytes
         self.watch_count = 0
 
     async def _open_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         self.watch_count += 1
-        writer.write(WATCH_RESPONSE_HEAD + self.first)
+        writer.write(WATCH_RESPONSE_HEAD + self.initial_bytes)
         await reader.read()
 
     def send(self, data: bytes) -> None:
@@ -125,7 +125,7 @@
     [(500, 500), (700, 700), (701, 0), (1500, 0)],
     ids=lambda duration_ms: f"{duration_ms}ms",
 )
-async def test_heartbeats_of_a_standing_watch_bound_the_next_start_time(
+async def test_heartbeats_of_an_open_watch_bound_the_next_start_time(
     started_ms: int, age_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The last heartbeat came 700 ms ago, and the list before it 2 s earlier."""
@@ -151,8 +151,8 @@
 async def test_heartbeat_before_the_first_list_confirms_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     clocks = ManualClocks()
     restarted = endpoint_entry("a", 9, boot_ms=clocks.wall_us() // 1000 - 2000)
-    first = HEARTBEAT + endpoint_list_chunk(endpoint_list(restarted, rev=9))
-    async with OpenWatchDiscovery(first) as discovery:
+    initial_bytes = HEARTBEAT + endpoint_list_chunk(endpoint_list(restarted, rev=9))
+    async with OpenWatchDiscovery(initial_bytes) as discovery:
         watching = WatchingDriver(discovery, clocks.clock(), monkeypatch)
         driver = watching.driver
         driver.start(list_with_start_times(("a", clocks.wall_us() - HOUR_US)))
@@ -163,7 +163,7 @@
 
 
 @EACH_CLOCK_STEP
-async def test_watch_stands_over_a_clock_step_and_its_silence_is_timed_monotonically(
+async def test_watch_stays_open_over_a_clock_step_and_its_silence_is_timed_monotonically(
     step: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     wall_clock = SteppedWallClock(monkeypatch)
@@ -184,7 +184,7 @@
 
 @EACH_CLOCK_STEP
 @pytest.mark.parametrize("end", ["answered", "overdue"])
-async def test_waiting_request_keeps_its_deadline_over_a_clock_step(
+async def test_open_request_keeps_its_deadline_over_a_clock_step(
     step: int, end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     wall_clock, clock = SteppedWallClock(monkeypatch), FrozenClock()
@@ -377,13 +377,15 @@
 
 
 @EACH_CLOCK_STEP
-@pytest.mark.parametrize("where", ["everywhere", "elsewhere", "here"])
-def test_endpoint_restarted_after_a_clock_step_gets_its_usual_attempts(step: int, where: str) -> None:
-    ahead_us = {"everywhere": (step, step), "elsewhere": (0, step), "here": (step, 0)}[where]
+@pytest.mark.parametrize("stepped_clocks", ["everywhere", "elsewhere", "here"])
+def test_endpoint_restarted_after_a_clock_step_gets_its_usual_attempts(
+    step: int, stepped_clocks: str
+) -> None:
+    offset_us = {"everywhere": (step, step), "elsewhere": (0, step), "here": (step, 0)}[stepped_clocks]
     seeds = range(2)
     usual = [load_after_restart(0, 0, seed) for seed in seeds]
-    stepped = [load_after_restart(*ahead_us, seed) for seed in seeds]
-    if where == "everywhere":
+    stepped = [load_after_restart(*offset_us, seed) for seed in seeds]
+    if stepped_clocks == "everywhere":
         assert stepped == usual
     first_count = sum(load.first_second for load in stepped)
     usual_count = sum(load.first_second for load in usual)
--- a/tests/scenarios/test_watch_failures.py
+++ b/tests/scenarios/test_watch_failures.py
@@ -28,26 +28,26 @@
 from tests.support.log_lines import problem_lines
 from tests.support.stand_in_discovery import StandInListServer
 
-OF_A_CONNECT = [*socket_state.NO_ROUTE_ERRNOS, errno.ETIMEDOUT, errno.EADDRNOTAVAIL, errno.EAGAIN]
+ERRNOS_OF_FAILED_CONNECT = [*socket_state.NO_ROUTE_ERRNOS, errno.ETIMEDOUT, errno.EADDRNOTAVAIL, errno.EAGAIN]
 WATCH_FAILURES = [
     *(("recv", error) for error in ERRNOS_OF_BROKEN_CONNECTION),
     *(("send", error) for error in ERRNOS_OF_BROKEN_CONNECTION),
-    *(("connect", error) for error in OF_A_CONNECT),
+    *(("connect", error) for error in ERRNOS_OF_FAILED_CONNECT),
     *(("socket", error) for error in ERRNOS_OF_RESOURCE_SHORTAGE),
 ]
-WATCH_FAILURE_IDS = [f"{name} {errno.errorcode[error]}" for name, error in WATCH_FAILURES]
+WATCH_FAILURE_IDS = [f"{call} {errno.errorcode[error]}" for call, error in WATCH_FAILURES]
 
 
-@pytest.mark.parametrize(("name", "error"), WATCH_FAILURES, ids=WATCH_FAILURE_IDS)
+@pytest.mark.parametrize(("call", "error"), WATCH_FAILURES, ids=WATCH_FAILURE_IDS)
 @pytest.mark.usefixtures("no_tracebacks_until_loop_closes", "at_most_one_problem_until_loop_closes")
 async def test_failed_watch_is_reopened_and_logged_once(
-    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
+    call: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     """It fails three times in a row; the list that discovery has then arrives."""
 
     async with StandInListServer(endpoint_list(endpoint_entry("b", 9), rev=7)) as discovery:
         failure = socket_failures.add(
-            name, any_socket if name == "socket" else connected_to(discovery.port), error, times=3
+            call, any_socket if call == "socket" else connected_to(discovery.port), error, times=3
         )
         received_lists: asyncio.Queue[EndpointListMessage | None] = asyncio.Queue()
         watch = EndpointWatch(
