--- a/tests/scenarios/test_accept_failures.py
+++ b/tests/scenarios/test_accept_failures.py
@@ -1,7 +1,6 @@
-"""System calls to accept a connection that fail: each costs at most the connection that it was made for.
+"""Failures of the accept system call: each one loses at most the connection that the call was for.
 
-The failures are made at the boundary to the system, on real sockets, by a socket class that does as it is
-told.
+The failures are injected at the system call boundary of real sockets, by `FailingSocket`.
 """
 
 from __future__ import annotations
@@ -50,12 +49,13 @@
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 from tests.support.stepped_clock import wait_until
 
+# When `accept` fails with one of these, all connections stay in the queue.
 ERRNOS_WITHOUT_LOST_CONNECTION = [
     errno.EINTR,
     *ERRNOS_OF_RESOURCE_SHORTAGE,
     errno.EINVAL,
     errno.EIO,
-]  # all connections stay in the queue
+]
 EACH_ACCEPT_ERROR = pytest.mark.parametrize(
     "error",
     [*ERRNOS_OF_LOST_CONNECTION, *ERRNOS_WITHOUT_LOST_CONNECTION],
@@ -88,7 +88,7 @@
 async def test_accept_failure_during_shutdown_loses_only_the_failed_connection(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """What is open is answered, and each connection in the queue but the one that failed."""
+    """Open connections and all queued ones get their responses, except the one whose accept failed."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -101,7 +101,7 @@
             "accept", accepted_on(proxy.port), error, times=1 if error in ERRNOS_OF_LOST_CONNECTION else 3
         )
         clients = [queue_request(proxy.port, f"r{number}") for number in range(6)]
-        proxy.listener.stop_listening()  # as the shutdown calls it, before the event loop has turned
+        proxy.listener.stop_listening()  # as on shutdown, before the event loop has run
         assert not proxy.listener.is_drained
         statuses = await asyncio.gather(*map(read_status_or_end, clients))
         assert sorted(statuses) == [200 * (error not in ERRNOS_OF_LOST_CONNECTION), *[200] * 5]
@@ -119,7 +119,7 @@
 async def test_persistent_accept_failure_does_not_spin_the_event_loop(
     error: int, socket_failures: SocketFailures, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The listening socket stays readable all the while; each pause between two tries is one timer."""
+    """The listening socket stays readable throughout; each pause between two tries is one timer."""
     delays_s: list[float] = []
 
     async with running_proxy(endpoint_entry("b", 9)) as proxy:
@@ -142,12 +142,12 @@
 
 
 class HoldingEndpoint(StandInServer):
-    """Holds its responses until it may respond: to all requests, or just to the one with a given id.
+    """Endpoint that holds back its responses: to all requests, or only to the one with a given id.
 
     Attributes:
-        held_count: How many requests it has held so far, even where it might respond at once.
-        is_holding: Set with the first of them.
-        may_respond: Set by the test to let all responses go.
+        held_count: Number of requests subject to `may_respond`, including those that came once it was set.
+        is_holding: Set once the first such request has been received.
+        may_respond: Set by the test to release all responses.
     """
 
     def __init__(self, held_id: str | None = None) -> None:
@@ -168,7 +168,7 @@
 async def test_accept_queue_is_served_during_shutdown_as_connections_are_freed(
     socket_failures: SocketFailures,
 ) -> None:
-    """More connections wait there than the proxy may hold, and those that it holds have open requests."""
+    """The accept queue exceeds the connection limit, and the connections established so far are busy."""
 
     async with (
         HoldingEndpoint() as endpoint,
@@ -199,50 +199,51 @@
 import load_balancer.__main__ as program
 from load_balancer.net.client.client_listener import ClientListener
 
-failed, descriptors = int(sys.argv[1]), int(sys.argv[2])
-listen, stop = ClientListener.listen, ClientListener.stop_listening
-accept, ending = socket.socket.accept, []
+accept_error, descriptor_limit = int(sys.argv[1]), int(sys.argv[2])
+listen, stop_listening = ClientListener.listen, ClientListener.stop_listening
+accept, pending_errors = socket.socket.accept, []
 
-def listens(listener, address):
-    where = listen(listener, address)
-    if descriptors:  # only now: it sizes itself by the limit at its start
-        resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
-    return where
+def listen_and_limit_descriptors(listener, address):
+    bound_address = listen(listener, address)
+    if descriptor_limit:  # not earlier: the proxy derives its connection limit from the limit at its start
+        resource.setrlimit(resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
+    return bound_address
 
-def stops(listener):
-    if not ending:
-        ending.append(failed)
-        print("it is about to stop listening", file=sys.stderr, flush=True)
+def wait_and_stop_listening(listener):
+    if not pending_errors:
+        pending_errors.append(accept_error)
+        print("about to stop listening", file=sys.stderr, flush=True)
         sys.stdin.readline()
-    stop(listener)
+    stop_listening(listener)
 
-def fails(listener):
+def accept_or_fail(listener):
     accepted = accept(listener)
-    if ending and ending[0]:
-        ending[0] = 0
+    if pending_errors and pending_errors[0]:
+        pending_errors[0] = 0
         accepted[0].close()
-        raise OSError(failed, "of this connection")
+        raise OSError(accept_error, "injected accept failure")
     return accepted
 
-ClientListener.listen, ClientListener.stop_listening = listens, stops
-socket.socket.accept = fails
+ClientListener.listen = listen_and_limit_descriptors
+ClientListener.stop_listening = wait_and_stop_listening
+socket.socket.accept = accept_or_fail
 sys.exit(program.main())
 """
 
 
 async def read_log_until(process: asyncio.subprocess.Process, text: bytes) -> None:
-    """Read the log of a process up to a line with this text."""
+    """Read the log of a process up to and including a line with this text."""
     assert process.stderr is not None
     while text not in (line := await process.stderr.readline()):
-        assert line, "it ended"
+        assert line, "the process ended before it logged the expected line"
 
 
 @asynccontextmanager
 async def process_with_failing_accept(
     tmp_path: Path, endpoint: StandInServer, accept_error: int, descriptor_limit: int
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Run a proxy process whose accept fails at shutdown, by this error or for want of descriptors."""
-    # A response is of use for long enough that a request may still be open as the process stops listening.
+    """Run a proxy process whose accept fails on shutdown, with this error or for lack of descriptors."""
+    # A late response keeps its value long enough for a request to be open when the process stops listening.
     request_class = {"name": "read", "idempotency": "safe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
     settings = raw_settings(lanes=[{**request_class, "lateValue": 0.5}], limits=LIMITS)
     config = proxy_config(known=endpoint_list(endpoint_entry("b", endpoint.port)), settings=settings)
@@ -269,12 +270,12 @@
 
 
 @pytest.mark.parametrize(
-    ("accept_error", "descriptor_limit"), [(errno.ENETUNREACH, 0), (0, 40)], ids=["one", "EMFILE"]
+    ("accept_error", "descriptor_limit"), [(errno.ENETUNREACH, 0), (0, 40)], ids=["lost connection", "EMFILE"]
 )
 async def test_process_with_failing_accept_responds_to_all_and_exits_on_shutdown(
     accept_error: int, descriptor_limit: int, tmp_path: Path
 ) -> None:
-    """It fails for one connection, or for a real shortage of descriptors, which the settings don't name."""
+    """Accept fails for one connection, or for a real shortage of descriptors below the configured limit."""
     async with (
         HoldingEndpoint(held_id="open") as endpoint,
         process_with_failing_accept(tmp_path, endpoint, accept_error, descriptor_limit) as process,
@@ -283,7 +284,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(http_request(request_id="open", Req_Deadline="9.0"))
         await endpoint.is_holding.wait()
-        # These keep their connections, and with them all descriptors.
+        # Idle clients use up all descriptors.
         idle_clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(descriptor_limit)]
         if descriptor_limit:
             await read_log_until(process, b"Too many open files")
--- a/tests/scenarios/test_connection_failures.py
+++ b/tests/scenarios/test_connection_failures.py
@@ -1,7 +1,6 @@
-"""System calls on open connections that fail or do half of what was asked: each concerns it alone.
+"""System calls on open connections that fail or are partial: each affects only its own connection.
 
-The failures are made at the boundary to the system, on real sockets, by a socket class that does as it is
-told.
+The failures are injected at the system call boundary of real sockets, by `FailingSocket`.
 """
 
 from __future__ import annotations
@@ -43,7 +42,7 @@
 from tests.support.stepped_clock import wait_until
 
 SIDES = ["client", "endpoint", "discovery"]
-UNLIMITED = sys.maxsize  # times
+UNLIMITED = sys.maxsize
 EACH_CONNECTION_ERROR = pytest.mark.parametrize(
     "error", ERRNOS_OF_BROKEN_CONNECTION, ids=lambda number: errno.errorcode[number]
 )
@@ -52,7 +51,7 @@
 def select_sockets_of(
     side: str, endpoint: StandInServer, discovery: StandInServer, proxy: LoopbackProxy
 ) -> SocketFilter:
-    """Select the proxy's sockets to one of these three sides."""
+    """Return a filter that selects the proxy's sockets to clients, the endpoint or discovery."""
     return {
         "client": accepted_on(proxy.port),
         "endpoint": connected_to(endpoint.port),
@@ -87,7 +86,7 @@
 
 @pytest.fixture
 def received_signals() -> Iterator[list[int]]:
-    """The signals that this process has received, two a millisecond; they interrupt its system calls."""
+    """The signals that this process has received: two per millisecond, which interrupt its system calls."""
     received: list[int] = []
     previous_handler = signal.signal(signal.SIGALRM, lambda number, frame: received.append(number))
     signal.setitimer(signal.ITIMER_REAL, 0.0005, 0.0005)
@@ -101,7 +100,7 @@
 async def test_interrupted_system_calls_are_repeated(
     call: str, side: str, socket_failures: SocketFailures, received_signals: list[int]
 ) -> None:
-    """Calls are made to fail so, though Python repeats most itself; real signals interrupt waits."""
+    """EINTR is injected, as Python itself repeats most interrupted calls; real signals interrupt waits."""
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         StandInListServer(endpoint_list(endpoint_entry("b", endpoint.port))) as discovery,
@@ -122,7 +121,7 @@
 async def test_request_counts_as_sent_with_its_last_byte(
     unsent_byte_count: int, socket_failures: SocketFailures
 ) -> None:
-    """The system takes one byte at a time and then no more; the endpoint reads these and closes."""
+    """The system accepts one byte per call up to a limit; the endpoint reads these bytes and closes."""
     request = UpstreamRequest(
         b"GET", b"/api", [(b"host", b"x")], b"", is_idempotent=True, adds_deadline_header=False
     )
@@ -145,11 +144,11 @@
 
 
 class HoldingEndpoint(StandInServer):
-    """Responds to no request by itself; a test writes the responses.
+    """Endpoint that sends no response by itself; a test writes the responses.
 
     Attributes:
         writer_by_id: The connection of each request, by the request's id.
-        ended_ids: The requests whose connections the proxy has closed.
+        ended_ids: The ids of the requests whose connections the proxy has closed.
     """
 
     def __init__(self) -> None:
@@ -184,7 +183,7 @@
             error,
         )
         if call == "recv":
-            writer.write(b"G")  # what comes makes it read
+            writer.write(b"G")  # triggers a read by the proxy
             await wait_until(lambda: endpoint.ended_ids == ["lost"])
         else:
             endpoint.writer_by_id["lost"].write(http_response(200, b"x"))
@@ -194,7 +193,7 @@
         assert proxy.driver.is_idle
         assert not proxy.driver.requests.attempts.in_flight
         assert not proxy.clients.open_request_ids
-        assert len(endpoint.writer_by_id) == 2  # no attempt was made for it again
+        assert len(endpoint.writer_by_id) == 2  # the lost request has had no further attempt
         other_writer.close()
         writer.close()
     assert not problem_lines(caplog)
@@ -216,7 +215,7 @@
         else:
             await reader.readexactly(half_byte_count)
         if failure_point in ("half written, read", "written"):
-            writer.write(b"HTTP")  # makes the proxy read
+            writer.write(b"HTTP")  # triggers a read by the proxy
         await reader.read()
 
     async with StandInServer(handle) as endpoint:
--- a/tests/scenarios/test_deduplication_window.py
+++ b/tests/scenarios/test_deduplication_window.py
@@ -1,4 +1,4 @@
-"""Retries with an idempotency key are written within the window in which endpoints remember the key."""
+"""Retries of requests with an idempotency key are sent within the key's deduplication window."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.support.stepped_clock import wait_until
 from tests.support.units import SECOND_US
 
-# Short windows. All times are long, so that the real time that passes meanwhile does not matter.
+# All times are long compared with the real time that passes during a test.
 CONNECT_TIMEOUT_S = 25.0
 LATENCY_OBJECTIVE_US = 400 * SECOND_US
 DEADLINE_S = 900
@@ -32,7 +32,7 @@
     key_scope: KeyScope = KeyScope.ALL,
     window_s: float = 0.0,
 ) -> RequestClass:
-    """Return a class whose requests have minutes of time."""
+    """Return a request class whose requests have minutes until their deadline."""
     return RequestClass(
         name,
         LATENCY_OBJECTIVE_US,
@@ -44,19 +44,19 @@
 
 
 def settings_with(connect_timeout_s: float, *classes: RequestClass) -> messages.Settings:
-    """Return settings with these classes, and three attempts for each request."""
+    """Return settings with these classes and at most three attempts per request."""
     limits = messages.Limits(max_attempts=3, connect_timeout_us=round(connect_timeout_s * SECOND_US))
     return balancer_settings(classes=classes, limits=limits)
 
 
 class KeyedRequest:
-    """A request with an idempotency key whose first attempt has reached an endpoint.
+    """A request with an idempotency key, to whose first attempt the endpoint does not respond.
 
     Attributes:
-        proxy: What the request was sent to.
-        endpoints: Where its attempts go.
+        proxy: The proxy that the request was sent to.
+        endpoints: The endpoints of the proxy.
         clock: The clock of the event loop and the policy.
-        received: The time of each attempt at its endpoint, by the endpoint's clock, and its connection.
+        received: For each attempt received, the event loop's time and the connection.
     """
 
     def __init__(self) -> None:
@@ -64,13 +64,13 @@
         self.endpoints = [RawEndpoint(self.receive) for _ in range(2)]
 
     async def receive(self, connection: EndpointConnection, request: HttpMessage) -> None:
-        """Take an attempt; answer all but the first one."""
+        """Record an attempt, and respond unless it is the first one."""
         self.received.append((asyncio.get_running_loop().time(), connection))
         if len(self.received) > 1:
             connection.send(http_response(200, b"ok"))
 
     def send(self, proxy: LoopbackProxy) -> None:
-        """Send the request, and step the clocks from now on."""
+        """Send the request; from now on the clocks move only when stepped."""
         self.proxy = proxy
         self.clock = proxy.use_stepped_clock()
         request = http_request("mark", request_id="r1", Req_Deadline=str(DEADLINE_S))
@@ -83,7 +83,7 @@
 
     @property
     def sent_count(self) -> int:
-        """How many requests the endpoints have received."""
+        """The number of requests that the endpoints have received."""
         return sum(len(endpoint.received) for endpoint in self.endpoints)
 
     async def status(self) -> int:
@@ -93,7 +93,7 @@
 
 @asynccontextmanager
 async def keyed_request(window_s: float) -> AsyncIterator[KeyedRequest]:
-    """Send a request with an idempotency key and this window, and wait for its first attempt."""
+    """Send a request with an idempotency key and this window, and wait until an endpoint receives it."""
     request = KeyedRequest()
     settings = settings_with(CONNECT_TIMEOUT_S, request_class("mark", Idempotency.KEYED, window_s=window_s))
     first, second = request.endpoints
@@ -122,7 +122,7 @@
 async def test_keyed_retry_is_received_within_its_deduplication_window(
     window_s: float, after_s: float, connect_s: float, is_retried: bool, failure: str
 ) -> None:
-    """This holds where its connect takes as long as it may, or could last past the window's end."""
+    """It is not sent where its connect could last past the end of the window."""
     async with keyed_request(window_s) as request:
         connects = SystemConnectGate()
         request.clock.advance(after_s)
@@ -144,7 +144,7 @@
         request.clock.advance(60.0)
         request.first_connection.reset()
         await wait_until(lambda: connects.waiting_count == 1)
-        request.clock.advance(CONNECT_TIMEOUT_S + 0.1)  # another connect could last past the window's end
+        request.clock.advance(CONNECT_TIMEOUT_S + 0.1)  # a further connect could last past the window's end
         assert await request.status() == 503
         connects.opened.set()
         request.clock.advance(50.0)
@@ -167,11 +167,11 @@
 
 
 class ResetFleet:
-    """Eight endpoints in four cells; they answer all requests but the first one.
+    """Eight endpoints in four cells that respond to all requests but the first one.
 
     Attributes:
-        endpoints: The two of each cell are four places apart.
-        connections: The connection of each request so far, in order.
+        endpoints: The endpoints; the two of each cell are four positions apart.
+        connections: The connection of each request received so far, in order.
     """
 
     def __init__(self) -> None:
@@ -179,19 +179,19 @@
         self.endpoints = [RawEndpoint(self.receive) for _ in range(8)]
 
     async def receive(self, connection: EndpointConnection, request: HttpMessage) -> None:
-        """Take a request; answer all but the first one."""
+        """Record a request, and respond unless it is the first one."""
         self.connections.append(connection)
         if len(self.connections) > 1:
             connection.send(http_response(200, b"served"))
 
     def has_received_by_endpoint(self) -> list[bool]:
-        """Return for each endpoint whether it has received a request."""
+        """Return whether each endpoint has received a request."""
         return [bool(endpoint.received) for endpoint in self.endpoints]
 
 
 @asynccontextmanager
 async def proxy_before_reset_fleet() -> AsyncIterator[tuple[ResetFleet, LoopbackProxy]]:
-    """Run the fleet, and a proxy with one class of each kind."""
+    """Run the fleet and a proxy with one request class of each idempotency and key scope."""
     fleet = ResetFleet()
     entries = [
         endpoint_entry(f"s-{number}", endpoint.port, pod_group=number % 4)
@@ -211,7 +211,7 @@
 ) -> None:
     """The endpoint may have run the request, however late the reset is.
 
-    A request that is not idempotent ends, and one with a key is retried within its window alone.
+    An unsafe request is not retried, and one with an idempotency key only within its window.
     """
     async with proxy_before_reset_fleet() as (fleet, proxy):
         clock = proxy.use_stepped_clock()
@@ -222,9 +222,9 @@
         fleet.connections[0].reset()
         status = response_status(await response)
         is_retried = class_name == "read" or (class_name != "pay" and after_s < RESET_WINDOW_S - 1.0)
-        # The rule on rejections knows no window: a request whose key all endpoints share may be rejected.
+        # A request whose key all endpoints share may be rejected with 503, also after its window.
         assert status == (200 if is_retried else 503 if class_name == "mark" else 502)
         assert len(fleet.connections) == 1 + is_retried
-        if class_name == "write" and is_retried:  # by the other endpoint of the same cell
+        if class_name == "write" and is_retried:  # the retry goes to the other endpoint of the same cell
             has_received = fleet.has_received_by_endpoint()
             assert has_received[:4] == has_received[4:]
--- a/tests/scenarios/test_departed_endpoints.py
+++ b/tests/scenarios/test_departed_endpoints.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints that have left the subset are closed, so that they do not accumulate."""
+"""Idle connections to endpoints that have left the subset are closed and do not accumulate."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 def apply_changes(harness: BalancerHarness, version: int, *endpoints: messages.Endpoint) -> list[int]:
-    """Return the ids of the endpoints whose idle connections are closed on these changes, in order."""
+    """Apply changes to the list; return the ids of endpoints whose idle connections are closed, in order."""
     update = messages.EndpointListUpdate(EndpointListKind.CHANGES, version, endpoints)
     return [action.endpoint_id for action in actions_of_type(harness.handle(update), messages.CloseIdle)]
 
 
 class ListChurn:
-    """Endpoints that are added at odd versions of the list, and drain or are removed at even ones."""
+    """List changes that add an endpoint at odd versions and drain or remove one at even versions."""
 
     def __init__(self, endpoint_count: int) -> None:
         self.random = random.Random(1)
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize(("endpoint_count", "instances"), [(200, 34), (600, 102), (800, 34)])
 def test_few_endpoints_outside_the_subset_keep_connections(endpoint_count: int, instances: int) -> None:
-    """The test assumes a connection to each endpoint that was ever in the subset."""
+    """Each endpoint that enters the subset counts as connected until it is closed or delisted."""
     settings = balancer_settings(instances=instances, index=instances // 2)
     harness, churn = BalancerHarness(settings, endpoint_count), ListChurn(endpoint_count)
     connected_ids = subset_ids(harness)
@@ -66,7 +66,7 @@
 
 
 def ids_ranked_before(hashed_id: int, count: int) -> list[int]:
-    """Return so many ids of endpoints that stand on the ring before this position."""
+    """Return this many endpoint ids whose ring position is below the hash."""
     hashed_ids = ((number * 2_654_435_761 % 2**32, number) for number in range(1_000, 100_000))
     return [number for candidate_hash, number in hashed_ids if candidate_hash < hashed_id][:count]
 
@@ -78,7 +78,7 @@
     first_on_ring = min(endpoints.states.values(), key=lambda state: state.ring_position)
     initial_ids = [state.endpoint.id for state in endpoints.subset]
 
-    # Endpoints that stand before the first one of the subset push out its last ones until they are removed.
+    # New endpoints with lower ring positions displace the last ones of the subset until they are removed.
     new_ids = ids_ranked_before(first_on_ring.hashed_id, MAX_FORMER_MEMBERS + 2)
     closed_ids = []
     for version, number in enumerate(new_ids, 2):
@@ -109,4 +109,4 @@
             assert not proxy.pool.idle.by_endpoint
             await asyncio.sleep(0)
         assert endpoint.connection_count == 2
-        proxy.driver.actions.perform(messages.CloseIdle(12345), 0.0)  # an endpoint that is not on the list
+        proxy.driver.actions.perform(messages.CloseIdle(12345), 0.0)  # not on the list
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -1,6 +1,6 @@
-"""Idle clients that use up all descriptors while discovery is down, and discovery that repeats itself.
+"""Idle clients that use up all descriptors while discovery is down, and discovery that repeats its list.
 
-Requests, the watch and the log stay usable in both.
+In both cases requests and the watch are served, and the log stays short.
 """
 
 from __future__ import annotations
@@ -41,23 +41,23 @@
 MAX_DESCRIPTORS = 128
 SPARE_DESCRIPTORS = 8
 CLIENT_COUNT = 300
-MAX_OTHER_LINES = 20  # all of the log but the lines of the watch: some of the start, of the list and the end
+MAX_OTHER_LINES = 20  # log lines not about the watch: startup, endpoint list and shutdown
 SENT_BY_IDLE_CLIENTS = {
     "silent": b"",
-    "half": b"GET /api HTTP/1.1\r\nHost: x\r\n",
-    "answered": http_request(path="/ready"),
+    "incomplete request": b"GET /api HTTP/1.1\r\nHost: x\r\n",
+    "idle after a response": http_request(path="/ready"),
 }
 
 
 def bound_socket() -> socket.socket:
-    """Return a socket whose port stays reserved, and refuses connections until it listens."""
+    """Return a socket that reserves a port, which refuses connections until the socket listens."""
     bound = socket.socket()
     bound.bind(("127.0.0.1", 0))
     return bound
 
 
 def config_before_endpoint(endpoint: StandInEndpoint, discovery_port: int) -> dict[str, object]:
-    """Return the configuration of a proxy that knows one endpoint, `a`, from its start."""
+    """Return a configuration whose cached list contains one endpoint, `a`."""
     return proxy_config(
         discovery=f"127.0.0.1:{discovery_port}",
         known=endpoint_list(endpoint_entry("a", endpoint.port)),
@@ -67,14 +67,14 @@
 
 
 class IdleClients:
-    """Clients that send some bytes on connections of their own, and then nothing."""
+    """Clients that each send the same bytes on a connection and then nothing."""
 
     def __init__(self, port: int, sent: bytes) -> None:
         self.port, self.sent = port, sent
         self.sockets: list[socket.socket] = []
 
     def connect(self, count: int) -> None:
-        """Open so many more connections."""
+        """Open this many more connections."""
         for _ in range(count):
             self.sockets.append(socket.create_connection(("127.0.0.1", self.port)))
             self.sockets[-1].sendall(self.sent)
@@ -86,8 +86,8 @@
 
 
 async def check_requests_among_idle_clients(pid: int, clients: IdleClients) -> None:
-    """Check that a client is served that connects when idle clients hold all connections for clients."""
-    for number in range(3):  # they connect again, as the proxy closes the first connections
+    """Check that a new client is served while idle clients hold all client connections."""
+    for number in range(3):  # repeated, as the proxy closes the oldest connections
         clients.connect(CLIENT_COUNT // 3)
         response = await send_request_to(clients.port, http_request(request_id=f"r{number}"))
         assert response.body == b"a"
@@ -95,17 +95,17 @@
 
 
 async def check_watch_among_idle_clients(port: int, discovery: StandInListServer) -> None:
-    """Check that the proxy opens one watch as discovery listens again, and sends requests by its list."""
+    """Check that the proxy opens one watch once discovery listens, and uses its endpoint list."""
     while not discovery.connection_count:
         await asyncio.sleep(0.01)
-    # The list is on its way.
+    # The list may not have been read yet.
     while (await send_request_to(port, http_request(request_id="r9"))).body != b"b":
         pass
     assert discovery.connection_count == 1
 
 
 def check_log_is_short(lines: list[str], duration_s: float) -> None:
-    """Check that each kind of line stays within its limit, and that none is about descriptors."""
+    """Check that each kind of line stays within its limit, and that no line is about descriptors."""
     counts = Counter("watch" if "watch on discovery" in line else "other" for line in lines)
     assert counts["other"] <= MAX_OTHER_LINES, lines
     window_count = 1 + int(duration_s / FAILURE_LOG_WINDOW_S)
@@ -142,7 +142,7 @@
 
 
 class RepeatingDiscovery(StandInServer):
-    """Sends each watch a complete list of 100 endpoints and ends it; two of them differ from the fifth on."""
+    """Discovery that sends each watch 100 endpoints and closes it; the fifth list changes two of them."""
 
     def __init__(self) -> None:
         super().__init__(self._send_list)
@@ -162,7 +162,7 @@
 
 
 async def test_repeated_endpoint_list_is_logged_once(caplog: pytest.LogCaptureFixture) -> None:
-    """Only its changes are logged, twenty lines in ten seconds."""
+    """Later lists log only changes, and at most twenty changes are logged in ten seconds."""
     caplog.set_level(logging.INFO, logger="load_balancer.net.driver.endpoint_directory")
     async with RepeatingDiscovery() as discovery, running_proxy(discovery_port=discovery.port) as proxy:
         clock = SteppedClock()
@@ -179,11 +179,11 @@
 
 
 class RefusingDiscovery(StandInServer):
-    """Refuses each watch with status 503.
+    """Discovery that refuses each watch with status 503.
 
     Attributes:
-        refused_count: How many it has refused so far.
-        advanced_s: How far `refuse_watches` has stepped the event loop's clock.
+        refused_count: Number of watches refused so far.
+        advanced_s: Time by which `refuse_watches` has advanced the event loop's clock.
     """
 
     def __init__(self) -> None:
@@ -208,7 +208,7 @@
 
 
 def test_refused_watches_are_logged_a_few_times_with_a_count(caplog: pytest.LogCaptureFixture) -> None:
-    """The proxy opens a watch ten times a second where lists are pushed."""
+    """With pushed lists the proxy reopens the watch ten times per second."""
     caplog.set_level(logging.INFO, logger="load_balancer.net.discovery.endpoint_watch")
     discovery = RefusingDiscovery()
     run_in_event_loop(discovery.refuse_watches)
--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -1,4 +1,4 @@
-"""Nothing grows with the number of requests, clients or endpoints so far."""
+"""No collection grows with the number of past requests, clients or endpoints."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import wait_until
 
-WARM_UP_ROUNDS = 60  # after these the collections have their usual sizes
+WARM_UP_ROUNDS = 60  # collections have reached their steady sizes
 MEASURED_ROUNDS = 240
 
 
 def collect_objects(owner: object, objects_by_id: dict[int, object]) -> None:
-    """Collect this object of the product and all that it refers to other than through a collection."""
+    """Collect an object of the package and all others that its attributes refer to directly."""
     if id(owner) in objects_by_id or not type(owner).__module__.startswith("load_balancer."):
         return
     objects_by_id[id(owner)] = owner
@@ -32,7 +32,7 @@
 
 
 class TimerRecorder:
-    """Sees all timers that are set on the running event loop from now on."""
+    """Records all timers that are set on the running event loop from now on."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -50,13 +50,13 @@
 
     @property
     def pending_count(self) -> int:
-        """How many timers are set that have not been cancelled and are still to fire."""
+        """The number of timers that have neither fired nor been cancelled."""
         now_s = self._loop.time()
         return sum(not timer.cancelled() and timer.when() > now_s for timer in self._timers)
 
 
 def collection_sizes(proxy: LoopbackProxy, timers: TimerRecorder) -> dict[str, int]:
-    """Return the size of every collection that lives as long as the process."""
+    """Return the size of every collection that lives as long as the process, by class and attribute."""
     objects_by_id: dict[int, object] = {}
     for owner in (proxy.driver, proxy.pool, proxy.listener, proxy.clients):
         collect_objects(owner, objects_by_id)
@@ -79,10 +79,10 @@
 async def replace_endpoint_and_send_request(
     proxy: LoopbackProxy, port: int, number: int
 ) -> asyncio.StreamWriter:
-    """Put a new endpoint in the place of the one before, and send a request on a new client connection.
+    """Replace the only endpoint, and send a request on a new client connection.
 
-    The endpoint before is gone without draining. Every other client closes its connection, the others keep it
-    open for as long as what is returned is referred to.
+    The previous endpoint is removed without draining. Every second client closes its connection; the others
+    keep theirs open as long as the returned writer is referenced.
     """
     change = endpoint_list(
         endpoint_entry(f"s-{number}", port, "terminated"),
@@ -99,7 +99,7 @@
     return writer
 
 
-@pytest.mark.time_limit_s(60.0)  # about 1 s; beside ten busy processes 9 s were measured
+@pytest.mark.time_limit_s(60.0)  # takes about 1 s, and 9 s beside ten busy processes
 @pytest.mark.parametrize("first", range(0, 1500, 300))
 async def test_no_entry_is_left_after_its_request_or_endpoint_is_gone(
     first: int, monkeypatch: pytest.MonkeyPatch
--- a/tests/scenarios/test_little_time.py
+++ b/tests/scenarios/test_little_time.py
@@ -1,4 +1,4 @@
-"""Requests with hardly any time remaining, and attempts that fail at once, get a final response soon."""
+"""Requests with hardly any time remaining, and with attempts that fail at once, end promptly."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @asynccontextmanager
 async def assert_shorter_than(seconds: float) -> AsyncIterator[None]:
-    """Fail the test where the steps inside take this long by the event loop's clock."""
+    """Fail the test if the body takes this long or longer by the event loop's clock."""
     loop = asyncio.get_running_loop()
     began_s = loop.time()
     yield
@@ -30,7 +30,7 @@
 
 
 def record_attempts(proxy: LoopbackProxy) -> list[messages.StartAttempt]:
-    """Return a list that grows with each attempt that the proxy starts from now on."""
+    """Return a list that receives each attempt that the proxy starts from now on."""
     attempts: list[messages.StartAttempt] = []
     start = proxy.driver.attempts.start
 
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("class_name", REQUEST_CLASS_NAMES)
 async def test_rejected_attempts_end_at_once_within_the_limit_on_attempts(class_name: str) -> None:
-    ports = [unused_port() for _ in range(5)]  # all of them refuse connections
+    ports = [unused_port() for _ in range(5)]  # all refuse connections
     entries = [endpoint_entry(f"s-{number}", port) for number, port in enumerate(ports)]
     async with running_proxy(*entries) as proxy:
         attempts = record_attempts(proxy)
--- a/tests/scenarios/test_local_resource_shortage.py
+++ b/tests/scenarios/test_local_resource_shortage.py
@@ -1,7 +1,6 @@
-"""System calls that fail for a shortage on this machine: no fault of the endpoint, no retry spent.
+"""System calls that fail for a local resource shortage: no endpoint failure, no retry budget used.
 
-The failures are made at the boundary to the system, on real sockets, by a socket class that does as it is
-told.
+The failures are injected at the system call boundary of real sockets, by `FailingSocket`.
 """
 
 from __future__ import annotations
@@ -69,7 +68,7 @@
         assert len(endpoint.received) == 1
         assert not proxy.pool.pacing.no_extra_connect_until_s
         [state] = proxy.driver.balancer.endpoints.states.values()
-        assert state.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
+        assert state.detector.first_epoch_count == PRIOR_SAMPLES + 1  # only the response is counted
         assert proxy.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
         writer.close()
     assert not traceback_lines(caplog)
@@ -80,7 +79,7 @@
 async def test_lasting_local_resource_shortage_rejects_requests_at_once(
     call: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Each makes as many attempts as the settings allow, costs no retry budget, and leaves nothing open."""
+    """Each makes the maximum number of attempts, uses no retry budget, and leaves no connection open."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -109,7 +108,7 @@
 async def test_local_resource_shortage_beside_a_late_connect_is_not_retried_rapidly(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An attempt with a late connection opens another one; after one that fails at once there is a pause."""
+    """An attempt with a late connect starts another one; if that fails at once, a pause follows."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(60.0, 60.0, 10)
@@ -134,7 +133,7 @@
 
 
 class FailingPoll:
-    """A `select.poll` whose system call fails."""
+    """Stand-in for `select.poll` whose system call fails."""
 
     def __init__(self, error: int) -> None:
         self.error, self.poll_count = error, 0
@@ -152,7 +151,7 @@
 async def test_requests_are_served_when_poll_fails(
     error: int, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The safe assumption holds: no idle connection is reused or closed, and no client has left."""
+    """Socket states are then unknown: no idle connection is reused or closed, no client counts as gone."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -177,7 +176,7 @@
             proxy.listener.sweep()
             assert len(proxy.clients.open_connections) == 2
             assert not proxy.listener.is_drained
-        proxy.listener.close_idle_connections()  # it can tell again
+        proxy.listener.close_idle_connections()  # poll works again
         assert await idle_reader.read() == await reader.read() == b""
         writer.close()
         idle_writer.close()
--- a/tests/scenarios/test_no_files.py
+++ b/tests/scenarios/test_no_files.py
@@ -1,4 +1,4 @@
-"""The proxy keeps no file: it serves, follows a new configuration and ends where nothing can be written."""
+"""The proxy writes no file: it serves, reloads and exits where no file can be written."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 from tests.support.proxy_process import ROOT, deploy_command, proxy_config, read_listening_port, write_config
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
-# Each way to change the file system is told before it happens, whether or not it would succeed.
+# Each operation that changes the file system is logged before it happens, whether or not it would succeed.
 AUDITED_PROGRAM = """
 import os, runpy, sys
 
-WRITES = os.O_WRONLY | os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
-CHANGES = ("os.mkdir", "os.rename", "os.remove", "os.rmdir", "os.link", "os.symlink", "os.truncate",
-           "os.chmod", "os.utime", "tempfile.mkstemp", "tempfile.mkdtemp", "shutil.copyfile")
+WRITE_FLAGS = os.O_WRONLY | os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
+CHANGE_EVENTS = ("os.mkdir", "os.rename", "os.remove", "os.rmdir", "os.link", "os.symlink", "os.truncate",
+                 "os.chmod", "os.utime", "tempfile.mkstemp", "tempfile.mkdtemp", "shutil.copyfile")
 
-def told(event, args):
-    if event in CHANGES or event == "open" and isinstance(args[2], int) and args[2] & WRITES:
+def log_file_change(event, args):
+    if event in CHANGE_EVENTS or event == "open" and isinstance(args[2], int) and args[2] & WRITE_FLAGS:
         sys.stderr.write(f"FILE {event} {args!r}\\n")
 
-sys.addaudithook(told)
+sys.addaudithook(log_file_change)
 sys.argv = ["load_balancer"]
 runpy.run_module("load_balancer", run_name="__main__")
 """
@@ -43,7 +43,7 @@
 async def running_command(
     command: list[str], env: dict[str, str], shell: str = ""
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A process with this environment and no other."""
+    """Run a command with exactly this environment, after shell commands; kill it on exit."""
     process = await asyncio.create_subprocess_exec(
         "/bin/sh",
         "-c",
@@ -66,7 +66,7 @@
 async def serve_across_reload(
     tmp_path: Path, command: list[str], env: dict[str, str], shell: str = ""
 ) -> str:
-    """A request, a new configuration, a request to the backend that it tells of, the end; its log."""
+    """Run a proxy, reload it with another discovery that lists another endpoint, end it; return its log."""
 
     async def send_list(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -96,19 +96,19 @@
                     assert process.stderr is not None
                     while "is b," not in log_lines[-1]:
                         log_lines.append((await process.stderr.readline()).decode())
-                        assert log_lines[-1], "it ended"
+                        assert log_lines[-1], "the process ended before it logged the new endpoint"
             process.send_signal(signal.SIGTERM)
             _, remaining_log = await process.communicate()
             assert process.returncode == 0
             return "".join(log_lines) + remaining_log.decode()
 
 
-@pytest.mark.parametrize("folder_state", ["missing", "no folder", "empty", "unset"])
+@pytest.mark.parametrize("folder_state", ["missing", "a file", "empty", "unset"])
 async def test_process_runs_without_writable_files_or_folders(tmp_path: Path, folder_state: str) -> None:
-    """Each write to a file fails for it, as on a full disk, and there is no home."""
+    """Each write to a file fails, as on a full disk, and HOME is not set."""
 
     temporary_folder = tmp_path / "temporary_folder"
-    if folder_state == "no folder":
+    if folder_state == "a file":
         temporary_folder.write_bytes(b"")
     elif folder_state == "empty":
         temporary_folder.mkdir()
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -1,4 +1,4 @@
-"""A proxy that stands still for a moment, as a busy machine makes it: limits count what it missed."""
+"""The process is paused, as on a busy machine: time limits include the pause."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 async def test_keyed_retry_is_not_late_when_the_process_pauses_before_connecting(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time for the connection runs from the decision to send, as the module counts it."""
+    """The connect time limit starts at the policy's decision to send the attempt."""
 
     async with keyed_request(100.0) as request:
         request.clock.advance(70.0)
@@ -46,7 +46,7 @@
 async def test_idle_connection_is_kept_when_the_process_pauses_while_it_is_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The attempt ends as too late; the connection has no timer any more, and none would ever close it."""
+    """The attempt ends as too late; the connection must be idle again, as it has no timer to close it."""
 
     async with StandInEndpoint(http_response(200)) as stand_in_endpoint:
         pool = ConnectionPool(60.0, 30.0, 10)
@@ -78,7 +78,7 @@
 async def test_connection_reported_late_by_the_event_loop_does_not_count_as_late(
     turn_duration_s: float, slow_turns: int
 ) -> None:
-    """It stands at once, and any other one would cost the backend a handshake, and the proxy more turns."""
+    """It is established at once; another one would cost the endpoint a handshake and the proxy more turns."""
 
     async with StandInEndpoint(http_response(200)) as stand_in_endpoint:
         pool, clock, connect_count = ConnectionPool(60.0, 30.0, 10), SteppedClock(), 0
--- a/tests/scenarios/test_process_stalls.py
+++ b/tests/scenarios/test_process_stalls.py
@@ -1,6 +1,6 @@
-"""The process stalls for a moment between reading its clock and writing to an endpoint.
+"""The process stalls briefly between reading its clock and writing to an endpoint.
 
-Deadlines, deduplication windows and draining endpoints are respected all the same.
+Deadlines, deduplication windows and the draining of endpoints are respected nevertheless.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from tests.support.units import MILLISECOND_US, SECOND_US
 
 STALL_S = 0.15  # by the specification
-SLACK_S = 0.15  # by the specification, of the time remaining that an endpoint is sent
+SLACK_S = 0.15  # by the specification, tolerance of the time remaining that is sent to an endpoint
 DEADLINE_S = 1.5
 MAX_STALLS = 2  # more would use up the time of the request itself
 
@@ -41,7 +41,7 @@
 
 
 class Stall:
-    """An event loop that is blocked for a moment at one line: each call of one function is late."""
+    """Blocks the event loop for a moment at each call of one function, at most `MAX_STALLS` times."""
 
     def __init__(self, clock: SteppedClock, duration_s: float = STALL_S) -> None:
         self.clock, self.duration_s, self.count = clock, duration_s, 0
@@ -73,7 +73,7 @@
         monkeypatch.setattr(owner, name, call_and_stall)
 
 
-# No check of the proxy can see this stall, as it is between the last look at the clock and the write itself.
+# No check of the proxy can detect this stall, as it is between the last clock reading and the write.
 UNDETECTABLE_STALL = "between the time remaining and the write"
 StallInstaller = Callable[[Stall, pytest.MonkeyPatch, LoopbackProxy], None]
 STALL_POINTS: dict[str, StallInstaller] = {
@@ -109,16 +109,16 @@
 class DeadlineWrite:
     """A deadline header as it was written to an endpoint."""
 
-    remaining_s: float  # what it states
+    remaining_s: float  # value of the header
     written_at_s: float  # by the event loop's clock
 
     def is_in_time(self, deadline_at_s: float, slack_s: float) -> bool:
-        """Return whether the endpoint ends by the client's deadline, with this slack."""
+        """Return whether the stated time ends by the client's deadline plus this slack."""
         return 0.0 < self.remaining_s <= deadline_at_s - self.written_at_s + slack_s
 
 
 async def transport_class(port: int) -> type[asyncio.Transport]:
-    """Return the class of the event loop's transports, by a connection to this port of loopback."""
+    """Return the class of the event loop's transports, found by a connection to this local port."""
     _, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.close()
     assert isinstance(writer.transport, asyncio.Transport)
@@ -128,13 +128,13 @@
 def record_deadline_writes(
     monkeypatch: pytest.MonkeyPatch, transport_type: type[asyncio.Transport]
 ) -> list[DeadlineWrite]:
-    """Return a list that grows with each deadline header that such a transport takes for an endpoint."""
+    """Return a list that receives each deadline header written to an endpoint by such a transport."""
     writes: list[DeadlineWrite] = []
     loop = asyncio.get_running_loop()
     write = transport_type.write
 
     def record_and_write(transport: asyncio.Transport, data: bytes) -> None:
-        # An endpoint gets the header in lower case, the proxy in the case of the tests' requests.
+        # The proxy writes the header in lower case; the test's own requests to the proxy do not.
         before, header, rest = bytes(data).partition(b"req-deadline: ")
         if header and before.startswith((b"GET", b"POST")):
             writes.append(DeadlineWrite(float(rest.split(b"\r\n")[0]), loop.time()))
@@ -145,7 +145,7 @@
 
 
 async def leave_idle_connection(proxy: LoopbackProxy, clock: SteppedClock) -> None:
-    """Send a request whose connection is idle afterwards, and let its timers fire before any stall."""
+    """Send a request whose connection is idle afterwards, and wait until its timers have fired."""
     await proxy.send_request(http_request(request_id="before"))
     clock.advance(1.0)  # longer than a connection takes to settle
     await run_loop_turns(20)
@@ -156,7 +156,7 @@
 async def test_deadline_header_states_the_time_remaining_wherever_the_process_stalls(
     stall_point: str, reused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first attempt and its retry are both stalled at that line."""
+    """Both the first attempt and its retry stall at that point."""
     responses = [*[http_response(200)] * reused, http_response(500), http_response(200)]
     async with (
         StandInEndpoint(*responses) as endpoint,
@@ -181,7 +181,7 @@
 
 
 async def complete_attempt(attempts: RecordedAttempts, connects: ConnectGates) -> None:
-    """Let a first attempt succeed, and its connection become idle and settle."""
+    """Complete an attempt, and advance the clock until its idle connection may be reused."""
     attempts.start_attempt("before")
     await connects.wait_for_started(1)
     connects.open(0)
@@ -196,7 +196,7 @@
 async def test_nothing_is_written_when_a_stall_leaves_no_time(
     owner: type, method: str, reused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The stall is longer than the time remaining, and the timer for that can't have fired yet."""
+    """The stall exceeds the time remaining, and the attempt's timer cannot have fired yet."""
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(60.0, 30.0, 10)
         attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, [])
@@ -209,9 +209,8 @@
                 await connects.wait_for_started(1)
                 connects.open(0)
             await wait_until(lambda: "stalled" in attempts.outcomes)
-        assert (
-            attempts.outcomes["stalled"] is Outcome.NOT_SENT
-        )  # an outcome that says nothing of the endpoint
+        # Does not count against the endpoint.
+        assert attempts.outcomes["stalled"] is Outcome.NOT_SENT
         attempts.start_attempt("next")
         await connects.wait_for_started(2)
         connects.open(1)
@@ -242,7 +241,7 @@
 
 
 def endpoint_of_only_attempt(proxy: LoopbackProxy, *endpoints: StandInEndpoint) -> StandInEndpoint:
-    """Return the endpoint that the only attempt in flight goes to."""
+    """Return the endpoint of the only attempt in flight."""
     [attempt] = proxy.driver.requests.attempts.in_flight.values()
     [endpoint] = [candidate for candidate in endpoints if candidate.port == attempt.endpoint.address[1]]
     return endpoint
@@ -252,7 +251,7 @@
 async def test_request_waiting_for_a_draining_endpoint_is_sent_elsewhere_when_the_list_is_read_late(
     method: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its connection comes up in the turn after the list, which was unread while the event loop stalled."""
+    """Its connection is established in the loop turn after the list, which a stall had left unread."""
     async with (
         StandInEndpoint(http_response(200)) as first,
         StandInEndpoint(http_response(200)) as second,
--- a/tests/scenarios/test_quiet_periods.py
+++ b/tests/scenarios/test_quiet_periods.py
@@ -1,4 +1,4 @@
-"""The policy, the watch and connections after hours without a request, with heartbeats of discovery only."""
+"""The policy, the watch and connections after hours with heartbeats from discovery but no request."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def numbers_in(root: object) -> list[float]:
-    """Return each number in the state of an object, however deep."""
+    """Return all numbers in the state of an object, at any depth."""
     numbers: list[float] = []
     seen: set[int] = set()
     pending_values = [root]
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("quiet_s", [60, 3_600, QUIET_HOURS * 3_600, 30 * 24 * 3_600])
 def test_decisions_are_unchanged_after_a_quiet_period(quiet_s: int) -> None:
-    """Rates decay to zero and never to NaN; epochs and shares stay as they were."""
+    """Rates decay to zero, not to NaN; epochs and shares are unchanged."""
     harness = BalancerHarness(balancer_settings(tenants=(messages.Tenant("t", 5.0),)))
     for number in range(200):
         harness.now_us += 10 * MILLISECOND_US
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("quiet_s", [60, QUIET_HOURS * 3_600])
 def test_warming_up_endpoint_is_not_overloaded_after_a_quiet_period(quiet_s: int) -> None:
-    """No rate is known after hours without a request, as a burst meets an endpoint that has just started."""
+    """After hours without requests no rate is known when a burst arrives and an endpoint has just started."""
     settings = balancer_settings(instances=20, index=3)
     harness = BalancerHarness(settings, endpoint_count=40)
     for number in range(500):
@@ -112,7 +112,9 @@
         kind=messages.EndpointListKind.CHANGES,
         version=2,
     )
-    harness.balancer.endpoints.states[restarted_id].share = 50.0  # even where its share would draw everything
+    harness.balancer.endpoints.states[
+        restarted_id
+    ].share = 50.0  # even with a share that would attract all requests
     attempts_at_restarted = 0
     for number in range(100):
         harness.now_us += 10 * MILLISECOND_US
@@ -146,7 +148,7 @@
             await run_loop_turns(12)
         assert len(discovery.requests) == 1
         assert len(proxy.driver.balancer.outbox.timers) == len(proxy.driver.timers) == 0
-        waited_s = await advance_to_next_request(discovery, clock)  # it falls silent
+        waited_s = await advance_to_next_request(discovery, clock)  # heartbeats have stopped
         assert waited_s + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
 
 
--- a/tests/scenarios/test_stale_idle_connections.py
+++ b/tests/scenarios/test_stale_idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections that have gone stale: past their idle time, or forgotten by the endpoint."""
+"""Stale idle connections: past their idle time-out, or silently dropped by the endpoint."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 async def test_connection_past_its_idle_time_is_not_reused_before_its_timer_runs(
     delay_s: float,
 ) -> None:
-    """The process was stalled: a request is read in the very loop turn in which the timer is due."""
+    """After a stall, a request is read in the same loop turn in which the idle timer is due."""
 
     clock = SteppedClock()
     async with RawEndpoint(respond_with_body(b"x")) as endpoint:
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("idle_s", [0.1, 0.5, 1.0, 4.0])
 async def test_short_idle_time_allows_for_a_stalled_process(idle_s: float) -> None:
-    """The process may stall for 0.15 s before it writes, and the endpoint may close meanwhile."""
+    """The process may stall for 0.15 s before it writes, during which the endpoint may close."""
 
     clock = SteppedClock()
     async with RawEndpoint(respond_with_body(b"x")) as endpoint:
@@ -66,7 +66,7 @@
 
 
 class ForgetfulEndpoint:
-    """An endpoint that, once told to, responds to no request on the connections that it has had so far."""
+    """Endpoint that can be made to respond to no more requests on the connections it has served so far."""
 
     def __init__(self, fault: str) -> None:
         self.fault = fault
@@ -87,7 +87,7 @@
 
 
 async def open_idle_connections(proxy: LoopbackProxy, monkeypatch: pytest.MonkeyPatch, count: int) -> None:
-    """Open so many connections and leave them idle: while none settles, each request opens another one."""
+    """Open and leave idle this many connections: until one settles, each request opens a new one."""
     with monkeypatch.context() as patch:
         patch.setattr(idle_connections, "SETTLE_S", 1e6)
         for number in range(count):
@@ -96,7 +96,7 @@
 
 
 async def leave_idle_connections(proxy: LoopbackProxy, endpoint: RawEndpoint, count: int) -> None:
-    """Leave exactly so many idle connections to an endpoint, each of which has carried a request."""
+    """Leave exactly this many idle connections to an endpoint, each of which has carried a request."""
     endpoint.reading.clear()
     responses = [
         asyncio.ensure_future(proxy.send_request(http_request(request_id=f"k{number}")))
@@ -114,7 +114,7 @@
 async def status_while_time_passes(
     proxy: LoopbackProxy, clock: SteppedClock, request: bytes, step_s: float = 0.05, max_s: float = 2.5
 ) -> str:
-    """Send a request, step time until its final response, and return the response's status."""
+    """Send a request, advance the clock until its final response, and return its status."""
     response = asyncio.ensure_future(proxy.send_request(request))
     began_s = clock.advanced_s
     while not response.done():
@@ -130,7 +130,7 @@
 async def test_forgotten_idle_connections_cost_one_request_at_most(
     class_name: str, fault: str, endpoint_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It is retried on a new connection, and later requests use none of the idle connections there."""
+    """It is retried on a new connection, and later requests reuse no idle connection to that endpoint."""
 
     handler = ForgetfulEndpoint(fault)
     async with AsyncExitStack() as stack:
@@ -150,13 +150,13 @@
         for number in range(4):
             request = http_request(class_name, request_id=f"r{number}", Req_Deadline="2.0")
             statuses.append(await status_while_time_passes(proxy, clock, request))
-        # With one silent endpoint there is nowhere to retry the first one; "pay" uses no idle connection.
+        # With one silent endpoint the first request cannot be retried; "pay" reuses no idle connection.
         failed_count = fault == "silence" and endpoint_count == 1 and class_name != "pay"
         assert statuses[failed_count:] == ["200"] * (4 - failed_count)
 
 
 async def leave_idle_in_pool(pool: ConnectionPool, endpoint: RawEndpoint, count: int) -> None:
-    """Leave exactly so many idle connections in a pool, each of which has carried a request."""
+    """Leave exactly this many idle connections in a pool, each of which has carried a request."""
     endpoint.reading.clear()
     attempts = [RecordedAttempt(pool, endpoint.endpoint, GET_REQUEST) for _ in range(count)]
     await wait_until(lambda: len(endpoint.connections) == count)
@@ -166,11 +166,11 @@
 
 
 @pytest.mark.parametrize(
-    "case", ["time out", "given up", "cancelled", "a new connection", "it answers others"]
+    "case", ["time-out", "cancelled without response", "cancelled", "new connection", "response on another"]
 )
 async def test_idle_connections_are_closed_only_after_a_reused_one_stays_silent(case: str) -> None:
-    """Not when a client disconnects, on a new connection, or when the endpoint answers others meanwhile."""
-    closes_idle_connections = case in ("time out", "given up")
+    """Not when a client disconnects, on a new connection, or if the endpoint responds on another one."""
+    closes_idle_connections = case in ("time-out", "cancelled without response")
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
         if request[0].startswith("GET"):
@@ -181,12 +181,12 @@
         pool = ConnectionPool(0.25, 1e6, 10)
         await leave_idle_in_pool(pool, endpoint, 3)
         clock.advance(60.0)
-        request = UNSAFE_REQUEST if case == "a new connection" else KEYED_REQUEST
+        request = UNSAFE_REQUEST if case == "new connection" else KEYED_REQUEST
         attempt = RecordedAttempt(pool, endpoint.endpoint, request, 2.0)
         await wait_until(lambda: len(endpoint.received) == 4)
-        if case == "it answers others":
+        if case == "response on another":
             assert (await RecordedAttempt(pool, endpoint.endpoint, GET_REQUEST).result())[0] is Outcome.OK
-        if case == "given up":
+        if case == "cancelled without response":
             attempt.attempt.cancel_without_response()
         elif case == "cancelled":
             attempt.attempt.cancel()
@@ -194,12 +194,12 @@
             clock.advance(2.0)
         await attempt.result()
         idle_count = len(pool.idle.by_endpoint.get(endpoint.endpoint, ()))
-        assert idle_count == (0 if closes_idle_connections else 3 if case == "a new connection" else 2)
+        assert idle_count == (0 if closes_idle_connections else 3 if case == "new connection" else 2)
         pool.close()
 
 
 class ResettingHandler:
-    """Resets the connection that the request "r1" comes on first, and responds to every other request."""
+    """Resets the connection of the first request with the id "r1", and responds to all other requests."""
 
     def __init__(self) -> None:
         self.has_reset = False
@@ -216,8 +216,8 @@
 async def test_retry_uses_a_new_connection_only_after_a_long_idle_one_is_reset(
     idle_for_s: float, new_connection_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An endpoint that breaks a busy connection says nothing about connections to other endpoints."""
-    monkeypatch.setattr(upstream_attempt, "LONG_IDLE_S", 1_000.0)  # real time never comes near this
+    """A reset of a recently used connection is no evidence about connections to other endpoints."""
+    monkeypatch.setattr(upstream_attempt, "LONG_IDLE_S", 1_000.0)  # far above the real time that passes
 
     handle = ResettingHandler().handle
     async with (
@@ -271,7 +271,7 @@
 async def test_silently_dropped_request_with_little_time_gets_a_final_response(
     class_name: str, time_remaining_s: str, is_reused: bool
 ) -> None:
-    """It comes within half a second after the deadline, whatever time remained."""
+    """It is sent within 0.5 s after the deadline, for any time remaining."""
 
     async def drop(connection: EndpointConnection, request: HttpMessage) -> None:
         if request[1]["req-id"].startswith("k"):
@@ -291,7 +291,7 @@
         await wait_until(lambda: "r1" in endpoint.request_ids or response.done())
         began_s = clock.advanced_s
         while not response.done():
-            assert clock.advanced_s - began_s < float(time_remaining_s) + 0.5, "no final answer"
+            assert clock.advanced_s - began_s < float(time_remaining_s) + 0.5, "no final response"
             clock.advance(0.01)
             await run_loop_turns(30)
         assert (await response)[0].split()[1] in ("502", "503")
--- a/tests/scenarios/test_unreachable_endpoints.py
+++ b/tests/scenarios/test_unreachable_endpoints.py
@@ -1,7 +1,6 @@
-"""Connects that fail for want of a route: the endpoint is avoided for a while and keeps its share.
+"""Connects that fail for lack of a route: the endpoint is avoided for a while and keeps its share.
 
-The failures are made at the boundary to the system, on real sockets, by a socket class that does as it is
-told.
+The failures are injected at the system call boundary of real sockets, by `FailingSocket`.
 """
 
 from __future__ import annotations
@@ -50,7 +49,7 @@
 
 
 async def check_served(proxy: LoopbackProxy) -> None:
-    """Send a request with an id of its own and check that it is served."""
+    """Send a request with a unique id and check that it is served."""
     request_id = f"r{next(REQUEST_NUMBERS)}"
     assert response_status(await proxy.send_request(http_request(request_id=request_id))) == 200
 
@@ -58,7 +57,7 @@
 async def fail_connects(
     proxy: LoopbackProxy, unreachable_state: EndpointState, failure: SocketFailure, failure_count: int
 ) -> None:
-    """Send requests until so many connects have failed, each time after the endpoint is avoided no more."""
+    """Send requests until this many connects have failed, ending the avoidance period after each one."""
     clock = FrozenClock()
     proxy.link_policy_clock(clock)
     while failure.hit_count < failure_count:
@@ -72,7 +71,7 @@
 async def test_unreachable_endpoint_keeps_its_share_and_is_used_again(
     error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The requests that met it are served elsewhere."""
+    """Requests whose connects fail are served by the other endpoint."""
     async with (
         StandInEndpoint(http_response(200, b"a")) as unreachable,
         StandInEndpoint(http_response(200, b"b")) as other,
@@ -95,7 +94,7 @@
 
 
 def test_endpoint_is_avoided_only_briefly_after_a_brief_loss_of_route() -> None:
-    """Four backends, a hundred requests a second; for 0.3 s one of them cannot be reached."""
+    """Of four endpoints at 100 requests per second, one is unreachable for 0.3 s."""
     harness, number = BalancerHarness(endpoint_count=4), 0
 
     def send_request(is_reachable: bool) -> int:
@@ -125,9 +124,9 @@
 
 
 def test_endpoint_unreachable_for_long_is_retried_at_intervals() -> None:
-    """With no other endpoint it is tried each time: its share falls, and it is never removed."""
+    """If it is the only endpoint, it is tried each time: its share falls, but it is never removed."""
     harness, attempt_count = BalancerHarness(endpoint_count=4), 0
-    for number in range(6000):  # a minute
+    for number in range(6000):  # for one minute
         harness.now_us += 10 * MILLISECOND_US
         actions, attempt_number = harness.send_request(f"r{number}"), 0
         while (attempt := actions_of_type(actions, messages.StartAttempt)[0]).endpoint_id == 0:
--- a/tests/scenarios/test_unreadable_configuration.py
+++ b/tests/scenarios/test_unreadable_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration file that cannot be read or is incomplete at a reload: it is read again for a while."""
+"""A configuration file that is unreadable or incomplete on a reload is read again for a limited time."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class FailingConfigFile:
-    """The configuration file, each read of which a test may make fail."""
+    """Makes reads of the configuration file fail while `error` is set, and counts them."""
 
     def __init__(self, path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
         self.read_count, self.error = 0, 0
@@ -56,9 +56,9 @@
     "EIO": errno.EIO,
     "EMFILE": errno.EMFILE,
     "ENFILE": errno.ENFILE,
-    "gone": None,
+    "missing": None,
     "empty": "",
-    "half": VALID_CONFIG[:-20],
+    "truncated": VALID_CONFIG[:-20],
 }
 
 
@@ -116,14 +116,14 @@
         assert len(problem_lines(caplog)) == 1
         assert file.read_count == 1 + MAX_RELOAD_RETRIES
         file.error = 0
-        reload.assert_valid_file_is_applied()  # at the next signal
+        reload.assert_valid_file_is_applied()  # by the next reload signal
 
 
-@pytest.mark.parametrize("end", ["another signal", "the end", "another fault"])
+@pytest.mark.parametrize("end", ["another signal", "shutdown", "another fault"])
 async def test_configuration_is_not_reread_after(
     end: str, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What another signal brings is taken over once."""
+    """The configuration of another reload signal is applied once."""
 
     async with running_proxy() as proxy:
         clock, reload = SteppedClock(), ReloadHarness(tmp_path, proxy, caplog)
@@ -131,9 +131,9 @@
         make_unreadable(reload.path, file, None)
         reload.assert_rejected("NODE_CONFIG")
         await advance_clock(clock, RELOAD_RETRY_INTERVAL_S)
-        if end == "the end":
+        if end == "shutdown":
             reload.reloader.close()
-        elif end == "another fault":  # it can be read, and cannot be used
+        elif end == "another fault":  # readable but invalid
             reload.path.write_text("[1]")
             await advance_clock(clock, RELOAD_RETRY_INTERVAL_S)
             assert "field settings" in problem_lines(caplog)[-1]
@@ -148,7 +148,7 @@
         assert reload.discovery_addresses == ([("127.0.0.1", 2)] if end == "another signal" else [])
 
 
-@pytest.mark.parametrize("is_serving", [True, False], ids=["serving", "not yet"])
+@pytest.mark.parametrize("is_serving", [True, False], ids=["serving", "starting"])
 async def test_configuration_is_not_reread_after_shutdown(
     is_serving: bool, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -168,7 +168,7 @@
 
 
 class ListDiscovery(StandInServer):
-    """Sends each watch a list and keeps it open; `watch_started` is set as one comes."""
+    """Discovery that sends each watch a list and keeps it open; `watch_started` is set on the first."""
 
     def __init__(self) -> None:
         super().__init__(self._send_list)
@@ -182,16 +182,16 @@
 
 
 async def reload_without_file(process: asyncio.subprocess.Process, path: Path) -> None:
-    """Remove the configuration file, signal a reload, and wait until the process has logged the refusal."""
+    """Remove the configuration file, signal a reload, and wait until the rejection is logged."""
     assert process.stderr is not None
     path.unlink()
     process.send_signal(signal.SIGHUP)
     while b"the old one stays" not in (line := await process.stderr.readline()):
-        assert line, "it ended"
+        assert line, "the process ended before it logged the rejection"
 
 
 async def test_process_applies_a_configuration_replaced_after_the_reload_signal(tmp_path: Path) -> None:
-    """At the end, a file that never comes is no fault either."""
+    """A file that is still missing on shutdown does not change the exit code."""
     async with ListDiscovery() as old_discovery, ListDiscovery() as new_discovery:
         config = proxy_config(discovery=f"127.0.0.1:{old_discovery.port}")
         async with running_proxy_process(write_config(tmp_path, config)) as process:
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -1,4 +1,4 @@
-"""A stepped wall clock, here or elsewhere, changes no timeout, deadline or age in the running proxy."""
+"""Steps of the proxy's or another machine's wall clock change no time-out, deadline or age in the proxy."""
 
 from __future__ import annotations
 
@@ -61,15 +61,15 @@
         monkeypatch.setattr(time, "time_ns", lambda: time_ns() + self.offset_us * 1000)
 
     def step(self, by_us: int) -> None:
-        """Set the clock to another time."""
+        """Step the clock by this time."""
         self.offset_us += by_us
 
 
 class OpenWatchDiscovery(StandInServer):
-    """Sends each watch the same bytes at first, and then what the test sends.
+    """Discovery that sends each watch the same initial bytes, and then what the test sends.
 
     Attributes:
-        watch_count: How many watches have been requested so far.
+        watch_count: Number of watches requested so far.
     """
 
     def __init__(self, initial_bytes: bytes) -> None:
@@ -84,15 +84,15 @@
         await reader.read()
 
     def send(self, data: bytes) -> None:
-        """Send the bytes on the newest watch."""
+        """Send the bytes on the latest watch."""
         self.writers[-1].write(data)
 
 
 class WatchingDriver:
-    """A driver that watches discovery; the event loop's clock stands still unless the test moves it.
+    """Driver that watches discovery, on an event loop whose clock moves only by the test.
 
     Attributes:
-        confirmation_count: How often discovery has sent or confirmed the list, by the driver's start times.
+        confirmation_count: Number of calls of `StartTimes.confirm`: lists and heartbeats received.
     """
 
     def __init__(self, discovery: OpenWatchDiscovery, clock: Clock, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -109,13 +109,13 @@
         self.driver = EventLoopDriver(balancer_settings(rules=COLD_START_RULES), 1, pool, address, clock)
 
     async def receive_heartbeat(self) -> None:
-        """Send a heartbeat, and step time until the driver has read it."""
+        """Send a heartbeat, and advance the clock until the driver has read it."""
         before = self.confirmation_count
         self.discovery.send(HEARTBEAT)
         await advance_until(self.loop_clock, lambda: self.confirmation_count > before, must_hold=True)
 
     def age_us(self, uid: str) -> int:
-        """Return for how long the endpoint has run, as the policy sees it."""
+        """Return the endpoint's age as known to the policy."""
         state = self.driver.balancer.endpoints.states[endpoint_id_from_uid(uid)]
         return self.driver.clock.now_us() - state.started_us
 
@@ -128,7 +128,7 @@
 async def test_heartbeats_of_an_open_watch_bound_the_next_start_time(
     started_ms: int, age_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The last heartbeat came 700 ms ago, and the list before it 2 s earlier."""
+    """The last heartbeat was 700 ms ago, and the list 2 s before it."""
     clocks = ManualClocks()
     async with OpenWatchDiscovery(LISTED_ENDPOINT) as discovery:
         watching = WatchingDriver(discovery, clocks.clock(), monkeypatch)
@@ -183,7 +183,7 @@
 
 
 @EACH_CLOCK_STEP
-@pytest.mark.parametrize("end", ["answered", "overdue"])
+@pytest.mark.parametrize("end", ["response", "deadline"])
 async def test_open_request_keeps_its_deadline_over_a_clock_step(
     step: int, end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -198,7 +198,7 @@
         clock.advance(2.5)
         await run_loop_turns(30)
         assert not response.done()
-        if end == "answered":
+        if end == "response":
             endpoint.writers[-1].write(http_response(200, b"x"))
             assert (await response).body == b"x"
         else:
@@ -209,14 +209,14 @@
 
 @asynccontextmanager
 async def discovery_of(endpoint: StandInServer) -> AsyncIterator[OpenWatchDiscovery]:
-    """Run discovery that lists this endpoint."""
+    """Run a discovery that lists this endpoint."""
     entry = endpoint_entry("a", endpoint.port)
     async with OpenWatchDiscovery(endpoint_list_chunk(endpoint_list(entry))) as discovery:
         yield discovery
 
 
 def serve_in_task(folder: Path, port: int, discovery: OpenWatchDiscovery) -> asyncio.Task[None]:
-    """Start the whole proxy in this process, listening on this port."""
+    """Start the complete proxy in this process, listening on this port."""
     config = proxy_config(
         discovery=f"127.0.0.1:{discovery.port}",
         listen=f"127.0.0.1:{port}",
@@ -227,7 +227,7 @@
 
 
 async def connect_once_listening(port: int) -> StreamPair:
-    """Open a client's connection as soon as the proxy listens."""
+    """Open a client connection as soon as the proxy listens."""
     while True:
         await asyncio.sleep(0)
         try:
@@ -243,10 +243,10 @@
     step_us: int,
     response: asyncio.Future[HttpMessage],
 ) -> None:
-    """Let time pass with heartbeats until the response, at most 30 s; step the wall clock once on the way."""
+    """Advance the clock with heartbeats until the response, for at most 30 s; step the wall clock once."""
     began_s, has_stepped = clock.advanced_s, False
     while not response.done() and clock.advanced_s - began_s < 30.0:
-        if clock.advanced_s - began_s > 2.5 and not has_stepped:  # the proxy accepts no connections by now
+        if clock.advanced_s - began_s > 2.5 and not has_stepped:  # the proxy no longer accepts connections
             wall_clock.step(step_us)
             has_stepped = True
         discovery.send(HEARTBEAT)
@@ -258,7 +258,7 @@
 async def test_shutdown_ends_in_time_over_a_clock_step(
     step: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A waiting request gets its response by the deadline of the shutdown, by the monotonic clock."""
+    """An open request gets its response by the shutdown deadline on the monotonic clock."""
     wall_clock, clock, port = SteppedWallClock(monkeypatch), FrozenClock(), unused_port()
     async with SilentEndpoint() as endpoint, discovery_of(endpoint) as discovery:
         serving = serve_in_task(tmp_path, port, discovery)
@@ -276,7 +276,7 @@
         while not serving.done() and clock.advanced_s - began_s < 30.0:
             clock.advance(0.1)
             await run_loop_turns(30)
-        assert clock.advanced_s - began_s < 6.0  # though its client does not close the connection
+        assert clock.advanced_s - began_s < 6.0  # although the client keeps its connection open
         await serving
         writer.close()
 
@@ -285,11 +285,11 @@
 
 
 class SteppedFleet(SimulatedFleet):
-    """A fleet whose endpoints state their starts by one wall clock, while its balancers read another one.
+    """Fleet whose endpoints report their start times by one wall clock, and whose balancers use another.
 
     Attributes:
-        balancers_ahead_us: How far the wall clock of the balancers is ahead.
-        endpoints_ahead_us: How far the wall clock of the endpoints is ahead.
+        balancers_ahead_us: Offset of the balancers' wall clock.
+        endpoints_ahead_us: Offset of the endpoints' wall clock.
     """
 
     def __post_init__(self) -> None:
@@ -305,19 +305,19 @@
         return self.now_us + self.balancers_ahead_us
 
     def send_heartbeats(self) -> None:
-        """Confirm the list to all balancers, now and every two seconds."""
+        """Confirm the list to all balancers, and schedule this again in two seconds."""
         for start_times in self.start_times:
             start_times.confirm()
         self.schedule(self.now_us + 2 * SECOND_US, self.send_heartbeats)
 
     def receive_list(self, index: int, update: messages.EndpointListUpdate) -> None:
-        """Hand a balancer a list with the starts by its own clock."""
+        """Pass a list to a balancer, with the start times converted to its own clock."""
         endpoints = self.start_times[index].assign(update.endpoints)
         super().receive_list(index, replace(update, endpoints=endpoints))
         self.start_times[index].confirm()
 
     def restart(self, chosen: Iterable[SimulatedEndpoint]) -> None:
-        """Restart these endpoints now; discovery notices it half a second later."""
+        """Restart these endpoints now; discovery lists it 0.5 s later."""
         entries = []
         for endpoint in chosen:
             endpoint.restart(self.now_us)
@@ -326,7 +326,7 @@
 
 
 def stepped_fleet(seed: int) -> SteppedFleet:
-    """Return one balancer before four endpoints at half of their load."""
+    """Return a fleet of one balancer and four endpoints at half of their capacity."""
     read_class = messages.RequestClass(
         "read", 500 * MILLISECOND_US, 1 * SECOND_US, idempotency=messages.Idempotency.SAFE
     )
@@ -342,11 +342,11 @@
 
 
 class RestartLoad(NamedTuple):
-    """The attempts that an endpoint gets after its restart.
+    """The attempts that an endpoint receives after its restart.
 
     Attributes:
-        first_second: How many it gets in the second after discovery has noticed.
-        share_when_warm: Six seconds later, its attempts as a share of the mean of the other endpoints.
+        first_second: Number of attempts in the second after discovery has listed the restart.
+        share_when_warm: From six seconds after it, its attempts relative to the mean of the others.
     """
 
     first_second: int
@@ -355,7 +355,7 @@
 
 @cache
 def load_after_restart(balancers_ahead_us: int, endpoints_ahead_us: int, seed: int) -> RestartLoad:
-    """Restart one endpoint of a fleet two seconds after its wall clocks were stepped."""
+    """Restart one endpoint of a fleet two seconds after a step of the wall clocks."""
     fleet = stepped_fleet(seed)
     fleet.run_until(fleet.now_us + 9 * SECOND_US)
     fleet.balancers_ahead_us, fleet.endpoints_ahead_us = balancers_ahead_us, endpoints_ahead_us
@@ -377,15 +377,15 @@
 
 
 @EACH_CLOCK_STEP
-@pytest.mark.parametrize("stepped_clocks", ["everywhere", "elsewhere", "here"])
+@pytest.mark.parametrize("stepped_clocks", ["both", "endpoints", "balancers"])
 def test_endpoint_restarted_after_a_clock_step_gets_its_usual_attempts(
     step: int, stepped_clocks: str
 ) -> None:
-    offset_us = {"everywhere": (step, step), "elsewhere": (0, step), "here": (step, 0)}[stepped_clocks]
+    offset_us = {"both": (step, step), "endpoints": (0, step), "balancers": (step, 0)}[stepped_clocks]
     seeds = range(2)
     usual = [load_after_restart(0, 0, seed) for seed in seeds]
     stepped = [load_after_restart(*offset_us, seed) for seed in seeds]
-    if stepped_clocks == "everywhere":
+    if stepped_clocks == "both":
         assert stepped == usual
     first_count = sum(load.first_second for load in stepped)
     usual_count = sum(load.first_second for load in usual)
--- a/tests/scenarios/test_watch_failures.py
+++ b/tests/scenarios/test_watch_failures.py
@@ -1,7 +1,6 @@
-"""System calls of the watch on discovery that fail: it is opened anew.
+"""System calls of the watch on discovery that fail: the watch is reopened.
 
-The failures are made at the boundary to the system, on real sockets, by a socket class that does as it is
-told.
+The failures are injected at the system call boundary of real sockets, by `FailingSocket`.
 """
 
 from __future__ import annotations
@@ -43,7 +42,7 @@
 async def test_failed_watch_is_reopened_and_logged_once(
     call: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """It fails three times in a row; the list that discovery has then arrives."""
+    """It fails three times in a row; the fourth watch receives the current list."""
 
     async with StandInListServer(endpoint_list(endpoint_entry("b", 9), rev=7)) as discovery:
         failure = socket_failures.add(
