--- a/tests/benchmarks/test_fleet_growth_cost.py
+++ b/tests/benchmarks/test_fleet_growth_cost.py
@@ -1,6 +1,6 @@
-"""The cost of a change of the list follows the change and not the fleet, and the subset stays what it was.
+"""The cost of a list change depends on the change and not on the fleet, and the subset stays correct.
 
-Costs are counted in calls of functions and lines run, so that they are the same on every machine.
+Costs are counted in executed lines, so that they are the same on every machine.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 from tests.support.loopback_proxy import running_proxy
 
-MAX_GROWTH = 1.5  # a change may cost this many times as much with sixteen times the endpoints
+MAX_GROWTH = 1.5  # permitted factor in the cost of a change with sixteen times the endpoints
 REPLACED_COUNT = 20
 
 
 def lines_run(work: Callable[[], object]) -> int:
-    """Return how many lines of Python a piece of work runs, in all functions that it calls."""
+    """Return the number of Python lines that `work` executes, including the functions that it calls."""
     count = 0
 
     def trace(frame: FrameType, event: str, arg: Any) -> Any:
@@ -49,7 +49,7 @@
 
 
 def change_cost(endpoint_count: int, instances: int, index: int) -> int:
-    """Return the lines that the policy runs for the replacement of 20 endpoints, one by one."""
+    """Return the lines that the policy executes to replace 20 endpoints one by one."""
     settings = balancer_settings(instances=instances, index=index)
     harness = BalancerHarness(settings, endpoint_count)
     version = 1
@@ -65,10 +65,10 @@
 
 
 @pytest.mark.parametrize("share", [0.0, 0.5, 0.99])
-def test_policy_takes_a_change_at_the_cost_of_the_change(share: float) -> None:
-    few = change_cost(200, 34, int(share * 34))
-    many = change_cost(3200, 544, int(share * 544))
-    assert many < MAX_GROWTH * few, (few, many)
+def test_policy_cost_of_a_change_does_not_grow_with_the_endpoint_list(share: float) -> None:
+    small_fleet_cost = change_cost(200, 34, int(share * 34))
+    large_fleet_cost = change_cost(3200, 544, int(share * 544))
+    assert large_fleet_cost < MAX_GROWTH * small_fleet_cost, (small_fleet_cost, large_fleet_cost)
 
 
 def listed_states(harness: BalancerHarness) -> list[EndpointState]:
@@ -81,25 +81,27 @@
     return [state for state in listed_states(harness) if state.endpoint.status is EndpointStatus.UP]
 
 
-def plain_subset(harness: BalancerHarness) -> list[int]:
-    """Return the ids of the subset by plain computation from all endpoints that are up."""
+def recomputed_subset(harness: BalancerHarness) -> list[int]:
+    """Return the ids of the subset, computed from scratch from all endpoints that are up."""
     settings = harness.balancer.settings
-    up = sorted(up_states(harness), key=lambda state: (state.hashed_id, state.endpoint.id))
-    size = max(MIN_SUBSET, math.ceil(SUBSETS_PER_ENDPOINT * len(up) / settings.instances))
-    first = settings.index * len(up) // settings.instances
-    ring = up[first:] + up[:first]
-    has_price = settings.cross_zone_cost > 0
-    local = [state for state in ring if not has_price or state.endpoint.zone == settings.zone][:size]
-    remote = [state for state in ring if has_price and state.endpoint.zone != settings.zone]
+    up_sorted = sorted(up_states(harness), key=lambda state: (state.hashed_id, state.endpoint.id))
+    size = max(MIN_SUBSET, math.ceil(SUBSETS_PER_ENDPOINT * len(up_sorted) / settings.instances))
+    first = settings.index * len(up_sorted) // settings.instances
+    ring = up_sorted[first:] + up_sorted[:first]
+    has_cross_zone_cost = settings.cross_zone_cost > 0
+    local = [state for state in ring if not has_cross_zone_cost or state.endpoint.zone == settings.zone][
+        :size
+    ]
+    remote = [state for state in ring if has_cross_zone_cost and state.endpoint.zone != settings.zone]
     return [state.endpoint.id for state in local + remote[: max(MIN_REMOTE, size - len(local))]]
 
 
-RANK_PERIOD = 2**32  # ids that differ by it have the same rank
+RANK_PERIOD = 2**32  # ids that differ by a multiple of it have the same rank
 STATUSES = (EndpointStatus.UP, EndpointStatus.UP, *EndpointStatus)
 
 
 def random_endpoint(rng: random.Random, version: int) -> Endpoint:
-    """Return one of 36 endpoints, three of each rank, with another status, zone and incarnation each time."""
+    """Return one of 36 endpoints, three of each rank, with a random status, zone and incarnation."""
     return Endpoint(
         id=rng.randrange(12) + RANK_PERIOD * rng.randrange(3),
         status=rng.choice(STATUSES),
@@ -109,7 +111,7 @@
 
 
 def apply_random_list(harness: BalancerHarness, rng: random.Random, version: int) -> None:
-    """Apply a few changes or, seldom, a complete list; one in ten is older than the list that is held."""
+    """Apply a few changes or, rarely, a complete list; one update in ten is older than the present list."""
     entries = [random_endpoint(rng, version) for _ in range(rng.choice((0, 1, 1, 1, 3)))]
     kind = EndpointListKind.CHANGES
     if rng.random() < 0.08:
@@ -121,7 +123,7 @@
 
 @pytest.mark.parametrize("cross_zone_cost", [0.0, 0.05])
 @pytest.mark.parametrize("seed", range(6))
-def test_incrementally_updated_ring_gives_the_plain_subset(seed: int, cross_zone_cost: float) -> None:
+def test_incrementally_updated_ring_matches_the_recomputed_subset(seed: int, cross_zone_cost: float) -> None:
     rng = random.Random(seed)
     instances = rng.choice((1, 3, 9))
     index = rng.randrange(instances)
@@ -130,17 +132,17 @@
     endpoints, slow_start = harness.balancer.endpoints, harness.balancer.slow_start
     for version in range(1, 150):
         apply_random_list(harness, rng, version)
-        assert [state.endpoint.id for state in endpoints.subset] == plain_subset(harness)
+        assert [state.endpoint.id for state in endpoints.subset] == recomputed_subset(harness)
         assert all(endpoints.states[state.endpoint.id] is state for state in endpoints.subset)
         up_count = len(up_states(harness))
-        sharing = instances * len(endpoints.subset) / max(1, up_count)
-        assert endpoints.balancers_per_endpoint == max(1.0, sharing)
+        expected_sharing = instances * len(endpoints.subset) / max(1, up_count)
+        assert endpoints.balancers_per_endpoint == max(1.0, expected_sharing)
         warm_at_us = (slow_start.warm_at_us(state) for state in endpoints.subset)
         assert slow_start.first_warm_at_us == min(warm_at_us, default=0)
 
 
 async def driver_change_cost(endpoint_count: int, instances: int) -> int:
-    """Return the lines of driver and policy for 20 endpoints that drain, go and are replaced, one by one."""
+    """Return the lines that driver and policy execute to drain and replace 20 endpoints one by one."""
     entries = [endpoint_entry(f"s-{number}", 9) for number in range(endpoint_count)]
     settings = balancer_settings(instances=instances, index=instances // 2)
     async with running_proxy(*entries, settings=settings) as proxy:
@@ -149,7 +151,10 @@
             changes.append(endpoint_entry(f"s-{number}", 9, "terminating"))
             changes.append(endpoint_entry(f"s-{number}", 9, "terminated"))
             changes.append(endpoint_entry(f"new-{number}", 9))
-        lists = [read_list(endpoint_list(entry, rev=rev, full=False)) for rev, entry in enumerate(changes, 2)]
+        lists = [
+            read_list(endpoint_list(entry, rev=rev, is_complete=False))
+            for rev, entry in enumerate(changes, 2)
+        ]
 
         def receive_lists() -> None:
             for changed in lists:
@@ -158,58 +163,61 @@
         return lines_run(receive_lists)
 
 
-async def test_driver_takes_a_change_at_the_cost_of_the_change() -> None:
-    few, many = await driver_change_cost(200, 34), await driver_change_cost(3200, 544)
-    assert many < MAX_GROWTH * few, (few, many)
+async def test_driver_cost_of_a_change_does_not_grow_with_the_endpoint_list() -> None:
+    small_fleet_cost, large_fleet_cost = (
+        await driver_change_cost(200, 34),
+        await driver_change_cost(3200, 544),
+    )
+    assert large_fleet_cost < MAX_GROWTH * small_fleet_cost, (small_fleet_cost, large_fleet_cost)
 
 
 def covering_size(endpoint_count: int, instances: int) -> int:
-    """Return the size of a subset by which the balancers together cover all endpoints often enough."""
+    """Return the subset size with which the balancers together cover each endpoint often enough."""
     return max(MIN_SUBSET, math.ceil(SUBSETS_PER_ENDPOINT * endpoint_count / instances))
 
 
 @pytest.mark.parametrize("instances", [1, 3, 10, 34, 100, 200, 544])
 def test_subset_stays_within_the_descriptors_of_a_proxy(instances: int) -> None:
-    """At sixteen times the endpoints a proxy may need twice the usual descriptors and 40 more."""
-    at_200 = covering_size(200, instances)
-    for usual in range(1, 201):
-        usual_size = covering_size(usual, instances)
-        assert subset_size(usual, instances) == usual_size
-        large_size = subset_size(16 * usual, instances)
-        assert large_size <= max(at_200, 2 * usual_size + 40)
-        assert large_size >= min(at_200, covering_size(16 * usual, instances))
+    """With sixteen times the endpoints a proxy may use twice the usual descriptors plus 40."""
+    size_at_200 = covering_size(200, instances)
+    for small_count in range(1, 201):
+        small_size = covering_size(small_count, instances)
+        assert subset_size(small_count, instances) == small_size
+        large_size = subset_size(16 * small_count, instances)
+        assert large_size <= max(size_at_200, 2 * small_size + 40)
+        assert large_size >= min(size_at_200, covering_size(16 * small_count, instances))
 
 
 def test_subset_size_is_kept_when_balancers_grow_with_their_endpoints() -> None:
-    for usual in range(1, 201):
-        sizes = {subset_size(usual * times, 34 * times) for times in (1, 4, 16)}
+    for endpoint_count in range(1, 201):
+        sizes = {subset_size(endpoint_count * factor, 34 * factor) for factor in (1, 4, 16)}
         assert len(sizes) == 1
 
 
 def test_decision_does_not_examine_sixteen_times_the_endpoints() -> None:
-    def cost(endpoint_count: int) -> int:
+    def lines_for(endpoint_count: int) -> int:
         harness = BalancerHarness(balancer_settings(instances=34, index=17), endpoint_count)
-        return lines_run(lambda: harness.request("r"))
+        return lines_run(lambda: harness.send_request("r"))
 
-    assert cost(3200) < 8 * cost(200)
+    assert lines_for(3200) < 8 * lines_for(200)
 
 
 def test_list_is_split_without_a_step_for_each_end_of_a_string() -> None:
-    """A release brings thousands of entries, most of them strings."""
+    """A release sends thousands of entries, whose text is mostly strings."""
 
-    def cost(entry_count: int) -> int:
+    def lines_for(entry_count: int) -> int:
         entries = [endpoint_entry(f"s-{number}", 9) for number in range(entry_count)]
         text = json.dumps(endpoint_list(*entries)).encode()
         return lines_run(lambda: list(JsonTextSplitter().feed(text)))
 
     string_count = json.dumps(endpoint_entry("s-1", 9)).count('"') // 2
-    lines_for_an_entry = (cost(20) - cost(10)) / 10
+    lines_for_an_entry = (lines_for(20) - lines_for(10)) / 10
     lines_for_a_step = 6
-    assert lines_for_an_entry < lines_for_a_step * (string_count + 2)  # and an entry's two braces
+    assert lines_for_an_entry < lines_for_a_step * (string_count + 2)  # plus the two braces of an entry
 
 
 def harness_in_one_cell(key_scope: messages.KeyScope, endpoint_count: int, seed: int) -> BalancerHarness:
-    """Return a balancer whose keyed requests may go to one cell or zone, in which all endpoints are."""
+    """Return a balancer whose keyed retries stay in one cell or zone, which has all endpoints."""
     keyed_class = messages.RequestClass(
         "write", 2_000_000, 5_000_000, messages.Idempotency.KEYED, key_scope, 4_000_000
     )
@@ -221,10 +229,10 @@
 
 
 def retry_cost(key_scope: messages.KeyScope, endpoint_count: int, seed: int) -> tuple[int, set[int]]:
-    """Return the lines of a failed attempt and its retry, and the endpoints that the retry may go to."""
+    """Return the lines executed for a failed attempt and its retry, and the retry's eligible endpoints."""
     harness = harness_in_one_cell(key_scope, endpoint_count, seed)
     balancer = harness.balancer
-    [attempt] = actions_of_type(harness.request("r", "write"), messages.StartAttempt)
+    [attempt] = actions_of_type(harness.send_request("r", "write"), messages.StartAttempt)
     [request] = balancer.open_requests.by_id.values()
     lines = lines_run(lambda: harness.end_attempt(attempt, messages.Outcome.TIMEOUT))
     eligible = balancer.router.eligible_endpoints(harness.now_us, request)
@@ -235,20 +243,20 @@
 
 @pytest.mark.parametrize("key_scope", [messages.KeyScope.ZONE, messages.KeyScope.CELL])
 def test_retry_examines_a_bounded_number_of_its_zone_or_cell(key_scope: messages.KeyScope) -> None:
-    """The retry may go to all of them, and where they are few it does examine all."""
-    few, eligible_ids = retry_cost(key_scope, MAX_RETRY_CANDIDATES, 1)
+    """If the zone or cell has few endpoints, all are examined; otherwise a random selection of them."""
+    small_fleet_cost, eligible_ids = retry_cost(key_scope, MAX_RETRY_CANDIDATES, 1)
     assert eligible_ids == set(range(MAX_RETRY_CANDIDATES))
-    many, eligible_ids = retry_cost(key_scope, 3200, 1)
+    large_fleet_cost, eligible_ids = retry_cost(key_scope, 3200, 1)
     assert len(eligible_ids) == MAX_RETRY_CANDIDATES
     assert eligible_ids != retry_cost(key_scope, 3200, 2)[1]
-    # Which zone and cell each one is in, and whether it is up, takes a few lines for each pass over the list.
+    # The check of zone, cell and status takes a few lines per endpoint and pass over the list.
     passes, lines_for_each = 2, 4
-    assert many < 2 * few + passes * lines_for_each * 3200
+    assert large_fleet_cost < 2 * small_fleet_cost + passes * lines_for_each * 3200
 
 
 def test_change_outside_the_subset_costs_little_for_each_member_of_the_subset() -> None:
-    few, many = change_cost(200, 34, 17), change_cost(3200, 34, 17)
+    small_fleet_cost, large_fleet_cost = change_cost(200, 34, 17), change_cost(3200, 34, 17)
     added_members = subset_size(3200, 34) - subset_size(200, 34)
     lines_for_a_limit = 4
     changes = 2 * REPLACED_COUNT
-    assert many < few + 1.2 * changes * added_members * lines_for_a_limit
+    assert large_fleet_cost < small_fleet_cost + 1.2 * changes * added_members * lines_for_a_limit
