--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -36,7 +36,7 @@
     assert "\n" not in str(raised.value)
 
 
-IMPOSSIBLE: list[tuple[FieldPath, object]] = [
+INVALID_VALUES: list[tuple[FieldPath, object]] = [
     (("seed",), "8c1f30d27a5be96g"),
     (("limits", "sockets"), 0),
     (("limits", "sockets"), -1),
@@ -69,40 +69,42 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value"), IMPOSSIBLE, ids=[f"{field_name(path)}={value!r:.20}" for path, value in IMPOSSIBLE]
+    ("path", "value"),
+    INVALID_VALUES,
+    ids=[f"{field_name(path)}={value!r:.20}" for path, value in INVALID_VALUES],
 )
-def test_impossible_value_is_named_in_the_error(tmp_path: Path, path: FieldPath, value: object) -> None:
+def test_invalid_value_is_named_in_the_error(tmp_path: Path, path: FieldPath, value: object) -> None:
     with pytest.raises(ConfigError) as raised:
         ConfigSource(write_config(tmp_path, config_with_field(path, value))).read()
     assert f"field {field_name(path)} " in str(raised.value)
 
 
-def with_whole_floats(value: Any) -> Any:
+def with_integers_as_floats(value: Any) -> Any:
     """Return the value with each integer as a float."""
     if isinstance(value, dict):
-        return {key: with_whole_floats(inner) for key, inner in value.items()}
+        return {key: with_integers_as_floats(inner) for key, inner in value.items()}
     if isinstance(value, list):
-        return [with_whole_floats(inner) for inner in value]
+        return [with_integers_as_floats(inner) for inner in value]
     return float(value) if type(value) is int else value
 
 
 def test_integer_may_be_written_with_a_decimal_point(tmp_path: Path) -> None:
     """JSON has one kind of number, and a proxy that does not start serves nobody."""
-    plain = config_with_field(("settings", "instances"), 3)
-    told = ConfigSource(write_config(tmp_path, plain)).read()
-    seed = plain["seed"]
-    written = {**with_whole_floats(plain), "seed": seed}
-    assert '"instances": 3.0' in json.dumps(written)
-    assert ConfigSource(write_config(tmp_path, written)).read() == told
-    assert told.cached_list is not None
+    content = config_with_field(("settings", "instances"), 3)
+    config = ConfigSource(write_config(tmp_path, content)).read()
+    seed = content["seed"]
+    float_content = {**with_integers_as_floats(content), "seed": seed}
+    assert '"instances": 3.0' in json.dumps(float_content)
+    assert ConfigSource(write_config(tmp_path, float_content)).read() == config
+    assert config.cached_list is not None
 
 
 @pytest.mark.parametrize("seed", [0, -5, 2**64, 2**127, "0", "0x1f", "F" * 64])
 def test_seed_may_be_of_any_size(tmp_path: Path, seed: int | str) -> None:
     """It is used by no float or timer, and a proxy that does not start serves nobody."""
-    told = ConfigSource(write_config(tmp_path, {**proxy_config(), "seed": seed})).read()
-    assert told.seed == (seed if isinstance(seed, int) else int(seed, 16))
-    Balancer(told.settings, told.seed)
+    config = ConfigSource(write_config(tmp_path, {**proxy_config(), "seed": seed})).read()
+    assert config.seed == (seed if isinstance(seed, int) else int(seed, 16))
+    Balancer(config.settings, config.seed)
 
 
 def test_negative_quota_is_named_in_the_error(tmp_path: Path) -> None:
@@ -113,11 +115,11 @@
 
 def test_environment_overrides_the_file(tmp_path: Path) -> None:
     env = write_config(tmp_path, proxy_config())
-    told = ConfigSource({**env, "NODE_LISTEN": "127.0.0.1:7", "NODE_DISCOVERY": "127.0.0.1:8"}).read()
-    assert (told.listen, told.discovery) == (("127.0.0.1", 7), ("127.0.0.1", 8))
-    assert told.seed == 0x8C1F30D27A5BE964
-    assert (told.connect_timeout_s, told.idle_s) == (0.25, 30.0)
-    assert told.settings.limits.connect_timeout_us == 250_000
+    config = ConfigSource({**env, "NODE_LISTEN": "127.0.0.1:7", "NODE_DISCOVERY": "127.0.0.1:8"}).read()
+    assert (config.listen, config.discovery) == (("127.0.0.1", 7), ("127.0.0.1", 8))
+    assert config.seed == 0x8C1F30D27A5BE964
+    assert (config.connect_timeout_s, config.idle_s) == (0.25, 30.0)
+    assert config.settings.limits.connect_timeout_us == 250_000
 
 
 def test_changed_file_overrides_an_environment_that_equalled_the_first_file(tmp_path: Path) -> None:
@@ -128,13 +130,13 @@
     }
     source = ConfigSource(env)
     write_config(tmp_path, proxy_config(discovery="127.0.0.1:2", listen="127.0.0.1:3"))
-    told = source.read()
-    assert told.discovery == ("127.0.0.1", 2)  # the environment said the same as the first file
-    assert told.listen == ("127.0.0.1", 7)  # and here something else
+    config = source.read()
+    assert config.discovery == ("127.0.0.1", 2)  # the environment said the same as the first file
+    assert config.listen == ("127.0.0.1", 7)  # and here something else
 
 
 @pytest.mark.parametrize(
-    ("changes", "named"),
+    ("changes", "field"),
     [
         ({"listen": "nowhere"}, "listen"),
         ({"discovery": None}, "discovery"),
@@ -144,6 +146,6 @@
         ({"limits": {"sockets": "many"}}, "limits.sockets"),
     ],
 )
-def test_invalid_configuration_names_the_field(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
-    with pytest.raises(ConfigError, match=named.replace("[", r"\[")):
+def test_invalid_configuration_names_the_field(tmp_path: Path, changes: dict[str, Any], field: str) -> None:
+    with pytest.raises(ConfigError, match=field.replace("[", r"\[")):
         ConfigSource(write_config(tmp_path, proxy_config(**changes))).read()
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -28,12 +28,12 @@
 )
 from tests.support.stand_in_server import StandInEndpoint
 
-GIVEN = 96
-CROWD = 200
+DESCRIPTOR_LIMIT = 96
+CLIENT_COUNT = 200
 
 
 @pytest.mark.parametrize(
-    ("told", "soft", "hard", "have", "soft_then"),
+    ("configured_limit", "soft_limit", "hard_limit", "expected_limit", "expected_soft_limit"),
     [
         (128, 1024, 1024, 128, 1024),  # enough, and left as it is
         (128, 64, 1024, 128, 128),  # raised, to no more than was told
@@ -42,50 +42,57 @@
     ],
 )
 def test_lower_of_configured_and_system_limits_is_used(
-    told: int, soft: int, hard: int, have: int, soft_then: int, limits: dict[str, tuple[int, int]]
+    configured_limit: int,
+    soft_limit: int,
+    hard_limit: int,
+    expected_limit: int,
+    expected_soft_limit: int,
+    limits: dict[str, tuple[int, int]],
 ) -> None:
-    limits["now"] = (soft, hard)
-    assert raise_descriptor_limit(told) == have
-    assert limits["now"] == (soft_then, hard)
+    limits["now"] = (soft_limit, hard_limit)
+    assert raise_descriptor_limit(configured_limit) == expected_limit
+    assert limits["now"] == (expected_soft_limit, hard_limit)
 
 
 @pytest.mark.parametrize("error", [OSError, ValueError])
 def test_limit_that_cannot_be_raised_is_used_as_it_is(
     error: type[Exception], limits: dict[str, tuple[int, int]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def fails(*args: object) -> None:
+    def fail(*args: object) -> None:
         raise error("not allowed")
 
-    monkeypatch.setattr(resource, "setrlimit", fails)
+    monkeypatch.setattr(resource, "setrlimit", fail)
     limits["now"] = (64, 1024)
     assert raise_descriptor_limit(1024) == 64
 
 
 def test_configured_limit_is_used_when_the_system_has_none(limits: dict[str, tuple[int, int]]) -> None:
-    none = resource.RLIM_INFINITY
-    limits["now"] = (none, none)
+    unlimited = resource.RLIM_INFINITY
+    limits["now"] = (unlimited, unlimited)
     assert raise_descriptor_limit(128) == 128
-    assert limits["now"] == (none, none)
-    limits["now"] = (64, none)
+    assert limits["now"] == (unlimited, unlimited)
+    limits["now"] = (64, unlimited)
     assert raise_descriptor_limit(128) == 128
-    assert limits["now"] == (128, none)
+    assert limits["now"] == (128, unlimited)
 
 
 @pytest.fixture
 def limits(monkeypatch: pytest.MonkeyPatch) -> dict[str, tuple[int, int]]:
     """Stand in for this process's own limits, which other tests need unchanged."""
-    held: dict[str, tuple[int, int]] = {}
-    monkeypatch.setattr(resource, "getrlimit", lambda which: held["now"])
-    monkeypatch.setattr(resource, "setrlimit", lambda which, pair: held.update(now=pair))
-    return held
+    current_limits: dict[str, tuple[int, int]] = {}
+    monkeypatch.setattr(resource, "getrlimit", lambda resource_id: current_limits["now"])
+    monkeypatch.setattr(
+        resource, "setrlimit", lambda resource_id, new_limits: current_limits.update(now=new_limits)
+    )
+    return current_limits
 
 
-def connect_crowd(port: int, sent: bytes) -> list[socket.socket]:
+def connect_idle_clients(port: int, sent: bytes) -> list[socket.socket]:
     """Connect idle clients, each of which sends these bytes and stays."""
-    crowd = [socket.create_connection(("127.0.0.1", port)) for _ in range(CROWD)]
-    for client in crowd:
+    idle_clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(CLIENT_COUNT)]
+    for client in idle_clients:
         client.sendall(sent)
-    return crowd
+    return idle_clients
 
 
 async def request_until_served_by(port: int, request_id: str, body: bytes) -> None:
@@ -101,7 +108,7 @@
     return bound
 
 
-def pushed_config(discovery: socket.socket, endpoint_port: int) -> dict[str, Any]:
+def config_with_pushed_lists(discovery: socket.socket, endpoint_port: int) -> dict[str, Any]:
     return proxy_config(
         discovery=f"127.0.0.1:{discovery.getsockname()[1]}",
         known=endpoint_list(endpoint_entry("a", endpoint_port)),
@@ -116,27 +123,27 @@
     """A real process under a low limit, whose crowd stays: it serves, and hears of a new endpoint."""
     discovery = HeldListServer()
     async with (
-        StandInEndpoint(http_response(200, b"a")) as known,
-        StandInEndpoint(http_response(200, b"b")) as new,
+        StandInEndpoint(http_response(200, b"a")) as known_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as new_endpoint,
     ):
-        discovery.present_list = endpoint_list(endpoint_entry("b", new.port), rev=2)
-        down = bound_socket()
-        content = pushed_config(down, known.port)
-        assert content["limits"]["sockets"] > GIVEN
-        async with running_proxy_process(write_config(tmp_path, content), GIVEN) as process:
+        discovery.present_list = endpoint_list(endpoint_entry("b", new_endpoint.port), rev=2)
+        discovery_socket = bound_socket()
+        content = config_with_pushed_lists(discovery_socket, known_endpoint.port)
+        assert content["limits"]["sockets"] > DESCRIPTOR_LIMIT
+        async with running_proxy_process(write_config(tmp_path, content), DESCRIPTOR_LIMIT) as process:
             port = await read_listening_port(process)
             assert process.stderr is not None
-            log = asyncio.create_task(process.stderr.read())
-            crowd = connect_crowd(port, sent)
+            log_reader = asyncio.create_task(process.stderr.read())
+            idle_clients = connect_idle_clients(port, sent)
             await request_until_served_by(port, "r0", b"a")
-            await discovery.start(down)
+            await discovery.start(discovery_socket)
             await discovery.requested.wait()
             await request_until_served_by(port, "r1", b"b")
-            assert descriptor_count(process) < GIVEN
+            assert descriptor_count(process) < DESCRIPTOR_LIMIT
             process.terminate()
-            for client in crowd:
+            for client in idle_clients:
                 client.close()
             assert await process.wait() == 0
             discovery.stop()
-            assert "descriptor for" not in (await log).decode()
-            assert "Traceback" not in log.result().decode()
+            assert "descriptor for" not in (await log_reader).decode()
+            assert "Traceback" not in log_reader.result().decode()
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -24,17 +24,17 @@
 )
 from tests.support.stand_in_server import StandInServer
 
-KILL_MORE_S = 0.7  # SIGKILL comes this long after the longest deadline, by the terms
-CLIENTS = 6
-HOLD_UP_S = 0.15
+KILL_DELAY_S = 0.7  # SIGKILL comes this long after the longest deadline, by the terms
+CLIENT_COUNT = 6
+PAUSE_S = 0.15
 
 
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0, 3.0])
 def test_listening_ends_in_time_for_the_last_responses(deadline_s: float) -> None:
     """0.25 s are left for a stall and the exit of the process."""
-    answer_by = deadline_s + 0.2
-    assert 0.4 < min_accept_time_s(answer_by) <= answer_by
-    assert min_accept_time_s(answer_by) + FLUSH_TIMEOUT_S <= deadline_s + KILL_MORE_S - 0.25
+    response_deadline_s = deadline_s + 0.2
+    assert 0.4 < min_accept_time_s(response_deadline_s) <= response_deadline_s
+    assert min_accept_time_s(response_deadline_s) + FLUSH_TIMEOUT_S <= deadline_s + KILL_DELAY_S - 0.25
 
 
 @dataclass
@@ -42,36 +42,38 @@
     """Clients of one process, the endpoint behind it, and the outcome of all requests."""
 
     deadline_s: float
-    hangs: bool  # does the endpoint answer nothing that comes after the signal?
-    stopping: asyncio.Event = field(default_factory=asyncio.Event)
-    sent: int = 0
-    answered: int = 0
-    crossed: list[str] = field(default_factory=list)  # ids of those that a close with no answer crossed
-    seen: list[str] = field(default_factory=list)  # ids that came to the endpoint
-
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    endpoint_hangs: bool  # does the endpoint answer nothing that comes after the signal?
+    shutdown_started: asyncio.Event = field(default_factory=asyncio.Event)
+    sent_count: int = 0
+    response_count: int = 0
+    unanswered_ids: list[str] = field(
+        default_factory=list
+    )  # ids of those that a close with no answer crossed
+    received_ids: list[str] = field(default_factory=list)  # ids that came to the endpoint
+
+    async def serve_endpoint(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """The endpoint's side of a connection."""
         while True:
             _, headers, _ = await read_http_message(reader)
-            self.seen.append(headers["req-id"])
-            if self.hangs and self.stopping.is_set():
+            self.received_ids.append(headers["req-id"])
+            if self.endpoint_hangs and self.shutdown_started.is_set():
                 await reader.read()
                 return
             writer.write(http_response(200, b"x"))
 
-    async def client(self, port: int, number: int) -> None:
+    async def run_client(self, port: int, number: int) -> None:
         """Calls one after another, until its connection is closed."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for index in range(100_000):
             request_id = f"c{number}-{index}"
-            self.sent += 1
+            self.sent_count += 1
             with contextlib.suppress(ConnectionError):
                 writer.write(http_request(request_id=request_id, Req_Deadline=str(self.deadline_s)))
-            headers = await read_answer_headers(reader)
+            headers = await read_response_headers(reader)
             if headers is None:
-                self.crossed.append(request_id)
+                self.unanswered_ids.append(request_id)
                 break
-            self.answered += 1
+            self.response_count += 1
             if headers.get("connection") == "close":
                 assert await reader.read() == b""  # and no second answer
                 break
@@ -79,7 +81,7 @@
         writer.close()
 
 
-async def read_answer_headers(reader: asyncio.StreamReader) -> dict[str, str] | None:
+async def read_response_headers(reader: asyncio.StreamReader) -> dict[str, str] | None:
     """The headers of the next answer; None where the connection ended with no byte of one."""
     try:
         _, headers, _ = await read_http_message(reader)
@@ -93,47 +95,49 @@
     return None
 
 
-async def hold_up(process: asyncio.subprocess.Process, at_s: float) -> None:
-    """Stop the process for a moment, `at_s` seconds from now."""
-    await asyncio.sleep(at_s)
+async def pause_process(process: asyncio.subprocess.Process, delay_s: float) -> None:
+    """Stop the process for a moment, `delay_s` seconds from now."""
+    await asyncio.sleep(delay_s)
     process.send_signal(signal.SIGSTOP)
-    await asyncio.sleep(HOLD_UP_S)
+    await asyncio.sleep(PAUSE_S)
     process.send_signal(signal.SIGCONT)
 
 
 def config_with_deadline(deadline_s: float, endpoint_port: int) -> dict[str, Any]:
     """Return a configuration with one class, whose requests end after this deadline."""
-    lane = {"name": "read", "idempotency": "safe", "worth": 1}
-    lane |= {"onTimeUs": round(deadline_s * 1e6), "deadlineUs": round(deadline_s * 1e6)}
+    request_class = {"name": "read", "idempotency": "safe", "worth": 1}
+    request_class |= {"onTimeUs": round(deadline_s * 1e6), "deadlineUs": round(deadline_s * 1e6)}
     known = endpoint_list(endpoint_entry("a", endpoint_port))
-    return proxy_config(known=known, settings=raw_settings(lanes=[lane], limits=LIMITS))
+    return proxy_config(known=known, settings=raw_settings(lanes=[request_class], limits=LIMITS))
 
 
-@pytest.mark.parametrize("hangs", [False, True], ids=["endpoints answer", "endpoints hang"])
-@pytest.mark.parametrize("stopped_at_s", [None, 0.0, 0.45])
+@pytest.mark.parametrize("endpoint_hangs", [False, True], ids=["endpoints answer", "endpoints hang"])
+@pytest.mark.parametrize("paused_at_s", [None, 0.0, 0.45])
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0])
 async def test_each_request_read_before_exit_gets_one_response(
-    tmp_path: Path, deadline_s: float, hangs: bool, stopped_at_s: float | None
+    tmp_path: Path, deadline_s: float, endpoint_hangs: bool, paused_at_s: float | None
 ) -> None:
     """A connection that closes with no byte of an answer may only cross a request that was not read.
 
     Also with the process stopped for a moment as the signal comes, and as it stops listening.
     """
-    traffic = Traffic(deadline_s, hangs)
-    async with StandInServer(traffic.serve) as endpoint:
+    traffic = Traffic(deadline_s, endpoint_hangs)
+    async with StandInServer(traffic.serve_endpoint) as endpoint:
         env = write_config(tmp_path, config_with_deadline(deadline_s, endpoint.port))
         async with running_proxy_process(env) as process:
             port = await read_listening_port(process)
-            clients = [asyncio.ensure_future(traffic.client(port, number)) for number in range(CLIENTS)]
+            clients = [
+                asyncio.ensure_future(traffic.run_client(port, number)) for number in range(CLIENT_COUNT)
+            ]
             await asyncio.sleep(0.1)
-            traffic.stopping.set()
+            traffic.shutdown_started.set()
             process.send_signal(signal.SIGTERM)
-            began = asyncio.get_running_loop().time()
-            if stopped_at_s is not None:
-                await hold_up(process, stopped_at_s)
+            began_s = asyncio.get_running_loop().time()
+            if paused_at_s is not None:
+                await pause_process(process, paused_at_s)
             assert await process.wait() == 0
-            took = asyncio.get_running_loop().time() - began
+            duration_s = asyncio.get_running_loop().time() - began_s
             await asyncio.gather(*clients)
-            assert took < deadline_s + KILL_MORE_S
-            assert traffic.sent == traffic.answered + len(traffic.crossed)
-            assert not set(traffic.crossed) & set(traffic.seen)
+            assert duration_s < deadline_s + KILL_DELAY_S
+            assert traffic.sent_count == traffic.response_count + len(traffic.unanswered_ids)
+            assert not set(traffic.unanswered_ids) & set(traffic.received_ids)
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -18,7 +18,7 @@
 from tests.support.proxy_process import proxy_config
 from tests.support.reload_harness import ReloadHarness
 
-TEXTS: list[FieldPath] = [
+STRING_FIELDS: list[FieldPath] = [
     ("name",),
     ("listen",),
     ("discovery",),
@@ -31,7 +31,7 @@
 ]
 
 
-OBJECTS: list[FieldPath] = [
+OBJECT_FIELDS: list[FieldPath] = [
     ("limits",),
     ("settings",),
     ("settings", "limits"),
@@ -41,13 +41,15 @@
 ]
 
 
-ARRAYS: list[FieldPath] = [("settings", "lanes"), ("settings", "tenants")]
+ARRAY_FIELDS: list[FieldPath] = [("settings", "lanes"), ("settings", "tenants")]
 
 
-SWITCHES: list[FieldPath] = [("settings", "limits", name) for name in ("cancel", "probing", "retryAfter")]
+BOOLEAN_FIELDS: list[FieldPath] = [
+    ("settings", "limits", name) for name in ("cancel", "probing", "retryAfter")
+]
 
 
-WHOLE: list[FieldPath] = [
+INTEGER_FIELDS: list[FieldPath] = [
     ("settings", "limits", "maxRetryAfterUs"),
     ("settings", "contract", "fallUs"),
     ("settings", "instances"),
@@ -57,45 +59,47 @@
 ]
 
 
-FRACTIONS: list[FieldPath] = [
+FLOAT_FIELDS: list[FieldPath] = [
     ("settings", "resultMix", "worstClass"),
     (*FIRST_REQUEST_CLASS, "lateValue"),
     ("settings", "tenants", 0, "quotaPerS"),
 ]
 
 
-WRONG: list[tuple[FieldPath, tuple[object, ...]]] = [
+WRONG_TYPE_VALUES: list[tuple[FieldPath, tuple[object, ...]]] = [
     (("seed",), (1.5, True, [], {}, None, "xyz", "")),
     (("listen",), ("", "nowhere", "127.0.0.1", ":80", "127.0.0.1:65536", "127.0.0.1:-1", "a b:80")),
     (("discovery",), ("", "nowhere", "127.0.0.1", ":80", "127.0.0.1:0", "127.0.0.1:65536", "\ud800:80")),
-    *((path, (5, True, [], {})) for path in TEXTS),
-    *((path, (5, True, "x", [])) for path in OBJECTS),
-    *((path, (5, True, "x", {})) for path in ARRAYS),
-    *((path, (5, 0, "true", [], {})) for path in SWITCHES),
-    *((path, (True, "x", "5", 1.5, [], {})) for path in WHOLE),
-    *((path, (True, "x", "5", [], {})) for path in FRACTIONS),
+    *((path, (5, True, [], {})) for path in STRING_FIELDS),
+    *((path, (5, True, "x", [])) for path in OBJECT_FIELDS),
+    *((path, (5, True, "x", {})) for path in ARRAY_FIELDS),
+    *((path, (5, 0, "true", [], {})) for path in BOOLEAN_FIELDS),
+    *((path, (True, "x", "5", 1.5, [], {})) for path in INTEGER_FIELDS),
+    *((path, (True, "x", "5", [], {})) for path in FLOAT_FIELDS),
     *((path, (True, "x", "5", [], {})) for path in NUMBER_FIELDS),
     *(((name,), (None,)) for name in ("name", "listen", "discovery", "settings")),
     *((("settings", *rest), (None,)) for rest in (("lanes",), ("contract",), ("limits",))),
 ]
 
 
-@pytest.mark.parametrize(("path", "values"), WRONG, ids=[field_name(path) for path, _ in WRONG])
+@pytest.mark.parametrize(
+    ("path", "values"), WRONG_TYPE_VALUES, ids=[field_name(path) for path, _ in WRONG_TYPE_VALUES]
+)
 async def test_reload_names_a_field_of_the_wrong_type_and_keeps_the_old_configuration(
     tmp_path: Path, path: FieldPath, values: tuple[object, ...], caplog: pytest.LogCaptureFixture
 ) -> None:
     async with running_proxy() as proxy:
         harness = ReloadHarness(tmp_path, proxy, caplog)
         for value in values:
-            changed = config_with_field(path, value)
+            changed_config = config_with_field(path, value)
             if path != ("discovery",):
-                changed["discovery"] = "127.0.0.1:2"
-            harness.path.write_text(json.dumps(changed))
+                changed_config["discovery"] = "127.0.0.1:2"
+            harness.path.write_text(json.dumps(changed_config))
             harness.assert_rejected(f"field {field_name(path)}")
         harness.assert_valid_file_is_applied()
 
 
-FILES: dict[str, tuple[bytes, str]] = {
+INVALID_FILES: dict[str, tuple[bytes, str]] = {
     "empty": (b"", "NODE_CONFIG"),
     "cut": (json.dumps(proxy_config(discovery="127.0.0.1:2")).encode()[:-20], "NODE_CONFIG"),
     "not UTF-8": (b'{"name":"\xff\xfe"}', "NODE_CONFIG"),
@@ -107,30 +111,30 @@
 }
 
 
-@pytest.mark.parametrize(("content", "named"), FILES.values(), ids=FILES.keys())
+@pytest.mark.parametrize(("content", "expected_text"), INVALID_FILES.values(), ids=INVALID_FILES.keys())
 async def test_reload_of_an_invalid_file_changes_nothing(
-    tmp_path: Path, content: bytes, named: str, caplog: pytest.LogCaptureFixture
+    tmp_path: Path, content: bytes, expected_text: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with running_proxy() as proxy:
         harness = ReloadHarness(tmp_path, proxy, caplog)
         harness.path.write_bytes(content)
-        harness.assert_rejected(named)
+        harness.assert_rejected(expected_text)
         harness.assert_valid_file_is_applied()
 
 
-@pytest.mark.parametrize("way", ["gone", "a folder", "a link to itself"])
+@pytest.mark.parametrize("fault", ["gone", "a folder", "a link to itself"])
 async def test_reload_of_an_unreadable_file_changes_nothing(
-    tmp_path: Path, way: str, caplog: pytest.LogCaptureFixture
+    tmp_path: Path, fault: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with running_proxy() as proxy:
         harness = ReloadHarness(tmp_path, proxy, caplog)
         harness.path.unlink()
-        if way == "a folder":
+        if fault == "a folder":
             harness.path.mkdir()
-        elif way == "a link to itself":
+        elif fault == "a link to itself":
             harness.path.symlink_to(harness.path)
         harness.assert_rejected("NODE_CONFIG")
-        if way == "a folder":
+        if fault == "a folder":
             harness.path.rmdir()
         else:
             harness.path.unlink(missing_ok=True)
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -45,35 +45,35 @@
         assert err.count(b"\n") == 1
 
 
-async def test_sigterm_answers_every_request_before_exit(tmp_path: Path) -> None:
+async def test_every_request_gets_a_response_before_exit_on_sigterm(tmp_path: Path) -> None:
     """Open requests are answered, and connections, old and new, served for a while before the exit."""
     async with SlowEndpoint() as endpoint:
         known = endpoint_list(endpoint_entry("a", endpoint.port))
         async with running_proxy_process(write_config(tmp_path, proxy_config(known=known))) as process:
             port = await read_listening_port(process)
-            kept_reader, kept = await asyncio.open_connection("127.0.0.1", port)
+            kept_reader, kept_writer = await asyncio.open_connection("127.0.0.1", port)
             slow_reader, slow_writer = await asyncio.open_connection("127.0.0.1", port)
             slow_writer.write(http_request(request_id="slow"))
             await endpoint.slow_received.wait()
             process.send_signal(signal.SIGTERM)
-            kept.write(http_request(request_id="kept"))
+            kept_writer.write(http_request(request_id="kept"))
             assert (await read_http_message(kept_reader)).body == b"kept"
-            new_reader, new = await asyncio.open_connection("127.0.0.1", port)
-            new.write(http_request(request_id="new"))
+            new_reader, new_writer = await asyncio.open_connection("127.0.0.1", port)
+            new_writer.write(http_request(request_id="new"))
             assert (await read_http_message(new_reader)).body == b"new"
-            new.write(http_request(path="/ready"))
+            new_writer.write(http_request(path="/ready"))
             assert response_status(await read_http_message(new_reader)) == 503
             endpoint.may_respond.set()
             assert (await read_http_message(slow_reader)).body == b"slow"
             await asyncio.sleep(1.0)  # longer than new connections go on coming
-            kept.write(http_request(request_id="late"))
+            kept_writer.write(http_request(request_id="late"))
             assert (await read_http_message(kept_reader)).body == b"late"
-            for left in (kept_reader, slow_reader, new_reader):
-                assert await left.read() == b""  # each closes in time for the end
+            for open_reader in (kept_reader, slow_reader, new_reader):
+                assert await open_reader.read() == b""  # each closes in time for the end
             assert await process.wait() == 0
 
 
-async def test_signals_during_shutdown_only_move_discovery(tmp_path: Path) -> None:
+async def test_signals_during_shutdown_only_change_the_discovery_address(tmp_path: Path) -> None:
     """A second SIGTERM, and a new configuration while an open request is still answered."""
     async with SlowEndpoint() as endpoint, HeldListServer(is_held=True) as discovery:
         content = proxy_config(known=endpoint_list(endpoint_entry("a", endpoint.port)))
@@ -91,7 +91,7 @@
             assert await process.wait() == 0
 
 
-AT_ITS_END = """
+SIGNALS_AFTER_LOOP_PROGRAM = """
 import os, signal, sys
 import load_balancer.__main__ as program
 
@@ -113,67 +113,72 @@
     env = {**os.environ, **write_config(tmp_path, proxy_config())}
     pipe = asyncio.subprocess.PIPE
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-c", AT_ITS_END, cwd=ROOT, env=env, stderr=pipe
+        sys.executable, "-c", SIGNALS_AFTER_LOOP_PROGRAM, cwd=ROOT, env=env, stderr=pipe
     )
     await read_listening_port(process)
     process.send_signal(signal.SIGTERM)
     assert await process.wait() == 0
 
 
-async def test_request_still_unanswered_at_the_shutdown_deadline_is_answered_502(tmp_path: Path) -> None:
-    begun = asyncio.Event()
+async def test_request_open_at_the_shutdown_deadline_gets_502(tmp_path: Path) -> None:
+    request_received = asyncio.Event()
 
-    async def never(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def never_respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_http_message(reader)
-        begun.set()
+        request_received.set()
         await reader.read()
 
-    async with StandInServer(never) as endpoint:
-        lane = {"name": "pay", "idempotency": "unsafe", "onTimeUs": 2_000_000, "deadlineUs": 9_000_000}
-        told = raw_settings(lanes=[{**lane, "lateValue": 0.5}], limits=LIMITS)
+    async with StandInServer(never_respond) as endpoint:
+        request_class = {
+            "name": "pay",
+            "idempotency": "unsafe",
+            "onTimeUs": 2_000_000,
+            "deadlineUs": 9_000_000,
+        }
+        settings = raw_settings(lanes=[{**request_class, "lateValue": 0.5}], limits=LIMITS)
         env = write_config(
-            tmp_path, proxy_config(known=endpoint_list(endpoint_entry("a", endpoint.port)), settings=told)
+            tmp_path, proxy_config(known=endpoint_list(endpoint_entry("a", endpoint.port)), settings=settings)
         )
         async with running_proxy_process(env) as process:
             reader, writer = await asyncio.open_connection("127.0.0.1", await read_listening_port(process))
             writer.write(http_request("pay", Req_Deadline="9.0"))
-            await begun.wait()
+            await request_received.wait()
             loop = asyncio.get_running_loop()
             process.send_signal(signal.SIGTERM)
-            began = loop.time()
+            began_s = loop.time()
             first, _, _ = await read_http_message(reader)
             assert first.split()[1] == "502"  # it may have run: no refusal
             assert await process.wait() == 0
-            assert loop.time() - began < 3.7
+            assert loop.time() - began_s < 3.7
 
 
-@pytest.mark.parametrize(("told", "given"), [(64, 1024), (1024, 64)])
+@pytest.mark.parametrize(("configured_limit", "system_limit"), [(64, 1024), (1024, 64)])
 async def test_process_survives_clients_that_exhaust_its_descriptors(
-    tmp_path: Path, told: int, given: int
+    tmp_path: Path, configured_limit: int, system_limit: int
 ) -> None:
     """It uses the lower of the two limits, and serves beside idle clients that stay."""
 
     async with StandInEndpoint(http_response(200, b"x")) as endpoint:
         known = endpoint_list(endpoint_entry("a", endpoint.port))
-        env = write_config(tmp_path, proxy_config(known=known, limits={"sockets": told}))
-        async with running_proxy_process(env, given) as process:
-            said: list[str] = []
-            port = await read_listening_port(process, said)
-            crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(100)]
+        env = write_config(tmp_path, proxy_config(known=known, limits={"sockets": configured_limit}))
+        async with running_proxy_process(env, system_limit) as process:
+            log_lines: list[str] = []
+            port = await read_listening_port(process, log_lines)
+            idle_clients = [await asyncio.open_connection("127.0.0.1", port) for _ in range(100)]
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(http_request())
             assert (await read_http_message(reader))[2] == b"x"
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= 64
             process.send_signal(signal.SIGTERM)
-            for _, one in crowd:
-                one.close()
-            _, rest = await process.communicate()
-            lines = [*said, *rest.decode().splitlines()]
+            for _, client_writer in idle_clients:
+                client_writer.close()
+            _, remaining_log = await process.communicate()
+            lines = [*log_lines, *remaining_log.decode().splitlines()]
             assert not any("descriptor for" in line or "Traceback" in line for line in lines)
-            assert any("the system gives 64 " in line for line in lines) == (given < told)
+            assert any("the system gives 64 " in line for line in lines) == (system_limit < configured_limit)
 
 
-def pushed_config(port: int, discovery_port: int, known: dict[str, object]) -> dict[str, Any]:
+def config_with_pushed_lists(port: int, discovery_port: int, known: dict[str, object]) -> dict[str, Any]:
     return proxy_config(
         listen=f"127.0.0.1:{port}",
         discovery=f"127.0.0.1:{discovery_port}",
@@ -182,39 +187,41 @@
     )
 
 
-@pytest.mark.parametrize("then", ["list", "silence", "SIGTERM"])
-async def test_pushed_list_is_awaited_before_listening(tmp_path: Path, then: str) -> None:
+@pytest.mark.parametrize("event", ["list", "silence", "SIGTERM"])
+async def test_pushed_list_is_awaited_before_listening(tmp_path: Path, event: str) -> None:
     """What its agent has counts as told from the first moment on, and what was known before may be old.
 
     Where discovery is silent, what is known has to do, and an end that comes meanwhile is one.
     """
     async with (
-        StandInEndpoint(http_response(200, b"a")) as old,
-        StandInEndpoint(http_response(200, b"b")) as new,
+        StandInEndpoint(http_response(200, b"a")) as old_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as new_endpoint,
         HeldListServer(is_held=True) as discovery,
     ):
-        drain = endpoint_entry("a", old.port, "terminating")
-        discovery.present_list = endpoint_list(drain, endpoint_entry("b", new.port), rev=2)
-        port, known = unused_port(), endpoint_list(endpoint_entry("a", old.port), rev=1)
-        env = write_config(tmp_path, pushed_config(port, discovery.port, known))
+        draining_entry = endpoint_entry("a", old_endpoint.port, "terminating")
+        discovery.present_list = endpoint_list(draining_entry, endpoint_entry("b", new_endpoint.port), rev=2)
+        port, known = unused_port(), endpoint_list(endpoint_entry("a", old_endpoint.port), rev=1)
+        env = write_config(tmp_path, config_with_pushed_lists(port, discovery.port, known))
         async with running_proxy_process(env) as process:
             await discovery.requested.wait()
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection("127.0.0.1", port)
-            if then == "SIGTERM":
+            if event == "SIGTERM":
                 process.send_signal(signal.SIGTERM)
                 assert await process.wait() == 0
                 return
-            if then == "list":
+            if event == "list":
                 discovery.may_respond.set()
             assert await read_listening_port(process) == port
             response = await send_request_to(port, http_request())
-            assert response.body == (b"b" if then == "list" else b"a")
+            assert response.body == (b"b" if event == "list" else b"a")
             discovery.may_respond.set()
 
 
-@pytest.mark.parametrize("known", [True, False])
-async def test_polled_list_is_awaited_only_without_a_cached_list(tmp_path: Path, known: bool) -> None:
+@pytest.mark.parametrize("has_cached_list", [True, False])
+async def test_polled_list_is_awaited_only_without_a_cached_list(
+    tmp_path: Path, has_cached_list: bool
+) -> None:
     """A polled list counts as notified only once it is received, and a poll may wait in a queue."""
     async with (
         StandInEndpoint(http_response(200, b"a")) as endpoint,
@@ -222,11 +229,11 @@
     ):
         discovery.present_list = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
         content = proxy_config(discovery=f"127.0.0.1:{discovery.port}")
-        if known:
+        if has_cached_list:
             content["known"] = endpoint_list(endpoint_entry("a", endpoint.port), rev=1)
         async with running_proxy_process(write_config(tmp_path, content)) as process:
             await discovery.requested.wait()
-            if not known:
+            if not has_cached_list:
                 discovery.may_respond.set()
             lines: list[str] = []
             port = await read_listening_port(process, lines)
@@ -274,8 +281,8 @@
             await new_discovery.list_sent.wait()
             # The versions there need not go on from those of the old discovery.
             assert new_discovery.request_lines == ["GET /v1/endpoints?follow=1 HTTP/1.1"]
-            gone = endpoint_entry("a", slow.port, "terminated")
-            new_discovery.send_changes(endpoint_list(gone, other_entry, rev=4, is_complete=False))
+            removed_entry = endpoint_entry("a", slow.port, "terminated")
+            new_discovery.send_changes(endpoint_list(removed_entry, other_entry, rev=4, is_complete=False))
             await wait_for_log_line(process, "is b,")
             assert (await send_request_to(port, http_request(request_id="r2"))).body == b"from b"
             slow.may_respond.set()
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -36,11 +36,11 @@
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock
 
-READY_S = 10.0  # by the terms, for nine in ten
+MAX_START_S = 10.0  # by the terms, for nine in ten
 STEP_S = 0.05
-TURNS = 40  # of the event loop between two steps
+LOOP_TURNS_PER_STEP = 40  # of the event loop between two steps
 
-SPOILT: dict[str, tuple[object, str]] = {
+INVALID_LISTS: dict[str, tuple[object, str]] = {
     "a number": (5, "known.targets"),
     "a text": ("list", "known.targets"),
     "no targets": ({"rev": 1, "all": True}, "known.targets"),
@@ -55,77 +55,77 @@
 }
 
 
-@pytest.mark.parametrize(("known", "named"), SPOILT.values(), ids=SPOILT.keys())
+@pytest.mark.parametrize(("known", "expected_field"), INVALID_LISTS.values(), ids=INVALID_LISTS.keys())
 def test_invalid_cached_list_is_dropped_and_its_field_logged(
-    tmp_path: Path, known: object, named: str, caplog: pytest.LogCaptureFixture
+    tmp_path: Path, known: object, expected_field: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    told = ConfigSource(write_config(tmp_path, proxy_config(known=known))).read()
-    assert told.cached_list is None
-    assert told.discovery == ("127.0.0.1", 1)
+    config = ConfigSource(write_config(tmp_path, proxy_config(known=known))).read()
+    assert config.cached_list is None
+    assert config.discovery == ("127.0.0.1", 1)
     [line] = caplog.records
-    assert f"field {named}" in line.getMessage()
+    assert f"field {expected_field}" in line.getMessage()
     assert not line.exc_info
 
 
-class Moody:
+class FaultyDiscovery:
     """A discovery that fails in one of several ways, and may return."""
 
-    def __init__(self, mood: str) -> None:
-        self.mood, self.news = mood, b""
+    def __init__(self, fault: str) -> None:
+        self.fault, self.recovery_chunk = fault, b""
         self.port = unused_port()
-        self.taken: list[socket.socket] = []
+        self.held_sockets: list[socket.socket] = []
         self.server: asyncio.Server | None = None
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        if self.mood == "answers":
-            writer.write(WATCH_RESPONSE_HEAD + self.news)
-        elif self.mood == "refuses":
+        if self.fault == "answers":
+            writer.write(WATCH_RESPONSE_HEAD + self.recovery_chunk)
+        elif self.fault == "refuses":
             writer.write(http_response(503))
-        elif self.mood == "only beats":
+        elif self.fault == "only beats":
             writer.write(WATCH_RESPONSE_HEAD)
-            while self.mood == "only beats":
+            while self.fault == "only beats":
                 writer.write(http_chunk("\n"))
                 await asyncio.sleep(1.0)
-            writer.write(self.news)
-        elif self.mood == "says half":
+            writer.write(self.recovery_chunk)
+        elif self.fault == "says half":
             writer.write(WATCH_RESPONSE_HEAD + http_chunk('{"rev":'))
         await reader.read()
 
     async def start(self) -> None:
-        if self.mood == "unreachable":  # its queue is full: what comes is dropped
+        if self.fault == "unreachable":  # its queue is full: what comes is dropped
             listener = socket.create_server(("127.0.0.1", self.port), backlog=0)
-            self.taken.append(listener)
+            self.held_sockets.append(listener)
             for _ in range(4):
                 held_socket = socket.socket()
                 held_socket.setblocking(False)
                 held_socket.connect_ex(("127.0.0.1", self.port))
-                self.taken.append(held_socket)
-        elif self.mood == "not there":
-            held = socket.socket()  # the address is taken, and nobody listens
-            held.bind(("127.0.0.1", self.port))
-            self.taken.append(held)
+                self.held_sockets.append(held_socket)
+        elif self.fault == "not there":
+            bound_socket = socket.socket()  # the address is taken, and nobody listens
+            bound_socket.bind(("127.0.0.1", self.port))
+            self.held_sockets.append(bound_socket)
         else:
             self.server = await asyncio.start_server(self.handle, "127.0.0.1", self.port)
 
-    async def come_back(self, news: dict[str, object]) -> None:
-        for held_socket in self.taken:
+    async def recover(self, new_list: dict[str, object]) -> None:
+        for held_socket in self.held_sockets:
             held_socket.close()
-        self.taken.clear()
-        self.mood, self.news = "answers", endpoint_list_chunk(news)
+        self.held_sockets.clear()
+        self.fault, self.recovery_chunk = "answers", endpoint_list_chunk(new_list)
         if self.server is None:
             await self.start()
 
     def stop(self) -> None:
-        for held_socket in self.taken:
+        for held_socket in self.held_sockets:
             held_socket.close()
         if self.server is not None:
             self.server.close()
 
 
 @asynccontextmanager
-async def moody(mood: str) -> AsyncIterator[Moody]:
-    discovery = Moody(mood)
+async def faulty_discovery(fault: str) -> AsyncIterator[FaultyDiscovery]:
+    discovery = FaultyDiscovery(fault)
     await discovery.start()
     try:
         yield discovery
@@ -133,7 +133,7 @@
         discovery.stop()
 
 
-async def ready(port: int) -> bool:
+async def is_ready(port: int) -> bool:
     """Return whether the proxy says that it is ready."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -146,60 +146,64 @@
         writer.close()
 
 
-async def step_until_ready(clock: SteppedClock, port: int, most_s: float) -> float:
-    began = clock.advanced_s
-    while clock.advanced_s - began < most_s and not await ready(port):
+async def step_until_ready(clock: SteppedClock, port: int, max_s: float) -> float:
+    began_s = clock.advanced_s
+    while clock.advanced_s - began_s < max_s and not await is_ready(port):
         clock.advance(STEP_S)
-        for _ in range(TURNS):
+        for _ in range(LOOP_TURNS_PER_STEP):
             await asyncio.sleep(0)
-    return clock.advanced_s - began
+    return clock.advanced_s - began_s
 
 
-def told(mode: str, discovery: int, known: object) -> dict[str, Any]:
+def config_with_mode(mode: str, discovery_port: int, known: object) -> dict[str, Any]:
     return proxy_config(
-        discovery=f"127.0.0.1:{discovery}",
+        discovery=f"127.0.0.1:{discovery_port}",
         known=known,
         settings=raw_settings(limits=LIMITS, registryMode=mode),
     )
 
 
-MODES = pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
-MOODS = pytest.mark.parametrize(
-    "mood", ["silent", "refuses", "not there", "unreachable", "only beats", "says half"]
+EACH_MODE = pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
+EACH_FAULT = pytest.mark.parametrize(
+    "fault", ["silent", "refuses", "not there", "unreachable", "only beats", "says half"]
 )
 
 
-@MODES
-@MOODS
-async def test_ready_with_a_cached_list_while_discovery_is_down(tmp_path: Path, mode: str, mood: str) -> None:
+@EACH_MODE
+@EACH_FAULT
+async def test_ready_with_a_cached_list_while_discovery_is_down(
+    tmp_path: Path, mode: str, fault: str
+) -> None:
     """Where lists are pushed it first waits for discovery, whose list counts as notified from the start."""
 
-    async with moody(mood) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
+    async with faulty_discovery(fault) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
         port = unused_port()
         async with serving_in_process(
-            tmp_path, port, told(mode, discovery.port, endpoint_list(endpoint_entry("a", endpoint.port)))
+            tmp_path,
+            port,
+            config_with_mode(mode, discovery.port, endpoint_list(endpoint_entry("a", endpoint.port))),
         ) as clock:
-            took = await step_until_ready(clock, port, READY_S)
-            assert took <= (0.2 if mode == "subscribe" else 2.8 if mood == "only beats" else 1.3)
+            start_duration_s = await step_until_ready(clock, port, MAX_START_S)
+            assert start_duration_s <= (0.2 if mode == "subscribe" else 2.8 if fault == "only beats" else 1.3)
 
 
-@MODES
-@MOODS
-@pytest.mark.parametrize("known", [None, SPOILT["an odd state"][0]], ids=["none", "spoilt"])
+@EACH_MODE
+@EACH_FAULT
+@pytest.mark.parametrize("known", [None, INVALID_LISTS["an odd state"][0]], ids=["none", "spoilt"])
 async def test_ready_without_a_list_soon_after_discovery_returns(
-    tmp_path: Path, mode: str, mood: str, known: object
+    tmp_path: Path, mode: str, fault: str, known: object
 ) -> None:
     """A call that hangs is given up first, and a backoff follows; the last call failed just before."""
 
-    async with moody(mood) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
+    async with faulty_discovery(fault) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
         port = unused_port()
-        async with serving_in_process(tmp_path, port, told(mode, discovery.port, known)) as clock:
+        async with serving_in_process(tmp_path, port, config_with_mode(mode, discovery.port, known)) as clock:
             assert await step_until_ready(clock, port, 15.0) >= 15.0 - STEP_S  # nothing to send to
-            await discovery.come_back(endpoint_list(endpoint_entry("a", endpoint.port)))
-            assert await step_until_ready(clock, port, READY_S) <= 4.5
+            await discovery.recover(endpoint_list(endpoint_entry("a", endpoint.port)))
+            assert await step_until_ready(clock, port, MAX_START_S) <= 4.5
 
 
-async def served_by(port: int) -> bytes:
+async def response_body(port: int) -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(http_request())
     try:
@@ -208,9 +212,9 @@
         writer.close()
 
 
-async def until_ready(process: asyncio.subprocess.Process, port: int) -> None:
+async def wait_until_ready(process: asyncio.subprocess.Process, port: int) -> None:
     """Wait until it is ready; the time limit of a test is the 10 s allowed for a start."""
-    while not await ready(port):
+    while not await is_ready(port):
         assert process.returncode is None, "it ended"
         await asyncio.sleep(0.02)
 
@@ -220,35 +224,36 @@
     """Discovery is silent at first: processes without a cached list wait for it, the other does not."""
 
     async with (
-        moody("silent") as discovery,
+        faulty_discovery("silent") as discovery,
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         AsyncExitStack() as stack,
     ):
-        news = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
+        new_list = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
         processes: list[asyncio.subprocess.Process] = []
         ports = [unused_port() for _ in range(3)]
         for number, known in enumerate(
-            (endpoint_list(endpoint_entry("a", endpoint.port)), None, SPOILT["an odd address"][0])
+            (endpoint_list(endpoint_entry("a", endpoint.port)), None, INVALID_LISTS["an odd address"][0])
         ):
             folder = tmp_path / str(number)
             folder.mkdir()
             env = write_config(
-                folder, {**told(mode, discovery.port, known), "listen": f"127.0.0.1:{ports[number]}"}
+                folder,
+                {**config_with_mode(mode, discovery.port, known), "listen": f"127.0.0.1:{ports[number]}"},
             )
             processes.append(await stack.enter_async_context(running_proxy_process(env)))
-        await until_ready(processes[0], ports[0])
-        assert not await ready(ports[1])
-        assert not await ready(ports[2])
-        await discovery.come_back(news)
+        await wait_until_ready(processes[0], ports[0])
+        assert not await is_ready(ports[1])
+        assert not await is_ready(ports[2])
+        await discovery.recover(new_list)
         for number in (1, 2):
-            await until_ready(processes[number], ports[number])
-        assert [await served_by(port) for port in ports] == [b"x"] * 3
+            await wait_until_ready(processes[number], ports[number])
+        assert [await response_body(port) for port in ports] == [b"x"] * 3
 
 
 STAGES = ["just begun", "reading its configuration", "waiting for discovery", "ready", "serving"]
 
 
-async def until_read(path: Path) -> int:
+async def wait_for_pipe_reader(path: Path) -> int:
     """Return the writing end of a pipe, once a process has it open for reading."""
     while True:
         with contextlib.suppress(OSError):
@@ -256,7 +261,7 @@
         await asyncio.sleep(0.01)
 
 
-async def until_blocked(process_id: int) -> None:
+async def wait_until_blocked(process_id: int) -> None:
     """Wait until the process sleeps in a system call, by the state that the system tells of it.
 
     The end of a pipe is open a moment before the read begins. Python's signal handlers run between two
@@ -266,7 +271,7 @@
         await asyncio.sleep(0.01)
 
 
-async def until_at(
+async def wait_for_stage(
     stage: str,
     process: asyncio.subprocess.Process,
     port: int,
@@ -277,7 +282,7 @@
     if stage not in ("just begun", "reading its configuration"):
         await discovery.requested.wait()
     if stage in ("ready", "serving"):
-        await until_ready(process, port)
+        await wait_until_ready(process, port)
     if stage != "serving":
         return None
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -286,20 +291,20 @@
     return reader, writer
 
 
-async def end_at(
+async def stop_at_stage(
     stage: str,
-    number: signal.Signals,
+    signal_number: signal.Signals,
     process: asyncio.subprocess.Process,
     port: int,
     endpoint: SlowEndpoint,
     discovery: HeldListServer,
 ) -> tuple[int, StreamPair | None]:
     """End the process at this stage; return its code, and the connection of a request that was held."""
-    held = await until_at(stage, process, port, endpoint, discovery)
-    process.send_signal(number)
-    if number is signal.SIGTERM and stage == "serving":
+    held_streams = await wait_for_stage(stage, process, port, endpoint, discovery)
+    process.send_signal(signal_number)
+    if signal_number is signal.SIGTERM and stage == "serving":
         endpoint.may_respond.set()
-    return await process.wait(), held
+    return await process.wait(), held_streams
 
 
 @asynccontextmanager
@@ -314,8 +319,8 @@
     pipe = folder / "pipe"
     os.mkfifo(pipe)
     async with running_proxy_process({"NODE_CONFIG": str(pipe)}) as process:
-        writing_end = await until_read(pipe)
-        await until_blocked(process.pid)
+        writing_end = await wait_for_pipe_reader(pipe)
+        await wait_until_blocked(process.pid)
         try:
             yield process
         finally:
@@ -323,25 +328,30 @@
 
 
 @pytest.mark.parametrize("stage", STAGES)
-@pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM], ids=["SIGKILL", "SIGTERM"])
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGTERM], ids=["SIGKILL", "SIGTERM"])
 async def test_process_ended_at_any_stage_of_its_start_can_restart(
-    tmp_path: Path, stage: str, number: signal.Signals
+    tmp_path: Path, stage: str, signal_number: signal.Signals
 ) -> None:
     """SIGTERM ends it with no error; the next one binds and serves though clients hold connections."""
     endpoint, discovery = SlowEndpoint(b"x"), HeldListServer(is_held=stage == "waiting for discovery")
     async with endpoint, discovery:
         discovery.present_list = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
         port = unused_port()
-        content = {**told("automatic", discovery.port, None), "listen": f"127.0.0.1:{port}"}
+        content = {**config_with_mode("automatic", discovery.port, None), "listen": f"127.0.0.1:{port}"}
         env = write_config(tmp_path, content)
         async with starting_process(stage, tmp_path, env) as first:
-            code, held = await end_at(stage, number, first, port, endpoint, discovery)
+            exit_code, held_streams = await stop_at_stage(
+                stage, signal_number, first, port, endpoint, discovery
+            )
             # Before its first line has run the system's own end is the only one.
-            assert code in ((0, -number) if stage == "just begun" else (0,)) or number is signal.SIGKILL
+            assert (
+                exit_code in ((0, -signal_number) if stage == "just begun" else (0,))
+                or signal_number is signal.SIGKILL
+            )
             endpoint.may_respond.set()
             discovery.may_respond.set()
             async with running_proxy_process(env) as second:
-                await until_ready(second, port)
-                assert await served_by(port) == b"x"
-            if held is not None:
-                held[1].close()
+                await wait_until_ready(second, port)
+                assert await response_body(port) == b"x"
+            if held_streams is not None:
+                held_streams[1].close()
