--- a/tests/process/process_helpers.py
+++ b/tests/process/process_helpers.py
@@ -1,4 +1,4 @@
-"""What tests of a proxy that runs as a process of its own share."""
+"""Helpers of the tests that run the proxy as a separate process."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class SlowEndpoint(StandInServer):
-    """Answers each request, but the one with the id "slow" only once `may_respond` is set.
+    """Endpoint that responds to each request at once, except to the request "slow".
 
     Attributes:
         slow_received: Set once the slow request has been received.
-        may_respond: Until it is set, the slow request has no response.
+        may_respond: Set by the test to release the response to the slow request.
     """
 
     def __init__(self, body: bytes | None = None) -> None:
-        """Prepare an endpoint whose responses have this body, or where there is none the request's id."""
+        """Prepare an endpoint whose responses have this body, by default the id of the request."""
         super().__init__(self.serve)
         self.slow_received = asyncio.Event()
         self.may_respond = asyncio.Event()
@@ -36,12 +36,12 @@
 
 
 async def wait_for_log_line(process: asyncio.subprocess.Process, text: str) -> None:
-    """Wait until the process logs a line with this text."""
+    """Wait until the process logs a line that contains this text."""
     assert process.stderr is not None
     while text not in (line := (await process.stderr.readline()).decode()):
-        assert line, "it ended"
+        assert line, "the process ended before it logged the expected line"
 
 
 def descriptor_count(process: asyncio.subprocess.Process) -> int:
-    """Return how many descriptors the process has open."""
+    """Return the number of open descriptors of the process."""
     return len(os.listdir(f"/proc/{process.pid}/fd"))
--- a/tests/process/test_config.py
+++ b/tests/process/test_config.py
@@ -1,4 +1,4 @@
-"""What a configuration may hold, where it is read from, and how invalid fields are named."""
+"""Valid configuration values, their sources, and errors that name the invalid field."""
 
 from __future__ import annotations
 
@@ -89,7 +89,7 @@
 
 
 def test_integer_may_be_written_with_a_decimal_point(tmp_path: Path) -> None:
-    """JSON has one kind of number, and a proxy that does not start serves nobody."""
+    """JSON has one number type, and rejecting `3.0` would keep the proxy from starting."""
     content = config_with_field(("settings", "instances"), 3)
     config = ConfigSource(write_config(tmp_path, content)).read()
     seed = content["seed"]
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("seed", [0, -5, 2**64, 2**127, "0", "0x1f", "F" * 64])
 def test_seed_may_be_of_any_size(tmp_path: Path, seed: int | str) -> None:
-    """It is used by no float or timer, and a proxy that does not start serves nobody."""
+    """No float or timer uses the seed, and rejecting it would keep the proxy from starting."""
     config = ConfigSource(write_config(tmp_path, {**proxy_config(), "seed": seed})).read()
     assert config.seed == (seed if isinstance(seed, int) else int(seed, 16))
     Balancer(config.settings, config.seed)
@@ -131,8 +131,8 @@
     source = ConfigSource(env)
     write_config(tmp_path, proxy_config(discovery="127.0.0.1:2", listen="127.0.0.1:3"))
     config = source.read()
-    assert config.discovery == ("127.0.0.1", 2)  # the environment said the same as the first file
-    assert config.listen == ("127.0.0.1", 7)  # and here something else
+    assert config.discovery == ("127.0.0.1", 2)  # the environment equalled the first file
+    assert config.listen == ("127.0.0.1", 7)  # the environment differed from the first file
 
 
 @pytest.mark.parametrize(
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""With fewer descriptors than configured, endpoints and discovery still get theirs."""
+"""With fewer descriptors than configured, endpoints and discovery still get descriptors."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 @pytest.mark.parametrize(
     ("configured_limit", "soft_limit", "hard_limit", "expected_limit", "expected_soft_limit"),
     [
-        (128, 1024, 1024, 128, 1024),  # enough, and left as it is
-        (128, 64, 1024, 128, 128),  # raised, to no more than was told
+        (128, 1024, 1024, 128, 1024),  # sufficient, unchanged
+        (128, 64, 1024, 128, 128),  # raised to the configured limit
         (1024, 64, 128, 128, 128),
         (1024, 128, 128, 128, 128),
     ],
@@ -59,7 +59,7 @@
     error: type[Exception], limits: dict[str, tuple[int, int]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def fail(*args: object) -> None:
-        raise error("not allowed")
+        raise error("limit may not be raised")
 
     monkeypatch.setattr(resource, "setrlimit", fail)
     limits["now"] = (64, 1024)
@@ -78,7 +78,7 @@
 
 @pytest.fixture
 def limits(monkeypatch: pytest.MonkeyPatch) -> dict[str, tuple[int, int]]:
-    """Stand in for this process's own limits, which other tests need unchanged."""
+    """Replaces the limits of the test's own process, which other tests need unchanged."""
     current_limits: dict[str, tuple[int, int]] = {}
     monkeypatch.setattr(resource, "getrlimit", lambda resource_id: current_limits["now"])
     monkeypatch.setattr(
@@ -88,7 +88,7 @@
 
 
 def connect_idle_clients(port: int, sent: bytes) -> list[socket.socket]:
-    """Connect idle clients, each of which sends these bytes and stays."""
+    """Connect clients that each send these bytes and then stay idle."""
     idle_clients = [socket.create_connection(("127.0.0.1", port)) for _ in range(CLIENT_COUNT)]
     for client in idle_clients:
         client.sendall(sent)
@@ -96,13 +96,13 @@
 
 
 async def request_until_served_by(port: int, request_id: str, body: bytes) -> None:
-    """Repeat a request until an endpoint with this response answers; a crowd that comes may keep it out."""
+    """Repeat a request until its response has this body; connecting clients may delay it."""
     while (await send_request_to(port, http_request(request_id=request_id))).body != body:
         pass
 
 
 def bound_socket() -> socket.socket:
-    """Return a socket whose address is kept, and refuses connections until it listens."""
+    """Return a socket that reserves an address, which refuses connections until the socket listens."""
     bound = socket.socket()
     bound.bind(("127.0.0.1", 0))
     return bound
@@ -120,7 +120,7 @@
 async def test_idle_clients_leave_descriptors_for_endpoints_and_discovery(
     sent: bytes, tmp_path: Path
 ) -> None:
-    """A real process under a low limit, whose crowd stays: it serves, and hears of a new endpoint."""
+    """A process with a low limit serves requests and learns of a new endpoint beside its idle clients."""
     discovery = HeldListServer()
     async with (
         StandInEndpoint(http_response(200, b"a")) as known_endpoint,
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown within the longest deadline: each request that was read is answered."""
+"""Graceful shutdown within the longest deadline: each request that was read gets a response."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 )
 from tests.support.stand_in_server import StandInServer
 
-KILL_DELAY_S = 0.7  # SIGKILL comes this long after the longest deadline, by the terms
+KILL_DELAY_S = 0.7  # SIGKILL comes this long after the longest deadline, by the specification
 CLIENT_COUNT = 6
 PAUSE_S = 0.15
 
 
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0, 3.0])
 def test_listening_ends_in_time_for_the_last_responses(deadline_s: float) -> None:
-    """0.25 s are left for a stall and the exit of the process."""
+    """0.25 s remain for a stall and the exit of the process."""
     response_deadline_s = deadline_s + 0.2
     assert 0.4 < min_accept_time_s(response_deadline_s) <= response_deadline_s
     assert min_accept_time_s(response_deadline_s) + FLUSH_TIMEOUT_S <= deadline_s + KILL_DELAY_S - 0.25
@@ -39,20 +39,28 @@
 
 @dataclass
 class Traffic:
-    """Clients of one process, the endpoint behind it, and the outcome of all requests."""
+    """The clients and the endpoint of one process, and the results of all requests.
+
+    Attributes:
+        deadline_s: Deadline of each request.
+        endpoint_hangs: Whether the endpoint responds to no request that it receives after the signal.
+        shutdown_started: Set when SIGTERM is sent.
+        sent_count: Number of requests sent.
+        response_count: Number of responses received.
+        unanswered_ids: Ids of requests whose connection closed without a byte of a response.
+        received_ids: Ids of requests that the endpoint has received.
+    """
 
     deadline_s: float
-    endpoint_hangs: bool  # does the endpoint answer nothing that comes after the signal?
+    endpoint_hangs: bool
     shutdown_started: asyncio.Event = field(default_factory=asyncio.Event)
     sent_count: int = 0
     response_count: int = 0
-    unanswered_ids: list[str] = field(
-        default_factory=list
-    )  # ids of those that a close with no answer crossed
-    received_ids: list[str] = field(default_factory=list)  # ids that came to the endpoint
+    unanswered_ids: list[str] = field(default_factory=list)
+    received_ids: list[str] = field(default_factory=list)
 
     async def serve_endpoint(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """The endpoint's side of a connection."""
+        """Serve one connection of the endpoint."""
         while True:
             _, headers, _ = await read_http_message(reader)
             self.received_ids.append(headers["req-id"])
@@ -62,7 +70,7 @@
             writer.write(http_response(200, b"x"))
 
     async def run_client(self, port: int, number: int) -> None:
-        """Calls one after another, until its connection is closed."""
+        """Send requests one after another until the connection is closed."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         for index in range(100_000):
             request_id = f"c{number}-{index}"
@@ -75,14 +83,14 @@
                 break
             self.response_count += 1
             if headers.get("connection") == "close":
-                assert await reader.read() == b""  # and no second answer
+                assert await reader.read() == b""  # no second response
                 break
             await asyncio.sleep(0.005)
         writer.close()
 
 
 async def read_response_headers(reader: asyncio.StreamReader) -> dict[str, str] | None:
-    """The headers of the next answer; None where the connection ended with no byte of one."""
+    """Return the headers of the next response, or None if the connection ended without a byte of one."""
     try:
         _, headers, _ = await read_http_message(reader)
     except asyncio.IncompleteReadError as end:
@@ -96,7 +104,7 @@
 
 
 async def pause_process(process: asyncio.subprocess.Process, delay_s: float) -> None:
-    """Stop the process for a moment, `delay_s` seconds from now."""
+    """Pause the process for `PAUSE_S`, after a delay."""
     await asyncio.sleep(delay_s)
     process.send_signal(signal.SIGSTOP)
     await asyncio.sleep(PAUSE_S)
@@ -104,22 +112,22 @@
 
 
 def config_with_deadline(deadline_s: float, endpoint_port: int) -> dict[str, Any]:
-    """Return a configuration with one class, whose requests end after this deadline."""
+    """Return a configuration with one request class, which has this deadline."""
     request_class = {"name": "read", "idempotency": "safe", "worth": 1}
     request_class |= {"onTimeUs": round(deadline_s * 1e6), "deadlineUs": round(deadline_s * 1e6)}
     known = endpoint_list(endpoint_entry("a", endpoint_port))
     return proxy_config(known=known, settings=raw_settings(lanes=[request_class], limits=LIMITS))
 
 
-@pytest.mark.parametrize("endpoint_hangs", [False, True], ids=["endpoints answer", "endpoints hang"])
+@pytest.mark.parametrize("endpoint_hangs", [False, True], ids=["endpoint responds", "endpoint hangs"])
 @pytest.mark.parametrize("paused_at_s", [None, 0.0, 0.45])
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0])
 async def test_each_request_read_before_exit_gets_one_response(
     tmp_path: Path, deadline_s: float, endpoint_hangs: bool, paused_at_s: float | None
 ) -> None:
-    """A connection that closes with no byte of an answer may only cross a request that was not read.
+    """A connection may close without a response only if the proxy has not read the last request on it.
 
-    Also with the process stopped for a moment as the signal comes, and as it stops listening.
+    This also holds if the process is paused when the signal arrives or when it stops listening.
     """
     traffic = Traffic(deadline_s, endpoint_hangs)
     async with StandInServer(traffic.serve_endpoint) as endpoint:
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload at SIGHUP: a configuration is applied as a whole, or rejected with the name of its field."""
+"""Reload on SIGHUP: a configuration is applied completely, or rejected naming the invalid field."""
 
 from __future__ import annotations
 
@@ -101,13 +101,13 @@
 
 INVALID_FILES: dict[str, tuple[bytes, str]] = {
     "empty": (b"", "NODE_CONFIG"),
-    "cut": (json.dumps(proxy_config(discovery="127.0.0.1:2")).encode()[:-20], "NODE_CONFIG"),
+    "truncated": (json.dumps(proxy_config(discovery="127.0.0.1:2")).encode()[:-20], "NODE_CONFIG"),
     "not UTF-8": (b'{"name":"\xff\xfe"}', "NODE_CONFIG"),
-    "nested": (b"[" * 100_000 + b"]" * 100_000, "NODE_CONFIG"),
+    "deeply nested": (b"[" * 100_000 + b"]" * 100_000, "NODE_CONFIG"),
     "an array": (b"[1]", "field settings"),
     "a number": (b"1", "field settings"),
     "null": (b"null", "field settings"),
-    "a number without end": (b'{"seed":' + b"1" * 5_000 + b"}", "NODE_CONFIG"),
+    "a number of 5000 digits": (b'{"seed":' + b"1" * 5_000 + b"}", "NODE_CONFIG"),
 }
 
 
@@ -122,7 +122,7 @@
         harness.assert_valid_file_is_applied()
 
 
-@pytest.mark.parametrize("fault", ["gone", "a folder", "a link to itself"])
+@pytest.mark.parametrize("fault", ["missing", "a folder", "a link to itself"])
 async def test_reload_of_an_unreadable_file_changes_nothing(
     tmp_path: Path, fault: str, caplog: pytest.LogCaptureFixture
 ) -> None:
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -46,7 +46,7 @@
 
 
 async def test_every_request_gets_a_response_before_exit_on_sigterm(tmp_path: Path) -> None:
-    """Open requests are answered, and connections, old and new, served for a while before the exit."""
+    """Open requests get responses, and old and new connections are served for a while before the exit."""
     async with SlowEndpoint() as endpoint:
         known = endpoint_list(endpoint_entry("a", endpoint.port))
         async with running_proxy_process(write_config(tmp_path, proxy_config(known=known))) as process:
@@ -65,16 +65,16 @@
             assert response_status(await read_http_message(new_reader)) == 503
             endpoint.may_respond.set()
             assert (await read_http_message(slow_reader)).body == b"slow"
-            await asyncio.sleep(1.0)  # longer than new connections go on coming
+            await asyncio.sleep(1.0)  # longer than new connections are accepted
             kept_writer.write(http_request(request_id="late"))
             assert (await read_http_message(kept_reader)).body == b"late"
             for open_reader in (kept_reader, slow_reader, new_reader):
-                assert await open_reader.read() == b""  # each closes in time for the end
+                assert await open_reader.read() == b""  # each is closed before the exit
             assert await process.wait() == 0
 
 
 async def test_signals_during_shutdown_only_change_the_discovery_address(tmp_path: Path) -> None:
-    """A second SIGTERM, and a new configuration while an open request is still answered."""
+    """A second SIGTERM and a reload arrive while a request is still open."""
     async with SlowEndpoint() as endpoint, HeldListServer(is_held=True) as discovery:
         content = proxy_config(known=endpoint_list(endpoint_entry("a", endpoint.port)))
         async with running_proxy_process(write_config(tmp_path, content)) as process:
@@ -97,18 +97,18 @@
 
 run = program.asyncio.run
 
-def crossed(serving):
+def run_and_signal(serving):
     run(serving)
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
         os.kill(os.getpid(), number)
 
-program.asyncio.run = crossed
+program.asyncio.run = run_and_signal
 sys.exit(program.main())
 """
 
 
 async def test_signal_after_the_event_loop_has_closed_does_not_kill_the_process(tmp_path: Path) -> None:
-    """The event loop is closed by then, and with it the handlers are gone."""
+    """The signal handlers of the event loop are removed when it closes."""
 
     env = {**os.environ, **write_config(tmp_path, proxy_config())}
     pipe = asyncio.subprocess.PIPE
@@ -147,7 +147,7 @@
             process.send_signal(signal.SIGTERM)
             began_s = loop.time()
             first, _, _ = await read_http_message(reader)
-            assert first.split()[1] == "502"  # it may have run: no refusal
+            assert first.split()[1] == "502"  # not 503: the request may have run
             assert await process.wait() == 0
             assert loop.time() - began_s < 3.7
 
@@ -156,7 +156,7 @@
 async def test_process_survives_clients_that_exhaust_its_descriptors(
     tmp_path: Path, configured_limit: int, system_limit: int
 ) -> None:
-    """It uses the lower of the two limits, and serves beside idle clients that stay."""
+    """It uses the lower of the two limits, and serves requests while idle clients stay connected."""
 
     async with StandInEndpoint(http_response(200, b"x")) as endpoint:
         known = endpoint_list(endpoint_entry("a", endpoint.port))
@@ -189,9 +189,9 @@
 
 @pytest.mark.parametrize("event", ["list", "silence", "SIGTERM"])
 async def test_pushed_list_is_awaited_before_listening(tmp_path: Path, event: str) -> None:
-    """What its agent has counts as told from the first moment on, and what was known before may be old.
+    """With pushed lists, discovery's list counts as notified from the start, and the cached one may be old.
 
-    Where discovery is silent, what is known has to do, and an end that comes meanwhile is one.
+    If discovery is silent, the cached list is used; SIGTERM while waiting ends the process.
     """
     async with (
         StandInEndpoint(http_response(200, b"a")) as old_endpoint,
@@ -222,7 +222,7 @@
 async def test_polled_list_is_awaited_only_without_a_cached_list(
     tmp_path: Path, has_cached_list: bool
 ) -> None:
-    """A polled list counts as notified only once it is received, and a poll may wait in a queue."""
+    """A polled list counts as notified only once it is received, and discovery may queue the poll."""
     async with (
         StandInEndpoint(http_response(200, b"a")) as endpoint,
         HeldListServer(is_held=True) as discovery,
@@ -242,7 +242,7 @@
 
 
 async def reload_invalid_file(process: asyncio.subprocess.Process, folder: Path) -> None:
-    """Have the process reject a configuration file that is not JSON."""
+    """Reload a configuration file that is not JSON, and wait until it is rejected."""
     (folder / "config.json").write_text("{")
     process.send_signal(signal.SIGHUP)
     await wait_for_log_line(process, "the old one stays")
@@ -251,14 +251,14 @@
 async def reload_moved_discovery(
     process: asyncio.subprocess.Process, folder: Path, content: dict[str, Any], discovery_port: int
 ) -> None:
-    """Have the process take up another discovery, and a name that it can't take up while it runs."""
+    """Reload with another discovery, and with a new name, which needs a restart; wait for its log line."""
     write_config(folder, {**content, "discovery": f"127.0.0.1:{discovery_port}", "name": "other"})
     process.send_signal(signal.SIGHUP)
     await wait_for_log_line(process, "name needs a restart")
 
 
 async def test_sighup_moves_the_watch_and_keeps_open_requests(tmp_path: Path) -> None:
-    """A bad file changes nothing; a good one's discovery is followed though its versions are lower."""
+    """An invalid file changes nothing; a new discovery is used although its list versions are lower."""
     old_discovery, new_discovery = HeldListServer(), HeldListServer()
     async with (
         SlowEndpoint() as slow,
@@ -279,7 +279,7 @@
             await reload_invalid_file(process, tmp_path)
             await reload_moved_discovery(process, tmp_path, content, new_discovery.port)
             await new_discovery.list_sent.wait()
-            # The versions there need not go on from those of the old discovery.
+            # The versions of the new discovery are independent of the old one's.
             assert new_discovery.request_lines == ["GET /v1/endpoints?follow=1 HTTP/1.1"]
             removed_entry = endpoint_entry("a", slow.port, "terminated")
             new_discovery.send_changes(endpoint_list(removed_entry, other_entry, rev=4, is_complete=False))
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -36,22 +36,22 @@
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock
 
-MAX_START_S = 10.0  # by the terms, for nine in ten
+MAX_START_S = 10.0  # by the specification, for 90 % of starts
 STEP_S = 0.05
-LOOP_TURNS_PER_STEP = 40  # of the event loop between two steps
+LOOP_TURNS_PER_STEP = 40
 
 INVALID_LISTS: dict[str, tuple[object, str]] = {
     "a number": (5, "known.targets"),
-    "a text": ("list", "known.targets"),
+    "a string": ("list", "known.targets"),
     "no targets": ({"rev": 1, "all": True}, "known.targets"),
     "an entry without a uid": ({"rev": 1, "all": True, "targets": [{}]}, "known.targets[0].uid"),
-    "an odd state": (endpoint_list(endpoint_entry("a", 9, "odd")), "known.targets[0].state"),
-    "an odd address": (endpoint_list(endpoint_entry("a", 0)), "known.targets[0].endpoint"),
-    "a start that cannot be": (
+    "an unknown state": (endpoint_list(endpoint_entry("a", 9, "odd")), "known.targets[0].state"),
+    "an invalid address": (endpoint_list(endpoint_entry("a", 0)), "known.targets[0].endpoint"),
+    "an impossible start time": (
         endpoint_list(endpoint_entry("a", 9, boot_ms=1e300)),
         "known.targets[0].boot_ms",
     ),
-    "a rev that cannot be": ({**endpoint_list(endpoint_entry("a", 9)), "rev": 10**400}, "known.rev"),
+    "an impossible rev": ({**endpoint_list(endpoint_entry("a", 9)), "rev": 10**400}, "known.rev"),
 }
 
 
@@ -68,7 +68,13 @@
 
 
 class FaultyDiscovery:
-    """A discovery that fails in one of several ways, and may return."""
+    """Discovery that fails in one of several ways until it recovers.
+
+    Attributes:
+        fault: How it fails; "none" once it has recovered.
+        recovery_chunk: What it sends once it has recovered.
+        held_sockets: Sockets that keep its port unreachable or without a listener.
+    """
 
     def __init__(self, fault: str) -> None:
         self.fault, self.recovery_chunk = fault, b""
@@ -78,22 +84,22 @@
 
     async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        if self.fault == "answers":
+        if self.fault == "none":
             writer.write(WATCH_RESPONSE_HEAD + self.recovery_chunk)
-        elif self.fault == "refuses":
+        elif self.fault == "status 503":
             writer.write(http_response(503))
-        elif self.fault == "only beats":
+        elif self.fault == "only heartbeats":
             writer.write(WATCH_RESPONSE_HEAD)
-            while self.fault == "only beats":
+            while self.fault == "only heartbeats":
                 writer.write(http_chunk("\n"))
                 await asyncio.sleep(1.0)
             writer.write(self.recovery_chunk)
-        elif self.fault == "says half":
+        elif self.fault == "incomplete list":
             writer.write(WATCH_RESPONSE_HEAD + http_chunk('{"rev":'))
         await reader.read()
 
     async def start(self) -> None:
-        if self.fault == "unreachable":  # its queue is full: what comes is dropped
+        if self.fault == "unreachable":  # its accept queue is full: further SYNs are dropped
             listener = socket.create_server(("127.0.0.1", self.port), backlog=0)
             self.held_sockets.append(listener)
             for _ in range(4):
@@ -101,8 +107,8 @@
                 held_socket.setblocking(False)
                 held_socket.connect_ex(("127.0.0.1", self.port))
                 self.held_sockets.append(held_socket)
-        elif self.fault == "not there":
-            bound_socket = socket.socket()  # the address is taken, and nobody listens
+        elif self.fault == "refuses connections":
+            bound_socket = socket.socket()  # bound, but not listening
             bound_socket.bind(("127.0.0.1", self.port))
             self.held_sockets.append(bound_socket)
         else:
@@ -112,7 +118,7 @@
         for held_socket in self.held_sockets:
             held_socket.close()
         self.held_sockets.clear()
-        self.fault, self.recovery_chunk = "answers", endpoint_list_chunk(new_list)
+        self.fault, self.recovery_chunk = "none", endpoint_list_chunk(new_list)
         if self.server is None:
             await self.start()
 
@@ -134,7 +140,7 @@
 
 
 async def is_ready(port: int) -> bool:
-    """Return whether the proxy says that it is ready."""
+    """Return whether the proxy listens and reports that it is ready."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except ConnectionRefusedError:
@@ -163,9 +169,10 @@
     )
 
 
-EACH_MODE = pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
+EACH_MODE = pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["polled", "pushed"])
 EACH_FAULT = pytest.mark.parametrize(
-    "fault", ["silent", "refuses", "not there", "unreachable", "only beats", "says half"]
+    "fault",
+    ["silent", "status 503", "refuses connections", "unreachable", "only heartbeats", "incomplete list"],
 )
 
 
@@ -174,7 +181,7 @@
 async def test_ready_with_a_cached_list_while_discovery_is_down(
     tmp_path: Path, mode: str, fault: str
 ) -> None:
-    """Where lists are pushed it first waits for discovery, whose list counts as notified from the start."""
+    """With pushed lists it first waits for discovery, whose list counts as notified from the start."""
 
     async with faulty_discovery(fault) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
         port = unused_port()
@@ -184,21 +191,23 @@
             config_with_mode(mode, discovery.port, endpoint_list(endpoint_entry("a", endpoint.port))),
         ) as clock:
             start_duration_s = await step_until_ready(clock, port, MAX_START_S)
-            assert start_duration_s <= (0.2 if mode == "subscribe" else 2.8 if fault == "only beats" else 1.3)
+            assert start_duration_s <= (
+                0.2 if mode == "subscribe" else 2.8 if fault == "only heartbeats" else 1.3
+            )
 
 
 @EACH_MODE
 @EACH_FAULT
-@pytest.mark.parametrize("known", [None, INVALID_LISTS["an odd state"][0]], ids=["none", "spoilt"])
+@pytest.mark.parametrize("known", [None, INVALID_LISTS["an unknown state"][0]], ids=["none", "invalid"])
 async def test_ready_without_a_list_soon_after_discovery_returns(
     tmp_path: Path, mode: str, fault: str, known: object
 ) -> None:
-    """A call that hangs is given up first, and a backoff follows; the last call failed just before."""
+    """Before the list is requested again, a hanging request must time out or a backoff must end."""
 
     async with faulty_discovery(fault) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
         port = unused_port()
         async with serving_in_process(tmp_path, port, config_with_mode(mode, discovery.port, known)) as clock:
-            assert await step_until_ready(clock, port, 15.0) >= 15.0 - STEP_S  # nothing to send to
+            assert await step_until_ready(clock, port, 15.0) >= 15.0 - STEP_S  # no endpoint is known
             await discovery.recover(endpoint_list(endpoint_entry("a", endpoint.port)))
             assert await step_until_ready(clock, port, MAX_START_S) <= 4.5
 
@@ -213,15 +222,15 @@
 
 
 async def wait_until_ready(process: asyncio.subprocess.Process, port: int) -> None:
-    """Wait until it is ready; the time limit of a test is the 10 s allowed for a start."""
+    """Wait until the proxy is ready; the time limit of a test is the 10 s allowed for a start."""
     while not await is_ready(port):
-        assert process.returncode is None, "it ended"
+        assert process.returncode is None, "the process ended before it was ready"
         await asyncio.sleep(0.02)
 
 
-@pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
+@pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["polled", "pushed"])
 async def test_processes_with_and_without_a_cached_list_become_ready(tmp_path: Path, mode: str) -> None:
-    """Discovery is silent at first: processes without a cached list wait for it, the other does not."""
+    """While discovery is silent, only processes without a valid cached list wait for it."""
 
     async with (
         faulty_discovery("silent") as discovery,
@@ -232,7 +241,7 @@
         processes: list[asyncio.subprocess.Process] = []
         ports = [unused_port() for _ in range(3)]
         for number, known in enumerate(
-            (endpoint_list(endpoint_entry("a", endpoint.port)), None, INVALID_LISTS["an odd address"][0])
+            (endpoint_list(endpoint_entry("a", endpoint.port)), None, INVALID_LISTS["an invalid address"][0])
         ):
             folder = tmp_path / str(number)
             folder.mkdir()
@@ -250,11 +259,11 @@
         assert [await response_body(port) for port in ports] == [b"x"] * 3
 
 
-STAGES = ["just begun", "reading its configuration", "waiting for discovery", "ready", "serving"]
+STAGES = ["just started", "reading its configuration", "waiting for discovery", "ready", "serving"]
 
 
 async def wait_for_pipe_reader(path: Path) -> int:
-    """Return the writing end of a pipe, once a process has it open for reading."""
+    """Return the write end of a pipe once a process has opened it for reading."""
     while True:
         with contextlib.suppress(OSError):
             return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
@@ -262,10 +271,10 @@
 
 
 async def wait_until_blocked(process_id: int) -> None:
-    """Wait until the process sleeps in a system call, by the state that the system tells of it.
+    """Wait until the process sleeps in a system call, by its state in /proc.
 
-    The end of a pipe is open a moment before the read begins. Python's signal handlers run between two
-    instructions only: a signal in that moment would be noticed once the read returns, which it never does.
+    The process opens the pipe a moment before it reads. Python runs signal handlers only between two
+    instructions: a signal in that moment would be handled once the read returns, which it never does.
     """
     while Path(f"/proc/{process_id}/stat").read_text().rpartition(")")[2].split()[0] != "S":
         await asyncio.sleep(0.01)
@@ -278,8 +287,8 @@
     endpoint: SlowEndpoint,
     discovery: HeldListServer,
 ) -> StreamPair | None:
-    """Wait for a stage of the start; where it serves, return the connection of the request that is held."""
-    if stage not in ("just begun", "reading its configuration"):
+    """Wait for a stage of the start; for "serving", return the connection of the held request."""
+    if stage not in ("just started", "reading its configuration"):
         await discovery.requested.wait()
     if stage in ("ready", "serving"):
         await wait_until_ready(process, port)
@@ -299,7 +308,7 @@
     endpoint: SlowEndpoint,
     discovery: HeldListServer,
 ) -> tuple[int, StreamPair | None]:
-    """End the process at this stage; return its code, and the connection of a request that was held."""
+    """End the process at this stage; return its exit code and the connection of a held request, if any."""
     held_streams = await wait_for_stage(stage, process, port, endpoint, discovery)
     process.send_signal(signal_number)
     if signal_number is signal.SIGTERM and stage == "serving":
@@ -311,7 +320,7 @@
 async def starting_process(
     stage: str, folder: Path, env: dict[str, str]
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """Start a process, which waits in the read of its configuration where that is the stage to end it at."""
+    """Start a process; for the stage "reading its configuration", let it block in that read."""
     if stage != "reading its configuration":
         async with running_proxy_process(env) as process:
             yield process
@@ -319,12 +328,12 @@
     pipe = folder / "pipe"
     os.mkfifo(pipe)
     async with running_proxy_process({"NODE_CONFIG": str(pipe)}) as process:
-        writing_end = await wait_for_pipe_reader(pipe)
+        write_end = await wait_for_pipe_reader(pipe)
         await wait_until_blocked(process.pid)
         try:
             yield process
         finally:
-            os.close(writing_end)
+            os.close(write_end)
 
 
 @pytest.mark.parametrize("stage", STAGES)
@@ -332,7 +341,7 @@
 async def test_process_ended_at_any_stage_of_its_start_can_restart(
     tmp_path: Path, stage: str, signal_number: signal.Signals
 ) -> None:
-    """SIGTERM ends it with no error; the next one binds and serves though clients hold connections."""
+    """SIGTERM ends it without an error; the next process serves although clients hold connections."""
     endpoint, discovery = SlowEndpoint(b"x"), HeldListServer(is_held=stage == "waiting for discovery")
     async with endpoint, discovery:
         discovery.present_list = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
@@ -343,9 +352,9 @@
             exit_code, held_streams = await stop_at_stage(
                 stage, signal_number, first, port, endpoint, discovery
             )
-            # Before its first line has run the system's own end is the only one.
+            # Before the process has installed its handler, the signal itself ends it.
             assert (
-                exit_code in ((0, -signal_number) if stage == "just begun" else (0,))
+                exit_code in ((0, -signal_number) if stage == "just started" else (0,))
                 or signal_number is signal.SIGKILL
             )
             endpoint.may_respond.set()
