--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -48,44 +48,44 @@
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, advance_until
 
-JUMPS = 300  # of the clock in an outage, however long
-LINES_MOST = (
+CLOCK_STEPS = 300  # of the clock in an outage, however long
+MAX_LINES_PER_WINDOW = (
     3  # logged in each BREAK_LOG_WINDOW_S of an outage that always fails alike: a reason, and how often
 )
 
 
-def half_a_list_and_reset(call: DiscoveryRequest) -> None:
-    call.send(WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30])
-    call.writer.transport.abort()
+def truncate_list_and_reset(request: DiscoveryRequest) -> None:
+    request.send(WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30])
+    request.writer.transport.abort()
 
 
 OUTAGES: dict[str, Callable[[DiscoveryRequest], None]] = {
-    "rejected": lambda call: call.send(http_response(503), end=True),
-    "reset": lambda call: call.writer.transport.abort(),
-    "ends at once": lambda call: call.send(b"", end=True),
-    "silent": lambda call: None,
-    "a head": lambda call: call.send(WATCH_RESPONSE_HEAD),
-    "half a head": lambda call: call.send(WATCH_RESPONSE_HEAD[:20]),
-    "half a list": lambda call: call.send(WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30]),
-    "half a list, then reset": half_a_list_and_reset,
-    "noise": lambda call: call.send(b"\x00\xff\r\n\r\n"),
+    "rejected": lambda request: request.send(http_response(503), end=True),
+    "reset": lambda request: request.writer.transport.abort(),
+    "closed at once": lambda request: request.send(b"", end=True),
+    "silent": lambda request: None,
+    "head only": lambda request: request.send(WATCH_RESPONSE_HEAD),
+    "truncated head": lambda request: request.send(WATCH_RESPONSE_HEAD[:20]),
+    "truncated list": lambda request: request.send(WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30]),
+    "truncated list, then reset": truncate_list_and_reset,
+    "invalid bytes": lambda request: request.send(b"\x00\xff\r\n\r\n"),
 }
 
 
-async def outage(clock: SteppedClock, seconds: float) -> None:
-    for _ in range(JUMPS):
-        clock.advance(seconds / JUMPS)
+async def advance_through_outage(clock: SteppedClock, seconds: float) -> None:
+    for _ in range(CLOCK_STEPS):
+        clock.advance(seconds / CLOCK_STEPS)
         for _ in range(30):
             await asyncio.sleep(0)
 
 
-def descriptors() -> int:
+def open_descriptor_count() -> int:
     return len(os.listdir("/proc/self/fd"))
 
 
-def all_is_small(discovery: StandInDiscovery, proxy: LoopbackProxy) -> None:
+def assert_nothing_accumulates(discovery: StandInDiscovery, proxy: LoopbackProxy) -> None:
     """Assert that failed calls have left no task, timer or open call behind."""
-    assert sum(not call.closed_by_proxy.is_set() for call in discovery.requests) <= 1
+    assert sum(not request.closed_by_proxy.is_set() for request in discovery.requests) <= 1
     assert running_watch_count() <= 1
     assert len(proxy.driver.balancer.outbox.timers) <= 2
     assert len(proxy.driver.timers) <= 2
@@ -94,9 +94,9 @@
 
 @EACH_SUBSCRIPTION
 @pytest.mark.parametrize("minutes", [2, 60])
-@pytest.mark.parametrize("mood", OUTAGES)
+@pytest.mark.parametrize("outage", OUTAGES)
 async def test_change_is_applied_in_time_after_a_long_outage_and_nothing_accumulates(
-    settings: messages.Settings, mood: str, minutes: int, caplog: pytest.LogCaptureFixture
+    settings: messages.Settings, outage: str, minutes: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Discovery returns just after a call has failed, or while one is open that it never answers."""
 
@@ -104,26 +104,26 @@
         await advance_until(clock, lambda: len(discovery.requests) == 1)
         discovery.requests[0].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(1))
         await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1)
-        before = descriptors()
-        discovery.on_request = OUTAGES[mood]
+        descriptors_before = open_descriptor_count()
+        discovery.on_request = OUTAGES[outage]
         caplog.clear()
         discovery.requests[0].writer.transport.abort()
-        await outage(clock, 60.0 * minutes)
+        await advance_through_outage(clock, 60.0 * minutes)
         lines = [r for r in caplog.records if r.levelno >= logging.WARNING]
-        assert len(lines) <= LINES_MOST * (60.0 * minutes / FAILURE_LOG_WINDOW_S + 1)
+        assert len(lines) <= MAX_LINES_PER_WINDOW * (60.0 * minutes / FAILURE_LOG_WINDOW_S + 1)
         assert not any(r.exc_info for r in lines)
         assert set(proxy.driver.balancer.endpoints.states) == {
             endpoint_id_from_uid("s-1")
         }  # the old list serves on
-        all_is_small(discovery, proxy)
-        assert descriptors() <= before + 2  # a call that is out: its two ends
-        waited = await advance_to_next_request(discovery, clock)  # the last one that fails
+        assert_nothing_accumulates(discovery, proxy)
+        assert open_descriptor_count() <= descriptors_before + 2  # a call that is out: its two ends
+        waited_s = await advance_to_next_request(discovery, clock)  # the last one that fails
         await advance_until(clock, discovery.requests[-1].closed_by_proxy.is_set)
-        discovery.on_request = lambda call: None
-        waited = await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
+        discovery.on_request = lambda request: None
+        waited_s = await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
             discovery, proxy, clock, settings
         )
-        assert waited < LIST_DEADLINE_S
+        assert waited_s < LIST_DEADLINE_S
         assert proxy.driver.balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
 
 
@@ -135,10 +135,12 @@
         await advance_until(clock, lambda: len(discovery.requests) == 1)
         discovery.requests[0].writer.transport.abort()
         discovery.server.stop_listening()
-        await outage(clock, 3_600.0)
-        all_is_small(discovery, proxy)
-        tried = record_watch_starts(proxy)
-        await advance_until(clock, lambda: len(tried) > 0 and not proxy.driver.endpoint_list.watch.is_running)
+        await advance_through_outage(clock, 3_600.0)
+        assert_nothing_accumulates(discovery, proxy)
+        watch_starts = record_watch_starts(proxy)
+        await advance_until(
+            clock, lambda: len(watch_starts) > 0 and not proxy.driver.endpoint_list.watch.is_running
+        )
         discovery.server.server = await asyncio.start_server(
             discovery.server.accept, "127.0.0.1", discovery.server.port
         )
@@ -156,26 +158,28 @@
         for rev in range(1, 41):
             if len(discovery.requests) < rev:
                 assert await advance_to_next_request(discovery, clock) < 1.0
-            assert await served_as(rev, discovery, proxy, clock) < POLL_QUEUE_S + 0.5
+            assert await respond_after_queueing(rev, discovery, proxy, clock) < POLL_QUEUE_S + 0.5
             discovery.requests[-1].writer.transport.abort()
         assert len(discovery.requests) == 40
 
 
-async def served_as(
+async def respond_after_queueing(
     rev: int, discovery: StandInDiscovery, proxy: LoopbackProxy, clock: SteppedClock
 ) -> float:
     """Answer the open call with this version after its longest time in the queue."""
-    waited = await advance_until(clock, lambda: discovery.requests[-1].closed_by_proxy.is_set(), POLL_QUEUE_S)
+    waited_s = await advance_until(
+        clock, lambda: discovery.requests[-1].closed_by_proxy.is_set(), POLL_QUEUE_S
+    )
     discovery.requests[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
-    waited += await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == rev, 1.0)
+    waited_s += await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == rev, 1.0)
     assert proxy.driver.endpoint_list.watch.version == rev
-    return waited
+    return waited_s
 
 
-@pytest.mark.parametrize("beats", [False, True], ids=["silent", "beating"])
+@pytest.mark.parametrize("sends_heartbeats", [False, True], ids=["silent", "heartbeats"])
 @EACH_SUBSCRIPTION
 async def test_watch_that_falls_silent_repeatedly_is_replaced_in_time(
-    settings: messages.Settings, beats: bool
+    settings: messages.Settings, sends_heartbeats: bool
 ) -> None:
     """For minutes: each watch delivers one version and falls silent, some after a heartbeat."""
 
@@ -184,14 +188,14 @@
             await advance_until(clock, lambda rev=rev: len(discovery.requests) >= rev)  # type: ignore[misc]
             discovery.requests[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(rev))
             await advance_until(clock, lambda rev=rev: proxy.driver.endpoint_list.watch.version == rev, 1.0)  # type: ignore[misc]
-            if beats:
+            if sends_heartbeats:
                 await advance_until(clock, lambda: False, 2.0)
                 discovery.requests[-1].send(http_chunk("\n"))
             assert await advance_to_next_request(discovery, clock) < LIST_DEADLINE_S - POLL_QUEUE_S
-            all_is_small(discovery, proxy)
+            assert_nothing_accumulates(discovery, proxy)
 
 
-async def wait_for_held_list(
+async def release_list(
     mode: str, process: asyncio.subprocess.Process, port: int, discovery: HeldListServer
 ) -> None:
     """Let the held list go, and wait until the process has applied it."""
@@ -206,32 +210,34 @@
         await wait_for_log_line(process, "is b,")
 
 
-@pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["asked", "pushed"])
+@pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["polled", "pushed"])
 async def test_restart_with_a_cached_list_applies_a_drain_before_the_first_request(
     tmp_path: Path, mode: str
 ) -> None:
     """Its list knows `a` alone. Discovery is slow, then tells that `a` drains and that `b` is there."""
     discovery = HeldListServer(is_held=True)
     async with (
-        StandInEndpoint(http_response(200, b"a")) as drained,
-        StandInEndpoint(http_response(200, b"b")) as new,
+        StandInEndpoint(http_response(200, b"a")) as draining_endpoint,
+        StandInEndpoint(http_response(200, b"b")) as new_endpoint,
         discovery,
     ):
-        drain = endpoint_entry("a", drained.port, "terminating")
-        discovery.present_list = endpoint_list(drain, endpoint_entry("b", new.port), rev=7, is_complete=False)
+        draining_entry = endpoint_entry("a", draining_endpoint.port, "terminating")
+        discovery.present_list = endpoint_list(
+            draining_entry, endpoint_entry("b", new_endpoint.port), rev=7, is_complete=False
+        )
         for _ in range(2):  # killed outright and started again, under its name and address
             discovery.may_respond.clear()
             discovery.requested.clear()
             port = unused_port()
-            told = proxy_config(
+            config = proxy_config(
                 listen=f"127.0.0.1:{port}",
                 discovery=f"127.0.0.1:{discovery.port}",
-                known=endpoint_list(endpoint_entry("a", drained.port), rev=1),
+                known=endpoint_list(endpoint_entry("a", draining_endpoint.port), rev=1),
                 settings=raw_settings(limits=LIMITS, registryMode=mode),
             )
-            async with running_proxy_process(write_config(tmp_path, told)) as process:
+            async with running_proxy_process(write_config(tmp_path, config)) as process:
                 await discovery.requested.wait()
-                await wait_for_held_list(mode, process, port, discovery)
+                await release_list(mode, process, port, discovery)
                 for number in range(10):
                     assert (await send_request_to(port, http_request(request_id=f"r{number}"))).body == b"b"
-        assert drained.received == []
+        assert draining_endpoint.received == []
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -19,12 +19,12 @@
 from load_balancer.process.reload import Reloader
 from tests.net.discovery.list_server import HeldListServer
 from tests.net.discovery.versioned_discovery import (
-    ASKED,
-    BOTH,
+    EACH_SUBSCRIPTION,
+    POLLED_SETTINGS,
     FollowingProxy,
     VersionedDiscovery,
+    advance_clock_until,
     following_proxy,
-    pass_until,
 )
 from tests.process.process_helpers import descriptor_count
 from tests.support.endpoint_lists import (
@@ -38,10 +38,10 @@
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import wait_until
 
-MOVED_S = 4.0  # what discovery has to tell counts as told this long after SIGHUP
+RELOAD_DEADLINE_S = 4.0  # what discovery has to tell counts as told this long after SIGHUP
 
 
-TURN_S = 2.0  # a crowded discovery answers so late
+POLL_QUEUE_S = 2.0  # a crowded discovery answers so late
 
 
 class Reloads:
@@ -52,7 +52,7 @@
         source = ConfigSource(write_config(folder, proxy_config(discovery=f"127.0.0.1:{port}")))
         self.reloader = Reloader(source, source.read(), proxy.driver)
 
-    def name(self, port: int) -> None:
+    def reload_with(self, port: int) -> None:
         write_config(self.folder, proxy_config(discovery=f"127.0.0.1:{port}"))
         self.reloader.reload()
 
@@ -66,140 +66,151 @@
     ]
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 async def test_reload_with_the_same_discovery_keeps_the_watch(
-    setup: messages.Settings, tmp_path: Path
+    settings: messages.Settings, tmp_path: Path
 ) -> None:
-    async with following_proxy(setup) as following:
-        await following.follow(following.first)
+    async with following_proxy(settings) as following:
+        await following.wait_until_followed(following.first)
         reloads = Reloads(tmp_path, following.proxy, following.first.port)
         [watch_task] = running_watch_tasks()
         for _ in range(3):
-            reloads.name(following.first.port)
-            await pass_until(following.clock, lambda: True)
-        following.first.change()
-        await following.follow(following.first)
+            reloads.reload_with(following.first.port)
+            await advance_clock_until(following.clock, lambda: True)
+        following.first.publish_change()
+        await following.wait_until_followed(following.first)
         assert running_watch_tasks() == [watch_task]
         assert len(following.first.request_targets) == following.first.complete_list_count == 1
 
 
-WAYS = ["tells", "silent", "half a list", "half a head", "refuses", "rejects", "ends at once"]
+BEHAVIORS = ["responds", "silent", "truncated list", "truncated head", "refuses", "rejects", "closes at once"]
 
 
 class FaultyDiscovery(VersionedDiscovery):
     """A discovery that meets its calls in one of these ways."""
 
-    def __init__(self, name: str, way: str) -> None:
+    def __init__(self, name: str, behavior: str) -> None:
         super().__init__(name)
-        self.way = way
+        self.behavior = behavior
 
     async def start(self, listening_socket: socket.socket | None = None) -> None:
         """Listen, or only keep the port where connections are to be refused."""
         await super().start(listening_socket)
-        if self.way == "refuses":
+        if self.behavior == "refuses":
             assert self.server is not None
             self.server.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.way == "tells":
+        if self.behavior == "responds":
             await super().serve(reader, writer)
             return
         await reader.readuntil(b"\r\n\r\n")
         self.request_targets.append("")
-        whole = self.response(None)
-        said = {"half a list": whole[:-20], "half a head": whole[:9], "rejects": http_response(503)}
-        writer.write(said.get(self.way, b""))
-        if self.way not in ("rejects", "ends at once"):
+        complete_response = self.response(None)
+        responses = {
+            "truncated list": complete_response[:-20],
+            "truncated head": complete_response[:9],
+            "rejects": http_response(503),
+        }
+        writer.write(responses.get(self.behavior, b""))
+        if self.behavior not in ("rejects", "closes at once"):
             await self.keep_open(reader, writer)
 
 
-async def pass_seconds(following: FollowingProxy, seconds: float) -> float:
-    began_s = following.clock.advanced_s
-    return await pass_until(following.clock, lambda: following.clock.advanced_s >= began_s + seconds)
+async def advance_seconds(following: FollowingProxy, seconds: float) -> float:
+    started_at_s = following.clock.advanced_s
+    return await advance_clock_until(
+        following.clock, lambda: following.clock.advanced_s >= started_at_s + seconds
+    )
 
 
-async def follow_last(following: FollowingProxy, last: VersionedDiscovery, setup: messages.Settings) -> float:
+async def wait_until_last_followed(
+    following: FollowingProxy, last: VersionedDiscovery, settings: messages.Settings
+) -> float:
     """Return the seconds until the last discovery is followed, whose queue is crowded where it is polled."""
-    waited = 0.0
-    if setup is ASKED:
-        waited = await pass_seconds(following, TURN_S)
+    waited_s = 0.0
+    if settings is POLLED_SETTINGS:
+        waited_s = await advance_seconds(following, POLL_QUEUE_S)
         last.is_silent = False
         [writer] = last.open_writers
         writer.write(last.response(None))
-    return waited + await following.follow(last)
+    return waited_s + await following.wait_until_followed(last)
 
 
-async def reload_in_a_row(
-    reloads: Reloads, following: FollowingProxy, discoveries: list[FaultyDiscovery], apart_s: float
+async def reload_with_each(
+    reloads: Reloads, following: FollowingProxy, discoveries: list[FaultyDiscovery], interval_s: float
 ) -> None:
     """Name one discovery after another, so much time apart."""
     for discovery in discoveries:
-        reloads.name(discovery.port)
-        await pass_until(following.clock, lambda: True)
-        if apart_s:
-            await pass_seconds(following, apart_s)
+        reloads.reload_with(discovery.port)
+        await advance_clock_until(following.clock, lambda: True)
+        if interval_s:
+            await advance_seconds(following, interval_s)
 
 
-@BOTH
-@pytest.mark.parametrize("apart_s", [0.0, 0.3], ids=["at once", "0.3 s apart"])
-@pytest.mark.parametrize("way", WAYS)
+@EACH_SUBSCRIPTION
+@pytest.mark.parametrize("interval_s", [0.0, 0.3], ids=["at once", "0.3 s apart"])
+@pytest.mark.parametrize("behavior", BEHAVIORS)
 async def test_last_of_several_reloads_in_a_row_is_followed(
-    setup: messages.Settings, way: str, apart_s: float, tmp_path: Path
+    settings: messages.Settings, behavior: str, interval_s: float, tmp_path: Path
 ) -> None:
     """Whatever the discoveries in between do, their watches end, and the last one is followed in time."""
-    async with following_proxy(setup) as following, AsyncExitStack() as stack:
-        await following.follow(following.first)
+    async with following_proxy(settings) as following, AsyncExitStack() as stack:
+        await following.wait_until_followed(following.first)
         reloads = Reloads(tmp_path, following.proxy, following.first.port)
-        on_the_way = [await stack.enter_async_context(FaultyDiscovery(name, way)) for name in "cd"]
-        last = await stack.enter_async_context(FaultyDiscovery("e", "tells"))
-        last.is_silent = setup is ASKED  # it is crowded: the call has to wait for its turn there
-        await reload_in_a_row(reloads, following, on_the_way, apart_s)
-        reloads.name(last.port)
-        assert await follow_last(following, last, setup) < MOVED_S
+        intermediate = [await stack.enter_async_context(FaultyDiscovery(name, behavior)) for name in "cd"]
+        last = await stack.enter_async_context(FaultyDiscovery("e", "responds"))
+        last.is_silent = settings is POLLED_SETTINGS  # it is crowded: the call has to wait for its turn there
+        await reload_with_each(reloads, following, intermediate, interval_s)
+        reloads.reload_with(last.port)
+        assert await wait_until_last_followed(following, last, settings) < RELOAD_DEADLINE_S
         assert last.complete_list_count == 1
         assert len(last.request_targets) == 1
         # What the others say by now, be it on a connection that they still hold, is nobody's news.
         await wait_until(
-            lambda: not following.first.open_writers and not any(left.open_writers for left in on_the_way)
+            lambda: not following.first.open_writers and not any(other.open_writers for other in intermediate)
         )
         assert running_watch_count() == 1
         assert following.proxy.driver.endpoint_list.watch.is_running
-        calls = [len(left.request_targets) for left in on_the_way], len(following.first.request_targets)
-        await pass_until(
+        request_counts = (
+            [len(other.request_targets) for other in intermediate],
+            len(following.first.request_targets),
+        )
+        await advance_clock_until(
             following.clock, lambda: len(last.request_targets) == 2
         )  # it has been silent for 3 s since
-        assert calls == (
-            [len(left.request_targets) for left in on_the_way],
+        assert request_counts == (
+            [len(other.request_targets) for other in intermediate],
             len(following.first.request_targets),
         )
 
 
-@BOTH
+@EACH_SUBSCRIPTION
 async def test_late_list_of_the_previous_discovery_is_not_applied(
-    setup: messages.Settings, caplog: pytest.LogCaptureFixture
+    settings: messages.Settings, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Its bytes are with the system as the move comes: they came from an address that counts no more."""
 
-    async with following_proxy(setup) as following:
-        await following.follow(following.first)
+    async with following_proxy(settings) as following:
+        await following.wait_until_followed(following.first)
         caplog.set_level(logging.INFO)
         following.second.is_silent = True
-        following.first.change()  # written at once, and not read yet
-        following.move(following.second)
-        left = endpoint_id_from_uid(following.first.uid)
-        await pass_until(following.clock, lambda: len(following.second.request_targets) == 2)
-        assert left not in following.proxy.driver.balancer.endpoints.states
+        following.first.publish_change()  # written at once, and not read yet
+        following.change_discovery(following.second)
+        stale_id = endpoint_id_from_uid(following.first.uid)
+        await advance_clock_until(following.clock, lambda: len(following.second.request_targets) == 2)
+        assert stale_id not in following.proxy.driver.balancer.endpoints.states
         following.second.is_silent = False
-        await following.follow(following.second)
-        assert left not in following.proxy.driver.endpoint_list.endpoints.by_id
+        await following.wait_until_followed(following.second)
+        assert stale_id not in following.proxy.driver.endpoint_list.endpoints.by_id
         assert not any(following.first.uid in record.getMessage() for record in caplog.records)
 
 
 def replace_config(folder: Path, content: dict[str, Any]) -> None:
     """Replace the configuration file in one step."""
-    part = folder / "part.json"
-    part.write_text(json.dumps(content))
-    part.replace(folder / "config.json")
+    temporary_file = folder / "part.json"
+    temporary_file.write_text(json.dumps(content))
+    temporary_file.replace(folder / "config.json")
 
 
 async def test_process_follows_the_last_of_three_reloads(tmp_path: Path) -> None:
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -28,70 +28,74 @@
 STATES = ("in_service", "in_service", "terminating", "terminated")
 
 
-def change(*entries: dict[str, object], rev: int) -> dict[str, object]:
+def list_changes(*entries: dict[str, object], rev: int) -> dict[str, object]:
     return endpoint_list(*entries, rev=rev, is_complete=False)
 
 
-def names(*uids: str) -> set[int]:
+def endpoint_ids(*uids: str) -> set[int]:
     return {endpoint_id_from_uid(uid) for uid in uids}
 
 
-async def lists_until_the_end(proxy: LoopbackProxy) -> list[messages.EndpointListUpdate]:
+async def updates_until_watch_failure(proxy: LoopbackProxy) -> list[messages.EndpointListUpdate]:
     """The lists that reach the policy until the watch has ended."""
-    taken: list[messages.EndpointListUpdate] = []
-    feed = proxy.driver.events.put
+    updates: list[messages.EndpointListUpdate] = []
+    put_event = proxy.driver.events.put
 
-    def note(event: messages.Event) -> None:
+    def record_and_put(event: messages.Event) -> None:
         if isinstance(event, messages.EndpointListUpdate):
-            taken.append(event)
-        feed(event)
+            updates.append(event)
+        put_event(event)
 
-    proxy.driver.events.put = note  # type: ignore[method-assign]
-    await wait_until(lambda: bool(taken) and taken[-1].kind is messages.EndpointListKind.FAILED)
-    return taken[:-1]
+    proxy.driver.events.put = record_and_put  # type: ignore[method-assign]
+    await wait_until(lambda: bool(updates) and updates[-1].kind is messages.EndpointListKind.FAILED)
+    return updates[:-1]
 
 
-async def played(said: bytes) -> tuple[list[messages.EndpointListUpdate], set[int], int | None]:
+async def updates_from_stream(
+    stream_bytes: bytes,
+) -> tuple[list[messages.EndpointListUpdate], set[int], int | None]:
     """The lists that reach the policy, the endpoints that are known then, and the version to go on from."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_RESPONSE_HEAD + said)
+        writer.write(WATCH_RESPONSE_HEAD + stream_bytes)
 
     async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
-        taken = await lists_until_the_end(proxy)
-        known = set(proxy.driver.balancer.endpoints.states)
-        return taken, known, proxy.driver.endpoint_list.watch.version
+        updates = await updates_until_watch_failure(proxy)
+        known_ids = set(proxy.driver.balancer.endpoints.states)
+        return updates, known_ids, proxy.driver.endpoint_list.watch.version
 
 
 async def test_changes_of_one_read_reach_the_policy_as_one_event() -> None:
-    said = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), endpoint_entry("b", 9), rev=1))
+    stream_bytes = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), endpoint_entry("b", 9), rev=1))
     for number in range(50):
-        said += endpoint_list_chunk(change(endpoint_entry(f"s-{number}", 9), rev=2 + number)) + http_chunk(
-            "\n"
-        )
-    said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminating"), rev=52))
-    said += endpoint_list_chunk(change(endpoint_entry("a", 9, "terminated"), rev=53))
-    taken, known, since = await played(said + b"0\r\n\r\n")
-    assert [(news.kind, news.version) for news in taken] == [
+        stream_bytes += endpoint_list_chunk(
+            list_changes(endpoint_entry(f"s-{number}", 9), rev=2 + number)
+        ) + http_chunk("\n")
+    stream_bytes += endpoint_list_chunk(list_changes(endpoint_entry("a", 9, "terminating"), rev=52))
+    stream_bytes += endpoint_list_chunk(list_changes(endpoint_entry("a", 9, "terminated"), rev=53))
+    updates, known_ids, resume_version = await updates_from_stream(stream_bytes + b"0\r\n\r\n")
+    assert [(update.kind, update.version) for update in updates] == [
         (messages.EndpointListKind.COMPLETE, 1),
         (messages.EndpointListKind.CHANGES, 53),
     ]
-    assert known == names("b", *(f"s-{number}" for number in range(50)))
-    assert since == 53
+    assert known_ids == endpoint_ids("b", *(f"s-{number}" for number in range(50)))
+    assert resume_version == 53
 
 
 @pytest.mark.parametrize(
-    "spoilt", [http_chunk('{"rev":'), http_chunk('{"rev":4}\n'), b"zz\r\n", b"0\r\n\r\n"]
+    "invalid_bytes", [http_chunk('{"rev":'), http_chunk('{"rev":4}\n'), b"zz\r\n", b"0\r\n\r\n"]
 )
-async def test_lists_before_an_invalid_one_are_applied(spoilt: bytes) -> None:
-    good = endpoint_list_chunk(change(endpoint_entry("a", 9), rev=2)) + endpoint_list_chunk(
-        change(endpoint_entry("b", 9), rev=3)
+async def test_lists_before_an_invalid_one_are_applied(invalid_bytes: bytes) -> None:
+    valid_changes = endpoint_list_chunk(list_changes(endpoint_entry("a", 9), rev=2)) + endpoint_list_chunk(
+        list_changes(endpoint_entry("b", 9), rev=3)
+    )
+    updates, known_ids, resume_version = await updates_from_stream(
+        valid_changes + invalid_bytes + b"0\r\n\r\n"
     )
-    taken, known, since = await played(good + spoilt + b"0\r\n\r\n")
-    assert [news.version for news in taken] == [3]
-    assert known == names("a", "b")
-    assert since == 3
+    assert [update.version for update in updates] == [3]
+    assert known_ids == endpoint_ids("a", "b")
+    assert resume_version == 3
 
 
 async def test_list_that_failed_to_apply_does_not_advance_the_version() -> None:
@@ -99,31 +103,34 @@
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        whole, more = endpoint_list(endpoint_entry("a", 9), rev=1), change(endpoint_entry("b", 9), rev=2)
-        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(whole) + endpoint_list_chunk(more))
+        complete, changes = (
+            endpoint_list(endpoint_entry("a", 9), rev=1),
+            list_changes(endpoint_entry("b", 9), rev=2),
+        )
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(complete) + endpoint_list_chunk(changes))
 
     def fail_on_changes(message: EndpointListMessage) -> None:
         if not message.is_complete:
             raise RuntimeError("a fault")
 
-    broken = asyncio.Event()
+    failed = asyncio.Event()
     async with StandInServer(handle) as discovery:
-        watch = EndpointWatch(("127.0.0.1", discovery.port), fail_on_changes, broken.set, 60.0, 60.0)
+        watch = EndpointWatch(("127.0.0.1", discovery.port), fail_on_changes, failed.set, 60.0, 60.0)
         watch.start()
-        await broken.wait()
+        await failed.wait()
         assert watch.version == 1
         watch.close()
 
 
 def test_complete_lists_and_old_changes_are_not_joined() -> None:
     lists = [
-        read_list(change(endpoint_entry("a", 9), rev=5)),
-        read_list(change(endpoint_entry("b", 9), rev=6)),
+        read_list(list_changes(endpoint_entry("a", 9), rev=5)),
+        read_list(list_changes(endpoint_entry("b", 9), rev=6)),
         read_list(endpoint_list(endpoint_entry("c", 9), rev=3)),
-        read_list(change(endpoint_entry("d", 9), rev=4)),
-        read_list(change(endpoint_entry("e", 9), rev=2)),
+        read_list(list_changes(endpoint_entry("d", 9), rev=4)),
+        read_list(list_changes(endpoint_entry("e", 9), rev=2)),
     ]
-    assert [(news.version, news.is_complete) for news in merge_changes(lists)] == [
+    assert [(update.version, update.is_complete) for update in merge_changes(lists)] == [
         (6, False),
         (3, True),
         (4, False),
@@ -133,34 +140,34 @@
 
 async def test_old_changes_in_a_later_read_are_not_joined() -> None:
     """Joined with what is new, it would bring back what has gone since."""
-    first = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), rev=10)) + endpoint_list_chunk(
-        change(endpoint_entry("b", 9), rev=12)
+    first_read = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), rev=10)) + endpoint_list_chunk(
+        list_changes(endpoint_entry("b", 9), rev=12)
     )
-    later = endpoint_list_chunk(change(endpoint_entry("gone", 9), rev=11)) + endpoint_list_chunk(
-        change(endpoint_entry("c", 9), rev=13)
+    later_read = endpoint_list_chunk(list_changes(endpoint_entry("gone", 9), rev=11)) + endpoint_list_chunk(
+        list_changes(endpoint_entry("c", 9), rev=13)
     )
-    taken_over = asyncio.Event()
+    first_list_applied = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(WATCH_RESPONSE_HEAD + first)
-        await taken_over.wait()
-        writer.write(later + b"0\r\n\r\n")
+        writer.write(WATCH_RESPONSE_HEAD + first_read)
+        await first_list_applied.wait()
+        writer.write(later_read + b"0\r\n\r\n")
 
     async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
         await wait_until(lambda: proxy.driver.endpoint_list.watch.version == 12)
-        taken_over.set()
-        taken = await lists_until_the_end(proxy)
-        assert [news.version for news in taken] == [11, 13]
-        assert set(proxy.driver.balancer.endpoints.states) == names("a", "b", "c")
+        first_list_applied.set()
+        updates = await updates_until_watch_failure(proxy)
+        assert [update.version for update in updates] == [11, 13]
+        assert set(proxy.driver.balancer.endpoints.states) == endpoint_ids("a", "b", "c")
 
 
-@pytest.mark.parametrize("away", ["terminating", "terminated"])
-def test_return_of_an_endpoint_is_not_joined_with_its_removal(away: str) -> None:
+@pytest.mark.parametrize("removed_state", ["terminating", "terminated"])
+def test_return_of_an_endpoint_is_not_joined_with_its_removal(removed_state: str) -> None:
     """Its idle connections are the old one's."""
     lists = [
-        read_list(change(endpoint_entry("a", 9, state), rev=number))
-        for number, state in ((2, away), (3, "in_service"))
+        read_list(list_changes(endpoint_entry("a", 9, state), rev=number))
+        for number, state in ((2, removed_state), (3, "in_service"))
     ]
     assert merge_changes(lists) == lists
 
@@ -169,13 +176,13 @@
     """Return a complete list and ten changes to it, some of them old, and perhaps a second complete one."""
     lists = [read_list(endpoint_list(*(endpoint_entry(f"s-{number}", 9) for number in range(4)), rev=9))]
     for rev in range(10, 20):
-        rows = [
+        entries = [
             endpoint_entry(
                 f"s-{rng.randrange(6)}", rng.randrange(9, 11), rng.choice(STATES), boot_ms=rng.randrange(2)
             )
             for _ in range(rng.choice((0, 1, 2)))
         ]
-        lists.append(read_list(change(*rows, rev=rev - 3 * (rng.random() < 0.1))))
+        lists.append(read_list(list_changes(*entries, rev=rev - 3 * (rng.random() < 0.1))))
     if rng.random() < 0.5:
         lists.insert(rng.randrange(1, 11), replace(lists[0], version=rng.randrange(5, 15)))
     return lists
@@ -207,31 +214,31 @@
 async def test_changes_that_come_while_reading_is_paused_are_joined(monkeypatch: pytest.MonkeyPatch) -> None:
     """A release tells its changes one by one, some hundred a second."""
     monkeypatch.setattr(endpoint_watch, "READ_PAUSE_S", 1.0)
-    taken_over = asyncio.Event()
+    first_list_applied = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), rev=1)))
-        await taken_over.wait()
+        await first_list_applied.wait()
         for number in range(5):
-            writer.write(endpoint_list_chunk(change(endpoint_entry(f"s-{number}", 9), rev=2 + number)))
+            writer.write(endpoint_list_chunk(list_changes(endpoint_entry(f"s-{number}", 9), rev=2 + number)))
             await asyncio.sleep(0)
         writer.write(b"0\r\n\r\n")
 
     async with StandInServer(handle) as discovery, running_proxy(discovery_port=discovery.port) as proxy:
         await wait_until(lambda: proxy.driver.endpoint_list.watch.version == 1)
-        taken_over.set()
-        pieces = 0
+        first_list_applied.set()
+        read_count = 0
         feed_data = asyncio.StreamReader.feed_data
 
-        def note(reader: asyncio.StreamReader, data: bytes) -> None:
-            nonlocal pieces
-            pieces += data.startswith(b"0\r\n") or b'"rev"' in data
+        def record_and_put(reader: asyncio.StreamReader, data: bytes) -> None:
+            nonlocal read_count
+            read_count += data.startswith(b"0\r\n") or b'"rev"' in data
             feed_data(reader, data)
 
-        monkeypatch.setattr(asyncio.StreamReader, "feed_data", note)
-        assert [news.version for news in await lists_until_the_end(proxy)] == [6]
-        assert pieces == 1  # nor does each one turn the loop
+        monkeypatch.setattr(asyncio.StreamReader, "feed_data", record_and_put)
+        assert [update.version for update in await updates_until_watch_failure(proxy)] == [6]
+        assert read_count == 1  # nor does each one turn the loop
 
 
 def test_read_pause_leaves_time_for_a_process_stall() -> None:
--- a/tests/net/discovery/test_json_stream.py
+++ b/tests/net/discovery/test_json_stream.py
@@ -12,10 +12,10 @@
 from load_balancer.net.discovery.json_stream import JsonStreamError, JsonTextSplitter
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 
-READ = 65_536  # bytes that come at once
+READ_SIZE_BYTES = 65_536  # bytes that come at once
 
 
-def whole_list(endpoint_count: int, indent: int | None) -> bytes:
+def complete_list_json(endpoint_count: int, indent: int | None) -> bytes:
     targets = [
         endpoint_entry(f"s-{number:08x}", 9_000, model="m2", capacity_hint=1.0)
         for number in range(endpoint_count)
@@ -23,23 +23,23 @@
     return json.dumps(endpoint_list(*targets), indent=indent).encode() + b"\n"
 
 
-def calls_to_cut(text: bytes) -> int:
+def builtin_call_count(text: bytes) -> int:
     """The built-in functions that are called until the list is cut out: the same count at every run."""
     calls = 0
 
-    def count(frame: FrameType, event: str, called: object) -> None:
+    def count(frame: FrameType, event: str, argument: object) -> None:
         nonlocal calls
         calls += event == "c_call"
 
-    splitter, got = JsonTextSplitter(), list[bytes]()
-    before = sys.getprofile()
+    splitter, texts = JsonTextSplitter(), list[bytes]()
+    previous_profiler = sys.getprofile()
     sys.setprofile(count)
     try:
-        for at in range(0, len(text), READ):
-            got.extend(splitter.feed(text[at : at + READ]))
+        for offset in range(0, len(text), READ_SIZE_BYTES):
+            texts.extend(splitter.feed(text[offset : offset + READ_SIZE_BYTES]))
     finally:
-        sys.setprofile(before)
-    assert got[0] == text.strip()
+        sys.setprofile(previous_profiler)
+    assert texts[0] == text.strip()
     return calls
 
 
@@ -47,18 +47,24 @@
 def test_long_list_is_split_with_few_calls_for_each_endpoint(indent: int | None) -> None:
     """A proxy has part of a core, and a pushed list has a second: one that took longer to cut would be
     given up and fetched anew, for ever."""
-    few, many = (calls_to_cut(whole_list(endpoint_count, indent)) for endpoint_count in (100, 1_100))
-    assert (many - few) / 1_000 <= 7  # two braces, and what is called for each
+    small_list_calls, large_list_calls = (
+        builtin_call_count(complete_list_json(endpoint_count, indent)) for endpoint_count in (100, 1_100)
+    )
+    assert (large_list_calls - small_list_calls) / 1_000 <= 7  # two braces, and what is called for each
 
 
-ODD = b'{"a":"}\\"{","b":[]}\n{"c":"\\\\"}\n\n{"a":"x\\"}"}\n{"a":"\\u0041]["}'
+TEXTS_WITH_BRACES_IN_STRINGS = b'{"a":"}\\"{","b":[]}\n{"c":"\\\\"}\n\n{"a":"x\\"}"}\n{"a":"\\u0041]["}'
 
 
-@pytest.mark.parametrize("cut", range(1, 12))
-def test_braces_in_strings_are_ignored_wherever_reads_split_them(cut: int) -> None:
+@pytest.mark.parametrize("read_size", range(1, 12))
+def test_braces_in_strings_are_ignored_wherever_reads_split_them(read_size: int) -> None:
     splitter = JsonTextSplitter()
-    got = [said for at in range(0, len(ODD), cut) for said in splitter.feed(ODD[at : at + cut])]
-    lists = [json.loads(said) for said in got if said]
+    texts = [
+        text
+        for offset in range(0, len(TEXTS_WITH_BRACES_IN_STRINGS), read_size)
+        for text in splitter.feed(TEXTS_WITH_BRACES_IN_STRINGS[offset : offset + read_size])
+    ]
+    lists = [json.loads(text) for text in texts if text]
     assert lists == [{"a": '}"{', "b": []}, {"c": "\\"}, {"a": 'x"}'}, {"a": "A]["}]
 
 
@@ -74,7 +80,7 @@
 
 def test_endless_string_raises_an_error() -> None:
     splitter = JsonTextSplitter()
-    endless = (splitter.feed(b'{"rev":"' + b"x" * READ) for _ in range(100))
+    endless = (splitter.feed(b'{"rev":"' + b"x" * READ_SIZE_BYTES) for _ in range(100))
     with pytest.raises(JsonStreamError, match="longer than 4194304 bytes"):
         list(chain.from_iterable(endless))
 
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -70,23 +70,23 @@
 
 
 FAILURES: dict[str, Callable[[DiscoveryRequest], None]] = {
-    "refused": lambda call: call.send(http_response(503), end=True),
-    "reset": lambda call: call.writer.transport.abort(),
-    "ended": lambda call: call.send(WATCH_RESPONSE_HEAD + b"0\r\n\r\n", end=True),
-    "spoilt": lambda call: call.send(WATCH_RESPONSE_HEAD + http_chunk("nonsense\n")),
+    "rejected": lambda request: request.send(http_response(503), end=True),
+    "reset": lambda request: request.writer.transport.abort(),
+    "response ended": lambda request: request.send(WATCH_RESPONSE_HEAD + b"0\r\n\r\n", end=True),
+    "invalid list": lambda request: request.send(WATCH_RESPONSE_HEAD + http_chunk("nonsense\n")),
 }
 
 
-async def after_failures(
+async def fail_requests(
     discovery: StandInDiscovery,
     clock: SteppedClock,
     failure: Callable[[DiscoveryRequest], None],
-    many: int = 6,
+    request_count: int = 6,
 ) -> None:
     """Lets this many calls fail, so that the waits have grown; the last of them has just failed."""
     discovery.on_request = failure
-    await advance_until(clock, lambda: len(discovery.requests) == many)
-    discovery.on_request = lambda call: None
+    await advance_until(clock, lambda: len(discovery.requests) == request_count)
+    discovery.on_request = lambda request: None
 
 
 @EACH_SUBSCRIPTION
@@ -97,27 +97,27 @@
     """However long it lasted: discovery is there from the moment on in which the last of them failed."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock):
-        await after_failures(discovery, clock, FAILURES[failure])
-        waited = await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
+        await fail_requests(discovery, clock, FAILURES[failure])
+        waited_s = await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
             discovery, proxy, clock, settings
         )
-        assert waited < LIST_DEADLINE_S
+        assert waited_s < LIST_DEADLINE_S
 
 
 async def test_call_rejected_after_queueing_is_repeated_in_time() -> None:
     """The waits have grown and the last call has just failed; the next one is refused after 2 s."""
 
     async with watching_proxy(POLLED_SETTINGS) as (discovery, proxy, clock):
-        await after_failures(discovery, clock, FAILURES["refused"])
-        waited = await advance_to_next_request(discovery, clock)
-        waited += await advance_until(
+        await fail_requests(discovery, clock, FAILURES["rejected"])
+        waited_s = await advance_to_next_request(discovery, clock)
+        waited_s += await advance_until(
             clock, lambda: discovery.requests[-1].closed_by_proxy.is_set(), POLL_QUEUE_S
         )
-        FAILURES["refused"](discovery.requests[-1])
-        waited += await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
+        FAILURES["rejected"](discovery.requests[-1])
+        waited_s += await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
             discovery, proxy, clock, POLLED_SETTINGS
         )
-        assert waited < LIST_DEADLINE_S
+        assert waited_s < LIST_DEADLINE_S
 
 
 @EACH_SUBSCRIPTION
@@ -127,51 +127,51 @@
     """It has brought no list since the waits grew: there was nothing to tell."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock):
-        await after_failures(discovery, clock, FAILURES["refused"])
+        await fail_requests(discovery, clock, FAILURES["rejected"])
         await advance_to_next_request(discovery, clock)
         caplog.clear()
         discovery.requests[-1].send(WATCH_RESPONSE_HEAD + http_chunk("\n"))
         await advance_until(clock, lambda: discovery.requests[-1].closed_by_proxy.is_set(), 1.5)
         discovery.requests[-1].send(http_chunk("\n"))  # its last word
-        waited = await advance_to_next_request(discovery, clock)
+        waited_s = await advance_to_next_request(discovery, clock)
         assert "failed: silent" in caplog.text
-        assert waited + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
+        assert waited_s + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
 
 
-STOPS = {
+PARTIAL_RESPONSES = {
     "nothing": b"",
-    "half a head": WATCH_RESPONSE_HEAD[:20],
-    "a head": WATCH_RESPONSE_HEAD,
-    "half a chunk": WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30],
-    "half a line": WATCH_RESPONSE_HEAD + http_chunk('{"rev":6,"all":true,"targets":[{"uid":"s-6"'),
-    "an interim answer": b"HTTP/1.1 100 Continue\r\n\r\n",
+    "partial head": WATCH_RESPONSE_HEAD[:20],
+    "head only": WATCH_RESPONSE_HEAD,
+    "partial chunk": WATCH_RESPONSE_HEAD + list_chunk_of_version(6)[:30],
+    "partial line": WATCH_RESPONSE_HEAD + http_chunk('{"rev":6,"all":true,"targets":[{"uid":"s-6"'),
+    "interim response": b"HTTP/1.1 100 Continue\r\n\r\n",
 }
 
 
 @EACH_SUBSCRIPTION
-@pytest.mark.parametrize("dribbles", [False, True], ids=["still", "dribbling"])
-@pytest.mark.parametrize("stop", STOPS)
+@pytest.mark.parametrize("sends_more", [False, True], ids=["stalled", "sends more"])
+@pytest.mark.parametrize("part", PARTIAL_RESPONSES)
 async def test_call_whose_response_stops_midway_is_repeated_in_time(
-    settings: messages.Settings, stop: str, dribbles: bool
+    settings: messages.Settings, part: str, sends_more: bool
 ) -> None:
     """The call begins as discovery can just be reached, with the waits grown; bytes may go on coming."""
-    drop = {"half a head": b"x", "a head": b"", "nothing": b""}.get(stop, http_chunk(" "))
-    if stop == "an interim answer":
-        drop = STOPS[stop]
-    elif stop == "half a chunk":
-        drop = b" "
+    extra_bytes = {"partial head": b"x", "head only": b"", "nothing": b""}.get(part, http_chunk(" "))
+    if part == "interim response":
+        extra_bytes = PARTIAL_RESPONSES[part]
+    elif part == "partial chunk":
+        extra_bytes = b" "
 
     async with watching_proxy(settings) as (discovery, proxy, clock):
-        await after_failures(discovery, clock, FAILURES["refused"])
+        await fail_requests(discovery, clock, FAILURES["rejected"])
         await advance_to_next_request(discovery, clock)
-        first, waited = discovery.requests[-1], 0.0
-        first.send(STOPS[stop])
+        request, waited_s = discovery.requests[-1], 0.0
+        request.send(PARTIAL_RESPONSES[part])
         while len(discovery.requests) == 7:
-            waited += await advance_until(clock, lambda: len(discovery.requests) > 7, 0.3)
-            if dribbles and not first.closed_by_proxy.is_set():
-                first.send(drop)
-            assert waited < LIST_DEADLINE_S
-        assert waited + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
+            waited_s += await advance_until(clock, lambda: len(discovery.requests) > 7, 0.3)
+            if sends_more and not request.closed_by_proxy.is_set():
+                request.send(extra_bytes)
+            assert waited_s < LIST_DEADLINE_S
+        assert waited_s + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
 
 
 @EACH_SUBSCRIPTION
@@ -182,77 +182,78 @@
         await advance_until(clock, lambda: len(discovery.requests) == 1)
         discovery.requests[0].writer.transport.abort()
         discovery.server.stop_listening()
-        tried = record_watch_starts(proxy)
+        watch_starts = record_watch_starts(proxy)
         await advance_until(
-            clock, lambda: len(tried) == 6 and not proxy.driver.endpoint_list.watch.is_running
+            clock, lambda: len(watch_starts) == 6 and not proxy.driver.endpoint_list.watch.is_running
         )
         discovery.server.server = await asyncio.start_server(
             discovery.server.accept, "127.0.0.1", discovery.server.port
         )
-        waited = await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
+        waited_s = await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
             discovery, proxy, clock, settings
         )
-        assert waited < LIST_DEADLINE_S
+        assert waited_s < LIST_DEADLINE_S
 
 
-def changes(*entries: object, **more: object) -> str:
+def changes_text(*entries: object, **fields: object) -> str:
     """Changes of a list that begin with a sound one: the endpoint s-1 is gone."""
-    sound = endpoint_entry("s-1", 9, "terminated")
+    valid_entry = endpoint_entry("s-1", 9, "terminated")
     return (
-        json.dumps({**endpoint_list(rev=2, is_complete=False), "targets": [sound, *entries], **more}) + "\n"
+        json.dumps({**endpoint_list(rev=2, is_complete=False), "targets": [valid_entry, *entries], **fields})
+        + "\n"
     )
 
 
-def odd(**more: object) -> bytes:
-    return http_chunk(changes({**endpoint_entry("s-2", 9), **more}))
+def changes_with_fields(**fields: object) -> bytes:
+    return http_chunk(changes_text({**endpoint_entry("s-2", 9), **fields}))
 
 
-def boot(text: str) -> bytes:
-    return http_chunk(changes({**endpoint_entry("s-2", 9), "boot_ms": "HERE"}).replace('"HERE"', text))
+def changes_with_start_time(text: str) -> bytes:
+    return http_chunk(changes_text({**endpoint_entry("s-2", 9), "boot_ms": "HERE"}).replace('"HERE"', text))
 
 
-NESTED = changes("HERE").replace('"HERE"', "[" * 100_000 + "]" * 100_000)
-SPOILT: dict[str, tuple[bytes, str]] = {
+NESTED = changes_text("HERE").replace('"HERE"', "[" * 100_000 + "]" * 100_000)
+INVALID_LISTS: dict[str, tuple[bytes, str]] = {
     "no JSON": (http_chunk("nonsense\n"), "not JSON"),
-    "cut short": (http_chunk(changes()[:-4] + "}}}\n"), "not JSON"),
+    "cut short": (http_chunk(changes_text()[:-4] + "}}}\n"), "not JSON"),
     "an array": (http_chunk("[1,2]\n"), "field targets"),
     "a number": (http_chunk("7\n"), "field targets"),
     "no targets": (http_chunk('{"rev":2,"all":false}\n'), "field targets"),
     "targets an object": (http_chunk('{"rev":2,"all":false,"targets":{}}\n'), "field targets"),
-    "an entry no object": (http_chunk(changes(5)), "field targets[1].uid"),
-    "no uid": (odd(uid=None), "field targets[1].uid"),
-    "uid a number": (odd(uid=7), "field targets[1].uid"),
-    "no state": (odd(state=None), "field targets[1].state"),
-    "an unknown state": (odd(state="odd"), "field targets[1].state"),
-    "no address": (odd(endpoint=None), "field targets[1].endpoint"),
-    "no port": (odd(endpoint="10.0.0.1"), "field targets[1].endpoint"),
-    "no host": (odd(endpoint=":80"), "field targets[1].endpoint"),
-    "port 0": (odd(endpoint="10.0.0.1:0"), "field targets[1].endpoint"),
-    "port too high": (odd(endpoint="10.0.0.1:65536"), "field targets[1].endpoint"),
-    "port without end": (odd(endpoint="10.0.0.1:" + "8" * 5000), "field targets[1].endpoint"),
-    "port in other digits": (odd(endpoint="10.0.0.1:\u0663"), "field targets[1].endpoint"),
-    "host in two words": (odd(endpoint="10.0.0.1 x:80"), "field targets[1].endpoint"),
-    "host of half a character": (odd(endpoint="\ud800:80"), "field targets[1].endpoint"),
-    "zone a number": (odd(az=5), "field targets[1].az"),
-    "group a text": (odd(pod_group="x"), "field targets[1].pod_group"),
-    "start a text": (odd(boot_ms="x"), "field targets[1].boot_ms"),
-    "start negative": (odd(boot_ms=-5), "field targets[1].boot_ms"),
-    "start in another unit": (odd(boot_ms=1_700_000_000_000_000), "field targets[1].boot_ms"),
-    "start no number": (boot("NaN"), "field targets[1].boot_ms"),
-    "start infinite": (boot("Infinity"), "field targets[1].boot_ms"),
-    "start too large": (boot("1e308"), "field targets[1].boot_ms"),
-    "start of 400 digits": (boot("1" * 400), "field targets[1].boot_ms"),
-    "start of 5000 digits": (boot("1" * 5000), "not JSON"),
-    "no rev": (http_chunk(changes(rev=None)), "field rev"),
-    "rev a text": (http_chunk(changes(rev="2")), "field rev"),
-    "rev true": (http_chunk(changes(rev=True)), "field rev"),
-    "rev negative": (http_chunk(changes(rev=-1)), "field rev"),
-    "rev of 400 digits": (http_chunk(changes(rev=10**400)), "field rev"),
-    "all a number": (http_chunk(changes(all=0)), "field all"),
+    "an entry no object": (http_chunk(changes_text(5)), "field targets[1].uid"),
+    "no uid": (changes_with_fields(uid=None), "field targets[1].uid"),
+    "uid a number": (changes_with_fields(uid=7), "field targets[1].uid"),
+    "no state": (changes_with_fields(state=None), "field targets[1].state"),
+    "an unknown state": (changes_with_fields(state="odd"), "field targets[1].state"),
+    "no address": (changes_with_fields(endpoint=None), "field targets[1].endpoint"),
+    "no port": (changes_with_fields(endpoint="10.0.0.1"), "field targets[1].endpoint"),
+    "no host": (changes_with_fields(endpoint=":80"), "field targets[1].endpoint"),
+    "port 0": (changes_with_fields(endpoint="10.0.0.1:0"), "field targets[1].endpoint"),
+    "port too high": (changes_with_fields(endpoint="10.0.0.1:65536"), "field targets[1].endpoint"),
+    "port without end": (changes_with_fields(endpoint="10.0.0.1:" + "8" * 5000), "field targets[1].endpoint"),
+    "port in other digits": (changes_with_fields(endpoint="10.0.0.1:\u0663"), "field targets[1].endpoint"),
+    "host in two words": (changes_with_fields(endpoint="10.0.0.1 x:80"), "field targets[1].endpoint"),
+    "host of half a character": (changes_with_fields(endpoint="\ud800:80"), "field targets[1].endpoint"),
+    "zone a number": (changes_with_fields(az=5), "field targets[1].az"),
+    "group a text": (changes_with_fields(pod_group="x"), "field targets[1].pod_group"),
+    "start a text": (changes_with_fields(boot_ms="x"), "field targets[1].boot_ms"),
+    "start negative": (changes_with_fields(boot_ms=-5), "field targets[1].boot_ms"),
+    "start in another unit": (changes_with_fields(boot_ms=1_700_000_000_000_000), "field targets[1].boot_ms"),
+    "start no number": (changes_with_start_time("NaN"), "field targets[1].boot_ms"),
+    "start infinite": (changes_with_start_time("Infinity"), "field targets[1].boot_ms"),
+    "start too large": (changes_with_start_time("1e308"), "field targets[1].boot_ms"),
+    "start of 400 digits": (changes_with_start_time("1" * 400), "field targets[1].boot_ms"),
+    "start of 5000 digits": (changes_with_start_time("1" * 5000), "not JSON"),
+    "no rev": (http_chunk(changes_text(rev=None)), "field rev"),
+    "rev a text": (http_chunk(changes_text(rev="2")), "field rev"),
+    "rev true": (http_chunk(changes_text(rev=True)), "field rev"),
+    "rev negative": (http_chunk(changes_text(rev=-1)), "field rev"),
+    "rev of 400 digits": (http_chunk(changes_text(rev=10**400)), "field rev"),
+    "all a number": (http_chunk(changes_text(all=0)), "field all"),
     "nested": (http_chunk(NESTED), "nested more than 64 levels deep"),
     "nested without end": (http_chunk("[" * 100_000), "nested more than 64 levels deep"),
     "not UTF-8": (
-        http_chunk(changes()[:-5] + '"') + b"3\r\n\xff\xfe\xfd\r\n" + http_chunk('"}]}\n'),
+        http_chunk(changes_text()[:-5] + '"') + b"3\r\n\xff\xfe\xfd\r\n" + http_chunk('"}]}\n'),
         "not JSON",
     ),
     "endless": (http_chunk('{"rev":"' + "x" * MAX_TEXT_BYTES), "longer than 4194304 bytes"),
@@ -272,27 +273,27 @@
 
 
 @EACH_SUBSCRIPTION
-@pytest.mark.parametrize(("said", "why"), SPOILT.values(), ids=SPOILT.keys())
+@pytest.mark.parametrize(("invalid_bytes", "reason"), INVALID_LISTS.values(), ids=INVALID_LISTS.keys())
 async def test_invalid_list_keeps_the_old_one_and_reopens_the_watch(
-    settings: messages.Settings, said: bytes, why: str, caplog: pytest.LogCaptureFixture
+    settings: messages.Settings, invalid_bytes: bytes, reason: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Nothing of it counts, one line names why, and what comes next is taken."""
-    both = endpoint_list(endpoint_entry("s-1", 9), endpoint_entry("s-2", 9), rev=1)
+    complete_list = endpoint_list(endpoint_entry("s-1", 9), endpoint_entry("s-2", 9), rev=1)
     async with watching_proxy(settings) as (discovery, proxy, clock):
         await advance_until(clock, lambda: len(discovery.requests) == 1)
-        discovery.requests[0].send(WATCH_RESPONSE_HEAD + endpoint_list_chunk(both))
+        discovery.requests[0].send(WATCH_RESPONSE_HEAD + endpoint_list_chunk(complete_list))
         await advance_until(clock, lambda: proxy.driver.endpoint_list.watch.version == 1)
         known_before = known_endpoints(proxy)
         caplog.clear()
-        discovery.requests[0].send(said)
-        waited = await advance_to_next_request(discovery, clock)
+        discovery.requests[0].send(invalid_bytes)
+        waited_s = await advance_to_next_request(discovery, clock)
         assert known_endpoints(proxy) == known_before
         assert proxy.driver.endpoint_list.watch.version == 1
         [line] = [record for record in caplog.records if record.levelno >= logging.WARNING]
-        assert why in line.getMessage()
+        assert reason in line.getMessage()
         assert "\n" not in line.getMessage()
         assert not line.exc_info
-        assert waited + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
+        assert waited_s + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
         assert set(proxy.driver.balancer.endpoints.states) == {endpoint_id_from_uid("s-7")}
 
 
@@ -319,7 +320,7 @@
         StandInEndpoint(http_response(200, b"b")) as listed,
         running_proxy(endpoint_entry("a", omitted.port)) as proxy,
     ):
-        slow = asyncio.ensure_future(proxy.send_request(http_request("pay", request_id="slow")))
+        slow_response = asyncio.ensure_future(proxy.send_request(http_request("pay", request_id="slow")))
         await omitted.slow_received.wait()
         assert (await proxy.send_request(http_request("read", request_id="r0"))).body == b"a"
         assert sum(map(len, proxy.pool.idle.by_endpoint.values())) == 1
@@ -329,7 +330,7 @@
         requests = [http_request(kind, request_id=f"r{number}") for number in range(1, 9)]
         assert [(await proxy.send_request(request)).body for request in requests] == [b"b"] * 8
         omitted.may_respond.set()
-        assert (await slow).body == b"a"
+        assert (await slow_response).body == b"a"
         assert len(omitted.received) == 2
         assert not any(address.id == endpoint_id_from_uid("a") for address in proxy.pool.idle.by_endpoint)
 
@@ -340,50 +341,52 @@
         StandInEndpoint(http_response(200, b"a")) as endpoint,
         running_proxy(endpoint_entry("a", endpoint.port)) as proxy,
     ):
-        news = endpoint_list(
+        message = endpoint_list(
             *(endpoint_entry("a", endpoint.port, state) for state in states), rev=2, is_complete=False
         )
-        proxy.driver.endpoint_list.receive(read_list(news))
-        there = states[-1] == "in_service"
-        number = endpoint_id_from_uid("a")
+        proxy.driver.endpoint_list.receive(read_list(message))
+        is_listed = states[-1] == "in_service"
+        endpoint_id = endpoint_id_from_uid("a")
         held = (
             proxy.driver.balancer.endpoints.states,
             proxy.driver.endpoint_list.endpoints.by_id,
             proxy.driver.endpoint_list.endpoints.up_ids,
         )
-        assert [number in where for where in held] == [there] * 3
+        assert [endpoint_id in collection for collection in held] == [is_listed] * 3
 
 
-MOVED_S = 4.0  # by the protocol, after SIGHUP
+RELOAD_DEADLINE_S = 4.0  # by the protocol, after SIGHUP
 
 
-@pytest.mark.parametrize("first", ["refused in its turn", "refused at once", "silent", "half a line"])
+@pytest.mark.parametrize(
+    "first_failure", ["rejected after queueing", "rejected at once", "silent", "partial line"]
+)
 @EACH_SUBSCRIPTION
 async def test_watch_moved_from_a_failed_discovery_has_its_list_in_time(
-    settings: messages.Settings, first: str
+    settings: messages.Settings, first_failure: str
 ) -> None:
     """The waits have grown on the old address; the first call on the new one fails as well."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock), AsyncExitStack() as stack:
         new = StandInDiscovery(clock)
-        e = await stack.enter_async_context(StandInServer(new.handle))
-        await after_failures(discovery, clock, FAILURES["refused"])
-        proxy.driver.change_discovery_address(("127.0.0.1", e.port))
-        waited = await advance_to_next_request(new, clock)
-        call = new.requests[-1]
-        if first == "refused in its turn" and settings is POLLED_SETTINGS:
-            waited += await advance_until(clock, lambda: call.closed_by_proxy.is_set(), POLL_QUEUE_S)
-        if first.startswith("refused"):
-            FAILURES["refused"](call)
-        elif first == "half a line":
-            call.send(STOPS["half a line"])
-        waited += await advance_to_next_request(new, clock)
+        new_server = await stack.enter_async_context(StandInServer(new.handle))
+        await fail_requests(discovery, clock, FAILURES["rejected"])
+        proxy.driver.change_discovery_address(("127.0.0.1", new_server.port))
+        waited_s = await advance_to_next_request(new, clock)
+        request = new.requests[-1]
+        if first_failure == "rejected after queueing" and settings is POLLED_SETTINGS:
+            waited_s += await advance_until(clock, lambda: request.closed_by_proxy.is_set(), POLL_QUEUE_S)
+        if first_failure.startswith("rejected"):
+            FAILURES["rejected"](request)
+        elif first_failure == "partial line":
+            request.send(PARTIAL_RESPONSES["partial line"])
+        waited_s += await advance_to_next_request(new, clock)
         new.requests[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(7))
         # Behind a call that was refused, the next one may still have to wait for its turn.
-        left = 0.0 if settings is PUSHED_SETTINGS or not first.startswith("refused") else 1.0
-        waited += left + await advance_until(
+        queue_wait_s = 0.0 if settings is PUSHED_SETTINGS or not first_failure.startswith("rejected") else 1.0
+        waited_s += queue_wait_s + await advance_until(
             clock, lambda: proxy.driver.endpoint_list.watch.version == 7, 1.0
         )
         assert proxy.driver.endpoint_list.watch.version == 7
-        assert waited < MOVED_S
+        assert waited_s < RELOAD_DEADLINE_S
         assert len(discovery.requests) == 6  # nothing more on the old one
--- a/tests/net/discovery/versioned_discovery.py
+++ b/tests/net/discovery/versioned_discovery.py
@@ -28,9 +28,11 @@
 STEP_S = 0.05
 
 RULES = messages.Rules(0.4, 5 * SECOND_US, 3.0, SECOND_US, max_poll_interval_us=3_600 * SECOND_US)
-ASKED = balancer_settings(must_subscribe=True, rules=RULES)
-PUSHED = balancer_settings(rules=RULES)
-BOTH = pytest.mark.parametrize("setup", [ASKED, PUSHED], ids=["asked", "pushed"])
+POLLED_SETTINGS = balancer_settings(must_subscribe=True, rules=RULES)
+PUSHED_SETTINGS = balancer_settings(rules=RULES)
+EACH_SUBSCRIPTION = pytest.mark.parametrize(
+    "settings", [POLLED_SETTINGS, PUSHED_SETTINGS], ids=["polled", "pushed"]
+)
 
 
 class VersionedDiscovery(StandInServer):
@@ -65,10 +67,12 @@
 
     def changes(self, since: int) -> dict[str, object]:
         """Return the changes since a version."""
-        gone = [endpoint_entry(f"{self.name}-{rev}", 9, "terminated") for rev in range(since, self.rev)]
-        return endpoint_list(*gone, endpoint_entry(self.uid, 9), rev=self.rev, is_complete=False)
+        removed_entries = [
+            endpoint_entry(f"{self.name}-{rev}", 9, "terminated") for rev in range(since, self.rev)
+        ]
+        return endpoint_list(*removed_entries, endpoint_entry(self.uid, 9), rev=self.rev, is_complete=False)
 
-    def change(self) -> None:
+    def publish_change(self) -> None:
         """Make a new version, and send its changes on all open watches."""
         self.rev += 1
         for writer in self.open_writers:
@@ -87,9 +91,9 @@
         """Respond to one call, and keep it open."""
         target = (await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1]
         self.request_targets.append(target)
-        found = re.search(r"since=(\d+)", target)
+        since_match = re.search(r"since=(\d+)", target)
         if not self.is_silent:
-            writer.write(self.response(int(found[1]) if found else None))
+            writer.write(self.response(int(since_match[1]) if since_match else None))
         await self.keep_open(reader, writer)
 
     async def keep_open(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -101,7 +105,7 @@
             self.open_writers.remove(writer)
 
 
-async def pass_until(clock: SteppedClock, condition: Callable[[], bool]) -> float:
+async def advance_clock_until(clock: SteppedClock, condition: Callable[[], bool]) -> float:
     """Step time until the condition holds, within 20 s, and return the seconds that it took."""
     return await advance_until(clock, condition, 20.0, step_s=STEP_S, must_hold=True)
 
@@ -120,18 +124,18 @@
         states = self.proxy.driver.balancer.endpoints.states
         return set(states) == {endpoint_id_from_uid(discovery.uid)} and bool(discovery.open_writers)
 
-    async def follow(self, discovery: VersionedDiscovery) -> float:
+    async def wait_until_followed(self, discovery: VersionedDiscovery) -> float:
         """Step time until the discovery is followed, and return the seconds that it took."""
-        return await pass_until(self.clock, lambda: self.is_following(discovery))
+        return await advance_clock_until(self.clock, lambda: self.is_following(discovery))
 
-    def move(self, to: VersionedDiscovery) -> None:
+    def change_discovery(self, discovery: VersionedDiscovery) -> None:
         """Have the proxy follow another discovery."""
-        self.proxy.driver.change_discovery_address(("127.0.0.1", to.port))
+        self.proxy.driver.change_discovery_address(("127.0.0.1", discovery.port))
 
 
 @asynccontextmanager
 async def following_proxy(
-    setup: messages.Settings, *known: dict[str, object]
+    settings: messages.Settings, *known: dict[str, object]
 ) -> AsyncIterator[FollowingProxy]:
     """Run a proxy that follows the first of two discoveries, with these entries as its cached list."""
     first, second = VersionedDiscovery("a", 1), VersionedDiscovery("b", 3)
@@ -141,7 +145,7 @@
     async with (
         first,
         second,
-        running_proxy(*known, settings=setup, discovery_port=first.port) as proxy,
+        running_proxy(*known, settings=settings, discovery_port=first.port) as proxy,
     ):
         proxy.link_policy_clock(clock)
         yield FollowingProxy(proxy, clock, first, second)
