--- a/tests/net/discovery/list_server.py
+++ b/tests/net/discovery/list_server.py
@@ -1,4 +1,4 @@
-"""A discovery whose lists a test holds back and changes."""
+"""Stand-in discovery whose lists a test delays and changes."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class HeldListServer(StandInServer):
-    """Sends each watch the present list once `may_respond` is set, and keeps the watch open.
+    """Sends each watch the current list once `may_respond` is set, and keeps the watch open.
 
     Attributes:
-        present_list: The list that the next watch gets.
-        request_lines: The first line of each request for a watch.
+        present_list: The list sent to the next watch.
+        request_lines: The request line of each watch.
         requested: Set once a watch has been requested.
-        may_respond: Until it is set, watches wait for their list.
-        list_sent: Set once a watch has had its list.
+        may_respond: Watches wait for their list until it is set.
+        list_sent: Set once the list has been sent to a watch.
     """
 
     def __init__(self, present_list: dict[str, object] | None = None, *, is_held: bool = False) -> None:
@@ -39,6 +39,6 @@
         await reader.read()
 
     def send_changes(self, changes: dict[str, object]) -> None:
-        """Send changes to all watches that are open."""
+        """Send changes to all open watches."""
         for writer in self.writers:
             writer.write(endpoint_list_chunk(changes))
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -1,4 +1,4 @@
-"""Long outages of discovery: changes are applied soon after them, and nothing accumulates meanwhile."""
+"""Long outages of discovery: changes are applied soon after them, and no resources accumulate in them."""
 
 from __future__ import annotations
 
@@ -48,10 +48,9 @@
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import SteppedClock, advance_until
 
-CLOCK_STEPS = 300  # of the clock in an outage, however long
-MAX_LINES_PER_WINDOW = (
-    3  # logged in each BREAK_LOG_WINDOW_S of an outage that always fails alike: a reason, and how often
-)
+CLOCK_STEPS = 300  # in each outage, regardless of its length
+# Lines logged in each FAILURE_LOG_WINDOW_S of an outage with one reason: the reason, and the repeat count.
+MAX_LINES_PER_WINDOW = 3
 
 
 def truncate_list_and_reset(request: DiscoveryRequest) -> None:
@@ -84,7 +83,7 @@
 
 
 def assert_nothing_accumulates(discovery: StandInDiscovery, proxy: LoopbackProxy) -> None:
-    """Assert that failed calls have left no task, timer or open call behind."""
+    """Assert that failed requests have left no task, timer or open request behind."""
     assert sum(not request.closed_by_proxy.is_set() for request in discovery.requests) <= 1
     assert running_watch_count() <= 1
     assert len(proxy.driver.balancer.outbox.timers) <= 2
@@ -98,7 +97,7 @@
 async def test_change_is_applied_in_time_after_a_long_outage_and_nothing_accumulates(
     settings: messages.Settings, outage: str, minutes: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Discovery returns just after a call has failed, or while one is open that it never answers."""
+    """Discovery recovers just after a request has failed, or while one is open that gets no response."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock):
         await advance_until(clock, lambda: len(discovery.requests) == 1)
@@ -112,19 +111,18 @@
         lines = [r for r in caplog.records if r.levelno >= logging.WARNING]
         assert len(lines) <= MAX_LINES_PER_WINDOW * (60.0 * minutes / FAILURE_LOG_WINDOW_S + 1)
         assert not any(r.exc_info for r in lines)
-        assert set(proxy.driver.balancer.endpoints.states) == {
-            endpoint_id_from_uid("s-1")
-        }  # the old list serves on
+        # The previous list stays in use.
+        assert set(proxy.driver.balancer.endpoints.states) == {endpoint_id_from_uid("s-1")}
         assert_nothing_accumulates(discovery, proxy)
-        assert open_descriptor_count() <= descriptors_before + 2  # a call that is out: its two ends
-        waited_s = await advance_to_next_request(discovery, clock)  # the last one that fails
+        assert open_descriptor_count() <= descriptors_before + 2  # the two sockets of an open request
+        waited_s = await advance_to_next_request(discovery, clock)  # the last request that fails
         await advance_until(clock, discovery.requests[-1].closed_by_proxy.is_set)
         discovery.on_request = lambda request: None
         waited_s = await advance_to_next_request(discovery, clock) + await respond_to_latest_request(
             discovery, proxy, clock, settings
         )
         assert waited_s < LIST_DEADLINE_S
-        assert proxy.driver.balancer.subscription.backoff_us == 500_000  # the next outage begins afresh
+        assert proxy.driver.balancer.subscription.backoff_us == 500_000  # reset for the next outage
 
 
 @EACH_SUBSCRIPTION
@@ -152,7 +150,7 @@
 
 
 async def test_each_poll_waits_for_its_turn_at_an_overloaded_discovery() -> None:
-    """For minutes each poll is answered after 2 s and then reset: no version is missed."""
+    """For minutes, each poll gets its response after 2 s and is then reset: no version is missed."""
 
     async with watching_proxy(POLLED_SETTINGS) as (discovery, proxy, clock):
         for rev in range(1, 41):
@@ -166,7 +164,7 @@
 async def respond_after_queueing(
     rev: int, discovery: StandInDiscovery, proxy: LoopbackProxy, clock: SteppedClock
 ) -> float:
-    """Answer the open call with this version after its longest time in the queue."""
+    """Respond to the open request with this version after the longest wait in the queue."""
     waited_s = await advance_until(
         clock, lambda: discovery.requests[-1].closed_by_proxy.is_set(), POLL_QUEUE_S
     )
@@ -181,7 +179,7 @@
 async def test_watch_that_falls_silent_repeatedly_is_replaced_in_time(
     settings: messages.Settings, sends_heartbeats: bool
 ) -> None:
-    """For minutes: each watch delivers one version and falls silent, some after a heartbeat."""
+    """For minutes, each watch delivers one version and falls silent, in one case after a heartbeat."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock):
         for rev in range(1, 21):
@@ -198,8 +196,8 @@
 async def release_list(
     mode: str, process: asyncio.subprocess.Process, port: int, discovery: HeldListServer
 ) -> None:
-    """Let the held list go, and wait until the process has applied it."""
-    if mode == "automatic":  # what the agent has counts as told at once: no request before it
+    """Have discovery send its list, and wait until the process has applied it."""
+    if mode == "automatic":  # no request is accepted before the pushed list
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection("127.0.0.1", port)
         discovery.may_respond.set()
@@ -207,14 +205,14 @@
     else:
         await read_listening_port(process)
         discovery.may_respond.set()
-        await wait_for_log_line(process, "is b,")
+        await wait_for_log_line(process, "uid b,")
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["polled", "pushed"])
 async def test_restart_with_a_cached_list_applies_a_drain_before_the_first_request(
     tmp_path: Path, mode: str
 ) -> None:
-    """Its list knows `a` alone. Discovery is slow, then tells that `a` drains and that `b` is there."""
+    """The cached list has `a` alone; discovery is slow, then sends that `a` drains and `b` is in service."""
     discovery = HeldListServer(is_held=True)
     async with (
         StandInEndpoint(http_response(200, b"a")) as draining_endpoint,
@@ -225,7 +223,7 @@
         discovery.present_list = endpoint_list(
             draining_entry, endpoint_entry("b", new_endpoint.port), rev=7, is_complete=False
         )
-        for _ in range(2):  # killed outright and started again, under its name and address
+        for _ in range(2):  # killed and started again, with the same name and address
             discovery.may_respond.clear()
             discovery.requested.clear()
             port = unused_port()
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -1,4 +1,4 @@
-"""Discovery that moves with new configurations: the last one is followed in time."""
+"""Reloads that change the discovery address: the last discovery is followed in time."""
 
 from __future__ import annotations
 
@@ -38,14 +38,12 @@
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import wait_until
 
-RELOAD_DEADLINE_S = 4.0  # what discovery has to tell counts as told this long after SIGHUP
-
-
-POLL_QUEUE_S = 2.0  # a crowded discovery answers so late
+RELOAD_DEADLINE_S = 4.0  # by the protocol, the list must be applied within this time after SIGHUP
+POLL_QUEUE_S = 2.0  # wait of a poll at an overloaded discovery
 
 
 class Reloads:
-    """A configuration file, which is reloaded with each discovery that it names."""
+    """Configuration file that is reloaded with changed discovery addresses."""
 
     def __init__(self, folder: Path, proxy: LoopbackProxy, port: int) -> None:
         self.folder = folder
@@ -58,7 +56,7 @@
 
 
 def running_watch_tasks() -> list[asyncio.Task[Any]]:
-    """Return the tasks of watches that run, whoever still knows of them."""
+    """Return the running watch tasks, including those that nothing refers to any more."""
     return [
         task
         for task in asyncio.all_tasks()
@@ -87,14 +85,14 @@
 
 
 class FaultyDiscovery(VersionedDiscovery):
-    """A discovery that meets its calls in one of these ways."""
+    """Stand-in discovery that treats requests in one of the `BEHAVIORS`."""
 
     def __init__(self, name: str, behavior: str) -> None:
         super().__init__(name)
         self.behavior = behavior
 
     async def start(self, listening_socket: socket.socket | None = None) -> None:
-        """Listen, or only keep the port where connections are to be refused."""
+        """Listen, or only reserve the port if connections are to be refused."""
         await super().start(listening_socket)
         if self.behavior == "refuses":
             assert self.server is not None
@@ -127,7 +125,7 @@
 async def wait_until_last_followed(
     following: FollowingProxy, last: VersionedDiscovery, settings: messages.Settings
 ) -> float:
-    """Return the seconds until the last discovery is followed, whose queue is crowded where it is polled."""
+    """Return the seconds until the last discovery is followed; a poll first waits in its queue."""
     waited_s = 0.0
     if settings is POLLED_SETTINGS:
         waited_s = await advance_seconds(following, POLL_QUEUE_S)
@@ -140,7 +138,7 @@
 async def reload_with_each(
     reloads: Reloads, following: FollowingProxy, discoveries: list[FaultyDiscovery], interval_s: float
 ) -> None:
-    """Name one discovery after another, so much time apart."""
+    """Reload with one discovery after another, at this interval."""
     for discovery in discoveries:
         reloads.reload_with(discovery.port)
         await advance_clock_until(following.clock, lambda: True)
@@ -154,19 +152,19 @@
 async def test_last_of_several_reloads_in_a_row_is_followed(
     settings: messages.Settings, behavior: str, interval_s: float, tmp_path: Path
 ) -> None:
-    """Whatever the discoveries in between do, their watches end, and the last one is followed in time."""
+    """Whatever the intermediate discoveries do, their watches end, and the last one is followed in time."""
     async with following_proxy(settings) as following, AsyncExitStack() as stack:
         await following.wait_until_followed(following.first)
         reloads = Reloads(tmp_path, following.proxy, following.first.port)
         intermediate = [await stack.enter_async_context(FaultyDiscovery(name, behavior)) for name in "cd"]
         last = await stack.enter_async_context(FaultyDiscovery("e", "responds"))
-        last.is_silent = settings is POLLED_SETTINGS  # it is crowded: the call has to wait for its turn there
+        last.is_silent = settings is POLLED_SETTINGS  # the poll waits in its queue
         await reload_with_each(reloads, following, intermediate, interval_s)
         reloads.reload_with(last.port)
         assert await wait_until_last_followed(following, last, settings) < RELOAD_DEADLINE_S
         assert last.complete_list_count == 1
         assert len(last.request_targets) == 1
-        # What the others say by now, be it on a connection that they still hold, is nobody's news.
+        # The proxy closes its connections to the other discoveries, so that no more of their lists are read.
         await wait_until(
             lambda: not following.first.open_writers and not any(other.open_writers for other in intermediate)
         )
@@ -176,9 +174,8 @@
             [len(other.request_targets) for other in intermediate],
             len(following.first.request_targets),
         )
-        await advance_clock_until(
-            following.clock, lambda: len(last.request_targets) == 2
-        )  # it has been silent for 3 s since
+        # The last discovery has sent no heartbeat for 3 s since.
+        await advance_clock_until(following.clock, lambda: len(last.request_targets) == 2)
         assert request_counts == (
             [len(other.request_targets) for other in intermediate],
             len(following.first.request_targets),
@@ -189,13 +186,13 @@
 async def test_late_list_of_the_previous_discovery_is_not_applied(
     settings: messages.Settings, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Its bytes are with the system as the move comes: they came from an address that counts no more."""
+    """The list is in the system's buffer when the address changes; it belongs to the previous address."""
 
     async with following_proxy(settings) as following:
         await following.wait_until_followed(following.first)
         caplog.set_level(logging.INFO)
         following.second.is_silent = True
-        following.first.publish_change()  # written at once, and not read yet
+        following.first.publish_change()  # written, but not yet read by the proxy
         following.change_discovery(following.second)
         stale_id = endpoint_id_from_uid(following.first.uid)
         await advance_clock_until(following.clock, lambda: len(following.second.request_targets) == 2)
@@ -207,14 +204,17 @@
 
 
 def replace_config(folder: Path, content: dict[str, Any]) -> None:
-    """Replace the configuration file in one step."""
+    """Replace the configuration file atomically."""
     temporary_file = folder / "part.json"
     temporary_file.write_text(json.dumps(content))
     temporary_file.replace(folder / "config.json")
 
 
 async def test_process_follows_the_last_of_three_reloads(tmp_path: Path) -> None:
-    """And back: each names another address, two of them never answer; no socket stays behind."""
+    """Each reload names another address, once returning to an earlier one; two discoveries never respond.
+
+    No socket is left open.
+    """
     silent, other, last = HeldListServer(is_held=True), HeldListServer(is_held=True), HeldListServer()
     async with StandInEndpoint(http_response(200, b"b")) as endpoint, silent, other, last:
         last.present_list = endpoint_list(endpoint_entry("b", endpoint.port), rev=2)
@@ -232,5 +232,5 @@
             while (await send_request_to(port, http_request())).body != b"b":
                 pass
             assert (silent.connection_count, other.connection_count, last.connection_count) == (2, 1, 1)
-            while descriptor_count(process) > descriptors_before + 1:  # one to the endpoint
+            while descriptor_count(process) > descriptors_before + 1:  # one connection to the endpoint
                 await asyncio.sleep(0.01)
--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -1,4 +1,4 @@
-"""How the bytes of endpoint lists grow over one course of events, from 200 endpoints to 3,200."""
+"""How the bytes of endpoint lists in one sequence of events grow from 200 endpoints to 3,200."""
 
 from __future__ import annotations
 
@@ -13,19 +13,16 @@
 from tests.support.stepped_clock import wait_until
 
 SMALL_FLEET_SIZE, LARGE_FLEET_SIZE = 200, 3_200
-MAX_BYTES_FACTOR, EXTRA_BYTES, EXTRA_BYTES_PER_ENDPOINT = (
-    2.0,
-    64_000,
-    500,
-)  # what the terms allow of the usual bytes, and for each endpoint
+# Allowed bytes for the large fleet: this multiple of the small fleet's, a constant, and an amount per endpoint.
+MAX_BYTES_FACTOR, EXTRA_BYTES, EXTRA_BYTES_PER_ENDPOINT = 2.0, 64_000, 500
 
 
 class Fleet:
-    """Endpoints that are replaced one by one, and a discovery that counts what it sends of them."""
+    """Endpoints that are replaced one by one, and a discovery that counts the bytes it sends."""
 
     def __init__(self, endpoint_count: int) -> None:
         self.rev = 1
-        self.changes: list[tuple[int, dict[str, object]]] = []  # each change and the version that it made
+        self.changes: list[tuple[int, dict[str, object]]] = []  # each change with its version
         self.entries_by_uid = {
             f"s-{number:08x}": self.entry(f"s-{number:08x}", number) for number in range(endpoint_count)
         }
@@ -76,7 +73,7 @@
             self.send_list(writer, False, [entry])
 
     def replace_endpoint(self, number: int) -> None:
-        """One endpoint drains and ends, and another comes for it."""
+        """Drain and terminate one endpoint, and add another in its place."""
         old_uid, new_uid = f"s-{number:08x}", f"t-{number:08x}"
         self.apply_change(self.entry(old_uid, number, "terminating"))
         self.apply_change(self.entry(new_uid, number))
@@ -84,7 +81,7 @@
 
 
 class Follower:
-    """A watch, what it holds, and the course of events."""
+    """A watch on the fleet, and the endpoint states that it has received."""
 
     def __init__(self, ports: tuple[int, int], fleet: Fleet) -> None:
         self.fleet, self.states_by_uid = fleet, dict[str, str]()
@@ -103,13 +100,13 @@
         asyncio.get_running_loop().call_soon(self.watch.start)
 
     async def wait_until_current(self) -> None:
-        """Until it holds what discovery has, with one watch open."""
+        """Wait until the received endpoints match the fleet and exactly one watch is open."""
         await wait_until(lambda: self.watch.version == self.fleet.rev and len(self.fleet.open_writers) == 1)
         assert self.states_by_uid.keys() == self.fleet.entries_by_uid.keys()
 
 
 async def replace_half(endpoint_count: int) -> Fleet:
-    """Half of the endpoints are replaced, with trouble on the way, and discovery moves once."""
+    """Replace half of the endpoints while watches fail, then change the discovery address once."""
     fleet = Fleet(endpoint_count)
     async with StandInServer(fleet.handle) as first, StandInServer(fleet.handle) as second:
         follower = Follower((first.port, second.port), fleet)
@@ -127,7 +124,7 @@
                 fleet.open_writers[0].write(b"9\r\nnonsense\n\r\n")
                 await wait_until(lambda: not follower.watch.is_running)
                 await follower.wait_until_current()
-            elif number == 80:  # a new configuration, and the old one again before anything came
+            elif number == 80:  # the address changes and is restored before any response
                 follower.watch.change_address(follower.addresses[1])
                 follower.watch.change_address(follower.addresses[0])
                 await follower.wait_until_current()
@@ -146,9 +143,8 @@
     small_fleet, large_fleet = [
         await replace_half(endpoint_count) for endpoint_count in (SMALL_FLEET_SIZE, LARGE_FLEET_SIZE)
     ]
-    assert (
-        small_fleet.complete_list_count == large_fleet.complete_list_count == 2
-    )  # at the start, and after the move
+    # At the start, and after the change of the discovery address.
+    assert small_fleet.complete_list_count == large_fleet.complete_list_count == 2
     assert (
         large_fleet.sent_bytes
         <= MAX_BYTES_FACTOR * small_fleet.sent_bytes
--- a/tests/net/discovery/test_endpoint_list_json.py
+++ b/tests/net/discovery/test_endpoint_list_json.py
@@ -1,4 +1,4 @@
-"""Reading the JSON form of endpoint lists, and naming what is invalid in one."""
+"""Reading endpoint lists in JSON, and the errors that name an invalid field."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 
 
-def test_endpoint_number_of_a_uid_is_stable() -> None:
+def test_endpoint_id_of_a_uid_is_stable() -> None:
     assert (
         endpoint_id_from_uid("s-5be2a07c")
         == endpoint_id_from_uid("s-5be2a07c")
@@ -33,6 +33,6 @@
 
 
 def test_uid_with_a_lone_surrogate_is_accepted() -> None:
-    """JSON may hold one."""
+    """JSON escapes can encode a lone surrogate."""
     text = json.dumps(endpoint_list(endpoint_entry("\ud800", 9)))
     assert list(read_list(json.loads(text)).uids) == [endpoint_id_from_uid("\ud800")]
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery, over real sockets."""
+"""The watch on discovery over real sockets."""
 
 from __future__ import annotations
 
@@ -26,10 +26,11 @@
 
 
 class RecordedWatch:
-    """A watch, and the lists that it delivered; None stands for a break.
+    """A watch, and the lists that it has delivered; None stands for a failure.
 
     Attributes:
-        on_list: Gets each list; it may be replaced by another function.
+        received: The delivered lists.
+        on_list: Called with each list; a test may replace it.
     """
 
     def __init__(self, discovery: StandInServer, heartbeat_timeout_s: float = 60.0) -> None:
@@ -45,14 +46,14 @@
         self.watch.start()
 
     async def next_list(self) -> EndpointListMessage:
-        """Return the next list, which must come before a break."""
+        """Return the next list, which must arrive before a failure."""
         message = await self.received.get()
         assert message is not None
         return message
 
 
 async def send_list_and_changes(writer: asyncio.StreamWriter) -> None:
-    """Send version 41 in two pieces, and behind it a heartbeat, the changes of version 43 and the end."""
+    """Send version 41 in two parts, a heartbeat, the changes of version 43, and the end of the response."""
     complete = endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9), rev=41))
     writer.write(WATCH_RESPONSE_HEAD + complete[:20])
     await writer.drain()
@@ -101,9 +102,7 @@
         b"nonsense\r\n\r\n",
     ],
 )
-async def test_each_failure_reports_one_break(
-    response_bytes: bytes, caplog: pytest.LogCaptureFixture
-) -> None:
+async def test_each_failure_is_reported_once(response_bytes: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_start_line(reader)
         writer.write(response_bytes)
@@ -123,7 +122,7 @@
 
 @pytest.mark.parametrize("chunk_size", [1, 7, 65536])
 async def test_lists_are_parsed_however_indented_and_split(chunk_size: int) -> None:
-    """Only braces outside of strings tell where a list ends; a line's end within one tells nothing."""
+    """Only braces outside of strings delimit a list; a line end within a list has no meaning."""
     entry_with_braces = {
         **endpoint_entry("s-1", 9),
         "note": 'a "brace\\" } and ] in {words}, \\ and a line\n',
@@ -144,7 +143,7 @@
 
     async with StandInServer(handle) as discovery:
         recorded = RecordedWatch(discovery)
-        # Changes that come in one read are one list, and chance says which ones do.
+        # Changes received in one read are joined, and which ones those are is not deterministic.
         received_lists = [await recorded.next_list()]
         while received_lists[-1].version < 43:
             received_lists.append(await recorded.next_list())
@@ -155,7 +154,7 @@
         recorded.watch.close()
 
 
-async def test_watch_breaks_without_heartbeats_and_stays_open_with_them(
+async def test_watch_fails_without_heartbeats_and_stays_open_with_them(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -164,11 +163,11 @@
         for _ in range(8):
             clock.advance(40.0)
             writer.write(http_chunk("\n"))
-            await run_loop_turns()  # for it to be read
-            clock.advance(READ_PAUSE_S)  # reading pauses for so long after it
+            await run_loop_turns()  # until the heartbeat is read
+            clock.advance(READ_PAUSE_S)  # reading is paused for this time after it
             await run_loop_turns()
         writer.write(endpoint_list_chunk(endpoint_list(endpoint_entry("s-1", 9))))
-        await reader.read()  # and says nothing more
+        await reader.read()  # and send nothing more
 
     clock = FrozenClock()
     async with StandInServer(handle) as discovery:
@@ -223,7 +222,7 @@
         await reader.read()
 
     def fail(received: EndpointListMessage) -> None:
-        raise RuntimeError("not taken over")
+        raise RuntimeError("list not applied")
 
     async with StandInServer(handle) as discovery:
         recorded = RecordedWatch(discovery)
@@ -240,7 +239,7 @@
 
 
 def list_handler(*silent_numbers: int) -> StreamHandler:
-    """Brings a list to each connection and then no more; those of these numbers get nothing at all."""
+    """Return a handler that sends one list on each connection, and nothing on those of these numbers."""
     request_lines: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -257,12 +256,12 @@
 
 @pytest.mark.parametrize(
     ("must_subscribe", "silent_numbers", "limit_s"),
-    [(False, (2, 3), 6.0), (True, (2,), 7.5)],  # a call that may wait for 2 s gets 2 s more behind that
+    [(False, (2, 3), 6.0), (True, (2,), 7.5)],  # a poll may wait in the queue for 2 s, and then has 2 s more
 )
 async def test_silent_watch_is_replaced_in_time_when_the_next_ones_are_silent_too(
     must_subscribe: bool, silent_numbers: tuple[int, ...], limit_s: float
 ) -> None:
-    """What it misses counts as told 6 s after it fell silent."""
+    """By the protocol, a change must be applied within 6 s after the watch fell silent."""
 
     clock = FrozenClock()
     settings = balancer_settings(must_subscribe=must_subscribe)
@@ -278,10 +277,10 @@
 
 
 @pytest.mark.parametrize(("must_subscribe", "silent_numbers"), [(False, (1, 2)), (True, (1,))])
-async def test_moved_watch_is_replaced_in_time_when_it_is_silent_at_once(
+async def test_moved_watch_is_replaced_in_time_when_it_is_silent_from_the_start(
     must_subscribe: bool, silent_numbers: tuple[int, ...]
 ) -> None:
-    """After SIGHUP whatever discovery has to tell counts as told 4 s later."""
+    """By the protocol, the list of the new discovery must be applied within 4 s after SIGHUP."""
 
     clock = FrozenClock()
     settings = balancer_settings(must_subscribe=must_subscribe)
@@ -299,7 +298,7 @@
 
 
 async def test_poll_may_wait_in_the_queue_of_discovery() -> None:
-    """It may wait for 2 s in discovery's queue; giving it up would only send it to the end of that."""
+    """A poll may wait in discovery's queue for 2 s; a new request would be placed at the end of the queue."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_start_line(reader)
@@ -328,9 +327,9 @@
 
 @pytest.fixture
 def on_next_bytes(monkeypatch: pytest.MonkeyPatch) -> Callable[[Callable[[], None]], asyncio.Event]:
-    """Return what has a function called once, just after a reader is fed bytes or the end of its stream.
+    """Return a function that has its argument called once, right after a reader next gets bytes or the end.
 
-    The event that it returns is set then.
+    It returns an event that is set at the same time.
     """
 
     def install(function: Callable[[], None]) -> asyncio.Event:
@@ -359,10 +358,10 @@
     [endpoint_list_chunk(endpoint_list(endpoint_entry("s-2", 9), rev=2)), http_chunk("nonsense\n"), b""],
 )
 @pytest.mark.parametrize("action", ["move", "close"])
-async def test_watch_that_breaks_while_moved_or_closed_ends_once(
+async def test_watch_that_fails_while_moved_or_closed_ends_once(
     response_bytes: bytes, action: str, on_next_bytes: Callable[[Callable[[], None]], asyncio.Event]
 ) -> None:
-    """The serve_old one's last bytes, or its end, have woken its task, which has not run yet."""
+    """The last bytes of the old watch, or its end, have woken its task, which has not run yet."""
 
     async def serve_old(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_start_line(reader)
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_joined_list_changes.py
@@ -1,4 +1,4 @@
-"""Changes received in one read are applied together, with the same effect as one by one."""
+"""Changes received in one read are applied together, with the same effect as one after another."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def updates_until_watch_failure(proxy: LoopbackProxy) -> list[messages.EndpointListUpdate]:
-    """The lists that reach the policy until the watch has ended."""
+    """Return the lists passed to the policy until the watch fails."""
     updates: list[messages.EndpointListUpdate] = []
     put_event = proxy.driver.events.put
 
@@ -54,7 +54,7 @@
 async def updates_from_stream(
     stream_bytes: bytes,
 ) -> tuple[list[messages.EndpointListUpdate], set[int], int | None]:
-    """The lists that reach the policy, the endpoints that are known then, and the version to go on from."""
+    """Return the lists passed to the policy, the endpoint ids known then, and the version to resume from."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -99,7 +99,7 @@
 
 
 async def test_list_that_failed_to_apply_does_not_advance_the_version() -> None:
-    """Else it would never come again."""
+    """Otherwise discovery would assume that the list is held, and never send it again."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -111,7 +111,7 @@
 
     def fail_on_changes(message: EndpointListMessage) -> None:
         if not message.is_complete:
-            raise RuntimeError("a fault")
+            raise RuntimeError("list not applied")
 
     failed = asyncio.Event()
     async with StandInServer(handle) as discovery:
@@ -139,7 +139,7 @@
 
 
 async def test_old_changes_in_a_later_read_are_not_joined() -> None:
-    """Joined with what is new, it would bring back what has gone since."""
+    """Joined with newer changes, they would bring back an endpoint that has since been removed."""
     first_read = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), rev=10)) + endpoint_list_chunk(
         list_changes(endpoint_entry("b", 9), rev=12)
     )
@@ -164,7 +164,7 @@
 
 @pytest.mark.parametrize("removed_state", ["terminating", "terminated"])
 def test_return_of_an_endpoint_is_not_joined_with_its_removal(removed_state: str) -> None:
-    """Its idle connections are the old one's."""
+    """Otherwise the returned endpoint would reuse the idle connections of the removed one."""
     lists = [
         read_list(list_changes(endpoint_entry("a", 9, state), rev=number))
         for number, state in ((2, removed_state), (3, "in_service"))
@@ -173,7 +173,7 @@
 
 
 def random_lists(rng: random.Random) -> list[EndpointListMessage]:
-    """Return a complete list and ten changes to it, some of them old, and perhaps a second complete one."""
+    """Return a complete list, ten changes to it, some of them old, and sometimes a second complete list."""
     lists = [read_list(endpoint_list(*(endpoint_entry(f"s-{number}", 9) for number in range(4)), rev=9))]
     for rev in range(10, 20):
         entries = [
@@ -189,13 +189,13 @@
 
 
 async def effect_of(lists: Iterable[EndpointListMessage]) -> tuple[object, ...]:
-    """Return what a proxy that has received these lists knows of endpoints."""
+    """Return the endpoint state of a proxy that has received these lists."""
     async with running_proxy() as proxy:
         for message in lists:
             proxy.driver.endpoint_list.receive(message)
         endpoints, states = proxy.driver.endpoint_list.endpoints, proxy.driver.balancer.endpoints.states
         return (
-            # The moment of a start is by the clock of each of the two drivers.
+            # Start times are omitted, as each of the two drivers has its own clock.
             {number: replace(state.endpoint, started_us=None) for number, state in states.items()},
             endpoints.by_id,
             endpoints.up_ids,
@@ -212,7 +212,7 @@
 
 
 async def test_changes_that_come_while_reading_is_paused_are_joined(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A release tells its changes one by one, some hundred a second."""
+    """A rollout publishes its changes one by one, some hundred per second."""
     monkeypatch.setattr(endpoint_watch, "READ_PAUSE_S", 1.0)
     first_list_applied = asyncio.Event()
 
@@ -238,7 +238,7 @@
 
         monkeypatch.setattr(asyncio.StreamReader, "feed_data", record_and_put)
         assert [update.version for update in await updates_until_watch_failure(proxy)] == [6]
-        assert read_count == 1  # nor does each one turn the loop
+        assert read_count == 1  # the changes do not cost one event loop iteration each
 
 
 def test_read_pause_leaves_time_for_a_process_stall() -> None:
--- a/tests/net/discovery/test_json_stream.py
+++ b/tests/net/discovery/test_json_stream.py
@@ -1,4 +1,4 @@
-"""JSON texts are split off a stream at little cost, wherever its reads split them."""
+"""JSON texts are split off a stream at low cost, wherever the reads split them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from load_balancer.net.discovery.json_stream import JsonStreamError, JsonTextSplitter
 from tests.support.endpoint_lists import endpoint_entry, endpoint_list
 
-READ_SIZE_BYTES = 65_536  # bytes that come at once
+READ_SIZE_BYTES = 65_536
 
 
 def complete_list_json(endpoint_count: int, indent: int | None) -> bytes:
@@ -24,7 +24,7 @@
 
 
 def builtin_call_count(text: bytes) -> int:
-    """The built-in functions that are called until the list is cut out: the same count at every run."""
+    """Return the number of built-in calls to split off the list, which is the same in every run."""
     calls = 0
 
     def count(frame: FrameType, event: str, argument: object) -> None:
@@ -45,12 +45,14 @@
 
 @pytest.mark.parametrize("indent", [None, 2])
 def test_long_list_is_split_with_few_calls_for_each_endpoint(indent: int | None) -> None:
-    """A proxy has part of a core, and a pushed list has a second: one that took longer to cut would be
-    given up and fetched anew, for ever."""
+    """A list that takes too long to split would time out and be requested again, endlessly.
+
+    A proxy has a part of a core, and a pushed list must be complete within a second.
+    """
     small_list_calls, large_list_calls = (
         builtin_call_count(complete_list_json(endpoint_count, indent)) for endpoint_count in (100, 1_100)
     )
-    assert (large_list_calls - small_list_calls) / 1_000 <= 7  # two braces, and what is called for each
+    assert (large_list_calls - small_list_calls) / 1_000 <= 7  # the calls for the two braces of each endpoint
 
 
 TEXTS_WITH_BRACES_IN_STRINGS = b'{"a":"}\\"{","b":[]}\n{"c":"\\\\"}\n\n{"a":"x\\"}"}\n{"a":"\\u0041]["}'
@@ -69,7 +71,7 @@
 
 
 def test_string_received_byte_by_byte_is_scanned_once() -> None:
-    """Guards the processor: read anew from its start with each byte, a megabyte would take hours."""
+    """Scanning it from its start after each byte would take hours of processor time for a megabyte."""
     splitter = JsonTextSplitter()
     list(splitter.feed(b'{"rev":"'))
     for number in range(1_000):
@@ -85,8 +87,8 @@
         list(chain.from_iterable(endless))
 
 
-def test_text_nested_too_deep_raises_an_error_at_once() -> None:
-    """Each brace is looked at by itself: megabytes of them, again and again, would leave no time."""
+def test_text_nested_too_deeply_raises_an_error_at_once() -> None:
+    """Each brace is examined by itself, so megabytes of them would block the event loop."""
     splitter = JsonTextSplitter()
     with pytest.raises(JsonStreamError, match="nested"):
         list(splitter.feed(b"[" * 1_000_000))
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -1,4 +1,4 @@
-"""How soon a change of the endpoint list is applied, at the worst moment of each failure."""
+"""Time until a change of the endpoint list is applied, at the worst moment of each failure."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         LIST_DEADLINE_S * SECOND_US,
         POLL_QUEUE_S * SECOND_US,
     )
-    assert POLLED_LIST_TIMEOUT_S > POLL_QUEUE_S  # a call is not given up before its turn
+    assert POLLED_LIST_TIMEOUT_S > POLL_QUEUE_S  # a poll does not time out in the queue
     assert (
         MAX_BACKOFF_US + DISCOVERY_QUEUE_US + FIRST_BACKOFF_US + DISCOVERY_QUEUE_US + NOTIFICATION_MARGIN_US
         <= NOTIFICATION_LIMIT_US
@@ -83,7 +83,7 @@
     failure: Callable[[DiscoveryRequest], None],
     request_count: int = 6,
 ) -> None:
-    """Lets this many calls fail, so that the waits have grown; the last of them has just failed."""
+    """Let this many requests fail, so that the backoff has grown; the last one has just failed."""
     discovery.on_request = failure
     await advance_until(clock, lambda: len(discovery.requests) == request_count)
     discovery.on_request = lambda request: None
@@ -91,10 +91,10 @@
 
 @EACH_SUBSCRIPTION
 @pytest.mark.parametrize("failure", FAILURES)
-async def test_change_is_applied_in_time_after_many_failed_calls(
+async def test_change_is_applied_in_time_after_many_failed_requests(
     settings: messages.Settings, failure: str
 ) -> None:
-    """However long it lasted: discovery is there from the moment on in which the last of them failed."""
+    """Discovery recovers at the moment of the last failure, after an outage of any length."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock):
         await fail_requests(discovery, clock, FAILURES[failure])
@@ -104,8 +104,8 @@
         assert waited_s < LIST_DEADLINE_S
 
 
-async def test_call_rejected_after_queueing_is_repeated_in_time() -> None:
-    """The waits have grown and the last call has just failed; the next one is refused after 2 s."""
+async def test_poll_rejected_after_queueing_is_repeated_in_time() -> None:
+    """The backoff has grown and the last request has just failed; the next one is rejected after 2 s."""
 
     async with watching_proxy(POLLED_SETTINGS) as (discovery, proxy, clock):
         await fail_requests(discovery, clock, FAILURES["rejected"])
@@ -124,7 +124,7 @@
 async def test_watch_with_heartbeats_only_is_replaced_in_time_when_it_falls_silent(
     settings: messages.Settings, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """It has brought no list since the waits grew: there was nothing to tell."""
+    """The watch has delivered no list since the backoff grew, as nothing had changed."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock):
         await fail_requests(discovery, clock, FAILURES["rejected"])
@@ -132,7 +132,7 @@
         caplog.clear()
         discovery.requests[-1].send(WATCH_RESPONSE_HEAD + http_chunk("\n"))
         await advance_until(clock, lambda: discovery.requests[-1].closed_by_proxy.is_set(), 1.5)
-        discovery.requests[-1].send(http_chunk("\n"))  # its last word
+        discovery.requests[-1].send(http_chunk("\n"))  # the last bytes of this watch
         waited_s = await advance_to_next_request(discovery, clock)
         assert "failed: silent" in caplog.text
         assert waited_s + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
@@ -151,10 +151,10 @@
 @EACH_SUBSCRIPTION
 @pytest.mark.parametrize("sends_more", [False, True], ids=["stalled", "sends more"])
 @pytest.mark.parametrize("part", PARTIAL_RESPONSES)
-async def test_call_whose_response_stops_midway_is_repeated_in_time(
+async def test_request_whose_response_stalls_midway_is_repeated_in_time(
     settings: messages.Settings, part: str, sends_more: bool
 ) -> None:
-    """The call begins as discovery can just be reached, with the waits grown; bytes may go on coming."""
+    """The request starts as discovery recovers, with the backoff grown; further bytes may follow."""
     extra_bytes = {"partial head": b"x", "head only": b"", "nothing": b""}.get(part, http_chunk(" "))
     if part == "interim response":
         extra_bytes = PARTIAL_RESPONSES[part]
@@ -176,7 +176,7 @@
 
 @EACH_SUBSCRIPTION
 async def test_change_is_applied_in_time_after_refused_connections(settings: messages.Settings) -> None:
-    """Nobody listens for a while; the address is there again just after a connection was refused."""
+    """Discovery does not listen for a while, and listens again just after it refused a connection."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock):
         await advance_until(clock, lambda: len(discovery.requests) == 1)
@@ -196,7 +196,7 @@
 
 
 def changes_text(*entries: object, **fields: object) -> str:
-    """Changes of a list that begin with a sound one: the endpoint s-1 is gone."""
+    """Return changes that begin with a valid entry: the endpoint s-1 is terminated."""
     valid_entry = endpoint_entry("s-1", 9, "terminated")
     return (
         json.dumps({**endpoint_list(rev=2, is_complete=False), "targets": [valid_entry, *entries], **fields})
@@ -214,13 +214,13 @@
 
 NESTED = changes_text("HERE").replace('"HERE"', "[" * 100_000 + "]" * 100_000)
 INVALID_LISTS: dict[str, tuple[bytes, str]] = {
-    "no JSON": (http_chunk("nonsense\n"), "not JSON"),
-    "cut short": (http_chunk(changes_text()[:-4] + "}}}\n"), "not JSON"),
+    "not JSON": (http_chunk("nonsense\n"), "not JSON"),
+    "truncated": (http_chunk(changes_text()[:-4] + "}}}\n"), "not JSON"),
     "an array": (http_chunk("[1,2]\n"), "field targets"),
     "a number": (http_chunk("7\n"), "field targets"),
     "no targets": (http_chunk('{"rev":2,"all":false}\n'), "field targets"),
     "targets an object": (http_chunk('{"rev":2,"all":false,"targets":{}}\n'), "field targets"),
-    "an entry no object": (http_chunk(changes_text(5)), "field targets[1].uid"),
+    "an entry not an object": (http_chunk(changes_text(5)), "field targets[1].uid"),
     "no uid": (changes_with_fields(uid=None), "field targets[1].uid"),
     "uid a number": (changes_with_fields(uid=7), "field targets[1].uid"),
     "no state": (changes_with_fields(state=None), "field targets[1].state"),
@@ -230,22 +230,25 @@
     "no host": (changes_with_fields(endpoint=":80"), "field targets[1].endpoint"),
     "port 0": (changes_with_fields(endpoint="10.0.0.1:0"), "field targets[1].endpoint"),
     "port too high": (changes_with_fields(endpoint="10.0.0.1:65536"), "field targets[1].endpoint"),
-    "port without end": (changes_with_fields(endpoint="10.0.0.1:" + "8" * 5000), "field targets[1].endpoint"),
+    "port of 5000 digits": (
+        changes_with_fields(endpoint="10.0.0.1:" + "8" * 5000),
+        "field targets[1].endpoint",
+    ),
     "port in other digits": (changes_with_fields(endpoint="10.0.0.1:\u0663"), "field targets[1].endpoint"),
     "host in two words": (changes_with_fields(endpoint="10.0.0.1 x:80"), "field targets[1].endpoint"),
-    "host of half a character": (changes_with_fields(endpoint="\ud800:80"), "field targets[1].endpoint"),
+    "host with a lone surrogate": (changes_with_fields(endpoint="\ud800:80"), "field targets[1].endpoint"),
     "zone a number": (changes_with_fields(az=5), "field targets[1].az"),
-    "group a text": (changes_with_fields(pod_group="x"), "field targets[1].pod_group"),
-    "start a text": (changes_with_fields(boot_ms="x"), "field targets[1].boot_ms"),
+    "group a string": (changes_with_fields(pod_group="x"), "field targets[1].pod_group"),
+    "start a string": (changes_with_fields(boot_ms="x"), "field targets[1].boot_ms"),
     "start negative": (changes_with_fields(boot_ms=-5), "field targets[1].boot_ms"),
     "start in another unit": (changes_with_fields(boot_ms=1_700_000_000_000_000), "field targets[1].boot_ms"),
-    "start no number": (changes_with_start_time("NaN"), "field targets[1].boot_ms"),
+    "start not a number": (changes_with_start_time("NaN"), "field targets[1].boot_ms"),
     "start infinite": (changes_with_start_time("Infinity"), "field targets[1].boot_ms"),
     "start too large": (changes_with_start_time("1e308"), "field targets[1].boot_ms"),
     "start of 400 digits": (changes_with_start_time("1" * 400), "field targets[1].boot_ms"),
     "start of 5000 digits": (changes_with_start_time("1" * 5000), "not JSON"),
     "no rev": (http_chunk(changes_text(rev=None)), "field rev"),
-    "rev a text": (http_chunk(changes_text(rev="2")), "field rev"),
+    "rev a string": (http_chunk(changes_text(rev="2")), "field rev"),
     "rev true": (http_chunk(changes_text(rev=True)), "field rev"),
     "rev negative": (http_chunk(changes_text(rev=-1)), "field rev"),
     "rev of 400 digits": (http_chunk(changes_text(rev=10**400)), "field rev"),
@@ -263,7 +266,7 @@
 
 
 def known_endpoints(proxy: LoopbackProxy) -> tuple[object, ...]:
-    """Return what the proxy holds of the endpoint list, and the version that it would resume from."""
+    """Return the known endpoints, the ids of those that are up, and the version to resume from."""
     endpoint_list_receiver = proxy.driver.endpoint_list
     return (
         dict(proxy.driver.balancer.endpoints.states),
@@ -277,7 +280,7 @@
 async def test_invalid_list_keeps_the_old_one_and_reopens_the_watch(
     settings: messages.Settings, invalid_bytes: bytes, reason: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Nothing of it counts, one line names why, and what comes next is taken."""
+    """No part of it is applied, one log line names the reason, and the next list is applied."""
     complete_list = endpoint_list(endpoint_entry("s-1", 9), endpoint_entry("s-2", 9), rev=1)
     async with watching_proxy(settings) as (discovery, proxy, clock):
         await advance_until(clock, lambda: len(discovery.requests) == 1)
@@ -298,7 +301,7 @@
 
 
 class DrainedEndpoint(SlowEndpoint):
-    """Sets `closed` once one of its connections has ended between two requests."""
+    """Endpoint that sets `closed` once one of its connections has been closed between two requests."""
 
     def __init__(self, body: bytes) -> None:
         super().__init__(body)
@@ -314,7 +317,7 @@
 
 @pytest.mark.parametrize("kind", ["read", "mark", "pay"])
 async def test_endpoint_omitted_by_a_complete_list_gets_no_more_requests(kind: str) -> None:
-    """Its idle connection is closed, and what it has been sent is still answered by it."""
+    """Its idle connection is closed, and the request that it already has gets its response."""
     async with (
         DrainedEndpoint(b"a") as omitted,
         StandInEndpoint(http_response(200, b"b")) as listed,
@@ -355,7 +358,7 @@
         assert [endpoint_id in collection for collection in held] == [is_listed] * 3
 
 
-RELOAD_DEADLINE_S = 4.0  # by the protocol, after SIGHUP
+RELOAD_DEADLINE_S = 4.0  # by the protocol, the list must be applied within this time after SIGHUP
 
 
 @pytest.mark.parametrize(
@@ -365,7 +368,7 @@
 async def test_watch_moved_from_a_failed_discovery_has_its_list_in_time(
     settings: messages.Settings, first_failure: str
 ) -> None:
-    """The waits have grown on the old address; the first call on the new one fails as well."""
+    """The backoff has grown on the old address; the first request to the new one fails as well."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock), AsyncExitStack() as stack:
         new = StandInDiscovery(clock)
@@ -382,11 +385,11 @@
             request.send(PARTIAL_RESPONSES["partial line"])
         waited_s += await advance_to_next_request(new, clock)
         new.requests[-1].send(WATCH_RESPONSE_HEAD + list_chunk_of_version(7))
-        # Behind a call that was refused, the next one may still have to wait for its turn.
+        # After a rejected request, the next one may still have to wait in the queue.
         queue_wait_s = 0.0 if settings is PUSHED_SETTINGS or not first_failure.startswith("rejected") else 1.0
         waited_s += queue_wait_s + await advance_until(
             clock, lambda: proxy.driver.endpoint_list.watch.version == 7, 1.0
         )
         assert proxy.driver.endpoint_list.watch.version == 7
         assert waited_s < RELOAD_DEADLINE_S
-        assert len(discovery.requests) == 6  # nothing more on the old one
+        assert len(discovery.requests) == 6  # no further request to the old address
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -31,7 +31,7 @@
 
 @EACH_CLOCK_STEP
 async def test_start_after_a_step_of_all_clocks_has_its_true_age(step: int) -> None:
-    """On the standing watch, and on a whole list after a silence_us that was longer than a slow start."""
+    """In changes on the open watch, and in a complete list after a silence longer than a slow start."""
 
     for silence_us, is_complete in ((0, False), (60 * SECOND_US, True)):
         manual_driver = ManualDriver()
@@ -51,7 +51,7 @@
 
 @EACH_CLOCK_STEP
 async def test_start_stated_before_a_clock_step_and_received_after_it_has_its_true_age(step: int) -> None:
-    """After a silence_us: nothing but the clock's own step tells how old it is."""
+    """After a silence, the age follows only from the recorded step of the local wall clock."""
 
     manual_driver = ManualDriver()
     manual_driver.apply_list(("a", 0), is_complete=True)
@@ -67,7 +67,7 @@
 @EACH_CLOCK_STEP
 @pytest.mark.parametrize("kind", ["changes", "complete"])
 async def test_start_by_a_wrong_clock_counts_from_its_receipt(step: int, kind: str) -> None:
-    """Only the clock of the endpoint or of discovery is wrong, or ours was as the process started."""
+    """The clock of the endpoint or of discovery is wrong, or the local one was wrong at the start."""
 
     manual_driver = ManualDriver()
     manual_driver.apply_list(("a", 0), ("b", 0), is_complete=True)
@@ -79,7 +79,7 @@
     )
     assert manual_driver.age_us("a") == 0
     manual_driver.clocks.advance(4 * SECOND_US)
-    assert manual_driver.capacity("a") == 1.0  # and is warm after a slow start
+    assert manual_driver.capacity("a") == 1.0  # warm after a slow start
 
 
 @EACH_CLOCK_STEP
@@ -99,7 +99,7 @@
 async def test_first_list_after_a_cached_one_is_read_by_the_clock_of_its_time(
     step: int, first_kind: str
 ) -> None:
-    """What is known may be of any age, so it bounds no start; one that it knew stays as it was."""
+    """A cached list may be of any age, so it bounds no start; an endpoint that it has keeps its start."""
 
     clocks = ManualClocks()
     cached_start_us = clocks.wall_us() - 1 * SECOND_US
@@ -115,11 +115,11 @@
     assert manual_driver.age_us("a") == 500 * MILLISECOND_US
     assert manual_driver.age_us("b") == 2 * SECOND_US
     manual_driver.apply_list(("c", clocks.wall_us() - HOUR_US))
-    assert manual_driver.age_us("c") == 0  # from here on the list is known
+    assert manual_driver.age_us("c") == 0  # now bounded by the received list
 
 
 async def test_unconfirmed_cached_list_makes_no_endpoint_younger() -> None:
-    """The first watch answer may bring what had been warm for long before this process began."""
+    """The first response may list an endpoint that had been warm for long before this process started."""
 
     clocks = ManualClocks()
     manual_driver = ManualDriver(list_with_start_times(("a", clocks.wall_us() - HOUR_US)), clocks)
@@ -147,10 +147,8 @@
         assert (state_after.warming.bucket.tokens, state_after.share) == (0.75, 0.5)
         assert state_after.endpoint.incarnation_us == first_start_us // 1000 * 1000
         assert manual_driver.age_us("a") == 2 * SECOND_US
-    for later_start_us in (
-        first_start_us + 1 * SECOND_US,
-        first_start_us + 1 * SECOND_US + step,
-    ):  # whichever way its own clock went
+    # The second start is stated by a clock that has stepped in the meantime.
+    for later_start_us in (first_start_us + 1 * SECOND_US, first_start_us + 1 * SECOND_US + step):
         before = balancer.endpoints.states[endpoint_id]
         manual_driver.apply_list(("a", later_start_us))
         after = balancer.endpoints.states[endpoint_id]
@@ -168,7 +166,7 @@
     manual_driver.apply_list(("a", start_us))
     assert manual_driver.capacity("a") == 1.0
     manual_driver.terminate("a")
-    manual_driver.apply_list(("a", manual_driver.clocks.wall_us()))  # but not another incarnation
+    manual_driver.apply_list(("a", manual_driver.clocks.wall_us()))  # another incarnation starts cold
     assert manual_driver.capacity("a") == pytest.approx(0.2)
 
 
@@ -180,8 +178,8 @@
     assert manual_driver.capacity("a") == manual_driver.capacity("b") == 1.0
 
 
-def test_start_is_not_taken_for_unknown_when_the_wall_clock_is_near_zero() -> None:
-    """A machine without a battery begins at 1970."""
+def test_start_is_not_treated_as_unknown_when_the_wall_clock_is_near_zero() -> None:
+    """The wall clock of a machine without a clock battery starts at 1970."""
     clocks = ManualClocks(wall_offset_us=-999 * SECOND_US)
     [placed] = StartTimes(clocks.clock()).assign([messages.Endpoint(1, incarnation_us=1)])
     assert placed.started_us == 1
--- a/tests/net/discovery/test_watch_resumption.py
+++ b/tests/net/discovery/test_watch_resumption.py
@@ -1,4 +1,4 @@
-"""When a watch resumes from the last version, and when the complete list is requested again."""
+"""When a watch resumes from the last version, and when it requests the complete list."""
 
 from __future__ import annotations
 
@@ -85,14 +85,14 @@
 async def discovery_restored_after_a_list_of_another(following: FollowingProxy) -> None:
     following.change_discovery(following.second)
     await following.wait_until_followed(following.second)
-    following.first.rev = (
-        following.second.rev + 1
-    )  # it knows the version that we hold, which is another one of that number
+    # The first discovery has a version with the number that the proxy holds, but with other contents.
+    following.first.rev = following.second.rev + 1
     following.change_discovery(following.first)
     await following.wait_until_followed(following.first)
 
 
-EVENTS: list[tuple[Event, int]] = [  # and the whole lists that it may cost
+# Each event, and the number of complete lists requested after it.
+EVENTS: list[tuple[Event, int]] = [
     (no_event, 0),
     (changes_published, 0),
     (watch_ended, 0),
@@ -101,7 +101,7 @@
     (two_watches_silent, 0),
     (invalid_list, 0),
     (truncated_list, 0),
-    (discovery_changed, 1),  # another discovery's versions tell nothing of what we hold
+    (discovery_changed, 1),  # versions of one discovery mean nothing to another
     (discovery_restored_at_once, 0),
     (discovery_restored_from_a_silent_one, 0),
     (discovery_restored_after_a_list_of_another, 2),
@@ -115,7 +115,7 @@
 async def test_complete_list_is_requested_only_when_no_version_can_be_resumed(
     settings: messages.Settings, event: Event, expected_complete_lists: int
 ) -> None:
-    """At 3,200 endpoints it has half a megabyte."""
+    """A complete list of 3,200 endpoints has half a megabyte."""
 
     async with following_proxy(settings) as following:
         await following.wait_until_followed(following.first)
--- a/tests/net/discovery/versioned_discovery.py
+++ b/tests/net/discovery/versioned_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery that numbers its versions, and a proxy that follows it on a stepped clock."""
+"""Stand-in discovery with versioned lists, and a proxy that follows it on a stepped clock."""
 
 from __future__ import annotations
 
@@ -36,15 +36,17 @@
 
 
 class VersionedDiscovery(StandInServer):
-    """A discovery that numbers its versions: a watch gets the changes since then, or the complete list.
+    """Stand-in discovery that sends the changes since a watch's version, or the complete list.
+
+    It sends the complete list to a watch without a version or with one that it does not know.
 
     Attributes:
-        name: The prefix of its endpoints' names.
-        rev: The present version.
-        request_targets: What each call has asked for.
-        complete_list_count: How many complete lists have been sent.
-        is_silent: Whether calls get no response.
-        open_writers: The calls that are open.
+        name: The prefix of the endpoints' uids.
+        rev: The current version.
+        request_targets: The request target of each watch.
+        complete_list_count: The number of complete lists sent.
+        is_silent: Whether watches get no response.
+        open_writers: The writers of the open watches.
     """
 
     def __init__(self, name: str, rev: int = 1) -> None:
@@ -58,28 +60,28 @@
 
     @property
     def uid(self) -> str:
-        """The name of the one endpoint, another with each version."""
+        """The uid of the only endpoint; it differs in each version."""
         return f"{self.name}-{self.rev}"
 
     def complete_list(self) -> dict[str, object]:
-        """Return the present list."""
+        """Return the current list."""
         return endpoint_list(endpoint_entry(self.uid, 9), rev=self.rev)
 
     def changes(self, since: int) -> dict[str, object]:
-        """Return the changes since a version."""
+        """Return the changes since this version."""
         removed_entries = [
             endpoint_entry(f"{self.name}-{rev}", 9, "terminated") for rev in range(since, self.rev)
         ]
         return endpoint_list(*removed_entries, endpoint_entry(self.uid, 9), rev=self.rev, is_complete=False)
 
     def publish_change(self) -> None:
-        """Make a new version, and send its changes on all open watches."""
+        """Create a new version, and send its changes to all open watches."""
         self.rev += 1
         for writer in self.open_writers:
             writer.write(endpoint_list_chunk(self.changes(self.rev - 1)))
 
     def response(self, since: int | None) -> bytes:
-        """Return the response to a watch that knows this version, or none."""
+        """Return the response to a watch that resumes from this version, or from none."""
         if since is None or not self._first_rev <= since <= self.rev:
             self.complete_list_count += 1
             return WATCH_RESPONSE_HEAD + endpoint_list_chunk(self.complete_list())
@@ -88,7 +90,7 @@
         )
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Respond to one call, and keep it open."""
+        """Respond to one watch, and keep it open."""
         target = (await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1]
         self.request_targets.append(target)
         since_match = re.search(r"since=(\d+)", target)
@@ -97,7 +99,7 @@
         await self.keep_open(reader, writer)
 
     async def keep_open(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Count the call as open until the proxy ends it."""
+        """Keep the watch in `open_writers` until the proxy closes it."""
         self.open_writers.append(writer)
         try:
             await reader.read()
@@ -106,13 +108,13 @@
 
 
 async def advance_clock_until(clock: SteppedClock, condition: Callable[[], bool]) -> float:
-    """Step time until the condition holds, within 20 s, and return the seconds that it took."""
+    """Step time until the condition holds, for at most 20 s, and return the seconds stepped."""
     return await advance_until(clock, condition, 20.0, step_s=STEP_S, must_hold=True)
 
 
 @dataclass
 class FollowingProxy:
-    """A proxy on a stepped clock, the discovery that it follows first, and another one."""
+    """A proxy on a stepped clock, the discovery that it first follows, and a second discovery."""
 
     proxy: LoopbackProxy
     clock: SteppedClock
@@ -120,16 +122,16 @@
     second: VersionedDiscovery
 
     def is_following(self, discovery: VersionedDiscovery) -> bool:
-        """Return whether the list is that of this discovery, and a watch on it open."""
+        """Return whether the proxy holds the list of this discovery and has a watch on it open."""
         states = self.proxy.driver.balancer.endpoints.states
         return set(states) == {endpoint_id_from_uid(discovery.uid)} and bool(discovery.open_writers)
 
     async def wait_until_followed(self, discovery: VersionedDiscovery) -> float:
-        """Step time until the discovery is followed, and return the seconds that it took."""
+        """Step time until the proxy follows the discovery, and return the seconds stepped."""
         return await advance_clock_until(self.clock, lambda: self.is_following(discovery))
 
     def change_discovery(self, discovery: VersionedDiscovery) -> None:
-        """Have the proxy follow another discovery."""
+        """Change the discovery address of the proxy."""
         self.proxy.driver.change_discovery_address(("127.0.0.1", discovery.port))
 
 
@@ -137,7 +139,7 @@
 async def following_proxy(
     settings: messages.Settings, *known: dict[str, object]
 ) -> AsyncIterator[FollowingProxy]:
-    """Run a proxy that follows the first of two discoveries, with these entries as its cached list."""
+    """Run a proxy that follows the first of two discoveries; its cached list has these entries."""
     first, second = VersionedDiscovery("a", 1), VersionedDiscovery("b", 3)
     if known:
         first.rev = 2
