--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -20,12 +20,12 @@
 from tests.support.stepped_clock import wait_until
 
 
-async def ask(reader: asyncio.StreamReader) -> str:
+async def read_request_line(reader: asyncio.StreamReader) -> str:
     """The first line of a request without a body."""
     return (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
 
 
-async def bodies_of(proxy: LoopbackProxy, prefix: str) -> set[bytes]:
+async def response_bodies(proxy: LoopbackProxy, prefix: str) -> set[bytes]:
     """Return the bodies of the responses to 40 requests."""
     requests = [http_request(request_id=f"{prefix}{number}") for number in range(40)]
     return {(await proxy.send_request(request)).body for request in requests}
@@ -45,22 +45,22 @@
             endpoint_entry("a", first_endpoint.port), endpoint_entry("b", second_endpoint.port), rev=1
         )
         await wait_until(lambda: proxy.driver.is_ready)
-        assert await bodies_of(proxy, "x") == {b"a", b"b"}
-        drain = endpoint_entry("a", first_endpoint.port, "terminating")
-        discovery.send_changes(endpoint_list(drain, rev=2, is_complete=False))
+        assert await response_bodies(proxy, "x") == {b"a", b"b"}
+        draining_entry = endpoint_entry("a", first_endpoint.port, "terminating")
+        discovery.send_changes(endpoint_list(draining_entry, rev=2, is_complete=False))
         await wait_until(lambda: len(proxy.driver.endpoint_list.endpoints.up_ids) == 1)
-        assert await bodies_of(proxy, "y") == {b"b"}
+        assert await response_bodies(proxy, "y") == {b"b"}
 
 
 async def test_broken_watch_is_reopened_and_the_old_list_stays_in_use() -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        asked.append(await ask(reader))
-        if len(asked) == 2:
-            again.set()
+        request_lines.append(await read_request_line(reader))
+        if len(request_lines) == 2:
+            reopened.set()
             await reader.read()
 
-    asked: list[str] = []
-    again = asyncio.Event()
+    request_lines: list[str] = []
+    reopened = asyncio.Event()
     async with (
         StandInEndpoint(http_response(200, b"a")) as endpoint,
         StandInServer(handle) as discovery,
@@ -71,11 +71,11 @@
         ) as proxy,
     ):
         assert (await proxy.send_request(http_request()))[2] == b"a"
-        await again.wait()
-        assert asked == ["GET /v1/endpoints?follow=1&since=1 HTTP/1.1"] * 2
+        await reopened.wait()
+        assert request_lines == ["GET /v1/endpoints?follow=1&since=1 HTTP/1.1"] * 2
 
 
-class HeldRequest:
+class HeldResponse:
     """An endpoint that takes one request, answers it when it may, and waits for the connection's end."""
 
     def __init__(self) -> None:
@@ -91,9 +91,9 @@
 
 
 async def test_draining_endpoint_finishes_the_requests_in_flight() -> None:
-    held, discovery = HeldRequest(), HeldListServer(is_held=True)
+    held_response, discovery = HeldResponse(), HeldListServer(is_held=True)
     async with (
-        StandInServer(held.handle) as endpoint,
+        StandInServer(held_response.handle) as endpoint,
         discovery,
         running_proxy(
             endpoint_entry("a", endpoint.port),
@@ -101,15 +101,15 @@
             settings=balancer_settings(must_subscribe=True),
         ) as proxy,
     ):
-        drain = endpoint_entry("a", endpoint.port, "terminating")
-        discovery.present_list = endpoint_list(drain, rev=2, is_complete=False)
-        asking = asyncio.ensure_future(proxy.send_request(http_request()))
-        await held.received.wait()
+        draining_entry = endpoint_entry("a", endpoint.port, "terminating")
+        discovery.present_list = endpoint_list(draining_entry, rev=2, is_complete=False)
+        response_task = asyncio.ensure_future(proxy.send_request(http_request()))
+        await held_response.received.wait()
         discovery.may_respond.set()
         await wait_until(lambda: not proxy.driver.is_ready)
-        held.may_respond.set()
-        assert (await asking)[2] == b"done"
-        await held.closed.wait()
+        held_response.may_respond.set()
+        assert (await response_task)[2] == b"done"
+        await held_response.closed.wait()
 
 
 @pytest.mark.parametrize("state", ["terminating", "terminated", "absent", "moved"])
@@ -123,14 +123,14 @@
         running_proxy(endpoint_entry("a", first_endpoint.port)) as proxy,
     ):
         gate = ConnectGates(proxy.pool)
-        asking = asyncio.ensure_future(proxy.send_request(http_request(kind)))
+        response_task = asyncio.ensure_future(proxy.send_request(http_request(kind)))
         await wait_until(lambda: gate.started_count == 1)
-        news = [endpoint_entry("b", second_endpoint.port)]
+        entries = [endpoint_entry("b", second_endpoint.port)]
         if state == "moved":
-            news = [endpoint_entry("a", second_endpoint.port)]
+            entries = [endpoint_entry("a", second_endpoint.port)]
         elif state != "absent":
-            news.append(endpoint_entry("a", first_endpoint.port, state))
-        proxy.driver.endpoint_list.receive(parsed_endpoint_list(*news, rev=2))
+            entries.append(endpoint_entry("a", first_endpoint.port, state))
+        proxy.driver.endpoint_list.receive(parsed_endpoint_list(*entries, rev=2))
         gate.open_all()
-        assert (await asking)[2] == b"b"
+        assert (await response_task)[2] == b"b"
         assert first_endpoint.connection_count == 0
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -16,59 +16,61 @@
 
 @EACH_CLOCK_STEP
 def test_clock_does_not_step_with_the_wall_clock(step: int) -> None:
-    times = ManualClocks()
-    clock = times.clock()
-    assert clock.now_us() == times.wall_us()
+    clocks = ManualClocks()
+    clock = clocks.clock()
+    assert clock.now_us() == clocks.wall_us()
     before = clock.now_us()
-    times.step_wall_clock(step)
+    clocks.step_wall_clock(step)
     clock.observe()
     assert clock.now_us() == before
-    times.advance(3 * SECOND_US)
+    clocks.advance(3 * SECOND_US)
     clock.observe()
     assert clock.now_us() == before + 3 * SECOND_US
 
 
 @EACH_CLOCK_STEP
-@pytest.mark.parametrize("before", [True, False], ids=["stated before it", "stated after it"])
-def test_wall_time_is_converted_by_the_wall_clock_of_that_moment(step: int, before: bool) -> None:
-    times = ManualClocks()
-    clock = times.clock()
+@pytest.mark.parametrize("is_stated_before_step", [True, False], ids=["stated before it", "stated after it"])
+def test_wall_time_is_converted_by_the_wall_clock_of_that_moment(
+    step: int, is_stated_before_step: bool
+) -> None:
+    clocks = ManualClocks()
+    clock = clocks.clock()
     clock.observe()
-    times.advance(10 * SECOND_US)
-    if not before:
-        times.step_wall_clock(step)
-    stated, moment = times.wall_us(), clock.now_us()
-    times.advance(1 * SECOND_US)
-    if before:
-        times.step_wall_clock(step)
-    times.advance(1 * SECOND_US)
-    assert clock.from_unix_us(stated) == moment
+    clocks.advance(10 * SECOND_US)
+    if not is_stated_before_step:
+        clocks.step_wall_clock(step)
+    stated_us, expected_us = clocks.wall_us(), clock.now_us()
+    clocks.advance(1 * SECOND_US)
+    if is_stated_before_step:
+        clocks.step_wall_clock(step)
+    clocks.advance(1 * SECOND_US)
+    assert clock.from_unix_us(stated_us) == expected_us
 
 
 def test_ambiguous_wall_time_is_converted_to_the_later_moment() -> None:
-    times = ManualClocks()
-    clock = times.clock()
-    shown = times.wall_us()
-    times.advance(6 * SECOND_US)
-    times.step_wall_clock(-5 * SECOND_US)
-    times.advance(10 * SECOND_US)
-    assert clock.from_unix_us(shown + 3 * SECOND_US) == clock.now_us() - 8 * SECOND_US
+    clocks = ManualClocks()
+    clock = clocks.clock()
+    wall_time_us = clocks.wall_us()
+    clocks.advance(6 * SECOND_US)
+    clocks.step_wall_clock(-5 * SECOND_US)
+    clocks.advance(10 * SECOND_US)
+    assert clock.from_unix_us(wall_time_us + 3 * SECOND_US) == clock.now_us() - 8 * SECOND_US
 
 
 def test_slewed_wall_clock_is_followed_and_the_number_of_remembered_steps_is_bounded() -> None:
-    times = ManualClocks()
-    clock = times.clock()
+    clocks = ManualClocks()
+    clock = clocks.clock()
     for _ in range(10_000):
-        times.advance(2 * SECOND_US)
-        times.step_wall_clock(1 * MILLISECOND_US)
+        clocks.advance(2 * SECOND_US)
+        clocks.step_wall_clock(1 * MILLISECOND_US)
         clock.observe()
     assert clock.remembered_offset_count == 1
-    assert clock.from_unix_us(times.wall_us() - 2 * SECOND_US) == clock.now_us() - 2 * SECOND_US
+    assert clock.from_unix_us(clocks.wall_us() - 2 * SECOND_US) == clock.now_us() - 2 * SECOND_US
     for _ in range(3 * MAX_OFFSETS):
-        times.step_wall_clock(HOUR_US)
+        clocks.step_wall_clock(HOUR_US)
         clock.observe()
     assert clock.remembered_offset_count == MAX_OFFSETS
-    assert clock.from_unix_us(times.wall_us() - 2 * SECOND_US) == clock.now_us() - 2 * SECOND_US
+    assert clock.from_unix_us(clocks.wall_us() - 2 * SECOND_US) == clock.now_us() - 2 * SECOND_US
 
 
 def test_no_other_module_reads_a_wall_clock() -> None:
@@ -76,7 +78,7 @@
     readers = set()
     for path in SOURCES.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
-            names = [a.name for a in node.names] if isinstance(node, ast.Import) else []
+            names = [alias.name for alias in node.names] if isinstance(node, ast.Import) else []
             names += [node.module or ""] if isinstance(node, ast.ImportFrom) else []
             if {"time", "datetime", "calendar", "email.utils"} & set(names):
                 readers.add(path.relative_to(SOURCES).as_posix())
--- a/tests/net/test_repeated_log_lines.py
+++ b/tests/net/test_repeated_log_lines.py
@@ -24,30 +24,32 @@
     caplog.set_level(logging.INFO)
 
     def lines() -> list[str]:
-        found = [r.getMessage() for r in caplog.records if "endpoint" in r.getMessage()]
+        messages = [record.getMessage() for record in caplog.records if "endpoint" in record.getMessage()]
         caplog.clear()
-        return found
+        return messages
 
     clock = FrozenClock()
-    async with running_proxy() as p:
-        p.driver.endpoint_list.receive(
-            read_list(endpoint_list(*(endpoint_entry(f"s-{n}", 9) for n in range(500))))
+    async with running_proxy() as proxy:
+        proxy.driver.endpoint_list.receive(
+            read_list(endpoint_list(*(endpoint_entry(f"s-{number}", 9) for number in range(500))))
         )
-        told = lines()
-        assert len(told) == MAX_LOGGED_CHANGES + 1
-        assert "uid s-0, cell 1, status up" in told[0]
-        assert told[-1] == f"{500 - MAX_LOGGED_CHANGES} more changes of endpoints"
-        for n in range(100):
-            change = endpoint_list(endpoint_entry(f"s-{n}", 9, "terminating"), rev=2 + n, is_complete=False)
-            p.driver.endpoint_list.receive(read_list(change))
+        logged = lines()
+        assert len(logged) == MAX_LOGGED_CHANGES + 1
+        assert "uid s-0, cell 1, status up" in logged[0]
+        assert logged[-1] == f"{500 - MAX_LOGGED_CHANGES} more changes of endpoints"
+        for number in range(100):
+            change = endpoint_list(
+                endpoint_entry(f"s-{number}", 9, "terminating"), rev=2 + number, is_complete=False
+            )
+            proxy.driver.endpoint_list.receive(read_list(change))
         assert not lines()
         clock.advance(CHANGE_LOG_WINDOW_S)
-        p.driver.endpoint_list.receive(
+        proxy.driver.endpoint_list.receive(
             read_list(endpoint_list(endpoint_entry("s-1", 9, "terminated"), rev=200, is_complete=False))
         )
-        counted, single = lines()
-        assert counted == "100 more changes of endpoints"
-        assert "uid s-1, cell 1, status gone" in single
+        summary, change_line = lines()
+        assert summary == "100 more changes of endpoints"
+        assert "uid s-1, cell 1, status gone" in change_line
 
 
 def windowed_lines(text: str, *, logs_repeats: bool = True) -> RepeatedLogLines:
@@ -91,13 +93,13 @@
     assert caplog.messages == ["number 0", "number 1", "3 more"]
 
 
-LOG = logging.getLogger("test_repeated_log_lines")
+log = logging.getLogger("test_repeated_log_lines")
 
 
 @pytest.fixture
 def faults(caplog: pytest.LogCaptureFixture) -> RepeatedLogLines:
-    caplog.set_level(logging.INFO, logger=LOG.name)
-    return repeated_fault(LOG, "no descriptor")
+    caplog.set_level(logging.INFO, logger=log.name)
+    return repeated_fault(log, "no descriptor")
 
 
 def lines(caplog: pytest.LogCaptureFixture) -> list[tuple[int, str]]:
@@ -107,8 +109,8 @@
 def test_many_faults_in_a_row_are_logged_in_two_lines(
     faults: RepeatedLogLines, caplog: pytest.LogCaptureFixture
 ) -> None:
-    for n in range(1000):
-        faults.record(10.0 + n / 1000, OSError("first" if n == 0 else "later"))
+    for number in range(1000):
+        faults.record(10.0 + number / 1000, OSError("first" if number == 0 else "later"))
     assert lines(caplog) == [(logging.ERROR, "no descriptor: first")]
     last_at_s = 10.999
     faults.end_if_quiet(last_at_s + QUIET_PERIOD_S)
--- a/tests/net/upstream/conftest.py
+++ b/tests/net/upstream/conftest.py
@@ -46,10 +46,10 @@
     connection_made = UpstreamConnection.connection_made
 
     def install(hook: ConnectionHook) -> None:
-        def made(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
+        def record_and_call(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
             connection_made(connection, transport)
             hook(connection)
 
-        monkeypatch.setattr(UpstreamConnection, "connection_made", made)
+        monkeypatch.setattr(UpstreamConnection, "connection_made", record_and_call)
 
     return install
--- a/tests/net/upstream/test_answers_without_length.py
+++ b/tests/net/upstream/test_close_delimited_forwarding.py
@@ -25,76 +25,79 @@
 }
 
 
-async def say(wire: EndpointConnection, said: bytes, more: bool = False) -> None:
-    """Hand all bytes to the system, which holds the last segment back where `more` follows."""
-    while said:
+async def send_all(connection: EndpointConnection, response_bytes: bytes, expect_more: bool = False) -> None:
+    """Hand all bytes to the system, which holds the last segment back where `expect_more` follows."""
+    while response_bytes:
         try:
-            sent = wire.socket.send(said, socket.MSG_MORE if more else 0)
+            sent = connection.socket.send(response_bytes, socket.MSG_MORE if expect_more else 0)
         except BlockingIOError:
             sent = 0
-        said = said[sent:]
+        response_bytes = response_bytes[sent:]
         await asyncio.sleep(0)
 
 
-@pytest.mark.parametrize("shut", ["shutdown", "close"])
-@pytest.mark.parametrize("kept", [False, True], ids=["new", "kept"])
+@pytest.mark.parametrize("closing", ["shutdown", "close"])
+@pytest.mark.parametrize("is_reused", [False, True], ids=["new", "reused"])
 @pytest.mark.parametrize("end", ENDS)
 @pytest.mark.parametrize("body", BODIES)
 @pytest.mark.parametrize("head", HEADS)
 async def test_close_delimited_response_is_forwarded_complete(
-    head: str, body: str, end: str, kept: bool, shut: str, bytes_from_endpoints: bytearray
+    head: str, body: str, end: str, is_reused: bool, closing: str, bytes_from_endpoints: bytearray
 ) -> None:
     """In every form of the head, the body, the end and the connection."""
-    said = HEADS[head] + BODIES[body]
+    response_bytes = HEADS[head] + BODIES[body]
 
-    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        if got[1]["req-id"] == "first":
-            wire.send(http_response(200, b"first"))
+    async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
+        if request[1]["req-id"] == "first":
+            connection.send(http_response(200, b"first"))
             return
-        already = len(bytes_from_endpoints)
-        await say(wire, said, more=not ENDS[end])
+        received_before = len(bytes_from_endpoints)
+        await send_all(connection, response_bytes, expect_more=not ENDS[end])
         if ENDS[end]:
-            await wait_until(lambda: len(bytes_from_endpoints) == already + len(said))
+            await wait_until(lambda: len(bytes_from_endpoints) == received_before + len(response_bytes))
             await asyncio.sleep(ENDS[end])
-        if shut == "shutdown":
-            wire.end_sending()
+        if closing == "shutdown":
+            connection.end_sending()
         else:
-            wire.socket.close()
+            connection.socket.close()
 
     async with RawEndpoint(handle) as endpoint, running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy:
-        if kept:
+        if is_reused:
             assert (await proxy.send_request(http_request(request_id="first")))[2] == b"first"
             await asyncio.sleep(0.02)  # it has to rest, so that a second answer would show
-        line, _, got = await proxy.send_request(http_request(request_id="r1"))
+        line, _, body_bytes = await proxy.send_request(http_request(request_id="r1"))
         assert line.split()[1] == "200"
-        assert got == BODIES[body]
+        assert body_bytes == BODIES[body]
         assert endpoint.request_ids.count("r1") == 1
         assert len(endpoint.connections) == 1
 
 
 @pytest.mark.parametrize("kind", ["read", "write", "mark", "pay"])
-@pytest.mark.parametrize("kept", [False, True], ids=["new", "kept"])
+@pytest.mark.parametrize("is_reused", [False, True], ids=["new", "reused"])
 @pytest.mark.parametrize("end", ENDS)
 @pytest.mark.parametrize("body", BODIES)
 @pytest.mark.parametrize("head", ["1.0", "1.1, close"])
 async def test_reset_close_delimited_response_is_not_forwarded(
-    head: str, body: str, end: str, kept: bool, kind: str, bytes_from_endpoints: bytearray
+    head: str, body: str, end: str, is_reused: bool, kind: str, bytes_from_endpoints: bytearray
 ) -> None:
     """Also after its last byte: the client must not get a response that may be truncated."""
-    said = HEADS[head] + BODIES[body]
+    response_bytes = HEADS[head] + BODIES[body]
 
-    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        if got[1]["req-id"] == "first":
-            wire.send(http_response(200, b"first"))
+    async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
+        if request[1]["req-id"] == "first":
+            connection.send(http_response(200, b"first"))
             return
-        already = len(bytes_from_endpoints)
-        await say(wire, said)
+        received_before = len(bytes_from_endpoints)
+        await send_all(connection, response_bytes)
         if ENDS[end]:
-            await wait_until(lambda: len(bytes_from_endpoints) == already + len(said) or wire.is_closed)
-        wire.reset()
+            await wait_until(
+                lambda: len(bytes_from_endpoints) == received_before + len(response_bytes)
+                or connection.is_closed
+            )
+        connection.reset()
 
     async with RawEndpoint(handle) as endpoint, running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy:
-        if kept:
+        if is_reused:
             assert (await proxy.send_request(http_request(request_id="first")))[2] == b"first"
             await asyncio.sleep(0.02)
         reader, writer = await proxy.connect()
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -25,26 +25,30 @@
 from tests.support.units import SECOND_US
 
 
-@pytest.mark.parametrize(("heard", "ends"), [(True, Outcome.NOT_SENT), (False, Outcome.NO_CONNECTION)])
-async def test_attempt_without_a_connection_fails_over_in_time(heard: bool, ends: Outcome) -> None:
+@pytest.mark.parametrize(
+    ("was_active", "expected_outcome"), [(True, Outcome.NOT_SENT), (False, Outcome.NO_CONNECTION)]
+)
+async def test_attempt_without_a_connection_fails_over_in_time(
+    was_active: bool, expected_outcome: Outcome
+) -> None:
     """As not sent where the endpoint was active recently, and as not connected otherwise."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        if heard:
-            pool.connections.record_activity(calls.endpoint)
-        calls.start_attempt("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        if was_active:
+            pool.connections.record_activity(attempts.endpoint)
+        attempts.start_attempt("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
         for count in (2, 3):
             await connects.advance(11.0)
             await connects.wait_for_started(count)
-        assert not calls.outcomes
+        assert not attempts.outcomes
         await connects.advance(11.0)
-        await calls.wait_for_outcomes(a=ends)
+        await attempts.wait_for_outcomes(a=expected_outcome)
         assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
-        calls.start_attempt("b")  # what comes up late is there for another
+        attempts.start_attempt("b")  # what comes up late is there for another
         connects.open(0)
-        await calls.wait_for_outcomes(a=ends, b=Outcome.OK)
+        await attempts.wait_for_outcomes(a=expected_outcome, b=Outcome.OK)
         assert endpoint.request_ids == ["b"]
         pool.close()
 
@@ -52,15 +56,15 @@
 async def test_attempt_without_another_endpoint_waits_for_its_connections() -> None:
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.start_attempt("a", failover_within_s=500.0)
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        attempts.start_attempt("a", failover_within_s=500.0)
         await connects.advance(600.0)
         for _ in range(20):
             await connects.advance(50.0)
-        assert not calls.outcomes
+        assert not attempts.outcomes
         assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
         connects.open(0)
-        await calls.wait_for_outcomes(a=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.OK)
         pool.close()
 
 
@@ -85,18 +89,18 @@
         connects = ConnectGates(proxy.pool, MOSTLY_FAST_CONNECTS_S)
         for endpoint in list(proxy.pool.idle.reuse_from_s):
             proxy.pool.connections.record_activity(endpoint)
-        asked = asyncio.ensure_future(proxy.send_request(http_request(Req_Deadline="9000")))
+        response_task = asyncio.ensure_future(proxy.send_request(http_request(Req_Deadline="9000")))
         await connects.wait_for_started(1)
         for count in (2, 3, 4):
             await connects.advance(11.0)
             await connects.wait_for_started(count)
         connects.open(3)  # the first to the other endpoint
-        first, _, body = await asked
-        assert (first.split()[1], body) == ("200", b"x")
+        status_line, _, body = await response_task
+        assert (status_line.split()[1], body) == ("200", b"x")
         assert first_endpoint.connection_count + second_endpoint.connection_count == 1
 
 
-def test_negative_handshake_price_is_rejected() -> None:
+def test_negative_handshake_cost_is_rejected() -> None:
     assert balancer_settings(handshake_cost=0.03).handshake_cost == 0.03
     with pytest.raises(ValueError, match="handshake"):
         balancer_settings(handshake_cost=-1.0)
@@ -106,19 +110,26 @@
     harness = BalancerHarness(
         balancer_settings(limits=messages.Limits(max_attempts=2, cancel=True)), endpoint_count=2
     )
-    send = actions_of_type(harness.send_request("a"), messages.StartAttempt)[0]
-    assert 0 < send.max_connection_wait_us < send.timeout_us
-    further = actions_of_type(harness.end_attempt(send, Outcome.NOT_SENT), messages.StartAttempt)[0]
-    assert further.endpoint_id != send.endpoint_id
-    assert further.max_connection_wait_us == 0  # no third attempt is allowed
-    alone = BalancerHarness(balancer_settings(), endpoint_count=1)
-    assert actions_of_type(alone.send_request("a"), messages.StartAttempt)[0].max_connection_wait_us == 0
+    first_attempt = actions_of_type(harness.send_request("a"), messages.StartAttempt)[0]
+    assert 0 < first_attempt.max_connection_wait_us < first_attempt.timeout_us
+    second_attempt = actions_of_type(
+        harness.end_attempt(first_attempt, Outcome.NOT_SENT), messages.StartAttempt
+    )[0]
+    assert second_attempt.endpoint_id != first_attempt.endpoint_id
+    assert second_attempt.max_connection_wait_us == 0  # no third attempt is allowed
+    single_endpoint = BalancerHarness(balancer_settings(), endpoint_count=1)
+    assert (
+        actions_of_type(single_endpoint.send_request("a"), messages.StartAttempt)[0].max_connection_wait_us
+        == 0
+    )
 
 
 def test_unsent_attempt_is_repeated_though_the_retry_budget_is_spent() -> None:
     harness = BalancerHarness(endpoint_count=4)
     harness.balancer.retry_budget.tokens = 0.0
-    send = actions_of_type(harness.send_request("a"), messages.StartAttempt)[0]
-    assert actions_of_type(harness.end_attempt(send, Outcome.NOT_SENT), messages.StartAttempt)
-    other = actions_of_type(harness.send_request("b"), messages.StartAttempt)[0]
-    assert not actions_of_type(harness.end_attempt(other, Outcome.NO_CONNECTION), messages.StartAttempt)
+    first_attempt = actions_of_type(harness.send_request("a"), messages.StartAttempt)[0]
+    assert actions_of_type(harness.end_attempt(first_attempt, Outcome.NOT_SENT), messages.StartAttempt)
+    other_attempt = actions_of_type(harness.send_request("b"), messages.StartAttempt)[0]
+    assert not actions_of_type(
+        harness.end_attempt(other_attempt, Outcome.NO_CONNECTION), messages.StartAttempt
+    )
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -29,47 +29,47 @@
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import wait_until
 
-ONCE = replace(SAFE_REQUEST, is_idempotent=False)
+NON_IDEMPOTENT_REQUEST = replace(SAFE_REQUEST, is_idempotent=False)
 
 
 async def test_extra_connection_is_opened_for_a_late_one_and_the_first_established_is_used() -> None:
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.start_attempt("a")
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        attempts.start_attempt("a")
         await connects.advance(9.0)
         assert len(connects.gates) == 1
         await connects.advance(2.0)
         await connects.wait_for_started(2)
         connects.open(1)
-        await calls.wait_for_outcomes(a=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.OK)
         assert endpoint.connection_count == 1
         assert endpoint.request_ids == ["a"]
         await connects.advance(1000.0)
-        calls.start_attempt("b")  # the one that was used is idle again
-        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
+        attempts.start_attempt("b")  # the one that was used is idle again
+        await attempts.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
         assert endpoint.connection_count == 1
         assert len(connects.gates) == 2
         connects.open(0)
         await wait_until(lambda: endpoint.connection_count == 2 and not pool.pending.by_endpoint)
-        assert len(pool.idle.by_endpoint[calls.endpoint]) == 1  # the other one is not needed
+        assert len(pool.idle.by_endpoint[attempts.endpoint]) == 1  # the other one is not needed
         pool.close()
 
 
 async def test_surplus_connection_is_reused_by_the_next_attempt() -> None:
     async with StandInEndpoint(None, http_response(200)) as endpoint:  # the first that is used breaks
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.start_attempt("a")
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        attempts.start_attempt("a")
         await connects.advance(11.0)
         await connects.wait_for_started(2)
         connects.open(1)
-        await calls.wait_for_outcomes(a=Outcome.RESET)
+        await attempts.wait_for_outcomes(a=Outcome.RESET)
         connects.open(0)
         await wait_until(lambda: bool(pool.idle.by_endpoint))
         await connects.advance(idle_connections.SETTLE_S)
-        calls.start_attempt("b")
-        await calls.wait_for_outcomes(a=Outcome.RESET, b=Outcome.OK)
+        attempts.start_attempt("b")
+        await attempts.wait_for_outcomes(a=Outcome.RESET, b=Outcome.OK)
         assert endpoint.connection_count == 2
         assert len(connects.gates) == 2
         pool.close()
@@ -80,13 +80,13 @@
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.start_attempt("a")
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        attempts.start_attempt("a")
         for count in (2, 3):
             await connects.advance(11.0)
             await connects.wait_for_started(count)
         connects.open(2)
-        await calls.wait_for_outcomes(a=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.OK)
         connects.open(0, 1)
         await wait_until(lambda: endpoint.connection_count == 3 and not pool.pending.by_endpoint)
         await wait_until(lambda: len(pool.connections.open) == 1)
@@ -94,43 +94,43 @@
 
 
 @pytest.mark.parametrize(
-    ("usual", "price"),
+    ("earlier_connects_s", "handshake_cost"),
     [(SLOW_CONNECTS_S, 0.0), (MOSTLY_FAST_CONNECTS_S, 1.0), ([], 0.0)],
-    ids=["all slow", "dear", "unknown"],
+    ids=["all slow", "expensive", "unknown"],
 )
 async def test_no_extra_connection_is_opened_when_it_saves_too_little(
-    usual: list[float], price: float
+    earlier_connects_s: list[float], handshake_cost: float
 ) -> None:
     async with StandInEndpoint(http_response(200)) as endpoint:
-        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10, price)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, usual)
-        calls.start_attempt("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
+        pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10, handshake_cost)
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, earlier_connects_s)
+        attempts.start_attempt("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
         for _ in range(20):
             await connects.advance(45.0)
         assert len(connects.gates) == 1
-        assert not calls.outcomes
+        assert not attempts.outcomes
         connects.open(0)
-        await calls.wait_for_outcomes(a=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.OK)
         pool.close()
 
 
 async def test_waiting_attempt_takes_a_connection_that_falls_idle() -> None:
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
-        calls.start_attempt("a")
-        calls.start_attempt("once", ONCE)
-        calls.start_attempt("b")
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
+        attempts.start_attempt("a")
+        attempts.start_attempt("once", NON_IDEMPOTENT_REQUEST)
+        attempts.start_attempt("b")
         await connects.wait_for_started(3)
         connects.open(0)
-        await wait_until(lambda: "a" in calls.outcomes)
-        assert set(calls.outcomes) == {"a"}  # it rests first: more than its answer may be under way
+        await wait_until(lambda: "a" in attempts.outcomes)
+        assert set(attempts.outcomes) == {"a"}  # it rests first: more than its answer may be under way
         await connects.advance(idle_connections.SETTLE_S)
-        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
         assert endpoint.connection_count == 1
         assert endpoint.request_ids == ["a", "b"]
         connects.open(1)  # what must not run twice waits for one of its own
-        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK, once=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK, once=Outcome.OK)
         assert endpoint.connection_count == 2
         pool.close()
 
@@ -138,15 +138,15 @@
 async def test_waiting_attempt_takes_a_connection_that_has_settled() -> None:
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
-        calls.start_attempt("a")
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
+        attempts.start_attempt("a")
         await connects.wait_for_started(1)
         connects.open(0)
-        await calls.wait_for_outcomes(a=Outcome.OK)
-        calls.start_attempt("b")
+        await attempts.wait_for_outcomes(a=Outcome.OK)
+        attempts.start_attempt("b")
         await connects.wait_for_started(2)
         await connects.advance(idle_connections.SETTLE_S)
-        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
         assert endpoint.connection_count == 1
         pool.close()
 
@@ -154,14 +154,14 @@
 async def test_longest_waiting_attempt_takes_the_first_connection_established() -> None:
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
-        calls.start_attempt("a", ONCE)
-        calls.start_attempt("b", ONCE)
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
+        attempts.start_attempt("a", NON_IDEMPOTENT_REQUEST)
+        attempts.start_attempt("b", NON_IDEMPOTENT_REQUEST)
         await connects.wait_for_started(2)
         connects.open(1)
-        await calls.wait_for_outcomes(a=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.OK)
         connects.open(0)
-        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
         assert endpoint.request_ids == ["a", "b"]
         pool.close()
 
@@ -185,37 +185,37 @@
     """A refusal ends that connection alone, and no more are opened where one was refused."""
     async with StandInEndpoint(http_response(200)) as stand_in:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, stand_in), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        attempts, connects = RecordedAttempts(pool, stand_in), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         refuse_connect(pool, 1)
-        calls.start_attempt("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
+        attempts.start_attempt("a", failover_within_s=LONG_CONNECT_TIMEOUT_S / 2)
         await connects.advance(11.0)
         await connects.wait_for_started(2)
         connects.open(1)
         await wait_until(
-            lambda: pool.pending.by_endpoint[calls.endpoint][0].task is not None
+            lambda: pool.pending.by_endpoint[attempts.endpoint][0].task is not None
             and bool(pool.pacing.no_extra_connect_until_s)
         )
         for _ in range(20):
             await connects.advance(11.0)
-        assert not calls.outcomes
+        assert not attempts.outcomes
         assert len(connects.gates) == 2
         connects.open(0)
-        await calls.wait_for_outcomes(a=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.OK)
         pool.close()
 
 
-def give_up(how: str, pool: ConnectionPool, attempt: UpstreamAttempt) -> None:
+def end_attempt(ending: str, pool: ConnectionPool, attempt: UpstreamAttempt) -> None:
     {
         "drain": lambda: pool.disable_endpoint(attempt.endpoint),
         "client gone": attempt.cancel_if_unsent,
         "cancel": attempt.cancel,
-        "time-out": attempt.time_out,
-        "end": pool.close,
-    }[how]()
+        "time out": attempt.time_out,
+        "close": pool.close,
+    }[ending]()
 
 
 @pytest.fixture
-def give_up_once_established(
+def end_attempt_once_established(
     on_established: Callable[[ConnectionHook], None],
 ) -> Callable[[str, ConnectionPool, UpstreamAttempt], list[bool]]:
     """Return what gives an attempt up in the turn after its two connections are established.
@@ -223,75 +223,75 @@
     The list gets one entry then: whether both connections stood, and the attempt had none of them yet.
     """
 
-    def install(how: str, pool: ConnectionPool, attempt: UpstreamAttempt) -> list[bool]:
-        crossed: list[bool] = []
+    def install(ending: str, pool: ConnectionPool, attempt: UpstreamAttempt) -> list[bool]:
+        states_at_end: list[bool] = []
 
-        def cross() -> None:
-            if not crossed:  # both gates were opened at once, and the connects go on in step
-                crossed.append(len(pool.connections.open) == 2 and attempt.connection is None)
-                give_up(how, pool, attempt)
+        def end_once() -> None:
+            if not states_at_end:  # both gates were opened at once, and the connects go on in step
+                states_at_end.append(len(pool.connections.open) == 2 and attempt.connection is None)
+                end_attempt(ending, pool, attempt)
 
         # In the next turn, before the tasks that wait for the connections, which this one wakes later.
         def established(connection: UpstreamConnection) -> None:
-            pool.loop.call_soon(cross)
+            pool.loop.call_soon(end_once)
 
         on_established(established)
-        return crossed
+        return states_at_end
 
     return install
 
 
-@pytest.mark.parametrize("up", [False, True], ids=["coming", "just up"])
+@pytest.mark.parametrize("is_established", [False, True], ids=["connecting", "just established"])
 @pytest.mark.parametrize(
-    ("how", "ends"),
+    ("ending", "expected_outcome"),
     [
         ("drain", Outcome.NOT_SENT),
         ("client gone", Outcome.NOT_SENT),
         ("cancel", Outcome.CANCELLED),
-        ("time-out", Outcome.NO_CONNECTION),
-        ("end", None),
+        ("time out", Outcome.NO_CONNECTION),
+        ("close", None),
     ],
 )
-async def test_attempt_given_up_with_two_pending_connections_leaves_none_open(
-    how: str,
-    ends: Outcome | None,
-    up: bool,
-    give_up_once_established: Callable[[str, ConnectionPool, UpstreamAttempt], list[bool]],
+async def test_attempt_ended_with_two_pending_connections_leaves_none_open(
+    ending: str,
+    expected_outcome: Outcome | None,
+    is_established: bool,
+    end_attempt_once_established: Callable[[str, ConnectionPool, UpstreamAttempt], list[bool]],
 ) -> None:
     """Also where both are established, and the tasks that await them have not run yet."""
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        out = calls.start_attempt("a")
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        attempt = attempts.start_attempt("a")
         await connects.advance(11.0)
         await connects.wait_for_started(2)
-        tasks = [pending.task for pending in pool.pending.by_endpoint[calls.endpoint]]
-        if up:
-            crossed = give_up_once_established(how, pool, out)
+        tasks = [pending.task for pending in pool.pending.by_endpoint[attempts.endpoint]]
+        if is_established:
+            states_at_end = end_attempt_once_established(ending, pool, attempt)
             connects.open(0, 1)
-            await wait_until(lambda: bool(crossed))
-            assert crossed == [True]
+            await wait_until(lambda: bool(states_at_end))
+            assert states_at_end == [True]
         else:
-            give_up(how, pool, out)
+            end_attempt(ending, pool, attempt)
         await wait_until(lambda: all(task.done() for task in tasks) and not pool.connections.open)
-        assert calls.outcomes == ({} if ends is None else {"a": ends})
+        assert attempts.outcomes == ({} if expected_outcome is None else {"a": expected_outcome})
         assert not pool.pending.by_endpoint
         assert not pool.idle.by_endpoint
         assert not endpoint.received
-        assert not pool.waiting.by_endpoint or how == "end"
-        out.cancel_if_unsent()
+        assert not pool.waiting.by_endpoint or ending == "close"
+        attempt.cancel_if_unsent()
         pool.close()
 
 
 async def test_cancelled_attempt_leaves_the_connection_to_another_waiting_attempt() -> None:
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.start_attempt("a")
-        calls.start_attempt("b").cancel_if_unsent()
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        attempts.start_attempt("a")
+        attempts.start_attempt("b").cancel_if_unsent()
         await connects.wait_for_started(1)
         connects.open(0)
-        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.NOT_SENT)
+        await attempts.wait_for_outcomes(a=Outcome.OK, b=Outcome.NOT_SENT)
         assert not pool.pending.by_endpoint
         pool.close()
 
@@ -299,14 +299,14 @@
 async def test_no_extra_connection_is_opened_at_the_connection_limit() -> None:
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 1)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.start_attempt("a")
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        attempts.start_attempt("a")
         for _ in range(5):
             await connects.advance(50.0)
         assert len(connects.gates) == 1
-        calls.start_attempt("b")
+        attempts.start_attempt("b")
         connects.open(0)
-        await calls.wait_for_outcomes(a=Outcome.OK, b=Outcome.NOT_SENT)
+        await attempts.wait_for_outcomes(a=Outcome.OK, b=Outcome.NOT_SENT)
         pool.close()
 
 
@@ -315,15 +315,15 @@
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
-        calls.start_attempt("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
+        attempts.start_attempt("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
         await connects.advance(59000.0)
         await connects.wait_for_started(2)
         connects.clock.advance(1100.0)  # the first is given up by its own limit, the second is a second old
-        await calls.wait_for_outcomes(a=Outcome.NO_CONNECTION)
-        calls.start_attempt("b")
+        await attempts.wait_for_outcomes(a=Outcome.NO_CONNECTION)
+        attempts.start_attempt("b")
         connects.open(1)
-        await calls.wait_for_outcomes(a=Outcome.NO_CONNECTION, b=Outcome.OK)
+        await attempts.wait_for_outcomes(a=Outcome.NO_CONNECTION, b=Outcome.OK)
         assert endpoint.request_ids == ["b"]
         pool.close()
 
@@ -333,17 +333,17 @@
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
-        calls.start_attempt("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, SLOW_CONNECTS_S)
+        attempts.start_attempt("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
         await connects.advance(30000.0)
-        calls.start_attempt("b", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
+        attempts.start_attempt("b", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
         await connects.wait_for_started(2)
-        connection = await Connector.open(pool.connector, calls.endpoint)
-        pending = pool.pending.by_endpoint[calls.endpoint][1]
+        connection = await Connector.open(pool.connector, attempts.endpoint)
+        pending = pool.pending.by_endpoint[attempts.endpoint][1]
         pending.task.cancel()
         connects.clock.advance(31000.0)
         pool.queue.connect_succeeded(pending, connection)
-        assert calls.outcomes == {"a": Outcome.NO_CONNECTION}
-        await calls.wait_for_outcomes(a=Outcome.NO_CONNECTION, b=Outcome.OK)
+        assert attempts.outcomes == {"a": Outcome.NO_CONNECTION}
+        await attempts.wait_for_outcomes(a=Outcome.NO_CONNECTION, b=Outcome.OK)
         assert endpoint.request_ids == ["b"]
         pool.close()
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -19,63 +19,63 @@
 from tests.support.stepped_clock import FrozenClock, wait_until
 
 
-@pytest.mark.parametrize("what", ["answer", "end", "reset", "answer and end"])
-@pytest.mark.parametrize("unread", [True, False])
+@pytest.mark.parametrize("late_event", ["response", "end", "reset", "response and end"])
+@pytest.mark.parametrize("is_unread", [True, False])
 async def test_late_bytes_on_an_idle_connection_are_not_the_next_response(
-    pool: ConnectionPool, what: str, unread: bool, monkeypatch: pytest.MonkeyPatch
+    pool: ConnectionPool, late_event: str, is_unread: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Whether they are unread as the next request begins in the same turn, or were read before."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        wire.send(http_response(200, b"%d" % len(endpoint.received)))
+    async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
+        connection.send(http_response(200, b"%d" % len(endpoint.received)))
 
     async with RawEndpoint(handle) as endpoint:
         assert (await RecordedAttempt(pool, endpoint.endpoint).result())[1] == UpstreamResponse(
             200, [(b"content-length", b"1")], b"1"
         )
-        [wire] = endpoint.connections
-        if "answer" in what:
-            wire.send(http_response(200, b"1"))
-        if "end" in what:
-            wire.end_sending()
-        if what == "reset":
-            wire.reset()
-        if not unread:
+        [connection] = endpoint.connections
+        if "response" in late_event:
+            connection.send(http_response(200, b"1"))
+        if "end" in late_event:
+            connection.end_sending()
+        if late_event == "reset":
+            connection.reset()
+        if not is_unread:
             await wait_until(lambda: not pool.connections.open)
-        how, reply = await RecordedAttempt(pool, endpoint.endpoint).result()
-        assert how is Outcome.OK
-        assert reply
-        assert reply.body == b"2"
+        outcome, response = await RecordedAttempt(pool, endpoint.endpoint).result()
+        assert outcome is Outcome.OK
+        assert response
+        assert response.body == b"2"
         assert len(endpoint.connections) == len(endpoint.received) == 2
 
 
-@pytest.mark.parametrize("what", ["answer", "end", "reset"])
+@pytest.mark.parametrize("late_event", ["response", "end", "reset"])
 async def test_late_bytes_just_before_the_write_are_not_the_next_response(
-    pool: ConnectionPool, what: str, monkeypatch: pytest.MonkeyPatch
+    pool: ConnectionPool, late_event: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They come just before the write: nothing is written, so nothing has run."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
-    looks: list[bool] = []
-    look = socket_state.has_unread_bytes
+    unread_results: list[bool] = []
+    has_unread_bytes = socket_state.has_unread_bytes
 
     async with RawEndpoint(respond_with(http_response(200, b"first"))) as endpoint:
         assert (await RecordedAttempt(pool, endpoint.endpoint).result())[0] is Outcome.OK
 
-        def crossed(transport: asyncio.BaseTransport, default: bool = True) -> bool:
-            looks.append(look(transport, default=default))
-            if len(looks) == 1:
-                [wire] = endpoint.connections
+        def check_and_send(transport: asyncio.BaseTransport, default: bool = True) -> bool:
+            unread_results.append(has_unread_bytes(transport, default=default))
+            if len(unread_results) == 1:
+                [connection] = endpoint.connections
                 {
-                    "answer": lambda: wire.send(http_response(200, b"late")),
-                    "end": wire.end_sending,
-                    "reset": wire.reset,
-                }[what]()
-            return looks[-1]
+                    "response": lambda: connection.send(http_response(200, b"late")),
+                    "end": connection.end_sending,
+                    "reset": connection.reset,
+                }[late_event]()
+            return unread_results[-1]
 
-        monkeypatch.setattr(socket_state, "has_unread_bytes", crossed)
+        monkeypatch.setattr(socket_state, "has_unread_bytes", check_and_send)
         assert await RecordedAttempt(pool, endpoint.endpoint).result() == (Outcome.NOT_SENT, None)
-        assert looks == [False, True]
+        assert unread_results == [False, True]
         assert len(endpoint.received) == 1
         assert not pool.idle.by_endpoint
 
@@ -86,45 +86,45 @@
     """However often it is wanted meanwhile; the second response comes at the end of the settling time."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 20.0)
 
-    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        wire.send(http_response(200, b"%d" % len(endpoint.received)))
+    async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
+        connection.send(http_response(200, b"%d" % len(endpoint.received)))
 
     async with RawEndpoint(handle) as endpoint:
         pool, clock = ConnectionPool(0.25, 3000.0, 10), FrozenClock()
         for number in (b"1", b"2", b"3"):
-            how, reply = await RecordedAttempt(pool, endpoint.endpoint).result()
-            assert how is Outcome.OK
-            assert reply
-            assert reply.body == number
+            outcome, response = await RecordedAttempt(pool, endpoint.endpoint).result()
+            assert outcome is Outcome.OK
+            assert response
+            assert response.body == number
         assert len(endpoint.connections) == 3
-        for wire in endpoint.connections[:2]:
-            wire.send(http_response(200, b"late"))
+        for connection in endpoint.connections[:2]:
+            connection.send(http_response(200, b"late"))
         clock.advance(20.0)
         for number in (b"4", b"5"):  # the third one has rested and said nothing more
-            how, reply = await RecordedAttempt(pool, endpoint.endpoint).result()
-            assert how is Outcome.OK
-            assert reply
-            assert reply.body == number
+            outcome, response = await RecordedAttempt(pool, endpoint.endpoint).result()
+            assert outcome is Outcome.OK
+            assert response
+            assert response.body == number
         assert len(endpoint.connections) == 4
         pool.close()
 
 
 @pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
-@pytest.mark.parametrize("how", ["end", "reset"])
+@pytest.mark.parametrize("ending", ["end", "reset"])
 async def test_request_survives_the_break_of_a_reused_connection(
-    kind: str, how: str, monkeypatch: pytest.MonkeyPatch
+    kind: str, ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The break crosses the write, so it may have run: non-idempotent requests use no idle connection."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        if len(wires) == 1 and wire is wires[0]:
-            await respond_with(how)(wire, got)
+    async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
+        if len(connections) == 1 and connection is connections[0]:
+            await respond_with(ending)(connection, request)
         else:
-            wires.append(wire)
-            wire.send(http_response(200, got[1]["req-id"].encode()))
+            connections.append(connection)
+            connection.send(http_response(200, request[1]["req-id"].encode()))
 
-    wires: list[EndpointConnection] = []
+    connections: list[EndpointConnection] = []
     async with RawEndpoint(handle) as endpoint, running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy:
         assert (await proxy.send_request(http_request(request_id="first")))[2] == b"first"
         line, _, body = await proxy.send_request(http_request(kind, request_id="r1"))
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -16,7 +16,7 @@
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 
-async def test_endpoint_that_breaks_an_idle_connection_gets_new_connections_for_a_while(
+async def test_endpoint_that_closes_an_idle_connection_gets_new_connections_for_a_while(
     pool: ConnectionPool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -29,8 +29,8 @@
 
     async with StandInServer(handle) as endpoint:
         address = ("127.0.0.1", endpoint.port)
-        got = [(await run_attempt(pool, address))[0] for _ in range(4)]
-        assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
+        outcomes = [(await run_attempt(pool, address))[0] for _ in range(4)]
+        assert outcomes == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
         assert endpoint.connection_count == 3
         assert not pool.idle.by_endpoint
         pool.idle.reuse_from_s[EndpointAddress(1, address)] -= (
@@ -62,19 +62,20 @@
 
 
 @pytest.mark.parametrize(
-    "said", [b"not http\r\n\r\n", b"HTTP/1.1 200 x\r\nno colon here\r\nContent-Length: 2\r\n\r\nok"]
+    "invalid_response",
+    [b"not http\r\n\r\n", b"HTTP/1.1 200 x\r\nno colon here\r\nContent-Length: 2\r\n\r\nok"],
 )
 async def test_invalid_response_on_a_reused_connection_does_not_suspend_reuse(
-    pool: ConnectionPool, said: bytes, monkeypatch: pytest.MonkeyPatch
+    pool: ConnectionPool, invalid_response: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Only the end of a connection says how the endpoint treats idle ones."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    good = http_response(200, b"ok")
-    async with StandInEndpoint(good, said, good) as endpoint:
+    valid_response = http_response(200, b"ok")
+    async with StandInEndpoint(valid_response, invalid_response, valid_response) as endpoint:
         address = ("127.0.0.1", endpoint.port)
-        got = [(await run_attempt(pool, address))[0] for _ in range(4)]
-        assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
+        outcomes = [(await run_attempt(pool, address))[0] for _ in range(4)]
+        assert outcomes == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
         assert endpoint.connection_count == 2
         assert pool.idle.by_endpoint
 
@@ -91,22 +92,22 @@
 
 
 async def test_connection_to_a_removed_endpoint_is_not_reused(pool: ConnectionPool) -> None:
-    go_on = asyncio.Event()
+    may_respond = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         endpoint.received.append(await read_http_message(reader))
-        await go_on.wait()
+        await may_respond.wait()
         writer.write(http_response(200, b"ok"))
         await reader.read()
 
     async with StandInServer(handle) as endpoint:
         address = ("127.0.0.1", endpoint.port)
-        out = asyncio.ensure_future(run_attempt(pool, address))
+        result_task = asyncio.ensure_future(run_attempt(pool, address))
         while not endpoint.received:
             await asyncio.sleep(0)
         pool.disable_endpoint(EndpointAddress(1, address))
-        go_on.set()
-        assert (await out)[0] is Outcome.OK
+        may_respond.set()
+        assert (await result_task)[0] is Outcome.OK
         assert not pool.idle.by_endpoint
         assert not pool.idle.reuse_from_s
 
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -16,42 +16,52 @@
 CHUNKED = b"HTTP/1.1 200 x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n3\r\nall\r\n0\r\n\r\n"
 
 
-@pytest.mark.parametrize("kept", [False, True])
-@pytest.mark.parametrize("how", ["end", "reset"])
+@pytest.mark.parametrize("is_reused", [False, True])
+@pytest.mark.parametrize("ending", ["end", "reset"])
 @pytest.mark.parametrize(
-    "whole", [http_response(200, b"ok"), CHUNKED, b"HTTP/1.1 103 x\r\n\r\n" + http_response(200, b"ok")]
+    "complete_response",
+    [http_response(200, b"ok"), CHUNKED, b"HTTP/1.1 103 x\r\n\r\n" + http_response(200, b"ok")],
 )
 async def test_truncated_response_ends_the_attempt_as_reset(
-    new_pool: PoolFactory, whole: bytes, how: str, kept: bool, monkeypatch: pytest.MonkeyPatch
+    new_pool: PoolFactory,
+    complete_response: bytes,
+    ending: str,
+    is_reused: bool,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    said: list[tuple[bytes | str, ...]] = []
+    responses: list[tuple[bytes | str, ...]] = []
 
-    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        await respond_with(*said.pop(0))(wire, got)
+    async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
+        await respond_with(*responses.pop(0))(connection, request)
 
     async with RawEndpoint(handle) as endpoint:
-        for at in range(len(whole) + 1):
-            said[:] = [*[(http_response(200, b"first"),)] * kept, (whole[:at], how)]
-            pool, before = new_pool(), len(endpoint.connections)
-            for _ in range(kept):
+        for length in range(len(complete_response) + 1):
+            responses[:] = [
+                *[(http_response(200, b"first"),)] * is_reused,
+                (complete_response[:length], ending),
+            ]
+            pool, connections_before = new_pool(), len(endpoint.connections)
+            for _ in range(is_reused):
                 assert (await RecordedAttempt(pool, endpoint.endpoint).result())[0] is Outcome.OK
-            got = await RecordedAttempt(pool, endpoint.endpoint).result()
-            if at < len(whole):
-                assert got == (Outcome.RESET, None), at
+            result = await RecordedAttempt(pool, endpoint.endpoint).result()
+            if length < len(complete_response):
+                assert result == (Outcome.RESET, None), length
             else:
-                assert got[0] is Outcome.OK
-            assert len(endpoint.connections) == before + 1
+                assert result[0] is Outcome.OK
+            assert len(endpoint.connections) == connections_before + 1
             pool.close()
 
 
-async def fares(kind: str, *first: bytes | str) -> tuple[int, list[str]]:
+async def status_and_request_ids(kind: str, *first_steps: bytes | str) -> tuple[int, list[str]]:
     """Return the client's status and the ids that endpoints received, where the first attempt ends so."""
-    met = [first]
+    remaining_steps = [first_steps]
 
-    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        await respond_with(*(met.pop() if met else (http_response(200, b"served"),)))(wire, got)
+    async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
+        await respond_with(*(remaining_steps.pop() if remaining_steps else (http_response(200, b"served"),)))(
+            connection, request
+        )
 
     async with (
         RawEndpoint(handle) as first_endpoint,
@@ -66,30 +76,32 @@
         return status, first_endpoint.request_ids + second_endpoint.request_ids
 
 
-def may_have_run(kind: str) -> tuple[int, list[str]]:
-    """Return what `fares` returns for a request whose first attempt may have run."""
+def expected_if_it_may_have_run(kind: str) -> tuple[int, list[str]]:
+    """Return what `status_and_request_ids` returns for a request whose first attempt may have run."""
     return (502, ["r1"]) if kind == "pay" else (200, ["r1", "r1"])
 
 
 @pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
-@pytest.mark.parametrize("how", ["end", "reset"])
-async def test_truncated_response_is_retried_only_if_idempotent(kind: str, how: str) -> None:
-    whole = http_response(200, b"served")
-    for at in range(len(whole)):
-        assert await fares(kind, whole[:at], how) == may_have_run(kind), at
+@pytest.mark.parametrize("ending", ["end", "reset"])
+async def test_truncated_response_is_retried_only_if_idempotent(kind: str, ending: str) -> None:
+    complete_response = http_response(200, b"served")
+    for length in range(len(complete_response)):
+        assert await status_and_request_ids(
+            kind, complete_response[:length], ending
+        ) == expected_if_it_may_have_run(kind), length
 
 
 @pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 async def test_invalid_response_is_retried_only_if_idempotent(kind: str) -> None:
-    for said in INVALID_RESPONSES:
-        assert await fares(kind, said) == may_have_run(kind), said
+    for response in INVALID_RESPONSES:
+        assert await status_and_request_ids(kind, response) == expected_if_it_may_have_run(kind), response
 
 
 @pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("status", [500, 503, 504])
 @pytest.mark.parametrize("declined", ["1", "0", ""])
 async def test_error_is_retried_if_declined_or_idempotent(kind: str, status: int, declined: str) -> None:
-    never_ran = declined == "1" and status != 500
-    told = (200, ["r1", "r1"]) if never_ran else may_have_run(kind)
-    said = http_response(status, Srv_Declined=declined) if declined else http_response(status)
-    assert await fares(kind, said) == told
+    is_declined = declined == "1" and status != 500
+    expected = (200, ["r1", "r1"]) if is_declined else expected_if_it_may_have_run(kind)
+    response = http_response(status, Srv_Declined=declined) if declined else http_response(status)
+    assert await status_and_request_ids(kind, response) == expected
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -17,7 +17,7 @@
 from tests.support.stand_in_server import StandInEndpoint
 from tests.support.stepped_clock import wait_until
 
-OTHERS = 1 + MAX_SPARE_CONNECTS
+SHARED_CONNECTS = 1 + MAX_SPARE_CONNECTS
 
 
 class FailingConnects:
@@ -43,24 +43,24 @@
     """Unless the endpoint refuses, where another connect would be refused as well."""
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(600.0, 300.0, 10)
-        calls, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, [])
-        FailingConnects(pool, OTHERS, ConnectionRefusedError if refused else TimeoutError)
-        before = [calls.start_attempt(f"x{number}") for number in range(OTHERS)]
-        await connects.wait_for_started(OTHERS)
-        for attempt in before:  # they move on, and what is coming goes on for others to use
+        attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, [])
+        FailingConnects(pool, SHARED_CONNECTS, ConnectionRefusedError if refused else TimeoutError)
+        earlier_attempts = [attempts.start_attempt(f"x{number}") for number in range(SHARED_CONNECTS)]
+        await connects.wait_for_started(SHARED_CONNECTS)
+        for attempt in earlier_attempts:  # they move on, and what is coming goes on for others to use
             attempt.finish(Outcome.NOT_SENT, keep_connecting=True)
-        calls.start_attempt("late")
+        attempts.start_attempt("late")
         await asyncio.sleep(0)
-        assert len(connects.gates) == OTHERS  # as many as may are coming
-        connects.open(*range(OTHERS))
+        assert len(connects.gates) == SHARED_CONNECTS  # as many as may are coming
+        connects.open(*range(SHARED_CONNECTS))
         if refused:
-            await wait_until(lambda: "late" in calls.outcomes)
-            assert calls.outcomes["late"] is Outcome.NO_CONNECTION
-            assert len(connects.gates) == OTHERS
+            await wait_until(lambda: "late" in attempts.outcomes)
+            assert attempts.outcomes["late"] is Outcome.NO_CONNECTION
+            assert len(connects.gates) == SHARED_CONNECTS
         else:
-            await connects.wait_for_started(OTHERS + 1)
-            connects.open(OTHERS)
-            await wait_until(lambda: "late" in calls.outcomes)
-            assert calls.outcomes["late"] is Outcome.OK
+            await connects.wait_for_started(SHARED_CONNECTS + 1)
+            connects.open(SHARED_CONNECTS)
+            await wait_until(lambda: "late" in attempts.outcomes)
+            assert attempts.outcomes["late"] is Outcome.OK
             assert endpoint.request_ids == ["late"]
         pool.close()
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -37,26 +37,26 @@
 from tests.support.time_limit import TEST_TIMEOUT_S
 
 
-def end_request(how: str, proxy: LoopbackProxy, clock: SteppedClock, writer: asyncio.StreamWriter) -> None:
-    if how == "gone":
+def end_request(ending: str, proxy: LoopbackProxy, clock: SteppedClock, writer: asyncio.StreamWriter) -> None:
+    if ending == "client gone":
         writer.close()
-    elif how == "deadline":
+    elif ending == "deadline":
         clock.advance(4.0)
     else:
         proxy.driver.end_all_requests()
 
 
 @pytest.fixture
-def narrow_transports(on_established: Callable[[ConnectionHook], None]) -> list[asyncio.Transport]:
+def small_buffer_transports(on_established: Callable[[ConnectionHook], None]) -> list[asyncio.Transport]:
     """Collect the transports of connections to endpoints, which all take little at once."""
     transports: list[asyncio.Transport] = []
 
-    def narrow(connection: UpstreamConnection) -> None:
+    def shrink_buffer(connection: UpstreamConnection) -> None:
         transport = connection.transport
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         transports.append(transport)
 
-    on_established(narrow)
+    on_established(shrink_buffer)
     return transports
 
 
@@ -68,19 +68,19 @@
     return reader, writer
 
 
-@pytest.mark.parametrize("kept", [False, True])
-@pytest.mark.parametrize("cancel", [False, True])
-@pytest.mark.parametrize("how", ["gone", "deadline", "end"])
+@pytest.mark.parametrize("is_reused", [False, True])
+@pytest.mark.parametrize("cancels", [False, True])
+@pytest.mark.parametrize("ending", ["client gone", "deadline", "end"])
 async def test_rest_of_a_request_is_not_written_after_its_final_response(
-    how: str,
-    cancel: bool,
-    kept: bool,
-    narrow_transports: list[asyncio.Transport],
+    ending: str,
+    cancels: bool,
+    is_reused: bool,
+    small_buffer_transports: list[asyncio.Transport],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The endpoint has only a part of it: with the rest the request would run although nobody waits."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
-    limits = messages.Limits(max_attempts=3, cancel=cancel)
+    limits = messages.Limits(max_attempts=3, cancel=cancels)
     async with (
         RawEndpoint(respond_with(http_response(200, b"x"))) as endpoint,
         running_proxy(
@@ -88,55 +88,57 @@
         ) as proxy,
     ):
         endpoint.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        if kept:
+        if is_reused:
             assert (await proxy.send_request(http_request("mark", request_id="first")))[2] == b"x"
         endpoint.reading.clear()
         clock = proxy.use_stepped_clock()
-        reader, writer = await send_partly(proxy, "mark" if kept else "pay", narrow_transports)
-        end_request(how, proxy, clock, writer)
-        if how != "gone":  # at the end of the proxy the policy counts what is in flight as what may have run
-            expected_status = 502 if how == "end" and not kept else 503
+        reader, writer = await send_partly(proxy, "mark" if is_reused else "pay", small_buffer_transports)
+        end_request(ending, proxy, clock, writer)
+        if (
+            ending != "client gone"
+        ):  # at the end of the proxy the policy counts what is in flight as what may have run
+            expected_status = 502 if ending == "end" and not is_reused else 503
             assert response_status(await read_http_message(reader)) == expected_status
         await wait_until(lambda: proxy.driver.is_idle)
         endpoint.reading.set()
         await wait_until(lambda: bool(endpoint.connections) and endpoint.connections[-1].has_proxy_closed)
         assert len(endpoint.connections) == 1
-        assert endpoint.request_ids == ["first"] * kept
+        assert endpoint.request_ids == ["first"] * is_reused
         writer.close()
 
 
-@pytest.mark.parametrize("how", ["cancel", "time out", "invalid"])
+@pytest.mark.parametrize("ending", ["cancel", "time out", "invalid"])
 async def test_abandoned_attempt_has_ended_at_its_endpoint_before_its_outcome(
-    pool: ConnectionPool, how: str
+    pool: ConnectionPool, ending: str
 ) -> None:
     """The retry may be written in the same turn: the endpoints must never hold two copies."""
 
-    async def handle(wire: EndpointConnection, got: HttpMessage) -> None:
-        if how == "invalid":
-            wire.send(b"not http\r\n\r\n")
+    async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
+        if ending == "invalid":
+            connection.send(b"not http\r\n\r\n")
 
-    def done(outcome: Outcome, reply: UpstreamResponse | None) -> None:
-        [wire] = endpoint.connections
+    def on_outcome(outcome: Outcome, response: UpstreamResponse | None) -> None:
+        [connection] = endpoint.connections
         try:
-            ended.append(wire.socket.recv(1, socket.MSG_PEEK) == b"")
+            was_closed.append(connection.socket.recv(1, socket.MSG_PEEK) == b"")
         except BlockingIOError:
-            ended.append(False)
+            was_closed.append(False)
 
-    ended: list[bool] = []
+    was_closed: list[bool] = []
     async with RawEndpoint(handle) as endpoint:
-        out = pool.start_attempt(endpoint.endpoint, KEYED_REQUEST, 60.0, done)
+        attempt = pool.start_attempt(endpoint.endpoint, KEYED_REQUEST, 60.0, on_outcome)
         await wait_until(lambda: bool(endpoint.received))
-        if how == "cancel":
-            out.cancel()
-        elif how == "time out":
-            out.time_out()
-        await wait_until(lambda: bool(ended))
-        assert ended == [True]
+        if ending == "cancel":
+            attempt.cancel()
+        elif ending == "time out":
+            attempt.time_out()
+        await wait_until(lambda: bool(was_closed))
+        assert was_closed == [True]
 
 
-EVENTS = ["answer", "reset", "time out", "cancel", "cancel if unsent", "drain"]
-ENDS = {
-    "answer": Outcome.OK,
+EVENTS = ["response", "reset", "time out", "cancel", "cancel if unsent", "drain"]
+OUTCOMES_BY_EVENT = {
+    "response": Outcome.OK,
     "reset": Outcome.RESET,
     "time out": Outcome.TIMEOUT,
     "cancel": Outcome.CANCELLED,
@@ -151,37 +153,41 @@
     transport._read_ready()
 
 
-def cross(
-    event: str, pool: ConnectionPool, out: RecordedAttempt, wire: EndpointConnection, transport: Any
+def apply_event(
+    event: str,
+    pool: ConnectionPool,
+    recorded: RecordedAttempt,
+    connection: EndpointConnection,
+    transport: Any,
 ) -> None:
     """Let one event happen, within this turn of the loop."""
     match event:
-        case "answer" if not wire.is_closed:
+        case "response" if not connection.is_closed:
             is_read = not transport.is_closing()
-            wire.send(http_response(200, b"ok"))
+            connection.send(http_response(200, b"ok"))
             if is_read:
                 read_now(transport)
         case "reset":
-            wire.reset()
+            connection.reset()
             if not transport.is_closing():
                 read_now(transport)
         case "time out":
-            out.attempt.time_out()
+            recorded.attempt.time_out()
         case "cancel":
-            out.attempt.cancel()
+            recorded.attempt.cancel()
         case "cancel if unsent":
-            out.attempt.cancel_if_unsent()
+            recorded.attempt.cancel_if_unsent()
         case "drain":
-            pool.disable_endpoint(out.attempt.endpoint)
+            pool.disable_endpoint(recorded.attempt.endpoint)
 
 
-def expected_end(order: tuple[str, ...]) -> Outcome:
+def expected_outcome(order: tuple[str, ...]) -> Outcome:
     """The outcome of an attempt that these events end, in this order."""
     # The loop tells of a reset in its next turn: what else ends the attempt goes before it.
-    ending = [event for event in order if event in ENDS and event != "reset"]
-    if "reset" in order and "answer" in ending and order.index("reset") < order.index("answer"):
-        ending.remove("answer")
-    return ENDS[ending[0] if ending else "reset"]
+    ending_events = [event for event in order if event in OUTCOMES_BY_EVENT and event != "reset"]
+    if "reset" in order and "response" in ending_events and order.index("reset") < order.index("response"):
+        ending_events.remove("response")
+    return OUTCOMES_BY_EVENT[ending_events[0] if ending_events else "reset"]
 
 
 async def respond_to_next(connection: EndpointConnection, request: HttpMessage) -> None:
@@ -204,20 +210,20 @@
     async with RawEndpoint(respond_to_next) as endpoint:
         orders = [order for order in permutations(EVENTS, 4) if order[0] == first]
         for number, order in enumerate(orders):
-            pool, seen = new_pool(), len(endpoint.received)
-            out = RecordedAttempt(pool, endpoint.endpoint)
-            await wait_until(lambda seen=seen: len(endpoint.received) > seen)  # type: ignore[misc]
-            wire, transport = endpoint.connections[-1], transports[-1]
+            pool, received_before = new_pool(), len(endpoint.received)
+            recorded = RecordedAttempt(pool, endpoint.endpoint)
+            await wait_until(lambda received_before=received_before: len(endpoint.received) > received_before)  # type: ignore[misc]
+            connection, transport = endpoint.connections[-1], transports[-1]
             for event in order:
-                cross(event, pool, out, wire, transport)
-            how, reply = await out.result()
-            assert how is expected_end(order), order
-            assert reply == (OK_RESPONSE if how is Outcome.OK else None)
+                apply_event(event, pool, recorded, connection, transport)
+            outcome, response = await recorded.result()
+            assert outcome is expected_outcome(order), order
+            assert response == (OK_RESPONSE if outcome is Outcome.OK else None)
             following = replace(KEYED_REQUEST, target=b"/next")
-            got = await RecordedAttempt(pool, endpoint.endpoint, following).result()
-            assert got[1], (number, order)
-            assert got[1].body == b"next", (number, order)
-            assert len(out.results) == 1
+            result = await RecordedAttempt(pool, endpoint.endpoint, following).result()
+            assert result[1], (number, order)
+            assert result[1].body == b"next", (number, order)
+            assert len(recorded.results) == 1
             pool.close()
 
 
@@ -229,18 +235,18 @@
 }
 
 
-def end_in_two_ways(pool: ConnectionPool, out: RecordedAttempt, first: str, second: str) -> None:
-    ways: dict[str, Callable[[], None]] = {
-        "time out": out.attempt.time_out,
-        "cancel": out.attempt.cancel,
-        "cancel if unsent": out.attempt.cancel_if_unsent,
-        "drain": partial(pool.disable_endpoint, out.attempt.endpoint),
+def apply_two_events(pool: ConnectionPool, recorded: RecordedAttempt, first: str, second: str) -> None:
+    functions: dict[str, Callable[[], None]] = {
+        "time out": recorded.attempt.time_out,
+        "cancel": recorded.attempt.cancel,
+        "cancel if unsent": recorded.attempt.cancel_if_unsent,
+        "drain": partial(pool.disable_endpoint, recorded.attempt.endpoint),
     }
-    ways[first]()
-    ways[second]()
+    functions[first]()
+    functions[second]()
 
 
-class ConnectCrossing:
+class ConnectMoment:
     """Has a function called at one moment of the next connect."""
 
     def __init__(self, moment: str) -> None:
@@ -248,35 +254,35 @@
         self._pending: list[Callable[[], None]] = []
 
     async def at_moment(self, function: Callable[[], None]) -> None:
-        if self.moment == "coming":
+        if self.moment == "connecting":
             await asyncio.sleep(0)  # the connect has begun
             function()
         else:
             self._pending.append(function)
 
     def established(self, connection: UpstreamConnection) -> None:
-        if self._pending and self.moment == "made":
+        if self._pending and self.moment == "established":
             self._pending.pop()()
-        elif self._pending and self.moment == "next turn":
+        elif self._pending and self.moment == "next iteration":
             asyncio.get_running_loop().call_soon(self._pending.pop())
 
 
-@pytest.mark.parametrize("moment", ["coming", "made", "next turn"])
+@pytest.mark.parametrize("moment", ["connecting", "established", "next iteration"])
 async def test_attempt_has_one_outcome_when_ended_during_its_connect(
     new_pool: PoolFactory, moment: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
     """Two events in each order, as its connection is being established: nothing is sent."""
-    crossing = ConnectCrossing(moment)
-    on_established(crossing.established)
+    connect_moment = ConnectMoment(moment)
+    on_established(connect_moment.established)
     orders = product(permutations(OUTCOMES_DURING_CONNECT, 2), (KEYED_REQUEST, UNSAFE_REQUEST))
     async with RawEndpoint(respond_with(http_response(200, b"ok"))) as endpoint:
         for (first, second), request in orders:
             pool = new_pool()
-            out = RecordedAttempt(pool, endpoint.endpoint, replace(request, target=b"/crossed"))
-            await crossing.at_moment(partial(end_in_two_ways, pool, out, first, second))
-            assert await out.result() == (OUTCOMES_DURING_CONNECT[first], None), (first, second)
+            recorded = RecordedAttempt(pool, endpoint.endpoint, replace(request, target=b"/crossed"))
+            await connect_moment.at_moment(partial(apply_two_events, pool, recorded, first, second))
+            assert await recorded.result() == (OUTCOMES_DURING_CONNECT[first], None), (first, second)
             for _ in range(3):  # what would come of it comes before the end of these
                 assert (await RecordedAttempt(pool, endpoint.endpoint, request).result())[0] is Outcome.OK
-            assert len(out.results) == 1
+            assert len(recorded.results) == 1
             pool.close()
         assert not [first for first, _, _ in endpoint.received if "crossed" in first]
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -22,28 +22,28 @@
 
 
 async def test_refused_connect_ends_as_no_connection(pool: ConnectionPool) -> None:
-    with socket.socket() as closed:
-        closed.bind(("127.0.0.1", 0))
-        got, _ = await run_attempt(pool, closed.getsockname())
-        assert got is Outcome.NO_CONNECTION
+    with socket.socket() as unused_socket:
+        unused_socket.bind(("127.0.0.1", 0))
+        outcome, _ = await run_attempt(pool, unused_socket.getsockname())
+        assert outcome is Outcome.NO_CONNECTION
 
 
 async def test_connect_that_never_completes_ends_as_no_connection() -> None:
-    with socket.socket() as full:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
+    with socket.socket() as full_listener:
+        full_listener.bind(("127.0.0.1", 0))
+        full_listener.listen(0)
         fillers = [socket.socket() for _ in range(4)]
         for filler in fillers:  # until the queue takes no more, the system says nothing
             filler.setblocking(False)
-            filler.connect_ex(full.getsockname())
-        got, _ = await run_attempt(ConnectionPool(0.1, 30.0, 10), full.getsockname())
-        assert got is Outcome.NO_CONNECTION
+            filler.connect_ex(full_listener.getsockname())
+        outcome, _ = await run_attempt(ConnectionPool(0.1, 30.0, 10), full_listener.getsockname())
+        assert outcome is Outcome.NO_CONNECTION
         for filler in fillers:
             filler.close()
 
 
 async def test_reset_before_the_request_is_written_ends_as_no_connection(pool: ConnectionPool) -> None:
-    big = replace(
+    large_request = replace(
         UNSAFE_REQUEST, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000
     )
 
@@ -52,55 +52,55 @@
         writer.transport.abort()
 
     async with StandInServer(handle) as endpoint:
-        got, _ = await run_attempt(pool, ("127.0.0.1", endpoint.port), big)
-        assert got is Outcome.NO_CONNECTION
+        outcome, _ = await run_attempt(pool, ("127.0.0.1", endpoint.port), large_request)
+        assert outcome is Outcome.NO_CONNECTION
 
 
 async def test_timeout_before_the_request_is_written_ends_as_no_connection(pool: ConnectionPool) -> None:
-    big = replace(
+    large_request = replace(
         UNSAFE_REQUEST, headers=[(b"host", b"x"), (b"content-length", b"30000000")], body=b"x" * 30_000_000
     )
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await never.wait()
+        await never_set.wait()
 
-    never = asyncio.Event()
+    never_set = asyncio.Event()
     async with StandInServer(handle) as endpoint:
-        got, _ = await run_attempt(pool, ("127.0.0.1", endpoint.port), big, timeout_s=0.2)
-        assert got is Outcome.NO_CONNECTION
-        never.set()
+        outcome, _ = await run_attempt(pool, ("127.0.0.1", endpoint.port), large_request, timeout_s=0.2)
+        assert outcome is Outcome.NO_CONNECTION
+        never_set.set()
 
 
-@pytest.mark.parametrize("written", [False, True])
+@pytest.mark.parametrize("is_written", [False, True])
 async def test_cancel_if_unsent_ends_only_an_incompletely_written_attempt(
-    pool: ConnectionPool, written: bool
+    pool: ConnectionPool, is_written: bool
 ) -> None:
-    size = 2 if written else 30_000_000
+    size = 2 if is_written else 30_000_000
     head = [(b"host", b"x"), (b"content-length", b"%d" % size)]
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        begun.set()
-        await go_on.wait()
+        request_received.set()
+        await may_respond.wait()
         writer.write(http_response(200, b"ok"))
 
-    begun, go_on = asyncio.Event(), asyncio.Event()
-    ended: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
+    request_received, may_respond = asyncio.Event(), asyncio.Event()
+    ended_with: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
     async with StandInServer(handle) as endpoint:
-        out = pool.start_attempt(
+        attempt = pool.start_attempt(
             EndpointAddress(1, ("127.0.0.1", endpoint.port)),
             replace(UNSAFE_REQUEST, headers=head, body=b"x" * size),
             5.0,
-            lambda how, _: ended.set_result(how),
+            lambda outcome, _: ended_with.set_result(outcome),
         )
-        await begun.wait()
-        out.cancel_if_unsent()
-        assert out.is_over is not written
-        go_on.set()
-        assert await ended is (Outcome.OK if written else Outcome.NOT_SENT)
+        await request_received.wait()
+        attempt.cancel_if_unsent()
+        assert attempt.is_over is not is_written
+        may_respond.set()
+        assert await ended_with is (Outcome.OK if is_written else Outcome.NOT_SENT)
 
 
-def end_attempt(how: str, pool: ConnectionPool, attempt: UpstreamAttempt) -> None:
+def end_attempt(ending: str, pool: ConnectionPool, attempt: UpstreamAttempt) -> None:
     assert attempt.connection is None
     assert not attempt.is_over
     assert pool.connections.open
@@ -109,57 +109,59 @@
         "cancel if unsent": attempt.cancel_if_unsent,
         "disable": lambda: pool.disable_endpoint(attempt.endpoint),
         "time out": attempt.time_out,
-    }[how]()
+    }[ending]()
 
 
-@pytest.mark.parametrize("how", ["cancel", "cancel if unsent", "disable", "time out"])
+@pytest.mark.parametrize("ending", ["cancel", "cancel if unsent", "disable", "time out"])
 async def test_attempt_ended_as_its_connection_is_established_leaves_none_open(
-    pool: ConnectionPool, how: str, on_established: Callable[[ConnectionHook], None]
+    pool: ConnectionPool, ending: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
     """It is established, and the task that awaits it has been woken but has not run yet."""
     async with StandInEndpoint(http_response(200, b"ok")) as stand_in:
         endpoint = EndpointAddress(1, ("127.0.0.1", stand_in.port))
-        ended: list[Outcome] = []
+        outcomes: list[Outcome] = []
 
         def established(connection: UpstreamConnection) -> None:
             # In the next turn, before the task, which this one wakes later.
-            pool.loop.call_soon(lambda: end_attempt(how, pool, attempt))
+            pool.loop.call_soon(lambda: end_attempt(ending, pool, attempt))
 
         on_established(established)
-        attempt = pool.start_attempt(endpoint, KEYED_REQUEST, 5.0, lambda outcome, _: ended.append(outcome))
+        attempt = pool.start_attempt(
+            endpoint, KEYED_REQUEST, 5.0, lambda outcome, _: outcomes.append(outcome)
+        )
         await wait_until(
             lambda: stand_in.connection_count == 1
             and not pool.connections.open
             and not pool.pending.by_endpoint
         )
-        assert len(ended) == 1
+        assert len(outcomes) == 1
         assert not pool.idle.by_endpoint
         assert not pool.waiting.by_endpoint
         assert stand_in.received == []
 
 
 async def test_cancel_closes_the_connection(pool: ConnectionPool) -> None:
-    begun, closed = asyncio.Event(), asyncio.Event()
+    request_received, closed_event = asyncio.Event(), asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_http_message(reader)
-        begun.set()
+        request_received.set()
         assert await reader.read() == b""
-        closed.set()
+        closed_event.set()
 
     async with StandInServer(handle) as endpoint:
-        ends = []
-        out = pool.start_attempt(
+        outcomes = []
+        attempt = pool.start_attempt(
             EndpointAddress(1, ("127.0.0.1", endpoint.port)),
             KEYED_REQUEST,
             5.0,
-            lambda how, _: ends.append(how),
+            lambda outcome, _: outcomes.append(outcome),
         )
-        await begun.wait()
-        out.cancel()
-        out.cancel()
-        assert ends == [Outcome.CANCELLED]
-        await closed.wait()
+        await request_received.wait()
+        attempt.cancel()
+        attempt.cancel()
+        assert outcomes == [Outcome.CANCELLED]
+        await closed_event.wait()
 
 
 async def test_descriptor_shortage_ends_as_not_sent(
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "outcome"),
+    ("response_bytes", "outcome"),
     [
         (http_response(200, b"ok"), Outcome.OK),
         (b"HTTP/1.1 200 x\r\n\r\nuntil the end", Outcome.RESET),  # no length, and it goes on past the limit
@@ -40,20 +40,22 @@
     ],
 )
 async def test_response_determines_the_outcome(
-    pool: ConnectionPool, said: bytes | None, outcome: Outcome
+    pool: ConnectionPool, response_bytes: bytes | None, outcome: Outcome
 ) -> None:
-    endless = b"x" * 70_000 if said and b"until" in said else b""
-    async with StandInEndpoint(said + endless if said else said) as endpoint:
-        got, reply = await run_attempt(
+    excess_bytes = b"x" * 70_000 if response_bytes and b"until" in response_bytes else b""
+    async with StandInEndpoint(
+        response_bytes + excess_bytes if response_bytes else response_bytes
+    ) as endpoint:
+        actual_outcome, response = await run_attempt(
             pool, ("127.0.0.1", endpoint.port), timeout_s=0.5 if outcome is Outcome.TIMEOUT else 60.0
         )
-        assert got is outcome
-        assert got is not Outcome.OK or (reply and reply.body == b"ok")
+        assert actual_outcome is outcome
+        assert actual_outcome is not Outcome.OK or (response and response.body == b"ok")
         assert len(endpoint.received) == 1  # never sent again from here
 
 
 @pytest.mark.parametrize(
-    "said",
+    "response_bytes",
     [
         b"\x8f noise without the end of a line",
         b"HTTP/1.1 200 x\r\nX-Pad: " + b"p" * 20_000,
@@ -67,11 +69,11 @@
     ],
 )
 async def test_invalid_response_is_detected_at_once_on_an_open_connection(
-    pool: ConnectionPool, said: bytes, monkeypatch: pytest.MonkeyPatch
+    pool: ConnectionPool, response_bytes: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream_connection, "RESPONSE_COMPLETION_TIMEOUT_S", 60.0)
 
-    async with StandInEndpoint(said) as endpoint:
+    async with StandInEndpoint(response_bytes) as endpoint:
         assert await run_attempt(pool, ("127.0.0.1", endpoint.port), timeout_s=60.0) == (Outcome.RESET, None)
         assert not pool.idle.by_endpoint
 
@@ -86,15 +88,22 @@
 
 
 async def test_surplus_bytes_after_a_response_prevent_reuse(new_pool: PoolFactory) -> None:
-    good = http_response(200, b"ok", Srv_Load="inflight=?,,=;util")
-    for said in (good, good + good, good + b"noise", b"HTTP/1.1 103 x\r\n\r\n" + good):
-        async with StandInEndpoint(said) as endpoint:
+    valid_response = http_response(200, b"ok", Srv_Load="inflight=?,,=;util")
+    for response_bytes in (
+        valid_response,
+        valid_response + valid_response,
+        valid_response + b"noise",
+        b"HTTP/1.1 103 x\r\n\r\n" + valid_response,
+    ):
+        async with StandInEndpoint(response_bytes) as endpoint:
             pool = new_pool()
-            got, reply = await run_attempt(pool, ("127.0.0.1", endpoint.port))
-            assert got is Outcome.OK
-            assert reply
-            assert reply.body == b"ok"
-            assert bool(pool.idle.by_endpoint) is (said.endswith(b"ok") and said.count(b"ok") == 1)
+            actual_outcome, response = await run_attempt(pool, ("127.0.0.1", endpoint.port))
+            assert actual_outcome is Outcome.OK
+            assert response
+            assert response.body == b"ok"
+            assert bool(pool.idle.by_endpoint) is (
+                response_bytes.endswith(b"ok") and response_bytes.count(b"ok") == 1
+            )
             pool.close()
 
 
@@ -104,12 +113,12 @@
     """The copy comes just after the connection fell idle, which is not reused before it has settled."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 60.0)
 
-    copy = asyncio.Event()
+    may_send_copy = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         endpoint.received.append(await read_http_message(reader))
         writer.write(http_response(200, b"%d" % len(endpoint.received)))
-        await copy.wait()
+        await may_send_copy.wait()
         writer.write(http_response(200, b"1"))
         await reader.read()
 
@@ -118,13 +127,13 @@
         assert (await run_attempt(pool, address))[1] == UpstreamResponse(
             200, [(b"content-length", b"1")], b"1"
         )
-        later = asyncio.ensure_future(run_attempt(pool, address))
+        result_task = asyncio.ensure_future(run_attempt(pool, address))
         await asyncio.sleep(0)
-        copy.set()
-        got, reply = await later
-        assert got is Outcome.OK
-        assert reply
-        assert reply.body == b"2"
+        may_send_copy.set()
+        actual_outcome, response = await result_task
+        assert actual_outcome is Outcome.OK
+        assert response
+        assert response.body == b"2"
         while any(pool.idle.by_endpoint.values()):
             await asyncio.sleep(0)
 
@@ -137,10 +146,13 @@
 
     async with StandInServer(handle) as endpoint:
         body = b"x" * 30_000_000
-        big = replace(
+        large_request = replace(
             UNSAFE_REQUEST, headers=[(b"host", b"x"), (b"content-length", b"%d" % len(body))], body=body
         )
-        assert await run_attempt(pool, ("127.0.0.1", endpoint.port), big) == (Outcome.NO_CONNECTION, None)
+        assert await run_attempt(pool, ("127.0.0.1", endpoint.port), large_request) == (
+            Outcome.NO_CONNECTION,
+            None,
+        )
 
 
 async def test_deadline_header_holds_the_time_remaining_when_the_request_is_written() -> None:
@@ -150,10 +162,10 @@
     async with StandInEndpoint(http_response(200, b"ok")) as endpoint:
         pool = ConnectionPool(60.0, 30.0, 10)
         gate = ConnectGates(pool)
-        out = asyncio.ensure_future(run_attempt(pool, ("127.0.0.1", endpoint.port), timeout_s=4.0))
+        result_task = asyncio.ensure_future(run_attempt(pool, ("127.0.0.1", endpoint.port), timeout_s=4.0))
         await wait_until(lambda: gate.started_count == 1)
         clock.advance(1.5)
         gate.open_all()
-        assert (await out)[0] is Outcome.OK
+        assert (await result_task)[0] is Outcome.OK
         assert 2.0 < float(endpoint.received[0][1]["req-deadline"]) <= 2.5
         pool.close()
