--- a/tests/net/discovery/test_endpoint_list_bytes.py
+++ b/tests/net/discovery/test_endpoint_list_bytes.py
@@ -13,7 +13,7 @@
 from tests.support.stepped_clock import wait_until
 
 SMALL_FLEET_SIZE, LARGE_FLEET_SIZE = 200, 3_200
-# Allowed bytes for the large fleet: this multiple of the small fleet's, a constant, and an amount per endpoint.
+# Limit for the large fleet: this multiple of the small fleet's bytes, a constant, and an amount per endpoint.
 MAX_BYTES_FACTOR, EXTRA_BYTES, EXTRA_BYTES_PER_ENDPOINT = 2.0, 64_000, 500
 
 
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -1,4 +1,4 @@
-"""What changes of the endpoint list mean for requests, over real sockets."""
+"""Effect of endpoint list changes on requests, over real sockets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 async def read_request_line(reader: asyncio.StreamReader) -> str:
-    """The first line of a request without a body."""
+    """Return the request line of a request without a body."""
     return (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
 
 
@@ -76,7 +76,7 @@
 
 
 class HeldResponse:
-    """An endpoint that takes one request, answers it when it may, and waits for the connection's end."""
+    """Endpoint that responds to one request when allowed, and waits until the connection is closed."""
 
     def __init__(self) -> None:
         self.received, self.may_respond, self.closed = asyncio.Event(), asyncio.Event(), asyncio.Event()
@@ -86,7 +86,7 @@
         self.received.set()
         await self.may_respond.wait()
         writer.write(http_response(200, b"done"))
-        assert await reader.read() == b""  # and the connection is not kept
+        assert await reader.read() == b""  # the proxy closes the connection
         self.closed.set()
 
 
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock of the policy never steps, and converts wall-clock times by what the wall clock showed."""
+"""The policy's clock never steps, and converts wall-clock times by the offset recorded at that time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,9 @@
 
 
 @EACH_CLOCK_STEP
-@pytest.mark.parametrize("is_stated_before_step", [True, False], ids=["stated before it", "stated after it"])
+@pytest.mark.parametrize(
+    "is_stated_before_step", [True, False], ids=["stated before the step", "stated after the step"]
+)
 def test_wall_time_is_converted_by_the_wall_clock_of_that_moment(
     step: int, is_stated_before_step: bool
 ) -> None:
--- a/tests/net/test_repeated_log_lines.py
+++ b/tests/net/test_repeated_log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of one kind are written up to a limit in each run of events, and counted beyond it."""
+"""Log lines of one kind are written up to a limit in each series of events, and counted beyond it."""
 
 from __future__ import annotations
 
@@ -74,11 +74,11 @@
 def test_repeated_events_are_counted_when_only_distinct_ones_are_logged(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    limited = windowed_lines("broke: %s", logs_repeats=False)
+    limited = windowed_lines("failed: %s", logs_repeats=False)
     for reason in ("reset", "reset", "silent", "reset", "status 503"):
         limited.record(0.0, reason)
     limited.record(10.0, "reset")
-    assert caplog.messages == ["broke: reset", "broke: silent", "3 more", "broke: reset"]
+    assert caplog.messages == ["failed: reset", "failed: silent", "3 more", "failed: reset"]
 
 
 def test_summary_is_logged_once_and_only_when_events_were_suppressed(
--- a/tests/net/upstream/conftest.py
+++ b/tests/net/upstream/conftest.py
@@ -1,4 +1,4 @@
-"""Connection pools for the tests of this folder."""
+"""Connection pool fixtures for the tests in this folder."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from load_balancer.net.upstream.connection_pool import ConnectionPool
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 
-# Real time: far more than a connect on loopback takes on a busy machine. Tests of the limit itself step the
-# clock, or make a pool with a limit of their own.
+# In real time, far longer than a connect on loopback takes on a busy machine. Tests of the timeout itself
+# step the clock or create a pool with their own timeout.
 CONNECT_TIMEOUT_S = 60.0
 IDLE_TIMEOUT_S = 30.0
 MAX_CONNECTIONS = 10
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 async def new_pool() -> AsyncIterator[PoolFactory]:
-    """Return what makes pools, each of which is closed as the test ends."""
+    """Return a function that creates pools, which are closed at the end of the test."""
     pools: list[ConnectionPool] = []
 
     def make() -> ConnectionPool:
@@ -36,13 +36,13 @@
 
 @pytest.fixture
 async def pool(new_pool: PoolFactory) -> ConnectionPool:
-    """Return a pool that is closed as the test ends."""
+    """Return a pool that is closed at the end of the test."""
     return new_pool()
 
 
 @pytest.fixture
 def on_established(monkeypatch: pytest.MonkeyPatch) -> Callable[[ConnectionHook], None]:
-    """Return what has a function called with each connection, in the turn in which it is established."""
+    """Return a function that installs a hook, called with each connection as soon as it is established."""
     connection_made = UpstreamConnection.connection_made
 
     def install(hook: ConnectionHook) -> None:
--- a/tests/net/upstream/test_close_delimited_forwarding.py
+++ b/tests/net/upstream/test_close_delimited_forwarding.py
@@ -1,4 +1,4 @@
-"""Close-delimited responses through the whole proxy: each complete one is forwarded."""
+"""Forwarding of close-delimited responses by the proxy: only complete ones reach the client."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 }
 BODIES = {"empty": b"", "a byte": b"x", "64 KiB": bytes(range(256)) * 256}
 ENDS = {
-    "with the last byte": 0.0,  # the end comes in its segment
-    "later": 0.005,  # once all of it has been read
+    "with the last byte": 0.0,  # the end is in the same segment
+    "later": 0.005,  # after all bytes have been read
 }
 
 
 async def send_all(connection: EndpointConnection, response_bytes: bytes, expect_more: bool = False) -> None:
-    """Hand all bytes to the system, which holds the last segment back where `expect_more` follows."""
+    """Send all bytes; the system delays the last segment if `expect_more` is true."""
     while response_bytes:
         try:
             sent = connection.socket.send(response_bytes, socket.MSG_MORE if expect_more else 0)
@@ -44,7 +44,7 @@
 async def test_close_delimited_response_is_forwarded_complete(
     head: str, body: str, end: str, is_reused: bool, closing: str, bytes_from_endpoints: bytearray
 ) -> None:
-    """In every form of the head, the body, the end and the connection."""
+    """The response is forwarded for each form of its head, body, end and connection."""
     response_bytes = HEADS[head] + BODIES[body]
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
@@ -64,7 +64,9 @@
     async with RawEndpoint(handle) as endpoint, running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy:
         if is_reused:
             assert (await proxy.send_request(http_request(request_id="first")))[2] == b"first"
-            await asyncio.sleep(0.02)  # it has to rest, so that a second answer would show
+            await asyncio.sleep(
+                0.02
+            )  # the connection must settle before reuse, so that a second response is detected
         line, _, body_bytes = await proxy.send_request(http_request(request_id="r1"))
         assert line.split()[1] == "200"
         assert body_bytes == BODIES[body]
@@ -80,7 +82,7 @@
 async def test_reset_close_delimited_response_is_not_forwarded(
     head: str, body: str, end: str, is_reused: bool, kind: str, bytes_from_endpoints: bytearray
 ) -> None:
-    """Also after its last byte: the client must not get a response that may be truncated."""
+    """Even after its last byte: the client must not get a response that may be truncated."""
     response_bytes = HEADS[head] + BODIES[body]
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -1,4 +1,4 @@
-"""Close-delimited responses on one connection: complete at the end of the stream, and only there."""
+"""Close-delimited responses on one connection: complete only at the end of the stream."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 async def test_close_delimited_response_is_complete_at_the_end_of_the_stream(
     pool: ConnectionPool, head: bytes, outcome: Outcome, body: bytes, ending: tuple[str, ...]
 ) -> None:
-    """As HTTP/1.1 says. Where a reset follows the end, both are with the system before the first read."""
+    """As HTTP/1.1 specifies. A reset after the end is in the system's buffer before the first read."""
 
     async with RawEndpoint(respond_with(head + body, *ending)) as endpoint:
-        for attempt_count in (1, 2):  # the connection is not kept
+        for attempt_count in (1, 2):  # the connection is not reused
             actual_outcome, response = await RecordedAttempt(pool, endpoint.endpoint).result()
             assert actual_outcome is outcome
             assert response is not None
@@ -69,7 +69,7 @@
 async def test_reset_does_not_complete_a_close_delimited_response(
     pool: ConnectionPool, length: int, is_read_before_reset: bool, bytes_from_endpoints: bytearray
 ) -> None:
-    """After any byte and after the last, whether the bytes are read before the reset or together with it."""
+    """After any byte or the last one, whether the bytes are read before the reset or together with it."""
     response_bytes = (HEAD_WITHOUT_LENGTH + b"whole")[:length]
 
     async with RawEndpoint(
@@ -116,7 +116,7 @@
 async def test_interim_response_does_not_start_the_completion_timeout(
     pool: ConnectionPool, split_at: int, bytes_from_endpoints: bytearray
 ) -> None:
-    """Only the final response must be complete soon after its first byte, as the work is done by then."""
+    """Only the final response must complete soon after its first byte, as the work is done by then."""
     interim, valid_response = b"HTTP/1.1 103 x\r\n\r\n", http_response(200, b"ok")
 
     clock = FrozenClock()
@@ -131,7 +131,7 @@
         endpoint.connections[0].send(valid_response[:-1])
         await wait_until(lambda: bytes_from_endpoints.endswith(b"o") or bool(recorded.results))
         assert not recorded.results
-        clock.advance(upstream_connection.RESPONSE_COMPLETION_TIMEOUT_S)  # now its time runs
+        clock.advance(upstream_connection.RESPONSE_COMPLETION_TIMEOUT_S)  # the timeout now runs
         assert await recorded.result() == (Outcome.RESET, None)
         recorded = RecordedAttempt(pool, endpoint.endpoint)
         await wait_until(lambda: len(endpoint.received) == 2)
@@ -156,7 +156,7 @@
 
 @pytest.mark.parametrize("kind", ["read", "write", "mark", "pay"])
 async def test_client_gets_a_close_delimited_response_unless_it_is_reset(kind: str) -> None:
-    """After a proper end; after a reset the request may have run."""
+    """It is complete after an orderly end; after a reset the request may have run."""
 
     endings = ["reset", "end"]
 
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -1,4 +1,4 @@
-"""When connects to an endpoint stall, its attempt ends in time to fail over to another endpoint."""
+"""When connects to an endpoint stall, the attempt ends in time to fail over to another endpoint."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 async def test_attempt_without_a_connection_fails_over_in_time(
     was_active: bool, expected_outcome: Outcome
 ) -> None:
-    """As not sent where the endpoint was active recently, and as not connected otherwise."""
+    """The outcome is "not sent" if the endpoint was recently active, and "no connection" otherwise."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
@@ -46,7 +46,7 @@
         await connects.advance(11.0)
         await attempts.wait_for_outcomes(a=expected_outcome)
         assert len(connects.gates) == 1 + connection_queue.MAX_SPARE_CONNECTS
-        attempts.start_attempt("b")  # what comes up late is there for another
+        attempts.start_attempt("b")  # a connection established late serves another attempt
         connects.open(0)
         await attempts.wait_for_outcomes(a=expected_outcome, b=Outcome.OK)
         assert endpoint.request_ids == ["b"]
@@ -94,7 +94,7 @@
         for count in (2, 3, 4):
             await connects.advance(11.0)
             await connects.wait_for_started(count)
-        connects.open(3)  # the first to the other endpoint
+        connects.open(3)  # the first connect to the other endpoint
         status_line, _, body = await response_task
         assert (status_line.split()[1], body) == ("200", b"x")
         assert first_endpoint.connection_count + second_endpoint.connection_count == 1
@@ -116,7 +116,7 @@
         harness.end_attempt(first_attempt, Outcome.NOT_SENT), messages.StartAttempt
     )[0]
     assert second_attempt.endpoint_id != first_attempt.endpoint_id
-    assert second_attempt.max_connection_wait_us == 0  # no third attempt is allowed
+    assert second_attempt.max_connection_wait_us == 0  # a third attempt is not allowed
     single_endpoint = BalancerHarness(balancer_settings(), endpoint_count=1)
     assert (
         actions_of_type(single_endpoint.send_request("a"), messages.StartAttempt)[0].max_connection_wait_us
--- a/tests/net/upstream/test_connect_latency.py
+++ b/tests/net/upstream/test_connect_latency.py
@@ -1,4 +1,4 @@
-"""The time that one more connection is expected to save, by the durations of recent connects."""
+"""The time that an extra connection is expected to save, from the durations of recent connects."""
 
 from __future__ import annotations
 
@@ -15,11 +15,13 @@
     for duration_s in [0.25] * 6 + [1.0] * 2:
         latency.add(duration_s)
     assert latency.median_s == 0.25
-    # A new one is up at 0.25 s with 6 in 8, one that is 0.5 s old in another 0.5 s.
+    # A new connect completes in 0.25 s with probability 6/8; one pending for 0.5 s takes another 0.5 s.
     assert latency.expected_saving_s([0.5], 10.0) == pytest.approx(0.25 * 0.75)
     assert latency.expected_saving_s([0.5], 0.4) == pytest.approx(0.15 * 0.75)
     assert latency.expected_saving_s([0.5, 0.0], 10.0) == pytest.approx(0.25 * 0.75 * 0.25)
-    assert latency.expected_saving_s([2.0], 3.0) == pytest.approx(0.75 * 0.75 + 2.0)  # later than any before
+    assert latency.expected_saving_s([2.0], 3.0) == pytest.approx(
+        0.75 * 0.75 + 2.0
+    )  # pending for longer than any earlier connect
     assert latency.expected_saving_s([0.0], 10.0) == pytest.approx(0.75 * 0.75 * 0.25)
     assert ConnectLatency().expected_saving_s([0.5], 10.0) == 0.0
     for _ in range(WINDOW_SIZE):
@@ -29,7 +31,7 @@
 
 
 def test_expected_saving_tolerates_rounding_of_ages() -> None:
-    """`age + (time - age)` may be below `time`: the connection then counted as pending for a step more."""
+    """`age + (time - age)` may be below `time`: the connect then counted as pending for a step longer."""
     latency, (age_s, slowest_s) = ConnectLatency(), (0.09, 0.34)
     assert age_s + (slowest_s - age_s) < slowest_s
     for duration_s in (0.05, slowest_s):
@@ -40,7 +42,7 @@
 def test_cost_of_the_expected_saving_is_linear_in_pending_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each waiting attempt computes it repeatedly, and blocks the event loop meanwhile."""
+    """Each waiting attempt computes it repeatedly, which blocks the event loop."""
     search_count = 0
 
     def count_and_search(values: list[float], value: float) -> int:
--- a/tests/net/upstream/test_connect_pacing.py
+++ b/tests/net/upstream/test_connect_pacing.py
@@ -19,7 +19,7 @@
 
 
 class StoppedLoop(asyncio.SelectorEventLoop):
-    """An event loop that never runs; the test sets its clock."""
+    """Event loop that never runs; the test sets its clock."""
 
     now = 100.0
 
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connection an attempt uses, and what becomes of the others; the test completes each connect."""
+"""Which connection an attempt uses, and what happens to the others; the test completes each connect."""
 
 from __future__ import annotations
 
@@ -46,18 +46,20 @@
         assert endpoint.connection_count == 1
         assert endpoint.request_ids == ["a"]
         await connects.advance(1000.0)
-        attempts.start_attempt("b")  # the one that was used is idle again
+        attempts.start_attempt("b")  # reuses the connection, which is idle again
         await attempts.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
         assert endpoint.connection_count == 1
         assert len(connects.gates) == 2
         connects.open(0)
         await wait_until(lambda: endpoint.connection_count == 2 and not pool.pending.by_endpoint)
-        assert len(pool.idle.by_endpoint[attempts.endpoint]) == 1  # the other one is not needed
+        assert len(pool.idle.by_endpoint[attempts.endpoint]) == 1  # the surplus connection is closed
         pool.close()
 
 
 async def test_surplus_connection_is_reused_by_the_next_attempt() -> None:
-    async with StandInEndpoint(None, http_response(200)) as endpoint:  # the first that is used breaks
+    async with StandInEndpoint(
+        None, http_response(200)
+    ) as endpoint:  # the first connection used is closed without a response
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         attempts.start_attempt("a")
@@ -124,12 +126,12 @@
         await connects.wait_for_started(3)
         connects.open(0)
         await wait_until(lambda: "a" in attempts.outcomes)
-        assert set(attempts.outcomes) == {"a"}  # it rests first: more than its answer may be under way
+        assert set(attempts.outcomes) == {"a"}  # it settles first, as surplus bytes may follow the response
         await connects.advance(idle_connections.SETTLE_S)
         await attempts.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK)
         assert endpoint.connection_count == 1
         assert endpoint.request_ids == ["a", "b"]
-        connects.open(1)  # what must not run twice waits for one of its own
+        connects.open(1)  # a non-idempotent request waits for a new connection
         await attempts.wait_for_outcomes(a=Outcome.OK, b=Outcome.OK, once=Outcome.OK)
         assert endpoint.connection_count == 2
         pool.close()
@@ -167,7 +169,7 @@
 
 
 def refuse_connect(pool: ConnectionPool, refused_number: int) -> None:
-    """Have one of the pool's connects, counted from 0, refused once its gate is open."""
+    """Make one of the pool's connects, counted from 0, fail as refused once its gate is open."""
     connect, numbers = pool.connector.open, count()
 
     async def open_or_refuse(endpoint: EndpointAddress) -> UpstreamConnection:
@@ -182,7 +184,7 @@
 
 
 async def test_attempt_ends_only_when_none_of_its_connects_is_pending() -> None:
-    """A refusal ends that connection alone, and no more are opened where one was refused."""
+    """A refusal ends only that connect, and no extra one is opened to the endpoint after it."""
     async with StandInEndpoint(http_response(200)) as stand_in:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         attempts, connects = RecordedAttempts(pool, stand_in), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
@@ -218,20 +220,20 @@
 def end_attempt_once_established(
     on_established: Callable[[ConnectionHook], None],
 ) -> Callable[[str, ConnectionPool, UpstreamAttempt], list[bool]]:
-    """Return what gives an attempt up in the turn after its two connections are established.
+    """Return a function that ends an attempt one iteration after its two connections are established.
 
-    The list gets one entry then: whether both connections stood, and the attempt had none of them yet.
+    The returned list then gets one entry: whether both connections were open and the attempt had neither.
     """
 
     def install(ending: str, pool: ConnectionPool, attempt: UpstreamAttempt) -> list[bool]:
         states_at_end: list[bool] = []
 
         def end_once() -> None:
-            if not states_at_end:  # both gates were opened at once, and the connects go on in step
+            if not states_at_end:  # both gates open at once, and both connects complete in the same iteration
                 states_at_end.append(len(pool.connections.open) == 2 and attempt.connection is None)
                 end_attempt(ending, pool, attempt)
 
-        # In the next turn, before the tasks that wait for the connections, which this one wakes later.
+        # Runs in the next event loop iteration, before the awaiting tasks, which are woken later in this one.
         def established(connection: UpstreamConnection) -> None:
             pool.loop.call_soon(end_once)
 
@@ -258,7 +260,7 @@
     is_established: bool,
     end_attempt_once_established: Callable[[str, ConnectionPool, UpstreamAttempt], list[bool]],
 ) -> None:
-    """Also where both are established, and the tasks that await them have not run yet."""
+    """Also if both are established and the tasks that await them have not run yet."""
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
@@ -311,7 +313,7 @@
 
 
 async def test_attempt_waits_no_longer_than_the_connect_timeout_for_any_connection() -> None:
-    """The policy relies on it for retries within a window; pending connects go on for other attempts."""
+    """The policy relies on this for retries within a window; pending connects continue for other attempts."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
@@ -319,7 +321,7 @@
         attempts.start_attempt("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
         await connects.advance(59000.0)
         await connects.wait_for_started(2)
-        connects.clock.advance(1100.0)  # the first is given up by its own limit, the second is a second old
+        connects.clock.advance(1100.0)  # the first connect has timed out, the second is one second old
         await attempts.wait_for_outcomes(a=Outcome.NO_CONNECTION)
         attempts.start_attempt("b")
         connects.open(1)
@@ -329,7 +331,7 @@
 
 
 async def test_connection_goes_to_the_next_attempt_when_the_first_missed_its_deadline_in_a_stall() -> None:
-    """The process was stalled past the first attempt's deadline, whose timer has not fired yet."""
+    """The process stalled past the deadline of the first attempt, whose timer has not fired yet."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -1,7 +1,7 @@
-"""Random plays on the connection pool: each attempt ends once, and the pool is empty afterwards.
+"""Random simulations of the connection pool: each attempt ends once, and the pool is empty afterwards.
 
-Attempts begin and end, and endpoints are disabled, within the outcome of another attempt. Each play has a
-seed; its assertions hold in any order of concurrent events.
+Attempts start and end, and endpoints are disabled, inside the outcome callback of another attempt. Each
+simulation has a seed; its assertions hold in any order of concurrent events.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 @asynccontextmanager
 async def random_endpoint(rng: random.Random) -> AsyncIterator[StandInServer]:
-    """Run an endpoint that responds at random, or not at all, and may end the connection."""
+    """Run an endpoint that responds at random or not at all, and may close the connection."""
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -64,7 +64,7 @@
 
 
 class PoolSimulation:
-    """Attempts on two endpoints, and random events that happen to them."""
+    """Random events on attempts to two endpoints."""
 
     def __init__(self, rng: random.Random, ports: list[int]) -> None:
         self.rng, self.clock = rng, FrozenClock()
@@ -83,7 +83,7 @@
         self._connect, self.pool.connector.open = self.pool.connector.open, self.connect  # type: ignore[method-assign]
 
     async def connect(self, endpoint: EndpointAddress) -> UpstreamConnection:
-        """It is refused, lacks a descriptor, comes up at once or at the play's word, or never."""
+        """Connect at once, when the gate opens or never, or fail with a refusal or a descriptor shortage."""
         async with asyncio.timeout(self.pool.pacing.connect_timeout_s):
             draw = self.rng.random()
             if draw < 0.13:
@@ -121,7 +121,7 @@
             self.ended_counts[number] += 1
             self.attempts.pop(number, None)
             self.nesting += 1
-            if self.nesting < MAX_NESTING:  # as the policy does, at once
+            if self.nesting < MAX_NESTING:  # within the callback, as the policy does
                 for _ in range(self.rng.choice([0, 0, 1, 1, 2])):
                     self.perform_random_event()
             self.nesting -= 1
@@ -139,15 +139,15 @@
     def check_send(
         self, connection: UpstreamConnection, attempt: UpstreamAttempt, request: UpstreamRequest
     ) -> None:
-        rules = {
-            "sent to an endpoint that is disabled": attempt.endpoint not in self.up,
-            "sent on a connection to another": connection.endpoint != attempt.endpoint,
-            "sent though it is over": attempt.is_over,
-            "sent behind another": connection.attempt is not None,
-            "sent on an idle connection what must not run twice": connection.was_idle
+        possible_violations = {
+            "request sent to a disabled endpoint": attempt.endpoint not in self.up,
+            "request sent on a connection to another endpoint": connection.endpoint != attempt.endpoint,
+            "request sent for an attempt that has ended": attempt.is_over,
+            "request sent on a connection in use": connection.attempt is not None,
+            "non-idempotent request sent on an idle connection": connection.was_idle
             and not request.is_idempotent,
         }
-        self.violations += [text for text, is_violated in rules.items() if is_violated]
+        self.violations += [text for text, is_violated in possible_violations.items() if is_violated]
 
     def check(self) -> None:
         for endpoint in self.endpoints:
@@ -162,7 +162,7 @@
         assert not self.violations
 
     async def run(self, step_count: int) -> None:
-        """Act at random for so many steps, and let all that was begun come to its end."""
+        """Perform random events in this number of steps, then wait until all attempts have ended."""
         for _ in range(step_count):
             for _ in range(self.rng.choice([0, 1, 1, 3])):
                 if len(self.attempts) < MAX_ATTEMPTS:
@@ -182,7 +182,7 @@
 
 
 def pending_timers(*owners: type) -> list[asyncio.TimerHandle]:
-    """Return the event loop's timers that call a method of these classes."""
+    """Return the pending event loop timers that call a method of these classes."""
     timers = asyncio.get_running_loop()._scheduled  # type: ignore[attr-defined]
     return [
         timer
@@ -202,7 +202,7 @@
 
 
 def assert_pool_has_forgotten(pool: ConnectionPool, endpoints: list[EndpointAddress]) -> None:
-    """Disable the endpoints, after which nothing of them may be left."""
+    """Disable the endpoints, and assert that no state of them remains."""
     for endpoint in endpoints:
         pool.disable_endpoint(endpoint)
     assert not pool.idle.reuse_from_s
@@ -212,7 +212,7 @@
 
 @pytest.fixture
 def check_simulation(monkeypatch: pytest.MonkeyPatch) -> Callable[[PoolSimulation], None]:
-    """Return what has each request that is sent, and each exception of the event loop, noted by a play."""
+    """Return a function that makes a simulation record invalid sends and event loop exceptions."""
     send = UpstreamConnection.send
 
     def install(simulation: PoolSimulation) -> None:
@@ -256,7 +256,7 @@
 
 
 def record_considered(pool: ConnectionPool) -> list[WaitingAttempt]:
-    """Collect the attempt each time that the pool considers one more connection for it."""
+    """Return a list that collects the attempt each time the pool considers an extra connection for it."""
     considered: list[WaitingAttempt] = []
     is_extra_connect_worthwhile = pool.queue.is_extra_connect_worthwhile
 
@@ -269,7 +269,7 @@
 
 
 async def test_waiting_attempt_considers_an_extra_connection_a_few_times_only() -> None:
-    """It may wait hundreds of times longer than usual, and each decision takes the event loop's time."""
+    """Its wait may be hundreds of times the usual one, and each decision blocks the event loop."""
     async with random_endpoint(random.Random(0)) as stand_in:
         pool, clock = ConnectionPool(1.0, 30.0, 10), FrozenClock()
         for _ in range(32):
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Late bytes on an idle or reused connection are not taken for the next response."""
+"""Late bytes on an idle or reused connection are not treated as the next response."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 async def test_late_bytes_on_an_idle_connection_are_not_the_next_response(
     pool: ConnectionPool, late_event: str, is_unread: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Whether they are unread as the next request begins in the same turn, or were read before."""
+    """The bytes are unread when the next request starts in the same iteration, or were read before."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
@@ -54,7 +54,7 @@
 async def test_late_bytes_just_before_the_write_are_not_the_next_response(
     pool: ConnectionPool, late_event: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They come just before the write: nothing is written, so nothing has run."""
+    """The bytes arrive just before the write: nothing is written, so nothing has run."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     unread_results: list[bool] = []
     has_unread_bytes = socket_state.has_unread_bytes
@@ -83,7 +83,7 @@
 async def test_connection_settles_before_reuse_so_that_a_second_response_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """However often it is wanted meanwhile; the second response comes at the end of the settling time."""
+    """Requests in the settling time use other connections; the second response arrives at its end."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 20.0)
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
@@ -100,7 +100,7 @@
         for connection in endpoint.connections[:2]:
             connection.send(http_response(200, b"late"))
         clock.advance(20.0)
-        for number in (b"4", b"5"):  # the third one has rested and said nothing more
+        for number in (b"4", b"5"):  # the third connection has settled without further bytes
             outcome, response = await RecordedAttempt(pool, endpoint.endpoint).result()
             assert outcome is Outcome.OK
             assert response
@@ -114,7 +114,10 @@
 async def test_request_survives_the_break_of_a_reused_connection(
     kind: str, ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The break crosses the write, so it may have run: non-idempotent requests use no idle connection."""
+    """The connection breaks during the write, so the request may have run.
+
+    Non-idempotent requests therefore use no idle connection.
+    """
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -25,7 +25,7 @@
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         endpoint.received.append(await read_http_message(reader))
         writer.write(http_response(200, b"ok"))
-        endpoint.received.append(await read_http_message(reader))  # and then it ends, with nothing said
+        endpoint.received.append(await read_http_message(reader))  # then close without a response
 
     async with StandInServer(handle) as endpoint:
         address = ("127.0.0.1", endpoint.port)
@@ -35,7 +35,7 @@
         assert not pool.idle.by_endpoint
         pool.idle.reuse_from_s[EndpointAddress(1, address)] -= (
             idle_connections.REUSE_SUSPENSION_S
-        )  # as if that while were over
+        )  # as if the suspension had ended
         assert (await run_attempt(pool, address))[0] is Outcome.OK
         assert pool.idle.by_endpoint
 
@@ -44,13 +44,13 @@
     pool: ConnectionPool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An idle connection may be stale; new ones replace idle ones, so that these do not accumulate."""
+    """An idle connection may be stale. Each new connection replaces an idle one, so that none accumulate."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         endpoint.received.append(await read_http_message(reader))
         writer.write(http_response(200, b"ok"))
-        await read_http_message(reader)  # and then it ends, with nothing said
+        await read_http_message(reader)  # then close without a response
 
     async with StandInServer(handle) as endpoint:
         address = ("127.0.0.1", endpoint.port)
@@ -58,7 +58,9 @@
             assert (await run_attempt(pool, address, UNSAFE_REQUEST))[0] is Outcome.OK
             assert len(pool.idle.by_endpoint[EndpointAddress(1, address)]) == 1
         assert endpoint.connection_count == 4
-        assert (await run_attempt(pool, address))[0] is Outcome.RESET  # the same on a kept one
+        assert (await run_attempt(pool, address))[
+            0
+        ] is Outcome.RESET  # an idempotent request reuses a connection
 
 
 @pytest.mark.parametrize(
@@ -68,7 +70,7 @@
 async def test_invalid_response_on_a_reused_connection_does_not_suspend_reuse(
     pool: ConnectionPool, invalid_response: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Only the end of a connection says how the endpoint treats idle ones."""
+    """Only the end of a connection shows that the endpoint closes idle ones."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     valid_response = http_response(200, b"ok")
@@ -86,7 +88,9 @@
         assert (await run_attempt(pool, address, endpoint_id=1))[0] is Outcome.OK
         assert (await run_attempt(pool, address, endpoint_id=2))[0] is Outcome.OK
         assert endpoint.connection_count == 2
-        pool.disable_endpoint(EndpointAddress(1, address))  # the old one's end leaves the new one's alone
+        pool.disable_endpoint(
+            EndpointAddress(1, address)
+        )  # does not affect the connections of the new endpoint
         assert not pool.idle.by_endpoint.get(EndpointAddress(1, address))
         assert len(pool.idle.by_endpoint[EndpointAddress(2, address)]) == 1
 
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -55,7 +55,7 @@
 
 
 async def status_and_request_ids(kind: str, *first_steps: bytes | str) -> tuple[int, list[str]]:
-    """Return the client's status and the ids that endpoints received, where the first attempt ends so."""
+    """Return the client's status and the request ids at the endpoints, given the first response's steps."""
     remaining_steps = [first_steps]
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
@@ -77,7 +77,7 @@
 
 
 def expected_if_it_may_have_run(kind: str) -> tuple[int, list[str]]:
-    """Return what `status_and_request_ids` returns for a request whose first attempt may have run."""
+    """Return the expected status and request ids if the first attempt may have run."""
     return (502, ["r1"]) if kind == "pay" else (200, ["r1", "r1"])
 
 
--- a/tests/net/upstream/test_shared_connects.py
+++ b/tests/net/upstream/test_shared_connects.py
@@ -1,4 +1,4 @@
-"""An attempt that waits for connections opened for other attempts, all of which fail."""
+"""An attempt waits for connections opened for other attempts, and all of these connects fail."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FailingConnects:
-    """Has the first connects of a pool fail once their gates are open."""
+    """Makes the first connects of a pool fail once their gates are open."""
 
     def __init__(self, pool: ConnectionPool, failing_count: int, error: type[OSError]) -> None:
         self.failing_count, self.error = failing_count, error
@@ -40,18 +40,18 @@
 
 @pytest.mark.parametrize("refused", [False, True])
 async def test_attempt_opens_its_own_connection_when_shared_ones_fail(refused: bool) -> None:
-    """Unless the endpoint refuses, where another connect would be refused as well."""
+    """It opens none if the endpoint refuses connections, as another one would be refused as well."""
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(600.0, 300.0, 10)
         attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, [])
         FailingConnects(pool, SHARED_CONNECTS, ConnectionRefusedError if refused else TimeoutError)
         earlier_attempts = [attempts.start_attempt(f"x{number}") for number in range(SHARED_CONNECTS)]
         await connects.wait_for_started(SHARED_CONNECTS)
-        for attempt in earlier_attempts:  # they move on, and what is coming goes on for others to use
+        for attempt in earlier_attempts:  # they end, and their connects continue for other attempts
             attempt.finish(Outcome.NOT_SENT, keep_connecting=True)
         attempts.start_attempt("late")
         await asyncio.sleep(0)
-        assert len(connects.gates) == SHARED_CONNECTS  # as many as may are coming
+        assert len(connects.gates) == SHARED_CONNECTS  # the maximum number of connects is pending
         connects.open(*range(SHARED_CONNECTS))
         if refused:
             await wait_until(lambda: "late" in attempts.outcomes)
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def small_buffer_transports(on_established: Callable[[ConnectionHook], None]) -> list[asyncio.Transport]:
-    """Collect the transports of connections to endpoints, which all take little at once."""
+    """Collect the transports of connections to endpoints, which get a small send buffer."""
     transports: list[asyncio.Transport] = []
 
     def shrink_buffer(connection: UpstreamConnection) -> None:
@@ -61,7 +61,7 @@
 
 
 async def send_partly(proxy: LoopbackProxy, kind: str, transports: list[asyncio.Transport]) -> StreamPair:
-    """Send a large request, and wait until a part of it is written to an endpoint, and a part is not."""
+    """Send a large request, and wait until only a part of it has been written to an endpoint."""
     reader, writer = await proxy.connect()
     writer.write(http_request(kind, request_id="big", body=b"x" * 65_536))
     await wait_until(lambda: bool(transports) and transports[-1].get_write_buffer_size() > 0)
@@ -78,7 +78,7 @@
     small_buffer_transports: list[asyncio.Transport],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The endpoint has only a part of it: with the rest the request would run although nobody waits."""
+    """The endpoint has a part of the request; with the rest, it would run although no client waits."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     limits = messages.Limits(max_attempts=3, cancel=cancels)
     async with (
@@ -94,9 +94,7 @@
         clock = proxy.use_stepped_clock()
         reader, writer = await send_partly(proxy, "mark" if is_reused else "pay", small_buffer_transports)
         end_request(ending, proxy, clock, writer)
-        if (
-            ending != "client gone"
-        ):  # at the end of the proxy the policy counts what is in flight as what may have run
+        if ending != "client gone":  # at the proxy's end the policy treats attempts in flight as possibly run
             expected_status = 502 if ending == "end" and not is_reused else 503
             assert response_status(await read_http_message(reader)) == expected_status
         await wait_until(lambda: proxy.driver.is_idle)
@@ -111,7 +109,7 @@
 async def test_abandoned_attempt_has_ended_at_its_endpoint_before_its_outcome(
     pool: ConnectionPool, ending: str
 ) -> None:
-    """The retry may be written in the same turn: the endpoints must never hold two copies."""
+    """The retry may be written in the same event loop iteration: endpoints must never hold two copies."""
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
         if ending == "invalid":
@@ -146,7 +144,7 @@
 
 
 def read_now(transport: Any) -> None:
-    """Have the bytes, or the end, read in this very turn of the loop, once the system has them."""
+    """Wait until the system has the bytes or the end, and read them in this event loop iteration."""
     readable = select.poll()
     readable.register(transport.get_extra_info("socket"), select.POLLIN)
     assert readable.poll(1000.0 * TEST_TIMEOUT_S)
@@ -160,7 +158,7 @@
     connection: EndpointConnection,
     transport: Any,
 ) -> None:
-    """Let one event happen, within this turn of the loop."""
+    """Cause one event within this event loop iteration."""
     match event:
         case "response" if not connection.is_closed:
             is_read = not transport.is_closing()
@@ -182,8 +180,8 @@
 
 
 def expected_outcome(order: tuple[str, ...]) -> Outcome:
-    """The outcome of an attempt that these events end, in this order."""
-    # The loop tells of a reset in its next turn: what else ends the attempt goes before it.
+    """Return the outcome of an attempt to which these events happen in this order."""
+    # The event loop reports a reset in its next iteration, so other events that end the attempt precede it.
     ending_events = [event for event in order if event in OUTCOMES_BY_EVENT and event != "reset"]
     if "reset" in order and "response" in ending_events and order.index("reset") < order.index("response"):
         ending_events.remove("response")
@@ -191,7 +189,7 @@
 
 
 async def respond_to_next(connection: EndpointConnection, request: HttpMessage) -> None:
-    """Answer the requests for `/next` alone."""
+    """Respond only to requests for `/next`."""
     if request.start_line.split()[1] == "/next":
         connection.send(http_response(200, b"next"))
 
@@ -203,7 +201,7 @@
     on_established: Callable[[ConnectionHook], None],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Four events in each order, in one turn of the event loop; the next request gets its own response."""
+    """Four events in each order in one event loop iteration; the next request gets its own response."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
     transports: list[asyncio.Transport] = []
     on_established(lambda connection: transports.append(connection.transport))
@@ -247,7 +245,7 @@
 
 
 class ConnectMoment:
-    """Has a function called at one moment of the next connect."""
+    """Calls a function at one moment of the next connect."""
 
     def __init__(self, moment: str) -> None:
         self.moment = moment
@@ -271,7 +269,7 @@
 async def test_attempt_has_one_outcome_when_ended_during_its_connect(
     new_pool: PoolFactory, moment: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
-    """Two events in each order, as its connection is being established: nothing is sent."""
+    """Two events in each order while its connection is being established: nothing is sent."""
     connect_moment = ConnectMoment(moment)
     on_established(connect_moment.established)
     orders = product(permutations(OUTCOMES_DURING_CONNECT, 2), (KEYED_REQUEST, UNSAFE_REQUEST))
@@ -281,7 +279,7 @@
             recorded = RecordedAttempt(pool, endpoint.endpoint, replace(request, target=b"/crossed"))
             await connect_moment.at_moment(partial(apply_two_events, pool, recorded, first, second))
             assert await recorded.result() == (OUTCOMES_DURING_CONNECT[first], None), (first, second)
-            for _ in range(3):  # what would come of it comes before the end of these
+            for _ in range(3):  # a late effect of the first attempt would precede the end of these
                 assert (await RecordedAttempt(pool, endpoint.endpoint, request).result())[0] is Outcome.OK
             assert len(recorded.results) == 1
             pool.close()
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -1,4 +1,4 @@
-"""Connections that end or receive bytes before their request is written, or are established too late."""
+"""Connections that end or receive bytes before a request is written, or are established too late."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 @dataclass
 class EarlyEvent:
-    """Ends the first connection, or sends on it, in the turn in which it is established."""
+    """Ends the first connection, or sends on it, in the iteration in which it is established."""
 
     early_event: str
     endpoints: list[RawEndpoint] = field(default_factory=list)
-    injected: list[EndpointConnection] = field(default_factory=list)  # the endpoint's side of it
+    injected: list[EndpointConnection] = field(default_factory=list)  # the endpoint's side of that connection
 
     def established(self, connection: UpstreamConnection) -> None:
         if self.injected:
@@ -61,7 +61,7 @@
 async def test_new_connection_that_ended_or_sent_bytes_early_carries_no_request(
     early_event: str, kind: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
-    """It broke before the request was written, which has not run and is retried elsewhere."""
+    """The connection ended before the request was written, so it has not run and is retried elsewhere."""
     early_event_sender = EarlyEvent(early_event)
     on_established(early_event_sender.established)
     handle = respond_with(http_response(200, b"served"))
@@ -107,7 +107,7 @@
         outcome = (await recorded.result())[0]
         assert outcome.proves_never_run or (ending, outcome) == ("cancel", Outcome.CANCELLED)
         gate.opened.set()
-        for number in range(3):  # what would come of the first one comes before the end of these
+        for number in range(3):  # a late effect of the first attempt would precede the end of these
             other = replace(upstream_request, target=b"/%d" % number)
             assert await RecordedAttempt(pool, endpoint.endpoint, other).result() == (Outcome.OK, OK_RESPONSE)
         assert [first.split()[1] for first, _, _ in endpoint.received] == ["/0", "/1", "/2"]
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -33,7 +33,7 @@
         full_listener.bind(("127.0.0.1", 0))
         full_listener.listen(0)
         fillers = [socket.socket() for _ in range(4)]
-        for filler in fillers:  # until the queue takes no more, the system says nothing
+        for filler in fillers:  # fill the accept queue, after which the system ignores connects
             filler.setblocking(False)
             filler.connect_ex(full_listener.getsockname())
         outcome, _ = await run_attempt(ConnectionPool(0.1, 30.0, 10), full_listener.getsockname())
@@ -62,13 +62,13 @@
     )
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await never_set.wait()
+        await may_end.wait()
 
-    never_set = asyncio.Event()
+    may_end = asyncio.Event()
     async with StandInServer(handle) as endpoint:
         outcome, _ = await run_attempt(pool, ("127.0.0.1", endpoint.port), large_request, timeout_s=0.2)
         assert outcome is Outcome.NO_CONNECTION
-        never_set.set()
+        may_end.set()
 
 
 @pytest.mark.parametrize("is_written", [False, True])
@@ -116,13 +116,13 @@
 async def test_attempt_ended_as_its_connection_is_established_leaves_none_open(
     pool: ConnectionPool, ending: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
-    """It is established, and the task that awaits it has been woken but has not run yet."""
+    """The connection is established, and the task that awaits it has been woken but has not run yet."""
     async with StandInEndpoint(http_response(200, b"ok")) as stand_in:
         endpoint = EndpointAddress(1, ("127.0.0.1", stand_in.port))
         outcomes: list[Outcome] = []
 
         def established(connection: UpstreamConnection) -> None:
-            # In the next turn, before the task, which this one wakes later.
+            # Runs in the next loop iteration, before the awaiting task, which is woken later in this one.
             pool.loop.call_soon(lambda: end_attempt(ending, pool, attempt))
 
         on_established(established)
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""HTTP on a connection to an endpoint: which outcome each response brings."""
+"""HTTP on a connection to an endpoint: the outcome that follows from each response."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     ("response_bytes", "outcome"),
     [
         (http_response(200, b"ok"), Outcome.OK),
-        (b"HTTP/1.1 200 x\r\n\r\nuntil the end", Outcome.RESET),  # no length, and it goes on past the limit
+        (b"HTTP/1.1 200 x\r\n\r\nuntil the end", Outcome.RESET),  # no length, and a body over the limit
         (http_response(500), Outcome.ERROR),
         (http_response(503, Srv_Declined="1"), Outcome.REJECTED),
         (http_response(504, Srv_Declined="1"), Outcome.REJECTED),
@@ -51,7 +51,7 @@
         )
         assert actual_outcome is outcome
         assert actual_outcome is not Outcome.OK or (response and response.body == b"ok")
-        assert len(endpoint.received) == 1  # never sent again from here
+        assert len(endpoint.received) == 1  # not sent again at this level
 
 
 @pytest.mark.parametrize(
@@ -110,7 +110,7 @@
 async def test_late_copy_of_a_response_is_not_the_next_response(
     pool: ConnectionPool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The copy comes just after the connection fell idle, which is not reused before it has settled."""
+    """The copy arrives just after the connection became idle, which is not reused before it has settled."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 60.0)
 
     may_send_copy = asyncio.Event()
@@ -156,7 +156,7 @@
 
 
 async def test_deadline_header_holds_the_time_remaining_when_the_request_is_written() -> None:
-    """A connection may be established long after the decision to send."""
+    """The connection may be established long after the attempt started."""
 
     clock = FrozenClock()
     async with StandInEndpoint(http_response(200, b"ok")) as endpoint:
