--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -62,7 +62,7 @@
     async with RawEndpoint(respond_with(http_response(200, b"first"))) as endpoint:
         assert (await RecordedAttempt(pool, endpoint.endpoint).result())[0] is Outcome.OK
 
-        def check_and_send(transport: asyncio.BaseTransport, default: bool = True) -> bool:
+        def check_and_send_late_event(transport: asyncio.BaseTransport, default: bool = True) -> bool:
             unread_results.append(has_unread_bytes(transport, default=default))
             if len(unread_results) == 1:
                 [connection] = endpoint.connections
@@ -73,7 +73,7 @@
                 }[late_event]()
             return unread_results[-1]
 
-        monkeypatch.setattr(socket_state, "has_unread_bytes", check_and_send)
+        monkeypatch.setattr(socket_state, "has_unread_bytes", check_and_send_late_event)
         assert await RecordedAttempt(pool, endpoint.endpoint).result() == (Outcome.NOT_SENT, None)
         assert unread_results == [False, True]
         assert len(endpoint.received) == 1
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -29,29 +29,29 @@
 
 
 @dataclass
-class EarlyEvent:
+class EarlyEventSender:
     """Ends the first connection, or sends on it, in the iteration in which it is established."""
 
     early_event: str
     endpoints: list[RawEndpoint] = field(default_factory=list)
-    injected: list[EndpointConnection] = field(default_factory=list)  # the endpoint's side of that connection
+    endpoint_side: list[EndpointConnection] = field(default_factory=list)
 
     def established(self, connection: UpstreamConnection) -> None:
-        if self.injected:
+        if self.endpoint_side:
             return
         [endpoint] = [
             candidate
             for candidate in self.endpoints
             if candidate.endpoint.address == connection.endpoint.address
         ]
-        injected = EndpointConnection(endpoint.socket.accept()[0], asyncio.Event())
-        self.injected.append(injected)
+        endpoint_side = EndpointConnection(endpoint.socket.accept()[0], asyncio.Event())
+        self.endpoint_side.append(endpoint_side)
         if "response" in self.early_event:
-            injected.send(http_response(200, b"unasked"))
+            endpoint_side.send(http_response(200, b"unasked"))
         if "end" in self.early_event:
-            injected.end_sending()
+            endpoint_side.end_sending()
         if self.early_event == "reset":
-            injected.reset()
+            endpoint_side.reset()
         for endpoint in self.endpoints:
             endpoint.accepting.set()
 
@@ -62,7 +62,7 @@
     early_event: str, kind: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
     """The connection ended before the request was written, so it has not run and is retried elsewhere."""
-    early_event_sender = EarlyEvent(early_event)
+    early_event_sender = EarlyEventSender(early_event)
     on_established(early_event_sender.established)
     handle = respond_with(http_response(200, b"served"))
     async with (
@@ -75,10 +75,10 @@
         assert line.split()[1] == "200"
         assert body == b"served"
         assert first.request_ids + second.request_ids == ["r1"]
-        [injected] = early_event_sender.injected
-        if not injected.is_closed:
-            assert injected.socket.recv(1) == b""  # nothing was written
-            injected.socket.close()
+        [endpoint_side] = early_event_sender.endpoint_side
+        if not endpoint_side.is_closed:
+            assert endpoint_side.socket.recv(1) == b""  # nothing was written
+            endpoint_side.socket.close()
 
 
 @pytest.mark.parametrize("ending", ["cancel", "cancel if unsent", "drain", "time out", "no connection"])
