--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -206,8 +206,8 @@
             clock.advance(25.0)
             discovery.writers[0].write(http_chunk("-"))
             await wait_until(
-                lambda number=number: received_bytes.count(b"-") == number or not recorded.received.empty()
-            )  # type: ignore[misc]
+                lambda number=number: received_bytes.count(b"-") == number or not recorded.received.empty()  # type: ignore[misc]
+            )
         assert await recorded.received.get() is None
 
 
@@ -221,7 +221,7 @@
         )
         await reader.read()
 
-    def fail(received: EndpointListMessage) -> None:
+    def fail(message: EndpointListMessage) -> None:
         raise RuntimeError("list not applied")
 
     async with StandInServer(handle) as discovery:
