--- a/tests/net/upstream/test_close_delimited_forwarding.py
+++ b/tests/net/upstream/test_close_delimited_forwarding.py
@@ -64,9 +64,8 @@
     async with RawEndpoint(handle) as endpoint, running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy:
         if is_reused:
             assert (await proxy.send_request(http_request(request_id="first")))[2] == b"first"
-            await asyncio.sleep(
-                0.02
-            )  # the connection must settle before reuse, so that a second response is detected
+            # The connection must settle before reuse, so that a second response is detected.
+            await asyncio.sleep(0.02)
         line, _, body_bytes = await proxy.send_request(http_request(request_id="r1"))
         assert line.split()[1] == "200"
         assert body_bytes == BODIES[body]
--- a/tests/net/upstream/test_connect_latency.py
+++ b/tests/net/upstream/test_connect_latency.py
@@ -19,9 +19,8 @@
     assert latency.expected_saving_s([0.5], 10.0) == pytest.approx(0.25 * 0.75)
     assert latency.expected_saving_s([0.5], 0.4) == pytest.approx(0.15 * 0.75)
     assert latency.expected_saving_s([0.5, 0.0], 10.0) == pytest.approx(0.25 * 0.75 * 0.25)
-    assert latency.expected_saving_s([2.0], 3.0) == pytest.approx(
-        0.75 * 0.75 + 2.0
-    )  # pending for longer than any earlier connect
+    # Pending for longer than any earlier connect.
+    assert latency.expected_saving_s([2.0], 3.0) == pytest.approx(0.75 * 0.75 + 2.0)
     assert latency.expected_saving_s([0.0], 10.0) == pytest.approx(0.75 * 0.75 * 0.25)
     assert ConnectLatency().expected_saving_s([0.5], 10.0) == 0.0
     for _ in range(WINDOW_SIZE):
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -33,9 +33,8 @@
         assert outcomes == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
         assert endpoint.connection_count == 3
         assert not pool.idle.by_endpoint
-        pool.idle.reuse_from_s[EndpointAddress(1, address)] -= (
-            idle_connections.REUSE_SUSPENSION_S
-        )  # as if the suspension had ended
+        # As if the suspension of reuse had ended.
+        pool.idle.reuse_from_s[EndpointAddress(1, address)] -= idle_connections.REUSE_SUSPENSION_S
         assert (await run_attempt(pool, address))[0] is Outcome.OK
         assert pool.idle.by_endpoint
 
@@ -88,9 +87,7 @@
         assert (await run_attempt(pool, address, endpoint_id=1))[0] is Outcome.OK
         assert (await run_attempt(pool, address, endpoint_id=2))[0] is Outcome.OK
         assert endpoint.connection_count == 2
-        pool.disable_endpoint(
-            EndpointAddress(1, address)
-        )  # does not affect the connections of the new endpoint
+        pool.disable_endpoint(EndpointAddress(1, address))  # the new endpoint keeps its connections
         assert not pool.idle.by_endpoint.get(EndpointAddress(1, address))
         assert len(pool.idle.by_endpoint[EndpointAddress(2, address)]) == 1
 
