--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -16,7 +16,7 @@
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 
-async def test_endpoint_that_breaks_an_idle_connection_gets_new_connections_for_a_while(
+async def test_endpoint_that_closes_an_idle_connection_gets_new_connections_for_a_while(
     pool: ConnectionPool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -25,17 +25,16 @@
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         endpoint.received.append(await read_http_message(reader))
         writer.write(http_response(200, b"ok"))
-        endpoint.received.append(await read_http_message(reader))  # and then it ends, with nothing said
+        endpoint.received.append(await read_http_message(reader))  # then close without a response
 
     async with StandInServer(handle) as endpoint:
         address = ("127.0.0.1", endpoint.port)
-        got = [(await run_attempt(pool, address))[0] for _ in range(4)]
-        assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
+        outcomes = [(await run_attempt(pool, address))[0] for _ in range(4)]
+        assert outcomes == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
         assert endpoint.connection_count == 3
         assert not pool.idle.by_endpoint
-        pool.idle.reuse_from_s[EndpointAddress(1, address)] -= (
-            idle_connections.REUSE_SUSPENSION_S
-        )  # as if that while were over
+        # As if the suspension of reuse had ended.
+        pool.idle.reuse_from_s[EndpointAddress(1, address)] -= idle_connections.REUSE_SUSPENSION_S
         assert (await run_attempt(pool, address))[0] is Outcome.OK
         assert pool.idle.by_endpoint
 
@@ -44,13 +43,13 @@
     pool: ConnectionPool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An idle connection may be stale; new ones replace idle ones, so that these do not accumulate."""
+    """An idle connection may be stale. Each new connection replaces an idle one, so that none accumulate."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         endpoint.received.append(await read_http_message(reader))
         writer.write(http_response(200, b"ok"))
-        await read_http_message(reader)  # and then it ends, with nothing said
+        await read_http_message(reader)  # then close without a response
 
     async with StandInServer(handle) as endpoint:
         address = ("127.0.0.1", endpoint.port)
@@ -58,23 +57,26 @@
             assert (await run_attempt(pool, address, UNSAFE_REQUEST))[0] is Outcome.OK
             assert len(pool.idle.by_endpoint[EndpointAddress(1, address)]) == 1
         assert endpoint.connection_count == 4
-        assert (await run_attempt(pool, address))[0] is Outcome.RESET  # the same on a kept one
+        assert (await run_attempt(pool, address))[
+            0
+        ] is Outcome.RESET  # an idempotent request reuses a connection
 
 
 @pytest.mark.parametrize(
-    "said", [b"not http\r\n\r\n", b"HTTP/1.1 200 x\r\nno colon here\r\nContent-Length: 2\r\n\r\nok"]
+    "invalid_response",
+    [b"not http\r\n\r\n", b"HTTP/1.1 200 x\r\nno colon here\r\nContent-Length: 2\r\n\r\nok"],
 )
 async def test_invalid_response_on_a_reused_connection_does_not_suspend_reuse(
-    pool: ConnectionPool, said: bytes, monkeypatch: pytest.MonkeyPatch
+    pool: ConnectionPool, invalid_response: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Only the end of a connection says how the endpoint treats idle ones."""
+    """Only the end of a connection shows that the endpoint closes idle ones."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
-    good = http_response(200, b"ok")
-    async with StandInEndpoint(good, said, good) as endpoint:
+    valid_response = http_response(200, b"ok")
+    async with StandInEndpoint(valid_response, invalid_response, valid_response) as endpoint:
         address = ("127.0.0.1", endpoint.port)
-        got = [(await run_attempt(pool, address))[0] for _ in range(4)]
-        assert got == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
+        outcomes = [(await run_attempt(pool, address))[0] for _ in range(4)]
+        assert outcomes == [Outcome.OK, Outcome.RESET, Outcome.OK, Outcome.OK]
         assert endpoint.connection_count == 2
         assert pool.idle.by_endpoint
 
@@ -85,28 +87,28 @@
         assert (await run_attempt(pool, address, endpoint_id=1))[0] is Outcome.OK
         assert (await run_attempt(pool, address, endpoint_id=2))[0] is Outcome.OK
         assert endpoint.connection_count == 2
-        pool.disable_endpoint(EndpointAddress(1, address))  # the old one's end leaves the new one's alone
+        pool.disable_endpoint(EndpointAddress(1, address))  # the new endpoint keeps its connections
         assert not pool.idle.by_endpoint.get(EndpointAddress(1, address))
         assert len(pool.idle.by_endpoint[EndpointAddress(2, address)]) == 1
 
 
 async def test_connection_to_a_removed_endpoint_is_not_reused(pool: ConnectionPool) -> None:
-    go_on = asyncio.Event()
+    may_respond = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         endpoint.received.append(await read_http_message(reader))
-        await go_on.wait()
+        await may_respond.wait()
         writer.write(http_response(200, b"ok"))
         await reader.read()
 
     async with StandInServer(handle) as endpoint:
         address = ("127.0.0.1", endpoint.port)
-        out = asyncio.ensure_future(run_attempt(pool, address))
+        result_task = asyncio.ensure_future(run_attempt(pool, address))
         while not endpoint.received:
             await asyncio.sleep(0)
         pool.disable_endpoint(EndpointAddress(1, address))
-        go_on.set()
-        assert (await out)[0] is Outcome.OK
+        may_respond.set()
+        assert (await result_task)[0] is Outcome.OK
         assert not pool.idle.by_endpoint
         assert not pool.idle.reuse_from_s
 
