--- a/load_balancer/net/client/client_connection_state.py
+++ b/load_balancer/net/client/client_connection_state.py
@@ -9,11 +9,11 @@
     """State of a client connection, which determines how received bytes are handled."""
 
     READING = enum.auto()
-    """Parses them as a request."""
+    """Received bytes are parsed as a request."""
     WAITING_FOR_RESPONSE = enum.auto()
-    """Buffers them, as a request is with the driver."""
+    """Received bytes are buffered until the driver has responded to the forwarded request."""
     LINGERING = enum.auto()
-    """Drops them, as its last response is written; it ends when the client closes it."""
+    """The last response has been written. Received bytes are discarded until the client closes."""
 
 
 TRANSITIONS = {
--- a/load_balancer/net/client/connection_acceptor.py
+++ b/load_balancer/net/client/connection_acceptor.py
@@ -44,9 +44,9 @@
     """State of the acceptor. Transitions only go forward, in the order of definition."""
 
     ACCEPTING = enum.auto()
-    """Accepts them."""
+    """New connections are accepted."""
     STOPPING = enum.auto()
-    """Accepts them until the system's queue is empty, and then closes."""
+    """Connections in the listen queue are still accepted; then the listening socket is closed."""
     CLOSED = enum.auto()
     """The listening socket is closed."""
 
@@ -77,7 +77,7 @@
         self.registration_tasks: set[asyncio.Task[None]] = set()
         self.descriptor_faults = repeated_fault(log, "no descriptor for a connection")
         self._lost_connection_faults = repeated_fault(log, "a connection was lost while it was accepted")
-        self._accept_faults = repeated_fault(log, "no connection can be accepted")
+        self._accept_faults = repeated_fault(log, "accepting a client connection failed")
         self._clients = clients
         self._make_protocol = make_protocol
         self._loop = asyncio.get_running_loop()
--- a/load_balancer/net/discovery/endpoint_watch.py
+++ b/load_balancer/net/discovery/endpoint_watch.py
@@ -121,7 +121,8 @@
             await self._read_lists()
         except (WireError, OSError, h11.RemoteProtocolError) as error:
             now_s = asyncio.get_running_loop().time()
-            self._failure_log.record(now_s, str(error) or "silent")  # a TimeoutError has no text
+            # A TimeoutError has no text.
+            self._failure_log.record(now_s, str(error) or "no list or heartbeat before the timeout")
         except Exception:
             # An error in this program, such as in `on_list`. Uncaught, it would end this task unnoticed: the
             # watch would never be reopened, and the list would never change again.
--- a/load_balancer/policy/health_check.py
+++ b/load_balancer/policy/health_check.py
@@ -115,7 +115,10 @@
         )
         if lost_count > 0 and hanging:
             waiting = len(reportable)
-            text = f"{state.endpoint.id} holds {reported:.1f} and we wait for {waiting}: answers are lost"
+            text = (
+                f"responses lost: endpoint {state.endpoint.id} reports {reported:.1f} requests in flight, "
+                f"{waiting} attempts of this balancer await a response; abandoning hanging attempts"
+            )
             self._outbox.add(messages.Log(text))
             self._response_lost_at_us = now_us
         for attempt in hanging[: max(0, lost_count)]:
--- a/load_balancer/policy/outcome_learner.py
+++ b/load_balancer/policy/outcome_learner.py
@@ -87,5 +87,8 @@
         if not state.add_latency(relative_latency):
             return
         epoch, mean = state.detector.epoch, state.detector.epoch_mean
-        text = f"epoch {epoch} of {state.endpoint.id}: mean {mean:.2f}, share {state.share:.2f}"
+        text = (
+            f"latency shift: epoch {epoch} of endpoint {state.endpoint.id} opened with a mean of {mean:.2f} "
+            f"times the usual latency; the endpoint's share is now {state.share:.2f}"
+        )
         self._outbox.add(messages.Log(text))
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -175,7 +175,7 @@
         assert await recorded.received.get() is not None
         clock.advance(61.0)
         assert await recorded.received.get() is None
-        assert "failed: silent" in caplog.text
+        assert "failed: no list or heartbeat before the timeout" in caplog.text
 
 
 async def test_bytes_of_an_incomplete_list_are_not_heartbeats(
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -134,7 +134,7 @@
         await advance_until(clock, lambda: discovery.requests[-1].closed_by_proxy.is_set(), 1.5)
         discovery.requests[-1].send(http_chunk("\n"))  # the last bytes of this watch
         waited_s = await advance_to_next_request(discovery, clock)
-        assert "failed: silent" in caplog.text
+        assert "failed: no list or heartbeat before the timeout" in caplog.text
         assert waited_s + await respond_to_latest_request(discovery, proxy, clock, settings) < LIST_DEADLINE_S
 
 
