--- a/load_balancer/policy/attempt_dispatcher.py
+++ b/load_balancer/policy/attempt_dispatcher.py
@@ -94,7 +94,7 @@
         usual_us = attempt.request_class.usual_latency_us
         state.last_attempt = LastAttemptResult.FAILED
         state.add_latency(attempt.timeout_us / usual_us)
-        state.cool_down(now_us, attempt.request_class.settings.name)
+        state.start_cool_down(now_us, attempt.request_class.settings.name)
         state.failure_penalty_ends_us.append(now_us + int(usual_us))
         attempt.is_abandoned = True
         self._outbox.add(messages.CancelAttempt(attempt.request_id, attempt.number))
--- a/load_balancer/policy/endpoint_state.py
+++ b/load_balancer/policy/endpoint_state.py
@@ -93,7 +93,7 @@
         self.responded_at_us = now_us
         self.unreachable_backoff_us = 0
 
-    def cool_down(self, now_us: int, class_name: str) -> None:
+    def start_cool_down(self, now_us: int, class_name: str) -> None:
         """Avoid the endpoint for `COOL_DOWN_US` for requests of a class, after it failed one of them."""
         self.cool_down_until_us[class_name] = now_us + COOL_DOWN_US
 
--- a/load_balancer/policy/outcome_learner.py
+++ b/load_balancer/policy/outcome_learner.py
@@ -42,7 +42,12 @@
         self._limit = limit
 
     def learn(
-        self, now_us: int, attempt: EndpointAttempt, outcome: messages.Outcome, took_us: int, in_flight: int
+        self,
+        now_us: int,
+        attempt: EndpointAttempt,
+        outcome: messages.Outcome,
+        duration_us: int,
+        in_flight: int,
     ) -> None:
         """Update the state from the outcome of an attempt.
 
@@ -50,7 +55,7 @@
             now_us: The present time.
             attempt: The attempt that ended.
             outcome: Its outcome.
-            took_us: The time from its start to its end.
+            duration_us: The time from its start to its end.
             in_flight: The number of other attempts of this balancer in flight.
         """
         if outcome in OUTCOMES_WITHOUT_EVIDENCE:
@@ -58,7 +63,7 @@
         if outcome is messages.Outcome.UNREACHABLE:
             attempt.endpoint.mark_unreachable(now_us)
             return
-        latency_us = took_us if outcome is messages.Outcome.OK else attempt.timeout_us
+        latency_us = duration_us if outcome is messages.Outcome.OK else attempt.timeout_us
         self._update_endpoint(now_us, attempt, outcome, latency_us)
         if outcome not in OUTCOMES_WITHOUT_LOAD_SIGNAL:
             relative = attempt.request_class.relative_latency(latency_us)
@@ -81,7 +86,7 @@
             penalty_ends_us = attempt.sent_at_us + int(request_class.usual_latency_us)
             state.failure_penalty_ends_us.append(penalty_ends_us)
         if outcome in CLASS_FAILURE_OUTCOMES:
-            state.cool_down(now_us, request_class.settings.name)
+            state.start_cool_down(now_us, request_class.settings.name)
 
     def _add_latency(self, state: EndpointState, relative_latency: float) -> None:
         if not state.add_latency(relative_latency):
--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -55,7 +55,7 @@
             writer.close()
 
 
-async def test_longest_idle_connection_is_evicted_and_one_over_the_limit_is_answered_503() -> None:
+async def test_longest_idle_connection_is_evicted_and_one_over_the_limit_gets_503() -> None:
     may_respond = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -28,7 +28,7 @@
         b"POST / HTTP/1.1\r\nA: b\r\n",
     ],
 )
-async def test_incomplete_request_is_answered_408_and_its_connection_closed(
+async def test_incomplete_request_gets_408_and_its_connection_is_closed(
     sent: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_limits, "REQUEST_TIMEOUT_S", 0.1)
@@ -116,7 +116,7 @@
         writer.close()
 
 
-async def test_unanswered_request_is_ended_before_its_deadline(
+async def test_request_without_a_response_is_ended_before_its_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("pipelined_count", [1, 3])
 @pytest.mark.parametrize("is_read_early", [True, False])
-async def test_pipelined_requests_are_answered_before_the_close_at_shutdown(
+async def test_pipelined_requests_get_responses_before_the_close_at_shutdown(
     pipelined_count: int, is_read_early: bool
 ) -> None:
     """Only the last response closes the connection, whether or not the pipelined requests were read."""
@@ -53,7 +53,7 @@
         await wait_until(lambda: proxy.listener.is_drained and not proxy.clients.open_connections)
 
 
-async def test_each_request_on_a_connection_over_the_limit_is_answered_503() -> None:
+async def test_each_request_on_a_connection_over_the_limit_gets_503() -> None:
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=1) as proxy,
--- a/tests/net/client/test_http_request.py
+++ b/tests/net/client/test_http_request.py
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("deadline", ["-1", "inf", "nan", "1_0", "1e3", "", "1.", ".5", "1234567"])
-def test_deadline_that_is_not_a_plain_decimal_is_answered_400(deadline: str) -> None:
+def test_deadline_that_is_not_a_plain_decimal_gets_400(deadline: str) -> None:
     with pytest.raises(BadRequestError) as raised:
         parse_head({**READ_FIELDS, "Req-Deadline": deadline})
     assert raised.value.status == 400
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -154,7 +154,7 @@
         await wait_until(lambda: not proxy.clients.open_connections)
 
 
-async def test_open_request_is_not_answered_503_at_shutdown() -> None:
+async def test_open_request_does_not_get_503_at_shutdown() -> None:
     """The open request may have run. A partial request is answered 503, as nothing of it was forwarded."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize("fault_position", ["parsing", "complete", "accepted"])
-async def test_exception_in_a_request_is_answered_500_and_does_not_affect_other_requests(
+async def test_request_that_raises_gets_500_and_does_not_affect_other_requests(
     fault_position: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The status is 500 and not 503, because the exception may be raised after an attempt has begun."""
@@ -227,7 +227,7 @@
         assert proxy.driver.is_idle
 
 
-async def test_request_completed_after_the_shutdown_deadline_is_answered_503() -> None:
+async def test_request_completed_after_the_shutdown_deadline_gets_503() -> None:
     """The shutdown has ended all requests by then, and no time remains for a new one."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
--- a/tests/net/client/test_pipelined_requests.py
+++ b/tests/net/client/test_pipelined_requests.py
@@ -59,7 +59,7 @@
         writer.close()
 
 
-async def test_pipelined_requests_are_answered_in_order() -> None:
+async def test_pipelined_requests_get_responses_in_order() -> None:
     async with (
         StandInEndpoint(
             http_response(200, b"1"), http_response(200, b"2"), http_response(200, b"3")
--- a/tests/net/client/test_policy_faults.py
+++ b/tests/net/client/test_policy_faults.py
@@ -13,7 +13,7 @@
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 
-async def test_policy_exception_is_logged_and_its_request_answered_502(
+async def test_policy_exception_is_logged_and_its_request_gets_502(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with (
@@ -31,7 +31,7 @@
         assert response_status(await proxy.send_request(http_request())) == 200
 
 
-async def test_policy_exception_on_an_outcome_is_answered_502(
+async def test_request_gets_502_after_a_policy_exception_on_its_outcome(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -67,7 +67,7 @@
     assert response_status(await proxy.send_request(http_request())) == 503
 
 
-async def test_request_is_answered_502_when_the_policy_never_decides(
+async def test_request_gets_502_when_the_policy_never_decides(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with running_proxy(endpoint_entry("s-1", 9)) as proxy:
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -37,7 +37,7 @@
         http_request("mark", Content_Length="0", Transfer_Encoding="chunked") + b"0\r\n\r\n",
     ],
 )
-async def test_malformed_head_is_answered_400_and_not_forwarded(sent: bytes) -> None:
+async def test_malformed_head_gets_400_and_is_not_forwarded(sent: bytes) -> None:
     async with (
         StandInEndpoint(http_response(200)) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("method", [b"HEAD", b"POST", b"CONNECT", b"DELETE"])
-async def test_method_that_does_not_match_the_request_class_is_answered_405(method: bytes) -> None:
+async def test_method_that_does_not_match_the_request_class_gets_405(method: bytes) -> None:
     async with (
         StandInEndpoint(http_response(200)) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
@@ -57,7 +57,7 @@
         assert endpoint.received == []
 
 
-async def test_body_over_the_limit_is_answered_413() -> None:
+async def test_body_over_the_limit_gets_413() -> None:
     async with (
         StandInEndpoint(http_response(200)) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
@@ -67,7 +67,7 @@
         assert len(endpoint.received) == 1
 
 
-async def test_id_of_an_open_request_is_answered_409() -> None:
+async def test_request_with_the_id_of_an_open_request_gets_409() -> None:
     delayed = DelayedEndpoint()
     async with (
         StandInServer(delayed.handle) as endpoint,
@@ -133,7 +133,7 @@
         assert "retry-after" not in (await proxy.send_request(http_request(Req_Deadline="0.2")))[1]
 
 
-async def test_request_that_may_have_run_is_answered_502() -> None:
+async def test_request_that_may_have_run_gets_502() -> None:
     for endpoint_response in (None, http_response(500), http_response(503)):
         async with (
             StandInEndpoint(endpoint_response) as endpoint,
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -268,7 +268,7 @@
     assert first_attempt.endpoint_id in {chosen_endpoint_id("read", 100 + number) for number in range(60)}
 
 
-def test_endpoint_that_failed_a_class_is_used_when_no_other_is_open() -> None:
+def test_endpoint_that_failed_a_class_is_used_when_no_other_is_available() -> None:
     harness = BalancerHarness(balancer_settings(limits=messages.Limits(max_attempts=1)), endpoint_count=1)
     [first_attempt] = actions_of_type(harness.send_request("a"), messages.StartAttempt)
     harness.end_attempt(first_attempt, messages.Outcome.ERROR)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -271,9 +271,7 @@
 
 
 @pytest.mark.parametrize(("started_at_us", "check_count"), [(0, 2), (10 * SECOND_US, 1)])
-def test_unanswered_health_check_is_repeated_only_within_the_budget(
-    started_at_us: int, check_count: int
-) -> None:
+def test_missed_health_check_is_repeated_only_within_the_budget(started_at_us: int, check_count: int) -> None:
     setup = balancer_settings(
         rules=replace(RULES, slow_start_us=60 * SECOND_US),
         limits=messages.Limits(3, cancel=True, health_checks=True),
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -47,7 +47,7 @@
         shutdown_started: Set when SIGTERM is sent.
         sent_count: Number of requests sent.
         response_count: Number of responses received.
-        unanswered_ids: Ids of requests whose connection closed without a byte of a response.
+        ids_without_response: Ids of requests whose connection closed without a byte of a response.
         received_ids: Ids of requests that the endpoint has received.
     """
 
@@ -56,7 +56,7 @@
     shutdown_started: asyncio.Event = field(default_factory=asyncio.Event)
     sent_count: int = 0
     response_count: int = 0
-    unanswered_ids: list[str] = field(default_factory=list)
+    ids_without_response: list[str] = field(default_factory=list)
     received_ids: list[str] = field(default_factory=list)
 
     async def serve_endpoint(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -79,7 +79,7 @@
                 writer.write(http_request(request_id=request_id, Req_Deadline=str(self.deadline_s)))
             headers = await read_response_headers(reader)
             if headers is None:
-                self.unanswered_ids.append(request_id)
+                self.ids_without_response.append(request_id)
                 break
             self.response_count += 1
             if headers.get("connection") == "close":
@@ -147,5 +147,5 @@
             duration_s = asyncio.get_running_loop().time() - began_s
             await asyncio.gather(*clients)
             assert duration_s < deadline_s + KILL_DELAY_S
-            assert traffic.sent_count == traffic.response_count + len(traffic.unanswered_ids)
-            assert not set(traffic.unanswered_ids) & set(traffic.received_ids)
+            assert traffic.sent_count == traffic.response_count + len(traffic.ids_without_response)
+            assert not set(traffic.ids_without_response) & set(traffic.received_ids)
