--- a/load_balancer/net/upstream/connect_latency.py
+++ b/load_balancer/net/upstream/connect_latency.py
@@ -12,7 +12,7 @@
 
 WINDOW_SIZE = 32  # number of most recent connects in the sample
 NEW_CONNECT_INDEX = -1  # index of the extra connect, which is not in the list of pending ones
-MIN_SAMPLES = 5  # number of completed connects below which no median is available
+MIN_SAMPLES = 5  # the median is available from this number of samples
 
 
 class ConnectLatency:
@@ -29,7 +29,7 @@
         self._sorted_s: list[float] = []
 
     def add(self, duration_s: float) -> None:
-        """Add the duration of a connect; for an abandoned connect this is a lower bound."""
+        """Add the duration of a connect; for one that was cancelled or timed out, a lower bound."""
         if len(self._recent_s) == WINDOW_SIZE:
             self._sorted_s.remove(self._recent_s.popleft())
         self._recent_s.append(duration_s)
@@ -41,7 +41,7 @@
         return self._sorted_s[len(self._sorted_s) // 2] if len(self._recent_s) >= MIN_SAMPLES else None
 
     def expected_saving_s(self, ages_s: Sequence[float], limit_s: float) -> float:
-        """Return the expected reduction, in seconds, of the time to the first connection by one more connect.
+        """Return by how many seconds one more connect is expected to shorten the time to a connection.
 
         S(u) is the probability that no pending connect succeeds within u seconds, and F(u) the probability
         that a new connect does. The expected reduction is the integral of S(u) F(u) du. Both are step
--- a/load_balancer/net/upstream/connection_queue.py
+++ b/load_balancer/net/upstream/connection_queue.py
@@ -18,7 +18,7 @@
 
 # Limit on the pending connects to an endpoint in excess of its waiting attempts.
 MAX_SPARE_CONNECTS = 2
-MAX_UNUSED_IDLE = 1  # number of idle connections to an endpoint from which an unneeded new one is closed
+MAX_UNUSED_IDLE = 1  # an unneeded new connection is closed if the endpoint has this many idle ones
 
 
 class ConnectionQueue:
@@ -99,7 +99,7 @@
             self._pacing.record_cancelled(self._pending.age_s(pending))
 
     def disable(self, endpoint: EndpointAddress) -> None:
-        """End all attempts waiting for an endpoint that drains or is gone, and cancel its connects."""
+        """End all attempts waiting for an endpoint that is draining or gone, and cancel its connects."""
         self._pacing.forget(endpoint)
         for attempt in self._waiting.for_endpoint(endpoint):
             attempt.finish(Outcome.NOT_SENT)
@@ -112,7 +112,7 @@
     def _may_start_connect(self, endpoint: EndpointAddress) -> bool:
         """Return whether an endpoint may get another connect.
 
-        Endpoints accept a limited number of connections: many unneeded connects would keep other clients out.
+        Endpoints accept a limited number of connections: many unneeded ones would keep other clients out.
         """
         return self._pending.count(endpoint) < self._waiting.count(endpoint) + MAX_SPARE_CONNECTS
 
@@ -137,16 +137,19 @@
             connection.close()
 
     def connect_failed(self, pending: PendingConnect, error: OSError) -> None:
-        """Record the failure of a connect, and end the attempt left without a connect or start one for it."""
+        """Record the failure of a connect; end an attempt left without a connect, or start one for it."""
         outcome = self._pacing.record_failure(pending.endpoint, error, self._pending.age_s(pending))
         self._remove_failed(pending, outcome)
 
     def connect_crashed(self, pending: PendingConnect) -> None:
-        """Handle an unexpected exception: end the attempt left without a connect or start one for it."""
+        """Handle an unexpected exception: end an attempt left without a connect, or start one for it."""
         self._remove_failed(pending, Outcome.NO_CONNECTION)
 
     def _remove_failed(self, pending: PendingConnect, outcome: Outcome) -> None:
-        """Remove a failed connect; if fewer connects than attempts remain, end an attempt or connect anew."""
+        """Remove a failed connect.
+
+        If fewer connects than waiting attempts remain, end one attempt or start another connect for it.
+        """
         endpoint = pending.endpoint
         self._pending.remove(pending)
         others = self._pending.by_endpoint.get(endpoint, [])
@@ -156,8 +159,8 @@
         without_own_connect = [a for a in self._waiting.for_endpoint(endpoint) if a not in with_own_connect]
         attempt = pending.attempt if pending.attempt in without_own_connect else without_own_connect[0]
         had_own_connect = self._waiting.had_own_connect(attempt)
-        # An attempt that relied on connects started for other attempts gets a connect of its own: those may
-        # have started long before the attempt, so that ending it with them would end it early.
+        # An attempt that relied on connects started for other attempts gets a connect of its own: the others
+        # may have started long before the attempt, which would fail too early if it ended with them.
         if had_own_connect or outcome is Outcome.NOT_SENT or self._pacing.is_failing(endpoint):
             attempt.finish(outcome)
         else:
--- a/load_balancer/policy/attempt_rate.py
+++ b/load_balancer/policy/attempt_rate.py
@@ -8,7 +8,7 @@
 
 
 class AttemptRate:
-    """Exponentially decaying rate of first attempts. Retries do not show how much load an endpoint gets."""
+    """Exponentially decaying rate of first attempts; retries would distort the estimate of the usual load."""
 
     def __init__(self) -> None:
         """Start at a rate of zero."""
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -2,8 +2,8 @@
 
 One limit applies to all endpoints of the subset and is split among them by share. The latencies of a single
 endpoint are too noisy for a limit of its own, as one expensive request looks like a queue. The balancer
-updates the limit on changes of the subset, the admission queue reports requests that found no open endpoint,
-and the latencies of attempts raise or lower the limit.
+updates the limit on changes of the subset, the admission queue reports requests that found no available
+endpoint, and the latencies of attempts raise or lower the limit.
 """
 
 from __future__ import annotations
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -2,10 +2,10 @@
 
 The overload budget of an endpoint that is warming up is the number of attempts that all balancers together
 may send to it within an overload window. Each balancer refills its bucket for the endpoint at a rate in
-proportion to its own first attempts per endpoint of its subset. As all balancers do the same, the sum of
-their attempts stays within the budget without communication between them. First attempts, retries and health
-checks spend tokens of the same bucket. Staggered phases keep the balancers from spending their tokens at the
-same moment.
+proportion to its own rate of first attempts, divided by the number of endpoints in its subset. As all
+balancers do the same, the sum of their attempts stays within the budget without communication between them.
+First attempts, retries and health checks spend tokens of the same bucket. Staggered phases keep the balancers
+from spending their tokens at the same moment.
 
 For the formula and a worked example see docs/design.md, "Slow start as a token bucket".
 """
@@ -25,13 +25,13 @@
 from load_balancer.policy.warming_state import WarmingState
 
 BUDGET_UTILIZATION = 0.7  # share of the overload budget that the balancers use
-# Lifetime of an unused token, in overload windows. The tokens added within a window and the unexpired ones
-# from before it then add up to one budget at most, however late the balancers spend them.
+# Lifetime of an unused token, in overload windows. With it, the tokens added within a window and the
+# unexpired ones from before the window add up to at most one budget, however late the balancers spend them.
 TOKEN_EXPIRY_WINDOWS = 1.0 / BUDGET_UTILIZATION - 1.0
 MAX_BURST_ATTEMPTS = 2.0  # attempts that a balancer may send in immediate succession
 # First attempts without a token that all balancers together may send to an endpoint within an overload
 # window: UNBUDGETED_FIRST_ATTEMPTS plus UNBUDGETED_STANDARD_DEVIATIONS times the square root of the budget.
-# The platform's overload rule tolerates as many attempts beyond the budget for random variation.
+# The platform's overload rule tolerates this number of attempts beyond the budget as random variation.
 UNBUDGETED_FIRST_ATTEMPTS = 2.0
 UNBUDGETED_STANDARD_DEVIATIONS = 2.0
 
@@ -48,7 +48,8 @@
         self._balancers_per_endpoint = 1.0
         # When the first endpoint of the subset is warm; until then all of them are warming up.
         self.first_warm_at_us = 0
-        # This balancer's first attempts per microsecond when the subset last lost its only warm endpoints.
+        # This balancer's first attempts per microsecond at the last change that left no warm endpoint in the
+        # subset.
         self._rate_before_all_warming = 0.0
 
     def new_warming_state(self, now_us: int, endpoint_id: int) -> WarmingState:
@@ -72,7 +73,8 @@
     def warm_at_us(self, state: EndpointState) -> int:
         """Return the time from which an endpoint is guaranteed its full capacity."""
         started_us = state.started_us
-        # A start time of 0 (unknown) or below (before the zero of this balancer's clock) counts as long past.
+        # An endpoint counts as warm if its start time is unknown (0) or before the zero of this balancer's
+        # clock (negative).
         if started_us <= 0 or self._rules.slow_start_us == 0:
             return 0
         return started_us + self._rules.slow_start_us
@@ -91,7 +93,8 @@
         if capacity >= 1.0:
             return True
         # While no endpoint of the subset is warm, none of them shows how many attempts an endpoint can take,
-        # and the buckets limit all attempts of this balancer. Two rules then admit attempts without a token.
+        # and the buckets limit all attempts of this balancer. Two rules then admit an attempt without a
+        # token, provided that this balancer has no load at the endpoint.
         if now_us < self.first_warm_at_us and state in self._subset:
             is_admitted = (
                 not is_retry and self.admits_untested(now_us, state, capacity)
@@ -117,12 +120,13 @@
     def is_first_attempt_slot(self, now_us: int, state: EndpointState, capacity: float) -> bool:
         """Return whether this balancer may send a first attempt without a token now, by its phase.
 
-        The balancers take turns in slots; without them all would send one at the same moment. Within an
-        overload window the slots admit as many attempts as the overload rule tolerates for random variation,
-        and at any moment half of them.
+        The balancers take turns in slots; without slots, all of them would send a first attempt at the same
+        moment. Within an overload window the slots admit as many attempts as the overload rule tolerates for
+        random variation; those of any one moment admit half as many.
         """
         window_us = self._rules.overload_window_us
-        # Attempts of a burst after all endpoints started to warm up don't count: it raises no capacity.
+        # The rate from before all endpoints started to warm up is preferred: a burst of attempts since then
+        # raises the present rate, but no endpoint's capacity.
         rate = self._rate_before_all_warming or self.first_attempts.per_us(now_us)
         rate *= self._balancers_per_endpoint / max(1, len(self._subset))  # per endpoint, all balancers
         budget = rate * window_us * self._rules.overload_multiple * capacity
@@ -155,7 +159,7 @@
             self.first_attempts.add(now_us)
 
     def add_response_credit(self, now_us: int, state: EndpointState) -> None:
-        """Admit one attempt without a token, within the lifetime of a token, after a successful response."""
+        """Grant one attempt without a token after a successful response, within the lifetime of a token."""
         credit_us = int(TOKEN_EXPIRY_WINDOWS * self._rules.overload_window_us)
         state.warming.response_credit_until_us = now_us + credit_us
 
@@ -165,8 +169,8 @@
         bucket = state.warming.bucket
         bucket.refill(now_us, rate)
         # Balancers that have each saved a token could all spend it in the same burst, so unused tokens expire
-        # soon. Only whole tokens expire: if the burst size is below one token, the fraction left over keeps
-        # the phase that sets when this balancer next has a whole one.
+        # soon. Only whole tokens expire: if the burst size is below one token, the remaining fraction keeps
+        # this balancer's phase, that is, when it next has a whole token.
         burst = min(MAX_BURST_ATTEMPTS, rate * self._rules.overload_window_us * TOKEN_EXPIRY_WINDOWS)
         bucket.tokens -= max(0, math.ceil(bucket.tokens - 1.0 - burst))
         return bucket.tokens
@@ -184,8 +188,8 @@
     def _first_attempt_rate(self, now_us: int) -> float:
         """Return this balancer's first attempts per microsecond.
 
-        While the whole subset is warming up, the rate from before is the minimum, as the buckets limit the
-        present rate.
+        While the whole subset is warming up, the result is at least the rate from before that: the buckets
+        limit the present rate, which is then too low as an estimate.
         """
         rate = self.first_attempts.per_us(now_us)
         return max(rate, self._rate_before_all_warming) if now_us < self.first_warm_at_us else rate
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -16,9 +16,9 @@
 
 MIN_SUBSET = 3  # endpoints, if that many exist; a small subset gives more samples per endpoint
 SUBSETS_PER_ENDPOINT = 2  # target number of balancers that have an endpoint in their subset, on average
-# The limits on a proxy's file descriptors: while the fleet grows to FLEET_GROWTH times its usual size, the
-# number of descriptors in use may grow to DESCRIPTOR_GROWTH times plus EXTRA_DESCRIPTORS. Each endpoint of
-# the subset eventually holds one connection, and with it a descriptor.
+# Limit on the growth of a proxy's file descriptors: with a fleet of FLEET_GROWTH times its usual size, at
+# most DESCRIPTOR_GROWTH times the usual number plus EXTRA_DESCRIPTORS may be in use. Each endpoint of the
+# subset eventually holds one connection, and with it a descriptor.
 FLEET_GROWTH = 16
 DESCRIPTOR_GROWTH = 2
 EXTRA_DESCRIPTORS = 40
@@ -57,7 +57,7 @@
         Args:
             index: This balancer's index among the instances.
             instances: The number of balancers.
-            is_remote: Returns whether a member is in another zone and crossing zones has a price.
+            is_remote: Returns whether a member is in another zone and crossing zones has a cost.
         """
         self._index = index
         self._instances = max(1, instances)
@@ -99,7 +99,7 @@
         return local + arc(self._remote, start, max(MIN_REMOTE, size - len(local)))
 
     def _start_index(self, size: int) -> int:
-        """Return the index where the arc starts: the previous one, limited to the slack around the even one.
+        """Return the index where the arc starts: the previous start, within the slack of the even one.
 
         With the even start alone the arc would shift whenever an endpoint before it is added or removed, and
         the balancer would keep opening connections to other endpoints.
@@ -118,10 +118,11 @@
     """Return by how many ring positions an arc of this size may start before or after its even start.
 
     The slack is zero if the size covers each endpoint `SUBSETS_PER_ENDPOINT` times, so that the coverage
-    stays exact. If the size is bounded below that, the slack is the largest that leaves no endpoint uncovered
-    where arcs overlap, and makes no arcs overlap where there are gaps between them. The number of balancers
-    per endpoint is then at least (size - 2 slack) x instances / endpoints, rounded down, and at most (size +
-    2 slack) x instances / endpoints, rounded up.
+    stays exact. If the size is bounded below that, the even arcs either overlap or have gaps between them.
+    Arcs that overlap get the largest slack that leaves no endpoint uncovered; arcs with gaps get the largest
+    one with which none overlap. The number of balancers per endpoint is then at least
+    (size - 2 slack) x instances / endpoints, rounded down, and at most
+    (size + 2 slack) x instances / endpoints, rounded up.
     """
     if size >= min(endpoints, _covering_size(endpoints, instances)):
         return 0
@@ -131,13 +132,15 @@
 def subset_size(endpoints: int, instances: int) -> int:
     """Return the number of endpoints in the subset of each balancer.
 
-    The size covers each endpoint with two balancers while the fleet has its usual size, or while the number
-    of balancers grows in proportion to that of endpoints. If only the endpoints grow in number, a balancer
-    with unchanged traffic would hardly ever reuse a connection, and each endpoint of the subset costs it a
-    file descriptor. A subset that may be 16 times the usual size U is therefore bounded by the descriptor
-    limit, 2 U + 40, but not below the subset size for the largest fleet of usual size. The drawback is that
-    with less than one balancer per endpoint the capacity of the uncovered endpoints stays unused. The bound
-    is no lower, because smaller subsets serve fewer requests.
+    The covering size, with which each endpoint is in two subsets on average, applies while the fleet has its
+    usual size, or while the number of balancers grows in proportion to that of endpoints. If only the number
+    of endpoints grows, a balancer has unchanged traffic for more endpoints: with the covering size it would
+    hardly ever reuse a connection, and each endpoint of the subset costs it a file descriptor. The size is
+    therefore bounded. The bound assumes that the fleet is 16 times its usual size, so that the usual subset
+    size U is a sixteenth of the covering size, and applies the descriptor limit, 2 U + 40. It is not below
+    the covering size of the largest fleet of usual size. The drawback is that with less than one balancer per
+    endpoint the capacity of the uncovered endpoints stays unused. The bound is not lower, because smaller
+    subsets serve fewer requests.
     """
     covering = _covering_size(endpoints, instances)
     descriptor_bound = EXTRA_DESCRIPTORS + DESCRIPTOR_GROWTH * covering // FLEET_GROWTH
--- a/tests/net/client/delayed_endpoint.py
+++ b/tests/net/client/delayed_endpoint.py
@@ -11,7 +11,7 @@
     """Endpoint that reads one request at a time on each connection and responds once `may_respond` is set.
 
     Attributes:
-        may_respond: Event that permits responses. Once it is set, each request is answered at once.
+        may_respond: Event that permits responses. Once it is set, each request gets its response at once.
         request_ids: Ids of the requests received so far.
     """
 
--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -86,7 +86,7 @@
 async def test_connection_is_not_evicted_while_its_request_arrives(
     is_first_request: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """No other connection can be evicted, so the request on the new connection is answered 503."""
+    """No other connection can be evicted, so the request on the new connection gets a 503."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -192,7 +192,7 @@
 async def open_idle_connection(
     proxy: LoopbackProxy, endpoint: StandInServer, client: SocketClient
 ) -> ClientConnection:
-    """Answer the first request of the client, and return its connection once it is idle."""
+    """Respond to the first request of the client, and return its connection once it is idle."""
     client.send(http_request(request_id="first"))
     await wait_until(lambda: len(endpoint.received) == 1)
     proxy.oldest_attempt_connection().data_received(http_response(200, b"first"))
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -155,7 +155,7 @@
 
 
 async def test_open_request_does_not_get_503_at_shutdown() -> None:
-    """The open request may have run. A partial request is answered 503, as nothing of it was forwarded."""
+    """The open request may have run. A partial request gets a 503, as nothing of it was forwarded."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         busy, partial_client = SocketClient(proxy), SocketClient(proxy)
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -123,7 +123,7 @@
         ) as proxy,
     ):
         response = await proxy.send_request(http_request("pay"))
-        # The request never ran, so even an unsafe one is answered 503.
+        # The request never ran, so even an unsafe one gets a 503.
         assert response_status(response) == 503
         assert 0.0 < float(response[1]["retry-after"]) <= 2.0
     async with (
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -113,7 +113,7 @@
     class_name: str
     attempts: list[ReceivedAttempt] = field(default_factory=list)
     status: int = 0  # of its response
-    ended_step: int | None = None  # the step in which it was answered or its client disconnected
+    ended_step: int | None = None  # the step in which it got its response or its client disconnected
 
 
 class FaultyProxyRun:
@@ -293,12 +293,12 @@
                     attempt.behavior in {*valid_behaviors, "no length, end"} for attempt in sent.attempts
                 ):
                     self.faults.append(
-                        f"{request_id}: answered 200 with body {body!r}, which no endpoint sent for it"
+                        f"{request_id}: response 200 with body {body!r}, which no endpoint sent for it"
                     )
             case 503:
                 if ran and sent.class_name in ("write", "pay"):
                     self.faults.append(
-                        f"{request_id}: answered 503, though it may have run: {ran[0].behavior}"
+                        f"{request_id}: response 503, though it may have run: {ran[0].behavior}"
                     )
             case 502:
                 pass
