--- a/load_balancer/policy/endpoint_state.py
+++ b/load_balancer/policy/endpoint_state.py
@@ -94,7 +94,7 @@
         self.unreachable_backoff_us = 0
 
     def start_cool_down(self, now_us: int, class_name: str) -> None:
-        """Start a cool-down after a failed request: avoid the endpoint for this class for `COOL_DOWN_US`."""
+        """Avoid the endpoint for a class for `COOL_DOWN_US`, after it failed or lost a request of it."""
         self.cool_down_until_us[class_name] = now_us + COOL_DOWN_US
 
     def is_avoided(self, now_us: int, class_name: str) -> bool:
