--- a/load_balancer/policy/endpoint_state.py
+++ b/load_balancer/policy/endpoint_state.py
@@ -93,8 +93,8 @@
         self.responded_at_us = now_us
         self.unreachable_backoff_us = 0
 
-    def cool_down(self, now_us: int, class_name: str) -> None:
-        """Avoid the endpoint for `COOL_DOWN_US` for requests of a class, after it failed one of them."""
+    def start_cool_down(self, now_us: int, class_name: str) -> None:
+        """Avoid the endpoint for a class for `COOL_DOWN_US`, after it failed or lost a request of it."""
         self.cool_down_until_us[class_name] = now_us + COOL_DOWN_US
 
     def is_avoided(self, now_us: int, class_name: str) -> bool:
