--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -1,4 +1,4 @@
-"""Requests that are not served: the status of each response, and that nothing is forwarded wrongly."""
+"""Rejected requests: the status of each response, and no request is forwarded by mistake."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         b"POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello",
         b"POST /api HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
         http_request(request_id=""),
-        http_request(kind=""),
+        http_request(class_name=""),
         http_request(Req_Deadline="soon"),
         http_request(Req_Deadline="nan"),
         http_request(Req_Deadline="inf"),
@@ -79,9 +79,8 @@
         assert response_status(await proxy.send_request(http_request(request_id="same"))) == 409
         delayed.may_respond.set()
         assert response_status(await read_http_message(reader)) == 200
-        assert (
-            response_status(await proxy.send_request(http_request(request_id="same"))) == 200
-        )  # over, so it may come again
+        # The id is free once its request has ended.
+        assert response_status(await proxy.send_request(http_request(request_id="same"))) == 200
         writer.close()
         assert len(delayed.request_ids) == 2
         assert not proxy.clients.open_request_ids
@@ -94,8 +93,8 @@
     outer = http_request("mark", Content_Length=str(5 + len(hidden)), Transfer_Encoding="chunked")
     reader, writer = await proxy.connect()
     writer.write(outer + b"0\r\n\r\n" + hidden)
-    first, headers, _ = await read_http_message(reader)
-    assert (first.split()[1], headers["connection"]) == ("400", "close")
+    start_line, headers, _ = await read_http_message(reader)
+    assert (start_line.split()[1], headers["connection"]) == ("400", "close")
     assert await reader.read() == b""
     writer.close()
     assert endpoint.received == []
@@ -123,9 +122,10 @@
             endpoint_entry("s-1", endpoint.port), settings=balancer_settings(limits=limits)
         ) as proxy,
     ):
-        got = await proxy.send_request(http_request("pay"))
-        assert response_status(got) == 503  # it never ran, so even an unsafe one is refused
-        assert 0.0 < float(got[1]["retry-after"]) <= 2.0
+        response = await proxy.send_request(http_request("pay"))
+        # The request never ran, so even an unsafe one is answered 503.
+        assert response_status(response) == 503
+        assert 0.0 < float(response[1]["retry-after"]) <= 2.0
     async with (
         StandInEndpoint(http_response(503, Srv_Declined="1")) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
@@ -134,9 +134,9 @@
 
 
 async def test_request_that_may_have_run_is_answered_502() -> None:
-    for said in (None, http_response(500), http_response(503)):
+    for endpoint_response in (None, http_response(500), http_response(503)):
         async with (
-            StandInEndpoint(said) as endpoint,
+            StandInEndpoint(endpoint_response) as endpoint,
             running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
         ):
             assert response_status(await proxy.send_request(http_request("pay"))) == 502
@@ -150,10 +150,9 @@
         StandInEndpoint(http_response(400)) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
     ):
-        assert (
-            response_status(await proxy.send_request(http_request())) == 502
-        )  # no refusal: coming again would not help
+        # Not 503, as sending the request again would not help.
+        assert response_status(await proxy.send_request(http_request())) == 502
         assert len(endpoint.received) == 1
-        [server] = proxy.driver.balancer.endpoints.states.values()
-        assert server.failure_penalty_ends_us == []
-        assert server.detector.mean == 1.0
+        [endpoint_state] = proxy.driver.balancer.endpoints.states.values()
+        assert endpoint_state.failure_penalty_ends_us == []
+        assert endpoint_state.detector.mean == 1.0
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload at SIGHUP: a configuration is applied as a whole, or rejected with the name of its field."""
+"""Reload on SIGHUP: a configuration is applied completely, or rejected naming the invalid field."""
 
 from __future__ import annotations
 
@@ -7,25 +7,31 @@
 
 import pytest
 
-from tests.support.config_fields import FIRST_LANE, NUMBER_FIELDS, FieldPath, config_with, field_name
+from tests.support.config_fields import (
+    FIRST_REQUEST_CLASS,
+    NUMBER_FIELDS,
+    FieldPath,
+    config_with_field,
+    field_name,
+)
 from tests.support.loopback_proxy import running_proxy
 from tests.support.proxy_process import proxy_config
 from tests.support.reload_harness import ReloadHarness
 
-TEXTS: list[FieldPath] = [
+STRING_FIELDS: list[FieldPath] = [
     ("name",),
     ("listen",),
     ("discovery",),
     ("settings", "registryMode"),
     ("settings", "zone"),
-    (*FIRST_LANE, "name"),
-    (*FIRST_LANE, "idempotency"),
-    (*FIRST_LANE, "keyScope"),
+    (*FIRST_REQUEST_CLASS, "name"),
+    (*FIRST_REQUEST_CLASS, "idempotency"),
+    (*FIRST_REQUEST_CLASS, "keyScope"),
     ("settings", "tenants", 0, "name"),
 ]
 
 
-OBJECTS: list[FieldPath] = [
+OBJECT_FIELDS: list[FieldPath] = [
     ("limits",),
     ("settings",),
     ("settings", "limits"),
@@ -35,100 +41,104 @@
 ]
 
 
-ARRAYS: list[FieldPath] = [("settings", "lanes"), ("settings", "tenants")]
+ARRAY_FIELDS: list[FieldPath] = [("settings", "lanes"), ("settings", "tenants")]
 
 
-SWITCHES: list[FieldPath] = [("settings", "limits", name) for name in ("cancel", "probing", "retryAfter")]
+BOOLEAN_FIELDS: list[FieldPath] = [
+    ("settings", "limits", name) for name in ("cancel", "probing", "retryAfter")
+]
 
 
-WHOLE: list[FieldPath] = [
+INTEGER_FIELDS: list[FieldPath] = [
     ("settings", "limits", "maxRetryAfterUs"),
     ("settings", "contract", "fallUs"),
     ("settings", "instances"),
     ("settings", "index"),
-    (*FIRST_LANE, "onTimeUs"),
-    (*FIRST_LANE, "repeatWindowUs"),
+    (*FIRST_REQUEST_CLASS, "onTimeUs"),
+    (*FIRST_REQUEST_CLASS, "repeatWindowUs"),
 ]
 
 
-FRACTIONS: list[FieldPath] = [
+FLOAT_FIELDS: list[FieldPath] = [
     ("settings", "resultMix", "worstClass"),
-    (*FIRST_LANE, "lateValue"),
+    (*FIRST_REQUEST_CLASS, "lateValue"),
     ("settings", "tenants", 0, "quotaPerS"),
 ]
 
 
-WRONG: list[tuple[FieldPath, tuple[object, ...]]] = [
+WRONG_TYPE_VALUES: list[tuple[FieldPath, tuple[object, ...]]] = [
     (("seed",), (1.5, True, [], {}, None, "xyz", "")),
     (("listen",), ("", "nowhere", "127.0.0.1", ":80", "127.0.0.1:65536", "127.0.0.1:-1", "a b:80")),
     (("discovery",), ("", "nowhere", "127.0.0.1", ":80", "127.0.0.1:0", "127.0.0.1:65536", "\ud800:80")),
-    *((path, (5, True, [], {})) for path in TEXTS),
-    *((path, (5, True, "x", [])) for path in OBJECTS),
-    *((path, (5, True, "x", {})) for path in ARRAYS),
-    *((path, (5, 0, "true", [], {})) for path in SWITCHES),
-    *((path, (True, "x", "5", 1.5, [], {})) for path in WHOLE),
-    *((path, (True, "x", "5", [], {})) for path in FRACTIONS),
+    *((path, (5, True, [], {})) for path in STRING_FIELDS),
+    *((path, (5, True, "x", [])) for path in OBJECT_FIELDS),
+    *((path, (5, True, "x", {})) for path in ARRAY_FIELDS),
+    *((path, (5, 0, "true", [], {})) for path in BOOLEAN_FIELDS),
+    *((path, (True, "x", "5", 1.5, [], {})) for path in INTEGER_FIELDS),
+    *((path, (True, "x", "5", [], {})) for path in FLOAT_FIELDS),
     *((path, (True, "x", "5", [], {})) for path in NUMBER_FIELDS),
     *(((name,), (None,)) for name in ("name", "listen", "discovery", "settings")),
     *((("settings", *rest), (None,)) for rest in (("lanes",), ("contract",), ("limits",))),
 ]
 
 
-@pytest.mark.parametrize(("path", "values"), WRONG, ids=[field_name(path) for path, _ in WRONG])
+@pytest.mark.parametrize(
+    ("path", "values"), WRONG_TYPE_VALUES, ids=[field_name(path) for path, _ in WRONG_TYPE_VALUES]
+)
 async def test_reload_names_a_field_of_the_wrong_type_and_keeps_the_old_configuration(
     tmp_path: Path, path: FieldPath, values: tuple[object, ...], caplog: pytest.LogCaptureFixture
 ) -> None:
     async with running_proxy() as proxy:
         harness = ReloadHarness(tmp_path, proxy, caplog)
         for value in values:
-            changed = config_with(path, value)
+            changed_config = config_with_field(path, value)
             if path != ("discovery",):
-                changed["discovery"] = "127.0.0.1:2"
-            harness.path.write_text(json.dumps(changed))
+                changed_config["discovery"] = "127.0.0.1:2"
+            harness.path.write_text(json.dumps(changed_config))
             harness.assert_rejected(f"field {field_name(path)}")
-        harness.assert_still_follows()
+        harness.assert_valid_file_is_applied()
 
 
-FILES: dict[str, tuple[bytes, str]] = {
+INVALID_FILES: dict[str, tuple[bytes, str]] = {
     "empty": (b"", "NODE_CONFIG"),
-    "cut": (json.dumps(proxy_config(discovery="127.0.0.1:2")).encode()[:-20], "NODE_CONFIG"),
+    "truncated": (json.dumps(proxy_config(discovery="127.0.0.1:2")).encode()[:-20], "NODE_CONFIG"),
     "not UTF-8": (b'{"name":"\xff\xfe"}', "NODE_CONFIG"),
-    "nested": (b"[" * 100_000 + b"]" * 100_000, "NODE_CONFIG"),
+    "deeply nested": (b"[" * 100_000 + b"]" * 100_000, "NODE_CONFIG"),
     "an array": (b"[1]", "field settings"),
     "a number": (b"1", "field settings"),
     "null": (b"null", "field settings"),
-    "a number without end": (b'{"seed":' + b"1" * 5_000 + b"}", "NODE_CONFIG"),
+    "a number of 5000 digits": (b'{"seed":' + b"1" * 5_000 + b"}", "NODE_CONFIG"),
 }
 
 
-@pytest.mark.parametrize(("content", "named"), FILES.values(), ids=FILES.keys())
+@pytest.mark.parametrize(("content", "expected_text"), INVALID_FILES.values(), ids=INVALID_FILES.keys())
 async def test_reload_of_an_invalid_file_changes_nothing(
-    tmp_path: Path, content: bytes, named: str, caplog: pytest.LogCaptureFixture
+    tmp_path: Path, content: bytes, expected_text: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with running_proxy() as proxy:
         harness = ReloadHarness(tmp_path, proxy, caplog)
         harness.path.write_bytes(content)
-        harness.assert_rejected(named)
-        harness.assert_still_follows()
+        harness.assert_rejected(expected_text)
+        harness.assert_valid_file_is_applied()
 
 
-@pytest.mark.parametrize("way", ["gone", "a folder", "a link to itself"])
+@pytest.mark.parametrize("fault", ["missing", "a folder", "a link to itself"])
 async def test_reload_of_an_unreadable_file_changes_nothing(
-    tmp_path: Path, way: str, caplog: pytest.LogCaptureFixture
+    tmp_path: Path, fault: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with running_proxy() as proxy:
         harness = ReloadHarness(tmp_path, proxy, caplog)
         harness.path.unlink()
-        if way == "a folder":
+        if fault == "a folder":
             harness.path.mkdir()
-        elif way == "a link to itself":
+        elif fault == "a link to itself":
             harness.path.symlink_to(harness.path)
         harness.assert_rejected("NODE_CONFIG")
-        if way == "a folder":
+        if fault == "a folder":
             harness.path.rmdir()
         else:
             harness.path.unlink(missing_ok=True)
-        harness.assert_still_follows()
+        harness.assert_valid_file_is_applied()
 
 
 async def test_reload_with_an_invalid_cached_list_still_moves_discovery(
@@ -138,5 +148,5 @@
         harness = ReloadHarness(tmp_path, proxy, caplog)
         harness.path.write_text(json.dumps(proxy_config(discovery="127.0.0.1:2", known={"rev": 1})))
         harness.reloader.reload()
-        assert harness.moved == [("127.0.0.1", 2)]
+        assert harness.discovery_addresses == [("127.0.0.1", 2)]
         assert "field known.targets" in caplog.text
--- a/tests/scenarios/test_local_resource_shortage.py
+++ b/tests/scenarios/test_local_resource_shortage.py
@@ -1,7 +1,6 @@
-"""System calls that fail for a shortage on this machine: no fault of the endpoint, no retry spent.
+"""System calls that fail for a local resource shortage: no endpoint failure, no retry budget used.
 
-The failures are made at the boundary to the system, on real sockets, by a socket class that does as it is
-told.
+The failures are injected at the system call boundary of real sockets, by `FailingSocket`.
 """
 
 from __future__ import annotations
@@ -45,16 +44,16 @@
     *(("connect", error) for error in (errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENOBUFS, errno.ENOMEM)),
 ]
 EACH_SHORTAGE = pytest.mark.parametrize(
-    ("name", "error"),
+    ("call", "error"),
     SHORTAGES,
-    ids=[f"{name} {errno.errorcode[error]}" for name, error in SHORTAGES],
+    ids=[f"{call} {errno.errorcode[error]}" for call, error in SHORTAGES],
 )
 
 
 @EACH_SHORTAGE
 @pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
-async def test_local_resource_shortage_is_not_blamed_on_the_endpoint(
-    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
+async def test_local_resource_shortage_does_not_count_against_the_endpoint(
+    call: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -62,14 +61,14 @@
     ):
         reader, writer = await proxy.connect()
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
-        failure = socket_failures.add(name, any_socket, error)
+        failure = socket_failures.add(call, any_socket, error)
         writer.write(http_request())
         assert response_status(await read_http_message(reader)) == 200
-        assert failure.hits == 1
+        assert failure.hit_count == 1
         assert len(endpoint.received) == 1
         assert not proxy.pool.pacing.no_extra_connect_until_s
         [state] = proxy.driver.balancer.endpoints.states.values()
-        assert state.detector.first_epoch_count == PRIOR_SAMPLES + 1  # of the answer alone
+        assert state.detector.first_epoch_count == PRIOR_SAMPLES + 1  # only the response is counted
         assert proxy.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
         writer.close()
     assert not traceback_lines(caplog)
@@ -78,9 +77,9 @@
 @EACH_SHORTAGE
 @pytest.mark.usefixtures("no_tracebacks_until_loop_closes")
 async def test_lasting_local_resource_shortage_rejects_requests_at_once(
-    name: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
+    call: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Each makes as many attempts as the settings allow, costs no retry budget, and leaves nothing open."""
+    """Each makes the maximum number of attempts, uses no retry budget, and leaves no connection open."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
@@ -88,11 +87,11 @@
     ):
         reader, writer = await proxy.connect()
         await wait_until(lambda: len(proxy.clients.open_connections) == 1)
-        failure = socket_failures.add(name, any_socket, error, times=sys.maxsize)
+        failure = socket_failures.add(call, any_socket, error, times=sys.maxsize)
         for request_count in range(1, 31):
             writer.write(http_request(request_id=f"r{request_count}"))
             assert response_status(await read_http_message(reader)) == 503
-            assert failure.hits == 3 * request_count
+            assert failure.hit_count == 3 * request_count
             assert proxy.driver.is_idle
         assert proxy.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
         assert not endpoint.received
@@ -109,7 +108,7 @@
 async def test_local_resource_shortage_beside_a_late_connect_is_not_retried_rapidly(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An attempt with a late connection opens another one; after one that fails at once there is a pause."""
+    """An attempt with a late connect starts another one; if that fails at once, a pause follows."""
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(60.0, 60.0, 10)
@@ -124,7 +123,7 @@
             return await open_connection(endpoint)
 
         monkeypatch.setattr(pool.connector, "open", open_only_the_first)
-        attempts.begin("a", timeout_s=5.0)
+        attempts.start_attempt("a", timeout_s=5.0)
         began_s = pool.loop.time()
         for _ in range(200):
             await connects.advance(0.003)
@@ -134,7 +133,7 @@
 
 
 class FailingPoll:
-    """A `select.poll` whose system call fails."""
+    """Stand-in for `select.poll` whose system call fails."""
 
     def __init__(self, error: int) -> None:
         self.error, self.poll_count = error, 0
@@ -152,33 +151,33 @@
 async def test_requests_are_served_when_poll_fails(
     error: int, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The safe assumption holds: no idle connection is reused or closed, and no client has left."""
+    """Socket states are then unknown: no idle connection is reused or closed, no client counts as gone."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port)) as proxy,
     ):
-        failing = FailingPoll(error)
+        failing_poll = FailingPoll(error)
         reader, writer = await proxy.connect()
-        idle_reader, idle = await proxy.connect()
+        idle_reader, idle_writer = await proxy.connect()
         await wait_until(lambda: len(proxy.clients.open_connections) == 2)
         clock = SteppedClock()
         with monkeypatch.context() as patch:
-            patch.setattr("load_balancer.net.socket_state.select.poll", lambda: failing)
+            patch.setattr("load_balancer.net.socket_state.select.poll", lambda: failing_poll)
             for number in range(3):
                 writer.write(http_request(request_id=f"r{number}"))
                 assert response_status(await read_http_message(reader)) == 200
                 clock.advance(SETTLE_S)
             assert endpoint.connection_count == 3
-            assert failing.poll_count
+            assert failing_poll.poll_count
             assert proxy.driver.balancer.retry_budget.tokens == MAX_SAVED_RETRIES
             clock.advance(1.0)
             proxy.listener.close_idle_connections()
             proxy.listener.sweep()
             assert len(proxy.clients.open_connections) == 2
             assert not proxy.listener.is_drained
-        proxy.listener.close_idle_connections()  # it can tell again
+        proxy.listener.close_idle_connections()  # poll works again
         assert await idle_reader.read() == await reader.read() == b""
         writer.close()
-        idle.close()
+        idle_writer.close()
     assert not problem_lines(caplog)
--- a/tests/support/config_fields.py
+++ b/tests/support/config_fields.py
@@ -1,4 +1,4 @@
-"""Configurations with one field changed, and the names that errors must give to such fields."""
+"""Configurations with one field changed, and the names of such fields in error messages."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 FieldPath = tuple[str | int, ...]
 
 
-def config_with(path: FieldPath, value: object) -> dict[str, Any]:
-    """Return a configuration with another value at this place in it."""
-    changed: Any = json.loads(json.dumps(proxy_config(known=endpoint_list(endpoint_entry("a", 9)))))
-    changed["settings"]["limits"]["retryAfter"] = True
-    changed["settings"]["tenants"] = [{"name": "t", "quotaPerS": 5}]
-    inner = changed
-    for step in path[:-1]:
-        inner = inner[step] if not isinstance(inner, dict) else inner.setdefault(step, {})
-    inner[path[-1]] = value
-    assert isinstance(changed, dict)
-    return changed
+def config_with_field(path: FieldPath, value: object) -> dict[str, Any]:
+    """Return a configuration with the field at this path set to this value."""
+    config: Any = json.loads(json.dumps(proxy_config(known=endpoint_list(endpoint_entry("a", 9)))))
+    config["settings"]["limits"]["retryAfter"] = True
+    config["settings"]["tenants"] = [{"name": "t", "quotaPerS": 5}]
+    parent = config
+    for key in path[:-1]:
+        parent = parent[key] if not isinstance(parent, dict) else parent.setdefault(key, {})
+    parent[path[-1]] = value
+    assert isinstance(config, dict)
+    return config
 
 
-FIRST_LANE: FieldPath = ("settings", "lanes", 0)
+FIRST_REQUEST_CLASS: FieldPath = ("settings", "lanes", 0)
 
 NUMBER_FIELDS: list[FieldPath] = [
     ("limits", "sockets"),
@@ -38,12 +38,12 @@
     ("settings", "overShareWorth"),
     ("settings", "deductions", "crossZone"),
     ("settings", "tickUs"),
-    (*FIRST_LANE, "worth"),
-    (*FIRST_LANE, "deadlineUs"),
+    (*FIRST_REQUEST_CLASS, "worth"),
+    (*FIRST_REQUEST_CLASS, "deadlineUs"),
 ]
 
 
 def field_name(path: FieldPath) -> str:
-    """Return the name that an error must give to the field at this place."""
-    parts = [f"[{step}]" if isinstance(step, int) else f".{step}" for step in path]
+    """Return the name by which an error message must refer to the field at this path."""
+    parts = [f"[{key}]" if isinstance(key, int) else f".{key}" for key in path]
     return "".join(parts).removeprefix(".")
