--- a/load_balancer/policy/endpoint_state.py
+++ b/load_balancer/policy/endpoint_state.py
@@ -73,9 +73,9 @@
         """Return whether an attempt of this balancer has been in flight for longer than the limit."""
         return any(attempt.is_hanging(now_us, limit) for attempt in self.in_flight)
 
-    def add_latency(self, relative_latency: float) -> bool:
+    def add_latency(self, latency_multiple: float) -> bool:
         """Add a latency relative to the usual one; return True if it opens an epoch with a new share."""
-        opened = self.detector.add(relative_latency)
+        opened = self.detector.add(latency_multiple)
         if opened:
             self.share = 1.0 / self.detector.epoch_mean
         return opened
--- a/load_balancer/policy/outcome_learner.py
+++ b/load_balancer/policy/outcome_learner.py
@@ -88,8 +88,8 @@
         if outcome in CLASS_FAILURE_OUTCOMES:
             state.start_cool_down(now_us, request_class.settings.name)
 
-    def _add_latency(self, state: EndpointState, relative_latency: float) -> None:
-        if not state.add_latency(relative_latency):
+    def _add_latency(self, state: EndpointState, latency_multiple: float) -> None:
+        if not state.add_latency(latency_multiple):
             return
         epoch, mean = state.detector.epoch, state.detector.epoch_mean
         text = (
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -208,7 +208,7 @@
     raw_classes = required_field(raw, "lanes", list, prefix)
     contract = required_field(raw, "contract", dict, prefix)
     limits = required_field(raw, "limits", dict, prefix)
-    prices = optional_field(raw, "deductions", {}, prefix)
+    costs = optional_field(raw, "deductions", {}, prefix)
     tenants = optional_field(raw, "tenants", [], prefix)
     with translate_value_errors(prefix):
         return messages.Settings(
@@ -227,8 +227,8 @@
             instances=optional_field(raw, "instances", 1, prefix),
             index=optional_field(raw, "index", 0, prefix),
             zone=optional_field(raw, "zone", "", prefix),
-            cross_zone_cost=optional_field(prices, "crossZone", 0.0, prefix + "deductions."),
-            handshake_cost=optional_field(prices, "handshake", 0.0, prefix + "deductions."),
+            cross_zone_cost=optional_field(costs, "crossZone", 0.0, prefix + "deductions."),
+            handshake_cost=optional_field(costs, "handshake", 0.0, prefix + "deductions."),
             must_subscribe=optional_field(raw, "registryMode", "automatic", prefix) == "subscribe",
             tick_us=optional_field(raw, "tickUs", 1_000, prefix),
         )
