--- a/load_balancer/errors.py
+++ b/load_balancer/errors.py
@@ -1,14 +1,15 @@
-"""Exceptions that this package raises, in one hierarchy.
+"""The base classes of this package's exceptions, and those for invalid JSON, fields and configuration.
 
-Each message is one line. It names the field as written in the file or on the wire, so that an operator can
-find it there. An exception is raised before any state changes.
+Each message is one line. It names an invalid field as written in the file or on the wire, so that an operator
+can find it there. A file, endpoint list or event is decoded before it is applied, so that an invalid one
+changes no state.
 """
 
 from __future__ import annotations
 
 
 class LoadBalancerError(Exception):
-    """Base class of all exceptions that this package raises."""
+    """Base class of the exceptions of this package, except `messages.ImpossibleValueError`."""
 
 
 class WireError(LoadBalancerError):
@@ -79,7 +80,7 @@
 
 
 class ConfigError(LoadBalancerError):
-    """The process configuration is invalid; the message names the field."""
+    """The process configuration is invalid; the message names the field or the environment variable."""
 
 
 class UnsetVariableError(ConfigError):
--- a/load_balancer/messages/__init__.py
+++ b/load_balancer/messages/__init__.py
@@ -1,8 +1,9 @@
 """The interface of the policy: settings and events are its input, actions are its output.
 
-A proxy builds a `Settings`, creates one `load_balancer.Balancer` from it, passes events to it with the
-current time, and performs the returned actions in order. All times are integers in microseconds on one
-monotonic clock. This package contains data types only, none of the policy's decisions.
+A proxy builds a `Settings` and creates one `load_balancer.Balancer` from it. It calls `start` once and then
+`handle` for each event, both with the current time, and performs the actions that they return in order. All
+times are integers in microseconds on one monotonic clock. This package contains data types only, none of the
+policy's decisions.
 """
 
 from load_balancer.messages.actions import (
--- a/load_balancer/messages/actions.py
+++ b/load_balancer/messages/actions.py
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Draw:
-    """A candidate of an endpoint selection, with the values that it was compared by."""
+    """A candidate of an endpoint selection, with the share that it was drawn by and its load."""
 
     endpoint_id: int
     share: float
-    # Attempts of this balancer in flight. An overdue attempt counts as two, and a failed attempt goes on
-    # counting for the usual latency of its class.
+    # Attempts of this balancer in flight. An overdue attempt counts as two, and a recently failed one still
+    # counts as one; see `EndpointState.load`.
     load: int
 
 
@@ -24,8 +24,8 @@
     endpoint_id: int
     timeout_us: int
     draws: tuple[Draw, ...] = ()  # the candidates of the selection, the selected one first
-    # If no connection to the endpoint is established within this time, the attempt should end with
-    # `Outcome.NOT_SENT`, so that the request can still go to another endpoint. 0: no limit but the time-out.
+    # Within this time of the decision, an attempt whose connects are late may end before it is written, so
+    # that the request can still go to another endpoint. 0: it may not end early for this reason.
     max_connection_wait_us: int = 0
 
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Send the final response that the request is rejected and can safely be sent again."""
+    """Send a rejection as the final response; the client can safely send the request again."""
 
     request_id: str
     retry_after_us: int = 0  # for the Retry-After header; 0: no header
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Send the final response that the request failed; it may or may not have been run."""
+    """Send a failure as the final response; the request may or may not have been run."""
 
     request_id: str
 
--- a/load_balancer/messages/events.py
+++ b/load_balancer/messages/events.py
@@ -70,7 +70,7 @@
     """A health check has ended. Each `CheckHealth` leads to exactly one such event."""
 
     endpoint_id: int
-    is_alive: bool  # the endpoint responded, or the check could not be sent
+    is_alive: bool  # False: the check timed out or could not reach the endpoint, or the endpoint is unknown
     in_flight: float | None = None  # from its load report if it has one; delayed and slightly noisy
 
 
--- a/load_balancer/messages/settings.py
+++ b/load_balancer/messages/settings.py
@@ -109,7 +109,7 @@
     cancel: bool = False  # attempts may be cancelled
     health_checks: bool = False  # endpoints support health checks
     retry_after_us: int = 0  # the longest Retry-After that clients respect; 0: the header is not sent
-    connect_timeout_us: int = 0  # an attempt that is not written within this time of its start is not sent
+    connect_timeout_us: int = 0  # an attempt is written within this time of its start, or not at all
 
     def __post_init__(self) -> None:
         """Raise ImpossibleValueError for an invalid value."""
--- a/load_balancer/policy/admission_queue.py
+++ b/load_balancer/policy/admission_queue.py
@@ -64,7 +64,12 @@
         return [entry.request_id for entry in self._entries]
 
     def add(self, now_us: int, request: RequestState) -> None:
-        """Queue a request that no endpoint is available for, as long as its response can have a value."""
+        """Queue a request for which no endpoint is available.
+
+        The request waits for at most `max_queue_wait_us`, and not beyond the time from which a response with
+        the usual latency of its class would be too late to have a value. While a rejection is still free, the
+        wait also ends before a rejection has a cost.
+        """
         self._concurrency_limit.mark_reached()
         request.queued_until_us = now_us + self._queue_wait_us(now_us, request)
         self._sequence += 1
@@ -112,9 +117,9 @@
             is_sendable = may_send_first_attempts and (may_send_retries or not request.was_sent)
             if is_sendable and self._dispatcher.send(now_us, request):
                 continue
-            # Later requests that cannot be sent are not tried. A retry has fewer endpoints than a first
-            # attempt, so it holds back retries only. A request that may have run has even fewer endpoints and
-            # holds back none.
+            # A first attempt that cannot be sent holds back all later requests. A retry has fewer endpoints
+            # than a first attempt, so it holds back retries only. A request that may have run has even fewer
+            # endpoints and holds back none.
             if not request.may_have_run:
                 may_send_first_attempts = may_send_first_attempts and request.was_sent
                 may_send_retries = False
--- a/load_balancer/policy/attempt_dispatcher.py
+++ b/load_balancer/policy/attempt_dispatcher.py
@@ -67,14 +67,14 @@
         state.in_flight.append(attempt)
         self._slow_start.attempt_sent(now_us, state, is_first=attempt.number == 0)
         # Many balancers with one attempt each could overload an endpoint. A concurrency limit below one is
-        # enforced by a pause after each attempt, so that by Little's law the mean number of attempts in
-        # flight stays within the limit.
+        # enforced by a pause from the start of each attempt, so that by Little's law the mean number of
+        # attempts in flight stays within the limit.
         usual_us = attempt.request_class.usual_latency_us
         limit = state.concurrency_limit
         state.paused_until_us = now_us + int(usual_us / limit) if limit < 1.0 else 0
 
     def _max_connection_wait_us(self, request: RequestState, choice: EndpointChoice, timeout_us: int) -> int:
-        """Return how long the attempt may wait for a connection; 0 if the request has no alternative."""
+        """Return the time in which late connects may end the attempt; 0 if the request has no alternative."""
         if not (choice.has_untried_alternative and request.has_attempts_left(self._limits.max_attempts)):
             return 0
         return max(0, timeout_us - int(request.request_class.usual_latency_us))
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -1,7 +1,7 @@
 """The balancer, which dispatches events to the components of the policy and collects their actions.
 
 `Balancer.handle` is called by the event loop driver and by the simulator's adapter, which perform the
-actions that it returns. Each instance owns all of its components; instances share no state.
+actions that it returns. Each balancer owns all of its components; balancers share no state.
 """
 
 from __future__ import annotations
--- a/load_balancer/policy/change_detector.py
+++ b/load_balancer/policy/change_detector.py
@@ -10,8 +10,8 @@
 
 MEAN_ALPHA = 0.05  # weight of a new sample in the mean; Cardellini and Iannucci use 0.5
 DETECTABLE_SHIFT = 0.25  # smallest shift to detect, as a share of the first-epoch mean, as published
-# Samples between false alarms that the threshold is set for. In a large fleet a balancer takes only about ten
-# samples of each endpoint a day.
+# Mean number of samples between false alarms, from which the threshold is calculated. A larger number would
+# delay detection: in a large fleet a balancer takes only about ten samples of each endpoint a day.
 RUN_LENGTH = 30
 SPREAD_ALPHA = 0.05  # weight of a new sample in the running variance
 PRIOR_SAMPLES = 5.0  # samples of the usual value that a new detector starts with
@@ -23,9 +23,10 @@
 def siegmund_threshold(shift: float, spread: float, run_length: float) -> float:
     """Return the CUSUM threshold at which a stream without a shift alarms once per `run_length` samples.
 
-    `shift`, `spread` and the result are in the unit of the samples. The function inverts Siegmund's formula
-    ARL = (exp(2kb) - 2kb - 1) / (2k^2) for the average run length, with k = shift/spread and
-    b = H/spread + 1.166, where H is the threshold. As e^x >= 1 + x + x^2/2, x = 2kb is at most 2k sqrt(ARL).
+    `shift`, `spread` (the standard deviation) and the result are in the unit of the samples. The function
+    inverts Siegmund's formula ARL = (exp(2kb) - 2kb - 1) / (2k^2) for the average run length, with
+    k = shift/spread and b = H/spread + 1.166, where H is the threshold. As e^x >= 1 + x + x^2/2, x = 2kb is
+    at most 2k sqrt(ARL).
     """
     if spread <= 0.0:
         return 0.0
--- a/load_balancer/policy/class_state.py
+++ b/load_balancer/policy/class_state.py
@@ -35,9 +35,10 @@
     def age_us(self, request: messages.Request, tolerance_us: int) -> int:
         """Return the part of the deadline that the client's earlier attempts used; 0 for a first attempt.
 
-        A client may allow each attempt but its last only part of the deadline. A retry whose time remaining
-        equals that of first attempts, within the tolerance, therefore has age 0. The age is the difference
-        from the deadline in the settings, never from the time remaining of other clients' requests.
+        A client may give each attempt except its last only a part of the deadline. A retry whose time
+        remaining equals that of first attempts, within the tolerance, therefore has age 0. The age of any
+        other retry is the deadline in the settings less its time remaining; it never depends on the time
+        remaining of other clients' requests.
         """
         if not request.retry:
             self.longest_first_time_remaining_us = max(
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -1,9 +1,9 @@
 """Concurrency limit: how many attempts of this balancer each endpoint of the subset may have in flight.
 
-One limit applies to all endpoints of the subset and is split among them by share. The latencies of a single
-endpoint are too noisy for a limit of its own, as one expensive request looks like a queue. The balancer
-updates the limit on changes of the subset, the admission queue reports requests that found no available
-endpoint, and the latencies of attempts raise or lower the limit.
+All endpoints of the subset have one limit in common, which is lowered for an endpoint whose share is below
+the mean. The latencies of a single endpoint are too noisy for a limit of its own, as one expensive request
+looks like a queue. The balancer updates the limit on changes of the subset, the admission queue reports
+requests that found no available endpoint, and the latencies of attempts raise or lower the limit.
 """
 
 from __future__ import annotations
@@ -13,7 +13,8 @@
 from load_balancer.policy.endpoint_state import EndpointAttempt, EndpointState
 
 INITIAL_LIMIT = 4.0  # attempts in flight per endpoint, from all balancers, before any response
-INITIAL_SHARED_LIMIT = 10.0  # the same with many balancers per endpoint, so that each can have up to one
+# Upper bound of the initial limit, which up to this bound allows one attempt to each balancer of an endpoint.
+INITIAL_SHARED_LIMIT = 10.0
 MIN_LIMIT = 1.0  # minimum of attempts in flight per endpoint, from all balancers
 # The limit falls below one attempt per balancer only if latencies exceed good ones by this factor.
 OVERLOAD_LATENCY_RATIO = 1.6
@@ -23,7 +24,7 @@
 
 
 class ConcurrencyLimit:
-    """Limit on attempts in flight that is common to all endpoints of the subset and split by share."""
+    """Limit on attempts in flight that all endpoints of the subset have in common, lowered for low shares."""
 
     def __init__(self) -> None:
         """Create an unset limit; the first endpoint list sets it."""
@@ -37,7 +38,8 @@
         """Set the number of balancers that have each endpoint in their subset.
 
         The initial limit is divided by that number: undivided limits would let the balancers together
-        overload the endpoints before the first late responses lower the limits.
+        overload the endpoints before the first late responses lower the limits. A later change of the number
+        keeps the limit per endpoint from all balancers.
         """
         balancers = max(1.0, balancers)
         total = (
@@ -59,9 +61,10 @@
         subset: Sequence[EndpointState],
         total_in_flight: int,
     ) -> None:
-        """Add a relative latency; raise the limit while it is reached, lower it while latencies are high.
+        """Add a latency sample; raise the limit while it is reached, lower it while latencies are high.
 
-        Attempts that were sent before the last decrease don't lower the limit again.
+        `relative_latency` is relative to the longest good latency of the class. Attempts that were sent
+        before the last decrease don't lower the limit again.
         """
         # Among many responses a few are always late together by chance, so the mean covers as many samples as
         # there are attempts in flight. With few in flight it must react fast, and the limits of the other
@@ -97,7 +100,7 @@
         return 1.0 <= state.concurrency_limit - 1 <= len(state.in_flight) + 1
 
     def split(self, subset: Sequence[EndpointState]) -> None:
-        """Set the limit of each endpoint of the subset by its share."""
+        """Set the limit of each endpoint of the subset: the common limit, lowered if its share is low."""
         # Runs on each endpoint list update and latency sample, for up to 64 endpoints: the loop avoids calls
         # to be fast.
         mean_share = sum([state.share for state in subset]) / max(1, len(subset))
--- a/load_balancer/policy/endpoint_health.py
+++ b/load_balancer/policy/endpoint_health.py
@@ -24,7 +24,11 @@
         return self.missed_checks >= MAX_MISSED_CHECKS
 
     def is_due(self, now_us: int, *, has_hanging_attempt: bool) -> bool:
-        """Return whether a check is due: an attempt of this balancer hangs, or the endpoint is silent."""
+        """Return whether a check is due: an attempt of this balancer hangs, or the endpoint is silent.
+
+        Consecutive checks are separated by the backoff, or by `SILENT_INTERVAL_US` if the endpoint is silent.
+        Resets the backoff if no attempt hangs and the endpoint is not silent.
+        """
         if self.is_pending:
             return False
         if self.is_silent:
--- a/load_balancer/policy/endpoint_list.py
+++ b/load_balancer/policy/endpoint_list.py
@@ -31,7 +31,7 @@
         Args:
             settings: The settings of the balancer.
             outbox: Collects the actions that close idle connections.
-            is_remote: Returns whether an endpoint is in another zone and so has a cost.
+            is_remote: Returns whether an endpoint is in another zone and crossing zones has a cost.
             slow_start: Creates the warming state of each new incarnation.
         """
         self._instances = settings.instances
@@ -69,8 +69,8 @@
             self._apply_entry(now_us, endpoint, is_stale=is_stale)
         if is_complete:
             self._remove_unlisted({endpoint.id for endpoint in update.endpoints})
-        # A complete list may lower the version. Otherwise, all changes of a new discovery with lower
-        # versions would count as stale.
+        # A complete list may lower the version. Otherwise, after a switch to a discovery with lower versions,
+        # all of its changes would count as stale.
         self.version = max(self.version, update.version) if is_stale else update.version
         self._update_subset()
 
@@ -91,7 +91,7 @@
         """Add or update an endpoint. An endpoint that has restarted under the same id gets a new state."""
         state = self.states.get(endpoint.id)
         if state is not None:
-            self.ring.remove(state)  # before its zone changes, as the zone determines its place in the ring
+            self.ring.remove(state)  # before its zone changes, as the ring groups its members by zone
         if state is not None and state.endpoint.incarnation_us == endpoint.incarnation_us:
             state.endpoint = endpoint
         else:
--- a/load_balancer/policy/endpoint_state.py
+++ b/load_balancer/policy/endpoint_state.py
@@ -27,14 +27,15 @@
     def __init__(self, endpoint: messages.Endpoint, warming: WarmingState) -> None:
         """Create a state with a share of 1 and no attempts in flight."""
         self.endpoint = endpoint
-        # Set once: later list entries for the same incarnation don't change it. 0 means long past.
+        # Set once: later list entries for the same incarnation don't change it. 0: unknown; the endpoint
+        # counts as warm.
         self.started_us = endpoint.incarnation_us if endpoint.started_us is None else endpoint.started_us
         self.hashed_id = hashed_id(endpoint.id)
         self.ring_position = (self.hashed_id, endpoint.id)
         self.detector = ChangeDetector()
         self.health = EndpointHealth()
         self.warming = warming
-        self.share = 1.0  # 1 / mean of the samples, which are relative to the usual latency
+        self.share = 1.0  # 1 / mean latency of the detector's epoch, relative to the usual latency
         self.in_flight: list[EndpointAttempt] = []  # of this balancer
         # Attempts of this balancer that may be in flight; below one, the share of time in which one may be.
         self.concurrency_limit = 1.0
@@ -55,9 +56,9 @@
         """Return the number of this balancer's attempts in flight, with overdue and failed ones weighted.
 
         An overdue attempt counts twice, so that a hanging endpoint gets fewer requests before its attempts
-        time out. A failed attempt counts until the usual latency of its class has passed since it was sent:
-        an endpoint that fails immediately would otherwise always appear idle and attract every queued
-        request.
+        time out. A failed attempt counts until the usual latency of its class has passed since it was sent,
+        or since it was abandoned: an endpoint that fails immediately would otherwise always appear idle and
+        attract every queued request.
         """
         overdue = sum(
             now_us - attempt.sent_at_us > OVERDUE_LATENCIES * attempt.request_class.usual_latency_us
@@ -70,11 +71,11 @@
         return len(self.in_flight) + overdue + len(self.failure_penalty_ends_us)
 
     def has_hanging_attempt(self, now_us: int, limit: HangLimit) -> bool:
-        """Return whether an attempt of this balancer has been in flight for longer than the limit."""
+        """Return whether an attempt of this balancer has been in flight for at least the limit."""
         return any(attempt.is_hanging(now_us, limit) for attempt in self.in_flight)
 
     def add_latency(self, latency_multiple: float) -> bool:
-        """Add a latency relative to the usual one; return True if it opens an epoch with a new share."""
+        """Add a multiple of the usual latency; return True if it opens an epoch with a new share."""
         opened = self.detector.add(latency_multiple)
         if opened:
             self.share = 1.0 / self.detector.epoch_mean
@@ -98,7 +99,7 @@
         self.cool_down_until_us[class_name] = now_us + COOL_DOWN_US
 
     def is_avoided(self, now_us: int, class_name: str) -> bool:
-        """Return whether to prefer other endpoints for this class: a recent failure of it, or no route."""
+        """Return whether to prefer others: a request of this class failed recently, or there was no route."""
         return now_us < max(self.unreachable_until_us, self.cool_down_until_us.get(class_name, 0))
 
 
--- a/load_balancer/policy/health_check.py
+++ b/load_balancer/policy/health_check.py
@@ -98,9 +98,11 @@
                 self._abandon(now_us, attempt)
 
     def _abandon_lost_attempts(self, now_us: int, state: EndpointState, reported: float) -> None:
-        """Abandon attempts that the endpoint no longer has in flight.
+        """Abandon as many hanging attempts as the load report shows to be lost.
 
-        `reported` is the endpoint's number of requests in flight, from all balancers.
+        `reported` is the endpoint's number of requests in flight, from all balancers. It is raised by its
+        possible error, and this balancer's attempts in flight beyond it count as lost. Attempts that may have
+        been sent after the report are left out.
         """
         reportable = [
             attempt
--- a/load_balancer/policy/outcome_learner.py
+++ b/load_balancer/policy/outcome_learner.py
@@ -17,7 +17,7 @@
     messages.Outcome.UNUSABLE,
 )
 RESPONSE_OUTCOMES = (messages.Outcome.OK, messages.Outcome.ERROR, messages.Outcome.REJECTED)
-# The endpoint may fail only requests of the same class.
+# After these, the endpoint is avoided for the class of the request only: it may serve other classes.
 CLASS_FAILURE_OUTCOMES = (messages.Outcome.ERROR, messages.Outcome.TIMEOUT)
 # These don't indicate the load of the endpoints: a connection that is not established, for example, is a
 # failure of that endpoint alone and is reported immediately.
@@ -63,6 +63,7 @@
         if outcome is messages.Outcome.UNREACHABLE:
             attempt.endpoint.mark_unreachable(now_us)
             return
+        # An attempt that failed counts as if it had lasted until its time-out.
         latency_us = duration_us if outcome is messages.Outcome.OK else attempt.timeout_us
         self._update_endpoint(now_us, attempt, outcome, latency_us)
         if outcome not in OUTCOMES_WITHOUT_LOAD_SIGNAL:
--- a/load_balancer/policy/retry.py
+++ b/load_balancer/policy/retry.py
@@ -15,7 +15,7 @@
         """Store the components.
 
         Args:
-            limits: The limits of the site, of which the number of attempts per request applies.
+            limits: The limits of the site, which include the number of attempts per request.
             router: Determines the endpoints that a retry may be sent to.
             budget: The retry budget that retries are charged to.
         """
--- a/load_balancer/policy/scan_timer.py
+++ b/load_balancer/policy/scan_timer.py
@@ -9,7 +9,7 @@
 
 
 class ScanTimer:
-    """Timer that is set while attempts are in flight, if the site allows attempts to be cancelled."""
+    """Timer that is set while attempts are in flight or endpoints silent, if attempts may be cancelled."""
 
     def __init__(self, limits: messages.Limits, outbox: Outbox) -> None:
         """Start with no timer set."""
--- a/load_balancer/policy/selection.py
+++ b/load_balancer/policy/selection.py
@@ -1,4 +1,4 @@
-"""Selection of an endpoint: of two share-weighted random draws, the one with fewer attempts in flight."""
+"""Selection of an endpoint: of two share-weighted random draws, the one with the lower load."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from load_balancer import messages
 from load_balancer.policy.endpoint_state import EndpointState
 
-REMOTE_WEIGHT = 0.3  # factor on the weight of an endpoint in another zone, if crossing zones has a price
-REMOTE_PENALTY_ATTEMPTS = 2  # added to the attempts in flight of such an endpoint when loads are compared
+REMOTE_WEIGHT = 0.3  # factor on the weight of an endpoint in another zone, if crossing zones has a cost
+REMOTE_PENALTY_ATTEMPTS = 2  # added to the load of such an endpoint when loads are compared
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,14 +28,14 @@
         """Create a selector.
 
         Args:
-            settings: Hold the balancer's zone and the price of an attempt to another zone.
+            settings: The settings, with the balancer's zone and the cost of an attempt in another zone.
             seed: The seed of the draws.
         """
         self._settings = settings
         self.random = random.Random(seed)
 
     def is_remote(self, endpoint: messages.Endpoint) -> bool:
-        """Return whether the endpoint is in another zone and crossing zones has a price."""
+        """Return whether the endpoint is in another zone and crossing zones has a cost."""
         return self._settings.cross_zone_cost > 0.0 and endpoint.zone != self._settings.zone
 
     def pick(self, now_us: int, candidates: Sequence[EndpointState]) -> Selection:
--- a/load_balancer/policy/slow_start.py
+++ b/load_balancer/policy/slow_start.py
@@ -40,13 +40,13 @@
     """Admission of attempts and health checks to endpoints that are warming up."""
 
     def __init__(self, settings: messages.Settings) -> None:
-        """Initialize from the rules of slow start and this balancer's index among the instances."""
+        """Initialize from the rules of slow start, the number of balancers and this balancer's index."""
         self._settings = settings
         self._rules = settings.rules
         self.first_attempts = AttemptRate()
         self._subset: Sequence[EndpointState] = ()
         self._balancers_per_endpoint = 1.0
-        # When the first endpoint of the subset is warm; until then all of them are warming up.
+        # When the first endpoint of the subset becomes warm; until then all of them are warming up.
         self.first_warm_at_us = 0
         # This balancer's first attempts per microsecond at the last change that left no warm endpoint in the
         # subset.
@@ -121,8 +121,8 @@
         """Return whether this balancer may send a first attempt without a token now, by its phase.
 
         The balancers take turns in slots; without slots, all of them would send a first attempt at the same
-        moment. Within an overload window the slots admit as many attempts as the overload rule tolerates for
-        random variation; those of any one moment admit half as many.
+        moment. Within an overload window, as many balancers have a slot as the overload rule tolerates
+        attempts beyond the budget for random variation; at any one moment, half as many have one.
         """
         window_us = self._rules.overload_window_us
         # The rate from before all endpoints started to warm up is preferred: a burst of attempts since then
@@ -143,7 +143,7 @@
         )
 
     def try_spend_check_token(self, now_us: int, state: EndpointState) -> bool:
-        """Spend a token on a health check, which counts as an attempt; return False if there is none.
+        """Return whether a health check may be sent, and spend a token on it, as it counts as an attempt.
 
         A check of a warm endpoint needs no token.
         """
--- a/load_balancer/policy/subscription.py
+++ b/load_balancer/policy/subscription.py
@@ -26,7 +26,7 @@
 
 
 class Subscription:
-    """Subscribes to the endpoint list, and again with a backoff each time that the watch fails."""
+    """Subscribes to the endpoint list: at the start if required, and after a delay once a watch fails."""
 
     def __init__(self, settings: messages.Settings, jitter: random.Random, outbox: Outbox) -> None:
         """Start without a subscription.
--- a/load_balancer/policy/subset.py
+++ b/load_balancer/policy/subset.py
@@ -55,7 +55,7 @@
         """Create an empty ring.
 
         Args:
-            index: This balancer's index among the instances.
+            index: This balancer's index among all balancers.
             instances: The number of balancers.
             is_remote: Returns whether a member is in another zone and crossing zones has a cost.
         """
--- a/load_balancer/settings.py
+++ b/load_balancer/settings.py
@@ -1,7 +1,8 @@
 """Reads a site's settings from the JSON format that the simulator and the real proxy share.
 
-Called by `config.read_config` and by `simulator`. The key names of that format are used in this module only.
-The functions that check a single field are shared with the other readers of JSON.
+Called by `process.config` and by `simulator`. The key names of that format are used in this module only,
+except for those of the limits on connections, which `process.config` reads. The functions that check a single
+field are shared with the other readers of JSON.
 """
 
 from __future__ import annotations
@@ -67,9 +68,8 @@
         InvalidFieldError: The value has another type or is out of range.
     """
     if expected_type is int and isinstance(value, float) and value.is_integer():
-        value = int(
-            value
-        )  # JSON has one number type: without this, 5.0 would prevent the proxy from starting
+        # JSON has one number type: without this conversion, 5.0 would prevent the proxy from starting.
+        value = int(value)
     is_unexpected_bool = isinstance(value, bool) and expected_type is not bool  # bool is a subclass of int
     if is_unexpected_bool or not isinstance(value, expected_type):
         raise InvalidFieldError(field, f"has a value of the wrong type: {value!r:.60}")
@@ -197,7 +197,7 @@
 
 
 def read_settings(raw: JsonObject) -> messages.Settings:
-    """Parse the settings of one instance.
+    """Parse the settings of one balancer.
 
     Unknown keys are ignored. Optional keys default to the values in `messages`. Times are in microseconds.
 
--- a/load_balancer/simulator.py
+++ b/load_balancer/simulator.py
@@ -2,7 +2,7 @@
 
 Started as `python -B -m load_balancer.simulator`. One process hosts many balancers that share no state. Each
 line on standard input is a batch of events; each line on standard output is the reply to one batch. Times are
-in microseconds. The names of the protocol are used in this module only, and it makes no decisions.
+in microseconds. This module makes no decisions. No other module uses the names of the protocol's messages.
 
 Exit codes: 0 at the end of the input; 1 if standard output was closed or the process was interrupted; 2 if a
 line is invalid, with the reason as one line on standard error.
@@ -36,7 +36,7 @@
     70: messages.Outcome.CANCELLED,
     80: messages.Outcome.NOT_SENT,
 }
-CLIENT_RETRY_BIT = 2  # bit in the `bitmap` of a request: the client has sent this request before
+CLIENT_RETRY_BIT = 2  # mask for the `bitmap` of a request; set if the client has sent the request before
 STATUSES = {  # by the `condition` of an endpoint
     "IN": messages.EndpointStatus.UP,
     "LAME": messages.EndpointStatus.DRAINING,
@@ -179,9 +179,8 @@
     def __init__(self) -> None:
         """Initialize without balancers and lists."""
         self._balancers: dict[int, Balancer] = {}
-        self._lists: dict[
-            int, tuple[messages.Endpoint, ...]
-        ] = {}  # a list replaces an earlier one of its number
+        # By the number of the list; a list replaces an earlier one with the same number.
+        self._lists: dict[int, tuple[messages.Endpoint, ...]] = {}
 
     def handle_batch(self, batch: JsonObject) -> JsonObject:
         """Handle the events of one batch and return the reply. Raises WireError."""
@@ -240,7 +239,7 @@
         self._lists[required_field(event, "bank", int, "MANIFEST.")] = endpoints
 
     def _start_balancer(self, now_us: int, instance: int, event: JsonObject) -> list[messages.Action]:
-        """Start or restart an instance with the settings of a CONFIGURE event. Raises FieldError."""
+        """Start or replace the balancer of an instance, as a CONFIGURE event requests. Raises FieldError."""
         settings = read_settings(required_field(event, "settings", dict, "CONFIGURE."))
         balancer = Balancer(settings, required_field(event, "rngSeed", int, "CONFIGURE."))
         self._balancers[instance] = balancer
