--- a/load_balancer/policy/outcome_learner.py
+++ b/load_balancer/policy/outcome_learner.py
@@ -17,7 +17,7 @@
     messages.Outcome.UNUSABLE,
 )
 RESPONSE_OUTCOMES = (messages.Outcome.OK, messages.Outcome.ERROR, messages.Outcome.REJECTED)
-# The endpoint may fail only requests of the same class.
+# After these, the endpoint is avoided for the class of the request only: it may serve other classes.
 CLASS_FAILURE_OUTCOMES = (messages.Outcome.ERROR, messages.Outcome.TIMEOUT)
 # These don't indicate the load of the endpoints: a connection that is not established, for example, is a
 # failure of that endpoint alone and is reported immediately.
@@ -63,6 +63,7 @@
         if outcome is messages.Outcome.UNREACHABLE:
             attempt.endpoint.mark_unreachable(now_us)
             return
+        # An attempt that failed counts as if it had lasted until its time-out.
         latency_us = duration_us if outcome is messages.Outcome.OK else attempt.timeout_us
         self._update_endpoint(now_us, attempt, outcome, latency_us)
         if outcome not in OUTCOMES_WITHOUT_LOAD_SIGNAL:
@@ -88,8 +89,8 @@
         if outcome in CLASS_FAILURE_OUTCOMES:
             state.start_cool_down(now_us, request_class.settings.name)
 
-    def _add_latency(self, state: EndpointState, relative_latency: float) -> None:
-        if not state.add_latency(relative_latency):
+    def _add_latency(self, state: EndpointState, latency_multiple: float) -> None:
+        if not state.add_latency(latency_multiple):
             return
         epoch, mean = state.detector.epoch, state.detector.epoch_mean
         text = (
