--- a/load_balancer/net/upstream/connection_queue.py
+++ b/load_balancer/net/upstream/connection_queue.py
@@ -155,9 +155,13 @@
         others = self._pending.by_endpoint.get(endpoint, [])
         if self._waiting.count(endpoint) <= len(others):
             return
-        with_own_connect = {other.attempt for other in others}
-        without_own_connect = [a for a in self._waiting.for_endpoint(endpoint) if a not in with_own_connect]
-        attempt = pending.attempt if pending.attempt in without_own_connect else without_own_connect[0]
+        with_pending_connect = {other.attempt for other in others}
+        without_pending_connect = [
+            a for a in self._waiting.for_endpoint(endpoint) if a not in with_pending_connect
+        ]
+        attempt = (
+            pending.attempt if pending.attempt in without_pending_connect else without_pending_connect[0]
+        )
         had_own_connect = self._waiting.had_own_connect(attempt)
         # An attempt that relied on connects started for other attempts gets a connect of its own: the others
         # may have started long before the attempt, which would fail too early if it ended with them.
--- a/load_balancer/process/reload.py
+++ b/load_balancer/process/reload.py
@@ -43,7 +43,7 @@
     def reload(self) -> None:
         """Read and apply the file, with retries for 2 s; cancel the retries of an earlier signal."""
         self.close()
-        self._read_and_apply(attempt=1)
+        self._read_and_apply(read_number=1)
 
     def close(self) -> None:
         """Stop retrying."""
@@ -51,29 +51,29 @@
             self._retry_timer.cancel()
             self._retry_timer = None
 
-    def _read_and_apply(self, attempt: int) -> None:
+    def _read_and_apply(self, read_number: int) -> None:
         """Read and apply the file; schedule a retry if it cannot be read.
 
         Args:
-            attempt: The number of this read since the signal, counted from 1.
+            read_number: The number of this read since the signal, counted from 1.
         """
         self._retry_timer = None
         try:
             new_config = self._source.read()
         except UnreadableConfigError as error:
             # The file may be in the middle of being replaced and become readable within a moment.
-            if attempt == 1:
+            if read_number == 1:
                 _log_rejection(error)
-            if attempt <= MAX_RELOAD_RETRIES:
-                self._schedule_retry(attempt + 1)
+            if read_number <= MAX_RELOAD_RETRIES:
+                self._schedule_retry(read_number + 1)
         except ConfigError as error:
             _log_rejection(error)
         else:
             self._apply(new_config)
 
-    def _schedule_retry(self, attempt: int) -> None:
+    def _schedule_retry(self, read_number: int) -> None:
         loop = asyncio.get_running_loop()
-        self._retry_timer = loop.call_later(RELOAD_RETRY_INTERVAL_S, self._read_and_apply, attempt)
+        self._retry_timer = loop.call_later(RELOAD_RETRY_INTERVAL_S, self._read_and_apply, read_number)
 
     def _apply(self, new_config: Config) -> None:
         """Apply a change of the discovery address, and log each change that needs a restart."""
