--- a/load_balancer/net/client/client_connection.py
+++ b/load_balancer/net/client/client_connection.py
@@ -24,8 +24,8 @@
         transport: The event loop's transport.
         http: The HTTP parser and serializer of this connection.
         state: The current state, which determines how received bytes are handled.
-        last_progress_at_s: Event loop time of the latest of: the accept, the first byte of a request, a final
-            response.
+        last_progress_at_s: Event loop time of the latest of: the accept, the first byte of a further request,
+            a final response, the end of writing the last response.
         has_responded: Whether any final response has been written.
         is_over_limit: Whether the connection exceeds the connection limit, so that each of its requests gets
             a 503.
@@ -101,7 +101,7 @@
         return not is_closed_by_remote(self.transport)
 
     def is_client_connected(self) -> bool:
-        """Return whether the client is still connected by the socket's state; abort the connection if not."""
+        """Return whether the client is still connected, judged by its socket; abort the connection if not."""
         if not self.transport.is_closing() and is_closed_by_remote(self.transport):
             self.transport.abort()
         return not self.transport.is_closing()
@@ -145,7 +145,7 @@
         self.linger()
 
     def linger(self) -> None:
-        """Close the sending side; the connection stays open until the client closes its side.
+        """Close the sending side; the connection stays open until the client or a time limit closes it.
 
         Closing a socket with unread bytes resets the connection, and the client may lose the response.
         Therefore the remaining bytes are read and discarded first.
--- a/load_balancer/net/client/client_limits.py
+++ b/load_balancer/net/client/client_limits.py
@@ -31,7 +31,8 @@
 
 # Times, in seconds.
 
-# Time for a request to be complete, from the accept or from its first byte. A later request gets a 408.
+# Time limit for receiving a complete request: the first one from the accept, a further one from its first
+# byte. A request that exceeds the limit gets a 408.
 REQUEST_TIMEOUT_S = 2.2
 FIRST_REQUEST_GRACE_S = 0.2  # time from the accept within which the first request is expected
 # A client that sends no complete request gets an error response or a close within this time from its connect.
--- a/load_balancer/net/client/client_listener.py
+++ b/load_balancer/net/client/client_listener.py
@@ -1,6 +1,6 @@
 """Listens for client connections, enforces their time limits and closes them at shutdown.
 
-The entry module creates the listener and calls it in the phases of a graceful shutdown: `stop_listening`,
+The `server` module creates the listener. `graceful_shutdown` calls it in its phases: `stop_listening`,
 `close_idle_connections` until `is_drained`, `close`. The listener owns the registry of open connections and
 the acceptor of new ones.
 """
@@ -103,7 +103,7 @@
 
     @property
     def is_drained(self) -> bool:
-        """Whether all responses have been written and no connection waits to be accepted or registered."""
+        """Whether all open connections have finished, and none waits to be accepted or registered."""
         if self._acceptor is not None and self._acceptor.has_pending_connections:
             return False
         return all(connection.is_finished for connection in self.clients.open_connections)
--- a/load_balancer/net/client/client_registry.py
+++ b/load_balancer/net/client/client_registry.py
@@ -51,7 +51,7 @@
             request, oldest entry first.
         disconnect_poller: Polls the connections that have an open request and whose reading is paused, as the
             event loop does not detect a disconnect on those.
-        open_request_ids: The ids of the requests that have no response yet.
+        open_request_ids: The ids of the forwarded requests that have no response yet.
         buffered_total: The total number of bytes in the receive buffers of all connections.
         read_buffer: The buffer that all connections read into. Each copies its bytes before the next read.
         descriptor_count: The number of descriptors of client connections, counted from accept to close.
--- a/load_balancer/net/client/http_request.py
+++ b/load_balancer/net/client/http_request.py
@@ -52,7 +52,7 @@
     Attributes:
         request_id: The value of `Req-Id`.
         class_name: The request class, one of those in the settings.
-        time_remaining_s: The time until the request's deadline, in seconds from its last byte.
+        time_remaining_s: Seconds from the receipt of the request's last byte to its deadline.
         tenant: The value of `Req-Owner`, if present.
         is_retry: Whether the client marked the request as a retry.
         method: GET or POST, as the request class requires.
@@ -80,7 +80,8 @@
         The header values by name.
 
     Raises:
-        BadRequestError: The request is malformed, or its method or version is not supported.
+        BadRequestError: The request is malformed, its body is too long, or its method or version is not
+            supported.
     """
     fields = _unique_headers(request)
     if not request.http_version.startswith(b"1."):
--- a/load_balancer/net/client/incoming_request.py
+++ b/load_balancer/net/client/incoming_request.py
@@ -58,7 +58,7 @@
             raise BadRequestError(413, "body exceeds the limit")
 
     def forwarded_headers(self, head: RequestHead) -> Headers:
-        """Return the headers for the endpoint: the forwarded ones of the head and the content length."""
+        """Return the headers for the endpoint: those of the head, and the content length except for a GET."""
         headers = list(head.headers)
         if self.body or head.method != b"GET":
             headers.append((b"content-length", b"%d" % len(self.body)))
--- a/load_balancer/net/client/request_processor.py
+++ b/load_balancer/net/client/request_processor.py
@@ -72,8 +72,9 @@
     def process(self) -> None:
         """Parse received bytes up to the end of one request.
 
-        At most one request is handled in one iteration of the event loop: a client may send thousands of
-        requests or chunks at once, and all other clients would wait for them.
+        One iteration of the event loop handles at most one request and `MAX_EVENTS_PER_ITERATION` parser
+        events: a client may send thousands of requests or chunks at once, and all other clients would wait
+        for them.
         """
         if self._transport.is_closing():  # requests pipelined before the disconnect are not forwarded
             return
--- a/load_balancer/net/clock.py
+++ b/load_balancer/net/clock.py
@@ -82,8 +82,8 @@
         """Return the time of this clock at which the wall clock showed a Unix time, at the latest now.
 
         A time from before a step is converted with the offset that was valid at that time. If the wall clock
-        was set back and showed the time twice, the later occurrence is used: the endpoint then counts as
-        colder than it is.
+        was set back and showed the time twice, the later occurrence is used: an endpoint then counts as
+        started later than it was, which only prolongs its slow start.
 
         Args:
             unix_us: A time of the wall clock, microseconds.
--- a/load_balancer/net/discovery/endpoint_list_json.py
+++ b/load_balancer/net/discovery/endpoint_list_json.py
@@ -1,6 +1,7 @@
 """Parser for the endpoint list in discovery's JSON format.
 
-The field names of the format (`uid`, `boot_ms`, `pod_group` ...) are used only here. It performs no I/O.
+The field names of the format (`uid`, `boot_ms`, `pod_group` ...) are used only here. The parser performs
+no I/O.
 """
 
 from __future__ import annotations
--- a/load_balancer/net/discovery/endpoint_watch.py
+++ b/load_balancer/net/discovery/endpoint_watch.py
@@ -22,8 +22,8 @@
 log = logging.getLogger(__name__)
 
 # The protocol requires attempts to follow the current list from 6 s after a watch stops receiving data, and
-# from 4 s after a change to another discovery. Heartbeats are sent every 2 s, so a late one has one more
-# second.
+# from 4 s after a change to another discovery. Heartbeats are sent every 2 s, so one may be up to 1 s
+# late.
 HEARTBEAT_TIMEOUT_S = 3.0
 # If lists are pushed, the first one is due at once, because the agent that sends them runs on this machine.
 # If they are polled, the call is queued first, for up to 2 s before discovery rejects it.
@@ -177,7 +177,7 @@
 
 
 async def _pause_reading(writer: asyncio.StreamWriter) -> None:
-    """Leave received bytes in the system's buffer, as each read costs an iteration of the event loop."""
+    """Do not read for `READ_PAUSE_S`, as each read costs an iteration of the event loop."""
     transport = writer.transport
     assert isinstance(transport, asyncio.Transport)  # asyncio uses it for TCP connections
     transport.pause_reading()
--- a/load_balancer/net/discovery/start_times.py
+++ b/load_balancer/net/discovery/start_times.py
@@ -58,7 +58,7 @@
         self._confirmed_at_us = self._clock.now_us()
 
     def assign(self, entries: Iterable[messages.Endpoint]) -> tuple[messages.Endpoint, ...]:
-        """Return the entries of a list that was just received, with their start times set."""
+        """Return the entries of a list just received, with the start times of those that report a start."""
         return tuple(
             replace(entry, started_us=self._start_time_us(entry)) if entry.incarnation_us > 0 else entry
             for entry in entries
@@ -80,11 +80,11 @@
     def _initial_start_time_us(self, reported_start_us: int) -> int:
         """Return the start time of an incarnation that is seen for the first time.
 
-        It is the reported time if that lies between the last time at which the held list was current without
-        this incarnation and now, else now. The wall clock may be wrong, here or where the start was recorded:
-        a start in the future would keep the endpoint in slow start for too long, and one too far in the past
-        would make it count as warm at once. If only discovery was late, the endpoint counts as colder than it
-        is, by the time that discovery took.
+        It is the reported time, or now if that time is in the future or before the last confirmation of the
+        held list, which did not contain this incarnation. The wall clock may be wrong, here or where the
+        start was recorded: a start in the future would keep the endpoint in slow start for too long, and one
+        too far in the past would make it count as warm at once. If the clocks are right and only discovery
+        was late, the slow start lasts longer than necessary, by the delay of discovery.
         """
         start_time_us = self._clock.from_unix_us(reported_start_us)
         if self._confirmed_at_us is not None and start_time_us < self._confirmed_at_us:
--- a/load_balancer/net/driver/attempt_dispatcher.py
+++ b/load_balancer/net/driver/attempt_dispatcher.py
@@ -79,6 +79,8 @@
     def start(self, action: messages.StartAttempt, decided_at_s: float) -> None:
         """Start an attempt. It ends with one `AttemptEnded`, immediately if it cannot be sent.
 
+        If the request is not open, nothing is started and the error is logged.
+
         Args:
             action: The policy's decision.
             decided_at_s: The event loop's time of the decision, from which the attempt's time limits count.
@@ -133,8 +135,8 @@
             client_request.target,
             client_request.headers,
             client_request.body,
-            # If one idle connection was stale, others that were idle over the same time may be stale too and
-            # would use up the remaining attempts.
+            # A request that is not idempotent gets a new connection. If one idle connection was stale, others
+            # that were idle over the same time may be stale too and would use up the remaining attempts.
             is_idempotent=is_idempotent and not request.has_used_stale_connection,
             is_client_waiting=partial(self._is_client_waiting, request),
         )
--- a/load_balancer/net/driver/attempt_table.py
+++ b/load_balancer/net/driver/attempt_table.py
@@ -36,8 +36,8 @@
     def cancel_unsent(self, request_id: str, attempt_count: int) -> None:
         """Cancel the attempts of an ended request, except those that are completely written.
 
-        An endpoint would process them for nothing. For a completely written attempt, the policy decides
-        whether to cancel it, as the settings may not allow that.
+        If the others were written later, an endpoint would process them for nothing. For a completely written
+        attempt, the policy decides whether to cancel it, as the settings may not allow that.
 
         Args:
             request_id: The request's id in the driver.
--- a/load_balancer/net/driver/client_messages.py
+++ b/load_balancer/net/driver/client_messages.py
@@ -1,6 +1,7 @@
 """Messages between client connections and the driver: a request and its one final response.
 
-The module has no state. `net/client` creates the requests, the driver creates the responses.
+The module has no state. `net/client` creates the requests, and the responses to requests that it does not
+forward; the driver creates the responses to forwarded requests.
 """
 
 from __future__ import annotations
--- a/load_balancer/net/driver/endpoint_directory.py
+++ b/load_balancer/net/driver/endpoint_directory.py
@@ -58,7 +58,8 @@
         Returns:
             The previous entries of the endpoints that are now out of service or have another address.
         """
-        # Endpoints that the message leaves unchanged need no check: it may contain one of thousands.
+        # Only endpoints that the message can change are checked: it may contain one entry, and the directory
+        # thousands.
         affected_ids = message.uids.keys() | (self.by_id.keys() if message.is_complete else ())
         before = [self.by_id[endpoint_id] for endpoint_id in affected_ids if endpoint_id in self.by_id]
         if message.is_complete:
--- a/load_balancer/net/driver/endpoint_list_receiver.py
+++ b/load_balancer/net/driver/endpoint_list_receiver.py
@@ -24,7 +24,8 @@
     """Applies the lists of the watch on discovery.
 
     Attributes:
-        watch: The watch on discovery, opened when the policy requests it.
+        watch: The watch on discovery, opened at the start of the driver if lists are pushed, and when the
+            policy requests it.
         endpoints: The addresses of the endpoints, from the list as last applied.
         start_times: The start times of the endpoints, by the policy's clock.
         discovery_reported: Set once a watch has delivered a list or failed, or if there is no need to wait
@@ -78,7 +79,7 @@
         message = replace(message, endpoints=self.start_times.assign(message.endpoints))
         out_of_service = self.endpoints.update(self._loop.time(), message)
         self._events.put(messages.EndpointListUpdate(kind, message.version, message.endpoints))
-        # Done last: attempts that this returns are decided again, and the policy must know the new list then.
+        # Done last: it ends waiting attempts, and the policy must decide on their retries with the new list.
         for endpoint in out_of_service:
             self._pool.disable_endpoint(endpoint)
 
--- a/load_balancer/net/driver/event_loop_driver.py
+++ b/load_balancer/net/driver/event_loop_driver.py
@@ -84,7 +84,9 @@
         self._loop = asyncio.get_running_loop()
 
     def start(self, cached_list: EndpointListMessage | None) -> None:
-        """Start the balancer and apply the cached list, in the same order as the simulator.
+        """Start the balancer, apply the cached list, and open the watch unless the policy must request it.
+
+        The order is that of the simulator.
 
         Args:
             cached_list: The endpoint list known before the start, if any.
@@ -142,8 +144,8 @@
 
     def _handle_event(self, event: messages.Event) -> None:
         # The process may stall between any two of these lines, and deadlines and time windows must hold even
-        # then: the time limits of attempts count from before the policy's time, and the time remaining of a
-        # request is measured after it.
+        # then: the time from which the limits of attempts count is read before the policy's time, and the
+        # time remaining of a request is measured after it.
         decided_at_s = self._loop.time()
         now_us = self.clock.now_us()
         if isinstance(event, messages.Request):
@@ -157,7 +159,7 @@
         self.actions.perform_all(actions, decided_at_s)
 
     def _fail_request_of(self, event: messages.Event) -> None:
-        """Respond at once to the request that the event names; other requests end at their deadline."""
+        """Fail the request that the event names; others that the error affects end at their deadline."""
         match event:
             case messages.Request(id=request_id) | messages.AttemptEnded(request_id=request_id):
                 self.requests.fail(request_id)
--- a/load_balancer/net/driver/health_check_sender.py
+++ b/load_balancer/net/driver/health_check_sender.py
@@ -15,7 +15,8 @@
 HEALTH_CHECK_REQUEST = UpstreamRequest(
     b"GET", b"/status/load", [(b"host", b"localhost")], b"", is_idempotent=True, adds_deadline_header=False
 )
-# An endpoint that sends any data is alive, so only these outcomes count as failures.
+# Only these outcomes count as failures: an endpoint that responds, with any data or by closing the
+# connection, is alive, and a health check that was not sent is no evidence.
 UNHEALTHY_OUTCOMES = (messages.Outcome.TIMEOUT, messages.Outcome.NO_CONNECTION, messages.Outcome.UNREACHABLE)
 
 
--- a/load_balancer/net/driver/open_requests.py
+++ b/load_balancer/net/driver/open_requests.py
@@ -54,7 +54,7 @@
         """Create an empty table. Requires a running event loop.
 
         Args:
-            events: Receives a `Request` for each request, and a `ClientGone` for each cancelled one.
+            events: Receives a `Request` for each request, and a `ClientGone` if one is cancelled or fails.
         """
         self.attempts = AttemptTable()
         self._events = events
--- a/load_balancer/net/repeated_log_lines.py
+++ b/load_balancer/net/repeated_log_lines.py
@@ -1,8 +1,8 @@
 """Rate limit for the log lines of events that may occur thousands of times.
 
-A release changes thousands of endpoints, discovery may be down for hours while it is requested ten times a
-second, and any client may cause some faults as often as it likes: with one line per event, the log would fill
-the disk.
+A release changes thousands of endpoints, discovery may be down for hours while ten requests a second are
+sent to it, and a client may cause some faults at any rate: with one line per event, the log would fill the
+disk.
 
 The events of one kind form runs. The first events of a run are logged individually; the others are counted,
 and a summary line gives the count. Each class that logs such events owns one `RepeatedLogLines` per kind.
--- a/load_balancer/net/upstream/connect_pacing.py
+++ b/load_balancer/net/upstream/connect_pacing.py
@@ -67,6 +67,8 @@
     ) -> bool:
         """Return whether an extra connect is expected to save enough of an attempt's time remaining.
 
+        It is not worthwhile while an earlier failure forbids extra connects to the endpoint.
+
         Args:
             endpoint: The endpoint.
             ages_s: Seconds since the start of each pending connect to it.
@@ -112,5 +114,5 @@
         return Outcome.NO_CONNECTION
 
     def forget(self, endpoint: EndpointAddress) -> None:
-        """Drop the record of an endpoint that is gone."""
+        """Drop the record of an endpoint that is draining or removed."""
         self.no_extra_connect_until_s.pop(endpoint, None)
--- a/load_balancer/net/upstream/connection_pool.py
+++ b/load_balancer/net/upstream/connection_pool.py
@@ -101,7 +101,10 @@
         self.idle.enable(endpoint)
 
     def disable_endpoint(self, endpoint: EndpointAddress) -> None:
-        """Send no more requests to an endpoint that drains or is gone; requests in flight continue."""
+        """Close an endpoint's idle connections, and end the attempts that wait for a connection to it.
+
+        Called for an endpoint that is draining or removed. Requests in flight continue.
+        """
         self.connections.disable(endpoint)
         self.queue.disable(endpoint)
 
--- a/load_balancer/net/upstream/connection_queue.py
+++ b/load_balancer/net/upstream/connection_queue.py
@@ -54,7 +54,11 @@
         self._pacing = pacing
 
     def wait(self, attempt: WaitingAttempt) -> bool:
-        """Add an attempt to the queue; return False if there is no capacity for another connection."""
+        """Add an attempt to the queue; at the connection limit, close the longest idle connection for it.
+
+        Returns:
+            False if the limit is reached and no connection is idle.
+        """
         if not self._has_capacity and not self._connections.idle.close_oldest_of_all():
             return False
         self._waiting.add(attempt)
@@ -99,7 +103,7 @@
             self._pacing.record_cancelled(self._pending.age_s(pending))
 
     def disable(self, endpoint: EndpointAddress) -> None:
-        """End all attempts waiting for an endpoint that is draining or gone, and cancel its connects."""
+        """End all attempts waiting for an endpoint that is draining or removed, and cancel its connects."""
         self._pacing.forget(endpoint)
         for attempt in self._waiting.for_endpoint(endpoint):
             attempt.finish(Outcome.NOT_SENT)
@@ -163,8 +167,8 @@
             pending.attempt if pending.attempt in without_pending_connect else without_pending_connect[0]
         )
         had_own_connect = self._waiting.had_own_connect(attempt)
-        # An attempt that relied on connects started for other attempts gets a connect of its own: the others
-        # may have started long before the attempt, which would fail too early if it ended with them.
+        # An attempt that relied on connects started for other attempts gets a connect of its own: those
+        # connects may have started long before the attempt, which would fail too early if it ended with them.
         if had_own_connect or outcome is Outcome.NOT_SENT or self._pacing.is_failing(endpoint):
             attempt.finish(outcome)
         else:
--- a/load_balancer/net/upstream/idle_connections.py
+++ b/load_balancer/net/upstream/idle_connections.py
@@ -15,8 +15,10 @@
 from load_balancer.net.upstream.upstream_connection import UpstreamConnection
 
 SETTLE_S = 0.01  # minimum idle time before reuse, so that surplus bytes after the last response are detected
-REUSE_SUSPENSION_S = 10.0  # time without reuse after an endpoint closed a reused connection under a request
-IDLE_MARGIN_SHARE = 0.1  # share of the idle limit by which connections are closed before the endpoint does
+# Time without reuse after an endpoint closed a reused connection that carried a request.
+REUSE_SUSPENSION_S = 10.0
+# Share of the idle limit by which the pool closes an idle connection before the endpoint does.
+IDLE_MARGIN_SHARE = 0.1
 # Lower bound of that margin: the process may stall for 0.15 s between reading the clock and writing the
 # request, and the request takes time to reach the endpoint.
 MIN_IDLE_MARGIN_S = 0.2
@@ -62,7 +64,7 @@
         """Close the idle connections to an endpoint, and keep none for `REUSE_SUSPENSION_S`.
 
         An endpoint that closes idle connections early breaks requests sent on them, and it is then unknown
-        whether they ran. New connections cost the endpoint less than that.
+        whether they ran. That costs more than opening new connections.
         """
         if endpoint in self.reuse_from_s:
             self.reuse_from_s[endpoint] = self._loop.time() + REUSE_SUSPENSION_S
@@ -73,7 +75,7 @@
         return len(self.by_endpoint.get(endpoint, ()))
 
     def take(self, endpoint: EndpointAddress) -> UpstreamConnection | None:
-        """Remove and return a settled idle connection that appears usable, or return None."""
+        """Remove and return a settled idle connection that appears usable, or None; close unusable ones."""
         settled_since_s = self._loop.time() - SETTLE_S
         for connection in reversed(self.by_endpoint.get(endpoint, [])[:]):
             if connection.idle_since_s > settled_since_s:
--- a/load_balancer/net/upstream/open_connections.py
+++ b/load_balancer/net/upstream/open_connections.py
@@ -62,7 +62,7 @@
         self.idle.suspend(endpoint)
 
     def record_activity(self, endpoint: EndpointAddress) -> None:
-        """Record that an endpoint is alive: a connection to it was established or received bytes."""
+        """Record that an enabled endpoint is alive: a connection to it was established or received bytes."""
         if self.idle.is_enabled(endpoint):
             self.last_activity_at_s[endpoint] = self._loop.time()
 
@@ -84,7 +84,7 @@
             self.idle.close_all(endpoint)
 
     def disable(self, endpoint: EndpointAddress) -> None:
-        """Close the idle connections to an endpoint that drains or is gone, and allow no new ones."""
+        """Close the idle connections to an endpoint that is draining or removed, and allow no new ones."""
         self.last_activity_at_s.pop(endpoint, None)
         self.idle.disable(endpoint)
 
--- a/load_balancer/net/upstream/upstream_attempt.py
+++ b/load_balancer/net/upstream/upstream_attempt.py
@@ -163,7 +163,10 @@
             self.finish(Outcome.NOT_SENT)
 
     def _close_silent_idle(self) -> None:
-        """Close the endpoint's idle connections if it stayed silent on a reused one: all may be stale."""
+        """Close the endpoint's idle connections if it stayed silent since the attempt reused one.
+
+        All of them may be stale.
+        """
         if not self._is_over and self.connection is not None and self.connection.was_idle:
             self._components.connections.close_silent_idle(self.endpoint, self._assigned_at_s)
 
@@ -203,6 +206,7 @@
         self._is_over = True
 
     def _release_connection(self, connection: UpstreamConnection) -> None:
-        if not self.request.is_idempotent:  # it took no idle connection; they must not accumulate
+        # The attempt used a new connection, so keeping it as idle must not increase the number of idle ones.
+        if not self.request.is_idempotent:
             self._components.connections.idle.close_oldest(self.endpoint)
         self._components.reuse.release(connection)
--- a/load_balancer/net/upstream/upstream_connection.py
+++ b/load_balancer/net/upstream/upstream_connection.py
@@ -199,7 +199,7 @@
             self._owner.remove_idle(self)
             self.close()
             return
-        if not self.has_written_request:  # cannot be a response to an unfinished request
+        if not self.has_written_request:  # not a response: the request is incomplete
             self._fail_exchange()
             return
         try:
--- a/load_balancer/process/graceful_shutdown.py
+++ b/load_balancer/process/graceful_shutdown.py
@@ -15,7 +15,7 @@
 # SIGKILL follows SIGTERM after min(longest deadline, MAX_DEADLINE_S) + 0.7 s.
 MAX_DEADLINE_S = 3.0
 DRAIN_GRACE_S = 0.2  # added to min(longest deadline, MAX_DEADLINE_S) for the drain timeout
-MIN_REQUEST_TIME_S = 1.2  # time from the last accepted request to the end of the drain timeout
+MIN_REQUEST_TIME_S = 1.2  # accepting is prolonged at most until this long before the drain timeout
 FLUSH_TIMEOUT_S = 0.2  # for writing the last responses
 POLL_INTERVAL_S = 0.01  # between two checks of the open connections
 
@@ -45,7 +45,7 @@
 
     1. `fail_readiness_check`, at 0: the readiness check fails, and new requests have to end by D + 0.2 s.
     2. `keep_accepting`, until 0.6 s (or D + 0.2 s if that is earlier), and then until D - 1 s while clients
-       have open connections. The last accepted request thus has 1.2 s remaining.
+       have open connections. A request accepted at D - 1 s has 1.2 s until the end of phase 3.
     3. `finish_requests`, until D + 0.2 s: the connections in the listener's queue are accepted and the
        listener is closed. Each connection is closed when its requests have responses and no further request
        arrives.
@@ -79,7 +79,7 @@
     def fail_readiness_check(self) -> None:
         """Fail the readiness check and limit the deadlines of new requests.
 
-        The readiness check makes clients use other proxies.
+        Clients that see the failed check use other proxies.
         """
         self._listener.clients.is_shutting_down = True
         self._driver.limit_deadlines(self._drain_timeout_s)
--- a/load_balancer/process/reload.py
+++ b/load_balancer/process/reload.py
@@ -17,8 +17,8 @@
 log = logging.getLogger("load_balancer")
 
 RELOAD_RETRY_INTERVAL_S = 0.1  # between reads of a file that could not be read
-# The retries take 2 s: the old discovery stops sending 1.5 s after SIGHUP, and a list of the new discovery
-# counts as notified 4 s after SIGHUP.
+# The retries take 2 s: the old discovery stops sending 1.5 s after SIGHUP, and from 4 s after SIGHUP the
+# proxy counts as notified of the new discovery's list.
 MAX_RELOAD_RETRIES = 20
 # Changes of these fields need no warning: `discovery` is applied, the others are used at startup only.
 UNREPORTED_FIELDS = ("discovery", "cached_list", "seed")
--- a/load_balancer/process/server.py
+++ b/load_balancer/process/server.py
@@ -41,7 +41,7 @@
     asyncio.get_running_loop().add_signal_handler(RELOAD_SIGNAL, reloader.reload)
     proxy.driver.start(config.cached_list)
     freeze_startup_objects()
-    # The list that discovery's agent holds counts as notified from the start of this process, and the cached
+    # From its start, the process counts as notified of the list that discovery's agent holds, and the cached
     # list may be outdated. The timeout covers an established watch that never sends a list.
     await wait_for_any(proxy.driver.discovery_reported, stop, timeout_s=POLLED_LIST_TIMEOUT_S)
     if not stop.is_set():
