--- a/load_balancer/net/client/client_registry.py
+++ b/load_balancer/net/client/client_registry.py
@@ -130,7 +130,7 @@
         self.mark_active(connection)
 
     def mark_active(self, connection: ConnectionT) -> None:
-        """Exempt a connection from eviction: it has an open request, or is already closed."""
+        """Exempt a connection from eviction: a request is in progress on it, or it is already closed."""
         self.unused_connections.pop(connection, None)
         self.idle_connections.pop(connection, None)
 
--- a/load_balancer/net/upstream/open_connections.py
+++ b/load_balancer/net/upstream/open_connections.py
@@ -21,8 +21,8 @@
         idle: The idle connections.
         open: All open connections.
         max_connections: The limit on open and pending connections to all endpoints together.
-        last_activity_at_s: The last time at which a connection to each endpoint was established or received
-            bytes, by the event loop's clock.
+        last_activity_at_s: The last time at which a connection to each enabled endpoint was established or
+            received bytes, by the event loop's clock.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, idle: IdleConnections, max_connections: int) -> None:
--- a/load_balancer/process/config.py
+++ b/load_balancer/process/config.py
@@ -1,8 +1,9 @@
 """Reads and validates the process configuration.
 
 `NODE_CONFIG` holds the path of a JSON file. Environment variables can override three of its keys.
-`ConfigSource` reads the file at startup and at each SIGHUP; an invalid `Config` is rejected as a whole. The
-`settings` object has the format that the simulator uses too, and is parsed by `settings.read_settings`.
+`ConfigSource` reads the file at startup and at each SIGHUP; an invalid `Config` is rejected as a whole,
+but an invalid cached list is only ignored. The `settings` object has the format that the simulator uses too,
+and is parsed by `settings.read_settings`.
 """
 
 from __future__ import annotations
--- a/load_balancer/process/signals.py
+++ b/load_balancer/process/signals.py
@@ -1,4 +1,4 @@
-"""Handling of stop and reload signals before and after the event loop runs.
+"""Handling of stop signals before the event loop runs, and of stop and reload signals after it.
 
 State: the signal handlers and the signal mask of the process. `__main__.main` calls `exit_on_early_signals`.
 `server.serve` then installs its own handlers, and blocks the signals when it has finished.
