--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -283,7 +283,7 @@
             assert new_discovery.request_lines == ["GET /v1/endpoints?follow=1 HTTP/1.1"]
             removed_entry = endpoint_entry("a", slow.port, "terminated")
             new_discovery.send_changes(endpoint_list(removed_entry, other_entry, rev=4, is_complete=False))
-            await wait_for_log_line(process, "is b,")
+            await wait_for_log_line(process, "uid b,")
             assert (await send_request_to(port, http_request(request_id="r2"))).body == b"from b"
             slow.may_respond.set()
             assert (await slow_response).body == b"slow"
--- a/tests/scenarios/test_no_file_writes.py
+++ b/tests/scenarios/test_no_file_writes.py
@@ -94,7 +94,7 @@
                     write_config(tmp_path, {**config, "discovery": f"127.0.0.1:{discovery.port}"})
                     process.send_signal(signal.SIGHUP)
                     assert process.stderr is not None
-                    while "is b," not in log_lines[-1]:
+                    while "uid b," not in log_lines[-1]:
                         log_lines.append((await process.stderr.readline()).decode())
                         assert log_lines[-1], "the process ended before it logged the new endpoint"
             process.send_signal(signal.SIGTERM)
