--- a/load_balancer/messages/actions.py
+++ b/load_balancer/messages/actions.py
@@ -26,7 +26,7 @@
     draws: tuple[Draw, ...] = ()  # the candidates of the selection, the selected one first
     # Within this time of the decision, an attempt whose connects are late may end before it is written, so
     # that the request can still go to another endpoint. 0: it may not end early for this reason.
-    max_connection_wait_us: int = 0
+    failover_within_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/load_balancer/net/driver/attempt_dispatcher.py
+++ b/load_balancer/net/driver/attempt_dispatcher.py
@@ -105,7 +105,7 @@
             self._to_upstream_request(request),
             action.timeout_us / 1e6,
             on_outcome,
-            action.max_connection_wait_us / 1e6,
+            action.failover_within_us / 1e6,
             decided_at_s,
         )
         if not attempt.is_over:
--- a/load_balancer/policy/attempt_dispatcher.py
+++ b/load_balancer/policy/attempt_dispatcher.py
@@ -56,7 +56,7 @@
                 choice.endpoint.endpoint.id,
                 timeout_us,
                 choice.draws,
-                self._max_connection_wait_us(request, choice, timeout_us),
+                self._failover_within_us(request, choice, timeout_us),
             )
         )
         self._scan_timer.schedule(now_us)
@@ -73,7 +73,7 @@
         limit = state.concurrency_limit
         state.paused_until_us = now_us + int(usual_us / limit) if limit < 1.0 else 0
 
-    def _max_connection_wait_us(self, request: RequestState, choice: EndpointChoice, timeout_us: int) -> int:
+    def _failover_within_us(self, request: RequestState, choice: EndpointChoice, timeout_us: int) -> int:
         """Return the time in which late connects may end the attempt; 0 if the request has no alternative."""
         if not (choice.has_untried_alternative and request.has_attempts_left(self._limits.max_attempts)):
             return 0
--- a/load_balancer/policy/balancer.py
+++ b/load_balancer/policy/balancer.py
@@ -140,4 +140,4 @@
         balancers_per_endpoint = self.endpoints.balancers_per_endpoint
         self.slow_start.subset_changed(now_us, self.endpoints.subset, balancers_per_endpoint)
         self.concurrency_limit.set_sharing_balancers(balancers_per_endpoint)
-        self.concurrency_limit.split(self.endpoints.subset)
+        self.concurrency_limit.set_endpoint_limits(self.endpoints.subset)
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -77,7 +77,7 @@
             self._decrease(now_us, attempt)
         elif self._was_reached or self._is_nearly_reached(attempt.endpoint):
             self._increase(len(subset))
-        self.split(subset)
+        self.set_endpoint_limits(subset)
 
     def _decrease(self, now_us: int, attempt: EndpointAttempt) -> None:
         if attempt.sent_at_us < self._decreased_at_us:
@@ -99,7 +99,7 @@
     def _is_nearly_reached(state: EndpointState) -> bool:
         return 1.0 <= state.concurrency_limit - 1 <= len(state.in_flight) + 1
 
-    def split(self, subset: Sequence[EndpointState]) -> None:
+    def set_endpoint_limits(self, subset: Sequence[EndpointState]) -> None:
         """Set the limit of each endpoint of the subset: the common limit, lowered if its share is low."""
         # Runs on each endpoint list update and latency sample, for up to 64 endpoints: the loop avoids calls
         # to be fast.
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -111,16 +111,15 @@
         balancer_settings(limits=messages.Limits(max_attempts=2, cancel=True)), endpoint_count=2
     )
     first_attempt = actions_of_type(harness.send_request("a"), messages.StartAttempt)[0]
-    assert 0 < first_attempt.max_connection_wait_us < first_attempt.timeout_us
+    assert 0 < first_attempt.failover_within_us < first_attempt.timeout_us
     second_attempt = actions_of_type(
         harness.end_attempt(first_attempt, Outcome.NOT_SENT), messages.StartAttempt
     )[0]
     assert second_attempt.endpoint_id != first_attempt.endpoint_id
-    assert second_attempt.max_connection_wait_us == 0  # a third attempt is not allowed
+    assert second_attempt.failover_within_us == 0  # a third attempt is not allowed
     single_endpoint = BalancerHarness(balancer_settings(), endpoint_count=1)
     assert (
-        actions_of_type(single_endpoint.send_request("a"), messages.StartAttempt)[0].max_connection_wait_us
-        == 0
+        actions_of_type(single_endpoint.send_request("a"), messages.StartAttempt)[0].failover_within_us == 0
     )
 
 
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -64,7 +64,7 @@
     """Guards against the overload of an endpoint whose share was raised by a few low latencies."""
     harness = BalancerHarness()
     harness.balancer.endpoints.states[0].share = 10.0
-    harness.balancer.concurrency_limit.split(harness.balancer.endpoints.subset)
+    harness.balancer.concurrency_limit.set_endpoint_limits(harness.balancer.endpoints.subset)
     attempts = [
         attempt
         for number in range(40)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -143,7 +143,7 @@
     )
     harness.update_endpoint_list(*ZONES)
     harness.balancer.concurrency_limit.attempts_per_endpoint = 20.0
-    harness.balancer.concurrency_limit.split(harness.balancer.endpoints.subset)
+    harness.balancer.concurrency_limit.set_endpoint_limits(harness.balancer.endpoints.subset)
     read_class = harness.balancer.request_factory.classes["read"]
     for state in harness.balancer.endpoints.states.values():
         if state.endpoint.zone == "a":
