--- a/load_balancer/policy/attempt_dispatcher.py
+++ b/load_balancer/policy/attempt_dispatcher.py
@@ -74,7 +74,7 @@
         state.paused_until_us = now_us + int(usual_us / limit) if limit < 1.0 else 0
 
     def _failover_within_us(self, request: RequestState, choice: EndpointChoice, timeout_us: int) -> int:
-        """Return the time in which late connects may end the attempt; 0 if the request has no alternative."""
+        """Return the time within which late connects may end the attempt early; 0 without an alternative."""
         if not (choice.has_untried_alternative and request.has_attempts_left(self._limits.max_attempts)):
             return 0
         return max(0, timeout_us - int(request.request_class.usual_latency_us))
--- a/load_balancer/policy/concurrency_limit.py
+++ b/load_balancer/policy/concurrency_limit.py
@@ -101,8 +101,8 @@
 
     def set_endpoint_limits(self, subset: Sequence[EndpointState]) -> None:
         """Set the limit of each endpoint of the subset: the common limit, lowered if its share is low."""
-        # Runs on each endpoint list update and latency sample, for up to 64 endpoints: the loop avoids calls
-        # to be fast.
+        # Runs on each endpoint list update and latency sample, for up to about 64 endpoints in a large fleet:
+        # the loop makes no calls, to be fast.
         mean_share = sum([state.share for state in subset]) / max(1, len(subset))
         highest = self.attempts_per_endpoint
         lowest = min(1.0, highest)
