--- a/benchmarks/clients.py
+++ b/benchmarks/clients.py
@@ -6,7 +6,7 @@
 
 from benchmarks.stand_ins import HEAD_END
 
-CLIENTS = 4  # connections opened at the start
+INITIAL_CONNECTION_COUNT = 4  # connections opened at the start
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
@@ -31,7 +31,7 @@
         Raises:
             OSError: The proxy does not accept a connection.
         """
-        for _ in range(CLIENTS):
+        for _ in range(INITIAL_CONNECTION_COUNT):
             self._idle.append(await self._connect())
 
     async def _connect(self) -> Streams:
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -182,7 +182,7 @@
             case Step.SILENCE:
                 self._expected_watches = self._fleet.discovery.watches + 1
                 self._fleet.discovery.silence_watches()
-            case Step.WATCHED:
+            case Step.WAIT_FOR_WATCH:
                 await self._wait_for_watch()
 
     async def _send_request(self, clients: Clients) -> None:
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -21,7 +21,7 @@
     REMOVE = "remove"  # the endpoint that has drained longest is removed
     MOVE = "move"  # discovery moves to another address; the proxy gets SIGHUP
     SILENCE = "silence"  # the open watch stays established and sends nothing more
-    WATCHED = "watched"  # wait until the proxy has opened another watch
+    WAIT_FOR_WATCH = "watched"  # wait until the proxy has opened another watch
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
             steps.append((self.silence_at, Step.SILENCE))
             if self.seconds is None:
                 # Without a clock, the remaining steps would end before the silence is detected.
-                steps.append((self.silence_at + MISSED_SHARE, Step.WATCHED))
+                steps.append((self.silence_at + MISSED_SHARE, Step.WAIT_FOR_WATCH))
         return sorted(steps, key=lambda step: step[0])
 
 
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -12,12 +12,12 @@
 
 def test_unreachable_endpoint_does_not_attract_queued_requests() -> None:
     """Its attempts fail immediately, so it appears idle while all other endpoints are at their limits."""
-    harness, attempts_at_dead = BalancerHarness(endpoint_count=3), 0
+    harness, attempts_at_unreachable = BalancerHarness(endpoint_count=3), 0
     harness.balancer.endpoints.states[0].endpoint = messages.Endpoint(0)
     for number in range(40):
         for attempt in actions_of_type(harness.send_request(f"r{number}", "pay"), messages.StartAttempt):
             while attempt.endpoint_id == 0:  # the attempt fails at the time at which it starts
-                attempts_at_dead += 1
+                attempts_at_unreachable += 1
                 retries = actions_of_type(
                     harness.end_attempt(
                         attempt,
@@ -30,7 +30,7 @@
                 if not retries:
                     break
                 attempt = retries[0]
-    assert attempts_at_dead <= INITIAL_LIMIT
+    assert attempts_at_unreachable <= INITIAL_LIMIT
 
 
 def test_concurrency_limit_falls_with_late_responses_and_recovers() -> None:
@@ -153,7 +153,7 @@
     assert attempt.timeout_us <= 1 * SECOND_US
 
 
-def test_client_retry_with_longer_deadline_does_not_age_first_requests() -> None:
+def test_client_retry_with_longer_deadline_does_not_shorten_attempt_timeouts() -> None:
     """A client's last attempt has the whole time remaining as its deadline, the earlier ones a part of it."""
     harness = BalancerHarness()
     for request_id, time_remaining_us, retry in (
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -132,7 +132,7 @@
         assert len(harness.balancer.endpoints.states[0].in_flight) == len(retries)
 
 
-ZONES = tuple(messages.Endpoint(number, zone="abc"[number % 3]) for number in range(12))
+ENDPOINTS_IN_THREE_ZONES = tuple(messages.Endpoint(number, zone="abc"[number % 3]) for number in range(12))
 
 
 def count_local_attempts(cross_zone_cost: float, busy_attempts: int = 0) -> int:
@@ -141,7 +141,7 @@
         balancer_settings(zone="a", cross_zone_cost=cross_zone_cost, limits=messages.Limits(max_attempts=3)),
         endpoint_count=0,
     )
-    harness.update_endpoint_list(*ZONES)
+    harness.update_endpoint_list(*ENDPOINTS_IN_THREE_ZONES)
     harness.balancer.concurrency_limit.attempts_per_endpoint = 20.0
     harness.balancer.concurrency_limit.split(harness.balancer.endpoints.subset)
     read_class = harness.balancer.request_factory.classes["read"]
@@ -171,10 +171,10 @@
     harness = BalancerHarness(
         balancer_settings(zone="a", cross_zone_cost=0.05, instances=3), endpoint_count=0
     )
-    harness.update_endpoint_list(*ZONES)
+    harness.update_endpoint_list(*ENDPOINTS_IN_THREE_ZONES)
     zones = Counter(state.endpoint.zone for state in harness.balancer.endpoints.subset)
     assert zones["a"] == 4
     assert zones["b"] + zones["c"] >= MIN_REMOTE
-    remote = [endpoint for endpoint in ZONES if endpoint.zone != "a"]
+    remote = [endpoint for endpoint in ENDPOINTS_IN_THREE_ZONES if endpoint.zone != "a"]
     harness.update_endpoint_list(*remote, version=2)
     assert len(harness.balancer.endpoints.subset) >= MIN_SUBSET
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -56,7 +56,9 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("warming", ["zone", "all"])
 @pytest.mark.parametrize("rules", [TIGHT_RULES, LOW_CAPACITY_RULES])
-def test_tight_overload_multiple_holds_for_every_seed(warming: str, rules: messages.Rules, seed: int) -> None:
+def test_budget_with_tight_overload_multiple_holds_for_every_seed(
+    warming: str, rules: messages.Rules, seed: int
+) -> None:
     fleet = warming_fleet(*FLEET_OF_12, warming, "burst failing", seed, rules=rules)
     used_share, attempt_count, allowed_count = fleet.fullest_warming_window(use_small_count_margin=True)
     assert attempt_count > 0
@@ -159,7 +161,7 @@
     assert min(attempt_counts) > 0
 
 
-def test_attempt_without_a_token_is_charged_to_the_next_token() -> None:
+def test_attempt_without_a_whole_token_makes_the_bucket_negative() -> None:
     harness = balancer_with_warming_endpoints(1, 0, 1)
     [state] = harness.balancer.endpoints.subset
     state.warming.bucket.tokens = 0.2
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -46,7 +46,7 @@
     faults: str,
     rules: messages.Rules,
 ) -> None:
-    before_us, after_us = (
+    before_restart_us, after_restart_us = (
         (SECOND_US, 2 * SECOND_US) if balancer_count > 100 else (3 * SECOND_US, 4 * SECOND_US)
     )
     fleet = warming_fleet(
@@ -56,8 +56,8 @@
         warming,
         faults,
         rules=rules,
-        before_us=before_us,
-        after_us=after_us,
+        before_restart_us=before_restart_us,
+        after_restart_us=after_restart_us,
     )
     used_share, attempt_count, allowed_count = fleet.fullest_warming_window()
     assert used_share <= 1.0, f"{attempt_count} attempts, {allowed_count:.1f} allowed"
@@ -65,7 +65,7 @@
     assert len(fleet.requests) >= 100
 
 
-def test_request_examines_no_more_endpoints_than_its_subset(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_work_for_a_request_is_bounded_by_the_subset_size(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a cost per request of the number of endpoints times the size of the subset."""
     capacity_calls = 0
     capacity = SlowStart.capacity
@@ -272,11 +272,11 @@
 
 @pytest.mark.parametrize(("started_at_us", "check_count"), [(0, 2), (10 * SECOND_US, 1)])
 def test_missed_health_check_is_repeated_only_within_the_budget(started_at_us: int, check_count: int) -> None:
-    setup = balancer_settings(
+    settings = balancer_settings(
         rules=replace(RULES, slow_start_us=60 * SECOND_US),
         limits=messages.Limits(3, cancel=True, health_checks=True),
     )
-    harness = BalancerHarness(setup, endpoint_count=0)
+    harness = BalancerHarness(settings, endpoint_count=0)
     harness.update_endpoint_list(messages.Endpoint(0, incarnation_us=started_at_us))
     harness.send_request("r")
     harness.advance(950 * MILLISECOND_US)
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -29,8 +29,8 @@
     seed: int = 0,
     health_checks: bool = False,
     rules: messages.Rules = RULES,
-    before_us: int = 3 * SECOND_US,
-    after_us: int = 4 * SECOND_US,
+    before_restart_us: int = 3 * SECOND_US,
+    after_restart_us: int = 4 * SECOND_US,
 ) -> SimulatedFleet:
     """Return a fleet in which endpoints were restarted: "one", those of one "zone" in three, or "all".
 
@@ -46,7 +46,7 @@
       subsets change;
     - "zoned" or "celled": all request classes are keyed, with the zone or the cell as their key scope.
     """
-    started_at_us = START_US + before_us
+    started_at_us = START_US + before_restart_us
     fleet = loaded_fleet(
         balancer_count, endpoint_count, requests_per_window, faults, seed, health_checks, rules, started_at_us
     )
@@ -58,8 +58,8 @@
             fleet.run_until(started_at_us + wait_us)
             fleet.restart(restarted)
     if "moving" in faults:
-        remove_others_in_turn(fleet, restarted, started_at_us + after_us)
-    fleet.run_until(started_at_us + after_us)
+        remove_others_in_turn(fleet, restarted, started_at_us + after_restart_us)
+    fleet.run_until(started_at_us + after_restart_us)
     return fleet
 
 
--- a/tests/scenarios/test_connection_failures.py
+++ b/tests/scenarios/test_connection_failures.py
@@ -207,13 +207,13 @@
 async def test_failed_endpoint_connection_counts_as_reset_only_once_the_request_is_sent(
     failure_point: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    half_byte_count = 10  # bytes
+    sent_byte_count = 10  # bytes
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if failure_point == "written":
             await read_http_message(reader)
         else:
-            await reader.readexactly(half_byte_count)
+            await reader.readexactly(sent_byte_count)
         if failure_point in ("half written, read", "written"):
             writer.write(b"HTTP")  # triggers a read by the proxy
         await reader.read()
@@ -222,7 +222,7 @@
         pool = ConnectionPool(5.0, 30.0, 10)
         endpoint_sockets = connected_to(endpoint.port)
         if "half" in failure_point:
-            socket_failures.add("send", endpoint_sockets, times=half_byte_count)
+            socket_failures.add("send", endpoint_sockets, times=sent_byte_count)
         if failure_point == "half written, read":
             socket_failures.add("send", endpoint_sockets, errno.EAGAIN, times=UNLIMITED)
         fails_on_read = failure_point in ("half written, read", "written")
--- a/tests/scenarios/test_deduplication_window.py
+++ b/tests/scenarios/test_deduplication_window.py
@@ -82,7 +82,7 @@
         return self.received[0][1]
 
     @property
-    def sent_count(self) -> int:
+    def endpoint_request_count(self) -> int:
         """The number of requests that the endpoints have received."""
         return sum(len(endpoint.received) for endpoint in self.endpoints)
 
@@ -133,7 +133,7 @@
             request.clock.advance(connect_s)
             connects.opened.set()
         assert await request.status() == (200 if is_retried else 503)
-        assert len(request.received) == request.sent_count == 1 + is_retried
+        assert len(request.received) == request.endpoint_request_count == 1 + is_retried
         (first_at_s, _), (last_at_s, _) = request.received[0], request.received[-1]
         assert last_at_s - first_at_s <= window_s
 
--- a/tests/scenarios/test_descriptor_exhaustion.py
+++ b/tests/scenarios/test_descriptor_exhaustion.py
@@ -56,7 +56,7 @@
     return bound
 
 
-def config_before_endpoint(endpoint: StandInEndpoint, discovery_port: int) -> dict[str, object]:
+def config_with_cached_endpoint(endpoint: StandInEndpoint, discovery_port: int) -> dict[str, object]:
     """Return a configuration whose cached list contains one endpoint, `a`."""
     return proxy_config(
         discovery=f"127.0.0.1:{discovery_port}",
@@ -122,7 +122,7 @@
         StandInEndpoint(http_response(200, b"a")) as first,
         StandInEndpoint(http_response(200, b"b")) as second,
     ):
-        config = config_before_endpoint(first, discovery_socket.getsockname()[1])
+        config = config_with_cached_endpoint(first, discovery_socket.getsockname()[1])
         async with running_proxy_process(write_config(tmp_path, config), MAX_DESCRIPTORS) as process:
             port = await read_listening_port(process, lines)
             assert process.stderr is not None
--- a/tests/scenarios/test_stale_idle_connections.py
+++ b/tests/scenarios/test_stale_idle_connections.py
@@ -65,19 +65,19 @@
         pool.close()
 
 
-class ForgetfulEndpoint:
+class StaleConnectionHandler:
     """Endpoint that can be made to respond to no more requests on the connections it has served so far."""
 
     def __init__(self, fault: str) -> None:
         self.fault = fault
         self.used_connections: set[EndpointConnection] = set()
-        self.forgotten_connections: set[EndpointConnection] = set()
+        self.stale_connections: set[EndpointConnection] = set()
 
-    def forget_connections(self) -> None:
-        self.forgotten_connections = set(self.used_connections)
+    def mark_connections_stale(self) -> None:
+        self.stale_connections = set(self.used_connections)
 
     async def handle(self, connection: EndpointConnection, request: HttpMessage) -> None:
-        if connection not in self.forgotten_connections:
+        if connection not in self.stale_connections:
             self.used_connections.add(connection)
             connection.send(http_response(200, request[1]["req-id"].encode()))
         elif self.fault == "reset":
@@ -127,12 +127,12 @@
 @pytest.mark.parametrize("endpoint_count", [1, 3])
 @pytest.mark.parametrize("fault", ["reset", "end", "silence"])
 @pytest.mark.parametrize("class_name", REQUEST_CLASS_NAMES)
-async def test_forgotten_idle_connections_cost_one_request_at_most(
+async def test_stale_idle_connections_fail_one_request_at_most(
     class_name: str, fault: str, endpoint_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It is retried on a new connection, and later requests reuse no idle connection to that endpoint."""
 
-    handler = ForgetfulEndpoint(fault)
+    handler = StaleConnectionHandler(fault)
     async with AsyncExitStack() as stack:
         endpoints = [
             await stack.enter_async_context(RawEndpoint(handler.handle)) for _ in range(endpoint_count)
@@ -144,7 +144,7 @@
         clock = proxy.use_stepped_clock()
         await open_idle_connections(proxy, monkeypatch, 40 * endpoint_count)
         assert sum(map(len, proxy.pool.idle.by_endpoint.values())) > 4
-        handler.forget_connections()
+        handler.mark_connections_stale()
         clock.advance(3_600.0)
         statuses = []
         for number in range(4):
--- a/tests/scenarios/test_unreadable_configuration.py
+++ b/tests/scenarios/test_unreadable_configuration.py
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("end", ["another signal", "shutdown", "another fault"])
-async def test_configuration_is_not_reread_after(
+async def test_retries_of_a_reload_end_on_another_signal_shutdown_or_another_fault(
     end: str, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The configuration of another reload signal is applied once."""
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -337,7 +337,14 @@
         tick_us=0,
     )
     return SteppedFleet(
-        settings, 1, 4, requests_per_window=100.0, load=0.5, seed=seed, zone_count=1, now_us=2 * HOUR_US
+        settings,
+        1,
+        4,
+        endpoint_requests_per_window=100.0,
+        load=0.5,
+        seed=seed,
+        zone_count=1,
+        now_us=2 * HOUR_US,
     )
 
 
--- a/tests/support/simulated_fleet.py
+++ b/tests/support/simulated_fleet.py
@@ -33,7 +33,8 @@
         entry: Its entry in the endpoint list.
         start_times_us: The times of its restarts, in order.
         service_time_us: The duration of a request of mean work while warm.
-        requests_per_window: The requests of mean work that it completes per overload window while warm.
+        endpoint_requests_per_window: The requests of mean work that it completes per overload window while
+            warm.
         mode: "healthy", "failing" (responds with errors), "refusing" (rejects requests) or "silent" (does not
             respond).
         slowdown_factor: Factor on the duration of each request.
@@ -44,15 +45,15 @@
     def __init__(
         self,
         entry: messages.Endpoint,
-        requests_per_window: float,
+        endpoint_requests_per_window: float,
         rules: messages.Rules,
         slot_count: int,
         queue_capacity: int,
     ) -> None:
         self.entry, self.rules, self.queue_capacity = entry, rules, queue_capacity
         self.start_times_us: list[int] = []
-        self.service_time_us = slot_count * rules.overload_window_us / requests_per_window
-        self.requests_per_window = requests_per_window
+        self.service_time_us = slot_count * rules.overload_window_us / endpoint_requests_per_window
+        self.endpoint_requests_per_window = endpoint_requests_per_window
         self.slot_free_at_us = [0] * slot_count  # when each slot becomes free
         self.mode = "healthy"
         self.slowdown_factor = 1.0
@@ -162,7 +163,8 @@
     """Balancers, endpoints and clients on one simulated clock.
 
     Attributes:
-        requests_per_window: The requests of mean work that a warm endpoint completes per overload window.
+        endpoint_requests_per_window: The requests of mean work that a warm endpoint completes per overload
+            window.
         load: The clients' load as a share of the capacity of all endpoints while warm.
         load_factor_at: Returns the factor on the load at a time, at most `max_load_factor`.
         max_list_delay_us: The maximum delay of a change of the endpoint list to a balancer.
@@ -176,7 +178,7 @@
     settings: messages.Settings
     balancer_count: int
     endpoint_count: int
-    requests_per_window: float
+    endpoint_requests_per_window: float
     load: float
     seed: int
     clients: tuple[SimulatedClient, ...] = (SimulatedClient("read"),)
@@ -216,7 +218,11 @@
     def _new_endpoint(self, number: int) -> SimulatedEndpoint:
         entry = messages.Endpoint(number, zone=ZONES[number % self.zone_count], cell=number % 2)
         return SimulatedEndpoint(
-            entry, self.requests_per_window, self.settings.rules, self.slot_count, self.queue_capacity
+            entry,
+            self.endpoint_requests_per_window,
+            self.settings.rules,
+            self.slot_count,
+            self.queue_capacity,
         )
 
     def _new_balancer(self, index: int) -> Balancer:
@@ -271,7 +277,7 @@
     # Clients
 
     def _next_arrival(self) -> None:
-        arrivals_per_window = self.load * self.requests_per_window * self.endpoint_count
+        arrivals_per_window = self.load * self.endpoint_requests_per_window * self.endpoint_count
         arrival_rate = arrivals_per_window / self.settings.rules.overload_window_us  # per microsecond
         if self.rng.random() * self.max_load_factor < self.load_factor_at(self.now_us):
             self.add_request(
@@ -421,7 +427,7 @@
             expected_count = (
                 rules.overload_multiple
                 * endpoint.capacity(begin_us, started_at_us)
-                * endpoint.requests_per_window
+                * endpoint.endpoint_requests_per_window
             )
             margin = 3.0 if use_small_count_margin and expected_count < 30.0 else 2.0
             allowed_count = expected_count + margin * math.sqrt(expected_count) + margin
