--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -5,11 +5,12 @@
     python -m benchmarks.fleet_growth --proxies 3     # mean of three proxies, to which the limits apply
     python -m benchmarks.fleet_growth --rows 200/34 3200/544 --seconds 5 --json result.json
 
-By default, the fleets have the usual size and 16 times as many endpoints. The limits of each fleet are
-computed from the measurements of the first one (`growth_limits.py`). The proxy is a real process; endpoints
-and discovery are stand-ins in the benchmark's process. All endpoints of a fleet are equal. The other proxies
-of the fleet are represented only by the number of instances in the settings. The exit code is 1 if a limit is
-violated and 2 if a scenario could not be run.
+By default, three fleets are measured: one of the usual size, one with 16 times as many endpoints and
+proxies, and one with 16 times as many endpoints only. The limits of the later fleets are computed from the
+measurements of the first one (`growth_limits.py`). The proxy is a real process; endpoints and discovery are
+stand-ins in the benchmark's process. All endpoints of a fleet are equal. The other proxies of the fleet are
+represented only by the number of instances in the settings. The exit code is 1 if a limit is violated and 2
+if a scenario could not be run.
 """
 
 from __future__ import annotations
--- a/benchmarks/scenarios.py
+++ b/benchmarks/scenarios.py
@@ -9,7 +9,7 @@
 LATENCY_OBJECTIVE_SHARE = 0.5  # of the deadline
 SLOW_START_US = 5 * SECOND_US
 DRAIN_SHARE = 0.1  # of the duration, the time from `terminating` to `terminated`
-MISSED_SHARE = 0.2  # of the duration, the part that a silent watch misses in a scenario without a clock
+MISSED_SHARE = 0.2  # of the duration, how long a watch stays silent in a scenario without a clock
 REPLACED_SHARE = 0.5  # of the endpoints, over the whole scenario
 
 
--- a/tests/policy/test_concurrency_limit.py
+++ b/tests/policy/test_concurrency_limit.py
@@ -18,7 +18,7 @@
 
 
 def test_few_late_responses_under_load_do_not_lower_the_concurrency_limit() -> None:
-    """At 50 responses per second four are often late together: a mean of so few would lower the limit."""
+    """At 50 responses per second, four are often late together; a mean over only four lowers the limit."""
     harness = BalancerHarness(endpoint_count=8)
     initial_limit = harness.balancer.concurrency_limit.attempts_per_endpoint
     for number in range(400):
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -80,7 +80,7 @@
 
 
 def test_pushed_watch_is_reopened_at_once_then_every_100_ms() -> None:
-    """Discovery counts a change as delivered without an open watch, and polling has no cost."""
+    """Discovery counts a change as delivered even if no watch is open, and frequent polls have no cost."""
     harness, waits_us = BalancerHarness(), []
     for number in range(20):
         harness.update_endpoint_list(kind=messages.EndpointListKind.FAILED)
--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -165,7 +165,7 @@
             messages.StartAttempt,
         )
         harness.end_attempt(attempt, messages.Outcome.OK)
-    for request_id, retry in (("c", False), ("d", True)):  # equal, short deadlines: they show no age
+    for request_id, retry in (("c", False), ("d", True)):  # equal deadlines: no time has been spent
         [attempt] = actions_of_type(
             harness.send_request(request_id, time_remaining_us=27 * SECOND_US // 10, retry=retry),
             messages.StartAttempt,
@@ -332,7 +332,7 @@
 
 
 def test_queued_request_with_unsent_attempt_does_not_hold_back_first_attempts() -> None:
-    """The request counts as a first attempt and is sent at once; the other one gets the next endpoint."""
+    """The next attempt of `r0` counts as a first one and starts at once; `cheap` gets the next endpoint."""
     harness, attempts = busy_warming_endpoints()
     next_attempts = actions_of_type(
         harness.end_attempt(attempts[0], messages.Outcome.NOT_SENT), messages.StartAttempt
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -136,7 +136,7 @@
 
 
 def count_local_attempts(cross_zone_cost: float, busy_attempts: int = 0) -> int:
-    """Return how many of 200 requests stay in zone a, whose endpoints have `busy_attempts` each."""
+    """Return how many of 200 requests stay in zone a, whose endpoints have `busy_attempts` in flight each."""
     harness = BalancerHarness(
         balancer_settings(zone="a", cross_zone_cost=cross_zone_cost, limits=messages.Limits(max_attempts=3)),
         endpoint_count=0,
--- a/tests/policy/test_slow_start_budget.py
+++ b/tests/policy/test_slow_start_budget.py
@@ -1,7 +1,8 @@
 """The budget of an endpoint in slow start: the sum over all balancers, and the part of each balancer.
 
 The sums are measured in the simulated fleet. With N as the number of attempts in an overload window that the
-settings allow the endpoint, the overload rule allows N + 3 x sqrt(N) + 3 attempts where N is below 30.
+settings allow the endpoint, the overload rule allows N + 3 x sqrt(N) + 3 attempts where N is below 30. The
+stricter bound is N + 2 x sqrt(N) + 2.
 """
 
 from __future__ import annotations
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -66,7 +66,7 @@
 
 
 def test_work_for_a_request_is_bounded_by_the_subset_size(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a cost per request of the number of endpoints times the size of the subset."""
+    """Guards against a cost per request that grows with the number of endpoints times the subset size."""
     capacity_calls = 0
     capacity = SlowStart.capacity
 
@@ -100,7 +100,8 @@
     assert used_share <= 1.0, f"{attempt_count} attempts, {allowed_count:.1f} allowed"
 
 
-# With many balancers, a minimum rate, a first attempt and two saved tokens for each exceeded the budget.
+# A minimum rate, one first attempt and two saved tokens per balancer added up to more than the budget of an
+# endpoint that many balancers use.
 # Balancers, endpoints, requests of each balancer in a window, endpoints that warm up, faults, rules
 QUOTA_FLEETS = [
     (30, 12, 0.7, "zone", "burst refusing", RULES),
--- a/tests/policy/test_subset.py
+++ b/tests/policy/test_subset.py
@@ -97,7 +97,7 @@
 def test_subset_stays_in_place_while_endpoints_are_replaced(
     instances: int, index: int, max_size_ratio: float
 ) -> None:
-    """Replacements within the subset, half of its size, and few others may change it."""
+    """Half of the subset is replaced with half of all endpoints; few more endpoints may enter it."""
     rings = NeighbouringRings(3200, instances, range(index, index + 1))
     [ring] = rings.rings
     seen_members = set(ring.subset())
--- a/tests/policy/warming_fleet.py
+++ b/tests/policy/warming_fleet.py
@@ -34,7 +34,8 @@
 ) -> SimulatedFleet:
     """Return a fleet in which endpoints were restarted: "one", those of one "zone" in three, or "all".
 
-    Each balancer gets `requests_per_window` requests in each overload window. The faults are any of:
+    Each balancer gets `requests_per_window` requests in each overload window. The fleet runs for
+    `before_restart_us` before the restart and `after_restart_us` after it. The faults are any of:
 
     - "burst": twice the load for 3 s after the restart; "tripled": three times the load;
     - "failing", "refusing" or "silent": the mode of a third ("failing") or two thirds of all endpoints;
--- a/tests/scenarios/test_accept_failures.py
+++ b/tests/scenarios/test_accept_failures.py
@@ -174,7 +174,7 @@
         HoldingEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), max_connections=2) as proxy,
     ):
-        connection_limit = 2 + 8
+        connection_limit = 2 + 8  # max_connections + MAX_CONNECTIONS_OVER_LIMIT
         first_statuses = [
             asyncio.ensure_future(read_status_or_end(queue_request(proxy.port, f"a{number}")))
             for number in range(2)
--- a/tests/scenarios/test_growth.py
+++ b/tests/scenarios/test_growth.py
@@ -23,7 +23,7 @@
 
 
 def collect_objects(owner: object, objects_by_id: dict[int, object]) -> None:
-    """Collect an object of the package and all others that its attributes refer to directly."""
+    """Collect an object of the package and, recursively, those in its attributes, but not in collections."""
     if id(owner) in objects_by_id or not type(owner).__module__.startswith("load_balancer."):
         return
     objects_by_id[id(owner)] = owner
--- a/tests/scenarios/test_local_resource_shortage.py
+++ b/tests/scenarios/test_local_resource_shortage.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a local resource shortage: no endpoint failure, no retry budget used.
+"""System calls that fail for a local resource shortage count as no endpoint failure and use no retry budget.
 
 The failures are injected at the system call boundary of real sockets, by `FailingSocket`.
 """
@@ -79,7 +79,7 @@
 async def test_lasting_local_resource_shortage_rejects_requests_at_once(
     call: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Each makes the maximum number of attempts, uses no retry budget, and leaves no connection open."""
+    """Each request makes the maximum number of attempts, uses no retry budget and leaves no connection open."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
--- a/tests/scenarios/test_process_pauses.py
+++ b/tests/scenarios/test_process_pauses.py
@@ -46,7 +46,10 @@
 async def test_idle_connection_is_kept_when_the_process_pauses_while_it_is_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The attempt ends as too late; unless its connection becomes idle again, no timer would close it."""
+    """The pause exceeds the connect time-out, so the attempt ends without being sent.
+
+    Its connection becomes idle again; otherwise no timer would close it.
+    """
 
     async with StandInEndpoint(http_response(200)) as stand_in_endpoint:
         pool = ConnectionPool(60.0, 30.0, 10)
--- a/tests/scenarios/test_stale_idle_connections.py
+++ b/tests/scenarios/test_stale_idle_connections.py
@@ -130,7 +130,7 @@
 async def test_stale_idle_connections_fail_one_request_at_most(
     class_name: str, fault: str, endpoint_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It is retried on a new connection, and later requests reuse no idle connection to that endpoint."""
+    """The request is retried on a new connection; later ones reuse no idle connection to that endpoint."""
 
     handler = StaleConnectionHandler(fault)
     async with AsyncExitStack() as stack:
--- a/tests/scenarios/test_unreachable_endpoints.py
+++ b/tests/scenarios/test_unreachable_endpoints.py
@@ -124,7 +124,7 @@
 
 
 def test_endpoint_unreachable_for_long_is_retried_at_intervals() -> None:
-    """If it is the only endpoint, it is tried each time: its share falls, but it is never removed."""
+    """It is never removed: an endpoint that is the only one is tried for each request."""
     harness, attempt_count = BalancerHarness(endpoint_count=4), 0
     for number in range(6000):  # for one minute
         harness.now_us += 10 * MILLISECOND_US
--- a/tests/scenarios/test_unreadable_configuration.py
+++ b/tests/scenarios/test_unreadable_configuration.py
@@ -123,7 +123,7 @@
 async def test_retries_of_a_reload_end_on_another_signal_shutdown_or_another_fault(
     end: str, tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The configuration of another reload signal is applied once."""
+    """After another signal, the new configuration is applied once; a later change of the file is not read."""
 
     async with running_proxy() as proxy:
         clock, reload = SteppedClock(), ReloadHarness(tmp_path, proxy, caplog)
--- a/tests/scenarios/test_wall_clock_steps.py
+++ b/tests/scenarios/test_wall_clock_steps.py
@@ -128,7 +128,11 @@
 async def test_heartbeats_of_an_open_watch_bound_the_next_start_time(
     started_ms: int, age_ms: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The last heartbeat was 700 ms ago, and the list 2 s before it."""
+    """The last heartbeat was 700 ms ago, and the list 2 s before it.
+
+    The list did not yet contain the restart at that heartbeat: an endpoint with an earlier start time counts
+    as started now.
+    """
     clocks = ManualClocks()
     async with OpenWatchDiscovery(LISTED_ENDPOINT) as discovery:
         watching = WatchingDriver(discovery, clocks.clock(), monkeypatch)
@@ -317,7 +321,7 @@
         self.start_times[index].confirm()
 
     def restart(self, chosen: Iterable[SimulatedEndpoint]) -> None:
-        """Restart these endpoints now; discovery lists it 0.5 s later."""
+        """Restart these endpoints now; discovery lists the restarts 0.5 s later."""
         entries = []
         for endpoint in chosen:
             endpoint.restart(self.now_us)
--- a/tests/support/manual_clocks.py
+++ b/tests/support/manual_clocks.py
@@ -64,7 +64,7 @@
         self.version = 1
 
     def apply_list(self, *start_times: tuple[str, int], is_complete: bool = False) -> None:
-        """Apply a list or changes, of endpoints with these start times in Unix time, microseconds."""
+        """Apply changes or a complete list; its endpoints started at these Unix times in microseconds."""
         self.version += 1
         self.driver.endpoint_list.receive(
             list_with_start_times(*start_times, is_complete=is_complete, rev=self.version)
@@ -96,6 +96,6 @@
 def list_with_start_times(
     *start_times: tuple[str, int], is_complete: bool = True, rev: int = 1
 ) -> EndpointListMessage:
-    """Return a list of endpoints with these start times in Unix time, microseconds."""
+    """Return a list of endpoints that started at these Unix times in microseconds."""
     entries = (endpoint_entry(uid, 9, boot_ms=start_us // 1000) for uid, start_us in start_times)
     return read_list(endpoint_list(*entries, rev=rev, is_complete=is_complete))
--- a/tests/support/proxy_process.py
+++ b/tests/support/proxy_process.py
@@ -125,7 +125,7 @@
 
 
 # Each test process starts at a different port, so that parallel ones do not choose the same. Parallel test
-# processes have nearby process ids; each id shifts the first port by this many, more than one run uses.
+# processes have nearby process ids; consecutive ids start this many ports apart, more than one run uses.
 PORTS_PER_PROCESS = 397
 PORTS = itertools.cycle(range(20_000 + os.getpid() * PORTS_PER_PROCESS % 10_000, 32_000))
 
