--- a/tests/scenarios/test_local_resource_shortage.py
+++ b/tests/scenarios/test_local_resource_shortage.py
@@ -79,7 +79,7 @@
 async def test_lasting_local_resource_shortage_rejects_requests_at_once(
     call: str, error: int, socket_failures: SocketFailures, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Each request makes the maximum number of attempts, uses no retry budget and leaves no connection open."""
+    """Each makes the maximum number of attempts; no retry budget is used and no connection is left open."""
 
     async with (
         StandInEndpoint(http_response(200, b"x")) as endpoint,
