--- a/tests/policy/test_outliers_and_admission.py
+++ b/tests/policy/test_outliers_and_admission.py
@@ -12,12 +12,12 @@
 
 def test_unreachable_endpoint_does_not_attract_queued_requests() -> None:
     """Its attempts fail immediately, so it appears idle while all other endpoints are at their limits."""
-    harness, attempts_at_dead = BalancerHarness(endpoint_count=3), 0
+    harness, attempts_at_unreachable = BalancerHarness(endpoint_count=3), 0
     harness.balancer.endpoints.states[0].endpoint = messages.Endpoint(0)
     for number in range(40):
         for attempt in actions_of_type(harness.send_request(f"r{number}", "pay"), messages.StartAttempt):
             while attempt.endpoint_id == 0:  # the attempt fails at the time at which it starts
-                attempts_at_dead += 1
+                attempts_at_unreachable += 1
                 retries = actions_of_type(
                     harness.end_attempt(
                         attempt,
@@ -30,7 +30,7 @@
                 if not retries:
                     break
                 attempt = retries[0]
-    assert attempts_at_dead <= INITIAL_LIMIT
+    assert attempts_at_unreachable <= INITIAL_LIMIT
 
 
 def test_concurrency_limit_falls_with_late_responses_and_recovers() -> None:
@@ -153,7 +153,7 @@
     assert attempt.timeout_us <= 1 * SECOND_US
 
 
-def test_client_retry_with_longer_deadline_does_not_age_first_requests() -> None:
+def test_client_retry_with_longer_deadline_does_not_shorten_attempt_timeouts() -> None:
     """A client's last attempt has the whole time remaining as its deadline, the earlier ones a part of it."""
     harness = BalancerHarness()
     for request_id, time_remaining_us, retry in (
@@ -165,7 +165,7 @@
             messages.StartAttempt,
         )
         harness.end_attempt(attempt, messages.Outcome.OK)
-    for request_id, retry in (("c", False), ("d", True)):  # equal, short deadlines: they show no age
+    for request_id, retry in (("c", False), ("d", True)):  # equal deadlines: no time has been spent
         [attempt] = actions_of_type(
             harness.send_request(request_id, time_remaining_us=27 * SECOND_US // 10, retry=retry),
             messages.StartAttempt,
@@ -332,7 +332,7 @@
 
 
 def test_queued_request_with_unsent_attempt_does_not_hold_back_first_attempts() -> None:
-    """The request counts as a first attempt and is sent at once; the other one gets the next endpoint."""
+    """The next attempt of `r0` counts as a first one and starts at once; `cheap` gets the next endpoint."""
     harness, attempts = busy_warming_endpoints()
     next_attempts = actions_of_type(
         harness.end_attempt(attempts[0], messages.Outcome.NOT_SENT), messages.StartAttempt
