--- a/tests/support/stepped_clock.py
+++ b/tests/support/stepped_clock.py
@@ -3,9 +3,13 @@
 from __future__ import annotations
 
 import asyncio
+import math
 from collections.abc import Callable
 
 STEP_S = 0.02
+# A frozen clock starts at a multiple of this, so that the sum of its start and an advance by whole seconds is
+# exact. Otherwise rounding can leave the clock just short of the time at which a tested timer is due.
+FROZEN_CLOCK_RESOLUTION_S = 2.0**-10
 TURNS_BETWEEN_STEPS = 40  # far more than a request and its response take on loopback
 
 
@@ -29,7 +33,7 @@
     def __init__(self) -> None:
         super().__init__()
         loop = asyncio.get_running_loop()
-        frozen_at_s = loop.time()
+        frozen_at_s = math.ceil(loop.time() / FROZEN_CLOCK_RESOLUTION_S) * FROZEN_CLOCK_RESOLUTION_S
         loop.time = lambda: frozen_at_s + self.advanced_s  # type: ignore[method-assign]
 
 
