--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -55,7 +55,7 @@
             writer.close()
 
 
-async def test_longest_idle_connection_is_evicted_and_one_over_the_limit_gets_503() -> None:
+async def test_oldest_unused_connection_is_evicted_and_one_over_the_limit_gets_503() -> None:
     may_respond = asyncio.Event()
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -67,11 +67,11 @@
         StandInServer(handle) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port), max_connections=2) as proxy,
     ):
-        idle_reader, _ = await proxy.connect()
+        unused_reader, _ = await proxy.connect()
         reader_a, writer_a = await proxy.connect()
         writer_a.write(http_request(request_id="a"))
         reader_b, writer_b = await proxy.connect()  # evicts the idle connection
-        assert await idle_reader.read() == b""
+        assert await unused_reader.read() == b""
         writer_b.write(http_request(request_id="b"))
         while endpoint.connection_count < 2:
             await asyncio.sleep(0)
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -254,7 +254,7 @@
             assert len(acceptor_lines(caplog)) == 2
 
 
-async def test_connections_aborted_before_accept_are_logged_once(
+async def test_connections_lost_during_registration_are_logged_once(
     proxy: LoopbackProxy, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def raise_aborted(*args: object) -> None:
--- a/tests/net/client/test_disconnected_client_attempts.py
+++ b/tests/net/client/test_disconnected_client_attempts.py
@@ -218,7 +218,7 @@
 @pytest.mark.parametrize("request_state", REQUEST_STATES)
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("paused", [True, False])
-async def test_client_disconnect_is_noticed_before_another_attempt_can_begin(
+async def test_client_disconnect_is_detected_before_another_attempt_can_begin(
     disconnect_kind: str, request_state: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """At once, or within half of the limit while reading is paused, as the event loop may be late."""
--- a/tests/net/client/test_disconnected_client_writes.py
+++ b/tests/net/client/test_disconnected_client_writes.py
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("write_path", WRITE_PATHS)
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("paused", [True, False])
-async def test_attempt_is_not_written_when_client_disconnects_after_the_decision(
+async def test_attempt_is_not_written_when_client_disconnects_just_before_the_write(
     disconnect_kind: str, write_path: str, cancel: bool, paused: bool, write_hook: WriteHook
 ) -> None:
     """The client disconnects after the last clock reading before the write, while the process is delayed.
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize("fault_position", ["parsing", "complete", "accepted"])
-async def test_request_that_raises_gets_500_and_does_not_affect_other_requests(
+async def test_request_whose_processing_raises_gets_500_without_affecting_others(
     fault_position: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The status is 500 and not 503, because the exception may be raised after an attempt has begun."""
--- a/tests/net/client/test_policy_faults.py
+++ b/tests/net/client/test_policy_faults.py
@@ -31,7 +31,7 @@
         assert response_status(await proxy.send_request(http_request())) == 200
 
 
-async def test_request_gets_502_after_a_policy_exception_on_its_outcome(
+async def test_request_gets_502_when_the_policy_raises_on_outcomes_and_timers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/net/client/test_request_rejection.py
+++ b/tests/net/client/test_request_rejection.py
@@ -37,7 +37,7 @@
         http_request("mark", Content_Length="0", Transfer_Encoding="chunked") + b"0\r\n\r\n",
     ],
 )
-async def test_malformed_head_gets_400_and_is_not_forwarded(sent: bytes) -> None:
+async def test_invalid_request_gets_400_and_is_not_forwarded(sent: bytes) -> None:
     async with (
         StandInEndpoint(http_response(200)) as endpoint,
         running_proxy(endpoint_entry("s-1", endpoint.port)) as proxy,
@@ -114,7 +114,7 @@
         assert endpoint.received == []
 
 
-async def test_rejection_carries_retry_after() -> None:
+async def test_rejection_carries_retry_after_only_if_configured() -> None:
     limits = messages.Limits(max_attempts=1, cancel=True, retry_after_us=2_000_000)
     async with (
         StandInEndpoint(http_response(503, Srv_Declined="1")) as endpoint,
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -32,9 +32,9 @@
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0, 3.0])
 def test_listening_ends_in_time_for_the_last_responses(deadline_s: float) -> None:
     """0.25 s remain for a stall and the exit of the process."""
-    response_deadline_s = deadline_s + 0.2
-    assert 0.4 < min_accept_time_s(response_deadline_s) <= response_deadline_s
-    assert min_accept_time_s(response_deadline_s) + FLUSH_TIMEOUT_S <= deadline_s + KILL_DELAY_S - 0.25
+    drain_timeout_s = deadline_s + 0.2
+    assert 0.4 < min_accept_time_s(drain_timeout_s) <= drain_timeout_s
+    assert min_accept_time_s(drain_timeout_s) + FLUSH_TIMEOUT_S <= deadline_s + KILL_DELAY_S - 0.25
 
 
 @dataclass
