--- a/tests/net/client/test_client_registry.py
+++ b/tests/net/client/test_client_registry.py
@@ -70,7 +70,7 @@
         unused_reader, _ = await proxy.connect()
         reader_a, writer_a = await proxy.connect()
         writer_a.write(http_request(request_id="a"))
-        reader_b, writer_b = await proxy.connect()  # evicts the idle connection
+        reader_b, writer_b = await proxy.connect()  # evicts the unused connection
         assert await unused_reader.read() == b""
         writer_b.write(http_request(request_id="b"))
         while endpoint.connection_count < 2:
--- a/tests/net/client/test_client_time_limits.py
+++ b/tests/net/client/test_client_time_limits.py
@@ -75,7 +75,7 @@
         while proxy.clients.open_connections:
             await asyncio.sleep(0.01)
             assert connection.transport.get_write_buffer_size() <= 2 * 65536 + 1024
-            # The limit may be exceeded by one read.
+            # The limit may be exceeded by one read, which is far less than 256 KiB.
             assert (
                 connection.http.received.size_bytes
                 <= client_limits.MAX_BUFFERED_BYTES_PER_CONNECTION + 256 * 1024
--- a/tests/net/client/test_connection_close.py
+++ b/tests/net/client/test_connection_close.py
@@ -139,7 +139,10 @@
 
 @pytest.mark.parametrize("is_last", [True, False])
 async def test_connection_is_not_evicted_while_it_writes_a_response(is_last: bool) -> None:
-    """The connection is idle or lingering as soon as the response has been passed to the transport."""
+    """The connection is idle or lingering as soon as the response has been passed to the transport.
+
+    It is then a candidate for eviction, although the client has not received all of the response.
+    """
 
     async with (
         StandInEndpoint(http_response(200, b"x" * 65_536)) as endpoint,
--- a/tests/net/client/test_connection_limits.py
+++ b/tests/net/client/test_connection_limits.py
@@ -84,7 +84,7 @@
         statuses = [response_status(await read_http_message(reader)) for _ in range(response_count)]
         assert set(statuses) <= {200, 502, 503}
         assert statuses[0] == 200 or not endpoint.received
-        # Bytes that arrive in a turn with a processing step already done add one more step to it.
+        # Two processing steps may run in one turn: a scheduled one, and one for bytes read after it.
         assert 0 < written_responses.max_per_turn <= 2
         assert parsed_events.max_per_turn <= 2 * client_limits.MAX_EVENTS_PER_ITERATION
         parsed_events.stop()
--- a/tests/net/client/test_disconnected_client_attempts.py
+++ b/tests/net/client/test_disconnected_client_attempts.py
@@ -195,7 +195,7 @@
 
 @asynccontextmanager
 async def waiting_request(request_state: str, cancel: bool, paused: bool) -> AsyncIterator[WaitingRequest]:
-    """Hold a request in the given state. The sweep, which detects a disconnect later, is stopped."""
+    """Hold a request in the given state, with the sweep of the time limits stopped."""
     async with (
         SilentEndpoint() as endpoint,
         running_proxy(endpoint_entry("b", endpoint.port), settings=settings_with_cancel(cancel)) as proxy,
@@ -221,7 +221,10 @@
 async def test_client_disconnect_is_detected_before_another_attempt_can_begin(
     disconnect_kind: str, request_state: str, cancel: bool, paused: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """At once, or within half of the limit while reading is paused, as the event loop may be late."""
+    """The disconnect is detected at once or, while reading is paused, within half of the limit.
+
+    The other half is left for event loop lag.
+    """
     monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     async with waiting_request(request_state, cancel, paused) as waiting:
         proxy, connection = waiting.proxy, waiting.connection
--- a/tests/net/client/test_disconnected_client_requests.py
+++ b/tests/net/client/test_disconnected_client_requests.py
@@ -109,7 +109,7 @@
 async def test_pipelined_request_behind_an_open_request_is_not_forwarded_after_client_disconnects(
     paused: bool, cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The end of the stream is detected behind more bytes than the proxy buffers."""
+    """If reading is paused, the end of the stream lies behind bytes that the proxy has not read."""
     if paused:
         monkeypatch.setattr(client_limits, "MAX_BUFFERED_BYTES_PER_CONNECTION", 10_000)
     clock, delayed = FrozenClock(), DelayedEndpoint()
@@ -139,7 +139,10 @@
 async def test_request_read_after_its_client_disconnected_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its bytes wait in the socket while the event loop is busy. An idle connection is available."""
+    """Its bytes wait in the socket while the event loop is busy.
+
+    An idle connection is available, on which an attempt would be written at once.
+    """
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async with (
--- a/tests/net/client/test_disconnected_client_writes.py
+++ b/tests/net/client/test_disconnected_client_writes.py
@@ -60,7 +60,7 @@
 
 
 async def open_idle_connections(proxy: LoopbackProxy, endpoints: tuple[StandInServer, StandInServer]) -> None:
-    """Open one idle connection to each endpoint in the pool."""
+    """Add one idle connection to each endpoint to the pool."""
     for address in proxy.driver.endpoint_list.endpoints.by_id.values():
         request = UpstreamRequest(b"GET", b"/", [(b"host", b"x")], b"", is_idempotent=True)
         proxy.pool.start_attempt(address, request, 5.0, lambda outcome, response: None)
@@ -88,7 +88,7 @@
     client: SocketClient
     connection: ClientConnection
     gate: ConnectGates
-    requests_before: int  # requests that the endpoints had received before
+    requests_before: int  # requests that the endpoints had received before this write
 
 
 @asynccontextmanager
--- a/tests/net/client/test_malformed_requests.py
+++ b/tests/net/client/test_malformed_requests.py
@@ -119,7 +119,7 @@
 async def test_connection_of_an_endless_request_is_closed_in_time(
     kind: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The client goes on sending, a byte or a line each 0.05 s on a stepped clock."""
+    """The client sends the next piece every 0.05 s of a stepped clock, or stays connected and silent."""
 
     async with (
         StandInEndpoint(http_response(200)) as endpoint,
@@ -189,7 +189,7 @@
 @pytest.mark.parametrize("kind", VALID_REQUESTS)
 @pytest.mark.parametrize("piece_size", [1, 2, 7])
 async def test_valid_requests_are_forwarded_in_any_form_and_split(kind: str, piece_size: int) -> None:
-    """Of two pipelined requests each is forwarded unchanged and gets its own response."""
+    """Each of two pipelined requests is forwarded with its target, id and body, and gets its own response."""
 
     second = VALID_REQUESTS[kind].replace(b"f1", b"f2")
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
--- a/tests/net/client/test_partial_requests.py
+++ b/tests/net/client/test_partial_requests.py
@@ -253,7 +253,10 @@
 async def test_eviction_examines_a_bounded_number_of_partial_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """There can be as many connections as descriptors, and as many new ones each second."""
+    """Examining all of them for each new connection would block the event loop during a flood.
+
+    There can be as many connections as descriptors, and as many new ones each second.
+    """
     connection_limit = 2 * client_limits.MAX_SILENT_CANDIDATES
     examined_count = 0
     has_pending_request = ClientConnection.has_pending_request.fget  # type: ignore[attr-defined]
--- a/tests/net/client/test_request_forwarding.py
+++ b/tests/net/client/test_request_forwarding.py
@@ -62,7 +62,7 @@
 
 
 async def test_long_claimed_deadline_does_not_affect_other_requests(proxy: LoopbackProxy) -> None:
-    """Each deadline is capped by that of the class, and does not make other requests appear older."""
+    """The claimed deadline is capped by that of the class and does not change the age of other requests."""
 
     assert response_status(await proxy.send_request(http_request(Req_Deadline="3600"))) == 200
     assert response_status(await proxy.send_request(http_request(request_id="a2"))) == 200
--- a/tests/net/client/test_single_response.py
+++ b/tests/net/client/test_single_response.py
@@ -91,7 +91,7 @@
     cell: int
     behavior: str
     connection: EndpointConnection
-    is_finished: bool = False  # the endpoint has sent all that it sends for this attempt
+    is_finished: bool = False  # the endpoint has begun to respond or to close the connection
 
     @property
     def is_open(self) -> bool:
--- a/tests/net/client/test_stalled_clients.py
+++ b/tests/net/client/test_stalled_clients.py
@@ -49,7 +49,7 @@
 
 
 class LateSweeps:
-    """Sweeps of the client connections, each with the maximum event loop lag on a stepped clock."""
+    """Sweeps of the client connections on a stepped clock, each late by the maximum event loop lag."""
 
     def __init__(self, listener: ClientListener, clock: SteppedClock) -> None:
         self._listener, self.clock = listener, clock
@@ -109,7 +109,7 @@
     await wait_until(lambda: len(proxy.clients.open_connections) == 1)
     sweeps = LateSweeps(proxy.listener, clock)
     streams = await serve_first_request(client, clock) if phase == "later request" else None
-    started_at_s = clock.advanced_s - MAX_LOOP_DELAY_S  # the accept was late by this much
+    started_at_s = clock.advanced_s - MAX_LOOP_DELAY_S  # the accept, or the first read, is this late
     client.send(PARTIAL_REQUESTS[stop_position])
     [connection] = proxy.clients.open_connections
     await wait_until(lambda: not connection.is_idle)
@@ -178,7 +178,7 @@
     started_at_s = clock.advanced_s - MAX_LOOP_DELAY_S
     [connection] = proxy.clients.open_connections
     send_at_each_check(proxy, client, SLOW_REQUESTS[kind]())
-    clock.advance(first_sweep_s + 0.001)  # no check coincides with the end of a time limit
+    clock.advance(first_sweep_s + 0.001)  # no check coincides with the expiry of a time limit
     while proxy.clients.open_connections:
         await sweeps.sweep()
         if connection.has_scheduled_final_check:
@@ -194,7 +194,7 @@
 
 @pytest.mark.parametrize("is_first_request", [True, False])
 async def test_request_that_crosses_the_final_check_is_forwarded(is_first_request: bool) -> None:
-    """Its bytes are in the socket when the time limit of the connection ends."""
+    """Its bytes are unread in the socket when the time limit has expired and the final check is scheduled."""
 
     async with SilentEndpoint() as endpoint, running_proxy(endpoint_entry("b", endpoint.port)) as proxy:
         clock, client = FrozenClock(), SocketClient(proxy)
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -78,7 +78,7 @@
 
 @pytest.fixture
 def limits(monkeypatch: pytest.MonkeyPatch) -> dict[str, tuple[int, int]]:
-    """Replaces the limits of the test's own process, which other tests need unchanged."""
+    """Replace the limits of the test's own process, which other tests need unchanged, by a stored pair."""
     current_limits: dict[str, tuple[int, int]] = {}
     monkeypatch.setattr(resource, "getrlimit", lambda resource_id: current_limits["now"])
     monkeypatch.setattr(
@@ -120,7 +120,7 @@
 async def test_idle_clients_leave_descriptors_for_endpoints_and_discovery(
     sent: bytes, tmp_path: Path
 ) -> None:
-    """A process with a low limit serves requests and learns of a new endpoint beside its idle clients."""
+    """With a low limit and idle clients, the process serves requests and receives a new endpoint list."""
     discovery = HeldListServer()
     async with (
         StandInEndpoint(http_response(200, b"a")) as known_endpoint,
--- a/tests/process/test_graceful_shutdown.py
+++ b/tests/process/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown within the longest deadline: each request that was read gets a response."""
+"""Graceful shutdown: each request that was read gets a response, and the process exits before SIGKILL."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("deadline_s", [0.3, 0.5, 1.0, 3.0])
 def test_listening_ends_in_time_for_the_last_responses(deadline_s: float) -> None:
-    """0.25 s remain for a stall and the exit of the process."""
+    """At least 0.25 s remain before SIGKILL for a stall and the exit of the process."""
     drain_timeout_s = deadline_s + 0.2
     assert 0.4 < min_accept_time_s(drain_timeout_s) <= drain_timeout_s
     assert min_accept_time_s(drain_timeout_s) + FLUSH_TIMEOUT_S <= deadline_s + KILL_DELAY_S - 0.25
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -1,4 +1,7 @@
-"""Reload on SIGHUP: a configuration is applied completely, or rejected naming the invalid field."""
+"""Reload on SIGHUP: an invalid configuration changes nothing, and the error names the invalid field.
+
+An invalid cached list is the exception: it is logged and ignored.
+"""
 
 from __future__ import annotations
 
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -65,7 +65,7 @@
             assert response_status(await read_http_message(new_reader)) == 503
             endpoint.may_respond.set()
             assert (await read_http_message(slow_reader)).body == b"slow"
-            await asyncio.sleep(1.0)  # longer than new connections are accepted
+            await asyncio.sleep(1.0)  # longer than the 0.6 s for which new connections are accepted at least
             kept_writer.write(http_request(request_id="late"))
             assert (await read_http_message(kept_reader)).body == b"late"
             for open_reader in (kept_reader, slow_reader, new_reader):
@@ -108,7 +108,10 @@
 
 
 async def test_signal_after_the_event_loop_has_closed_does_not_kill_the_process(tmp_path: Path) -> None:
-    """The signal handlers of the event loop are removed when it closes."""
+    """The event loop removes its signal handlers when it closes.
+
+    A signal that is not blocked would then end the process.
+    """
 
     env = {**os.environ, **write_config(tmp_path, proxy_config())}
     pipe = asyncio.subprocess.PIPE
@@ -191,9 +194,10 @@
 
 @pytest.mark.parametrize("event", ["list", "silence", "SIGTERM"])
 async def test_pushed_list_is_awaited_before_listening(tmp_path: Path, event: str) -> None:
-    """With pushed lists, discovery's list counts as notified from the start, and the cached one may be old.
+    """With pushed lists, the process counts as notified of discovery's list from its start.
 
-    If discovery is silent, the cached list is used; SIGTERM while waiting ends the process.
+    The cached list may be outdated and is used only if discovery stays silent. SIGTERM during the wait ends
+    the process.
     """
     async with (
         StandInEndpoint(http_response(200, b"a")) as old_endpoint,
@@ -224,7 +228,10 @@
 async def test_polled_list_is_awaited_only_without_a_cached_list(
     tmp_path: Path, has_cached_list: bool
 ) -> None:
-    """A polled list counts as notified only once it is received, and discovery may queue the poll."""
+    """The process counts as notified of a polled list only once it has received it.
+
+    With a cached list it does not wait for the polled one, because discovery may queue the poll.
+    """
     async with (
         StandInEndpoint(http_response(200, b"a")) as endpoint,
         HeldListServer(is_held=True) as discovery,
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -181,7 +181,10 @@
 async def test_ready_with_a_cached_list_while_discovery_is_down(
     tmp_path: Path, mode: str, fault: str
 ) -> None:
-    """With pushed lists it first waits for discovery, whose list counts as notified from the start."""
+    """With pushed lists, the process first waits for discovery.
+
+    From its start, it counts as notified of the list that discovery holds.
+    """
 
     async with faulty_discovery(fault) as discovery, StandInEndpoint(http_response(200, b"x")) as endpoint:
         port = unused_port()
@@ -230,7 +233,10 @@
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"], ids=["polled", "pushed"])
 async def test_processes_with_and_without_a_cached_list_become_ready(tmp_path: Path, mode: str) -> None:
-    """While discovery is silent, only processes without a valid cached list wait for it."""
+    """While discovery is silent, a process with a valid cached list becomes ready.
+
+    A process without one becomes ready when discovery has recovered.
+    """
 
     async with (
         faulty_discovery("silent") as discovery,
