--- a/tests/net/client/test_disconnected_client_writes.py
+++ b/tests/net/client/test_disconnected_client_writes.py
@@ -60,7 +60,7 @@
 
 
 async def open_idle_connections(proxy: LoopbackProxy, endpoints: tuple[StandInServer, StandInServer]) -> None:
-    """Open one idle connection to each endpoint in the pool."""
+    """Add one idle connection to each endpoint to the pool."""
     for address in proxy.driver.endpoint_list.endpoints.by_id.values():
         request = UpstreamRequest(b"GET", b"/", [(b"host", b"x")], b"", is_idempotent=True)
         proxy.pool.start_attempt(address, request, 5.0, lambda outcome, response: None)
@@ -88,7 +88,7 @@
     client: SocketClient
     connection: ClientConnection
     gate: ConnectGates
-    requests_before: int  # requests that the endpoints had received before
+    requests_before: int  # requests that the endpoints had received before this write
 
 
 @asynccontextmanager
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("write_path", WRITE_PATHS)
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("paused", [True, False])
-async def test_attempt_is_not_written_when_client_disconnects_after_the_decision(
+async def test_attempt_is_not_written_when_client_disconnects_just_before_the_write(
     disconnect_kind: str, write_path: str, cancel: bool, paused: bool, write_hook: WriteHook
 ) -> None:
     """The client disconnects after the last clock reading before the write, while the process is delayed.
