--- a/tests/net/discovery/list_server.py
+++ b/tests/net/discovery/list_server.py
@@ -12,16 +12,16 @@
     """Sends each watch the current list once `may_respond` is set, and keeps the watch open.
 
     Attributes:
-        present_list: The list sent to the next watch.
+        current_list: The list sent to the next watch.
         request_lines: The request line of each watch.
         requested: Set once a watch has been requested.
         may_respond: Watches wait for their list until it is set.
         list_sent: Set once the list has been sent to a watch.
     """
 
-    def __init__(self, present_list: dict[str, object] | None = None, *, is_held: bool = False) -> None:
+    def __init__(self, current_list: dict[str, object] | None = None, *, is_held: bool = False) -> None:
         super().__init__(self._send_list)
-        self.present_list = present_list or {}
+        self.current_list = current_list or {}
         self.request_lines: list[str] = []
         self.requested = asyncio.Event()
         self.may_respond = asyncio.Event()
@@ -34,7 +34,7 @@
         self.request_lines.append(head.split("\r\n")[0])
         self.requested.set()
         await self.may_respond.wait()
-        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(self.present_list))
+        writer.write(WATCH_RESPONSE_HEAD + endpoint_list_chunk(self.current_list))
         self.list_sent.set()
         await reader.read()
 
--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -220,7 +220,7 @@
         discovery,
     ):
         draining_entry = endpoint_entry("a", draining_endpoint.port, "terminating")
-        discovery.present_list = endpoint_list(
+        discovery.current_list = endpoint_list(
             draining_entry, endpoint_entry("b", new_endpoint.port), rev=7, is_complete=False
         )
         for _ in range(2):  # killed and started again, with the same name and address
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -217,7 +217,7 @@
     """
     silent, other, last = HeldListServer(is_held=True), HeldListServer(is_held=True), HeldListServer()
     async with StandInEndpoint(http_response(200, b"b")) as endpoint, silent, other, last:
-        last.present_list = endpoint_list(endpoint_entry("b", endpoint.port), rev=2)
+        last.current_list = endpoint_list(endpoint_entry("b", endpoint.port), rev=2)
         known = endpoint_list(endpoint_entry("a", 9), rev=1)
         content = proxy_config(discovery=f"127.0.0.1:{silent.port}", known=known)
         async with running_proxy_process(write_config(tmp_path, content)) as process:
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -338,13 +338,13 @@
         def call_after(name: str) -> None:
             feed = getattr(asyncio.StreamReader, name)
 
-            def feed_and_cross(reader: asyncio.StreamReader, *data: bytes) -> None:
+            def feed_and_call(reader: asyncio.StreamReader, *data: bytes) -> None:
                 feed(reader, *data)
                 if not called.is_set():
                     called.set()
                     function()
 
-            monkeypatch.setattr(asyncio.StreamReader, name, feed_and_cross)
+            monkeypatch.setattr(asyncio.StreamReader, name, feed_and_call)
 
         call_after("feed_data")
         call_after("feed_eof")
--- a/tests/net/discovery/test_joined_list_changes.py
+++ b/tests/net/discovery/test_merged_list_changes.py
@@ -122,7 +122,7 @@
         watch.close()
 
 
-def test_complete_lists_and_old_changes_are_not_joined() -> None:
+def test_complete_lists_and_old_changes_are_not_merged() -> None:
     lists = [
         read_list(list_changes(endpoint_entry("a", 9), rev=5)),
         read_list(list_changes(endpoint_entry("b", 9), rev=6)),
@@ -138,7 +138,7 @@
     ]
 
 
-async def test_old_changes_in_a_later_read_are_not_joined() -> None:
+async def test_old_changes_in_a_later_read_are_not_merged() -> None:
     """Joined with newer changes, they would bring back an endpoint that has since been removed."""
     first_read = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), rev=10)) + endpoint_list_chunk(
         list_changes(endpoint_entry("b", 9), rev=12)
@@ -163,7 +163,7 @@
 
 
 @pytest.mark.parametrize("removed_state", ["terminating", "terminated"])
-def test_return_of_an_endpoint_is_not_joined_with_its_removal(removed_state: str) -> None:
+def test_return_of_an_endpoint_is_not_merged_with_its_removal(removed_state: str) -> None:
     """Otherwise the returned endpoint would reuse the idle connections of the removed one."""
     lists = [
         read_list(list_changes(endpoint_entry("a", 9, state), rev=number))
@@ -204,14 +204,14 @@
         )
 
 
-async def test_joined_changes_have_the_same_effect_as_single_ones() -> None:
+async def test_merged_changes_have_the_same_effect_as_single_ones() -> None:
     rng = random.Random(1)
     for _ in range(40):
         lists = random_lists(rng)
         assert await effect_of(lists) == await effect_of(merge_changes(lists))
 
 
-async def test_changes_that_come_while_reading_is_paused_are_joined(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_changes_received_while_reading_is_paused_are_merged(monkeypatch: pytest.MonkeyPatch) -> None:
     """A rollout publishes its changes one by one, some hundred per second."""
     monkeypatch.setattr(endpoint_watch, "READ_PAUSE_S", 1.0)
     first_list_applied = asyncio.Event()
@@ -231,12 +231,12 @@
         read_count = 0
         feed_data = asyncio.StreamReader.feed_data
 
-        def record_and_put(reader: asyncio.StreamReader, data: bytes) -> None:
+        def count_and_feed(reader: asyncio.StreamReader, data: bytes) -> None:
             nonlocal read_count
             read_count += data.startswith(b"0\r\n") or b'"rev"' in data
             feed_data(reader, data)
 
-        monkeypatch.setattr(asyncio.StreamReader, "feed_data", record_and_put)
+        monkeypatch.setattr(asyncio.StreamReader, "feed_data", count_and_feed)
         assert [update.version for update in await updates_until_watch_failure(proxy)] == [6]
         assert read_count == 1  # the changes do not cost one event loop iteration each
 
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -50,7 +50,7 @@
 
 
 @EACH_CLOCK_STEP
-async def test_start_stated_before_a_clock_step_and_received_after_it_has_its_true_age(step: int) -> None:
+async def test_start_reported_before_a_clock_step_and_received_after_it_has_its_true_age(step: int) -> None:
     """After a silence, the age follows only from the recorded step of the local wall clock."""
 
     manual_driver = ManualDriver()
@@ -66,7 +66,7 @@
 
 @EACH_CLOCK_STEP
 @pytest.mark.parametrize("kind", ["changes", "complete"])
-async def test_start_by_a_wrong_clock_counts_from_its_receipt(step: int, kind: str) -> None:
+async def test_start_reported_by_a_wrong_clock_counts_from_its_receipt(step: int, kind: str) -> None:
     """The clock of the endpoint or of discovery is wrong, or the local one was wrong at the start."""
 
     manual_driver = ManualDriver()
@@ -83,7 +83,7 @@
 
 
 @EACH_CLOCK_STEP
-async def test_complete_list_after_a_broken_watch_bounds_new_starts(step: int) -> None:
+async def test_new_start_in_a_complete_list_after_a_broken_watch_counts_from_its_receipt(step: int) -> None:
     manual_driver = ManualDriver()
     manual_driver.apply_list(("a", 0), is_complete=True)
     manual_driver.clocks.advance(2 * SECOND_US)
@@ -96,7 +96,7 @@
 
 @EACH_CLOCK_STEP
 @pytest.mark.parametrize("first_kind", ["changes", "complete"])
-async def test_first_list_after_a_cached_one_is_read_by_the_clock_of_its_time(
+async def test_start_in_the_first_list_after_a_cached_one_has_its_true_age(
     step: int, first_kind: str
 ) -> None:
     """A cached list may be of any age, so it bounds no start; an endpoint that it has keeps its start."""
@@ -118,7 +118,7 @@
     assert manual_driver.age_us("c") == 0  # now bounded by the received list
 
 
-async def test_unconfirmed_cached_list_makes_no_endpoint_younger() -> None:
+async def test_endpoint_that_restarted_long_ago_but_after_the_cached_list_is_warm() -> None:
     """The first response may list an endpoint that had been warm for long before this process started."""
 
     clocks = ManualClocks()
@@ -129,7 +129,7 @@
 
 
 @EACH_CLOCK_STEP
-async def test_stated_start_identifies_an_incarnation_whatever_the_clocks_do(step: int) -> None:
+async def test_reported_start_identifies_an_incarnation_whatever_the_clocks_do(step: int) -> None:
     manual_driver = ManualDriver()
     first_start_us, endpoint_id = manual_driver.clocks.wall_us() - 1 * SECOND_US, endpoint_id_from_uid("a")
     balancer = manual_driver.driver.balancer
@@ -181,13 +181,13 @@
 def test_start_is_not_treated_as_unknown_when_the_wall_clock_is_near_zero() -> None:
     """The wall clock of a machine without a clock battery starts at 1970."""
     clocks = ManualClocks(wall_offset_us=-999 * SECOND_US)
-    [placed] = StartTimes(clocks.clock()).assign([messages.Endpoint(1, incarnation_us=1)])
-    assert placed.started_us == 1
+    [endpoint] = StartTimes(clocks.clock()).assign([messages.Endpoint(1, incarnation_us=1)])
+    assert endpoint.started_us == 1
     clocks.step_wall_clock(-10 * SECOND_US)
     starts = StartTimes(clocks.clock())
-    [placed] = starts.assign([messages.Endpoint(1, incarnation_us=1)])
-    assert placed.started_us is not None
-    assert placed.started_us > 0
+    [endpoint] = starts.assign([messages.Endpoint(1, incarnation_us=1)])
+    assert endpoint.started_us is not None
+    assert endpoint.started_us > 0
 
 
 def test_number_of_remembered_starts_is_bounded() -> None:
--- a/tests/net/discovery/test_watch_resumption.py
+++ b/tests/net/discovery/test_watch_resumption.py
@@ -73,7 +73,7 @@
     await advance_clock_until(following.clock, lambda: len(following.first.request_targets) == 2)
 
 
-async def discovery_restored_from_a_silent_one(following: FollowingProxy) -> None:
+async def discovery_restored_after_a_silent_one(following: FollowingProxy) -> None:
     following.second.is_silent = True
     following.change_discovery(following.second)
     await advance_clock_until(following.clock, lambda: len(following.second.request_targets) == 2)
@@ -103,7 +103,7 @@
     (truncated_list, 0),
     (discovery_changed, 1),  # versions of one discovery mean nothing to another
     (discovery_restored_at_once, 0),
-    (discovery_restored_from_a_silent_one, 0),
+    (discovery_restored_after_a_silent_one, 0),
     (discovery_restored_after_a_list_of_another, 2),
 ]
 
--- a/tests/net/driver/test_event_loop_driver.py
+++ b/tests/net/driver/test_event_loop_driver.py
@@ -41,7 +41,7 @@
             discovery_port=discovery.port, settings=balancer_settings(must_subscribe=True)
         ) as proxy,
     ):
-        discovery.present_list = endpoint_list(
+        discovery.current_list = endpoint_list(
             endpoint_entry("a", first_endpoint.port), endpoint_entry("b", second_endpoint.port), rev=1
         )
         await wait_until(lambda: proxy.driver.is_ready)
@@ -102,7 +102,7 @@
         ) as proxy,
     ):
         draining_entry = endpoint_entry("a", endpoint.port, "terminating")
-        discovery.present_list = endpoint_list(draining_entry, rev=2, is_complete=False)
+        discovery.current_list = endpoint_list(draining_entry, rev=2, is_complete=False)
         response_task = asyncio.ensure_future(proxy.send_request(http_request()))
         await held_response.received.wait()
         discovery.may_respond.set()
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("state", ["terminating", "terminated", "absent", "moved"])
 @pytest.mark.parametrize("kind", ["read", "pay"])
-async def test_request_moves_to_another_endpoint_when_its_endpoint_drains_during_connect(
+async def test_request_goes_elsewhere_when_its_endpoint_drains_is_removed_or_moves_during_connect(
     state: str, kind: str
 ) -> None:
     async with (
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -30,23 +30,23 @@
 
 @EACH_CLOCK_STEP
 @pytest.mark.parametrize(
-    "is_stated_before_step", [True, False], ids=["stated before the step", "stated after the step"]
+    "is_read_before_step", [True, False], ids=["read before the step", "read after the step"]
 )
 def test_wall_time_is_converted_by_the_wall_clock_of_that_moment(
-    step: int, is_stated_before_step: bool
+    step: int, is_read_before_step: bool
 ) -> None:
     clocks = ManualClocks()
     clock = clocks.clock()
     clock.observe()
     clocks.advance(10 * SECOND_US)
-    if not is_stated_before_step:
+    if not is_read_before_step:
         clocks.step_wall_clock(step)
-    stated_us, expected_us = clocks.wall_us(), clock.now_us()
+    unix_us, expected_us = clocks.wall_us(), clock.now_us()
     clocks.advance(1 * SECOND_US)
-    if is_stated_before_step:
+    if is_read_before_step:
         clocks.step_wall_clock(step)
     clocks.advance(1 * SECOND_US)
-    assert clock.from_unix_us(stated_us) == expected_us
+    assert clock.from_unix_us(unix_us) == expected_us
 
 
 def test_ambiguous_wall_time_is_converted_to_the_later_moment() -> None:
@@ -59,7 +59,7 @@
     assert clock.from_unix_us(wall_time_us + 3 * SECOND_US) == clock.now_us() - 8 * SECOND_US
 
 
-def test_slewed_wall_clock_is_followed_and_the_number_of_remembered_steps_is_bounded() -> None:
+def test_slewed_wall_clock_is_followed_and_the_number_of_remembered_offsets_is_bounded() -> None:
     clocks = ManualClocks()
     clock = clocks.clock()
     for _ in range(10_000):
--- a/tests/net/upstream/conftest.py
+++ b/tests/net/upstream/conftest.py
@@ -46,10 +46,10 @@
     connection_made = UpstreamConnection.connection_made
 
     def install(hook: ConnectionHook) -> None:
-        def record_and_call(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
+        def call_with_hook(connection: UpstreamConnection, transport: asyncio.BaseTransport) -> None:
             connection_made(connection, transport)
             hook(connection)
 
-        monkeypatch.setattr(UpstreamConnection, "connection_made", record_and_call)
+        monkeypatch.setattr(UpstreamConnection, "connection_made", call_with_hook)
 
     return install
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -53,7 +53,7 @@
         pool.close()
 
 
-async def test_attempt_without_another_endpoint_waits_for_its_connections() -> None:
+async def test_attempt_past_its_failover_deadline_waits_for_its_connections() -> None:
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
--- a/tests/net/upstream/test_connect_pacing.py
+++ b/tests/net/upstream/test_connect_pacing.py
@@ -51,7 +51,7 @@
     assert pacing.late_after_s == MIN_LATE_S
 
 
-def test_cancelled_connect_counts_as_a_sample_only_if_later_than_usual(pacing: ConnectPacing) -> None:
+def test_cancelled_connect_counts_as_a_sample_only_if_longer_than_the_median(pacing: ConnectPacing) -> None:
     """Late connects are mostly cancelled; if none counted, all connects would seem fast."""
     for _ in range(MIN_SAMPLES):
         pacing.record_success(ENDPOINT, 0.01)
@@ -73,7 +73,7 @@
     ],
     ids=repr,
 )
-def test_failed_connect_counts_against_the_endpoint_only_if_it_caused_it(
+def test_connect_error_determines_the_outcome_and_whether_the_endpoint_is_failing(
     error: OSError, outcome: Outcome, pacing: ConnectPacing
 ) -> None:
     assert pacing.record_failure(ENDPOINT, error, 0.1) is outcome
@@ -90,12 +90,12 @@
     assert not pacing.has_local_shortage
 
 
-@pytest.mark.parametrize("ends", ["success", "forget"])
+@pytest.mark.parametrize("ended_by", ["success", "forget"])
 @pytest.mark.parametrize(
     ("number", "until_s"), [(errno.ECONNREFUSED, math.inf), (errno.EHOSTUNREACH, CONNECT_TIMEOUT_S)]
 )
 def test_no_extra_connection_is_opened_to_an_endpoint_that_fails_at_once(
-    number: int, until_s: float, ends: str, loop: StoppedLoop, pacing: ConnectPacing
+    number: int, until_s: float, ended_by: str, loop: StoppedLoop, pacing: ConnectPacing
 ) -> None:
     """A refusal counts until a connect succeeds, a missing route for one connect timeout."""
     for seconds in [0.01] * 8 + [0.2] * 2:
@@ -107,7 +107,7 @@
     loop.now += 1.1 * CONNECT_TIMEOUT_S
     assert pacing.is_extra_connect_worthwhile(ENDPOINT, ages_s, 1.0) is math.isfinite(until_s)
     pacing.record_failure(ENDPOINT, OSError(number, ""), 0.0)
-    if ends == "success":
+    if ended_by == "success":
         pacing.record_success(ENDPOINT, 0.01)
     else:
         pacing.forget(ENDPOINT)
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("ending", ["end", "reset"])
-async def test_request_survives_the_break_of_a_reused_connection(
+async def test_client_gets_a_response_when_a_reused_connection_breaks(
     kind: str, ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection breaks during the write, so the request may have run.
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -16,7 +16,7 @@
 from tests.support.stand_in_server import StandInEndpoint, StandInServer
 
 
-async def test_endpoint_that_closes_an_idle_connection_gets_new_connections_for_a_while(
+async def test_endpoint_that_closes_a_reused_connection_gets_new_connections_for_a_while(
     pool: ConnectionPool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -83,7 +83,9 @@
 
 @pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("ending", ["end", "reset"])
-async def test_truncated_response_is_retried_only_if_idempotent(kind: str, ending: str) -> None:
+async def test_request_is_retried_after_a_truncated_response_only_if_idempotent(
+    kind: str, ending: str
+) -> None:
     complete_response = http_response(200, b"served")
     for length in range(len(complete_response)):
         assert await status_and_request_ids(
@@ -92,7 +94,7 @@
 
 
 @pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
-async def test_invalid_response_is_retried_only_if_idempotent(kind: str) -> None:
+async def test_request_is_retried_after_an_invalid_response_only_if_idempotent(kind: str) -> None:
     for response in INVALID_RESPONSES:
         assert await status_and_request_ids(kind, response) == expected_if_it_may_have_run(kind), response
 
@@ -100,7 +102,9 @@
 @pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("status", [500, 503, 504])
 @pytest.mark.parametrize("declined", ["1", "0", ""])
-async def test_error_is_retried_if_declined_or_idempotent(kind: str, status: int, declined: str) -> None:
+async def test_request_is_retried_after_an_error_if_declined_or_idempotent(
+    kind: str, status: int, declined: str
+) -> None:
     is_declined = declined == "1" and status != 500
     expected = (200, ["r1", "r1"]) if is_declined else expected_if_it_may_have_run(kind)
     response = http_response(status, Srv_Declined=declined) if declined else http_response(status)
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("ending", ["cancel", "time out", "invalid"])
-async def test_abandoned_attempt_has_ended_at_its_endpoint_before_its_outcome(
+async def test_connection_of_an_abandoned_attempt_is_closed_before_its_outcome_is_reported(
     pool: ConnectionPool, ending: str
 ) -> None:
     """The retry may be written in the same event loop iteration: endpoints must never hold two copies."""
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("ending", ["cancel", "cancel if unsent", "drain", "time out", "no connection"])
 @pytest.mark.parametrize("upstream_request", [KEYED_REQUEST, UNSAFE_REQUEST])
-async def test_connection_established_after_its_attempt_carries_no_request(
+async def test_connection_established_after_its_attempt_ended_carries_no_request(
     ending: str, upstream_request: UpstreamRequest
 ) -> None:
     clock = FrozenClock()
--- a/tests/process/test_descriptor_limits.py
+++ b/tests/process/test_descriptor_limits.py
@@ -126,7 +126,7 @@
         StandInEndpoint(http_response(200, b"a")) as known_endpoint,
         StandInEndpoint(http_response(200, b"b")) as new_endpoint,
     ):
-        discovery.present_list = endpoint_list(endpoint_entry("b", new_endpoint.port), rev=2)
+        discovery.current_list = endpoint_list(endpoint_entry("b", new_endpoint.port), rev=2)
         discovery_socket = bound_socket()
         content = config_with_pushed_lists(discovery_socket, known_endpoint.port)
         assert content["limits"]["sockets"] > DESCRIPTOR_LIMIT
--- a/tests/process/test_server.py
+++ b/tests/process/test_server.py
@@ -201,7 +201,7 @@
         HeldListServer(is_held=True) as discovery,
     ):
         draining_entry = endpoint_entry("a", old_endpoint.port, "terminating")
-        discovery.present_list = endpoint_list(draining_entry, endpoint_entry("b", new_endpoint.port), rev=2)
+        discovery.current_list = endpoint_list(draining_entry, endpoint_entry("b", new_endpoint.port), rev=2)
         port, known = unused_port(), endpoint_list(endpoint_entry("a", old_endpoint.port), rev=1)
         env = write_config(tmp_path, config_with_pushed_lists(port, discovery.port, known))
         async with running_proxy_process(env) as process:
@@ -229,7 +229,7 @@
         StandInEndpoint(http_response(200, b"a")) as endpoint,
         HeldListServer(is_held=True) as discovery,
     ):
-        discovery.present_list = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
+        discovery.current_list = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
         content = proxy_config(discovery=f"127.0.0.1:{discovery.port}")
         if has_cached_list:
             content["known"] = endpoint_list(endpoint_entry("a", endpoint.port), rev=1)
@@ -269,8 +269,8 @@
         new_discovery,
     ):
         slow_entry, other_entry = endpoint_entry("a", slow.port), endpoint_entry("b", other.port)
-        old_discovery.present_list = endpoint_list(slow_entry, rev=100)
-        new_discovery.present_list = endpoint_list(slow_entry, rev=3)
+        old_discovery.current_list = endpoint_list(slow_entry, rev=100)
+        new_discovery.current_list = endpoint_list(slow_entry, rev=3)
         address, known = f"127.0.0.1:{old_discovery.port}", endpoint_list(slow_entry, rev=90)
         content = proxy_config(discovery=address, known=known)
         env = {**write_config(tmp_path, content), "NODE_DISCOVERY": address}
--- a/tests/process/test_startup.py
+++ b/tests/process/test_startup.py
@@ -344,7 +344,7 @@
     """SIGTERM ends it without an error; the next process serves although clients hold connections."""
     endpoint, discovery = SlowEndpoint(b"x"), HeldListServer(is_held=stage == "waiting for discovery")
     async with endpoint, discovery:
-        discovery.present_list = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
+        discovery.current_list = endpoint_list(endpoint_entry("a", endpoint.port), rev=2)
         port = unused_port()
         content = {**config_with_mode("automatic", discovery.port, None), "listen": f"127.0.0.1:{port}"}
         env = write_config(tmp_path, content)
