--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -97,7 +97,7 @@
 async def test_change_is_applied_in_time_after_a_long_outage_and_nothing_accumulates(
     settings: messages.Settings, outage: str, minutes: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Discovery recovers just after a request has failed, or while one is open that gets no response."""
+    """Discovery recovers just after a request has failed or, for lack of a complete list, has timed out."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock):
         await advance_until(clock, lambda: len(discovery.requests) == 1)
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -174,7 +174,7 @@
             [len(other.request_targets) for other in intermediate],
             len(following.first.request_targets),
         )
-        # The last discovery has sent no heartbeat for 3 s since.
+        # After 3 s without a heartbeat the last discovery gets another request; the others get none.
         await advance_clock_until(following.clock, lambda: len(last.request_targets) == 2)
         assert request_counts == (
             [len(other.request_targets) for other in intermediate],
--- a/tests/net/discovery/test_endpoint_watch.py
+++ b/tests/net/discovery/test_endpoint_watch.py
@@ -143,7 +143,7 @@
 
     async with StandInServer(handle) as discovery:
         recorded = RecordedWatch(discovery)
-        # Changes received in one read are joined, and which ones those are is not deterministic.
+        # Changes received in one read are merged, and which ones those are is not deterministic.
         received_lists = [await recorded.next_list()]
         while received_lists[-1].version < 43:
             received_lists.append(await recorded.next_list())
@@ -239,7 +239,7 @@
 
 
 def list_handler(*silent_numbers: int) -> StreamHandler:
-    """Return a handler that sends one list on each connection, and nothing on those of these numbers."""
+    """Return a handler that sends one list on each connection, except on those numbered here from 1."""
     request_lines: list[str] = []
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/net/discovery/test_merged_list_changes.py
+++ b/tests/net/discovery/test_merged_list_changes.py
@@ -1,4 +1,4 @@
-"""Changes received in one read are applied together, with the same effect as one after another."""
+"""Changes received in one read are merged and applied together, with the same effect as one after another."""
 
 from __future__ import annotations
 
@@ -139,7 +139,7 @@
 
 
 async def test_old_changes_in_a_later_read_are_not_merged() -> None:
-    """Joined with newer changes, they would bring back an endpoint that has since been removed."""
+    """Merged with newer changes, they would bring back an endpoint that has since been removed."""
     first_read = endpoint_list_chunk(endpoint_list(endpoint_entry("a", 9), rev=10)) + endpoint_list_chunk(
         list_changes(endpoint_entry("b", 9), rev=12)
     )
@@ -242,4 +242,5 @@
 
 
 def test_read_pause_leaves_time_for_a_process_stall() -> None:
+    """A change must be applied within 250 ms, of which a stall of the process may take 150 ms."""
     assert endpoint_watch.READ_PAUSE_S + 0.15 < 0.25 - 0.05
--- a/tests/net/discovery/test_notification_deadlines.py
+++ b/tests/net/discovery/test_notification_deadlines.py
@@ -1,4 +1,4 @@
-"""Time until a change of the endpoint list is applied, at the worst moment of each failure."""
+"""Time until a change of the endpoint list is applied if it comes at the worst moment of a failure."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     failure: Callable[[DiscoveryRequest], None],
     request_count: int = 6,
 ) -> None:
-    """Let this many requests fail, so that the backoff has grown; the last one has just failed."""
+    """Make this many requests fail; the backoff has then grown, and the last request has just failed."""
     discovery.on_request = failure
     await advance_until(clock, lambda: len(discovery.requests) == request_count)
     discovery.on_request = lambda request: None
@@ -94,7 +94,7 @@
 async def test_change_is_applied_in_time_after_many_failed_requests(
     settings: messages.Settings, failure: str
 ) -> None:
-    """Discovery recovers at the moment of the last failure, after an outage of any length."""
+    """Discovery recovers just after the last failure; the backoff is the longest, as in any long outage."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock):
         await fail_requests(discovery, clock, FAILURES[failure])
--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -99,7 +99,10 @@
 async def test_start_in_the_first_list_after_a_cached_one_has_its_true_age(
     step: int, first_kind: str
 ) -> None:
-    """A cached list may be of any age, so it bounds no start; an endpoint that it has keeps its start."""
+    """A cached list may be of any age, so no start that is reported after it is taken to be too early.
+
+    An endpoint in the cached list keeps its start.
+    """
 
     clocks = ManualClocks()
     cached_start_us = clocks.wall_us() - 1 * SECOND_US
@@ -115,7 +118,7 @@
     assert manual_driver.age_us("a") == 500 * MILLISECOND_US
     assert manual_driver.age_us("b") == 2 * SECOND_US
     manual_driver.apply_list(("c", clocks.wall_us() - HOUR_US))
-    assert manual_driver.age_us("c") == 0  # now bounded by the received list
+    assert manual_driver.age_us("c") == 0  # too early: the received list did not have it
 
 
 async def test_endpoint_that_restarted_long_ago_but_after_the_cached_list_is_warm() -> None:
@@ -147,7 +150,7 @@
         assert (state_after.warming.bucket.tokens, state_after.share) == (0.75, 0.5)
         assert state_after.endpoint.incarnation_us == first_start_us // 1000 * 1000
         assert manual_driver.age_us("a") == 2 * SECOND_US
-    # The second start is stated by a clock that has stepped in the meantime.
+    # The second start is reported by a clock that has stepped in the meantime.
     for later_start_us in (first_start_us + 1 * SECOND_US, first_start_us + 1 * SECOND_US + step):
         before = balancer.endpoints.states[endpoint_id]
         manual_driver.apply_list(("a", later_start_us))
--- a/tests/net/test_clock.py
+++ b/tests/net/test_clock.py
@@ -1,4 +1,4 @@
-"""The policy's clock never steps, and converts wall-clock times by the offset recorded at that time."""
+"""The policy's clock never steps, and converts Unix times by the offset valid at that time."""
 
 from __future__ import annotations
 
--- a/tests/net/test_repeated_log_lines.py
+++ b/tests/net/test_repeated_log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of one kind are written up to a limit in each series of events, and counted beyond it."""
+"""The first events of a run are logged individually; the others are counted, and a line gives the count."""
 
 from __future__ import annotations
 
--- a/tests/net/upstream/test_close_delimited_responses.py
+++ b/tests/net/upstream/test_close_delimited_responses.py
@@ -69,7 +69,7 @@
 async def test_reset_does_not_complete_a_close_delimited_response(
     pool: ConnectionPool, length: int, is_read_before_reset: bool, bytes_from_endpoints: bytearray
 ) -> None:
-    """After any byte or the last one, whether the bytes are read before the reset or together with it."""
+    """The reset follows any byte, also the last one, and is read after the bytes or together with them."""
     response_bytes = (HEAD_WITHOUT_LENGTH + b"whole")[:length]
 
     async with RawEndpoint(
--- a/tests/net/upstream/test_connect_latency.py
+++ b/tests/net/upstream/test_connect_latency.py
@@ -30,7 +30,7 @@
 
 
 def test_expected_saving_tolerates_rounding_of_ages() -> None:
-    """`age + (time - age)` may be below `time`: the connect then counted as pending for a step longer."""
+    """`age + (time - age)` may be below `time`; the connect must not count as pending for a step longer."""
     latency, (age_s, slowest_s) = ConnectLatency(), (0.09, 0.34)
     assert age_s + (slowest_s - age_s) < slowest_s
     for duration_s in (0.05, slowest_s):
--- a/tests/net/upstream/test_connect_pacing.py
+++ b/tests/net/upstream/test_connect_pacing.py
@@ -97,7 +97,7 @@
 def test_no_extra_connection_is_opened_to_an_endpoint_that_fails_at_once(
     number: int, until_s: float, ended_by: str, loop: StoppedLoop, pacing: ConnectPacing
 ) -> None:
-    """A refusal counts until a connect succeeds, a missing route for one connect timeout."""
+    """A refusal blocks extra connects until a connect succeeds, a missing route for one connect timeout."""
     for seconds in [0.01] * 8 + [0.2] * 2:
         pacing.record_success(ENDPOINT, seconds)
     ages_s = [0.05]
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connection an attempt uses, and what happens to the others; the test completes each connect."""
+"""Which connection an attempt uses, and what happens to the others; the tests time each connect."""
 
 from __future__ import annotations
 
@@ -222,7 +222,7 @@
 ) -> Callable[[str, ConnectionPool, UpstreamAttempt], list[bool]]:
     """Return a function that ends an attempt one iteration after its two connections are established.
 
-    The returned list then gets one entry: whether both connections were open and the attempt had neither.
+    The returned list then gets one entry: whether both connections were open and the attempt used neither.
     """
 
     def install(ending: str, pool: ConnectionPool, attempt: UpstreamAttempt) -> list[bool]:
@@ -313,7 +313,10 @@
 
 
 async def test_attempt_waits_no_longer_than_the_connect_timeout_for_any_connection() -> None:
-    """The policy relies on this for retries within a window; pending connects continue for other attempts."""
+    """The policy relies on this for retries with an idempotency key, which endpoints remember for some time.
+
+    Pending connects continue for other attempts.
+    """
 
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
@@ -321,7 +324,9 @@
         attempts.start_attempt("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
         await connects.advance(59000.0)
         await connects.wait_for_started(2)
-        connects.clock.advance(1100.0)  # the first connect has timed out, the second is one second old
+        connects.clock.advance(
+            1100.0
+        )  # past the connect timeout of the attempt; its second connect is 1100 s old
         await attempts.wait_for_outcomes(a=Outcome.NO_CONNECTION)
         attempts.start_attempt("b")
         connects.open(1)
--- a/tests/net/upstream/test_connection_pool_random.py
+++ b/tests/net/upstream/test_connection_pool_random.py
@@ -1,6 +1,6 @@
 """Random simulations of the connection pool: each attempt ends once, and the pool is empty afterwards.
 
-Attempts start and end, and endpoints are disabled, inside the outcome callback of another attempt. Each
+Attempts start and end, and endpoints are disabled, also inside the outcome callback of another attempt. Each
 simulation has a seed; its assertions hold in any order of concurrent events.
 """
 
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -24,7 +24,7 @@
 async def test_late_bytes_on_an_idle_connection_are_not_the_next_response(
     pool: ConnectionPool, late_event: str, is_unread: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The bytes are unread when the next request starts in the same iteration, or were read before."""
+    """The next request starts while the bytes or the end are unread, or after they have been read."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
@@ -83,7 +83,7 @@
 async def test_connection_settles_before_reuse_so_that_a_second_response_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Requests in the settling time use other connections; the second response arrives at its end."""
+    """Requests in the settling time use other connections; second responses arrive before it has passed."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 20.0)
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
@@ -114,7 +114,7 @@
 async def test_client_gets_a_response_when_a_reused_connection_breaks(
     kind: str, ending: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection breaks during the write, so the request may have run.
+    """The endpoint closes or resets the connection once it has the request, which may thus have run.
 
     Non-idempotent requests therefore use no idle connection.
     """
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -55,7 +55,11 @@
 
 
 async def status_and_request_ids(kind: str, *first_steps: bytes | str) -> tuple[int, list[str]]:
-    """Return the client's status and the request ids at the endpoints, given the first response's steps."""
+    """Return the status of the client's response, and the ids of the requests that reached the endpoints.
+
+    The first of these requests is handled by `first_steps`, as `respond_with` defines them; the others get a
+    valid response.
+    """
     remaining_steps = [first_steps]
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
--- a/tests/net/upstream/test_single_outcome.py
+++ b/tests/net/upstream/test_single_outcome.py
@@ -94,7 +94,7 @@
         clock = proxy.use_stepped_clock()
         reader, writer = await send_partly(proxy, "mark" if is_reused else "pay", small_buffer_transports)
         end_request(ending, proxy, clock, writer)
-        if ending != "client gone":  # at the proxy's end the policy treats attempts in flight as possibly run
+        if ending != "client gone":  # at shutdown, the policy treats attempts in flight as possibly run
             expected_status = 502 if ending == "end" and not is_reused else 503
             assert response_status(await read_http_message(reader)) == expected_status
         await wait_until(lambda: proxy.driver.is_idle)
@@ -279,7 +279,7 @@
             recorded = RecordedAttempt(pool, endpoint.endpoint, replace(request, target=b"/crossed"))
             await connect_moment.at_moment(partial(apply_two_events, pool, recorded, first, second))
             assert await recorded.result() == (OUTCOMES_DURING_CONNECT[first], None), (first, second)
-            for _ in range(3):  # a late effect of the first attempt would precede the end of these
+            for _ in range(3):  # a late effect of the first attempt would occur before these end
                 assert (await RecordedAttempt(pool, endpoint.endpoint, request).result())[0] is Outcome.OK
             assert len(recorded.results) == 1
             pool.close()
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -61,7 +61,7 @@
 async def test_new_connection_that_ended_or_sent_bytes_early_carries_no_request(
     early_event: str, kind: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
-    """The connection ended before the request was written, so it has not run and is retried elsewhere."""
+    """The end or the bytes arrive before the request is written: it has not run, and is retried."""
     early_event_sender = EarlyEventSender(early_event)
     on_established(early_event_sender.established)
     handle = respond_with(http_response(200, b"served"))
@@ -107,7 +107,7 @@
         outcome = (await recorded.result())[0]
         assert outcome.proves_never_run or (ending, outcome) == ("cancel", Outcome.CANCELLED)
         gate.opened.set()
-        for number in range(3):  # a late effect of the first attempt would precede the end of these
+        for number in range(3):  # a late effect of the first attempt would occur before these end
             other = replace(upstream_request, target=b"/%d" % number)
             assert await RecordedAttempt(pool, endpoint.endpoint, other).result() == (Outcome.OK, OK_RESPONSE)
         assert [first.split()[1] for first, _, _ in endpoint.received] == ["/0", "/1", "/2"]
--- a/tests/net/upstream/test_upstream_connection.py
+++ b/tests/net/upstream/test_upstream_connection.py
@@ -51,7 +51,7 @@
         )
         assert actual_outcome is outcome
         assert actual_outcome is not Outcome.OK or (response and response.body == b"ok")
-        assert len(endpoint.received) == 1  # not sent again at this level
+        assert len(endpoint.received) == 1  # not sent again: the policy decides on retries
 
 
 @pytest.mark.parametrize(
@@ -110,7 +110,7 @@
 async def test_late_copy_of_a_response_is_not_the_next_response(
     pool: ConnectionPool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The copy arrives just after the connection became idle, which is not reused before it has settled."""
+    """The copy arrives just after the connection became idle; it must settle before it is reused."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", 60.0)
 
     may_send_copy = asyncio.Event()
