--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -117,9 +117,12 @@
     )[0]
     assert second_attempt.endpoint_id != first_attempt.endpoint_id
     assert second_attempt.failover_within_us == 0  # a third attempt is not allowed
-    single_endpoint = BalancerHarness(balancer_settings(), endpoint_count=1)
+    single_endpoint_harness = BalancerHarness(balancer_settings(), endpoint_count=1)
     assert (
-        actions_of_type(single_endpoint.send_request("a"), messages.StartAttempt)[0].failover_within_us == 0
+        actions_of_type(single_endpoint_harness.send_request("a"), messages.StartAttempt)[
+            0
+        ].failover_within_us
+        == 0
     )
 
 
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -34,10 +34,10 @@
 
     early_event: str
     endpoints: list[RawEndpoint] = field(default_factory=list)
-    endpoint_side: list[EndpointConnection] = field(default_factory=list)
+    endpoint_sides: list[EndpointConnection] = field(default_factory=list)
 
     def established(self, connection: UpstreamConnection) -> None:
-        if self.endpoint_side:
+        if self.endpoint_sides:
             return
         [endpoint] = [
             candidate
@@ -45,7 +45,7 @@
             if candidate.endpoint.address == connection.endpoint.address
         ]
         endpoint_side = EndpointConnection(endpoint.socket.accept()[0], asyncio.Event())
-        self.endpoint_side.append(endpoint_side)
+        self.endpoint_sides.append(endpoint_side)
         if "response" in self.early_event:
             endpoint_side.send(http_response(200, b"unasked"))
         if "end" in self.early_event:
@@ -75,7 +75,7 @@
         assert line.split()[1] == "200"
         assert body == b"served"
         assert first.request_ids + second.request_ids == ["r1"]
-        [endpoint_side] = early_event_sender.endpoint_side
+        [endpoint_side] = early_event_sender.endpoint_sides
         if not endpoint_side.is_closed:
             assert endpoint_side.socket.recv(1) == b""  # nothing was written
             endpoint_side.socket.close()
--- a/tests/net/upstream/test_upstream_attempt.py
+++ b/tests/net/upstream/test_upstream_attempt.py
@@ -76,7 +76,7 @@
     pool: ConnectionPool, is_written: bool
 ) -> None:
     size = 2 if is_written else 30_000_000
-    head = [(b"host", b"x"), (b"content-length", b"%d" % size)]
+    headers = [(b"host", b"x"), (b"content-length", b"%d" % size)]
 
     async def handle(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -89,7 +89,7 @@
     async with StandInServer(handle) as endpoint:
         attempt = pool.start_attempt(
             EndpointAddress(1, ("127.0.0.1", endpoint.port)),
-            replace(UNSAFE_REQUEST, headers=head, body=b"x" * size),
+            replace(UNSAFE_REQUEST, headers=headers, body=b"x" * size),
             5.0,
             lambda outcome, _: ended_with.set_result(outcome),
         )
