--- a/tests/net/discovery/test_start_times.py
+++ b/tests/net/discovery/test_start_times.py
@@ -99,9 +99,9 @@
 async def test_start_in_the_first_list_after_a_cached_one_has_its_true_age(
     step: int, first_kind: str
 ) -> None:
-    """A cached list may be of any age, so no start that is reported after it is taken to be too early.
+    """A cached list may be of any age, so it shows no reported start to be too early.
 
-    An endpoint in the cached list keeps its start.
+    An endpoint in it keeps its start.
     """
 
     clocks = ManualClocks()
--- a/tests/net/upstream/test_connection_pool.py
+++ b/tests/net/upstream/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Which connection an attempt uses, and what happens to the others; the tests time each connect."""
+"""Which connection an attempt uses, and what happens to the others; tests decide when connects complete."""
 
 from __future__ import annotations
 
@@ -57,9 +57,8 @@
 
 
 async def test_surplus_connection_is_reused_by_the_next_attempt() -> None:
-    async with StandInEndpoint(
-        None, http_response(200)
-    ) as endpoint:  # the first connection used is closed without a response
+    # The first connection used is closed without a response.
+    async with StandInEndpoint(None, http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
         attempts.start_attempt("a")
@@ -324,9 +323,8 @@
         attempts.start_attempt("a", timeout_s=5 * LONG_CONNECT_TIMEOUT_S)
         await connects.advance(59000.0)
         await connects.wait_for_started(2)
-        connects.clock.advance(
-            1100.0
-        )  # past the connect timeout of the attempt; its second connect is 1100 s old
+        # Past the attempt's connect timeout; its second connect is 1100 s old.
+        connects.clock.advance(1100.0)
         await attempts.wait_for_outcomes(a=Outcome.NO_CONNECTION)
         attempts.start_attempt("b")
         connects.open(1)
--- a/tests/net/upstream/test_connection_reuse.py
+++ b/tests/net/upstream/test_connection_reuse.py
@@ -24,7 +24,7 @@
 async def test_late_bytes_on_an_idle_connection_are_not_the_next_response(
     pool: ConnectionPool, late_event: str, is_unread: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The next request starts while the bytes or the end are unread, or after they have been read."""
+    """The next request starts in the same iteration, with the bytes unread, or after they have been read."""
     monkeypatch.setattr(idle_connections, "SETTLE_S", -1.0)
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
--- a/tests/net/upstream/test_idle_connections.py
+++ b/tests/net/upstream/test_idle_connections.py
@@ -57,9 +57,8 @@
             assert (await run_attempt(pool, address, UNSAFE_REQUEST))[0] is Outcome.OK
             assert len(pool.idle.by_endpoint[EndpointAddress(1, address)]) == 1
         assert endpoint.connection_count == 4
-        assert (await run_attempt(pool, address))[
-            0
-        ] is Outcome.RESET  # an idempotent request reuses a connection
+        # An idempotent request reuses a connection.
+        assert (await run_attempt(pool, address))[0] is Outcome.RESET
 
 
 @pytest.mark.parametrize(
