--- a/tests/net/discovery/test_discovery_outages.py
+++ b/tests/net/discovery/test_discovery_outages.py
@@ -97,7 +97,7 @@
 async def test_change_is_applied_in_time_after_a_long_outage_and_nothing_accumulates(
     settings: messages.Settings, outage: str, minutes: int, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Discovery recovers just after a request has failed, or while one is open that gets no response."""
+    """Discovery recovers just after a request has failed or, for lack of a complete list, has timed out."""
 
     async with watching_proxy(settings) as (discovery, proxy, clock):
         await advance_until(clock, lambda: len(discovery.requests) == 1)
@@ -220,7 +220,7 @@
         discovery,
     ):
         draining_entry = endpoint_entry("a", draining_endpoint.port, "terminating")
-        discovery.present_list = endpoint_list(
+        discovery.current_list = endpoint_list(
             draining_entry, endpoint_entry("b", new_endpoint.port), rev=7, is_complete=False
         )
         for _ in range(2):  # killed and started again, with the same name and address
--- a/tests/net/discovery/test_discovery_reloads.py
+++ b/tests/net/discovery/test_discovery_reloads.py
@@ -174,7 +174,7 @@
             [len(other.request_targets) for other in intermediate],
             len(following.first.request_targets),
         )
-        # The last discovery has sent no heartbeat for 3 s since.
+        # After 3 s without a heartbeat the last discovery gets another request; the others get none.
         await advance_clock_until(following.clock, lambda: len(last.request_targets) == 2)
         assert request_counts == (
             [len(other.request_targets) for other in intermediate],
@@ -217,7 +217,7 @@
     """
     silent, other, last = HeldListServer(is_held=True), HeldListServer(is_held=True), HeldListServer()
     async with StandInEndpoint(http_response(200, b"b")) as endpoint, silent, other, last:
-        last.present_list = endpoint_list(endpoint_entry("b", endpoint.port), rev=2)
+        last.current_list = endpoint_list(endpoint_entry("b", endpoint.port), rev=2)
         known = endpoint_list(endpoint_entry("a", 9), rev=1)
         content = proxy_config(discovery=f"127.0.0.1:{silent.port}", known=known)
         async with running_proxy_process(write_config(tmp_path, content)) as process:
--- a/tests/net/upstream/test_connect_failover.py
+++ b/tests/net/upstream/test_connect_failover.py
@@ -53,7 +53,7 @@
         pool.close()
 
 
-async def test_attempt_without_another_endpoint_waits_for_its_connections() -> None:
+async def test_attempt_past_its_failover_deadline_waits_for_its_connections() -> None:
     async with StandInEndpoint(http_response(200)) as endpoint:
         pool = ConnectionPool(LONG_CONNECT_TIMEOUT_S, LONG_IDLE_TIMEOUT_S, 10)
         attempts, connects = RecordedAttempts(pool, endpoint), ConnectGates(pool, MOSTLY_FAST_CONNECTS_S)
@@ -117,9 +117,12 @@
     )[0]
     assert second_attempt.endpoint_id != first_attempt.endpoint_id
     assert second_attempt.failover_within_us == 0  # a third attempt is not allowed
-    single_endpoint = BalancerHarness(balancer_settings(), endpoint_count=1)
+    single_endpoint_harness = BalancerHarness(balancer_settings(), endpoint_count=1)
     assert (
-        actions_of_type(single_endpoint.send_request("a"), messages.StartAttempt)[0].failover_within_us == 0
+        actions_of_type(single_endpoint_harness.send_request("a"), messages.StartAttempt)[
+            0
+        ].failover_within_us
+        == 0
     )
 
 
--- a/tests/net/upstream/test_invalid_responses.py
+++ b/tests/net/upstream/test_invalid_responses.py
@@ -55,7 +55,11 @@
 
 
 async def status_and_request_ids(kind: str, *first_steps: bytes | str) -> tuple[int, list[str]]:
-    """Return the client's status and the request ids at the endpoints, given the first response's steps."""
+    """Return the status of the client's response, and the ids of the requests that reached the endpoints.
+
+    The first of these requests is handled by `first_steps`, as `respond_with` defines them; the others get a
+    valid response.
+    """
     remaining_steps = [first_steps]
 
     async def handle(connection: EndpointConnection, request: HttpMessage) -> None:
@@ -83,7 +87,9 @@
 
 @pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("ending", ["end", "reset"])
-async def test_truncated_response_is_retried_only_if_idempotent(kind: str, ending: str) -> None:
+async def test_request_is_retried_after_a_truncated_response_only_if_idempotent(
+    kind: str, ending: str
+) -> None:
     complete_response = http_response(200, b"served")
     for length in range(len(complete_response)):
         assert await status_and_request_ids(
@@ -92,7 +98,7 @@
 
 
 @pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
-async def test_invalid_response_is_retried_only_if_idempotent(kind: str) -> None:
+async def test_request_is_retried_after_an_invalid_response_only_if_idempotent(kind: str) -> None:
     for response in INVALID_RESPONSES:
         assert await status_and_request_ids(kind, response) == expected_if_it_may_have_run(kind), response
 
@@ -100,7 +106,9 @@
 @pytest.mark.parametrize("kind", REQUEST_CLASS_NAMES)
 @pytest.mark.parametrize("status", [500, 503, 504])
 @pytest.mark.parametrize("declined", ["1", "0", ""])
-async def test_error_is_retried_if_declined_or_idempotent(kind: str, status: int, declined: str) -> None:
+async def test_request_is_retried_after_an_error_if_declined_or_idempotent(
+    kind: str, status: int, declined: str
+) -> None:
     is_declined = declined == "1" and status != 500
     expected = (200, ["r1", "r1"]) if is_declined else expected_if_it_may_have_run(kind)
     response = http_response(status, Srv_Declined=declined) if declined else http_response(status)
--- a/tests/net/upstream/test_unused_connections.py
+++ b/tests/net/upstream/test_unused_connections.py
@@ -34,10 +34,10 @@
 
     early_event: str
     endpoints: list[RawEndpoint] = field(default_factory=list)
-    endpoint_side: list[EndpointConnection] = field(default_factory=list)
+    endpoint_sides: list[EndpointConnection] = field(default_factory=list)
 
     def established(self, connection: UpstreamConnection) -> None:
-        if self.endpoint_side:
+        if self.endpoint_sides:
             return
         [endpoint] = [
             candidate
@@ -45,7 +45,7 @@
             if candidate.endpoint.address == connection.endpoint.address
         ]
         endpoint_side = EndpointConnection(endpoint.socket.accept()[0], asyncio.Event())
-        self.endpoint_side.append(endpoint_side)
+        self.endpoint_sides.append(endpoint_side)
         if "response" in self.early_event:
             endpoint_side.send(http_response(200, b"unasked"))
         if "end" in self.early_event:
@@ -61,7 +61,7 @@
 async def test_new_connection_that_ended_or_sent_bytes_early_carries_no_request(
     early_event: str, kind: str, on_established: Callable[[ConnectionHook], None]
 ) -> None:
-    """The connection ended before the request was written, so it has not run and is retried elsewhere."""
+    """The end or the bytes arrive before the request is written: it has not run, and is retried."""
     early_event_sender = EarlyEventSender(early_event)
     on_established(early_event_sender.established)
     handle = respond_with(http_response(200, b"served"))
@@ -75,7 +75,7 @@
         assert line.split()[1] == "200"
         assert body == b"served"
         assert first.request_ids + second.request_ids == ["r1"]
-        [endpoint_side] = early_event_sender.endpoint_side
+        [endpoint_side] = early_event_sender.endpoint_sides
         if not endpoint_side.is_closed:
             assert endpoint_side.socket.recv(1) == b""  # nothing was written
             endpoint_side.socket.close()
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("ending", ["cancel", "cancel if unsent", "drain", "time out", "no connection"])
 @pytest.mark.parametrize("upstream_request", [KEYED_REQUEST, UNSAFE_REQUEST])
-async def test_connection_established_after_its_attempt_carries_no_request(
+async def test_connection_established_after_its_attempt_ended_carries_no_request(
     ending: str, upstream_request: UpstreamRequest
 ) -> None:
     clock = FrozenClock()
@@ -107,7 +107,7 @@
         outcome = (await recorded.result())[0]
         assert outcome.proves_never_run or (ending, outcome) == ("cancel", Outcome.CANCELLED)
         gate.opened.set()
-        for number in range(3):  # a late effect of the first attempt would precede the end of these
+        for number in range(3):  # a late effect of the first attempt would occur before these end
             other = replace(upstream_request, target=b"/%d" % number)
             assert await RecordedAttempt(pool, endpoint.endpoint, other).result() == (Outcome.OK, OK_RESPONSE)
         assert [first.split()[1] for first, _, _ in endpoint.received] == ["/0", "/1", "/2"]
